--- a/crates/daemon/src/hooks.rs
+++ b/crates/daemon/src/hooks.rs
@@ -79,7 +79,7 @@
         }
     }
 
-    fn untended(&self, logs: Vec<String>) {
+    fn orphaned(&self, logs: Vec<String>) {
         let Some(parts) = self.parts() else {
             return;
         };
--- a/crates/front/src/job/locating.rs
+++ b/crates/front/src/job/locating.rs
@@ -113,11 +113,11 @@
             return None;
         }
         let own = self.context.nodes.own().node;
-        let takers = self.context.nodes.takers();
-        if takers.iter().any(|taker| taker.node == own) {
+        let takeover_candidates = self.context.nodes.takeover_candidates();
+        if takeover_candidates.iter().any(|taker| taker.node == own) {
             return None;
         }
-        let names = takers.iter().map(|taker| taker.node.as_str());
+        let names = takeover_candidates.iter().map(|taker| taker.node.as_str());
         rendezvous_first(log_name(id).as_bytes(), names).map(str::to_owned)
     }
 
--- a/crates/front/src/job/registry.rs
+++ b/crates/front/src/job/registry.rs
@@ -247,7 +247,7 @@
     }
 
     /// Notes that a replica says that another node has the log.
-    pub fn on_contested(&self, log: &str) {
+    pub fn on_fence_reported(&self, log: &str) {
         let id = log.strip_prefix(LOG_PREFIX).unwrap_or_default();
         if let Some(job) = self.local(id) {
             job.set_contested();
--- a/crates/front/src/nodes/mod.rs
+++ b/crates/front/src/nodes/mod.rs
@@ -468,14 +468,14 @@
         fronts.map(|record| self.member(record)).collect()
     }
 
-    fn takers(&self) -> Vec<Member> {
+    fn takeover_candidates(&self) -> Vec<Member> {
         strongest(self.with_role(NodeRole::Front))
             .iter()
             .map(|record| self.member(record))
             .collect()
     }
 
-    fn is_gone(&self, process: ProcessId) -> bool {
+    fn has_exited(&self, process: ProcessId) -> bool {
         let is_own = self.own().process == process;
         let known = lock(&self.known);
         let mut present = known
--- a/crates/front/src/program.rs
+++ b/crates/front/src/program.rs
@@ -59,7 +59,7 @@
     /// The whole system starts for the first time.
     pub is_first_start: bool,
     /// Disks that may be lost at once.
-    pub tolerated_losses: usize,
+    pub tolerated_failures: usize,
     /// How long a batch job can be read after it was handed in.
     pub job_retention: Duration,
     /// Least time between orders of two givers; none is needed where instances refuse those of an earlier one.
@@ -83,14 +83,14 @@
     pub fn journal(&self) -> JournalOptions {
         JournalOptions {
             node: self.node.clone(),
-            initial_replicas: InitialReplicas::Count(2 * self.tolerated_losses + 1),
+            initial_replicas: InitialReplicas::Count(2 * self.tolerated_failures + 1),
             may_bootstrap: self.is_first_start,
-            tended_prefix: LOG_PREFIX,
-            owner_heartbeat: OWNER_HEARTBEAT,
+            monitored_prefix: LOG_PREFIX,
+            owner_heartbeat_interval: OWNER_HEARTBEAT,
             owner_timeout: OWNER_TIMEOUT,
             round_timeout: ROUND_TIMEOUT,
-            poll: SET_POLL,
-            longest_pause: SET_POLL,
+            poll_interval: SET_POLL,
+            max_poll_interval: SET_POLL,
             replace_after: REPLACE_AFTER,
         }
     }
@@ -149,9 +149,9 @@
         }
     }
 
-    fn contested(&self, log: &str) {
+    fn fence_reported(&self, log: &str) {
         if let Some(jobs) = &self.jobs {
-            jobs.on_contested(log);
+            jobs.on_fence_reported(log);
         }
     }
 
@@ -161,7 +161,7 @@
         }
     }
 
-    fn untended(&self, logs: Vec<String>) {
+    fn orphaned(&self, logs: Vec<String>) {
         if let Some(jobs) = &self.jobs {
             jobs.on_untended(logs);
         }
--- a/crates/front/src/store.rs
+++ b/crates/front/src/store.rs
@@ -152,7 +152,7 @@
     let options = StorageOptions {
         cache_bytes: CACHE_BYTES,
         queue_bytes: QUEUE_BYTES,
-        dropped_when_closed: vec![DropRule {
+        drop_rules: vec![DropRule {
             prefix: LOG_PREFIX.to_owned(),
             after: job_retention * KEPT_RETENTIONS,
         }],
