--- a/crates/front/src/activity.rs
+++ b/crates/front/src/activity.rs
@@ -27,7 +27,7 @@
 
 impl Activity {
     /// Notes that work begins; it ends with the guard.
-    pub fn begin(&self) -> ActivityGuard {
+    pub fn start(&self) -> ActivityGuard {
         self.count.send_modify(|count| *count += 1);
         ActivityGuard {
             count: self.count.clone(),
@@ -40,30 +40,30 @@
     }
 
     /// Returns once work is under way.
-    pub async fn active(&self) {
+    pub async fn wait_until_active(&self) {
         self.wait_for(true).await;
     }
 
     /// Returns once no work is under way.
-    pub async fn idle(&self) {
+    pub async fn wait_until_idle(&self) {
         self.wait_for(false).await;
     }
 
     /// Returns once there has been no work for `rest`.
-    pub async fn rested(&self, rest: Duration) {
+    pub async fn wait_until_idle_for(&self, rest: Duration) {
         loop {
-            self.idle().await;
-            if tokio::time::timeout(rest, self.active()).await.is_err() {
+            self.wait_until_idle().await;
+            if tokio::time::timeout(rest, self.wait_until_active()).await.is_err() {
                 return;
             }
         }
     }
 
     /// Passes `busy` while work is under way, and up to `idle`, the longer time, while none is.
-    pub async fn pause(&self, busy: Duration, idle: Duration) {
+    pub async fn pause(&self, busy: Duration, wait_until_idle: Duration) {
         tokio::time::sleep(busy).await;
-        let rest = idle.saturating_sub(busy);
-        let _ = tokio::time::timeout(rest, self.active()).await;
+        let rest = wait_until_idle.saturating_sub(busy);
+        let _ = tokio::time::timeout(rest, self.wait_until_active()).await;
     }
 
     async fn wait_for(&self, is_active: bool) {
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -15,7 +15,7 @@
 use crate::coordination::Coordination;
 use crate::dialect::SharedCodec;
 use crate::ingress::{self, Ingress, IngressState};
-use crate::job::{Confirmation, JobContext, JobRegistry, NewestSteps, TextLengths};
+use crate::job::{QuorumConfirmation, JobContext, JobRegistry, LatestSteps, TextLengths};
 use crate::live::LiveService;
 use crate::metrics::Metrics;
 use crate::nodes::{FormatLevel, NodeRecord, NodeRole, Nodes};
@@ -280,9 +280,9 @@
             codec: Arc::clone(&inputs.codec),
             metrics: Arc::clone(self.metrics),
             retention: self.options.job_retention,
-            confirmation: Confirmation::default(),
+            confirmation: QuorumConfirmation::default(),
             lengths: TextLengths::default(),
-            steps: NewestSteps::default(),
+            steps: LatestSteps::default(),
             learnt_loads: LearntLoads::default(),
             ended_givers: EndedGivers::default(),
             activity: inputs.activities.with_instances.clone(),
@@ -383,7 +383,7 @@
         let listener = bind(address).await?;
         // Clients of a front that is cut off from the journal are better served by others.
         let is_ready =
-            move || config.current().is_some() && !state.is_draining() && !jobs.is_cut_off();
+            move || config.current().is_some() && !state.is_draining() && !jobs.is_journal_unreachable();
         tokio::spawn(ingress::serve_readiness(listener, is_ready));
     }
     if let Some(address) = options.metrics_address {
--- a/crates/front/src/ingress/mod.rs
+++ b/crates/front/src/ingress/mod.rs
@@ -339,11 +339,11 @@
         };
         match self.jobs.accept(spec).await {
             Ok(()) => empty(StatusCode::ACCEPTED),
-            Err(AcceptError::NotKept(cause)) => {
+            Err(AcceptError::NotStored(cause)) => {
                 log::warn!("event=job_refused job={id} cause=\"{cause}\"");
                 not_run()
             }
-            Err(AcceptError::InDoubt(cause)) => {
+            Err(AcceptError::OutcomeUnknown(cause)) => {
                 log::warn!("event=job_in_doubt job={id} cause=\"{cause}\"");
                 empty(StatusCode::GATEWAY_TIMEOUT)
             }
--- a/crates/front/src/job/bounds.rs
+++ b/crates/front/src/job/bounds.rs
@@ -15,13 +15,13 @@
 
 /// Why a job may not be kept or served within the regions of its route and tenant.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum OutOfBounds {
+pub enum RegionBoundsError {
     /// Where it may be kept is not known, as no route takes it.
     #[error("no route takes it")]
     NoRoute,
     /// Its route and its tenant have no region in common, or name none.
     #[error("no region is allowed")]
-    Nowhere,
+    NoAllowedRegion,
     /// A node lies outside.
     #[error("node {node} in {region} is outside {allowed}")]
     Node {
@@ -70,20 +70,20 @@
 ///
 /// # Errors
 /// The node that does not, or whose region is not known.
-pub fn check_keepers(
+pub fn check_node_regions(
     allowed: &AllowedRegions,
     nodes: &Nodes,
     replicas: Option<&ReplicaSet>,
-) -> Result<(), OutOfBounds> {
+) -> Result<(), RegionBoundsError> {
     if allowed.is_all() {
         return Ok(());
     }
     if allowed.is_nowhere() {
-        return Err(OutOfBounds::Nowhere);
+        return Err(RegionBoundsError::NoAllowedRegion);
     }
     let allowed = || allowed.clone();
     let Some(replicas) = replicas else {
-        return Err(OutOfBounds::UnknownReplicas { allowed: allowed() });
+        return Err(RegionBoundsError::UnknownReplicas { allowed: allowed() });
     };
     let is_unknown = |member: &&ReplicaMember| !nodes.knows(&member.node);
     if let Some(member) = replicas
@@ -92,13 +92,13 @@
         .chain(&replicas.next)
         .find(is_unknown)
     {
-        return Err(OutOfBounds::UnknownReplica {
+        return Err(RegionBoundsError::UnknownReplica {
             node: member.node.clone(),
             allowed: allowed(),
         });
     }
     if let Some(outside) = nodes.any_outside(&allowed()) {
-        return Err(OutOfBounds::Node {
+        return Err(RegionBoundsError::Node {
             region: Region(Some(outside.region).filter(|region| !region.is_empty())),
             node: outside.node,
             allowed: allowed(),
@@ -120,22 +120,22 @@
     ///
     /// # Errors
     /// Where it would leave them, or that no instance lies in them.
-    pub(super) fn check_bounds(&self, spec: &JobSpec) -> Result<(), OutOfBounds> {
+    pub(super) fn check_bounds(&self, spec: &JobSpec) -> Result<(), RegionBoundsError> {
         let context = &self.context;
         let bound = context
             .config
             .allowed_regions(&spec.host, &spec.path, &spec.tenant);
-        let allowed = bound.ok_or(OutOfBounds::NoRoute)?;
+        let allowed = bound.ok_or(RegionBoundsError::NoRoute)?;
         if allowed.is_all() {
             return Ok(());
         }
         let replicas = context.replica_sets.current();
-        check_keepers(&allowed, &context.nodes, replicas.as_deref())?;
+        check_node_regions(&allowed, &context.nodes, replicas.as_deref())?;
         self.check_instances(spec, allowed)
     }
 
     /// Whether each service of a job's route that has instances has one in an allowed region.
-    fn check_instances(&self, spec: &JobSpec, allowed: AllowedRegions) -> Result<(), OutOfBounds> {
+    fn check_instances(&self, spec: &JobSpec, allowed: AllowedRegions) -> Result<(), RegionBoundsError> {
         let context = &self.context;
         let config = context.config.current().unwrap_or_default();
         let route = config.route(&spec.host, &spec.path);
@@ -143,7 +143,7 @@
             let service = &part.service;
             let is_known = !context.backends.of_service(service).is_empty();
             if is_known && !context.backends.has_any_within(service, &allowed) {
-                return Err(OutOfBounds::NoInstance {
+                return Err(RegionBoundsError::NoInstance {
                     service: service.clone(),
                     allowed,
                 });
--- a/crates/front/src/job/confirmation.rs
+++ b/crates/front/src/job/confirmation.rs
@@ -7,13 +7,13 @@
 
 /// The send time of the last question in which a majority of replicas confirmed this node's logs.
 #[derive(Debug, Default)]
-pub struct Confirmation {
+pub struct QuorumConfirmation {
     asked_at: Mutex<Option<Instant>>,
 }
 
-impl Confirmation {
+impl QuorumConfirmation {
     /// Notes that a majority answered a question sent at `asked_at`.
-    pub fn note(&self, asked_at: Instant) {
+    pub fn record(&self, asked_at: Instant) {
         let mut known = self.lock();
         *known = (*known).max(Some(asked_at));
     }
--- a/crates/front/src/job/context.rs
+++ b/crates/front/src/job/context.rs
@@ -6,9 +6,9 @@
 use ladderstage_journal::Journal;
 use ladderstage_journal::replica_set::ReplicaSets;
 
-use super::confirmation::Confirmation;
+use super::confirmation::QuorumConfirmation;
 use super::lengths::TextLengths;
-use super::trainer_steps::NewestSteps;
+use super::trainer_steps::LatestSteps;
 use crate::activity::Activity;
 use crate::backend::BackendTable;
 use crate::config::ConfigInForce;
@@ -40,11 +40,11 @@
     /// How long a job can be read after it was handed in.
     pub retention: Duration,
     /// Whether the replicas still know this node as the owner of its jobs.
-    pub confirmation: Confirmation,
+    pub confirmation: QuorumConfirmation,
     /// How long texts are.
     pub lengths: TextLengths,
     /// The newest steps of trainers.
-    pub steps: NewestSteps,
+    pub steps: LatestSteps,
     /// What givers of orders have learnt of loads.
     pub learnt_loads: LearntLoads,
     /// The giver of orders that told its end last.
--- a/crates/front/src/job/home.rs
+++ b/crates/front/src/job/home.rs
@@ -32,9 +32,9 @@
     /// It is kept.
     Accepted,
     /// Nothing of it is kept there.
-    NotKept(String),
+    NotStored(String),
     /// It may be kept there.
-    InDoubt(String),
+    OutcomeUnknown(String),
 }
 
 impl JobRegistry {
@@ -57,15 +57,15 @@
                 lock(&self.shared.owners).insert(id, heard);
                 Ok(())
             }
-            HomeAnswer::NotKept(cause) => {
+            HomeAnswer::NotStored(cause) => {
                 log::warn!("event=job_home_refused job={id} home={home} cause=\"{cause}\"");
                 self.accept_here(spec).await
             }
-            HomeAnswer::InDoubt(cause) => {
+            HomeAnswer::OutcomeUnknown(cause) => {
                 log::warn!("event=job_home_in_doubt job={id} home={home} cause=\"{cause}\"");
                 // The home may still run it, whatever is found here.
                 self.accept_here(spec).await.map_err(|error| match error {
-                    AcceptError::NotKept(cause) => AcceptError::InDoubt(cause),
+                    AcceptError::NotStored(cause) => AcceptError::OutcomeUnknown(cause),
                     error => error,
                 })
             }
@@ -96,11 +96,11 @@
             Ok(ResponseKind::refused(refused)) | Err(CallError::Refused(refused))
                 if matches!(refused.reason, Reason::NOT_READY | Reason::LEAVING) =>
             {
-                HomeAnswer::NotKept(refused.detail)
+                HomeAnswer::NotStored(refused.detail)
             }
-            Ok(_) => HomeAnswer::InDoubt("another answer than asked for".to_owned()),
-            Err(CallError::NotSent(cause)) => HomeAnswer::NotKept(cause),
-            Err(error) => HomeAnswer::InDoubt(error.to_string()),
+            Ok(_) => HomeAnswer::OutcomeUnknown("another answer than asked for".to_owned()),
+            Err(CallError::NotSent(cause)) => HomeAnswer::NotStored(cause),
+            Err(error) => HomeAnswer::OutcomeUnknown(error.to_string()),
         }
     }
 
@@ -112,13 +112,13 @@
         if self.context.nodes.is_leaving() {
             return refused(Reason::LEAVING, "this front stops");
         }
-        if self.is_cut_off() {
+        if self.is_journal_unreachable() {
             return refused(Reason::NOT_READY, "cut off from the journal");
         }
         match self.accept_here(spec).await {
             Ok(()) => ResponseKind::done(Done {}),
-            Err(AcceptError::NotKept(cause)) => refused(Reason::NOT_READY, &cause),
-            Err(AcceptError::InDoubt(cause)) => refused(Reason::INTERNAL, &cause),
+            Err(AcceptError::NotStored(cause)) => refused(Reason::NOT_READY, &cause),
+            Err(AcceptError::OutcomeUnknown(cause)) => refused(Reason::INTERNAL, &cause),
         }
     }
 }
--- a/crates/front/src/job/mod.rs
+++ b/crates/front/src/job/mod.rs
@@ -35,8 +35,8 @@
 mod text;
 mod trainer_steps;
 
-pub use bounds::{OutOfBounds, check_keepers};
-pub use confirmation::Confirmation;
+pub use bounds::{RegionBoundsError, check_node_regions};
+pub use confirmation::QuorumConfirmation;
 pub use context::JobContext;
 pub use digest::{FoundLog, LogDigest};
 pub use events::{Event, EventParser};
@@ -50,7 +50,7 @@
 pub use run_context::{first_event_limit, refusal_pause};
 pub use state::{JobState, entry_bytes};
 pub use text::ItemText;
-pub use trainer_steps::NewestSteps;
+pub use trainer_steps::LatestSteps;
 
 /// Prefix of the jobs' logs in the journal; the job's id follows.
 pub const LOG_PREFIX: &str = "job/";
--- a/crates/front/src/job/peers.rs
+++ b/crates/front/src/job/peers.rs
@@ -93,7 +93,7 @@
                 if notice.from_owner {
                     self.take_over(notice.logs);
                 } else {
-                    self.on_untended(notice.logs);
+                    self.on_orphaned_logs(notice.logs);
                 }
                 ResponseKind::done(Done {})
             }
@@ -175,7 +175,7 @@
     }
 
     /// Takes over jobs that a replica hears no owner of, unless their owner answers: the replica may be cut off.
-    pub fn on_untended(&self, logs: Vec<String>) {
+    pub fn on_orphaned_logs(&self, logs: Vec<String>) {
         for id in self.not_here(&logs) {
             let registry = self.clone();
             tokio::spawn(async move {
--- a/crates/front/src/job/registry.rs
+++ b/crates/front/src/job/registry.rs
@@ -34,10 +34,10 @@
 pub enum AcceptError {
     /// Nothing of it is kept by this try.
     #[error("not kept: {0}")]
-    NotKept(String),
+    NotStored(String),
     /// It may be kept.
     #[error("in doubt: {0}")]
-    InDoubt(String),
+    OutcomeUnknown(String),
 }
 
 /// The jobs of this node. Cheap to clone.
@@ -90,22 +90,22 @@
             Ok(Owned::Here(job)) => return self.wait_accepted(&job).await,
             Ok(Owned::Answer(_)) => return Ok(()),
             Err(ReadError::NotFound) => {}
-            Err(ReadError::Unavailable(cause)) => return Err(AcceptError::NotKept(cause)),
+            Err(ReadError::Unavailable(cause)) => return Err(AcceptError::NotStored(cause)),
         }
         if let Err(cause) = self.check_bounds(&spec) {
             log::warn!("event=job_out_of_bounds job={id} cause=\"{cause}\"");
             let refused = &self.context.metrics.refused_by_region;
             refused.with_label_values(&["job"]).inc();
-            return Err(AcceptError::NotKept(cause.to_string()));
+            return Err(AcceptError::NotStored(cause.to_string()));
         }
         let about = describe(&spec);
         let opened = tokio::time::timeout(COMMIT_LIMIT, self.open(&id, Some(spec))).await;
         let job = match opened {
             Ok(Ok(job)) => job,
-            Ok(Err(JournalError::NoQuorum(cause))) => return Err(AcceptError::NotKept(cause)),
-            Ok(Err(error)) => return Err(AcceptError::InDoubt(error.to_string())),
+            Ok(Err(JournalError::NoQuorum(cause))) => return Err(AcceptError::NotStored(cause)),
+            Ok(Err(error)) => return Err(AcceptError::OutcomeUnknown(error.to_string())),
             Err(_) => {
-                return Err(AcceptError::NotKept(
+                return Err(AcceptError::NotStored(
                     "the log was not sealed in time".to_owned(),
                 ));
             }
@@ -177,7 +177,7 @@
         let mut seen = lock(&self.shared.seen);
         match asked {
             Ok(results) => {
-                seen.note(id, from, &results);
+                seen.record(id, from, &results);
                 Ok(seen.page(id, after).unwrap_or(results))
             }
             // What was read before holds whether its owner is reached or not.
@@ -243,7 +243,7 @@
 
     /// Notes that a majority of replicas answered a heartbeat sent at `asked_at`.
     pub fn on_confirmed(&self, asked_at: Instant) {
-        self.context.confirmation.note(asked_at);
+        self.context.confirmation.record(asked_at);
     }
 
     /// Notes that a replica says that another node has the log.
@@ -306,7 +306,7 @@
             }
         };
         let waited = tokio::time::timeout(COMMIT_LIMIT, accepted).await;
-        waited.map_err(|_| AcceptError::InDoubt("the commit takes too long".to_owned()))
+        waited.map_err(|_| AcceptError::OutcomeUnknown("the commit takes too long".to_owned()))
     }
 
     /// Becomes the owner of a job that is in the journal.
@@ -363,7 +363,7 @@
         owner.gathering = carried;
         let registry = self.clone();
         let owned = Arc::clone(&job);
-        let activity = self.context.activity.begin();
+        let activity = self.context.activity.start();
         tokio::spawn(async move {
             let _activity = activity;
             match owner.run(commands).await {
--- a/crates/front/src/job/relay.rs
+++ b/crates/front/src/job/relay.rs
@@ -30,14 +30,14 @@
 
 impl JobRegistry {
     /// Whether this node has not reached a majority of replicas of late.
-    pub fn is_cut_off(&self) -> bool {
+    pub fn is_journal_unreachable(&self) -> bool {
         self.context.confirmation.age(self.started_at) > CUT_OFF_AFTER
     }
 
     /// Whether another front is asked about a job rather than its state here.
     pub(super) fn needs_relay(&self, id: &str) -> bool {
         let is_unreadable = |job: &Job| job.state().spec().is_some() && !self.is_readable(job);
-        self.is_cut_off() || self.local(id).is_some_and(|job| is_unreadable(&job))
+        self.is_journal_unreachable() || self.local(id).is_some_and(|job| is_unreadable(&job))
     }
 
     /// Asks other fronts, which answer wherever the job is.
--- a/crates/front/src/job/seen.rs
+++ b/crates/front/src/job/seen.rs
@@ -45,7 +45,7 @@
     }
 
     /// Remembers what the owner of a job answered for position `after`.
-    pub fn note(&mut self, job: &str, after: u64, answer: &JobResults) {
+    pub fn record(&mut self, job: &str, after: u64, answer: &JobResults) {
         let now = Instant::now();
         let seen = self.jobs.entry(job.to_owned()).or_insert_with(|| SeenJob {
             total: 0,
--- a/crates/front/src/job/trainer_steps.rs
+++ b/crates/front/src/job/trainer_steps.rs
@@ -8,7 +8,7 @@
 
 /// The newest step of each model that was accepted anywhere, as far as this front was told. Cheap to clone.
 #[derive(Debug, Clone, Default)]
-pub struct NewestSteps {
+pub struct LatestSteps {
     steps: Arc<Mutex<HashMap<String, NewestStep>>>,
 }
 
@@ -19,7 +19,7 @@
     min_version: u64,
 }
 
-impl NewestSteps {
+impl LatestSteps {
     /// Notes that the job of a step was accepted.
     pub fn note(&self, model: &str, step: u64, min_version: u64) {
         let mut steps = self.lock();
--- a/crates/front/src/nodes/registration.rs
+++ b/crates/front/src/nodes/registration.rs
@@ -121,7 +121,7 @@
     loop {
         tokio::select! {
             () = tokio::time::sleep(kind.renewal()) => {}
-            () = activity.active(), if kind == LeaseKind::Long => return LeaseEnd::TooLong,
+            () = activity.wait_until_active(), if kind == LeaseKind::Long => return LeaseEnd::TooLong,
             _ = own_changed.changed() => {
                 if write_record(nodes, coordination, lease).await.is_err() {
                     return LeaseEnd::Over;
--- a/crates/front/src/orders/given.rs
+++ b/crates/front/src/orders/given.rs
@@ -122,7 +122,7 @@
     }
 
     /// Notes an order under way; looked at when such a load is usually done. `is_taken`: the instance has said that it took it.
-    pub fn begin(
+    pub fn start(
         &mut self,
         instance: &Instance,
         planned: Planned,
--- a/crates/front/src/orders/giver.rs
+++ b/crates/front/src/orders/giver.rs
@@ -135,8 +135,8 @@
         };
         given.ordering.remove(&planned.instance);
         match outcome {
-            Outcome::Loading => given.begin(&instance, planned, LOAD_LIMIT, true),
-            Outcome::InDoubt => given.begin(&instance, planned, DOUBT_TIME, false),
+            Outcome::Loading => given.start(&instance, planned, LOAD_LIMIT, true),
+            Outcome::InDoubt => given.start(&instance, planned, DOUBT_TIME, false),
             Outcome::Pause(pause) => {
                 let until = Instant::now() + pause;
                 given.pauses.insert(planned.instance, until);
@@ -203,13 +203,13 @@
     /// Gives orders until the lease is lost or given back.
     /// `respected`: orders of other givers of which this node was told under an earlier lease.
     async fn hold(&self, lease: &GiverLease, held: Held, respected: &mut Vec<(String, Instant)>) {
-        let _with_instances = self.activities.with_instances.begin();
-        let _with_versions = self.activities.with_versions.begin();
+        let _with_instances = self.activities.with_instances.start();
+        let _with_versions = self.activities.with_versions.start();
         if self.roster.drains.is_some() {
             // The roster is written from here on. A watch of drains that lost its answer would stay silent for its whole time.
             self.coordination.doubt_watches();
         }
-        let dealing = self.permits.begin(held.watch_proof());
+        let dealing = self.permits.start(held.watch_proof());
         let mut given = self.begin_given().await;
         given.respect(std::mem::take(respected), self.options.quiet);
         let is_released = tokio::select! {
--- a/crates/front/src/orders/permits/dealer.rs
+++ b/crates/front/src/orders/permits/dealer.rs
@@ -48,7 +48,7 @@
     }
 
     /// Begins to deal under a lease that this node has just gained; `proven_until` tells until when it certainly lasts.
-    pub fn begin(&self, proven_until: watch::Receiver<Instant>) -> Dealing {
+    pub fn start(&self, proven_until: watch::Receiver<Instant>) -> Dealing {
         *self.lock() = Some(Holding {
             proven_until,
             ledger: PermitLedger::new(Instant::now()),
--- a/crates/front/src/program.rs
+++ b/crates/front/src/program.rs
@@ -163,7 +163,7 @@
 
     fn orphaned(&self, logs: Vec<String>) {
         if let Some(jobs) = &self.jobs {
-            jobs.on_untended(logs);
+            jobs.on_orphaned_logs(logs);
         }
     }
 }
--- a/crates/front/src/roster/drains.rs
+++ b/crates/front/src/roster/drains.rs
@@ -46,7 +46,7 @@
             self.backends.set_drained(zones);
             tokio::select! {
                 _ = changed.changed() => {}
-                () = following.keeps_roster.active() => return,
+                () = following.keeps_roster.wait_until_active() => return,
             }
         }
     }
@@ -56,7 +56,7 @@
         let mut changed = known.subscribe();
         loop {
             following.view.known().await;
-            following.keeps_roster.idle().await;
+            following.keeps_roster.wait_until_idle().await;
             let roster = changed.borrow_and_update().clone();
             let drains = roster.and_then(|roster| roster.drains.clone());
             if drains.is_some_and(|drains| self.are_current(following, &drains)) {
--- a/crates/front/src/roster/reader.rs
+++ b/crates/front/src/roster/reader.rs
@@ -102,7 +102,7 @@
         tokio::select! {
             _ = known.wait_for(|roster| roster.as_ref().is_some_and(|one| self.covers_config(one))) => true,
             () = tokio::time::sleep(self.first_wait) => false,
-            () = self.activity.active() => false,
+            () = self.activity.wait_until_active() => false,
             () = self.backends.wanted() => false,
         }
     }
@@ -120,11 +120,11 @@
     async fn may_rest(&self, known: &KnownRoster) {
         loop {
             if self.activity.is_active() {
-                self.activity.rested(REST_AFTER_WORK).await;
+                self.activity.wait_until_idle_for(REST_AFTER_WORK).await;
             }
             tokio::select! {
                 () = self.roster_is_as_new(known) => return,
-                () = self.activity.active() => {}
+                () = self.activity.wait_until_active() => {}
             }
         }
     }
@@ -172,7 +172,7 @@
             tokio::select! {
                 _ = changed.changed() => {}
                 _ = config.changed() => {}
-                () = self.activity.active() => return,
+                () = self.activity.wait_until_active() => return,
             }
         }
     }
--- a/crates/front/src/store.rs
+++ b/crates/front/src/store.rs
@@ -134,7 +134,7 @@
         storage.replica_id()
     );
     let activity = Activity::default();
-    let _holds_disk = activity.begin();
+    let _holds_disk = activity.start();
     tokio::select! {
         () = nodes.run(Arc::clone(&coordination), &activity) => Ok(()),
         () = watch_suspensions(coordination.as_ref(), &metrics) => Ok(()),
--- a/crates/front/tests/formats.rs
+++ b/crates/front/tests/formats.rs
@@ -219,7 +219,7 @@
     let known = || (level(), nodes.nodes_behind().get());
     assert_eq!(level(), FormatLevel::UNNAMED, "the others are not known");
     let activity = Activity::default();
-    let _work = activity.begin();
+    let _work = activity.start();
     let put = async |text: &str| {
         store.write("ladderstage/node/other", text.as_bytes().to_vec());
         sleep(HEARD).await;
--- a/crates/front/tests/nodes.rs
+++ b/crates/front/tests/nodes.rs
@@ -74,7 +74,7 @@
     assert!(!watcher.nodes.has_exited(1));
     assert!(!watcher.nodes.has_exited(7), "this one");
     drop(other);
-    let _work = activity.begin();
+    let _work = activity.start();
     let _again = Running::start(&store, record("other", 2), &activity);
     sleep(Duration::from_millis(1_500)).await;
     assert!(watcher.nodes.has_exited(1));
@@ -130,7 +130,7 @@
     assert!(renewals <= 28, "{renewals}");
     assert!(store.calls("strong", "renew", "") >= 50);
     drop(strong);
-    let _work = activity.begin();
+    let _work = activity.start();
     sleep(Duration::from_secs(5)).await;
     assert!(weak.nodes.has_exited(2), "followed closely now");
 }
@@ -147,7 +147,7 @@
     let weak = Running::start(&store, front("weak", 120, 1), &activity);
     let strong = Running::start(&store, front("strong", 500, 2), &activity);
     sleep(STARTED).await;
-    let _work = activity.begin();
+    let _work = activity.start();
     sleep(Duration::from_secs(5)).await;
     drop(weak);
     sleep(Duration::from_secs(5)).await;
--- a/crates/front/tests/roster.rs
+++ b/crates/front/tests/roster.rs
@@ -285,8 +285,8 @@
     /// Makes a node keep the roster.
     fn keep_roster(mut self, name: &str) -> Self {
         let node = &mut self;
-        let work = node.activity.begin();
-        let keeps = node.drains.as_ref().map(|one| one.keeps_roster.begin());
+        let work = node.activity.start();
+        let keeps = node.drains.as_ref().map(|one| one.keeps_roster.start());
         let writer = RosterWriter {
             coordination: Arc::new(node.coordination.clone()),
             backends: node.backends.clone(),
@@ -513,7 +513,7 @@
     sleep(Duration::from_secs(3)).await;
     let version = || reader.backends.get("i-1").unwrap().version("model");
     assert_eq!(version(), 0);
-    let work = reader.activity.begin();
+    let work = reader.activity.start();
     sleep(Duration::from_millis(50)).await;
     assert_eq!(version(), 7);
     drop(work);
@@ -532,7 +532,7 @@
         ..NodeFaults::default()
     };
     store.set_faults("reader", turned_away);
-    let _work = reader.activity.begin();
+    let _work = reader.activity.start();
     sleep(CALLS).await;
     assert!(reader.view.is_usable(), "there is nothing better");
     assert_eq!(reader.is_ready("i-9"), Some(true));
@@ -544,7 +544,7 @@
     store.remove(&format!("{INSTANCES}i-9"));
     sleep(Duration::from_secs(5)).await;
     assert_eq!(reader.is_ready("i-9"), Some(true), "not heard of");
-    let _work = reader.activity.begin();
+    let _work = reader.activity.start();
     while !reader.view.is_usable() {
         sleep(Duration::from_millis(1)).await;
     }
@@ -743,7 +743,7 @@
     let (store, _writer, reader) = draining_fleet().await;
     drain(&store, "a");
     reader.until_may_send("i-a", false).await;
-    let work = reader.activity.begin();
+    let work = reader.activity.start();
     while reader.view.known_at().is_none() {
         assert!(!reader.may_send("i-a"));
         sleep(Duration::from_millis(1)).await;
@@ -829,7 +829,7 @@
         };
         store.set_faults("new", blind);
         let new = Node::start_draining(&store, "new", Duration::from_millis(500));
-        let _work = new.activity.begin();
+        let _work = new.activity.start();
         sleep(Duration::from_secs(1)).await;
         assert_eq!(new.is_ready("i-b"), Some(true));
         let held = new
@@ -856,7 +856,7 @@
     for node in ["writer", "reader"] {
         store.set_faults(node, cut_off.clone());
     }
-    let _work = reader.activity.begin();
+    let _work = reader.activity.start();
     for _ in 0..2_000 {
         sleep(Duration::from_millis(5)).await;
         assert!(reader.may_send("i-b") && !reader.may_send("i-a"));
--- a/crates/front/tests/suspensions.rs
+++ b/crates/front/tests/suspensions.rs
@@ -8,7 +8,7 @@
 use ladderstage_clock::Instant;
 use ladderstage_clock::testing::suspend;
 use ladderstage_front::backend::{BackendTable, Discovered};
-use ladderstage_front::job::Confirmation;
+use ladderstage_front::job::QuorumConfirmation;
 use ladderstage_front::orders::{GiverLease, LeaseLoss};
 use ladderstage_front::usage::WindowClock;
 use support::memory_store::MemoryStore;
@@ -38,9 +38,9 @@
 
 #[test]
 fn an_owner_that_wakes_has_an_old_confirmation() {
-    let confirmation = Confirmation::default();
+    let confirmation = QuorumConfirmation::default();
     let taken_at = Instant::now();
-    confirmation.note(Instant::now());
+    confirmation.record(Instant::now());
     assert!(confirmation.age(taken_at) < SLEEP);
     suspend(SLEEP);
     assert!(confirmation.age(taken_at) >= SLEEP);
--- a/crates/front/tests/trainer_steps.rs
+++ b/crates/front/tests/trainer_steps.rs
@@ -1,10 +1,10 @@
 //! Which weights the next job of a trainer is expected to allow.
 
-use ladderstage_front::job::NewestSteps;
+use ladderstage_front::job::LatestSteps;
 
 #[test]
 fn the_bound_rises_with_each_step_once_it_has_left_the_first_version() {
-    let steps = NewestSteps::default();
+    let steps = LatestSteps::default();
     assert_eq!(steps.next_min_version("model", 1), 1);
     steps.note("model", 1, 1);
     assert_eq!(
