--- a/crates/front/src/job/context.rs
+++ b/crates/front/src/job/context.rs
@@ -15,7 +15,7 @@
 use crate::dialect::SharedCodec;
 use crate::metrics::Metrics;
 use crate::nodes::Nodes;
-use crate::orders::{EndedGivers, LearntLoads};
+use crate::orders::{FormerLeaders, LearnedLoadLimit};
 use crate::roster::DirectView;
 use crate::suspects::Suspects;
 
@@ -46,9 +46,9 @@
     /// The newest steps of trainers.
     pub steps: LatestSteps,
     /// What givers of orders have learnt of loads.
-    pub learnt_loads: LearntLoads,
+    pub learned_load_limit: LearnedLoadLimit,
     /// The giver of orders that told its end last.
-    pub ended_givers: EndedGivers,
+    pub former_leaders: FormerLeaders,
     /// Counts the jobs that run at this node.
     pub activity: Activity,
     /// Requests under which instances end.
--- a/crates/front/src/job/peers.rs
+++ b/crates/front/src/job/peers.rs
@@ -85,7 +85,7 @@
             }
             RequestKind::accept_job(request) => self.answer_accept(request).await,
             RequestKind::giver_end(end) => {
-                self.context.ended_givers.note(&end, Instant::now());
+                self.context.former_leaders.record(&end, Instant::now());
                 ResponseKind::done(Done {})
             }
             RequestKind::read_demand(_) => ResponseKind::demand(self.demand()),
@@ -120,8 +120,8 @@
         if news.usual_load_ms > 0 {
             let usual = Duration::from_millis(news.usual_load_ms);
             let limit = news.load_limit as usize;
-            let limit = LoadLimit::from_learnt(limit, usual, news.limit_is_near);
-            self.context.learnt_loads.note(&limit);
+            let limit = LoadLimit::from_learned(limit, usual, news.limit_is_near);
+            self.context.learned_load_limit.record(&limit);
         }
         self.context.backends.notify();
     }
--- a/crates/front/src/job/registry.rs
+++ b/crates/front/src/job/registry.rs
@@ -20,7 +20,7 @@
 use super::shared::{Command, Job};
 use super::state::JobState;
 use super::{LOG_PREFIX, log_name};
-use crate::orders::{EndedGivers, LearntLoads};
+use crate::orders::{FormerLeaders, LearnedLoadLimit};
 
 /// An owner answers reads for this long after a majority of replicas last confirmed it: another owner may have listed more
 /// since, and readers may see an older state for a second at most.
@@ -232,13 +232,13 @@
     }
 
     /// What givers of orders have learnt of loads, here or by their word.
-    pub fn learnt_loads(&self) -> &LearntLoads {
-        &self.context.learnt_loads
+    pub fn learned_load_limit(&self) -> &LearnedLoadLimit {
+        &self.context.learned_load_limit
     }
 
     /// The giver of orders that told its end last.
-    pub fn ended_givers(&self) -> &EndedGivers {
-        &self.context.ended_givers
+    pub fn former_leaders(&self) -> &FormerLeaders {
+        &self.context.former_leaders
     }
 
     /// Notes that a majority of replicas answered a heartbeat sent at `asked_at`.
--- a/crates/front/src/job/run.rs
+++ b/crates/front/src/job/run.rs
@@ -332,7 +332,7 @@
     let now = Instant::now();
     match error {
         ExchangeError::NotRun(_) => {
-            let usual_load = context.learnt_loads.get().and_then(|limit| limit.usual());
+            let usual_load = context.learned_load_limit.get().and_then(|limit| limit.typical_load_time());
             let pause = refusal_pause(instance.has_free_slot(), usual_load);
             instance.note_loading(&context.spec.model, now + pause);
         }
--- a/crates/front/src/job/run_context.rs
+++ b/crates/front/src/job/run_context.rs
@@ -14,7 +14,7 @@
 use crate::config::ConfigInForce;
 use crate::dialect::SharedCodec;
 use crate::metrics::Metrics;
-use crate::orders::LearntLoads;
+use crate::orders::LearnedLoadLimit;
 use crate::suspects::{
     BrokenRun, ContentDigest, HeldBack, RequestContent, RunPermit, RunSubject, Suspects,
 };
@@ -68,7 +68,7 @@
     /// Tokens that one event holds; 0: unknown.
     pub tokens_per_event: u64,
     /// What is known of loads of weights.
-    pub learnt_loads: LearntLoads,
+    pub learned_load_limit: LearnedLoadLimit,
     /// Requests under which instances end.
     pub suspects: Suspects,
 }
--- a/crates/front/src/job/starting.rs
+++ b/crates/front/src/job/starting.rs
@@ -176,7 +176,7 @@
             window: self.window.clone(),
             begun: self.begun.clone(),
             tokens_per_event,
-            learnt_loads: self.context.learnt_loads.clone(),
+            learned_load_limit: self.context.learned_load_limit.clone(),
             suspects: self.context.suspects.clone(),
             give_up_at: route.max_queue.map(|age| self.job.opened_at + age),
         }))
--- a/crates/front/src/orders/looking.rs
+++ b/crates/front/src/orders/looking.rs
@@ -7,7 +7,7 @@
 use ladderstage_clock::Instant;
 
 use super::given::{Given, Load};
-use super::giver::OrderGiver;
+use super::giver::OrderLeader;
 use crate::backend::Instance;
 
 /// Longest wait for the report of an instance that loads. Reports take some milliseconds, and the others' loads wait for it.
@@ -26,7 +26,7 @@
     Over,
 }
 
-impl OrderGiver {
+impl OrderLeader {
     /// Looks whether instances that took an order have its version: at all of them at once, as one that hangs must not keep the
     /// others' news back.
     pub(super) async fn look_at_loads(&self, given: &mut Given) {
--- a/crates/front/src/program.rs
+++ b/crates/front/src/program.rs
@@ -21,7 +21,7 @@
 use crate::coordination::{Coordination, StoreCalls};
 use crate::job::{JobRegistry, LOG_PREFIX};
 use crate::nodes::Nodes;
-use crate::orders::PermitDealer;
+use crate::orders::PermitIssuer;
 use crate::set_records::CoordinatedSetRecords;
 use crate::suspects::Suspects;
 use crate::usage::UsageMeter;
@@ -63,7 +63,7 @@
     /// How long a batch job can be read after it was handed in.
     pub job_retention: Duration,
     /// Least time between orders of two givers; none is needed where instances refuse those of an earlier one.
-    pub order_quiet: Duration,
+    pub order_quiet_period: Duration,
     /// Processor time of this machine, in thousandths of a core; 0: unknown.
     pub cpu_millis: u32,
     /// How long a stop may take.
@@ -175,7 +175,7 @@
     pub jobs: Option<JobRegistry>,
     pub usage: Option<UsageMeter>,
     pub suspects: Option<Suspects>,
-    pub permits: Option<PermitDealer>,
+    pub permits: Option<PermitIssuer>,
 }
 
 /// Answers other nodes once the parts are there.
@@ -222,7 +222,7 @@
                     None => refuse(Reason::MALFORMED, "no requests at this node"),
                 },
                 RequestKind::ask_send_permits(asked) => {
-                    let dealt = parts.permits.as_ref().and_then(|one| one.deal(&asked));
+                    let dealt = parts.permits.as_ref().and_then(|one| one.issue(&asked));
                     match dealt {
                         Some(dealt) => Response {
                             kind: ResponseKind::send_permits(dealt),
--- a/crates/front/src/usage/reporter.rs
+++ b/crates/front/src/usage/reporter.rs
@@ -20,7 +20,7 @@
 use crate::coordination::{Coordination, CoordinationError, SwapResult};
 use crate::metrics::Metrics;
 use crate::nodes::{NodeRole, Nodes};
-use crate::orders::{GiverLease, Held};
+use crate::orders::{OrdersLease, HeldLease};
 
 /// The fixed reports of the newest windows.
 const REPORTS_KEY: &str = "ladderstage/usage/reports";
@@ -166,11 +166,11 @@
 
 impl UsageReporter {
     /// Reports for as long as the future is polled; returns once a later holder is known.
-    pub async fn run(&self, lease: &GiverLease, held: &Held) {
+    pub async fn run(&self, lease: &OrdersLease, held: &HeldLease) {
         let mut holding = self.begin().await;
         loop {
             tokio::time::sleep(LOOK_PAUSE).await;
-            match lease.may_order(held).await {
+            match lease.may_issue_orders(held).await {
                 Ok(true) => {}
                 Ok(false) => continue,
                 Err(error) => {
@@ -353,7 +353,7 @@
     }
 
     /// Sends what was not taken yet, the oldest first.
-    async fn send_unsent(&self, holding: &mut Holding, held: &Held) -> Result<(), ReportError> {
+    async fn send_unsent(&self, holding: &mut Holding, held: &HeldLease) -> Result<(), ReportError> {
         let now = Instant::now();
         let due: Vec<u64> = holding
             .unsent
@@ -367,7 +367,7 @@
                 holding.unsent.remove(&window);
                 continue;
             };
-            if Instant::now() >= held.proven_until() {
+            if Instant::now() >= held.valid_until() {
                 return Ok(());
             }
             let report = UsageReport {
--- a/crates/front/tests/capacity_duty.rs
+++ b/crates/front/tests/capacity_duty.rs
@@ -10,11 +10,11 @@
 use futures_util::future::BoxFuture;
 use ladderstage_front::backend::{BackendTable, Discovered};
 use ladderstage_front::capacity::{
-    CapacityDuty, CapacityOrder, CapacityOrderError, CapacitySink, InstanceKind,
+    CapacityController, CapacityOrder, CapacityOrderError, CapacitySink, InstanceKind,
 };
 use ladderstage_front::config::{ConfigInForce, ScalingSpec, ServiceSpec, ServingConfig};
 use ladderstage_front::metrics::Metrics;
-use ladderstage_front::orders::GiverLease;
+use ladderstage_front::orders::OrdersLease;
 use ladderstage_front::roster::DirectView;
 use support::memory_store::{MemoryStore, NodeFaults};
 
@@ -57,7 +57,7 @@
         let orders = self.orders().into_iter().rev();
         let mut taken = orders.filter(|(_, outcome)| *outcome == "taken");
         taken
-            .find(|(order, _)| order.subject.zone.as_ref() == zone)
+            .find(|(order, _)| order.pool.zone.as_ref() == zone)
             .map(|(order, _)| order)
     }
 
@@ -65,8 +65,8 @@
         if let Some(failure) = self.failures.lock().unwrap().pop_front() {
             return Err(failure);
         }
-        if self.empty_zones.contains(order.subject.zone.as_ref()) {
-            return Err(CapacityOrderError::NoneToBeHad);
+        if self.empty_zones.contains(order.pool.zone.as_ref()) {
+            return Err(CapacityOrderError::Unavailable);
         }
         Ok(())
     }
@@ -130,8 +130,8 @@
 
 /// One node with a fleet of two instances in each of three zones, the store as it sees it, and a receiver.
 struct Node {
-    duty: CapacityDuty,
-    lease: GiverLease,
+    duty: CapacityController,
+    lease: OrdersLease,
     receiver: Arc<Receiver>,
 }
 
@@ -145,20 +145,20 @@
         }
         let view = DirectView::default();
         view.note(1);
-        let duty = CapacityDuty {
+        let duty = CapacityController {
             coordination: coordination.clone(),
             node: name.to_owned(),
             backends,
             view,
             config: config(true),
             sink: receiver.clone(),
-            quiet: Duration::ZERO,
+            quiet_period: Duration::ZERO,
             metrics: Arc::new(Metrics::new()),
         };
-        let lease = GiverLease {
+        let lease = OrdersLease {
             coordination,
             node: name.to_owned(),
-            quiet: Duration::ZERO,
+            quiet_period: Duration::ZERO,
         };
         Self {
             duty,
@@ -170,14 +170,14 @@
     /// Holds the lease until something was seen, and then ends like a process that is killed.
     async fn hold_until<T>(&self, seen: impl Future<Output = T>) -> T {
         let held = loop {
-            if let Some(held) = self.lease.take().await.unwrap() {
+            if let Some(held) = self.lease.acquire().await.unwrap() {
                 break held;
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         };
         tokio::select! {
             seen = tokio::time::timeout(PATIENCE, seen) => seen.expect("seen in time"),
-            loss = self.lease.keep(&held) => panic!("the lease is lost: {loss}"),
+            loss = self.lease.renew_until_lost(&held) => panic!("the lease is lost: {loss}"),
             () = self.duty.run(&self.lease, &held) => panic!("the duty ended"),
         }
     }
@@ -209,7 +209,7 @@
     node.drain("b");
     let receiver = Arc::clone(&node.receiver);
     let order = node.hold_until(eventually(|| receiver.taken("a"))).await;
-    assert_eq!(order.subject.kind, InstanceKind::Preemptible);
+    assert_eq!(order.pool.kind, InstanceKind::Preemptible);
     assert_eq!((order.desired, order.holder.as_str()), (1, "one"));
     let other = node.hold_until(eventually(|| receiver.taken("c"))).await;
     assert_eq!(other.desired, 1);
@@ -241,7 +241,7 @@
             .all(|(earlier, _)| earlier.fence < order.fence)
     );
     assert!(earlier.iter().any(|(earlier, _)| {
-        earlier.subject == order.subject && earlier.desired == order.desired
+        earlier.pool == order.pool && earlier.desired == order.desired
     }));
     assert_eq!(
         fixed(&store).unwrap(),
@@ -356,7 +356,7 @@
         .hold_until(eventually(|| first.receiver.taken("a")))
         .await;
     let mut second = Node::new("two", &store, Receiver::default());
-    second.duty.quiet = Duration::from_secs(3_600);
+    second.duty.quiet_period = Duration::from_secs(3_600);
     second.drain("c");
     let before = fixed(&store);
     second
--- a/crates/front/tests/cold_instances.rs
+++ b/crates/front/tests/cold_instances.rs
@@ -9,7 +9,7 @@
     PERMIT_LIFETIME, SEND_WINDOW, SendShare, WRITE_MARGIN, Warmth,
 };
 use ladderstage_front::config::{ColdSpec, ServiceSpec, ServingConfig};
-use ladderstage_front::orders::{PermitLedger, QUIET_TIME};
+use ladderstage_front::orders::{PermitLedger, PERMIT_QUIET_PERIOD};
 use ladderstage_front::roster::Roster;
 use proptest::prelude::*;
 
@@ -317,15 +317,15 @@
     let limit = limit();
     let held_from = Instant::now();
     let mut ledger = PermitLedger::new(held_from);
-    let first = held_from + QUIET_TIME;
-    assert_eq!(ledger.deal("i-1", 100, limit.dealt, first), limit.dealt);
+    let first = held_from + PERMIT_QUIET_PERIOD;
+    assert_eq!(ledger.issue("i-1", 100, limit.dealt, first), limit.dealt);
     let used_late = first + PERMIT_LIFETIME - ms(1);
     let within_a_second = used_late + SEND_WINDOW;
-    assert_eq!(ledger.deal("i-1", 100, limit.dealt, within_a_second), 0);
-    let another = ledger.deal("i-2", 100, limit.dealt, within_a_second);
+    assert_eq!(ledger.issue("i-1", 100, limit.dealt, within_a_second), 0);
+    let another = ledger.issue("i-2", 100, limit.dealt, within_a_second);
     assert_eq!(another, limit.dealt, "each instance has its own");
-    let later = first + QUIET_TIME + ms(1);
-    assert_eq!(ledger.deal("i-1", 100, limit.dealt, later), limit.dealt);
+    let later = first + PERMIT_QUIET_PERIOD + ms(1);
+    assert_eq!(ledger.issue("i-1", 100, limit.dealt, later), limit.dealt);
 }
 
 proptest! {
@@ -335,7 +335,7 @@
         let limit = limit();
         let mut now = Instant::now();
         let mut ledger = PermitLedger::new(now);
-        now += QUIET_TIME;
+        now += PERMIT_QUIET_PERIOD;
         let mut shares = vec![SendShare::default(); NODES];
         let mut on_the_way = Vec::new();
         let mut sent = Vec::new();
@@ -343,7 +343,7 @@
             match step {
                 Step::Pass(time) => now += ms(time),
                 Step::Ask { node, wanted, answer_after } => {
-                    let count = ledger.deal("i-1", wanted, limit.dealt, now);
+                    let count = ledger.issue("i-1", wanted, limit.dealt, now);
                     if let Some(after) = answer_after {
                         on_the_way.push((now + ms(after), node, count, now + PERMIT_LIFETIME));
                     }
--- a/crates/front/tests/suspensions.rs
+++ b/crates/front/tests/suspensions.rs
@@ -9,17 +9,17 @@
 use ladderstage_clock::testing::suspend;
 use ladderstage_front::backend::{BackendTable, Discovered};
 use ladderstage_front::job::QuorumConfirmation;
-use ladderstage_front::orders::{GiverLease, LeaseLoss};
+use ladderstage_front::orders::{OrdersLease, LeaseLoss};
 use ladderstage_front::usage::WindowClock;
 use support::memory_store::MemoryStore;
 
 const SLEEP: Duration = Duration::from_secs(20);
 
-fn lease(store: &MemoryStore, node: &str) -> GiverLease {
-    GiverLease {
+fn lease(store: &MemoryStore, node: &str) -> OrdersLease {
+    OrdersLease {
         coordination: Arc::new(store.of(node)),
         node: node.to_owned(),
-        quiet: Duration::ZERO,
+        quiet_period: Duration::ZERO,
     }
 }
 
@@ -27,13 +27,13 @@
 async fn a_holder_that_wakes_gives_no_order_before_its_lease_is_renewed() {
     let store = MemoryStore::default();
     let lease = lease(&store, "front-1");
-    let held = lease.take().await.unwrap().unwrap();
-    assert!(lease.may_order(&held).await.unwrap());
+    let held = lease.acquire().await.unwrap().unwrap();
+    assert!(lease.may_issue_orders(&held).await.unwrap());
     suspend(SLEEP);
-    assert!(!lease.may_order(&held).await.unwrap());
+    assert!(!lease.may_issue_orders(&held).await.unwrap());
     // The store let the lease run out meanwhile, and the next renewal says so.
     tokio::time::advance(SLEEP).await;
-    assert_eq!(lease.keep(&held).await, LeaseLoss::Over);
+    assert_eq!(lease.renew_until_lost(&held).await, LeaseLoss::Expired);
 }
 
 #[test]
