--- a/crates/front/src/capacity/counts.rs
+++ b/crates/front/src/capacity/counts.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::sync::Arc;
 
-use crate::backend::Discovered;
+use crate::backend::DiscoveredInstance;
 
 /// Whether instances may be taken away at short notice. The number of each kind is ordered apart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -54,7 +54,7 @@
 }
 
 /// Counts instances by subject.
-pub fn count(instances: &[Discovered]) -> BTreeMap<InstancePool, Present> {
+pub fn count(instances: &[DiscoveredInstance]) -> BTreeMap<InstancePool, Present> {
     let mut counts = BTreeMap::<InstancePool, Present>::new();
     for instance in instances {
         let kind = if instance.is_preemptible {
--- a/crates/front/src/capacity/planner.rs
+++ b/crates/front/src/capacity/planner.rs
@@ -11,7 +11,7 @@
 use super::outbox::LATE_TIME;
 use super::placement::{Offer, Placed, place};
 use super::wanted::{CountWanted, WantedCapacity};
-use crate::backend::Discovered;
+use crate::backend::DiscoveredInstance;
 use crate::config::{ScalingSpec, ServiceSpec};
 
 /// Instances beyond those that were found count as the service's own once they have been there for so long: while instances are replaced
@@ -31,7 +31,7 @@
     /// Services by name.
     pub services: &'a BTreeMap<String, ServiceSpec>,
     /// All instances that discovery knows.
-    pub instances: &'a [Discovered],
+    pub instances: &'a [DiscoveredInstance],
     /// Zones that are to be drained.
     pub drained: &'a BTreeSet<Arc<str>>,
 }
--- a/crates/front/src/config.rs
+++ b/crates/front/src/config.rs
@@ -9,7 +9,7 @@
 use ladderstage::region::AllowedRegions;
 use tokio::sync::watch;
 
-use crate::tenant::{KeyDigest, KeyRefusal, Tenant, holder};
+use crate::tenant::{KeyDigest, KeyRefusal, Tenant, find_tenant};
 
 /// What may be repeated on a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -192,8 +192,8 @@
     /// Why it is nobody's.
     pub fn tenant_of(&self, key: Option<&KeyDigest>) -> Result<&Arc<Tenant>, KeyRefusal> {
         let key = key.ok_or(KeyRefusal::Missing)?;
-        holder(&self.tenants, key).ok_or_else(|| match self.retired_keys.get(key) {
-            Some(version) => KeyRefusal::TakenAway { version: *version },
+        find_tenant(&self.tenants, key).ok_or_else(|| match self.retired_keys.get(key) {
+            Some(version) => KeyRefusal::Revoked { version: *version },
             None => KeyRefusal::Unknown,
         })
     }
--- a/crates/front/src/job/bounds.rs
+++ b/crates/front/src/job/bounds.rs
@@ -141,7 +141,7 @@
         let route = config.route(&spec.host, &spec.path);
         for part in route.iter().flat_map(|route| &route.split) {
             let service = &part.service;
-            let is_known = !context.backends.of_service(service).is_empty();
+            let is_known = !context.backends.instances_of(service).is_empty();
             if is_known && !context.backends.has_any_within(service, &allowed) {
                 return Err(RegionBoundsError::NoInstance {
                     service: service.clone(),
--- a/crates/front/src/job/pace.rs
+++ b/crates/front/src/job/pace.rs
@@ -45,8 +45,8 @@
     /// Notes an event that has just arrived.
     pub(super) fn note(&mut self, instance: &Instance) {
         let now = Instant::now();
-        if let Some(pace_ms) = self.take(now) {
-            instance.note_pace(pace_ms, now);
+        if let Some(unit_time_ms) = self.take(now) {
+            instance.record_unit_time(unit_time_ms, now);
         }
     }
 
@@ -61,9 +61,9 @@
         }
         let since = self.look_at.replace(now)?;
         let taken = now.saturating_duration_since(since);
-        let pace_ms = taken.as_secs_f64() * 1e3 / f64::from(EVENTS_PER_LOOK);
-        self.looks_ms = [Some(pace_ms), self.looks_ms[0]];
-        Some(pace_ms)
+        let unit_time_ms = taken.as_secs_f64() * 1e3 / f64::from(EVENTS_PER_LOOK);
+        self.looks_ms = [Some(unit_time_ms), self.looks_ms[0]];
+        Some(unit_time_ms)
     }
 
     /// The pace over the last two looks, in milliseconds an event; `None` before the second one.
@@ -85,7 +85,7 @@
         }
         let taken = self.last_at?.saturating_duration_since(self.first_at?);
         let whole = taken.as_secs_f64() * 1e3 / f64::from(self.events - 1);
-        let typical = context.backends.typical_pace(&context.service)?;
+        let typical = context.backends.typical_unit_time(&context.service)?;
         let model = &context.spec.model;
         let rest = expected_rest(partial.events(), most_events);
         let own = self.own_pace(whole, typical);
@@ -102,7 +102,7 @@
         )?;
         let theirs = other
             .candidate("", Instant::now())
-            .pace_ms
+            .unit_time_ms
             .unwrap_or(typical);
         let pays = pays_to_move(self.own_pace(whole, theirs), theirs, rest);
         pays.then(|| format!("slow: {own:.0} ms an event against {theirs:.0}"))
--- a/crates/front/src/job/peers.rs
+++ b/crates/front/src/job/peers.rs
@@ -58,9 +58,9 @@
         let services = config.services.iter();
         let instances = services
             .filter(|(_, service)| !service.models.is_empty())
-            .flat_map(|(name, _)| self.context.backends.of_service(name));
+            .flat_map(|(name, _)| self.context.backends.instances_of(name));
         let known = instances.filter_map(|instance| {
-            let pace_ms = instance.recent_pace_ms()?;
+            let pace_ms = instance.recent_unit_time_ms()?;
             Some(InstancePace {
                 instance: instance.id().to_owned(),
                 event_micros: (pace_ms * 1e3) as u64,
@@ -107,14 +107,14 @@
         let now = Instant::now();
         for told in &news.instances {
             let instance = self.context.backends.get(&told.instance);
-            let Some(instance) = instance.filter(|one| one.is_start(told.started_unix_ms)) else {
+            let Some(instance) = instance.filter(|one| one.matches_incarnation(told.started_unix_ms)) else {
                 continue;
             };
             if told.loading_ms > 0 {
                 let until = now + Duration::from_millis(told.loading_ms);
-                instance.note_loading(&told.model, until);
+                instance.mark_loading(&told.model, until);
             } else {
-                instance.note_version(&told.model, told.version);
+                instance.record_version(&told.model, told.version);
             }
         }
         if news.usual_load_ms > 0 {
--- a/crates/front/src/job/run.rs
+++ b/crates/front/src/job/run.rs
@@ -12,7 +12,7 @@
 use super::scoring::{ScoreEnd, score};
 use super::stream::follow_stream;
 use super::text::ItemText;
-use crate::backend::{AnswerId, Demand, ExchangeError, Instance, RequestHead, send};
+use crate::backend::{AnswerIdPolicy, Demand, ExchangeError, Instance, RequestHead, send};
 use crate::tenant::set_tenant;
 
 /// Pause before another instance is looked for when none has room.
@@ -199,9 +199,9 @@
     log_run(context, index, instance, partial, started, &end);
     context.metrics.note_sent("item", instance.distance());
     match end {
-        RunEnd::Broken(_) => context.look(index, instance, content(), started).await,
+        RunEnd::Broken(_) => context.check_broken_run(index, instance, content(), started).await,
         RunEnd::Complete | RunEnd::Impossible | RunEnd::Failed => {
-            context.suspects.note_borne(content);
+            context.suspects.record_completion(content);
         }
         RunEnd::NotTaken(_) | RunEnd::Move(_) => {}
     }
@@ -270,7 +270,7 @@
         backends.choose_within(
             &context.service,
             &context.spec.model,
-            Demand::CutBatch,
+            Demand::InterruptedBatch,
             &context.allowed_regions(),
             |instance| {
                 let is_excluded = exclude_last && instance.id() == last.id();
@@ -287,7 +287,7 @@
     instance: &Arc<Instance>,
     partial: &mut ItemText,
 ) -> RunEnd {
-    let _guard = instance.begin();
+    let _guard = instance.track_request();
     let names = context.codec.headers();
     let item = &context.spec.items[index];
     let Ok(attempt_id) = HeaderValue::from_str(&item.id) else {
@@ -303,13 +303,13 @@
         &head,
         &body,
         &attempt_id,
-        AnswerId::Required,
+        AnswerIdPolicy::Required,
     );
     let reply = match tokio::time::timeout(context.first_event_limit(), sending).await {
         Ok(Ok(reply)) => reply,
         Ok(Err(error)) => return on_exchange_error(context, instance, &error),
         Err(_) => {
-            instance.note_failure(Instant::now());
+            instance.record_failure(Instant::now());
             return RunEnd::Move("no answer in time".to_owned());
         }
     };
@@ -318,7 +318,7 @@
         StatusCode::UNPROCESSABLE_ENTITY => RunEnd::Impossible,
         StatusCode::INTERNAL_SERVER_ERROR => RunEnd::Failed,
         status => {
-            instance.note_failure(Instant::now());
+            instance.record_failure(Instant::now());
             RunEnd::Move(format!("status {}", status.as_u16()))
         }
     }
@@ -334,18 +334,18 @@
         ExchangeError::NotRun(_) => {
             let usual_load = context.learned_load_limit.get().and_then(|limit| limit.typical_load_time());
             let pause = refusal_pause(instance.has_free_slot(), usual_load);
-            instance.note_loading(&context.spec.model, now + pause);
+            instance.mark_loading(&context.spec.model, now + pause);
         }
         ExchangeError::Misdirected {
             is_other_instance: false,
         } => {
-            instance.note_loading(&context.spec.model, now + STALE_WEIGHTS_PAUSE);
+            instance.mark_loading(&context.spec.model, now + STALE_WEIGHTS_PAUSE);
         }
         ExchangeError::HeldBack(reason) => context.metrics.note_held_back(*reason),
         ExchangeError::Misdirected { .. }
         | ExchangeError::NotSent(_)
         | ExchangeError::Broken(_) => {
-            instance.note_failure(now);
+            instance.record_failure(now);
         }
     }
     if error.is_not_run() {
--- a/crates/front/src/job/run_context.rs
+++ b/crates/front/src/job/run_context.rs
@@ -127,16 +127,16 @@
     }
 
     /// For how long a request with `content` for the item at `index` would be held back.
-    pub(super) fn holds(
+    pub(super) fn current_hold(
         &self,
         index: usize,
         content: impl FnOnce() -> ContentDigest,
     ) -> Option<HeldBack> {
-        self.suspects.holds(self.subject(index), content)
+        self.suspects.current_hold(self.subject(index), content)
     }
 
     async fn while_held(&self, index: usize, content: &impl Fn() -> ContentDigest) {
-        while self.window.is_open() && self.holds(index, content).is_some() {
+        while self.window.is_open() && self.current_hold(index, content).is_some() {
             tokio::time::sleep(HELD_LOOK).await;
         }
     }
@@ -149,21 +149,21 @@
     }
 
     /// Finds out what became of an instance under a run of the item at `index` whose connection broke.
-    pub(super) async fn look(
+    pub(super) async fn check_broken_run(
         &self,
         index: usize,
         instance: &Arc<Instance>,
         content: ContentDigest,
-        began: Instant,
+        started_at: Instant,
     ) {
         let run = BrokenRun {
             subject: self.subject(index),
             instance,
             content,
-            began,
+            started_at,
         };
-        self.suspects.look(&run).await;
-        self.suspects.tell_of_item(content);
+        self.suspects.check_broken_run(&run).await;
+        self.suspects.announce_item(content);
     }
 
     /// Events that an item's text has at most; `None` if that is not known.
@@ -176,7 +176,7 @@
     /// Longest wait for the first event of a run: a step bears a long item that begins anew once at an instance that hangs, if that is
     /// noticed soon.
     pub(super) fn first_event_limit(&self) -> Duration {
-        let typical_ms = self.backends.typical_pace(&self.service);
+        let typical_ms = self.backends.typical_unit_time(&self.service);
         first_event_limit(typical_ms)
     }
 }
--- a/crates/front/src/job/scoring.rs
+++ b/crates/front/src/job/scoring.rs
@@ -12,7 +12,7 @@
 use ladderstage_wire::messages::RewardCall;
 
 use super::run_context::RunContext;
-use crate::backend::{AnswerId, Demand, ExchangeError, Instance, RequestHead, send};
+use crate::backend::{AnswerIdPolicy, Demand, ExchangeError, Instance, RequestHead, send};
 use crate::config::Route;
 use crate::suspects::{ContentDigest, RunPermit};
 use crate::tenant::set_tenant;
@@ -120,7 +120,7 @@
             tokio::select! {
                 Some(ended) = under_way.next() => {
                     hedge_at = Instant::now();
-                    self.look(index, &ended).await;
+                    self.check_broken_run(index, &ended).await;
                     if let Some(end) = self.take(index, ended, failures) {
                         return Some(end);
                     }
@@ -155,7 +155,7 @@
     /// Whether the call may be sent: instances may have ended under it.
     fn admit(&self, index: usize) -> Option<RunPermit> {
         // Looked at first, as a refusal has a line in the log and the call is tried again soon.
-        if self.context.holds(index, || self.content()).is_some() {
+        if self.context.current_hold(index, || self.content()).is_some() {
             return None;
         }
         self.context.admit(index, || self.content()).ok()
@@ -169,7 +169,7 @@
 
     async fn attempt(&self, instance: Arc<Instance>, _permit: RunPermit) -> Attempt {
         let started = Instant::now();
-        let _guard = instance.begin();
+        let _guard = instance.track_request();
         let asked = tokio::time::timeout(self.route.timeout, self.ask(&instance)).await;
         let late = || Err(ExchangeError::Broken("no answer in time".to_owned()));
         Attempt {
@@ -184,12 +184,12 @@
         let head = self.head(instance)?;
         let body = Bytes::copy_from_slice(&self.reward.body);
         let id = &self.attempt_id;
-        let reply = send(instance, names, &head, &body, id, AnswerId::Required).await?;
-        let (status, headers, _) = reply.read_whole(ANSWER_LIMIT).await?;
+        let reply = send(instance, names, &head, &body, id, AnswerIdPolicy::Required).await?;
+        let (status, headers, _) = reply.read_body(ANSWER_LIMIT).await?;
         if !status.is_success() {
             return Ok(Answer::Failed(status));
         }
-        let stamp = headers.get(&names.response_stamp);
+        let stamp = headers.get(&names.response_signature);
         let stamp = stamp.and_then(|stamp| stamp.to_str().ok());
         let unsigned = || ExchangeError::Broken("unsigned answer".to_owned());
         Ok(Answer::Scored(stamp.ok_or_else(unsigned)?.to_owned()))
@@ -220,7 +220,7 @@
     }
 
     /// Notes whether the instance bore the call, or finds out what became of it if the connection broke.
-    async fn look(&self, index: usize, ended: &Attempt) {
+    async fn check_broken_run(&self, index: usize, ended: &Attempt) {
         if let Err(ExchangeError::Broken(_)) = &ended.result {
             let reward = self.reward;
             let content = self
@@ -228,7 +228,7 @@
                 .content(&reward.host, &reward.path, &reward.body);
             let context = self.context;
             context
-                .look(index, &ended.instance, content, ended.started)
+                .check_broken_run(index, &ended.instance, content, ended.started)
                 .await;
         }
     }
@@ -248,19 +248,19 @@
         self.log(index, &ended);
         match ended.result {
             Ok(Answer::Scored(stamp)) => {
-                ended.instance.note_success();
+                ended.instance.record_success();
                 let taken = now.saturating_duration_since(ended.started);
-                ended.instance.note_pace(taken.as_secs_f64() * 1e3, now);
+                ended.instance.record_unit_time(taken.as_secs_f64() * 1e3, now);
                 return Some(ScoreEnd::Scored(stamp));
             }
             Ok(Answer::Failed(StatusCode::INTERNAL_SERVER_ERROR)) => *failures += 1,
-            Ok(Answer::Failed(_)) => ended.instance.note_failure(now),
+            Ok(Answer::Failed(_)) => ended.instance.record_failure(now),
             Err(ExchangeError::HeldBack(reason)) => self.context.metrics.note_held_back(reason),
             Err(error) => {
                 let is_silent =
                     matches!(error, ExchangeError::NotSent(_) | ExchangeError::Broken(_));
                 if is_silent {
-                    ended.instance.note_failure(now);
+                    ended.instance.record_failure(now);
                 }
             }
         }
--- a/crates/front/src/job/starting.rs
+++ b/crates/front/src/job/starting.rs
@@ -85,9 +85,9 @@
                 .entry(index)
                 .or_insert_with(|| run.item_content(index))
         };
-        let held = run.holds(index, content);
+        let held = run.current_hold(index, content);
         // Others of its content are under way, and the next of them to end decides.
-        self.has_waiting_items |= held.is_some_and(|held| held.is_short());
+        self.has_waiting_items |= held.is_some_and(|held| held.is_concurrency_hold());
         held.is_some()
     }
 
@@ -99,7 +99,7 @@
         kept: ItemText,
     ) {
         // The run begins with its first poll; the guard counts it from now on.
-        let guard = instance.as_ref().map(Instance::begin);
+        let guard = instance.as_ref().map(Instance::track_request);
         let run = Arc::clone(run);
         self.begun.forget(index);
         self.carried.remove(&run.spec.items[index].id);
--- a/crates/front/src/metrics.rs
+++ b/crates/front/src/metrics.rs
@@ -222,7 +222,7 @@
         self.add(Box::new(counters.restarts.clone()));
         self.add(Box::new(counters.unreadable_records.clone()));
         self.add(Box::new(counters.drained_zones.clone()));
-        self.add(Box::new(counters.passed_over.clone()));
+        self.add(Box::new(counters.skipped_instances.clone()));
     }
 
     /// Counts a request that was not sent.
--- a/crates/front/src/orders/giver.rs
+++ b/crates/front/src/orders/giver.rs
@@ -344,7 +344,7 @@
         given.demand.fill(&mut demands);
         let mut instances = self.fleet();
         // Weights that nothing may use now are not loaded, and each model keeps instances in the zones left.
-        instances.retain(|one| one.drain_gate() != Err(HoldReason::ZoneDrained));
+        instances.retain(|one| one.check_drain() != Err(HoldReason::ZoneDrained));
         let mut fleet: Vec<FleetInstance> = instances
             .iter()
             .map(|instance| FleetInstance {
@@ -385,7 +385,7 @@
         let services = config.services.iter();
         services
             .filter(|(_, service)| !service.models.is_empty())
-            .flat_map(|(name, _)| self.backends.of_service(name))
+            .flat_map(|(name, _)| self.backends.instances_of(name))
             .filter(|instance| instance.is_ready())
             .collect()
     }
@@ -407,12 +407,12 @@
                 return Outcome::Pause(DOUBT_TIME);
             }
         };
-        if !instance.is_start(report.started_unix_ms) {
-            self.backends.note_start(instance, report.started_unix_ms);
+        if !instance.matches_incarnation(report.started_unix_ms) {
+            self.backends.record_incarnation(instance, report.started_unix_ms);
             return Outcome::Pause(LOOK_INTERVAL);
         }
         for (model, version) in &report.versions {
-            instance.note_version(model, *version);
+            instance.record_version(model, *version);
         }
         if report.busy || instance.version(&planned.model) >= planned.version {
             return Outcome::Pause(LOOK_INTERVAL * 4);
@@ -439,7 +439,7 @@
             Err(_) => ("in_doubt", Outcome::InDoubt),
         };
         if label == "taken" {
-            instance.note_loading(&planned.model, Instant::now() + LOADING_PAUSE * 4);
+            instance.mark_loading(&planned.model, Instant::now() + LOADING_PAUSE * 4);
         }
         self.metrics.orders.with_label_values(&[label]).inc();
         log::info!(
--- a/crates/front/src/orders/permits/asking.rs
+++ b/crates/front/src/orders/permits/asking.rs
@@ -70,12 +70,12 @@
     }
 
     async fn ask_while_work_waits(&self) {
-        let wants = &self.backends.gates().wants;
+        let permit_requests = &self.backends.gates().permit_requests;
         let mut last_dealer = None;
         loop {
-            let mut wanted = wants.take().await;
+            let mut wanted = permit_requests.take().await;
             tokio::time::sleep(GATHER).await;
-            wanted.append(&mut wants.take_noted());
+            wanted.append(&mut permit_requests.drain_pending());
             let asked = wanted.len();
             let (dealt, until) = self.ask(wanted, &mut last_dealer).await;
             if last_dealer.is_none() {
--- a/crates/front/src/program.rs
+++ b/crates/front/src/program.rs
@@ -214,7 +214,7 @@
                 }
                 RequestKind::suspect_news(news) => match &parts.suspects {
                     Some(suspects) => {
-                        suspects.take_news(&news);
+                        suspects.apply_updates(&news);
                         Response {
                             kind: ResponseKind::done(Done {}),
                         }
--- a/crates/front/src/roster/drains.rs
+++ b/crates/front/src/roster/drains.rs
@@ -43,7 +43,7 @@
                 return;
             }
             taken_at = taken_at.max(drains.known_at);
-            self.backends.set_drained(zones);
+            self.backends.set_drained_zones(zones);
             tokio::select! {
                 _ = changed.changed() => {}
                 () = following.keeps_roster.wait_until_active() => return,
--- a/crates/front/src/roster/reader.rs
+++ b/crates/front/src/roster/reader.rs
@@ -63,7 +63,7 @@
     /// Feeds the table for as long as the future is polled.
     pub async fn run(&self) {
         if self.drains.is_some() {
-            self.backends.gates().drained.await_first();
+            self.backends.gates().drained.mark_unknown();
         }
         let known = KnownRoster::new(None);
         let Some(options) = self.options else {
@@ -103,7 +103,7 @@
             _ = known.wait_for(|roster| roster.as_ref().is_some_and(|one| self.covers_config(one))) => true,
             () = tokio::time::sleep(self.first_wait) => false,
             () = self.activity.wait_until_active() => false,
-            () = self.backends.wanted() => false,
+            () = self.backends.wait_for_first_request() => false,
         }
     }
 
--- a/crates/front/tests/capacity_duty.rs
+++ b/crates/front/tests/capacity_duty.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use futures_util::future::BoxFuture;
-use ladderstage_front::backend::{BackendTable, Discovered};
+use ladderstage_front::backend::{BackendTable, DiscoveredInstance};
 use ladderstage_front::capacity::{
     CapacityController, CapacityOrder, CapacityOrderError, CapacitySink, InstanceKind,
 };
@@ -91,8 +91,8 @@
     }
 }
 
-fn instance(zone: &str, index: usize) -> Discovered {
-    Discovered {
+fn instance(zone: &str, index: usize) -> DiscoveredInstance {
+    DiscoveredInstance {
         id: format!("{zone}-{index}"),
         service: SERVICE.to_owned(),
         address: "127.0.0.1:9".parse().unwrap(),
--- a/crates/front/tests/capacity_plan.rs
+++ b/crates/front/tests/capacity_plan.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use ladderstage_clock::Instant;
-use ladderstage_front::backend::Discovered;
+use ladderstage_front::backend::DiscoveredInstance;
 use ladderstage_front::capacity::{
     CapacityOrderError, CapacityPlanner, CountWanted, FleetNow, InstanceKind, LossReason, Outbox,
     InstancePool, WantedCapacity,
@@ -116,10 +116,10 @@
         }
     }
 
-    fn discovered(&self) -> Vec<Discovered> {
+    fn discovered(&self) -> Vec<DiscoveredInstance> {
         let instances = self.instances.iter();
         instances
-            .map(|(id, (zone, kind, state))| Discovered {
+            .map(|(id, (zone, kind, state))| DiscoveredInstance {
                 id: id.clone(),
                 service: SERVICE.to_owned(),
                 address: "127.0.0.1:9".parse().unwrap(),
--- a/crates/front/tests/cold_instances.rs
+++ b/crates/front/tests/cold_instances.rs
@@ -5,7 +5,7 @@
 
 use ladderstage_clock::Instant;
 use ladderstage_front::backend::{
-    BackendTable, ColdAllowance, ColdLimit, ColdState, Demand, Discovered, HoldReason,
+    BackendTable, ColdAllowance, ColdLimit, ColdState, Demand, DiscoveredInstance, HoldReason,
     PERMIT_LIFETIME, SEND_WINDOW, SendShare, WRITE_MARGIN, Warmth,
 };
 use ladderstage_front::config::{ColdSpec, ServiceSpec, ServingConfig};
@@ -36,8 +36,8 @@
     Duration::from_millis(milliseconds)
 }
 
-fn word(id: &str, cold_ms: u64) -> Discovered {
-    Discovered {
+fn word(id: &str, cold_ms: u64) -> DiscoveredInstance {
+    DiscoveredInstance {
         id: id.to_owned(),
         service: "service".to_owned(),
         address: "127.0.0.1:9".parse().unwrap(),
@@ -153,7 +153,7 @@
     first.started_unix_ms = 100;
     table.upsert(first);
     let now = Instant::now();
-    table.note_start(&table.get("i-1").unwrap(), 200);
+    table.record_incarnation(&table.get("i-1").unwrap(), 200);
     let again = table.get("i-1").unwrap();
     assert!(again.take_send(now).is_ok(), "one shows whether it runs");
     assert_eq!(again.take_send(now), Err(HoldReason::Cold));
@@ -189,8 +189,8 @@
     table.upsert(word("i-1", 3_000));
     let choose = || table.choose("service", "", Demand::Batch, |_| true);
     assert!(choose().is_none());
-    let wants = table.gates().wants.take_noted();
-    assert_eq!(wants.get("i-1").map(String::as_str), Some("service"));
+    let permit_requests = table.gates().permit_requests.drain_pending();
+    assert_eq!(permit_requests.get("i-1").map(String::as_str), Some("service"));
     let instance = table.get("i-1").unwrap();
     instance.add_permits(2, Instant::now() + Duration::from_secs(60));
     assert!(choose().is_some() && choose().is_some());
--- a/crates/front/tests/pace.rs
+++ b/crates/front/tests/pace.rs
@@ -29,12 +29,12 @@
 /// moving there did not pay, and the text stayed where it was.
 #[test]
 fn the_rest_of_a_long_text_goes_to_the_fastest_instance_with_room() {
-    let instance = |load, pace_ms| Candidate {
+    let instance = |load, unit_time_ms| Candidate {
         load,
         slots: 8,
         distance: Distance::SameZone,
         round_trip_ms: None,
-        pace_ms: Some(pace_ms),
+        unit_time_ms: Some(unit_time_ms),
     };
     let idle_and_fast = [instance(0, 66.0), instance(5, 48.0), instance(1, 66.0)];
     assert_eq!(choose(&idle_and_fast, rest_demand(4), 0), Some(0));
@@ -46,7 +46,7 @@
 /// Found in the logs of a day: items of 6.3 s waited 2.5 s at an instance that hung, and their steps were late.
 #[test]
 fn the_first_event_is_awaited_for_about_as_long_as_it_takes() {
-    let wait_ms = |pace_ms| first_event_limit(pace_ms).as_millis();
+    let wait_ms = |unit_time_ms| first_event_limit(unit_time_ms).as_millis();
     assert_eq!(wait_ms(Some(47.0)), 1_100);
     assert_eq!(wait_ms(Some(80.0)), 1_600);
     assert_eq!(wait_ms(Some(900.0)), 2_500);
@@ -68,7 +68,7 @@
         .collect();
     assert_eq!(paces.len(), 10);
     assert!(
-        paces.iter().all(|pace_ms| (pace_ms - 48.0).abs() < 1.0),
+        paces.iter().all(|unit_time_ms| (unit_time_ms - 48.0).abs() < 1.0),
         "{paces:?}"
     );
 }
@@ -77,20 +77,20 @@
 /// free went to an item that had not begun.
 #[test]
 fn a_text_that_was_cut_waits_behind_others_where_no_slot_is_free() {
-    let instance = |load, pace_ms| Candidate {
+    let instance = |load, unit_time_ms| Candidate {
         load,
         slots: 8,
         distance: Distance::SameZone,
         round_trip_ms: None,
-        pace_ms: Some(pace_ms),
+        unit_time_ms: Some(unit_time_ms),
     };
     let full = [instance(8, 66.0), instance(8, 48.0)];
     assert_eq!(choose(&full, Demand::Batch, 0), None);
-    assert_eq!(choose(&full, Demand::CutBatch, 0), Some(1));
+    assert_eq!(choose(&full, Demand::InterruptedBatch, 0), Some(1));
     let one_is_free = [instance(7, 66.0), instance(8, 48.0)];
-    assert_eq!(choose(&one_is_free, Demand::CutBatch, 0), Some(0));
+    assert_eq!(choose(&one_is_free, Demand::InterruptedBatch, 0), Some(0));
     let others_wait = [instance(9, 66.0), instance(9, 48.0)];
-    assert_eq!(choose(&others_wait, Demand::CutBatch, 0), None);
+    assert_eq!(choose(&others_wait, Demand::InterruptedBatch, 0), None);
 }
 
 /// Found in the logs of a day: a text at an instance that turned three times slower after a hundred events went on there to its end,
--- a/crates/front/tests/roster.rs
+++ b/crates/front/tests/roster.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use ladderstage_front::activity::Activity;
-use ladderstage_front::backend::{BackendTable, Discovered, HoldReason};
+use ladderstage_front::backend::{BackendTable, DiscoveredInstance, HoldReason};
 use ladderstage_front::config::{
     ConfigInForce, Route, RouteKind, ServiceSpec, ServingConfig, WeightedService,
 };
@@ -43,8 +43,8 @@
     }
 }
 
-fn instance(id: &str) -> Discovered {
-    Discovered {
+fn instance(id: &str) -> DiscoveredInstance {
+    DiscoveredInstance {
         started_unix_ms: 0,
         cold_ms: 0,
         is_preemptible: false,
@@ -59,7 +59,7 @@
     }
 }
 
-fn write(store: &MemoryStore, instance: &Discovered) {
+fn write(store: &MemoryStore, instance: &DiscoveredInstance) {
     let value = serde_json::to_vec(instance).unwrap();
     store.write(&format!("{INSTANCES}{}", instance.id), value);
 }
@@ -167,7 +167,7 @@
                 }
             }),
         }
-        self.records.backends.set_drained(self.zones.clone());
+        self.records.backends.set_drained_zones(self.zones.clone());
         self.view.note(at);
     }
 
@@ -371,7 +371,7 @@
 /// The same with an instance, `i-9`, of a service that the roster leaves out.
 async fn fleet_with_labeler() -> (MemoryStore, Node, Node) {
     let store = MemoryStore::default();
-    let labeler = Discovered {
+    let labeler = DiscoveredInstance {
         service: "labeler".to_owned(),
         ..instance("i-9")
     };
@@ -384,7 +384,7 @@
 }
 
 fn leave(store: &MemoryStore, id: &str) {
-    let leaving = Discovered {
+    let leaving = DiscoveredInstance {
         is_ready: false,
         ..instance(id)
     };
@@ -554,7 +554,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_front_whose_configuration_names_another_service_follows_discovery() {
     let (store, writer, reader) = fleet().await;
-    let new = Discovered {
+    let new = DiscoveredInstance {
         service: "labeler".to_owned(),
         ..instance("i-9")
     };
@@ -643,7 +643,7 @@
         let asking = async {
             if let Some(asked_after) = asked_after {
                 sleep(Duration::from_millis(asked_after)).await;
-                reader.backends.first_fed(Duration::from_millis(300)).await;
+                reader.backends.wait_for_first_instance(Duration::from_millis(300)).await;
                 assert_eq!(reader.is_ready("i-1"), Some(true));
             }
         };
@@ -676,8 +676,8 @@
     (store, writer, reader)
 }
 
-fn in_zone_b(id: &str) -> Discovered {
-    Discovered {
+fn in_zone_b(id: &str) -> DiscoveredInstance {
+    DiscoveredInstance {
         zone: "b".to_owned(),
         ..instance(id)
     }
@@ -724,7 +724,7 @@
     assert!(!reader.may_send("i-a"));
     write(
         &store,
-        &Discovered {
+        &DiscoveredInstance {
             zone: "nowhere".to_owned(),
             ..instance("i-new")
         },
--- a/crates/front/tests/suspensions.rs
+++ b/crates/front/tests/suspensions.rs
@@ -7,7 +7,7 @@
 
 use ladderstage_clock::Instant;
 use ladderstage_clock::testing::suspend;
-use ladderstage_front::backend::{BackendTable, Discovered};
+use ladderstage_front::backend::{BackendTable, DiscoveredInstance};
 use ladderstage_front::job::QuorumConfirmation;
 use ladderstage_front::orders::{OrdersLease, LeaseLoss};
 use ladderstage_front::usage::WindowClock;
@@ -59,7 +59,7 @@
 #[test]
 fn a_pause_of_an_instance_is_over_after_the_sleep() {
     let table = BackendTable::new("a");
-    table.upsert(Discovered {
+    table.upsert(DiscoveredInstance {
         id: "i-1".to_owned(),
         service: "service".to_owned(),
         address: "127.0.0.1:9".parse().unwrap(),
@@ -73,9 +73,9 @@
         versions: [].into(),
     });
     let instance = table.get("i-1").unwrap();
-    instance.note_pace(40.0, Instant::now());
-    instance.note_failure(Instant::now());
+    instance.record_unit_time(40.0, Instant::now());
+    instance.record_failure(Instant::now());
     suspend(SLEEP);
     assert!(instance.is_usable("", Instant::now()));
-    assert_eq!(instance.recent_pace_ms(), None);
+    assert_eq!(instance.recent_unit_time_ms(), None);
 }
