--- a/crates/front/src/capacity/duty.rs
+++ b/crates/front/src/capacity/duty.rs
@@ -17,11 +17,11 @@
 use super::sink::{CapacityOrder, CapacityOrderError, CapacitySink};
 use super::wanted::WantedCapacity;
 use crate::backend::BackendTable;
-use crate::config::{ConfigInForce, ServingConfig};
+use crate::config::{CurrentConfig, ServingConfig};
 use crate::coordination::{Coordination, CoordinationError, SwapResult};
 use crate::metrics::Metrics;
 use crate::orders::{OrdersLease, HeldLease};
-use crate::roster::DirectView;
+use crate::roster::DiscoveryView;
 
 /// Record of what is wanted.
 const WANTED_KEY: &str = "ladderstage/capacity/wanted";
@@ -44,9 +44,9 @@
     /// Instances, and the zones that are to be drained.
     pub backends: BackendTable,
     /// Whether the instances are known.
-    pub view: DirectView,
+    pub view: DiscoveryView,
     /// Services and their bounds.
-    pub config: ConfigInForce,
+    pub config: CurrentConfig,
     /// Where orders go.
     pub sink: Arc<dyn CapacitySink>,
     /// Least time between orders of holders at two nodes.
@@ -340,5 +340,5 @@
 fn arrival_time(config: &ServingConfig, pool: &InstancePool) -> Duration {
     let service = config.services.get(pool.service.as_ref());
     let scaling = service.and_then(|service| service.scaling.as_ref());
-    scaling.map_or(ARRIVAL_MARGIN, |scaling| scaling.boot + ARRIVAL_MARGIN)
+    scaling.map_or(ARRIVAL_MARGIN, |scaling| scaling.boot_time + ARRIVAL_MARGIN)
 }
--- a/crates/front/src/capacity/planner.rs
+++ b/crates/front/src/capacity/planner.rs
@@ -333,7 +333,7 @@
         let all_found = found(&kept) + found(&preemptible);
         Offer {
             serving: all_found.saturating_sub(self.lost(&kept) + self.lost(&preemptible)),
-            room: service.scaling.most.saturating_sub(all_found),
+            room: service.scaling.max_per_zone.saturating_sub(all_found),
             price: service.price(&zone),
             kinds,
             zone,
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -11,7 +11,7 @@
 use crate::activity::Activity;
 use crate::backend::{BackendTable, ColdAllowance};
 use crate::capacity::{CapacityController, CapacitySink};
-use crate::config::ConfigInForce;
+use crate::config::CurrentConfig;
 use crate::coordination::Coordination;
 use crate::dialect::SharedCodec;
 use crate::ingress::{self, Ingress, IngressState};
@@ -23,7 +23,7 @@
     FormerLeaders, LearnedLoadLimit, OrderLeader, OrderOptions, PermitRequester, PermitIssuer, AnnouncedVersions,
 };
 use crate::program::{JobHooks, JournalParts, PeerHandler, PeerParts, ProgramOptions};
-use crate::roster::{DirectView, RosterOptions, RosterWriter};
+use crate::roster::{DiscoveryView, RosterOptions, RosterWriter};
 use crate::suspects::{SuspectSharing, Suspects};
 use crate::suspension::watch_suspensions;
 use crate::usage::sharing::share;
@@ -42,16 +42,16 @@
 #[derive(Debug, Clone, Default)]
 pub struct Activities {
     /// Batch jobs and orders: they need to hear of instances.
-    pub with_instances: Activity,
+    pub instance_work: Activity,
     /// Orders: they need to hear of named versions.
-    pub with_versions: Activity,
+    pub version_work: Activity,
 }
 
 /// What the adapter of the outside feeds.
 #[derive(Clone)]
 pub struct FrontInputs {
     /// Configuration.
-    pub config: ConfigInForce,
+    pub config: CurrentConfig,
     /// Instances.
     pub backends: BackendTable,
     /// Named weight versions; followed while orders are given here.
@@ -59,9 +59,9 @@
     /// What is under way here.
     pub activities: Activities,
     /// As of when the instances are known from discovery itself.
-    pub view: DirectView,
+    pub view: DiscoveryView,
     /// As of when the drained zones are known from the store itself; `None`: no zone is drained in this deployment.
-    pub drains: Option<DirectView>,
+    pub drains: Option<DiscoveryView>,
     /// How the roster of instances is kept; `None`: none is.
     pub roster: Option<RosterOptions>,
     /// Names.
@@ -209,7 +209,7 @@
     });
     let nodes_task = tokio::spawn({
         let nodes = nodes.clone();
-        let activity = inputs.activities.with_instances.clone();
+        let activity = inputs.activities.instance_work.clone();
         async move { nodes.run(coordination, &activity).await }
     });
     let orders_task = tokio::spawn(async move { order_leader.run().await });
@@ -285,7 +285,7 @@
             steps: LatestSteps::default(),
             learned_load_limit: LearnedLoadLimit::default(),
             former_leaders: FormerLeaders::default(),
-            activity: inputs.activities.with_instances.clone(),
+            activity: inputs.activities.instance_work.clone(),
             suspects: suspects.clone(),
         }
     }
@@ -405,7 +405,7 @@
         options.node,
         state.requests()
     );
-    let deadline = Instant::now() + options.grace.saturating_sub(STOP_MARGIN);
+    let deadline = Instant::now() + options.shutdown_grace.saturating_sub(STOP_MARGIN);
     state.drain();
     nodes.set_leaving(true);
     let answered = async {
--- a/crates/front/src/job/bounds.rs
+++ b/crates/front/src/job/bounds.rs
@@ -85,7 +85,7 @@
     let Some(replicas) = replicas else {
         return Err(RegionBoundsError::UnknownReplicas { allowed: allowed() });
     };
-    let is_unknown = |member: &&ReplicaMember| !nodes.knows(&member.node);
+    let is_unknown = |member: &&ReplicaMember| !nodes.has_seen(&member.node);
     if let Some(member) = replicas
         .current
         .iter()
@@ -97,7 +97,7 @@
             allowed: allowed(),
         });
     }
-    if let Some(outside) = nodes.any_outside(&allowed()) {
+    if let Some(outside) = nodes.find_outside(&allowed()) {
         return Err(RegionBoundsError::Node {
             region: Region(Some(outside.region).filter(|region| !region.is_empty())),
             node: outside.node,
--- a/crates/front/src/job/context.rs
+++ b/crates/front/src/job/context.rs
@@ -11,12 +11,12 @@
 use super::trainer_steps::LatestSteps;
 use crate::activity::Activity;
 use crate::backend::BackendTable;
-use crate::config::ConfigInForce;
+use crate::config::CurrentConfig;
 use crate::dialect::SharedCodec;
 use crate::metrics::Metrics;
 use crate::nodes::Nodes;
 use crate::orders::{FormerLeaders, LearnedLoadLimit};
-use crate::roster::DirectView;
+use crate::roster::DiscoveryView;
 use crate::suspects::Suspects;
 
 /// What jobs work with.
@@ -28,11 +28,11 @@
     /// The other nodes.
     pub nodes: Nodes,
     /// Routes.
-    pub config: ConfigInForce,
+    pub config: CurrentConfig,
     /// Instances.
     pub backends: BackendTable,
     /// Whether their records are followed here.
-    pub view: DirectView,
+    pub view: DiscoveryView,
     /// Names.
     pub codec: SharedCodec,
     /// Counters.
--- a/crates/front/src/job/run.rs
+++ b/crates/front/src/job/run.rs
@@ -197,7 +197,7 @@
         () = instance.ended() => RunEnd::Broken("the instance was started again".to_owned()),
     };
     log_run(context, index, instance, partial, started, &end);
-    context.metrics.note_sent("item", instance.distance());
+    context.metrics.record_sent("item", instance.distance());
     match end {
         RunEnd::Broken(_) => context.check_broken_run(index, instance, content(), started).await,
         RunEnd::Complete | RunEnd::Impossible | RunEnd::Failed => {
@@ -341,7 +341,7 @@
         } => {
             instance.mark_loading(&context.spec.model, now + STALE_WEIGHTS_PAUSE);
         }
-        ExchangeError::HeldBack(reason) => context.metrics.note_held_back(*reason),
+        ExchangeError::HeldBack(reason) => context.metrics.record_held_back(*reason),
         ExchangeError::Misdirected { .. }
         | ExchangeError::NotSent(_)
         | ExchangeError::Broken(_) => {
@@ -378,7 +378,7 @@
         set_tenant(&mut headers, &names.tenant, &context.spec.tenant);
     }
     headers.insert(names.attempt_id.clone(), attempt_id.clone());
-    headers.insert(names.request_priority.clone(), context.rank.clone());
+    headers.insert(names.request_priority.clone(), context.priority_header.clone());
     let expected = HeaderValue::from_str(instance.id()).ok()?;
     headers.insert(names.expect_instance.clone(), expected);
     if let Some(last) = partial.last_event() {
--- a/crates/front/src/job/run_context.rs
+++ b/crates/front/src/job/run_context.rs
@@ -11,7 +11,7 @@
 use tokio::sync::{mpsc, watch};
 
 use crate::backend::{BackendTable, Instance, LOADING_PAUSE};
-use crate::config::ConfigInForce;
+use crate::config::CurrentConfig;
 use crate::dialect::SharedCodec;
 use crate::metrics::Metrics;
 use crate::orders::LearnedLoadLimit;
@@ -40,7 +40,7 @@
     /// Names.
     pub codec: SharedCodec,
     /// Routes, of reward calls too.
-    pub config: ConfigInForce,
+    pub config: CurrentConfig,
     /// Counters.
     pub metrics: Arc<Metrics>,
     /// The job.
@@ -48,7 +48,7 @@
     /// Service that runs its items.
     pub service: String,
     /// How urgent its items are at instances.
-    pub rank: HeaderValue,
+    pub priority_header: HeaderValue,
     /// Where its items may run by the configuration under which these runs began.
     pub allowed_at_begin: AllowedRegions,
     /// Failed attempts after which an item is given up.
--- a/crates/front/src/job/scoring.rs
+++ b/crates/front/src/job/scoring.rs
@@ -206,7 +206,7 @@
         headers.insert(HOST, host);
         headers.insert(names.attempt_id.clone(), self.attempt_id.clone());
         headers.insert(names.deadline_ms.clone(), HeaderValue::from(deadline_ms));
-        headers.insert(names.request_priority.clone(), self.rank());
+        headers.insert(names.request_priority.clone(), self.priority_header());
         if !self.context.spec.tenant.is_empty() {
             set_tenant(&mut headers, &names.tenant, &self.context.spec.tenant);
         }
@@ -234,12 +234,12 @@
     }
 
     /// The rank of the job's tenant goes before that of the call's route.
-    fn rank(&self) -> HeaderValue {
+    fn priority_header(&self) -> HeaderValue {
         let config = self.context.config.current();
         let tenant = config
             .as_ref()
             .and_then(|config| config.tenant(&self.context.spec.tenant));
-        self.route.rank(tenant.map(AsRef::as_ref))
+        self.route.priority_header(tenant.map(AsRef::as_ref))
     }
 
     /// Takes in a call that ended; `Some` ends the scoring.
@@ -255,7 +255,7 @@
             }
             Ok(Answer::Failed(StatusCode::INTERNAL_SERVER_ERROR)) => *failures += 1,
             Ok(Answer::Failed(_)) => ended.instance.record_failure(now),
-            Err(ExchangeError::HeldBack(reason)) => self.context.metrics.note_held_back(reason),
+            Err(ExchangeError::HeldBack(reason)) => self.context.metrics.record_held_back(reason),
             Err(error) => {
                 let is_silent =
                     matches!(error, ExchangeError::NotSent(_) | ExchangeError::Broken(_));
@@ -278,7 +278,7 @@
         let calls = &self.context.metrics.reward_calls;
         calls.with_label_values(&[label]).inc();
         let metrics = &self.context.metrics;
-        metrics.note_sent("reward_call", ended.instance.distance());
+        metrics.record_sent("reward_call", ended.instance.distance());
         log::info!(
             "event=reward_call item={} job={} request={} route={} instance={} distance={} started={} elapsed_ms={} outcome={outcome}",
             self.context.spec.items[index].id,
--- a/crates/front/src/job/starting.rs
+++ b/crates/front/src/job/starting.rs
@@ -167,7 +167,7 @@
             metrics: Arc::clone(&self.context.metrics),
             spec: Arc::clone(spec),
             service: service.to_owned(),
-            rank: route.rank(tenant.map(AsRef::as_ref)),
+            priority_header: route.priority_header(tenant.map(AsRef::as_ref)),
             allowed_at_begin: route.allowed_regions_for(tenant.map(AsRef::as_ref)),
             max_attempts: route.max_attempts,
             single_version: route.single_version,
@@ -178,7 +178,7 @@
             tokens_per_event,
             learned_load_limit: self.context.learned_load_limit.clone(),
             suspects: self.context.suspects.clone(),
-            give_up_at: route.max_queue.map(|age| self.job.opened_at + age),
+            give_up_at: route.max_queue_time.map(|age| self.job.opened_at + age),
         }))
     }
 }
--- a/crates/front/src/live.rs
+++ b/crates/front/src/live.rs
@@ -15,7 +15,7 @@
     AnswerIdPolicy, BackendTable, Demand, ExchangeError, HoldReason, Instance, Reply, RequestHead,
     RunGuard, end_to_end, send,
 };
-use crate::config::{ConfigInForce, Route, RouteKind};
+use crate::config::{CurrentConfig, Route, RouteKind};
 use crate::dialect::SharedCodec;
 use crate::metrics::Metrics;
 use crate::suspects::{
@@ -155,7 +155,7 @@
 /// Serves live requests.
 pub struct LiveService {
     /// Routes, whose bounds may change while a request is under way.
-    pub config: ConfigInForce,
+    pub config: CurrentConfig,
     /// Instances.
     pub backends: BackendTable,
     /// Names.
@@ -358,7 +358,7 @@
             request.id(),
             route.name
         );
-        self.metrics.note_held_back(reason);
+        self.metrics.record_held_back(reason);
     }
 
     /// Logs what held ready instances back from a request for which none was tried.
@@ -478,7 +478,7 @@
         let tenant = request.caller.tenant();
         headers.insert(
             names.request_priority.clone(),
-            route.rank(tenant.map(AsRef::as_ref)),
+            route.priority_header(tenant.map(AsRef::as_ref)),
         );
         request.caller.set_headers(&mut headers, &names.tenant);
         if let Ok(id) = HeaderValue::from_str(instance.id()) {
@@ -544,7 +544,7 @@
             Err(error) if error.is_not_run() => {
                 progress.possible_runs -= 1;
                 if let ExchangeError::HeldBack(reason) = error {
-                    self.metrics.note_held_back(reason);
+                    self.metrics.record_held_back(reason);
                     // It was not tried, and may take the request once it may be sent.
                     progress.tried.retain(|id| id != ended.instance.id());
                 }
@@ -565,7 +565,7 @@
     /// Counts a request that began to run; instances of these services begin when a request arrives.
     fn count(&self, request: &LiveRequest, started: Instant) {
         if let Some(tenant) = request.caller.tenant() {
-            self.usage.note_begun(&tenant.name, started);
+            self.usage.record_start(&tenant.name, started);
         }
     }
 
@@ -596,7 +596,7 @@
             ended.started.elapsed().as_millis(),
         );
         self.metrics.attempts.inc();
-        self.metrics.note_sent("live", ended.instance.distance());
+        self.metrics.record_sent("live", ended.instance.distance());
     }
 }
 
--- a/crates/front/src/nodes/following.rs
+++ b/crates/front/src/nodes/following.rs
@@ -123,7 +123,7 @@
         }
     }
 
-    fn take(&mut self, update: Update, at: u64) {
-        self.nodes.take(update, at);
+    fn on_update(&mut self, update: Update, at: u64) {
+        self.nodes.on_update(update, at);
     }
 }
--- a/crates/front/src/nodes/registration.rs
+++ b/crates/front/src/nodes/registration.rs
@@ -133,7 +133,7 @@
         }
         match coordination.renew(lease).await {
             Ok(()) => nodes.note_contact(),
-            Err(CoordinationError::LeaseOver) => return LeaseEnd::Over,
+            Err(CoordinationError::LeaseExpired) => return LeaseEnd::Over,
             Err(error) => {
                 log::warn!("event=node_lease_not_renewed cause=\"{error}\"");
                 tokio::time::sleep(RETRY_PAUSE).await;
--- a/crates/front/src/orders/giver.rs
+++ b/crates/front/src/orders/giver.rs
@@ -19,7 +19,7 @@
 use super::plan::{FleetInstance, Planned, plan};
 use crate::backend::{BackendTable, HoldReason, Instance, LOADING_PAUSE};
 use crate::capacity::CapacityController;
-use crate::config::ConfigInForce;
+use crate::config::CurrentConfig;
 use crate::coordination::Coordination;
 use crate::dialect::{SharedCodec, VersionOrder};
 use crate::front::Activities;
@@ -71,7 +71,7 @@
     /// Instances.
     pub backends: BackendTable,
     /// Services and their models.
-    pub config: ConfigInForce,
+    pub config: CurrentConfig,
     /// Versions wanted.
     pub versions: AnnouncedVersions,
     /// Names.
@@ -203,11 +203,11 @@
     /// Gives orders until the lease is lost or given back.
     /// `respected`: orders of other givers of which this node was told under an earlier lease.
     async fn hold(&self, lease: &OrdersLease, held: HeldLease, respected: &mut Vec<(String, Instant)>) {
-        let _with_instances = self.activities.with_instances.start();
-        let _with_versions = self.activities.with_versions.start();
+        let _with_instances = self.activities.instance_work.start();
+        let _with_versions = self.activities.version_work.start();
         if self.roster.drains.is_some() {
             // The roster is written from here on. A watch of drains that lost its answer would stay silent for its whole time.
-            self.coordination.doubt_watches();
+            self.coordination.cancel_watches();
         }
         let dealing = self.permits.start(held.watch_proof());
         let mut given = self.begin_given().await;
--- a/crates/front/src/orders/lease.rs
+++ b/crates/front/src/orders/lease.rs
@@ -199,7 +199,7 @@
         loop {
             match self.renew(held).await {
                 Ok(()) => tokio::time::sleep(RENEWAL).await,
-                Err(CoordinationError::LeaseOver) => return LeaseLoss::Expired,
+                Err(CoordinationError::LeaseExpired) => return LeaseLoss::Expired,
                 Err(error) => {
                     log::warn!("event=giver_lease_not_renewed cause=\"{error}\"");
                     tokio::time::sleep(RENEWAL_RETRY).await;
--- a/crates/front/src/orders/permits/asking.rs
+++ b/crates/front/src/orders/permits/asking.rs
@@ -12,7 +12,7 @@
 
 use super::issuer::PermitIssuer;
 use crate::backend::{BackendTable, ColdAllowance, PERMIT_LIFETIME};
-use crate::config::ConfigInForce;
+use crate::config::CurrentConfig;
 use crate::metrics::Metrics;
 use crate::nodes::{NodeRole, Nodes};
 use crate::orders::candidates::by_rank;
@@ -39,7 +39,7 @@
     /// Instances.
     pub backends: BackendTable,
     /// Services and what they bear.
-    pub config: ConfigInForce,
+    pub config: CurrentConfig,
     /// The other nodes.
     pub nodes: Nodes,
     /// Deals at this node, and is asked first: the node may hold the lease itself.
--- a/crates/front/src/program.rs
+++ b/crates/front/src/program.rs
@@ -18,7 +18,7 @@
 use ladderstage_wire::messages::mod_Response::OneOfkind as ResponseKind;
 use ladderstage_wire::messages::{BundleEvidence, Done, Refused, Request, Response};
 
-use crate::coordination::{Coordination, StoreCalls};
+use crate::coordination::{Coordination, StoreCallMetrics};
 use crate::job::{JobRegistry, LOG_PREFIX};
 use crate::nodes::Nodes;
 use crate::orders::PermitIssuer;
@@ -67,9 +67,9 @@
     /// Processor time of this machine, in thousandths of a core; 0: unknown.
     pub cpu_millis: u32,
     /// How long a stop may take.
-    pub grace: Duration,
+    pub shutdown_grace: Duration,
     /// Counts calls to the coordination store.
-    pub store_calls: StoreCalls,
+    pub store_calls: StoreCallMetrics,
 }
 
 impl ProgramOptions {
--- a/crates/front/src/suspects/sharing.rs
+++ b/crates/front/src/suspects/sharing.rs
@@ -196,7 +196,7 @@
 
     /// Whether the store answered this node lately. Reading it before it does would cost a call a second at each node that is cut off.
     fn is_in_touch(&self) -> bool {
-        let contact = self.nodes.last_contact();
+        let contact = self.nodes.last_store_contact();
         contact.is_none_or(|at| at.elapsed() < OUT_OF_TOUCH)
     }
 
--- a/crates/front/tests/capacity_duty.rs
+++ b/crates/front/tests/capacity_duty.rs
@@ -12,10 +12,10 @@
 use ladderstage_front::capacity::{
     CapacityController, CapacityOrder, CapacityOrderError, CapacitySink, InstanceKind,
 };
-use ladderstage_front::config::{ConfigInForce, ScalingSpec, ServiceSpec, ServingConfig};
+use ladderstage_front::config::{CurrentConfig, ScalingSpec, ServiceSpec, ServingConfig};
 use ladderstage_front::metrics::Metrics;
 use ladderstage_front::orders::OrdersLease;
-use ladderstage_front::roster::DirectView;
+use ladderstage_front::roster::DiscoveryView;
 use support::memory_store::{MemoryStore, NodeFaults};
 
 const SERVICE: &str = "model";
@@ -107,11 +107,11 @@
     }
 }
 
-fn config(has_bounds: bool) -> ConfigInForce {
+fn config(has_bounds: bool) -> CurrentConfig {
     let scaling = ScalingSpec {
-        least: 1,
-        most: 8,
-        boot: Duration::from_secs(4),
+        min_per_zone: 1,
+        max_per_zone: 8,
+        boot_time: Duration::from_secs(4),
         preemptible_price: Some(0.2),
         zone_prices: BTreeMap::new(),
     };
@@ -119,8 +119,8 @@
         scaling: has_bounds.then_some(scaling),
         ..ServiceSpec::default()
     };
-    let config = ConfigInForce::default();
-    config.offer(ServingConfig {
+    let config = CurrentConfig::default();
+    config.apply_if_newer(ServingConfig {
         version: 1,
         services: BTreeMap::from([(SERVICE.to_owned(), service)]),
         ..ServingConfig::default()
@@ -143,8 +143,8 @@
         for zone in ZONES {
             (0..2).for_each(|index| backends.upsert(instance(zone, index)));
         }
-        let view = DirectView::default();
-        view.note(1);
+        let view = DiscoveryView::default();
+        view.set_known(1);
         let duty = CapacityController {
             coordination: coordination.clone(),
             node: name.to_owned(),
@@ -315,7 +315,7 @@
         store.set_faults(
             "one",
             NodeFaults {
-                late_swap: Some(Duration::ZERO),
+                delayed_swap: Some(Duration::ZERO),
                 ..NodeFaults::default()
             },
         );
@@ -332,7 +332,7 @@
 async fn an_old_listing_orders_nothing() {
     let store = MemoryStore::default();
     let node = Node::new("one", &store, Receiver::default());
-    node.duty.view.note_lost();
+    node.duty.view.mark_unavailable();
     node.drain("b");
     let receiver = Arc::clone(&node.receiver);
     node.hold_until(async {
@@ -341,7 +341,7 @@
         tokio::time::sleep(Duration::from_secs(4)).await;
         assert!(receiver.orders().is_empty());
         assert_eq!(fixed(&store), None);
-        node.duty.view.note(2);
+        node.duty.view.set_known(2);
         eventually(|| receiver.taken("a")).await;
     })
     .await;
--- a/crates/front/tests/capacity_plan.rs
+++ b/crates/front/tests/capacity_plan.rs
@@ -45,9 +45,9 @@
     let prices = [("a", 0.85), ("b", 1.2), ("c", 1.0)];
     ServiceSpec {
         scaling: Some(ScalingSpec {
-            least: 1,
-            most: MOST,
-            boot: Duration::from_secs(4),
+            min_per_zone: 1,
+            max_per_zone: MOST,
+            boot_time: Duration::from_secs(4),
             preemptible_price,
             zone_prices: prices.map(|(zone, price)| (zone.to_owned(), price)).into(),
         }),
--- a/crates/front/tests/learnt_loads.rs
+++ b/crates/front/tests/learnt_loads.rs
@@ -67,11 +67,11 @@
     assert!(restore_load_limit(&nothing, &store.of("front-1")).await.is_none());
     store.write(KEY, b"damaged".to_vec());
     assert!(restore_load_limit(&nothing, &store.of("front-1")).await.is_none());
-    let is_cut_off = NodeFaults {
-        is_cut_off: true,
+    let is_partitioned = NodeFaults {
+        is_partitioned: true,
         ..NodeFaults::default()
     };
-    store.set_faults("front-1", is_cut_off);
+    store.set_faults("front-1", is_partitioned);
     assert!(restore_load_limit(&nothing, &store.of("front-1")).await.is_none());
 }
 
--- a/crates/front/tests/region_nodes.rs
+++ b/crates/front/tests/region_nodes.rs
@@ -156,7 +156,7 @@
         matches!(&refused, Err(RegionBoundsError::Node { node, .. }) if node == "earlier"),
         "{refused:?}"
     );
-    assert_eq!(nodes.any_outside(&AllowedRegions::default()), None);
+    assert_eq!(nodes.find_outside(&AllowedRegions::default()), None);
 }
 
 /// Records pass between this build and older ones, which know no regions.
