--- a/crates/front/src/backend/instance.rs
+++ b/crates/front/src/backend/instance.rs
@@ -358,7 +358,7 @@
         // It may have ended, and come back before discovery tells.
         let is_news = known.cold.disconnected();
         if is_news && self.gates.cold.get(&known.discovered.service).is_some() {
-            log::info!("event=instance_doubtful instance={}", self.id);
+            log::info!("event=instance_maybe_cold instance={}", self.id);
         }
     }
 
--- a/crates/front/src/backend/table.rs
+++ b/crates/front/src/backend/table.rs
@@ -132,7 +132,7 @@
             }
             if discovered.started_unix_ms < start {
                 log::info!(
-                    "event=instance_word_late instance={} started={} known={start}",
+                    "event=instance_report_late instance={} started={} known={start}",
                     discovered.id,
                     discovered.started_unix_ms
                 );
@@ -231,7 +231,7 @@
     pub fn remove(&self, id: &str) {
         if let Some(instance) = self.lock().remove(id) {
             instance.connections().close_idle();
-            log::info!("event=instance_gone instance={id}");
+            log::info!("event=instance_removed instance={id}");
             self.membership.send_modify(|count| *count += 1);
         }
         self.notify();
--- a/crates/front/src/capacity/duty.rs
+++ b/crates/front/src/capacity/duty.rs
@@ -91,7 +91,7 @@
 
     async fn may_send(&self, lease: &OrdersLease, held: &HeldLease) -> bool {
         lease.may_issue_orders(held).await.unwrap_or_else(|error| {
-            log::warn!("event=capacity_holder_not_named cause=\"{error}\"");
+            log::warn!("event=capacity_lease_check_failed cause=\"{error}\"");
             false
         })
     }
@@ -130,13 +130,13 @@
                 Ok(None) => return (0, WantedCapacity::default()),
                 Ok(Some(record)) => {
                     let wanted = serde_json::from_slice(&record.value).unwrap_or_else(|error| {
-                        log::error!("event=capacity_unreadable cause=\"{error}\"");
+                        log::error!("event=capacity_record_invalid cause=\"{error}\"");
                         WantedCapacity::default()
                     });
                     return (record.revision, wanted);
                 }
                 Err(error) => {
-                    log::warn!("event=capacity_not_read cause=\"{error}\"");
+                    log::warn!("event=capacity_read_failed cause=\"{error}\"");
                     tokio::time::sleep(RETRY_PAUSE).await;
                 }
             }
@@ -201,7 +201,7 @@
             }
             Err(error) => {
                 holding.store_at = Instant::now() + RETRY_PAUSE;
-                log::warn!("event=capacity_not_fixed cause=\"{error}\"");
+                log::warn!("event=capacity_order_store_failed cause=\"{error}\"");
             }
         }
     }
@@ -213,7 +213,7 @@
             let before = holding.planner.wanted().get(&pool);
             if count != before {
                 log::info!(
-                    "event=capacity_fixed service={} zone={} kind={} found={} extra={} found_before={} extra_before={} revision={}",
+                    "event=capacity_order_stored service={} zone={} kind={} found={} extra={} found_before={} extra_before={} revision={}",
                     pool.service,
                     pool.zone,
                     pool.kind,
--- a/crates/front/src/coordination/following.rs
+++ b/crates/front/src/coordination/following.rs
@@ -95,7 +95,7 @@
         match result {
             // What the lost history told is as old as the last answer: the listing must not wait for another pause.
             Ok(Next::List) => {
-                log::info!("event=history_gone prefix={prefix}");
+                log::info!("event=store_history_compacted prefix={prefix}");
                 after = None;
             }
             Ok(Next::WatchAtOnce { at }) => {
@@ -106,7 +106,7 @@
             Ok(Next::Watch { at }) => {
                 after = Some(at);
                 if std::mem::take(&mut is_lost) {
-                    log::info!("event=store_regained prefix={prefix} revision={at}");
+                    log::info!("event=store_available prefix={prefix} revision={at}");
                 }
                 follower.pause().await;
             }
@@ -115,7 +115,7 @@
                 if std::mem::replace(&mut is_lost, true) {
                     coordination.wait_for_success(LONGEST_FAILURE_PAUSE).await;
                 } else {
-                    log::warn!("event=store_lost prefix={prefix} cause=\"{error}\"");
+                    log::warn!("event=store_unavailable prefix={prefix} cause=\"{error}\"");
                     let pause = ladderstage_journal::jitter::jittered(FAILURE_PAUSE);
                     tokio::time::sleep(pause).await;
                 }
--- a/crates/front/src/ingress/mod.rs
+++ b/crates/front/src/ingress/mod.rs
@@ -262,7 +262,7 @@
         let is_newest = self.has_newest_config();
         let age = self.nodes.last_store_contact().map(|at| at.elapsed().as_millis());
         log::warn!(
-            "event=key_refused request={id} config={} reason={refusal} config_is_newest={is_newest} contact_ms={age:?}",
+            "event=key_rejected request={id} config={} reason={refusal} config_is_newest={is_newest} contact_ms={age:?}",
             config.version
         );
         let refused = &self.metrics.refused_keys;
@@ -344,7 +344,7 @@
                 not_run()
             }
             Err(AcceptError::OutcomeUnknown(cause)) => {
-                log::warn!("event=job_in_doubt job={id} cause=\"{cause}\"");
+                log::warn!("event=job_outcome_unknown job={id} cause=\"{cause}\"");
                 empty(StatusCode::GATEWAY_TIMEOUT)
             }
         }
--- a/crates/front/src/job/carrying.rs
+++ b/crates/front/src/job/carrying.rs
@@ -130,7 +130,7 @@
     match texts {
         Ok(kept) => kept.texts,
         Err(cause) => {
-            log::warn!("event=kept_texts_unreadable cause=\"{cause}\"");
+            log::warn!("event=kept_texts_invalid cause=\"{cause}\"");
             Vec::new()
         }
     }
--- a/crates/front/src/job/home.rs
+++ b/crates/front/src/job/home.rs
@@ -62,7 +62,7 @@
                 self.accept_here(spec).await
             }
             HomeAnswer::OutcomeUnknown(cause) => {
-                log::warn!("event=job_home_in_doubt job={id} home={home} cause=\"{cause}\"");
+                log::warn!("event=job_home_outcome_unknown job={id} home={home} cause=\"{cause}\"");
                 // The home may still run it, whatever is found here.
                 self.accept_here(spec).await.map_err(|error| match error {
                     AcceptError::NotStored(cause) => AcceptError::OutcomeUnknown(cause),
--- a/crates/front/src/job/leftover.rs
+++ b/crates/front/src/job/leftover.rs
@@ -259,7 +259,7 @@
             .cloned()
             .collect();
         log::info!(
-            "event=leftover_kept job={} step={} items={} anew={} min_version={min_version}",
+            "event=unfinished_items_kept job={} step={} items={} anew={} min_version={min_version}",
             context.spec.job,
             self.step,
             self.likely.len(),
@@ -342,7 +342,7 @@
         }
         let texts = self.texts_for(&taker);
         log::info!(
-            "event=leftover_taken step={} texts={} min_version={}",
+            "event=unfinished_items_received step={} texts={} min_version={}",
             self.step,
             texts.len(),
             taker.min_version
--- a/crates/front/src/job/locating.rs
+++ b/crates/front/src/job/locating.rs
@@ -96,7 +96,7 @@
         let answer = self.ask_node(id, &taker, asked_anywhere(request), wait);
         match answer.await {
             Ok(answer) => {
-                log::info!("event=job_handed_on job={id} node={taker}");
+                log::info!("event=job_takeover_forwarded job={id} node={taker}");
                 lock(&self.shared.owners).insert(id.to_owned(), (taker, Instant::now()));
                 Ok(Owned::Answer(answer))
             }
--- a/crates/front/src/job/registry.rs
+++ b/crates/front/src/job/registry.rs
@@ -93,7 +93,7 @@
             Err(ReadError::Unavailable(cause)) => return Err(AcceptError::NotStored(cause)),
         }
         if let Err(cause) = self.check_bounds(&spec) {
-            log::warn!("event=job_out_of_bounds job={id} cause=\"{cause}\"");
+            log::warn!("event=job_regions_rejected job={id} cause=\"{cause}\"");
             let refused = &self.context.metrics.refused_by_region;
             refused.with_label_values(&["job"]).inc();
             return Err(AcceptError::NotStored(cause.to_string()));
--- a/crates/front/src/job/run.rs
+++ b/crates/front/src/job/run.rs
@@ -98,7 +98,7 @@
     let ended = tokio::time::timeout_at(at.into(), run).await;
     ended.unwrap_or_else(|_| {
         log::warn!(
-            "event=item_given_up item={} job={} reason=age",
+            "event=item_abandoned item={} job={} reason=age",
             context.spec.items[index].id,
             context.spec.job
         );
--- a/crates/front/src/job/starting.rs
+++ b/crates/front/src/job/starting.rs
@@ -125,7 +125,7 @@
         let is_scored = reward_call.is_empty() || !carried.score.is_empty();
         let is_done = carried.is_whole && is_scored && carried.reward_call == reward_call;
         log::info!(
-            "event=text_carried item={} job={} events={} versions={:?} whole={} scored={is_scored}",
+            "event=text_reused item={} job={} events={} versions={:?} whole={} scored={is_scored}",
             item.id,
             spec.job,
             carried.events,
--- a/crates/front/src/nodes/mod.rs
+++ b/crates/front/src/nodes/mod.rs
@@ -296,7 +296,7 @@
         let own_formats = lock(&self.own).formats;
         let mut known = lock(&self.known);
         if at < known.at {
-            log::debug!("event=nodes_older at={at} known={}", known.at);
+            log::debug!("event=nodes_update_stale at={at} known={}", known.at);
             return;
         }
         known.at = at;
--- a/crates/front/src/nodes/registration.rs
+++ b/crates/front/src/nodes/registration.rs
@@ -81,7 +81,7 @@
         let ttl = kind.ttl().as_millis();
         log::info!("event=node_registered node={node} lease={lease} ttl_ms={ttl}");
         match renew_until_over(nodes, coordination, lease, kind, activity).await {
-            LeaseEnd::Over => log::warn!("event=node_lease_over node={node} lease={lease}"),
+            LeaseEnd::Over => log::warn!("event=node_lease_expired node={node} lease={lease}"),
             LeaseEnd::TooLong => log::info!("event=node_lease_too_long node={node} lease={lease}"),
         }
     }
--- a/crates/front/src/orders/ended.rs
+++ b/crates/front/src/orders/ended.rs
@@ -91,7 +91,7 @@
     let answers = join_all(calls).await;
     let heard = answers.iter().filter(|answer| answer.is_ok()).count();
     log::info!(
-        "event=giver_end_told fence={} fronts={} heard={heard}",
+        "event=order_leader_end_announced fence={} fronts={} heard={heard}",
         giver.fence,
         answers.len()
     );
--- a/crates/front/src/orders/giver.rs
+++ b/crates/front/src/orders/giver.rs
@@ -163,7 +163,7 @@
             // Who is a candidate by what was known some time ago may be none.
             let refreshed = self.nodes.refresh(self.coordination.as_ref(), NODES_AGE);
             if let Err(error) = refreshed.await {
-                log::warn!("event=giver_nodes_not_read cause=\"{error}\"");
+                log::warn!("event=order_leader_nodes_read_failed cause=\"{error}\"");
             }
             if !self.is_candidate() {
                 continue;
@@ -171,7 +171,7 @@
             match lease.take().await {
                 Ok(Some(held)) => self.hold(&lease, held, &mut respected).await,
                 Ok(None) => lease.wait_until_free().await,
-                Err(error) => log::warn!("event=giver_lease_not_taken cause=\"{error}\""),
+                Err(error) => log::warn!("event=orders_lease_acquire_failed cause=\"{error}\""),
             }
             tokio::time::sleep(ladderstage_journal::jitter::jittered(TAKE_PAUSE)).await;
         }
@@ -214,11 +214,11 @@
         given.respect(std::mem::take(respected), self.options.quiet_period);
         let is_released = tokio::select! {
             loss = lease.renew_until_lost(&held) => {
-                log::warn!("event=giver_lease_lost fence={} reason={loss}", held.fence);
+                log::warn!("event=orders_lease_lost fence={} reason={loss}", held.fence);
                 false
             }
             reason = self.give_while_held(lease, &held, &mut given) => {
-                log::info!("event=giver_steps_down fence={} reason={reason}", held.fence);
+                log::info!("event=order_leader_steps_down fence={} reason={reason}", held.fence);
                 true
             }
             () = self.roster.run() => false,
@@ -279,7 +279,7 @@
         let ended = last.and_then(|last| self.jobs.former_leaders().orders_of(last));
         if let Some(orders) = ended {
             log::info!(
-                "event=giver_quiet_over fence={} recent_orders={}",
+                "event=order_leader_quiet_period_ended fence={} recent_orders={}",
                 held.fence,
                 orders.len()
             );
@@ -312,7 +312,7 @@
                     }
                 }
                 Ok(false) => {}
-                Err(error) => log::warn!("event=giver_not_named cause=\"{error}\""),
+                Err(error) => log::warn!("event=orders_lease_check_failed cause=\"{error}\""),
             }
             self.jobs.learned_load_limit().record(&given.load_limit);
             given.learnt.save(&given.load_limit, &self.coordination);
@@ -443,7 +443,7 @@
         }
         self.metrics.orders.with_label_values(&[label]).inc();
         log::info!(
-            "event=order_given instance={} model={} version={} had={} fence={} expected={} outcome={label} status={}",
+            "event=order_issued instance={} model={} version={} had={} fence={} expected={} outcome={label} status={}",
             instance.id(),
             planned.model,
             planned.version,
--- a/crates/front/src/orders/learnt.rs
+++ b/crates/front/src/orders/learnt.rs
@@ -62,18 +62,18 @@
     let record = match reading.await {
         Ok(Ok(record)) => record?,
         Ok(Err(error)) => {
-            log::warn!("event=learnt_loads_not_read cause=\"{error}\"");
+            log::warn!("event=learned_load_limit_read_failed cause=\"{error}\"");
             return None;
         }
         Err(_) => {
-            log::warn!("event=learnt_loads_not_read cause=\"no answer in time\"");
+            log::warn!("event=learned_load_limit_read_failed cause=\"no answer in time\"");
             return None;
         }
     };
     match serde_json::from_slice::<LearntRecord>(&record.value) {
         Ok(record) => {
             log::info!(
-                "event=learnt_loads_read limit={} usual_ms={} near={}",
+                "event=learned_load_limit_read limit={} usual_ms={} near={}",
                 record.limit,
                 record.usual_ms,
                 record.is_near
@@ -81,7 +81,7 @@
             Some(record.into_limit())
         }
         Err(error) => {
-            log::error!("event=learnt_loads_unreadable cause=\"{error}\"");
+            log::error!("event=learned_load_limit_invalid cause=\"{error}\"");
             None
         }
     }
@@ -113,7 +113,7 @@
         let coordination = Arc::clone(coordination);
         self.writes.spawn(async move {
             if let Err(error) = coordination.put(LEARNT_KEY, value, None).await {
-                log::warn!("event=learnt_loads_not_written cause=\"{error}\"");
+                log::warn!("event=learned_load_limit_write_failed cause=\"{error}\"");
             }
         });
     }
--- a/crates/front/src/orders/lease.rs
+++ b/crates/front/src/orders/lease.rs
@@ -162,7 +162,7 @@
                     last_order_before + self.quiet_period
                 };
                 log::info!(
-                    "event=giver_lease_gained lease={lease} fence={revision} last={last:?} quiet_ms={}",
+                    "event=orders_lease_acquired lease={lease} fence={revision} last={last:?} quiet_ms={}",
                     quiet_until
                         .saturating_duration_since(Instant::now())
                         .as_millis()
@@ -201,7 +201,7 @@
                 Ok(()) => tokio::time::sleep(RENEWAL).await,
                 Err(CoordinationError::LeaseExpired) => return LeaseLoss::Expired,
                 Err(error) => {
-                    log::warn!("event=giver_lease_not_renewed cause=\"{error}\"");
+                    log::warn!("event=orders_lease_renewal_failed cause=\"{error}\"");
                     tokio::time::sleep(RENEWAL_RETRY).await;
                 }
             }
@@ -245,7 +245,7 @@
     /// Gives the lease back.
     pub async fn release(&self, held: &HeldLease) {
         let _ = self.coordination.revoke(held.lease).await;
-        log::info!("event=giver_lease_released fence={}", held.fence);
+        log::info!("event=orders_lease_released fence={}", held.fence);
     }
 
     async fn last(&self) -> Result<Option<LastLeader>, CoordinationError> {
--- a/crates/front/src/orders/named.rs
+++ b/crates/front/src/orders/named.rs
@@ -29,7 +29,7 @@
         {
             return;
         }
-        log::info!("event=version_named model={model} version={version}");
+        log::info!("event=version_announced model={model} version={version}");
         let heard_at = Instant::now();
         versions.insert(model.to_owned(), Named { version, heard_at });
     }
--- a/crates/front/src/orders/news.rs
+++ b/crates/front/src/orders/news.rs
@@ -93,7 +93,7 @@
             let request = Request { kind: kind.clone() };
             self.calls.spawn(async move {
                 if let Err(error) = nodes.call(&front, request, NEWS_TIMEOUT).await {
-                    log::debug!("event=weight_news_lost node={front} cause=\"{error}\"");
+                    log::debug!("event=weight_update_not_sent node={front} cause=\"{error}\"");
                 }
             });
         }
--- a/crates/front/src/roster/drains.rs
+++ b/crates/front/src/roster/drains.rs
@@ -14,13 +14,13 @@
         }
         loop {
             self.follow_roster_drains(following, known).await;
-            log::info!("event=drains_by_records");
+            log::info!("event=drains_from_records");
             tokio::select! {
                 () = self.source.follow_drains(&following.view) => return,
                 () = self.wait_for_current_drains(following, known) => {}
             }
             following.view.mark_unfollowed();
-            log::info!("event=drains_by_roster");
+            log::info!("event=drains_from_roster");
         }
     }
 
@@ -37,7 +37,7 @@
             let zones = drains.shared_zones();
             if drains.known_at < taken_at && *self.backends.gates().drained.current() != zones {
                 log::warn!(
-                    "event=drains_older known_at={} taken={taken_at}",
+                    "event=drains_stale known_at={} taken={taken_at}",
                     drains.known_at
                 );
                 return;
--- a/crates/front/src/roster/reader.rs
+++ b/crates/front/src/roster/reader.rs
@@ -108,10 +108,10 @@
     }
 
     async fn go_by_roster(&self, known: &KnownRoster) {
-        log::info!("event=instances_by_roster");
+        log::info!("event=instances_from_roster");
         self.follow_roster(known).await;
         log::info!(
-            "event=instances_by_discovery working={}",
+            "event=instances_from_discovery working={}",
             self.activity.is_active()
         );
     }
--- a/crates/front/src/roster/writer.rs
+++ b/crates/front/src/roster/writer.rs
@@ -178,7 +178,7 @@
                 Ok(())
             }
             Ok(SwapResult::Lost(_)) => {
-                log::info!("event=roster_overtaken expected={:?}", kept.revision);
+                log::info!("event=roster_write_conflict expected={:?}", kept.revision);
                 kept.revision = None;
                 Ok(())
             }
--- a/crates/front/src/store.rs
+++ b/crates/front/src/store.rs
@@ -198,7 +198,7 @@
     {
         return std::future::pending().await;
     }
-    log::info!("event=retirement_begun replica_id={replica_id}");
+    log::info!("event=retirement_started replica_id={replica_id}");
     nodes.set_leaving(true);
     let _ = inputs.retirement.send(RetirementState::Running);
     let mut set = replica_sets.watch();
--- a/crates/front/src/usage/reporter.rs
+++ b/crates/front/src/usage/reporter.rs
@@ -174,7 +174,7 @@
                 Ok(true) => {}
                 Ok(false) => continue,
                 Err(error) => {
-                    log::warn!("event=usage_holder_not_named cause=\"{error}\"");
+                    log::warn!("event=usage_lease_check_failed cause=\"{error}\"");
                     continue;
                 }
             }
--- a/crates/journal/src/orphaned.rs
+++ b/crates/journal/src/orphaned.rs
@@ -80,7 +80,7 @@
 
     async fn notify(&self, successor: String, logs: Vec<String>) {
         log::info!(
-            "event=logs_untended count={} successor={successor}",
+            "event=logs_orphaned count={} successor={successor}",
             logs.len()
         );
         if successor == self.node {
@@ -97,7 +97,7 @@
         };
         let timeout = self.calls.timeout;
         if let Err(error) = self.calls.peers.call(&successor, request, timeout).await {
-            log::warn!("event=shard_notice_failed successor={successor} cause=\"{error}\"");
+            log::warn!("event=successor_notice_failed successor={successor} cause=\"{error}\"");
         }
     }
 
--- a/crates/journal/src/replica_set/mod.rs
+++ b/crates/journal/src/replica_set/mod.rs
@@ -169,7 +169,7 @@
     /// As [`ReplicaSets::learn`], for callers that have nobody to tell of an error.
     pub(crate) async fn learn_or_log(&self, set: ReplicaSet) {
         if let Err(error) = self.learn(set).await {
-            log::error!("event=replica_set_not_stored cause=\"{error}\"");
+            log::error!("event=replica_set_store_failed cause=\"{error}\"");
         }
     }
 
--- a/crates/journal/src/replica_set/replacement.rs
+++ b/crates/journal/src/replica_set/replacement.rs
@@ -136,7 +136,7 @@
         };
         if replica_set::is_shrunk_by(set, own_id) {
             let copied = self.copy_to_remaining(set).await?;
-            log::info!("event=logs_handed_on version={} logs={copied}", set.version);
+            log::info!("event=logs_handed_over version={} logs={copied}", set.version);
             if let Some(complete) = replica_set::complete(set) {
                 self.swap(set, complete).await?;
             }
@@ -303,7 +303,7 @@
         });
         for (node, result) in futures_util::future::join_all(calls).await {
             if let Err(error) = result {
-                log::info!("event=replica_set_not_told node={node} cause=\"{error}\"");
+                log::info!("event=replica_set_announcement_failed node={node} cause=\"{error}\"");
             }
         }
     }
