--- a/crates/journal/src/calls.rs
+++ b/crates/journal/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to replicas: over the network, or straight to this node's own data folder.
+//! Calls to replicas, over the network or directly to this node's own data folder.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -17,21 +17,21 @@
 use super::peers::Peers;
 use super::replica::ReplicaService;
 
-/// What a link between two nodes carries at least of one call's payload.
-const LEAST_BYTES_PER_SECOND: f64 = 1e6;
+/// Lowest throughput, in bytes per second, assumed when the timeout of a transfer is computed.
+const MIN_BYTES_PER_SECOND: f64 = 1e6;
 
-/// Why a replica gave no answer that counts.
+/// Reason why a call to a replica did not yield a usable response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum ReplicaFailure {
-    /// It knows a newer replica set; nothing under the older one is accepted there any more.
+    /// The replica knows a newer replica set and rejects requests under the older one.
     StaleReplicaSet,
-    /// It does not know such a request: an earlier version runs there.
-    NotUnderstood,
-    /// It was not reached, is not ready, or answered something else.
+    /// The replica runs an earlier version that does not know this request.
+    UnknownRequest,
+    /// The replica could not be reached, is not ready, or sent an unexpected response.
     Unavailable(String),
 }
 
-/// Reaches the replicas of the current set.
+/// Client for the replicas of the current set.
 pub(crate) struct ReplicaCalls {
     pub service: Arc<ReplicaService>,
     pub peers: Arc<dyn Peers>,
@@ -39,16 +39,16 @@
     pub metrics: JournalMetrics,
 }
 
-/// What to do after one answer of a round.
-pub(crate) enum Round<T> {
-    /// Wait for more answers.
+/// Decision after each response in a round of calls.
+pub(crate) enum RoundStep<T> {
+    /// Wait for more responses.
     Continue,
-    /// Enough is known.
+    /// End the round with this result.
     Finish(T),
 }
 
-impl Round<()> {
-    /// Finishes if enough is known.
+impl RoundStep<()> {
+    /// Returns `Finish` if `is_enough`, otherwise `Continue`.
     pub fn finish_if(is_enough: bool) -> Self {
         if is_enough {
             Self::Finish(())
@@ -59,14 +59,18 @@
 }
 
 impl ReplicaCalls {
-    /// The current replica set.
+    /// Returns the current replica set.
+    ///
+    /// # Errors
+    ///
+    /// `NoQuorum` if no replica set is known yet.
     pub fn replica_set(&self) -> Result<Arc<ReplicaSet>, JournalError> {
         let no_set = || JournalError::NoQuorum("no replica set is known yet".to_owned());
         self.service.replica_sets.current().ok_or_else(no_set)
     }
 
-    /// Calls one replica. An answer is only taken from the node that the replica set names; whether the disk
-    /// behind it is still the named one, the caller checks by the replica id in the answer.
+    /// Calls one replica by its node name. The caller must compare the replica id in the response with the member's,
+    /// as the node's disk may have been replaced.
     pub async fn call(
         &self,
         member: &ReplicaMember,
@@ -75,7 +79,7 @@
         self.call_within(member, kind, self.timeout).await
     }
 
-    /// As [`ReplicaCalls::call`], with `timeout` in the place of the time of a round.
+    /// Like [`ReplicaCalls::call`], but with `timeout` instead of the timeout of a round.
     pub async fn call_within(
         &self,
         member: &ReplicaMember,
@@ -98,13 +102,13 @@
         }
     }
 
-    /// Asks every replica of `set` at once and feeds the answers to `on_answer` until it has enough, no quorum is
-    /// left, all have answered, or the time is over.
+    /// Sends `request` to all replicas of `set` concurrently and passes each response to `on_answer`. Ends when
+    /// `on_answer` finishes, a quorum has become impossible, all replicas have responded, or the timeout expires.
     pub async fn round<T>(
         &self,
         set: &ReplicaSet,
         request: &RequestKind,
-        mut on_answer: impl FnMut(ResponseKind) -> Round<T>,
+        mut on_answer: impl FnMut(ResponseKind) -> RoundStep<T>,
     ) -> Result<T, JournalError> {
         let members = quorum::members(set);
         let mut calls: FuturesUnordered<_> = members
@@ -123,12 +127,12 @@
             };
             match answered {
                 Some((_, Ok(answer))) => {
-                    if let Round::Finish(result) = on_answer(answer) {
+                    if let RoundStep::Finish(result) = on_answer(answer) {
                         return Ok(result);
                     }
                 }
                 Some((member, Err(failure))) => {
-                    failures.push(describe(member, &failure));
+                    failures.push(describe_failure(member, &failure));
                     failed.insert(member.replica_id);
                     if quorum.is_blocked_by(&failed) {
                         return Err(no_quorum(&failures));
@@ -139,7 +143,7 @@
         }
     }
 
-    /// The quorums of `set`.
+    /// Returns the quorum rule of `set`.
     pub fn quorum(set: &ReplicaSet) -> Quorum {
         Quorum::new(set)
     }
@@ -160,28 +164,29 @@
                 replica_sets.fetch_in_background(Arc::clone(&self.peers), member.node.clone());
                 ReplicaFailure::StaleReplicaSet
             }
-            Reason::MALFORMED => ReplicaFailure::NotUnderstood,
+            Reason::MALFORMED => ReplicaFailure::UnknownRequest,
             reason => ReplicaFailure::Unavailable(format!("{reason:?}: {}", refused.detail)),
         }
     }
 }
 
-/// Time for a call that carries `bytes`, given the time of one that carries few.
+/// Returns the timeout of a call that carries `bytes`: `timeout` plus the time to transfer them.
 pub(crate) fn transfer_timeout(timeout: Duration, bytes: usize) -> Duration {
-    timeout + Duration::from_secs_f64(bytes as f64 / LEAST_BYTES_PER_SECOND)
+    timeout + Duration::from_secs_f64(bytes as f64 / MIN_BYTES_PER_SECOND)
 }
 
-pub(crate) fn describe(member: &ReplicaMember, failure: &ReplicaFailure) -> String {
+/// Formats a failure of `member` for an error message.
+pub(crate) fn describe_failure(member: &ReplicaMember, failure: &ReplicaFailure) -> String {
     match failure {
         ReplicaFailure::StaleReplicaSet => format!("{} has a newer replica set", member.node),
-        ReplicaFailure::NotUnderstood => format!("{} does not know the request", member.node),
+        ReplicaFailure::UnknownRequest => format!("{} does not know the request", member.node),
         ReplicaFailure::Unavailable(detail) => format!("{}: {detail}", member.node),
     }
 }
 
 fn no_quorum(failures: &[String]) -> JournalError {
     if failures.is_empty() {
-        JournalError::NoQuorum("no answer in time".to_owned())
+        JournalError::NoQuorum("no response before the timeout".to_owned())
     } else {
         JournalError::NoQuorum(failures.join("; "))
     }
--- a/crates/journal/src/confirmation.rs
+++ b/crates/journal/src/confirmation.rs
@@ -1,4 +1,4 @@
-//! Whether a writer still has its log, asked without writing to it.
+//! Checks that a writer still owns its log, without writing to it.
 
 use std::collections::BTreeSet;
 
@@ -7,15 +7,19 @@
 use ladderstage_wire::messages::{OwnedLog, OwnerHeartbeat};
 
 use super::JournalError;
-use super::calls::{ReplicaCalls, Round};
+use super::calls::{ReplicaCalls, RoundStep};
 use super::writer::WriterShared;
 
 impl WriterShared {
-    /// `Ok` only if a quorum had promised the log to no higher epoch when it was asked, under this writer's replica
-    /// set. As every later writer needs the promise of a quorum too, none had the log at the time of the call.
+    /// Checks that a quorum of this writer's replica set has promised the log to no higher epoch. Every later writer
+    /// needs the promise of a quorum too, so on `Ok` none had taken the log over when this call started.
+    ///
+    /// # Errors
+    ///
+    /// `Fenced`, `StaleReplicaSet`, or `NoQuorum` if too few replicas responded.
     pub async fn confirm(&self) -> Result<(), JournalError> {
         let quorum = ReplicaCalls::quorum(&self.set);
-        let mut holding = BTreeSet::new();
+        let mut unfenced = BTreeSet::new();
         let mut fenced = BTreeSet::new();
         let logs = vec![self.owned_log()];
         let request = RequestKind::owner_heartbeat(OwnerHeartbeat {
@@ -25,28 +29,28 @@
         });
         let round = self.calls.round(&self.set, &request, |answer| {
             let ResponseKind::owner_heartbeat(reply) = answer else {
-                return Round::Continue;
+                return RoundStep::Continue;
             };
             if reply.replica_set_version > self.set.version {
-                return Round::Finish(Err(JournalError::StaleReplicaSet));
+                return RoundStep::Finish(Err(JournalError::StaleReplicaSet));
             }
-            let answered = match reply.fenced_logs.is_empty() {
-                true => &mut holding,
+            let replicas = match reply.fenced_logs.is_empty() {
+                true => &mut unfenced,
                 false => &mut fenced,
             };
-            answered.insert(reply.replica_id);
-            if quorum.is_met_by(&holding) {
-                Round::Finish(Ok(()))
+            replicas.insert(reply.replica_id);
+            if quorum.is_met_by(&unfenced) {
+                RoundStep::Finish(Ok(()))
             } else if quorum.is_blocked_by(&fenced) {
-                Round::Finish(Err(JournalError::Fenced))
+                RoundStep::Finish(Err(JournalError::Fenced))
             } else {
-                Round::Continue
+                RoundStep::Continue
             }
         });
         round.await?
     }
 
-    /// How heartbeats name this writer.
+    /// Returns the description of this writer that heartbeats carry.
     pub fn owned_log(&self) -> OwnedLog {
         OwnedLog {
             log: self.log.clone(),
--- a/crates/journal/src/heartbeat.rs
+++ b/crates/journal/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats to the replicas: they keep this node's logs, and bring back bundle evidence.
+//! Heartbeats to the replicas. They keep the ownership of this node's logs and return bundle evidence.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Weak};
@@ -19,16 +19,16 @@
 use super::hooks::HookSlot;
 use super::registry::OwnedLogs;
 
-/// Rounds under way at once; more are left out while replicas are slow.
+/// Maximum number of concurrent rounds; further rounds are skipped while replicas are slow.
 const MAX_ROUNDS: usize = 4;
 
-/// Above this many members a node without logs leaves rounds out: each replica answers every node.
+/// Number of members above which a node without logs skips rounds, to limit the load on the replicas.
 const SKIP_ABOVE_MEMBERS: usize = 32;
 
-/// Rounds that it leaves out in a row. The evidence of the bundle that a round brings has to last until the next one.
+/// Maximum number of consecutive skipped rounds. Bundle evidence from one round must stay valid until the next.
 const SKIPPED_ROUNDS: u32 = 2;
 
-/// What a heartbeat round needs.
+/// State shared by the heartbeat rounds.
 pub(crate) struct Heartbeats {
     pub node: String,
     pub process: ProcessId,
@@ -37,7 +37,8 @@
     pub hooks: HookSlot,
 }
 
-/// Sends heartbeats every `interval`, jittered, until the journal is dropped; rarer from an idle node of many.
+/// Sends heartbeats every `interval`, with jitter, until the journal is dropped. A node without logs in a large
+/// cluster skips some of them.
 pub(crate) async fn run(heartbeats: Weak<Heartbeats>, interval: Duration) {
     let slots = Arc::new(Semaphore::new(MAX_ROUNDS));
     let mut skipped = 0;
@@ -60,15 +61,15 @@
     }
 }
 
-/// Answers of one round.
+/// Responses received in one round.
 #[derive(Default)]
-struct Answers {
+struct RoundReplies {
     replicas: BTreeSet<u64>,
     evidence: Vec<BundleEvidence>,
 }
 
 impl Heartbeats {
-    /// Whether no log depends on this node and the replicas have many nodes to answer.
+    /// Returns whether this node owns no log and the cluster is large.
     fn may_skip(&self) -> bool {
         self.owned.list().is_empty() && self.calls.peers.alive().len() > SKIP_ABOVE_MEMBERS
     }
@@ -77,23 +78,24 @@
         let Ok(set) = self.calls.replica_set() else {
             return;
         };
-        let asked_at = Instant::now();
+        let sent_at = Instant::now();
         let heartbeat = OwnerHeartbeat {
             node: self.node.clone(),
             process: self.process,
             logs: self.owned.list(),
         };
-        let answers = self.gather(&set, &heartbeat, asked_at).await;
-        self.report(asked_at, &set, &answers);
+        let answers = self.collect_replies(&set, &heartbeat, sent_at).await;
+        self.report(sent_at, &set, &answers);
     }
 
-    /// Asks all replicas; reports once as soon as a quorum has answered, so that a dead one costs no freshness.
-    async fn gather(
+    /// Sends the heartbeat to all replicas and collects their replies. Reports to the hooks as soon as a quorum has
+    /// responded, so that one unreachable replica does not delay the evidence.
+    async fn collect_replies(
         &self,
         set: &ReplicaSet,
         heartbeat: &OwnerHeartbeat,
-        asked_at: Instant,
-    ) -> Answers {
+        sent_at: Instant,
+    ) -> RoundReplies {
         let members = quorum::members(set);
         let quorum = ReplicaCalls::quorum(set);
         let mut calls: FuturesUnordered<_> = members
@@ -103,28 +105,28 @@
                 async move { (member, self.calls.call(member, request).await) }
             })
             .collect();
-        let mut answers = Answers::default();
+        let mut answers = RoundReplies::default();
         let mut is_reported = false;
         while let Some((member, answer)) = calls.next().await {
             let Ok(ResponseKind::owner_heartbeat(reply)) = answer else {
                 continue;
             };
-            self.take(heartbeat, member, reply, &mut answers);
+            self.on_reply(heartbeat, member, reply, &mut answers);
             let has_quorum = quorum.is_met_by(&answers.replicas);
             if has_quorum && !is_reported && !calls.is_empty() {
                 is_reported = true;
-                self.report(asked_at, set, &answers);
+                self.report(sent_at, set, &answers);
             }
         }
         answers
     }
 
-    fn take(
+    fn on_reply(
         &self,
         heartbeat: &OwnerHeartbeat,
         member: &ReplicaMember,
         reply: OwnerHeartbeatReply,
-        answers: &mut Answers,
+        answers: &mut RoundReplies,
     ) {
         if reply.replica_id != member.replica_id || !answers.replicas.insert(reply.replica_id) {
             return;
@@ -141,12 +143,12 @@
         }
     }
 
-    /// The answer is about the epoch that was asked for; by now the log may have a new writer here.
+    /// Applies a replica's statement that the epoch of `owned` is fenced. Ignored if the log has a newer writer here.
     fn on_fenced(&self, owned: &OwnedLog, replica: u64) {
         let log = &owned.log;
-        let asked = WriterEpoch::from(&owned.epoch);
+        let fenced_epoch = WriterEpoch::from(&owned.epoch);
         let writer = self.owned.find(log);
-        let Some(writer) = writer.filter(|writer| writer.epoch == asked) else {
+        let Some(writer) = writer.filter(|writer| writer.epoch == fenced_epoch) else {
             return;
         };
         if let Some(hooks) = self.hooks.get() {
@@ -162,10 +164,10 @@
         }
     }
 
-    fn report(&self, asked_at: Instant, set: &ReplicaSet, answers: &Answers) {
+    fn report(&self, sent_at: Instant, set: &ReplicaSet, answers: &RoundReplies) {
         if let Some(hooks) = self.hooks.get() {
             let majority = ReplicaCalls::quorum(set).is_met_by(&answers.replicas);
-            hooks.heartbeat_round(asked_at, answers.evidence.clone(), majority);
+            hooks.heartbeat_round(sent_at, answers.evidence.clone(), majority);
         }
     }
 }
--- a/crates/journal/src/hooks.rs
+++ b/crates/journal/src/hooks.rs
@@ -1,37 +1,38 @@
-//! What the journal tells the other parts of its node.
+//! Notifications from the journal to the other components of its node.
 
 use std::sync::{Arc, OnceLock};
 
 use ladderstage_clock::Instant;
 use ladderstage_wire::messages::BundleEvidence;
 
-/// Called from the journal's tasks; implementations return at once.
+/// Callbacks of the journal. They run on the journal's tasks and must not block.
 pub trait JournalHooks: Send + Sync + 'static {
-    /// What this node tells in its answers to owners' heartbeats.
+    /// Returns the bundle evidence that this node sends in its replies to owners' heartbeats.
     fn own_evidence(&self) -> BundleEvidence;
 
-    /// A heartbeat round ended, or has reached a quorum: the evidence of each replica that answered so far.
-    /// `majority` tells whether they are a quorum. A round may be reported twice, the second time with more answers.
-    fn heartbeat_round(&self, asked_at: Instant, evidence: Vec<BundleEvidence>, majority: bool);
+    /// Called when a heartbeat round has ended or reached a quorum, with the evidence of each replica that has
+    /// responded so far. `majority` is true if these replicas form a quorum. A round may be reported twice, the
+    /// second time with more replies.
+    fn heartbeat_round(&self, sent_at: Instant, evidence: Vec<BundleEvidence>, majority: bool);
 
-    /// No quorum accepts appends of this node's writer of `log` any more.
+    /// Called when no quorum accepts appends of this node's writer of `log` any more.
     fn fenced(&self, log: &str);
 
-    /// A replica says that a higher epoch has `log`; others may still accept this node's writer.
+    /// Called when a replica reports a higher epoch for `log`; other replicas may still accept this node's writer.
     fn contested(&self, _log: &str) {}
 
-    /// This node should take over these logs, as nobody tends them.
+    /// Called with logs that this node should take over because their owners are silent.
     fn untended(&self, logs: Vec<String>);
 }
 
-/// The hooks once they are set; before that nothing is told and no evidence is known.
+/// Holder of the hooks, which are set after the journal has started.
 #[derive(Clone, Default)]
 pub(crate) struct HookSlot {
     hooks: Arc<OnceLock<Arc<dyn JournalHooks>>>,
 }
 
 impl HookSlot {
-    /// Sets the hooks; only the first call counts.
+    /// Sets the hooks; later calls have no effect.
     pub fn set(&self, hooks: Arc<dyn JournalHooks>) {
         let _ = self.hooks.set(hooks);
     }
@@ -40,8 +41,8 @@
         self.hooks.get()
     }
 
-    /// This node's evidence; `None` while nobody can tell, which must not pass for "no newer bundle".
-    /// It never names an older revision than `stored`, the one on this node's disk.
+    /// Returns this node's bundle evidence, with a revision of at least `stored`, the revision on this node's disk.
+    /// `None` while the hooks are not set; callers must not treat that as "no newer bundle exists".
     pub fn own_evidence(&self, stored: u64) -> Option<BundleEvidence> {
         let evidence = self.get()?.own_evidence();
         if evidence.revision >= stored {
--- a/crates/journal/src/jitter.rs
+++ b/crates/journal/src/jitter.rs
@@ -1,22 +1,24 @@
-//! Random spreading of repeated timers, so that those of several daemons do not fall into step.
+//! Jitter for periodic timers and retries, so that several processes do not synchronize.
 
 use std::time::Duration;
 
-/// Largest share by which a timer is made shorter or longer.
-const SPREAD: f64 = 0.25;
+/// Largest fraction by which an interval is shortened or lengthened.
+const JITTER_FRACTION: f64 = 0.25;
 
-/// Exponents from which on a back-off no longer doubles.
+/// Number of failures after which the back-off no longer doubles.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// `interval`, up to a quarter shorter or longer.
+/// Returns `interval`, randomly shortened or lengthened by up to a quarter.
 pub fn jittered(interval: Duration) -> Duration {
-    interval.mul_f64(rand::random_range(1.0 - SPREAD..1.0 + SPREAD))
+    interval.mul_f64(rand::random_range(
+        1.0 - JITTER_FRACTION..1.0 + JITTER_FRACTION,
+    ))
 }
 
-/// `base` doubled with each failure up to `most`, then spread over half to one and a half of that: rivals that failed
-/// together should not try again together.
-pub fn backoff(base: Duration, failures: u32, most: Duration) -> Duration {
+/// Returns the exponential back-off after `failures` failures: `base` doubled for each, at most `max_delay`, times a
+/// random factor from 0.5 to 1.5, so that competitors that failed together do not retry together.
+pub fn backoff(base: Duration, failures: u32, max_delay: Duration) -> Duration {
     let factor = 2u32.saturating_pow(failures.min(MAX_DOUBLINGS));
-    let delay = base.saturating_mul(factor).min(most);
+    let delay = base.saturating_mul(factor).min(max_delay);
     delay.mul_f64(rand::random_range(0.5..1.5))
 }
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,6 +1,7 @@
-//! The replicated journal: the replica's side, quorum calls for writers and readers, and changes of the replica set.
+//! The replicated journal: the replica service, quorum calls for writers and readers, and replica set changes.
 //!
-//! The rules are state machines of the `ladderstage` crate; this crate joins them with disks, calls and timers.
+//! The protocol's state machines are in the `ladderstage` crate; this crate connects them to disks, network calls and
+//! timers.
 
 #![warn(missing_docs)]
 
@@ -34,7 +35,7 @@
 use rand::seq::SliceRandom;
 
 use crate::replica_set::ReplicaSets;
-use calls::{ReplicaCalls, Round};
+use calls::{ReplicaCalls, RoundStep};
 use heartbeat::Heartbeats;
 use hooks::HookSlot;
 use registry::OwnedLogs;
@@ -47,43 +48,43 @@
 pub use peers::Peers;
 pub use writer::LogWriter;
 
-/// Epochs that one take-over tries; the first is often too low, as this process has not seen the log's yet.
+/// Number of epochs that one take-over tries. The first is often too low, as the log's epoch is not known yet.
 const SEAL_ATTEMPTS: u32 = 3;
 
-/// Longest wait for a sealed log, which may be long, from one replica.
+/// Timeout for reading a sealed log from one replica.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why a journal operation did not succeed.
+/// Error of a journal operation.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum JournalError {
-    /// A writer with a higher epoch has taken the log; this one must forget it.
+    /// A writer with a higher epoch has taken the log over; this writer must be dropped.
     #[error("fenced by a higher epoch")]
     Fenced,
-    /// No majority answered in time; whether the write took effect is unknown.
-    #[error("no majority of replicas answered: {0}")]
+    /// No majority responded before the timeout; the outcome of a write is unknown.
+    #[error("no majority of replicas responded: {0}")]
     NoQuorum(String),
-    /// The replica set was changed since this writer took the log: take the log over again. Whether a write took
-    /// effect is unknown.
+    /// The replica set has changed since this writer took the log over, which must be repeated. The outcome of a
+    /// write is unknown.
     #[error("the replica set was changed")]
     StaleReplicaSet,
-    /// The log was closed long ago and only its first entry is kept; it takes no writer any more.
+    /// The log's retention after closing has passed. Only its first entry is kept and it accepts no writer.
     #[error("the log is retired")]
     Retired,
-    /// An earlier append of this writer ended without a majority and must be retried first.
+    /// The outcome of an earlier append of this writer is unknown; that append must be retried first.
     #[error("an earlier append is unresolved")]
     Unresolved,
 }
 
-/// A log as read from a majority.
+/// Content of a log as read from a majority.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LogSnapshot {
-    /// Its entries, of which the last ones may not be committed; of a retired log the first one only.
+    /// Entries of the log; the last ones may not be committed. Only the first entry if the log is retired.
     pub entries: Vec<LogEntry>,
-    /// It was closed long ago and only its first entry is kept.
+    /// True if the log is retired: only its first entry is kept.
     pub retired: bool,
 }
 
-/// Access to the journal. Cheap to clone; its tasks end when the last clone is dropped.
+/// Handle to the journal. Cheap to clone; its tasks end when the last clone is dropped.
 #[derive(Clone)]
 pub struct Journal {
     inner: Arc<Inner>,
@@ -95,7 +96,7 @@
     calls: Arc<ReplicaCalls>,
     owned: Arc<OwnedLogs>,
     hooks: HookSlot,
-    /// The tasks hold these weakly and end with them.
+    /// Kept alive for the tasks, which hold weak references and end once these are dropped.
     _heartbeats: Arc<Heartbeats>,
     _watch: Arc<UntendedWatch>,
 }
@@ -107,8 +108,8 @@
 }
 
 impl Journal {
-    /// Starts the journal at this node, over any way to reach the other nodes; with `storage` it is a replica.
-    /// Call within a tokio runtime.
+    /// Starts the journal on this node, which reaches the other nodes through `peers`. With `storage` the node is
+    /// a replica. Must be called within a tokio runtime.
     pub fn start_with(
         options: impl Into<JournalOptions>,
         process: ProcessId,
@@ -158,23 +159,23 @@
         }
     }
 
-    /// Counters of this node's writers.
+    /// Returns the metrics of this node's writers.
     pub fn metrics(&self) -> &JournalMetrics {
         &self.inner.calls.metrics
     }
 
-    /// Names who is told about evidence, fenced and untended logs. Only the first call counts.
+    /// Sets the callbacks for evidence, fenced logs and orphaned logs. Later calls have no effect.
     pub fn set_hooks(&self, hooks: Arc<dyn JournalHooks>) {
         self.inner.hooks.set(hooks);
     }
 
-    /// Seals a majority with a new epoch, reads the log and installs it there; the writer may then append.
-    /// Returns the entries committed so far. Retries nothing but epochs that were too low; the caller backs off
-    /// with jitter. Tended logs are heartbeated until the writer is dropped.
+    /// Takes a log over: seals it at a majority with a new epoch, then reads it and installs it there. Returns a
+    /// writer, which may append, and the entries committed so far. Retries only after an epoch that was too low;
+    /// the caller must back off with jitter. For monitored logs heartbeats are sent until the writer is dropped.
     ///
     /// # Errors
     ///
-    /// `Fenced` when another writer keeps raising the epoch, `Retired`, or `NoQuorum`.
+    /// `Fenced` if other writers keep raising the epoch, `Retired`, `StaleReplicaSet` or `NoQuorum`.
     pub async fn take_over(&self, log: &str) -> Result<(LogWriter, Vec<LogEntry>), JournalError> {
         for _ in 0..SEAL_ATTEMPTS {
             let set = self.inner.calls.replica_set()?;
@@ -192,14 +193,22 @@
         Err(JournalError::Fenced)
     }
 
-    /// Reads a log from a majority without fencing its writer; `None`: a majority knows no such log.
-    /// Entries that are not yet committed may be among those returned.
+    /// Reads a log from a majority without fencing its writer. `None` if a majority does not know the log. The last
+    /// entries may not be committed yet.
+    ///
+    /// # Errors
+    ///
+    /// `NoQuorum` if no majority responded.
     pub async fn read(&self, log: &str) -> Result<Option<Vec<LogEntry>>, JournalError> {
         let snapshot = self.read_snapshot(log).await?;
         Ok(snapshot.map(|snapshot| snapshot.entries))
     }
 
-    /// As [`Journal::read`], telling also whether the log is retired.
+    /// Like [`Journal::read`], but also returns whether the log is retired.
+    ///
+    /// # Errors
+    ///
+    /// `NoQuorum` if no majority responded.
     pub async fn read_snapshot(&self, log: &str) -> Result<Option<LogSnapshot>, JournalError> {
         let calls = &self.inner.calls;
         let set = calls.replica_set()?;
@@ -209,8 +218,8 @@
         });
         calls
             .round(&set, &request, |answer| match answer {
-                ResponseKind::read_log(reply) => Round::finish_if(read.on_reply(reply)),
-                _ => Round::Continue,
+                ResponseKind::read_log(reply) => RoundStep::finish_if(read.on_reply(reply)),
+                _ => RoundStep::Continue,
             })
             .await?;
         Ok(read.into_newest().map(|newest| LogSnapshot {
@@ -219,7 +228,11 @@
         }))
     }
 
-    /// Logs whose names start with `prefix`, as known by a majority (the newest description of each).
+    /// Returns the newest description, as known by a majority, of each log whose name starts with `prefix`.
+    ///
+    /// # Errors
+    ///
+    /// `NoQuorum` if no majority responded.
     pub async fn describe(&self, prefix: &str) -> Result<Vec<LogDescription>, JournalError> {
         let calls = &self.inner.calls;
         let set = calls.replica_set()?;
@@ -229,8 +242,8 @@
         });
         calls
             .round(&set, &request, |answer| match answer {
-                ResponseKind::describe_logs(reply) => Round::finish_if(survey.on_reply(reply)),
-                _ => Round::Continue,
+                ResponseKind::describe_logs(reply) => RoundStep::finish_if(survey.on_reply(reply)),
+                _ => RoundStep::Continue,
             })
             .await?;
         Ok(survey.into_logs())
@@ -240,7 +253,7 @@
         &self.inner.calls.service
     }
 
-    /// One try at sealing; `None` when the epoch was too low.
+    /// Tries once to seal the log with a new epoch; `None` if the epoch was too low.
     async fn seal(&self, log: &str, set: &ReplicaSet) -> Result<Option<SealedLog>, JournalError> {
         let identity = WriterIdentity {
             log: log.to_owned(),
@@ -253,11 +266,11 @@
         let result = calls
             .round(set, &request, |answer| match answer {
                 ResponseKind::seal(reply) => match sealing.on_reply(&reply) {
-                    SealProgress::Waiting => Round::Continue,
-                    SealProgress::Sealed => Round::Finish(true),
-                    SealProgress::Fenced(_) => Round::Finish(false),
+                    SealProgress::Waiting => RoundStep::Continue,
+                    SealProgress::Sealed => RoundStep::Finish(true),
+                    SealProgress::Fenced(_) => RoundStep::Finish(false),
                 },
-                _ => Round::Continue,
+                _ => RoundStep::Continue,
             })
             .await;
         self.observe(sealing.highest_promised());
@@ -270,7 +283,7 @@
         Ok(Some(sealing.into_sealed()))
     }
 
-    /// Reads a sealed log at the first of its holders that answers.
+    /// Reads a sealed log from the first replica that returns it, in random order.
     async fn read_sealed(
         &self,
         log: &str,
@@ -294,8 +307,11 @@
                 Ok(ResponseKind::read_log(reply)) if sealed.is_newest(&reply) => {
                     return Ok(reply.entries);
                 }
-                Ok(_) => failures.push(format!("{}: another log than was sealed", member.node)),
-                Err(failure) => failures.push(calls::describe(member, &failure)),
+                Ok(_) => failures.push(format!(
+                    "{}: not the sealed version of the log",
+                    member.node
+                )),
+                Err(failure) => failures.push(calls::describe_failure(member, &failure)),
             }
         }
         Err(JournalError::NoQuorum(failures.join("; ")))
--- a/crates/journal/src/metrics.rs
+++ b/crates/journal/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of the journal's writers.
+//! Metrics of the journal's writers.
 
 use std::time::Duration;
 
@@ -6,12 +6,12 @@
 
 use super::JournalError;
 
-/// Upper bounds of the commit buckets, in seconds.
+/// Upper bounds of the commit time buckets, in seconds.
 const COMMIT_BUCKETS: [f64; 11] = [
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5,
 ];
 
-/// Counters of the journal's writers. Cheap to clone.
+/// Metrics of the journal's writers. Cheap to clone; clones share the values.
 #[derive(Debug, Clone)]
 pub struct JournalMetrics {
     commits: Histogram,
@@ -19,7 +19,7 @@
 }
 
 impl JournalMetrics {
-    /// Counters at zero.
+    /// Creates the metrics with all values at zero.
     pub fn new() -> Self {
         let commits = HistogramOpts::new(
             "ladderstage_journal_commit_seconds",
@@ -36,17 +36,18 @@
         }
     }
 
-    /// Adds the counters to a registry.
+    /// Registers the metrics.
     ///
     /// # Errors
-    /// If the registry holds counters of these names already.
+    ///
+    /// If metrics of these names are already registered.
     pub fn register(&self, registry: &Registry) -> prometheus::Result<()> {
         registry.register(Box::new(self.commits.clone()))?;
         registry.register(Box::new(self.failures.clone()))
     }
 
-    /// Counts one round of a writer.
-    pub(super) fn note_round(&self, result: &Result<(), JournalError>, elapsed: Duration) {
+    /// Records the result and duration of one round of a writer.
+    pub(super) fn record_round(&self, result: &Result<(), JournalError>, elapsed: Duration) {
         let reason = match result {
             Ok(()) => return self.commits.observe(elapsed.as_secs_f64()),
             Err(JournalError::Fenced) => "fenced",
--- a/crates/journal/src/options.rs
+++ b/crates/journal/src/options.rs
@@ -1,19 +1,19 @@
-//! What the journal and its replica set are started with.
+//! Options of the journal and its replica set.
 
 use std::time::Duration;
 
-/// Which disks form the first replica set.
+/// Selection of the disks that form the first replica set.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum InitialReplicas {
-    /// Those of the named nodes.
+    /// The disks of the named nodes.
     Named(Vec<String>),
-    /// The first so many that are recorded, by name. A set that is smaller later grows to this number.
+    /// This number of the recorded disks, spread over regions and zones. A set that has shrunk grows back to it.
     Count(usize),
 }
 
 impl InitialReplicas {
-    /// Replicas that a set should have later on; 0: no more than it has.
-    pub fn wanted(&self) -> usize {
+    /// Returns the number of replicas to which the set grows; 0 if it does not grow.
+    pub fn target_count(&self) -> usize {
         match self {
             Self::Named(_) => 0,
             Self::Count(count) => *count,
@@ -21,27 +21,27 @@
     }
 }
 
-/// Names and intervals of the journal at one node.
+/// Names and intervals of the journal on one node.
 #[derive(Debug, Clone)]
 pub struct JournalOptions {
-    /// Name of this node; stays the same over restarts.
+    /// Name of this node; stays the same across restarts.
     pub node: String,
-    /// Disks that form the first replica set; the same at every node.
+    /// Disks that form the first replica set; must be the same on every node.
     pub initial_replicas: InitialReplicas,
-    /// The first set may be made; else it is only looked for.
+    /// Allows this node to create the first set; otherwise it only waits for one.
     pub may_bootstrap: bool,
-    /// Logs whose names start with this are tended: their writers send heartbeats and are replaced when silent.
+    /// Prefix of the names of monitored logs: their writers send heartbeats, and silent writers are replaced.
     pub tended_prefix: &'static str,
-    /// Between an owner's heartbeats to the replicas.
+    /// Time between an owner's heartbeats to the replicas.
     pub owner_heartbeat: Duration,
-    /// After this long without a heartbeat a log's owner is replaced.
+    /// Time without a heartbeat after which a log's owner is replaced.
     pub owner_timeout: Duration,
-    /// How long one round of calls to the replicas may take.
+    /// Timeout of one round of calls to the replicas.
     pub round_timeout: Duration,
-    /// Between looks at the replica set's record.
+    /// Time between reads of the replica set's record.
     pub poll: Duration,
-    /// Longest pause between looks while the record's service fails; an empty disk is out of the set until the next one.
+    /// Upper bound of the poll interval while reads of the record fail.
     pub longest_pause: Duration,
-    /// How long a replica must be missing before another disk takes its place.
+    /// Time that a replica must be missing before another disk replaces it.
     pub replace_after: Duration,
 }
--- a/crates/journal/src/peers.rs
+++ b/crates/journal/src/peers.rs
@@ -1,4 +1,4 @@
-//! What the journal needs of the other daemons.
+//! The journal's interface to the other nodes.
 
 use std::time::Duration;
 
@@ -7,27 +7,27 @@
 use ladderstage_transport::CallError;
 use ladderstage_wire::messages::{Member, Request, Response};
 
-/// Calls to other daemons by name. Tests put an in-memory network in its place.
+/// Membership of the cluster, and calls to other nodes by name. Tests use an in-memory network.
 pub trait Peers: Send + Sync + 'static {
-    /// Members that take work, this node included.
+    /// Returns the members that accept work, including this node.
     fn alive(&self) -> Vec<Member>;
 
-    /// Members that may take over logs; by default all that take work.
+    /// Returns the members that may take over logs; by default all alive members.
     fn successors(&self) -> Vec<Member> {
         self.alive()
     }
 
-    /// Members that logs without an owner go to; by default all that may take one.
+    /// Returns the members to which orphaned logs are assigned; by default all successors.
     fn takers(&self) -> Vec<Member> {
         self.successors()
     }
 
-    /// Whether a process is known to be over. A hint: only what is done sooner depends on it.
+    /// Returns whether a process is known to have exited. This is a hint that only speeds up the take-over of its logs.
     fn is_gone(&self, _process: ProcessId) -> bool {
         false
     }
 
-    /// Calls a node.
+    /// Sends a request to a node and waits for the response, at most for `timeout`.
     fn call<'a>(
         &'a self,
         node: &'a str,
--- a/crates/journal/src/registry.rs
+++ b/crates/journal/src/registry.rs
@@ -1,4 +1,4 @@
-//! The open writers of this node, for its heartbeats.
+//! Registry of this node's open writers, for its heartbeats.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -7,14 +7,15 @@
 
 use super::writer::{WeakWriter, WriterShared};
 
-/// Open writers of tended logs by log; other logs, such as claims, are written and left. A writer is in it from its take-over until it is dropped.
+/// Open writers of monitored logs, by log name. A writer is registered from its take-over until it is dropped.
+/// Writers of other logs, such as claims, are not registered.
 pub(crate) struct OwnedLogs {
     tended_prefix: &'static str,
     writers: Mutex<BTreeMap<String, WeakWriter>>,
 }
 
 impl OwnedLogs {
-    /// No writers yet; those of logs under `tended_prefix` will be kept.
+    /// Creates an empty registry for logs whose names start with `tended_prefix`.
     pub fn new(tended_prefix: &'static str) -> Self {
         Self {
             tended_prefix,
@@ -22,7 +23,7 @@
         }
     }
 
-    /// Adds a writer, in the place of an older one of the same log.
+    /// Registers a writer; it replaces one of the same log with a lower epoch.
     pub fn insert(&self, writer: &Arc<WriterShared>) {
         if !writer.log.starts_with(self.tended_prefix) {
             return;
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Removes exactly this writer.
+    /// Removes this writer; another writer of the same log stays registered.
     pub fn remove(&self, writer: &Arc<WriterShared>) {
         let mut writers = self.lock();
         let known = writers.get(&writer.log);
@@ -43,12 +44,12 @@
         }
     }
 
-    /// The writer of a log.
+    /// Returns the writer of a log.
     pub fn find(&self, log: &str) -> Option<Arc<WriterShared>> {
         self.lock().get(log)?.upgrade()
     }
 
-    /// What a heartbeat tells.
+    /// Returns the owned logs with their epochs, as sent in heartbeats.
     pub fn list(&self) -> Vec<OwnedLog> {
         let writers = self.lock();
         let live = writers.values().filter_map(WeakWriter::upgrade);
--- a/crates/journal/src/replica.rs
+++ b/crates/journal/src/replica.rs
@@ -1,8 +1,8 @@
-//! The replica's side: answers journal messages from this node's data folder.
+//! The replica service: handles journal requests with this node's data folder.
 
 #![expect(
     clippy::disallowed_methods,
-    reason = "how long an owner was silent is the time in which it could have been heard: not that of a suspension of this machine"
+    reason = "an owner's silence must not include time in which this machine was suspended"
 )]
 
 use std::collections::HashMap;
@@ -24,17 +24,17 @@
 use super::hooks::HookSlot;
 use crate::replica_set::ReplicaSets;
 
-/// Longest log name in bytes that is accepted.
+/// Maximum length of a log name, in bytes.
 const MAX_LOG_NAME_BYTES: usize = 1024;
 
-/// Logs that one export answer carries at most.
+/// Maximum number of logs in one export response.
 const MAX_EXPORTED_LOGS: u32 = 256;
 
-/// Share of the owner timeout after which the log of a process that is over counts as untended: a heartbeat and a half, in case
-/// what is heard of processes is late.
-const GONE_OWNER_SHARE: f64 = 0.4;
+/// Fraction of the owner timeout after which the log of a process that has exited counts as orphaned. It covers one
+/// and a half heartbeat intervals, as the membership information may lag.
+const EXITED_OWNER_TIMEOUT_FRACTION: f64 = 0.4;
 
-/// Answers for this node's data folder; a node without one refuses.
+/// Handler of journal requests; a node without a data folder refuses them.
 pub(crate) struct ReplicaService {
     pub storage: Option<Storage>,
     pub replica_sets: ReplicaSets,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Answers any journal request; others are refused as malformed.
+    /// Handles any journal request; refuses other requests as malformed.
     pub async fn answer(&self, request: RequestKind) -> Response {
         match request {
             RequestKind::seal(request) => self.seal(request).await,
@@ -159,7 +159,7 @@
         respond(result, ResponseKind::export_logs)
     }
 
-    /// Takes in copies from a replica that leaves the set.
+    /// Stores logs sent by a replica that leaves the set.
     pub async fn import_logs(&self, request: ImportLogs) -> Response {
         let Some(storage) = &self.storage else {
             return not_a_replica();
@@ -170,7 +170,7 @@
         respond(result, |()| ResponseKind::done(Done {}))
     }
 
-    /// Refuses older replica sets from now on; answered once that is durable.
+    /// Stores the given replica set durably, so that requests under older sets are rejected.
     pub async fn fence_replica_set(&self, request: FenceReplicaSet) -> Response {
         if self.storage.is_none() {
             return not_a_replica();
@@ -182,8 +182,8 @@
         respond(result.map(|_| Done {}), ResponseKind::done)
     }
 
-    /// Open logs whose names start with `prefix` and whose owner was silent for `timeout`, or for a share of it if `is_gone` says
-    /// that its process is over.
+    /// Returns the open logs whose names start with `prefix` and whose owner was silent for `timeout`. If `is_gone`
+    /// returns true for the owner's process, a fraction of `timeout` suffices.
     pub fn untended(
         &self,
         prefix: &str,
@@ -195,7 +195,7 @@
         };
         let open = storage.open_logs_with_owners(prefix).into_iter();
         let open = open.map(|(log, owner)| match is_gone(owner) {
-            true => (log, timeout.mul_f64(GONE_OWNER_SHARE)),
+            true => (log, timeout.mul_f64(EXITED_OWNER_TIMEOUT_FRACTION)),
             false => (log, timeout),
         });
         let now = self.now();
@@ -240,10 +240,9 @@
     }
 }
 
-/// Leaves out what the asker has from another replica: copies of whole logs from each of a majority would be most of what a
-/// replacement sends.
+/// Removes from a page the entries that the new replica already has from another replica.
 fn leave_out_known(page: &mut ExportLogsReply, known: &[KnownLog]) {
-    let known: HashMap<&str, &KnownLog> = known.iter().map(|one| (one.log.as_str(), one)).collect();
+    let known: HashMap<&str, &KnownLog> = known.iter().map(|log| (log.log.as_str(), log)).collect();
     for exported in &mut page.logs {
         if let Some(known) = known.get(exported.log.as_str()) {
             replica::leave_out_known(exported, known);
--- a/crates/journal/src/replica_set/bootstrap.rs
+++ b/crates/journal/src/replica_set/bootstrap.rs
@@ -1,4 +1,4 @@
-//! Makes the first replica set through the key-value service, or learns the one that is there.
+//! Creates the first replica set through the key-value service, or learns the recorded one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,31 +7,31 @@
 use ladderstage_wire::messages::ReplicaMember;
 
 use super::ReplicaSets;
-use super::zones::spread;
+use super::zones::select_spread;
 use super::{RecordError, SetRecords};
 use crate::{InitialReplicas, Peers};
 
-/// What the first set is made from.
+/// Task that creates or learns the first replica set.
 pub(crate) struct Bootstrap {
     pub records: Arc<dyn SetRecords>,
-    /// They tell in which zones the disks are.
+    /// Source of the disks' zones.
     pub peers: Arc<dyn Peers>,
-    /// This node's disk, if it has one.
+    /// This node's disk, if any.
     pub own: Option<ReplicaMember>,
     pub initial_replicas: InitialReplicas,
     pub may_bootstrap: bool,
     pub poll: Duration,
-    /// Longest pause between looks while the records cannot be used.
+    /// Upper bound of the poll interval while reads of the records fail.
     pub longest_pause: Duration,
 }
 
 impl Bootstrap {
-    /// Looks until a set is known, here or from a peer.
+    /// Polls the records until a set is known, from there or from a peer.
     pub async fn run(&self, replica_sets: &ReplicaSets) {
         let mut known = replica_sets.watch();
         let mut pause = self.poll;
         while replica_sets.version() == 0 {
-            match self.look(replica_sets).await {
+            match self.poll_records(replica_sets).await {
                 Ok(()) => pause = self.poll,
                 Err(error) => {
                     log::warn!("event=replica_set_lookup_failed cause=\"{error}\"");
@@ -39,20 +39,20 @@
                 }
             }
             let pause = crate::jitter::jittered(pause);
-            // A set learnt from a peer or the disk ends the pause.
+            // A set learned from a peer ends the pause.
             let _ = tokio::time::timeout(pause, known.wait_for(Option::is_some)).await;
         }
     }
 
-    async fn look(&self, replica_sets: &ReplicaSets) -> Result<(), RecordError> {
+    async fn poll_records(&self, replica_sets: &ReplicaSets) -> Result<(), RecordError> {
         let recorded = match self.own {
             Some(_) => self.records.read().await?,
-            // The first set is made by nodes with a disk; the others may learn of it later.
+            // Only nodes with a disk create the first set, so the others can use a stale read.
             None => self.records.read_stale().await?,
         };
         let set = match recorded {
             Some(recorded) => Some(recorded.set),
-            None if self.may_bootstrap && self.own.is_some() => self.make_first().await?,
+            None if self.may_bootstrap && self.own.is_some() => self.create_first().await?,
             None => None,
         };
         if let Some(set) = set {
@@ -61,9 +61,9 @@
         Ok(())
     }
 
-    /// Every look repeats the candidate's record: an answer may have been lost, or an old process of this node may
-    /// have written late.
-    async fn make_first(
+    /// Records this node's disk as a candidate and creates the first set once enough candidates are recorded. The
+    /// record is checked on every call, as a late write of an earlier process of this node may have replaced it.
+    async fn create_first(
         &self,
     ) -> Result<Option<ladderstage_wire::messages::ReplicaSet>, RecordError> {
         let candidates = self.records.candidates().await?;
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The members of the first set once all their disks are recorded.
+    /// Returns the members of the first set, or `None` until enough disks are recorded.
     fn initial_members(&self, candidates: Vec<ReplicaMember>) -> Option<Vec<ReplicaMember>> {
         match &self.initial_replicas {
             InitialReplicas::Named(nodes) => {
@@ -90,7 +90,7 @@
                 };
                 nodes.iter().map(find).collect()
             }
-            InitialReplicas::Count(count) => spread(candidates, &self.peers.alive(), *count),
+            InitialReplicas::Count(count) => select_spread(candidates, &self.peers.alive(), *count),
         }
     }
 }
--- a/crates/journal/src/replica_set/copy.rs
+++ b/crates/journal/src/replica_set/copy.rs
@@ -1,4 +1,4 @@
-//! Copies the logs of a majority of the current replicas to this node's data folder.
+//! Copies logs between replicas when the replica set changes.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -18,70 +18,77 @@
 use super::zones::place;
 use crate::Peers;
 
-/// How long one page may take.
+/// Timeout of one call.
 const PAGE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Logs in one page at most.
+/// Maximum number of logs in one page.
 const LOGS_PER_PAGE: u32 = 64;
 
-/// Logs held here that are named in the question for a page at most: some of them may not be among those of the page.
-const KNOWN_PER_PAGE: usize = 4 * LOGS_PER_PAGE as usize;
+/// Maximum number of logs stored here that the request for a page lists. More than a page holds, as the sender may
+/// not have all of them.
+const KNOWN_LOGS_PER_REQUEST: usize = 4 * LOGS_PER_PAGE as usize;
 
-/// Why a copy is not complete.
+/// Error of a copy.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CopyError {
-    /// Too few replicas gave all their logs.
+    /// Too few replicas could be copied completely.
     #[error("copied from {copied} of {needed} replicas: {failures}")]
     NoQuorum {
         copied: usize,
         needed: usize,
         failures: String,
     },
-    /// This node's disk refused.
+    /// This node's storage failed.
     #[error(transparent)]
     Storage(#[from] StorageError),
-    /// The newest bundle that the copied replicas hold has not arrived on this node's disk yet.
-    #[error("bundle {needed} is not stored here yet, only {stored}")]
+    /// This node's disk does not hold the newest bundle of the copied replicas yet.
+    #[error("bundle revision {needed} is not stored here yet, only {stored}")]
     BundleBehind {
-        /// Revision that a copied replica names.
+        /// Newest revision at the copied replicas.
         needed: u64,
         /// Revision on this node's disk.
         stored: u64,
     },
 }
 
-/// Why one replica could not be copied.
+/// Error of the copy from or to one replica.
 #[derive(Debug, thiserror::Error)]
 enum SourceError {
     #[error(transparent)]
     Call(#[from] CallError),
-    #[error("not the answer that was asked for")]
-    WrongAnswer,
-    #[error("the node has another disk")]
-    OtherDisk,
+    #[error("unexpected response kind")]
+    UnexpectedResponse,
+    #[error("the node's disk was replaced")]
+    DiskReplaced,
     #[error(transparent)]
     Storage(#[from] StorageError),
 }
 
-/// What one replica gave.
-struct CopiedSource {
+/// Result of the copy from one replica.
+struct CopiedReplica {
     logs: usize,
     bundle_revision: u64,
 }
 
-/// A copy to this node's data folder.
+/// Copies logs to or from this node's data folder.
 pub(crate) struct LogCopy {
-    /// This node.
+    /// Name of this node.
     pub node: String,
     pub peers: Arc<dyn Peers>,
     pub storage: Storage,
 }
 
 impl LogCopy {
-    /// Fences the current replicas of a joint set against older sets and copies their logs, each after its fence.
-    /// The bundle is not copied but awaited, as it comes to every node that knows of it by itself; the newcomer
-    /// must hold what a majority of the current replicas holds before it counts in their place.
-    /// Returns the number of logs taken in, counting those of several replicas each time.
+    /// Copies the logs of a quorum of the current replicas of a joint set to this node. Each replica is fenced against
+    /// older sets before its logs are copied. Returns the number of copied logs; a log that several replicas sent is
+    /// counted each time.
+    ///
+    /// The bundle is not copied, as every node receives it by other means, but it must have arrived before this node
+    /// may replace a replica.
+    ///
+    /// # Errors
+    ///
+    /// `NoQuorum` if too few replicas could be copied, `BundleBehind` if the bundle has not arrived, or `Storage`.
     pub async fn copy_quorum(&self, set: &ReplicaSet) -> Result<usize, CopyError> {
         let quorum = Quorum::new(&ReplicaSet {
             next: Vec::new(),
@@ -91,7 +98,7 @@
         let mut failures = Vec::new();
         let mut logs = 0;
         let mut needed = 0;
-        for member in &self.near_first(&set.current) {
+        for member in &self.nearest_first(&set.current) {
             if quorum.is_covered_by(&copied) {
                 break;
             }
@@ -119,9 +126,13 @@
         Ok(logs)
     }
 
-    /// Fences the replicas that stay in a shrinking set, and this one, against older sets; then gives each of them all logs of
-    /// this one. Returns the number of logs.
-    pub async fn copy_to(&self, set: &ReplicaSet) -> Result<usize, CopyError> {
+    /// Sends all logs of this node to each replica that stays in a shrinking set, after fencing those replicas against
+    /// older sets. Returns the number of logs.
+    ///
+    /// # Errors
+    ///
+    /// `NoQuorum` if a replica could not be fenced or did not store the logs, or `Storage`.
+    pub async fn push_to_remaining(&self, set: &ReplicaSet) -> Result<usize, CopyError> {
         let failed = |node: &str, error: SourceError| CopyError::NoQuorum {
             copied: 0,
             needed: set.next.len(),
@@ -152,7 +163,7 @@
                 _ => break,
             }
         }
-        // Asked last: a disk that was exchanged on the way has another id by now.
+        // Checked last, to detect a disk that was replaced during the copy.
         for member in &set.next {
             let checked = self.check_disk(member).await;
             checked.map_err(|error| failed(&member.node, error))?;
@@ -160,10 +171,10 @@
         Ok(copied)
     }
 
-    /// The nearest first: the first copy is whole, and later ones bring only what it lacks.
-    fn near_first(&self, members: &[ReplicaMember]) -> Vec<ReplicaMember> {
+    /// Sorts members by distance. The first copy transfers complete logs, later ones only what is missing.
+    fn nearest_first(&self, members: &[ReplicaMember]) -> Vec<ReplicaMember> {
         let alive = self.peers.alive();
-        let find = |node: &str| alive.iter().find(|one| one.node == node);
+        let find = |node: &str| alive.iter().find(|member| member.node == node);
         let distance = |node: &str| {
             let (own, other) = (find(&self.node)?, find(node)?);
             Some(Distance::between(&place(own), &place(other)))
@@ -177,12 +188,12 @@
         &self,
         set: &ReplicaSet,
         member: &ReplicaMember,
-    ) -> Result<CopiedSource, SourceError> {
+    ) -> Result<CopiedReplica, SourceError> {
         self.call(member, fence(set).kind).await?;
         let mut after = String::new();
         let mut logs = 0;
         loop {
-            let page = self.page(set, member, &after).await?;
+            let page = self.fetch_page(set, member, &after).await?;
             logs += page.logs.len();
             let last = page.logs.last().map(|log| log.log.clone());
             self.storage.import_logs(set.version, page.logs).await?;
@@ -191,15 +202,16 @@
                 _ => break,
             }
         }
-        // Asked last: a disk that was exchanged on the way has another id by now.
+        // Checked last, to detect a disk that was replaced during the copy.
         let bundle_revision = self.check_disk(member).await?;
-        Ok(CopiedSource {
+        Ok(CopiedReplica {
             logs,
             bundle_revision,
         })
     }
 
-    async fn page(
+    /// Fetches the page of logs whose names follow `after`.
+    async fn fetch_page(
         &self,
         set: &ReplicaSet,
         member: &ReplicaMember,
@@ -209,22 +221,22 @@
             replica_set_version: set.version,
             after: after.to_owned(),
             limit: LOGS_PER_PAGE,
-            known: self.storage.known_logs(after, KNOWN_PER_PAGE),
+            known: self.storage.known_logs(after, KNOWN_LOGS_PER_REQUEST),
         });
         match self.call(member, request).await? {
             ResponseKind::export_logs(page) => Ok(page),
-            _ => Err(SourceError::WrongAnswer),
+            _ => Err(SourceError::UnexpectedResponse),
         }
     }
 
-    /// Checks that the node still has the disk that the set names; returns the revision of its bundle.
+    /// Checks that the node still has the disk that the set lists; returns the revision of its bundle.
     async fn check_disk(&self, member: &ReplicaMember) -> Result<u64, SourceError> {
         let request = RequestKind::owner_heartbeat(OwnerHeartbeat::default());
         let ResponseKind::owner_heartbeat(reply) = self.call(member, request).await? else {
-            return Err(SourceError::WrongAnswer);
+            return Err(SourceError::UnexpectedResponse);
         };
         if reply.replica_id != member.replica_id {
-            return Err(SourceError::OtherDisk);
+            return Err(SourceError::DiskReplaced);
         }
         Ok(reply.evidence.unwrap_or_default().revision)
     }
--- a/crates/journal/src/replica_set/record.rs
+++ b/crates/journal/src/replica_set/key_value_records.rs
@@ -1,4 +1,4 @@
-//! The replica set's records in the key-value service.
+//! [`SetRecords`] in the key-value service.
 
 use futures_util::future::BoxFuture;
 use ladderstage_platform::key_value::{KeyValue, KeyValueError, SwapOutcome};
@@ -7,10 +7,10 @@
 
 use super::records::{RecordError, RecordedSet, SetRecords};
 
-/// The record of the set in force.
+/// Key of the record of the current set.
 const SET_KEY: &str = "ladderstage/replicas/set";
 
-/// Records of disks that may become replicas, one per node.
+/// Key prefix of the records of disks that may become replicas; the node's name follows.
 const CANDIDATE_PREFIX: &str = "ladderstage/replicas/candidate/";
 
 impl From<KeyValueError> for RecordError {
--- a/crates/journal/src/replica_set/mod.rs
+++ b/crates/journal/src/replica_set/mod.rs
@@ -1,11 +1,11 @@
-//! The journal's replica set as known at this node.
+//! The journal's replica set as known to this node.
 //!
-//! It comes from the disk, from the key-value service and from peers, so that a restart of all nodes works while the
-//! key-value service is down.
+//! The set is read from the disk, the key-value service and peers, so that all nodes can restart while the key-value
+//! service is down.
 
 mod bootstrap;
 mod copy;
-mod record;
+mod key_value_records;
 mod records;
 mod replacement;
 pub mod zones;
@@ -28,10 +28,10 @@
 
 pub use records::{RecordError, RecordedSet, SetRecords};
 
-/// How long a peer may take to answer with its replica set.
+/// Timeout of a request for a peer's replica set.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The newest replica set known here; only larger versions replace it. Cheap to clone.
+/// Newest replica set known to this node; only a higher version replaces it. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct ReplicaSets {
     inner: Arc<Inner>,
@@ -44,7 +44,7 @@
     is_fetching: AtomicBool,
 }
 
-/// The task that makes, learns and changes the set; it ends when this is dropped.
+/// Handle of the task that creates, learns and changes the set. Dropping it stops the task.
 #[derive(Debug)]
 pub struct ReplicaSetTask {
     handle: tokio::task::JoinHandle<()>,
@@ -57,8 +57,8 @@
 }
 
 impl ReplicaSets {
-    /// Runs what makes the first set, learns of it, and replaces lost replicas, until the returned task is dropped.
-    /// Call within a tokio runtime.
+    /// Starts the task that creates or learns the first set and then replaces lost replicas. It runs until the returned
+    /// handle is dropped. Must be called within a tokio runtime.
     pub fn run(
         &self,
         options: impl Into<JournalOptions>,
@@ -87,9 +87,9 @@
             replica_sets: self.clone(),
             replace_after: options.replace_after,
             longest_pause: options.longest_pause,
-            wanted: options.initial_replicas.wanted(),
+            target_count: options.initial_replicas.target_count(),
             missing_since: BTreeMap::new(),
-            looked_at: None,
+            record_read_at: None,
             leaving_since: None,
             copied_version: 0,
         };
@@ -101,7 +101,7 @@
         ReplicaSetTask { handle }
     }
 
-    /// Starts from the set that this node's disk remembers, if any.
+    /// Starts with the set stored on this node's disk, if any.
     pub fn new(storage: Option<Storage>) -> Self {
         let stored = storage.as_ref().and_then(Storage::replica_set);
         let inner = Inner {
@@ -114,27 +114,28 @@
         }
     }
 
-    /// The newest set known; `None` before the first one was made or heard of.
+    /// Returns the newest known set; `None` until the first one is known.
     pub fn current(&self) -> Option<Arc<ReplicaSet>> {
         self.inner.current.borrow().clone()
     }
 
-    /// Version of the newest set known; 0: none.
+    /// Returns the version of the newest known set; 0 if none is known.
     pub fn version(&self) -> u64 {
         let current = self.inner.current.borrow();
         current.as_ref().map_or(0, |set| set.version)
     }
 
-    /// Changes whenever a newer set is known.
+    /// Returns a receiver that is notified of every newer set.
     pub fn watch(&self) -> watch::Receiver<Option<Arc<ReplicaSet>>> {
         self.inner.current.subscribe()
     }
 
-    /// Takes in a set from anywhere; returns whether it was newer. Stored on this node's disk first, if it has one.
+    /// Adopts a set if it is newer than the known one, and returns whether it was. The set is first stored on this
+    /// node's disk, if it has one.
     ///
     /// # Errors
     ///
-    /// When the disk refuses; the set is then not used here either.
+    /// If the set cannot be stored; it is not adopted then.
     pub async fn learn(&self, set: ReplicaSet) -> Result<bool, StorageError> {
         if set.version <= self.version() || set.current.is_empty() {
             return Ok(false);
@@ -157,7 +158,7 @@
         Ok(is_newer)
     }
 
-    /// Id of this node's disk, if it has one.
+    /// Returns the replica id of this node's disk, if it has one.
     pub fn own_replica_id(&self) -> Option<u64> {
         self.inner.storage.as_ref().map(Storage::replica_id)
     }
@@ -166,14 +167,14 @@
         self.inner.storage.as_ref()
     }
 
-    /// As [`ReplicaSets::learn`], for callers that have nobody to tell of an error.
+    /// Like [`ReplicaSets::learn`], but logs the error.
     pub(crate) async fn learn_or_log(&self, set: ReplicaSet) {
         if let Err(error) = self.learn(set).await {
             log::error!("event=replica_set_not_stored cause=\"{error}\"");
         }
     }
 
-    /// Answers a peer's question for the set.
+    /// Handles a peer's request for the set.
     pub fn handle_fetch_replica_set(&self) -> Response {
         let set = self.current().map(|set| set.as_ref().clone());
         Response {
@@ -181,14 +182,14 @@
         }
     }
 
-    /// Call with the version in each ping and answer: fetches the set from that peer if it has a newer one.
+    /// Fetches the set from a peer if `version`, as found in its pings and responses, is newer than the known one.
     pub fn on_peer_version(&self, peers: Arc<dyn Peers>, node: &str, version: u64) {
         if version > self.version() {
             self.fetch_in_background(peers, node.to_owned());
         }
     }
 
-    /// Asks a peer for its set, unless such a question is already under way.
+    /// Starts to fetch the set from a peer, unless a fetch is already in progress.
     pub(crate) fn fetch_in_background(&self, peers: Arc<dyn Peers>, node: String) {
         if self.inner.is_fetching.swap(true, Ordering::AcqRel) {
             return;
--- a/crates/journal/src/replica_set/records.rs
+++ b/crates/journal/src/replica_set/records.rs
@@ -1,53 +1,53 @@
-//! Where the replica set is recorded: one record changed by compare-and-swap, and one record a disk.
+//! Interface to the replica set's records: one record of the set, changed by compare-and-swap, and one for each disk.
 
 use futures_util::future::BoxFuture;
 use ladderstage_wire::DecodeError;
 use ladderstage_wire::messages::{ReplicaMember, ReplicaSet};
 
-/// Why the records could not be used.
+/// Error of an access to the records.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordError {
-    /// The service that holds the records gave no result.
+    /// The service that stores the records failed.
     #[error("{0}")]
     Service(String),
-    /// The record is not a replica set.
+    /// The record could not be decoded as a replica set.
     #[error("replica set record: {0}")]
     Malformed(#[from] DecodeError),
 }
 
-/// The set as recorded.
+/// The recorded set with the revision of its record.
 #[derive(Debug, Clone)]
 pub struct RecordedSet {
     /// The set.
     pub set: ReplicaSet,
-    /// The service's revision of the record.
+    /// Revision of the record in the service.
     pub mod_revision: u64,
 }
 
 /// Access to the records of the replica set.
 pub trait SetRecords: Send + Sync + 'static {
-    /// The recorded set; perhaps an older one than the newest.
+    /// Reads the recorded set; `None` if there is no record.
     fn read(&self) -> BoxFuture<'_, Result<Option<RecordedSet>, RecordError>>;
 
-    /// As [`SetRecords::read`], perhaps some seconds old, where that is cheaper.
+    /// Like [`SetRecords::read`], but may return a record that is a few seconds old if that is cheaper.
     fn read_stale(&self) -> BoxFuture<'_, Result<Option<RecordedSet>, RecordError>> {
         self.read()
     }
 
-    /// Puts `set` in the place of what was recorded at revision `expected` (0: nothing). Returns the set now in
-    /// force.
+    /// Replaces the record if its revision is `expected`, where 0 means that there is none. Returns the set that is
+    /// recorded now.
     fn swap(
         &self,
         expected: u64,
         set: ReplicaSet,
     ) -> BoxFuture<'_, Result<Option<ReplicaSet>, RecordError>>;
 
-    /// Records the disk of this node.
+    /// Records this node's disk as a candidate for the set.
     fn put_candidate<'a>(
         &'a self,
         own: &'a ReplicaMember,
     ) -> BoxFuture<'a, Result<(), RecordError>>;
 
-    /// The disks recorded so far; unreadable records are left out.
+    /// Returns the recorded disks; records that cannot be decoded are skipped.
     fn candidates(&self) -> BoxFuture<'_, Result<Vec<ReplicaMember>, RecordError>>;
 }
--- a/crates/journal/src/replica_set/replacement.rs
+++ b/crates/journal/src/replica_set/replacement.rs
@@ -1,8 +1,8 @@
-//! Replaces lost replicas: one at a time, through a joint set, with a copy in between.
+//! Replaces lost replicas one at a time: through a joint set, a copy of the logs, and a final set.
 
 #![expect(
     clippy::disallowed_methods,
-    reason = "how long a replica is missing is the time in which it could have been seen: not that of a suspension of this machine"
+    reason = "the time for which a replica is missing must not include time in which this machine was suspended"
 )]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,24 +18,24 @@
 
 use super::ReplicaSets;
 use super::copy::{CopyError, LogCopy};
-use super::zones::by_need;
+use super::zones::spares_by_need;
 use super::{RecordError, SetRecords};
 use crate::Peers;
 
-/// How long a peer may take to store a new set.
+/// Timeout of the announcement of a new set to a peer.
 const FENCE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Between looks at the record by a node whose disk is no member: the members tell a newcomer, and that may get lost. With many
-/// spare disks these are calls to a service that each have their price.
-const OUTSIDE_LOOK: Duration = Duration::from_secs(5);
+/// Minimum time between reads of the record by a node whose disk is not a member. Such nodes usually learn of their
+/// admission from the members, but that announcement may get lost.
+const NON_MEMBER_READ_INTERVAL: Duration = Duration::from_secs(5);
 
-/// How long a leaving replica waits for a spare before the set gets smaller.
-const SPARE_WAIT: Duration = Duration::from_secs(2);
+/// Time that a leaving replica waits for a spare disk before the set is shrunk.
+const SPARE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A set never gets smaller than this: a single disk bears no loss.
-const LEAST_REPLICAS: usize = 2;
+/// Minimum size of a shrunk set.
+const MIN_REPLICAS: usize = 2;
 
-/// Why a change of the set did not go on; the next look tries again.
+/// Error of a change of the set; the change is retried at the next check.
 #[derive(Debug, thiserror::Error)]
 enum ReplacementError {
     #[error(transparent)]
@@ -44,29 +44,30 @@
     Copy(#[from] CopyError),
 }
 
-/// Watches the replicas and changes the set when one is lost for good.
+/// Task that monitors the replicas and changes the set when one is lost or leaves.
 pub(crate) struct Replacement {
     pub node: String,
     pub records: Arc<dyn SetRecords>,
     pub peers: Arc<dyn Peers>,
     pub replica_sets: ReplicaSets,
-    /// How long a replica must be missing before it is replaced.
+    /// Time that a replica must be missing before it is replaced.
     pub replace_after: Duration,
-    /// Longest pause between looks while they fail.
+    /// Upper bound of the time between checks while they fail.
     pub longest_pause: Duration,
-    /// Replicas that the set should have.
-    pub wanted: usize,
+    /// Number of replicas that the set should have.
+    pub target_count: usize,
+    /// Time since which each missing replica, by its id, has been missing.
     pub missing_since: BTreeMap<u64, Instant>,
-    /// When this node, whose disk is no member, last read the record.
-    pub looked_at: Option<Instant>,
-    /// When this node's replica was first found to be leaving.
+    /// Time at which this node last read the record as a non-member.
+    pub record_read_at: Option<Instant>,
+    /// Time at which this node first tried to leave the set.
     pub leaving_since: Option<Instant>,
-    /// Version of the joint set whose logs this node has copied.
+    /// Version of the joint set whose logs this node has copied completely.
     pub copied_version: u64,
 }
 
 impl Replacement {
-    /// Looks every `poll`, jittered, for as long as the process runs or until the task is aborted.
+    /// Checks the set every `poll`, with jitter, until the task is aborted.
     pub async fn run(mut self, poll: Duration) {
         let mut pause = poll;
         loop {
@@ -74,7 +75,7 @@
             let Some(set) = self.replica_sets.current() else {
                 continue;
             };
-            match self.look(&set).await {
+            match self.check(&set).await {
                 Ok(()) => pause = poll,
                 Err(error) => {
                     log::warn!("event=replica_replacement_failed cause=\"{error}\"");
@@ -84,29 +85,31 @@
         }
     }
 
-    async fn look(&mut self, set: &ReplicaSet) -> Result<(), ReplacementError> {
+    async fn check(&mut self, set: &ReplicaSet) -> Result<(), ReplacementError> {
         if self.is_newcomer(set) {
             return self.join(set).await;
         }
-        let is_due = self.looked_at.is_none_or(|at| at.elapsed() >= OUTSIDE_LOOK);
-        if self.is_outside(set) && is_due {
-            self.looked_at = Some(Instant::now());
+        let is_due = self
+            .record_read_at
+            .is_none_or(|at| at.elapsed() >= NON_MEMBER_READ_INTERVAL);
+        if self.is_non_member(set) && is_due {
+            self.record_read_at = Some(Instant::now());
             self.learn_recorded().await?;
         }
         let alive = self.peers.alive();
         let spares = self.spares(set, &alive);
         let lost = self.lost(set, &alive);
-        // A missing replica is replaced first: its place is not filled yet, and a spare is there for it.
-        if self.leaves(set, &alive) && self.missing_since.is_empty() {
+        // A missing replica takes precedence over a leaving one, so that the spare replaces the missing one.
+        if self.should_leave(set, &alive) && self.missing_since.is_empty() {
             return self.leave(set, &spares).await;
         }
-        if !self.coordinates(set, &alive) || !can_copy(set, &alive) {
+        if !self.is_coordinator(set, &alive) || !can_copy(set, &alive) {
             return Ok(());
         }
         let proposal = if self.missing_since.is_empty() {
-            replica_set::propose_with(set, self.wanted, &spares)
+            replica_set::propose_with(set, self.target_count, &spares)
         } else {
-            // A spare is for a missing replica, once that is lost, and not for a place beside it.
+            // While a replica is missing, spares are reserved for its replacement.
             replica_set::propose(set, &lost, &spares)
         };
         match proposal {
@@ -115,8 +118,8 @@
         }
     }
 
-    /// Whether this node's replica is to leave the set.
-    fn leaves(&self, set: &ReplicaSet, alive: &[Member]) -> bool {
+    /// Returns whether this node is leaving and its disk is a member of the set.
+    fn should_leave(&self, set: &ReplicaSet, alive: &[Member]) -> bool {
         let own_id = self.replica_sets.own_replica_id();
         let is_leaving = alive
             .iter()
@@ -124,8 +127,8 @@
         is_leaving && own_id.is_some_and(|id| is_member(set, id))
     }
 
-    /// Leaves the set: a spare takes this one's place; without a spare this node copies its logs to those that stay, and
-    /// the set gets smaller, unless a further loss would then be one too many.
+    /// Leaves the set. A spare replaces this replica; without one, this node copies its logs to the remaining replicas
+    /// and the set shrinks, but not below [`Self::min_replicas`].
     async fn leave(
         &mut self,
         set: &ReplicaSet,
@@ -143,7 +146,7 @@
             return Ok(());
         }
         if !set.next.is_empty() {
-            // Another change is under way.
+            // Another change is in progress.
             return Ok(());
         }
         let lost = BTreeSet::from([own_id]);
@@ -152,16 +155,16 @@
             .leaving_since
             .get_or_insert_with(Instant::now)
             .elapsed();
-        let without = || replica_set::propose_without(set, own_id, self.least_replicas());
-        match with_spare.or_else(|| (waited >= SPARE_WAIT).then(without).flatten()) {
+        let without = || replica_set::propose_without(set, own_id, self.min_replicas());
+        match with_spare.or_else(|| (waited >= SPARE_TIMEOUT).then(without).flatten()) {
             Some(proposal) => Ok(self.swap(set, proposal).await?),
             None => Ok(()),
         }
     }
 
-    /// The smallest set a majority of which outnumbers the losses that a set of the wanted size bears.
-    fn least_replicas(&self) -> usize {
-        self.wanted.saturating_sub(1).max(LEAST_REPLICAS)
+    /// Returns the minimum size to which the set may shrink: one less than its target.
+    fn min_replicas(&self) -> usize {
+        self.target_count.saturating_sub(1).max(MIN_REPLICAS)
     }
 
     async fn copy_to_remaining(&self, set: &ReplicaSet) -> Result<usize, ReplacementError> {
@@ -173,7 +176,7 @@
             peers: Arc::clone(&self.peers),
             storage: storage.clone(),
         };
-        Ok(copy.copy_to(set).await?)
+        Ok(copy.push_to_remaining(set).await?)
     }
 
     fn is_newcomer(&self, set: &ReplicaSet) -> bool {
@@ -184,8 +187,8 @@
             .any(|member| Some(member.replica_id) == own_id)
     }
 
-    /// Whether this node has a disk that is no member: nobody tells it of newer sets.
-    fn is_outside(&self, set: &ReplicaSet) -> bool {
+    /// Returns whether this node has a disk that is not a member; the members do not announce newer sets to it.
+    fn is_non_member(&self, set: &ReplicaSet) -> bool {
         let own_id = self.replica_sets.own_replica_id();
         own_id.is_some_and(|id| !is_member(set, id))
     }
@@ -197,7 +200,7 @@
         Ok(())
     }
 
-    /// Copies everything, then makes the next set current.
+    /// Copies all logs to this node, then makes the next set current.
     async fn join(&mut self, set: &ReplicaSet) -> Result<(), ReplacementError> {
         if self.copied_version != set.version {
             self.copy(set).await?;
@@ -223,7 +226,7 @@
         Ok(())
     }
 
-    /// Replicas that have been missing for long enough, and those whose node came back with another disk.
+    /// Returns the ids of replicas that were missing for `replace_after` and of those whose node has another disk now.
     fn lost(&mut self, set: &ReplicaSet, alive: &[Member]) -> BTreeSet<u64> {
         let is_missing = |member: &ReplicaMember| !is_present(member, alive);
         let missing: BTreeSet<u64> = quorum::members(set)
@@ -235,7 +238,7 @@
         for id in &missing {
             self.missing_since.entry(*id).or_insert_with(Instant::now);
         }
-        let came_back_empty: BTreeSet<u64> = quorum::members(set)
+        let disk_replaced: BTreeSet<u64> = quorum::members(set)
             .iter()
             .filter(|member| has_other_disk(member, alive))
             .map(|member| member.replica_id)
@@ -243,15 +246,16 @@
         let since = self.missing_since.iter();
         since
             .filter(|(id, since)| {
-                since.elapsed() >= self.replace_after || came_back_empty.contains(id)
+                since.elapsed() >= self.replace_after || disk_replaced.contains(id)
             })
             .map(|(id, _)| *id)
             .collect()
     }
 
-    /// Whether this node changes the set. One tries, so that the key-value service is not asked by all; the swap settles
-    /// disagreement. It is one of those with a disk, as these follow the others closely, if any is there.
-    fn coordinates(&self, set: &ReplicaSet, alive: &[Member]) -> bool {
+    /// Returns whether this node changes the set. Rendezvous hashing selects one node, to limit calls to the key-value
+    /// service; if nodes disagree, the compare-and-swap decides. Nodes with a disk are preferred, as their view of
+    /// the membership is more recent.
+    fn is_coordinator(&self, set: &ReplicaSet, alive: &[Member]) -> bool {
         let has_disks = alive.iter().any(|member| member.replica_id != 0);
         let eligible = alive
             .iter()
@@ -261,7 +265,7 @@
         rendezvous_first(key.as_bytes(), names) == Some(self.node.as_str())
     }
 
-    /// Disks that could take over, those in the zones with the fewest replicas first.
+    /// Returns the disks that could join the set, those in the zones with the fewest replicas first.
     fn spares(&self, set: &ReplicaSet, alive: &[Member]) -> Vec<ReplicaMember> {
         let present: Vec<&Member> = alive
             .iter()
@@ -272,9 +276,10 @@
             .filter(|member| member.state != MemberState::LEAVING)
             .cloned()
             .collect();
-        by_need(&staying, &present)
+        spares_by_need(&staying, &present)
     }
 
+    /// Replaces the recorded set `from` by `to` and announces the result. If another set is recorded, learns that one.
     async fn swap(&self, from: &ReplicaSet, to: ReplicaSet) -> Result<(), RecordError> {
         let Some(recorded) = self.records.read().await? else {
             return Ok(());
@@ -287,16 +292,16 @@
         if let Some(set) = self.records.swap(expected, to).await? {
             log::info!("event=replica_set_swapped version={}", set.version);
             self.replica_sets.learn_or_log(set.clone()).await;
-            self.tell(from, &set).await;
+            self.announce(from, &set).await;
         }
         Ok(())
     }
 
-    /// Tells the replicas at once; the others hear of the new version by pings.
-    async fn tell(&self, from: &ReplicaSet, set: &ReplicaSet) {
-        let mut told = quorum::members(from);
-        told.extend(quorum::members(set));
-        let nodes: BTreeSet<String> = told.into_iter().map(|member| member.node).collect();
+    /// Sends the new set to the old and new replicas; the other nodes learn of its version from pings.
+    async fn announce(&self, from: &ReplicaSet, set: &ReplicaSet) {
+        let mut recipients = quorum::members(from);
+        recipients.extend(quorum::members(set));
+        let nodes: BTreeSet<String> = recipients.into_iter().map(|member| member.node).collect();
         let calls = nodes.iter().filter(|node| **node != self.node).map(|node| {
             let request = fence(set);
             async move { (node, self.peers.call(node, request, FENCE_TIMEOUT).await) }
@@ -309,7 +314,7 @@
     }
 }
 
-/// The request that makes a replica refuse sets older than `set`.
+/// Returns the request that makes a replica reject sets older than `set`.
 pub(crate) fn fence(set: &ReplicaSet) -> Request {
     Request {
         kind: RequestKind::fence_replica_set(FenceReplicaSet {
@@ -326,7 +331,7 @@
     })
 }
 
-/// Whether a replica's node is there with another disk: its own is lost for good.
+/// Returns whether the replica's node is present with another disk, which means that the replica is lost.
 fn has_other_disk(member: &ReplicaMember, alive: &[Member]) -> bool {
     alive.iter().any(|known| {
         known.node == member.node
@@ -341,7 +346,7 @@
     members.iter().any(|member| member.replica_id == id)
 }
 
-/// Whether enough replicas are there to be copied from.
+/// Returns whether enough current replicas are present for a copy.
 fn can_copy(set: &ReplicaSet, alive: &[Member]) -> bool {
     let present = set
         .current
--- a/crates/journal/src/replica_set/zones.rs
+++ b/crates/journal/src/replica_set/zones.rs
@@ -1,13 +1,13 @@
-//! Spreading replicas over regions and zones, so that losing one costs as few of them as can be.
+//! Placement of replicas over regions and zones, so that the loss of one affects as few replicas as possible.
 
 use std::collections::BTreeMap;
 
 use ladderstage::region::Place;
 use ladderstage_wire::messages::{Member, ReplicaMember};
 
-/// The `count` of `candidates` that lie in as many regions as can be, and there in as many zones; of one zone, those with the first
-/// names. `None` if there are too few.
-pub fn spread(
+/// Selects `count` of the candidates, balanced over regions first and over zones second; ties are broken by name.
+/// `None` if there are too few candidates.
+pub fn select_spread(
     mut candidates: Vec<ReplicaMember>,
     alive: &[Member],
     count: usize,
@@ -29,13 +29,13 @@
     Some(chosen)
 }
 
-/// Disks of `alive` nodes, those in the regions with the fewest of the `present` replicas first, and there those in the zones with the
-/// fewest.
-pub fn by_need(alive: &[Member], present: &[&Member]) -> Vec<ReplicaMember> {
+/// Returns the disks of the `alive` nodes, sorted by the number of `present` replicas in their region, then by the
+/// number in their zone.
+pub fn spares_by_need(alive: &[Member], present: &[&Member]) -> Vec<ReplicaMember> {
     let in_zone = |zone: &str| present.iter().filter(|member| member.zone == zone).count();
     let in_region = |region: &str| {
-        let there = present.iter().filter(|member| member.region == region);
-        there.count()
+        let replicas = present.iter().filter(|member| member.region == region);
+        replicas.count()
     };
     let mut disks: Vec<&Member> = alive
         .iter()
@@ -51,7 +51,7 @@
         .collect()
 }
 
-/// Where a member runs.
+/// Returns the location of a member.
 pub(super) fn place(member: &Member) -> Place<'_> {
     Place {
         node: &member.node,
@@ -60,7 +60,7 @@
     }
 }
 
-/// Region and zone of a replica.
+/// Returns the region and zone of a replica; empty if its node is not alive.
 fn place_of<'a>(member: &ReplicaMember, alive: &'a [Member]) -> (&'a str, &'a str) {
     let known = alive.iter().find(|known| known.node == member.node);
     known.map_or(("", ""), |known| {
--- a/crates/journal/src/untended.rs
+++ b/crates/journal/src/untended.rs
@@ -1,4 +1,4 @@
-//! The replica's watch over its open logs: tells the right member about those that nobody tends.
+//! Monitoring of a replica's open logs: notifies a successor of logs whose owner is silent.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Weak};
@@ -11,16 +11,16 @@
 use super::calls::ReplicaCalls;
 use super::hooks::HookSlot;
 
-/// Logs in one notice at most.
+/// Maximum number of logs in one notice.
 const LOGS_PER_NOTICE: usize = 256;
 
-/// Looks per owner timeout.
-const LOOKS_PER_TIMEOUT: u32 = 4;
+/// Number of checks per owner timeout.
+const CHECKS_PER_TIMEOUT: u32 = 4;
 
-/// Between sweeps of what is over its retention.
+/// Time between removals of logs whose retention has passed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(60);
 
-/// What the watch needs.
+/// Finds orphaned logs and removes logs whose retention has passed.
 pub(crate) struct UntendedWatch {
     pub node: String,
     pub calls: Arc<ReplicaCalls>,
@@ -29,18 +29,18 @@
     pub tended_prefix: &'static str,
 }
 
-/// Looks for untended logs, jittered, until the journal is dropped.
+/// Checks for orphaned logs several times per `owner_timeout`, with jitter, until the journal is dropped.
 pub(crate) async fn run(watch: Weak<UntendedWatch>, owner_timeout: Duration) {
     loop {
-        tokio::time::sleep(crate::jitter::jittered(owner_timeout / LOOKS_PER_TIMEOUT)).await;
+        tokio::time::sleep(crate::jitter::jittered(owner_timeout / CHECKS_PER_TIMEOUT)).await;
         let Some(watch) = watch.upgrade() else {
             return;
         };
-        watch.look().await;
+        watch.check().await;
     }
 }
 
-/// Drops what is over its retention, jittered, until the journal is dropped.
+/// Periodically removes logs whose retention has passed, with jitter, until the journal is dropped.
 pub(crate) async fn run_sweeps(watch: Weak<UntendedWatch>) {
     loop {
         tokio::time::sleep(crate::jitter::jittered(SWEEP_INTERVAL)).await;
@@ -52,18 +52,18 @@
 }
 
 impl UntendedWatch {
-    async fn look(&self) {
+    async fn check(&self) {
         let service = &self.calls.service;
         let peers = &self.calls.peers;
         let is_gone = |process| peers.is_gone(process);
         let untended = service.untended(self.tended_prefix, self.owner_timeout, is_gone);
-        let notices = self.by_successor(untended).into_iter();
+        let notices = self.group_by_successor(untended).into_iter();
         let sends = notices.map(|(successor, logs)| self.notify(successor, logs));
         futures_util::future::join_all(sends).await;
     }
 
-    /// Groups the logs by the member that rendezvous hashing names for each.
-    fn by_successor(&self, logs: Vec<String>) -> BTreeMap<String, Vec<String>> {
+    /// Groups the logs by successor, which rendezvous hashing selects.
+    fn group_by_successor(&self, logs: Vec<String>) -> BTreeMap<String, Vec<String>> {
         let takers = self.calls.peers.takers();
         let mut notices = BTreeMap::<String, Vec<String>>::new();
         for log in logs {
--- a/crates/journal/src/writer.rs
+++ b/crates/journal/src/writer.rs
@@ -1,4 +1,4 @@
-//! A writer's handle on one log.
+//! Writer of one log.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, MutexGuard, Weak};
@@ -15,23 +15,22 @@
 use tokio::sync::watch;
 
 use super::JournalError;
-use super::calls::{ReplicaCalls, ReplicaFailure, describe, transfer_timeout};
+use super::calls::{ReplicaCalls, ReplicaFailure, describe_failure, transfer_timeout};
 use super::registry::OwnedLogs;
 
-/// Tries at one replica before its task ends; the next append starts another.
-const ATTEMPTS: u32 = 3;
+/// Number of failed writes to one replica after which its task ends; the next append starts a new task.
+const MAX_FAILURES: u32 = 3;
 
-/// Pause before another try in milliseconds, jittered.
+/// Range of the random pause before a retry, in milliseconds.
 const RETRY_PAUSE_MS: std::ops::Range<u64> = 20..60;
 
-/// The right to append to one log until a higher epoch fences it.
+/// Writer that may append to one log until a higher epoch fences it.
 ///
-/// One task per replica sends what that replica lacks, so a slow one holds nobody up and is brought up to date by
-/// the same means as one that answers `NEEDS_INSTALL`.
+/// One task per replica sends the entries that this replica lacks, so that a slow replica does not delay the others.
 pub struct LogWriter {
     shared: Arc<WriterShared>,
     owned: Arc<OwnedLogs>,
-    /// Entries of an append that ended without a quorum, and whether it closes the log.
+    /// Entries of an append whose outcome is unknown, and whether it closes the log.
     unresolved: Option<(Vec<LogEntry>, bool)>,
 }
 
@@ -45,7 +44,7 @@
     }
 }
 
-/// What the writer shares with its tasks and the heartbeat.
+/// State that the writer shares with its tasks and the heartbeat.
 pub(crate) struct WriterShared {
     pub log: String,
     pub epoch: WriterEpoch,
@@ -57,15 +56,15 @@
 
 pub(super) struct Progress {
     pub(super) state: LogWriterState,
-    /// Replicas that a task is writing to.
+    /// Replicas to which a task is writing.
     sending: BTreeSet<ReplicaId>,
     last_failure: String,
-    /// A replica knows a newer set than the one that this writer took the log under.
+    /// True if a replica knows a newer set than the one under which this writer took the log over.
     is_set_stale: bool,
 }
 
 impl LogWriter {
-    /// Installs the log that sealing found; the writer exists once a quorum holds it.
+    /// Installs the sealed log; returns the writer once a quorum holds the log.
     pub(crate) async fn install(
         state: LogWriterState,
         set: &ReplicaSet,
@@ -80,7 +79,7 @@
             progress: Mutex::new(Progress {
                 state,
                 sending: BTreeSet::new(),
-                last_failure: "no answer in time".to_owned(),
+                last_failure: "no response before the timeout".to_owned(),
                 is_set_stale: false,
             }),
             changed: watch::Sender::new(()),
@@ -94,33 +93,32 @@
         })
     }
 
-    /// The whole log; right after the take-over these are the entries that were found.
+    /// Returns all entries of the log; directly after the take-over, the entries that were found.
     pub fn entries(&self) -> Vec<LogEntry> {
         self.shared.lock().state.entries().to_vec()
     }
 
-    /// Name of the log.
+    /// Returns the name of the log.
     pub fn log(&self) -> &str {
         &self.shared.log
     }
 
-    /// The writer's epoch.
+    /// Returns the writer's epoch.
     pub fn epoch(&self) -> WriterEpoch {
         self.shared.epoch
     }
 
-    /// Appends entries; `Ok` only once a majority holds them. `closes` marks the log finished.
+    /// Appends entries; returns `Ok` once a majority holds them. `closes` marks the log as finished.
     ///
     /// # Errors
     ///
-    /// - `Fenced`: another writer has the log. Forget it; entries of appends that did not return `Ok` may or may
-    ///   not be in it.
-    /// - `NoQuorum`: the entries may be stored at some replicas. They keep their place in the log: either call
-    ///   `append` again with the same arguments (or [`LogWriter::retry`]) until it returns `Ok`, or drop the writer,
-    ///   after which the next one to take over finds them or not.
-    /// - `StaleReplicaSet`: as for `NoQuorum`, but trying again is of no use: take the log over again. What this
-    ///   append left behind is found then or not.
-    /// - `Unresolved`: other entries were passed while an append is still unresolved; nothing was done.
+    /// - `Fenced`: another writer has taken the log over. Drop this writer; entries of appends that did not return
+    ///   `Ok` may or may not be in the log.
+    /// - `NoQuorum`: the entries may be stored at some replicas and keep their position in the log. Either call
+    ///   `append` again with the same arguments (or [`LogWriter::retry`]) until it returns `Ok`, or drop the writer;
+    ///   the next writer may or may not find the entries.
+    /// - `StaleReplicaSet`: like `NoQuorum`, but a retry cannot succeed. Take the log over again.
+    /// - `Unresolved`: the outcome of an earlier append with other arguments is unknown; nothing was done.
     pub async fn append(
         &mut self,
         entries: Vec<LogEntry>,
@@ -139,11 +137,11 @@
         self.retry().await
     }
 
-    /// Tries again to store what an append without a quorum left behind; `Ok` at once if there is nothing.
+    /// Retries an append that ended with `NoQuorum`; returns `Ok` immediately if there is none.
     ///
     /// # Errors
     ///
-    /// As for [`LogWriter::append`].
+    /// Same as for [`LogWriter::append`].
     pub async fn retry(&mut self) -> Result<(), JournalError> {
         if self.unresolved.is_some() {
             self.shared.replicate().await?;
@@ -152,12 +150,12 @@
         Ok(())
     }
 
-    /// Checks without writing that no other writer has taken the log: whatever was decided on the entries before
-    /// this returned `Ok` was decided by the log's only writer.
+    /// Checks, without writing, that no other writer had taken the log over when this call started. On `Ok`, earlier
+    /// decisions based on the entries are valid.
     ///
     /// # Errors
     ///
-    /// `Fenced` and `StaleReplicaSet` as for [`LogWriter::append`]; `NoQuorum`: nothing is known.
+    /// `Fenced` and `StaleReplicaSet` as for [`LogWriter::append`]; `NoQuorum` if too few replicas responded.
     pub async fn confirm(&self) -> Result<(), JournalError> {
         self.shared.confirm().await
     }
@@ -170,8 +168,7 @@
 }
 
 impl WriterShared {
-    /// Notes a replica that said in its heartbeat answer that a higher epoch has the log. Returns whether that
-    /// leaves no quorum.
+    /// Records that `replica` reported a higher epoch for the log. Returns whether a quorum has become impossible.
     pub fn on_fenced(&self, replica: ReplicaId) -> bool {
         let mut progress = self.lock();
         progress.state.on_fenced(replica);
@@ -181,8 +178,8 @@
         is_fenced
     }
 
-    /// Sends to every replica what it lacks; returns as soon as a quorum holds everything or none is left, and
-    /// after the time of one journal round at the latest.
+    /// Sends to each replica the entries that it lacks. Returns when a quorum holds all entries, a quorum has become
+    /// impossible, or the timeout of the round expires.
     async fn replicate(self: &Arc<Self>) -> Result<(), JournalError> {
         let started = Instant::now();
         let changed = self.changed.subscribe();
@@ -190,14 +187,14 @@
         for member in quorum::members(&self.set) {
             self.start_task(member);
         }
-        let decided = tokio::time::timeout(timeout, self.decided(changed)).await;
-        let result = decided
+        let waited = tokio::time::timeout(timeout, self.wait_for_result(changed)).await;
+        let result = waited
             .unwrap_or_else(|_| Err(JournalError::NoQuorum(self.lock().last_failure.clone())));
-        self.calls.metrics.note_round(&result, started.elapsed());
+        self.calls.metrics.record_round(&result, started.elapsed());
         result
     }
 
-    /// Time for all replicas to be sent what they lack.
+    /// Returns the timeout of a round in which all replicas are sent the entries that they lack.
     fn round_timeout(&self) -> Duration {
         let progress = self.lock();
         let replicas = quorum::members(&self.set).into_iter();
@@ -206,18 +203,19 @@
         transfer_timeout(self.calls.timeout, bytes)
     }
 
-    async fn decided(&self, mut changed: watch::Receiver<()>) -> Result<(), JournalError> {
+    async fn wait_for_result(&self, mut changed: watch::Receiver<()>) -> Result<(), JournalError> {
         loop {
             changed.mark_unchanged();
             if let Some(result) = self.result() {
                 return result;
             }
             if changed.changed().await.is_err() {
-                return Err(JournalError::NoQuorum("writer is gone".to_owned()));
+                return Err(JournalError::NoQuorum("the writer was dropped".to_owned()));
             }
         }
     }
 
+    /// Returns the result of the current append, or `None` while it is undecided.
     fn result(&self) -> Option<Result<(), JournalError>> {
         let progress = self.lock();
         if progress.state.is_committed() {
@@ -240,14 +238,14 @@
         }
     }
 
-    /// Sends to one replica until it holds everything, refuses for good, or has failed several times.
+    /// Sends entries to one replica until it holds all of them, rejects the writer, or has failed [`MAX_FAILURES`] times.
     async fn write_to(self: Arc<Self>, member: ReplicaMember) {
         let mut failures = 0;
-        while let Some(write) = self.next_write(&member, failures < ATTEMPTS) {
+        while let Some(write) = self.next_write(&member, failures < MAX_FAILURES) {
             let request = request_of(&write);
             let timeout = transfer_timeout(self.calls.timeout, payload_bytes(&write));
             let result = self.calls.call_within(&member, request, timeout).await;
-            if !self.record(&member, &write, result) {
+            if !self.record_result(&member, &write, result) {
                 failures += 1;
                 let pause = rand::random_range(RETRY_PAUSE_MS);
                 tokio::time::sleep(Duration::from_millis(pause)).await;
@@ -255,11 +253,12 @@
         }
     }
 
-    /// Ends the task in the same step as finding nothing to do, so that no append is missed in between.
-    fn next_write(&self, member: &ReplicaMember, goes_on: bool) -> Option<ReplicaWrite> {
+    /// Returns the next write for the replica. If there is none, marks the task as ended under the same lock, so that
+    /// a concurrent append starts a new task.
+    fn next_write(&self, member: &ReplicaMember, may_retry: bool) -> Option<ReplicaWrite> {
         let mut progress = self.lock();
         let write = progress.state.next_write(member.replica_id);
-        let write = write.filter(|_| goes_on);
+        let write = write.filter(|_| may_retry);
         if write.is_none() {
             progress.sending.remove(&member.replica_id);
             drop(progress);
@@ -268,8 +267,8 @@
         write
     }
 
-    /// Returns whether the replica made progress or refused for good.
-    fn record(
+    /// Records the result of a write. Returns whether the replica made progress or rejected this writer permanently.
+    fn record_result(
         &self,
         member: &ReplicaMember,
         write: &ReplicaWrite,
@@ -280,18 +279,19 @@
             Ok(ResponseKind::write(reply)) => {
                 progress.state.on_reply(member.replica_id, write, &reply);
                 if reply.replica_id != member.replica_id {
-                    progress.last_failure = format!("{} has another disk", member.node);
+                    progress.last_failure =
+                        format!("{}: the node's disk was replaced", member.node);
                 }
                 let is_final = matches!(reply.outcome, Outcome::STORED | Outcome::FENCED);
                 is_final && reply.replica_id == member.replica_id
             }
             Ok(_) => {
-                progress.last_failure = format!("{}: not an answer to a write", member.node);
+                progress.last_failure = format!("{}: unexpected response kind", member.node);
                 false
             }
             Err(failure) => {
-                progress.last_failure = describe(member, &failure);
-                if failure == ReplicaFailure::NotUnderstood {
+                progress.last_failure = describe_failure(member, &failure);
+                if failure == ReplicaFailure::UnknownRequest {
                     progress.state.on_whole_log_needed(member.replica_id);
                 }
                 let is_stale = failure == ReplicaFailure::StaleReplicaSet;
@@ -313,7 +313,7 @@
     }
 }
 
-/// A writer that may be gone.
+/// Reference to a writer that may have been dropped.
 pub(crate) type WeakWriter = Weak<WriterShared>;
 
 fn payload_bytes(write: &ReplicaWrite) -> usize {
--- a/crates/journal/tests/zones.rs
+++ b/crates/journal/tests/zones.rs
@@ -1,8 +1,8 @@
-//! Replicas are spread over zones.
+//! Tests of the placement of replicas over regions and zones.
 
 use std::collections::BTreeMap;
 
-use ladderstage_journal::replica_set::zones::{by_need, spread};
+use ladderstage_journal::replica_set::zones::{select_spread, spares_by_need};
 use ladderstage_wire::messages::{Member, ReplicaMember};
 
 fn member(zone: &str, number: u64, id: u64) -> Member {
@@ -14,7 +14,7 @@
     }
 }
 
-/// `sizes` disks a zone.
+/// Returns members with the given number of disks in each zone.
 fn fleet(sizes: &[(&str, u64)]) -> Vec<Member> {
     let zones = sizes.iter().enumerate();
     zones
@@ -42,19 +42,19 @@
 }
 
 #[test]
-fn the_first_replicas_lie_in_all_zones() {
+fn initial_replicas_are_spread_over_all_zones() {
     let fleet = fleet(&[("a", 5), ("b", 4), ("c", 4)]);
-    let chosen = spread(disks(&fleet), &fleet, 5).unwrap();
+    let chosen = select_spread(disks(&fleet), &fleet, 5).unwrap();
     let count = by_zone(&chosen, &fleet);
     assert_eq!(count.len(), 3, "{count:?}");
     assert!(count.values().all(|count| *count <= 2), "{count:?}");
-    assert_eq!(spread(disks(&fleet[..2]), &fleet, 3), None);
+    assert_eq!(select_spread(disks(&fleet[..2]), &fleet, 3), None);
 }
 
 #[test]
-fn zones_with_few_disks_are_filled_up_from_others() {
+fn a_zone_with_too_few_disks_does_not_reduce_the_number_of_replicas() {
     let fleet = fleet(&[("a", 4), ("b", 1)]);
-    let chosen = spread(disks(&fleet), &fleet, 5).unwrap();
+    let chosen = select_spread(disks(&fleet), &fleet, 5).unwrap();
     assert_eq!(chosen.len(), 5);
 }
 
@@ -62,7 +62,7 @@
 fn spares_in_the_zones_with_the_fewest_replicas_come_first() {
     let fleet = fleet(&[("a", 3), ("b", 3), ("c", 3)]);
     let present: Vec<&Member> = [0, 1, 3].map(|index| &fleet[index]).to_vec();
-    let ordered = by_need(&fleet, &present);
+    let ordered = spares_by_need(&fleet, &present);
     let zones: Vec<&str> = ordered
         .iter()
         .map(|disk| disk.node.split('-').nth(1).unwrap())
@@ -70,7 +70,7 @@
     assert_eq!(zones, ["c", "c", "c", "b", "b", "b", "a", "a", "a"]);
 }
 
-/// `sizes` disks a zone; the region is what precedes the dash of the zone.
+/// Like [`fleet`]; the part of a zone's name before the dash is its region.
 fn fleet_in_regions(sizes: &[(&str, u64)]) -> Vec<Member> {
     let mut fleet = fleet(sizes);
     for member in &mut fleet {
@@ -89,11 +89,11 @@
     count
 }
 
-/// Zone by zone, a region with many zones would get a majority, and its loss would be that of the set.
+/// Guards against balancing by zone only: a region with many zones would get a majority of the replicas.
 #[test]
-fn no_region_gets_a_majority_while_there_are_three() {
+fn with_three_regions_no_region_gets_a_majority() {
     let fleet = fleet_in_regions(&[("a-1", 1), ("a-2", 1), ("a-3", 1), ("b-1", 3), ("c-1", 3)]);
-    let chosen = spread(disks(&fleet), &fleet, 5).unwrap();
+    let chosen = select_spread(disks(&fleet), &fleet, 5).unwrap();
     let count = by_region(&chosen, &fleet);
     assert_eq!(count.len(), 3, "{count:?}");
     assert!(count.values().all(|count| *count <= 2), "{count:?}");
@@ -103,7 +103,7 @@
 fn spares_in_the_regions_with_the_fewest_replicas_come_first() {
     let fleet = fleet_in_regions(&[("a-1", 2), ("a-2", 1), ("b-1", 2)]);
     let present: Vec<&Member> = [0, 1, 3].map(|index| &fleet[index]).to_vec();
-    let ordered = by_need(&fleet, &present);
+    let ordered = spares_by_need(&fleet, &present);
     let nodes: Vec<&str> = ordered.iter().map(|disk| disk.node.as_str()).collect();
     assert_eq!(
         nodes,
