--- a/crates/storage/src/batch.rs
+++ b/crates/storage/src/batch.rs
@@ -1,4 +1,4 @@
-//! One transaction of the commit thread: many requests over the same tables.
+//! One transaction of the commit thread, which applies many requests to the same tables.
 
 use std::collections::BTreeMap;
 
@@ -17,20 +17,22 @@
 use crate::store::StoredBundle;
 use crate::tables::{ENTRIES, LOGS, LogRow, META, keys};
 
-/// Outer error: the disk failed and the whole batch with it. Inner error: this request is refused.
+/// Result of one request in a batch. Outer error: the disk failed, and with it the complete batch. Inner error: only
+/// this request is refused.
 pub(crate) type Applied<T> = Result<Result<T, StorageError>, redb::Error>;
 
-/// Changes to the in-memory content that take effect with the commit.
+/// Changes to the in-memory content that are published after the commit.
 #[derive(Debug, Default)]
 pub(crate) struct Staged {
-    /// `None`: the log is dropped.
+    /// Changed logs by name; `None` if the log was deleted.
     pub logs: BTreeMap<String, Option<LogRecord>>,
     pub replica_set: Option<ReplicaSet>,
     pub bundle_revision: Option<u64>,
+    /// True if the transaction has anything to commit.
     pub changed: bool,
 }
 
-/// The tables of one transaction and what changed in it so far.
+/// Tables of one transaction with the changes made so far.
 pub(crate) struct Batch<'a> {
     content: &'a Content,
     now_ms: u64,
@@ -56,7 +58,7 @@
         })
     }
 
-    /// Numbers the commit and returns what is to be published after it.
+    /// Records the number of the commit and returns the changes to publish after it.
     pub fn finish(mut self, sequence: u64) -> Result<Staged, redb::Error> {
         if self.staged.changed {
             write_number(&mut self.meta, keys::SEQUENCE, sequence)?;
@@ -108,7 +110,7 @@
         Ok(Ok(decision.write_reply(self.content.replica_id)))
     }
 
-    /// Takes over logs that were copied from other replicas.
+    /// Stores logs copied from other replicas.
     pub fn import(&mut self, version: u64, logs: &[ExportedLog]) -> Applied<()> {
         if let Err(refusal) = self.check_version(version) {
             return Ok(Err(refusal));
@@ -121,7 +123,7 @@
         Ok(Ok(()))
     }
 
-    /// Keeps the bundle if it is newer than the stored one.
+    /// Stores the bundle if it is newer than the stored one.
     pub fn put_bundle(&mut self, bundle: &StoredBundle) -> Applied<()> {
         let staged = self.staged.bundle_revision;
         let stored = staged.unwrap_or(self.content.bundle_revision);
@@ -134,7 +136,7 @@
         Ok(Ok(()))
     }
 
-    /// Keeps the replica set if it is newer than the stored one; older sets are refused from then on.
+    /// Stores the replica set if it is newer than the stored one; requests under older sets are then refused.
     pub fn put_replica_set(&mut self, set: &ReplicaSet) -> Applied<()> {
         let known = self.replica_set().map_or(0, |set| set.version);
         if set.version > known {
@@ -146,7 +148,7 @@
         Ok(Ok(()))
     }
 
-    /// Drops what is over its retention and records the store's clock.
+    /// Retires and deletes the expired logs, and records the store's clock.
     pub fn sweep(&mut self, expired: &Expired) -> Applied<SweepReport> {
         write_number(&mut self.meta, keys::CLOCK_MS, self.now_ms)?;
         self.staged.changed = true;
@@ -154,14 +156,14 @@
         for log in &expired.to_retire {
             report.retired += usize::from(self.retire(log)?);
         }
-        for log in &expired.to_drop {
-            report.dropped += usize::from(self.drop_log(log)?);
+        for log in &expired.to_delete {
+            report.dropped += usize::from(self.delete_log(log)?);
         }
         Ok(Ok(report))
     }
 
-    /// A writer may have changed the log in the same batch; then it stays.
-    fn drop_log(&mut self, log: &str) -> Result<bool, redb::Error> {
+    /// Deletes a log, unless a writer has changed it in the same batch. Returns whether it was deleted.
+    fn delete_log(&mut self, log: &str) -> Result<bool, redb::Error> {
         if self.staged.logs.contains_key(log) {
             return Ok(false);
         }
@@ -171,7 +173,8 @@
         Ok(true)
     }
 
-    /// A writer may have changed the log in the same batch; then it stays.
+    /// Deletes all entries but the first, unless a writer has changed the log in the same batch. Returns whether the log
+    /// was retired.
     fn retire(&mut self, log: &str) -> Result<bool, redb::Error> {
         if self.staged.logs.contains_key(log) {
             return Ok(false);
@@ -183,6 +186,7 @@
         Ok(true)
     }
 
+    /// Checks that a request under replica set version `asked` is accepted.
     fn check_version(&self, asked: u64) -> Result<(), StorageError> {
         let accepted = replica_set::accepts(self.replica_set(), self.content.replica_id, asked);
         accepted.map_err(|refusal| match refusal {
--- a/crates/storage/src/committer.rs
+++ b/crates/storage/src/committer.rs
@@ -1,4 +1,4 @@
-//! The commit thread: takes waiting requests, commits them together, then answers.
+//! The commit thread: commits waiting requests in one transaction, then sends their responses.
 
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex, RwLock};
@@ -17,13 +17,13 @@
 use crate::store::StoredBundle;
 use crate::watermark::Watermark;
 
-/// Most requests in one commit.
+/// Maximum number of requests in one commit.
 const REQUESTS_PER_COMMIT: usize = 256;
 
-/// Where the answer to one request goes. Dropped unanswered when the disk fails.
+/// Sender of the response to one request; dropped without a response if the disk fails.
 pub(crate) type Answer<T> = oneshot::Sender<Result<T, StorageError>>;
 
-/// A request to the commit thread.
+/// Request to the commit thread.
 pub(crate) enum Command {
     Seal(Seal, Answer<SealReply>),
     Install(Install, Answer<WriteReply>),
@@ -34,36 +34,36 @@
     Sweep(Answer<SweepReport>),
 }
 
-/// A request with its share of the queue's bytes, which is given back after the commit.
+/// Queued request with its permit for bytes in the queue, which is released after the commit.
 pub(crate) struct Queued {
     pub command: Command,
     pub permit: OwnedSemaphorePermit,
 }
 
-/// Pause before a folder that failed is opened again.
+/// Pause before a failed folder is reopened.
 const REOPEN_PAUSE: Duration = Duration::from_millis(250);
 
-/// Pause while readers still hold a database that is to be closed.
+/// Interval of the checks whether readers have released a database that is to be closed.
 const CLOSE_PAUSE: Duration = Duration::from_millis(2);
 
-/// What the commit thread shares with the handles.
+/// State shared by the commit thread and the handles.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub content: RwLock<Content>,
-    /// The open database; none between a failure and its mending.
+    /// Open database; `None` from a failure until the folder is reopened.
     pub database: RwLock<Option<Arc<Database>>>,
-    /// Why nothing is stored now.
+    /// Cause of the current failure.
     pub failure: Mutex<Option<String>>,
     pub options: StorageOptions,
 }
 
 impl Shared {
-    /// The error that answers everything after a failure.
+    /// Returns the error for requests during a failure.
     pub fn failed(&self) -> StorageError {
         StorageError::Failed(self.failure().unwrap_or_else(|| "stopped".to_owned()))
     }
 
-    /// Why nothing is stored now; `None` while the disk works.
+    /// Returns the cause of the current failure; `None` while the disk works.
     pub fn failure(&self) -> Option<String> {
         let failure = self.failure.lock();
         failure
@@ -71,7 +71,7 @@
             .clone()
     }
 
-    /// The open database, or the error of the last failure.
+    /// Returns the open database, or the error of the current failure.
     pub fn database(&self) -> Result<Arc<Database>, StorageError> {
         let database = self.database.read();
         let database = database
@@ -92,6 +92,7 @@
     }
 }
 
+/// Sends a response after the commit.
 type PendingAnswer = Box<dyn FnOnce() + Send>;
 
 /// State of the commit thread.
@@ -100,13 +101,13 @@
     pub replica_id: u64,
     pub watermark: Watermark,
     pub shared: Arc<Shared>,
-    /// The store's clock when it was opened, in milliseconds.
+    /// Value of the store's clock when it was opened, in milliseconds.
     pub clock_base_ms: u64,
     pub opened_at: Instant,
 }
 
 impl Committer {
-    /// Runs until all handles are gone. After a failure the folder is opened again until that works.
+    /// Runs until all handles are dropped. After a failure it retries to reopen the folder.
     pub fn run(mut self, mut queue: mpsc::Receiver<Queued>) {
         while let Some(first) = queue.blocking_recv() {
             let mut requests = vec![first];
@@ -118,7 +119,7 @@
             let mut answers = Vec::new();
             if let Err(error) = self.commit(&mut requests, &mut answers) {
                 log::error!("event=storage_failed cause=\"{error}\"");
-                // Known before the callers learn of it, which they do once their requests and answers are dropped.
+                // Must be set before the requests and answers are dropped, as that makes the callers read it.
                 self.shared.set_failure(Some(error.to_string()));
                 drop((requests, answers));
                 if !self.reopen(&mut queue) {
@@ -128,8 +129,8 @@
         }
     }
 
-    /// Closes the database and opens it again once the disk allows it; requests are refused meanwhile. Returns whether the
-    /// folder is in use again; not if all handles are gone or the folder is another one.
+    /// Closes the database and retries to open it; requests are refused meanwhile. Returns whether it was reopened, which
+    /// is false if all handles were dropped or the folder has another replica id.
     fn reopen(&mut self, queue: &mut mpsc::Receiver<Queued>) -> bool {
         if let Some(database) = self.shared.set_database(None) {
             close(database);
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Carries out the requests in one transaction and answers them.
+    /// Applies the requests in one transaction, commits it, and sends the responses.
     fn commit(
         &self,
         requests: &mut std::vec::IntoIter<Queued>,
@@ -249,7 +250,7 @@
     }
 }
 
-/// Waits until no reader holds the database, and closes it.
+/// Closes the database after all readers have released it.
 fn close(database: Arc<Database>) {
     let mut database = database;
     loop {
@@ -270,6 +271,6 @@
     applied: Applied<T>,
 ) -> Result<PendingAnswer, redb::Error> {
     let result = applied?;
-    // A caller that stopped waiting needs no answer.
+    // The send fails if the caller has stopped waiting.
     Ok(Box::new(move || drop(answer.send(result))))
 }
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -1,74 +1,73 @@
-//! Errors of the store.
+//! Error types of the storage.
 
 use std::path::PathBuf;
 
-/// Why a data folder cannot be opened. Each names the file and the cause; none is answered by starting empty.
+/// Error of opening a data folder. A folder that cannot be opened is never replaced by an empty one.
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
-    /// The operating system refused.
+    /// The operating system returned an error.
     #[error("{}: {source}", path.display())]
     Io {
         /// File or folder.
         path: PathBuf,
-        /// What the operating system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// Another process has the file open.
     #[error("{}: in use by another process", path.display())]
     InUse {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
     },
-    /// The file's content is not what was written.
+    /// The file is corrupted.
     #[error("{}: damaged: {cause}", path.display())]
     Damaged {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What was found.
+        /// Description of the corruption.
         cause: String,
     },
-    /// A file is gone although its companion is there.
-    #[error("{}: missing, though {} is there", path.display(), companion.display())]
+    /// A file is missing although its companion file exists.
+    #[error("{}: missing, although {} exists", path.display(), companion.display())]
     Missing {
-        /// The missing file.
+        /// Path of the missing file.
         path: PathBuf,
-        /// The file that shows that it existed.
+        /// Path of the companion file.
         companion: PathBuf,
     },
-    /// Commits that were already answered are gone.
-    #[error("{}: holds commits up to {found}, but {answered} were answered", path.display())]
+    /// The file lacks commits that were already acknowledged.
+    #[error("{}: holds commits up to {found}, but commits up to {acknowledged} were acknowledged", path.display())]
     LostCommits {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Number of the last commit that was answered.
-        answered: u64,
-        /// Number of the last commit found.
+        /// Number of the last acknowledged commit.
+        acknowledged: u64,
+        /// Number of the last commit in the file.
         found: u64,
     },
 }
 
-/// Why a request was not carried out.
+/// Error of a request to the storage.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum StorageError {
-    /// The disk failed; nothing more is stored until the process restarts. Whether the request took effect
-    /// is unknown.
+    /// The disk failed. Requests fail until the folder could be reopened; the outcome of this one is unknown.
     #[error("storage failed: {0}")]
     Failed(String),
-    /// No replica set is known here yet.
+    /// No replica set is stored yet.
     #[error("no replica set is known here yet")]
     NoReplicaSet,
-    /// The replica set known here does not name this replica.
+    /// This replica is not a member of the stored replica set.
     #[error("this replica is not in replica set {version}")]
     NotAReplica {
-        /// Version known here.
+        /// Stored version.
         version: u64,
     },
-    /// The request comes from an older replica set.
+    /// The request names an older replica set than the stored one.
     #[error("replica set {asked} is older than {known}")]
     StaleReplicaSet {
         /// Version in the request.
         asked: u64,
-        /// Version known here.
+        /// Stored version.
         known: u64,
     },
 }
--- a/crates/storage/src/export.rs
+++ b/crates/storage/src/export.rs
@@ -1,4 +1,4 @@
-//! Reading whole logs for readers and for new replicas.
+//! Reads complete logs, for readers and for new replicas.
 
 use ladderstage_wire::messages::{ExportLogsReply, ExportedLog, LogEntry};
 use redb::{Database, ReadableDatabase};
@@ -7,15 +7,15 @@
 use crate::records::LogRecord;
 use crate::tables::{ENTRIES, LOGS};
 
-/// Entries' bytes after which an export answer ends.
+/// Size of the entries in bytes at which a page of an export ends.
 const EXPORT_BYTES: usize = 4 * 1024 * 1024;
 
-/// Bytes of all payloads.
+/// Returns the total size of the payloads, in bytes.
 pub(crate) fn payload_bytes(entries: &[LogEntry]) -> usize {
     entries.iter().map(|entry| entry.payload.len()).sum()
 }
 
-/// A log as of the transaction; `None` if it is not known.
+/// Reads a log; `None` if it does not exist.
 pub(crate) fn export(
     transaction: &redb::ReadTransaction,
     log: &str,
@@ -38,7 +38,7 @@
     }))
 }
 
-/// Logs whose names follow `after`, up to `limit` of them or [`EXPORT_BYTES`].
+/// Reads the logs whose names follow `after`, up to `limit` logs or [`EXPORT_BYTES`].
 pub(crate) fn export_page(
     database: &Database,
     after: &str,
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,8 +1,8 @@
-//! The disk of a journal replica: one redb file in the data folder.
+//! Storage of a journal replica: one redb database in the data folder.
 //!
-//! Answers leave only after a durable commit; a dedicated thread joins many requests into one. Entries stay on
-//! disk, memory holds the state of each log only. [`Storage::open`] refuses a folder that lost commits which were
-//! already answered, so that a replica never answers under its old id with less than it promised.
+//! A response is sent only after a durable commit; a dedicated thread commits many requests together. Only the state of
+//! each log is kept in memory, the entries are on disk. [`Storage::open`] refuses a folder that has lost acknowledged
+//! commits, so that a replica never breaks its promises under its old id.
 
 mod batch;
 mod committer;
--- a/crates/storage/src/open.rs
+++ b/crates/storage/src/open.rs
@@ -1,4 +1,4 @@
-//! Making and opening a data folder.
+//! Creates and opens data folders.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -20,54 +20,54 @@
 const NEW_DATABASE_FILE: &str = "journal.redb.new";
 const WATERMARK_FILE: &str = "journal.commits";
 
-/// Limits of a store.
+/// Limits and retention rules of a store. Retention times count only while the store is open.
 #[derive(Debug, Clone)]
 pub struct StorageOptions {
-    /// Memory in bytes for the database's page cache.
+    /// Size of the database's page cache in bytes.
     pub cache_bytes: usize,
-    /// Most requests that wait for the commit thread.
+    /// Maximum number of requests that wait for the commit thread.
     pub queue_length: usize,
-    /// Most bytes of entries in waiting requests.
+    /// Maximum size of the entries in waiting requests, in bytes.
     pub queue_bytes: usize,
-    /// How long a closed log keeps its entries, counted while the store is open.
+    /// Time after its last change at which a closed log loses all entries but the first.
     pub closed_retention: Duration,
-    /// How long a claim is kept after its last change, counted while the store is open.
+    /// Time after its last change at which a claim is deleted.
     pub claim_retention: Duration,
-    /// Closed logs that are dropped whole, before the rule for other closed logs.
+    /// Rules for closed logs that are deleted; they take precedence over `closed_retention`.
     pub dropped_when_closed: Vec<DropRule>,
-    /// Failures that tests ask for.
+    /// Failures injected by tests.
     pub faults: StorageFaults,
 }
 
-/// Which closed logs are dropped, and when.
+/// Rule by which closed logs are deleted.
 #[derive(Debug, Clone)]
 pub struct DropRule {
-    /// Start of the logs' names.
+    /// Prefix of the logs' names.
     pub prefix: String,
-    /// How long they are kept after their last change, counted while the store is open.
+    /// Time after its last change at which a closed log is deleted.
     pub after: Duration,
 }
 
-/// Makes commits fail as a disk that refuses writes does. Cheap to clone; clones share the count.
+/// Fault injection for tests: makes commits fail like writes to a failed disk. Cheap to clone; clones share the count.
 #[derive(Debug, Clone, Default)]
 pub struct StorageFaults {
     commits: Arc<AtomicU32>,
 }
 
 impl StorageFaults {
-    /// The next `count` commits fail.
+    /// Makes the next `count` commits fail.
     pub fn fail_commits(&self, count: u32) {
         self.commits.store(count, Ordering::Relaxed);
     }
 
-    /// Fails if a failure was asked for.
+    /// Returns an error if a failure is pending, and counts it.
     pub(crate) fn check(&self) -> Result<(), redb::Error> {
-        let take = |count: u32| count.checked_sub(1);
+        let decrement = |count: u32| count.checked_sub(1);
         match self
             .commits
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, take)
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, decrement)
         {
-            Ok(_) => Err(redb::Error::Io(std::io::Error::other("asked to fail"))),
+            Ok(_) => Err(redb::Error::Io(std::io::Error::other("injected failure"))),
             Err(_) => Ok(()),
         }
     }
@@ -87,26 +87,28 @@
     }
 }
 
-/// A checked data folder.
+/// Opened and checked data folder.
 pub(crate) struct OpenedFolder {
     pub database: Database,
     pub watermark: Watermark,
     pub content: Content,
 }
 
-/// What is kept in memory of a data folder.
+/// Part of a data folder's content that is kept in memory.
 #[derive(Debug, Default)]
 pub(crate) struct Content {
     pub replica_id: u64,
+    /// Number of the last commit.
     pub sequence: u64,
+    /// Value of the store's clock at the last sweep, in milliseconds.
     pub clock_ms: u64,
     pub replica_set: Option<ReplicaSet>,
-    /// Revision of the stored bundle; 0: none.
+    /// Revision of the stored bundle; 0 if there is none.
     pub bundle_revision: u64,
     pub logs: BTreeMap<String, LogRecord>,
 }
 
-/// Opens the folder; one that holds no journal yet gets a new one with a random replica id.
+/// Opens the folder. If it contains no journal yet, creates one with a random replica id.
 pub(crate) fn open_folder(
     folder: &Path,
     options: &StorageOptions,
@@ -115,7 +117,7 @@
     let database_path = folder.join(DATABASE_FILE);
     let watermark_path = folder.join(WATERMARK_FILE);
     if !exists(&database_path)? {
-        refuse_if_database_was_lost(&database_path, &watermark_path)?;
+        check_database_was_not_lost(&database_path, &watermark_path)?;
         create(folder, options)?;
     }
     if !exists(&watermark_path)? {
@@ -126,9 +128,9 @@
     }
     let (watermark, mark) =
         Watermark::open(&watermark_path).map_err(|source| io_error(&watermark_path, source))?;
-    let mark = mark.ok_or_else(|| damaged(&watermark_path, "no whole record"))?;
+    let mark = mark.ok_or_else(|| damaged(&watermark_path, "no intact slot"))?;
     let (database, content) = open_database(&database_path, options)?;
-    compare(&database_path, &content, mark)?;
+    check_content(&database_path, &content, mark)?;
     Ok(OpenedFolder {
         database,
         watermark,
@@ -136,8 +138,9 @@
     })
 }
 
-/// A watermark at commit 0 without a database is left by a stop while the folder was being made.
-fn refuse_if_database_was_lost(database: &Path, watermark: &Path) -> Result<(), OpenError> {
+/// Returns an error if the watermark shows that a missing database existed. A watermark at commit 0 without a database
+/// remains if the process stops while it creates the folder.
+fn check_database_was_not_lost(database: &Path, watermark: &Path) -> Result<(), OpenError> {
     if !exists(watermark)? {
         return Ok(());
     }
@@ -151,7 +154,7 @@
     }
 }
 
-/// The database gets its name last, so a folder with one is complete.
+/// Creates the files. The database is renamed to its final name last, so that a folder with a database is complete.
 fn create(folder: &Path, options: &StorageOptions) -> Result<(), OpenError> {
     let new_path = folder.join(NEW_DATABASE_FILE);
     if exists(&new_path)? {
@@ -193,17 +196,18 @@
     Ok(())
 }
 
-/// Damaged pages can make the database library panic; that is reported like its errors.
+/// Opens the database and checks its integrity. Damaged pages can make the database library panic; such a panic is
+/// returned as an error.
 fn open_database(path: &Path, options: &StorageOptions) -> Result<(Database, Content), OpenError> {
     let started = Instant::now();
     let opened = catch_unwind(AssertUnwindSafe(|| {
-        // A file that was not closed is repaired as it is opened, which reads all of it and compares all checksums. Doing that a second
-        // time would double the time from a loss of power to service, about a second on a weak machine after half a minute of work.
+        // A file that was not closed is repaired while it is opened, which verifies all checksums. The integrity check
+        // would do that a second time and double the time of a restart after a power loss.
         let is_repaired = Arc::new(AtomicBool::new(false));
-        let noted = Arc::clone(&is_repaired);
+        let repaired = Arc::clone(&is_repaired);
         let mut database = Database::builder()
             .set_cache_size(options.cache_bytes)
-            .set_repair_callback(move |_| noted.store(true, Ordering::Relaxed))
+            .set_repair_callback(move |_| repaired.store(true, Ordering::Relaxed))
             .open(path)?;
         let is_checked = is_repaired.load(Ordering::Relaxed);
         if !is_checked && !database.check_integrity()? {
@@ -224,7 +228,7 @@
             path: path.to_owned(),
         }),
         Ok(Err(error)) => Err(damaged(path, error)),
-        Err(_) => Err(damaged(path, "the database library gave up on its content")),
+        Err(_) => Err(damaged(path, "the database library panicked")),
     }
 }
 
@@ -253,7 +257,8 @@
     Ok(content)
 }
 
-fn compare(path: &Path, content: &Content, mark: Mark) -> Result<(), OpenError> {
+/// Checks the database against the watermark: same replica id, and no acknowledged commit is missing.
+fn check_content(path: &Path, content: &Content, mark: Mark) -> Result<(), OpenError> {
     if content.replica_id == 0 || content.replica_id != mark.replica_id {
         let cause = format!(
             "replica id {} does not match the watermark's {}",
@@ -264,7 +269,7 @@
     if content.sequence < mark.sequence {
         return Err(OpenError::LostCommits {
             path: path.to_owned(),
-            answered: mark.sequence,
+            acknowledged: mark.sequence,
             found: content.sequence,
         });
     }
--- a/crates/storage/src/records.rs
+++ b/crates/storage/src/records.rs
@@ -1,4 +1,4 @@
-//! Conversion between table rows and what they mean.
+//! Conversion between table rows and records.
 
 use ladderstage::journal::WriterEpoch;
 use ladderstage::journal::replica::LogState;
@@ -9,11 +9,11 @@
 const CLOSED: u8 = 1;
 const RETIRED: u8 = 2;
 
-/// A log's state with the time of its last change.
+/// State of a log with the time of its last change.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct LogRecord {
     pub state: LogState,
-    /// Milliseconds on the store's clock, which counts only while the store is open.
+    /// Time of the last change in milliseconds on the store's clock, which runs only while the store is open.
     pub changed_at_ms: u64,
 }
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// Reads a number from the meta table; `None` if it is absent or not 8 bytes long.
+/// Reads a number from the meta table; `None` if it is missing or not 8 bytes long.
 pub(crate) fn read_number<T>(table: &T, key: &str) -> Result<Option<u64>, redb::StorageError>
 where
     T: ReadableTable<&'static str, &'static [u8]>,
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -1,4 +1,4 @@
-//! The handle through which a daemon uses its data folder.
+//! The handle of an open data folder.
 
 use std::ops::Bound;
 use std::path::Path;
@@ -24,19 +24,19 @@
 use crate::tables::{META, keys};
 use crate::{OpenError, StorageError};
 
-/// Bytes that one permit of the queue stands for.
+/// Number of queued bytes for which one permit is acquired.
 const BYTES_PER_PERMIT: usize = 1024;
 
-/// The newest bundle as it was stored.
+/// Stored bundle.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredBundle {
-    /// Revision that it names.
+    /// Revision of the bundle.
     pub revision: u64,
-    /// Bytes as given to [`Storage::put_bundle`].
+    /// Bytes as passed to [`Storage::put_bundle`].
     pub bytes: Vec<u8>,
 }
 
-/// A replica's data folder. Cheap to clone; closed when the last handle is dropped.
+/// Handle of a replica's data folder. Cheap to clone; the folder is closed when the last handle is dropped.
 #[derive(Clone)]
 pub struct Storage {
     inner: Arc<Inner>,
@@ -60,18 +60,18 @@
     fn drop(&mut self) {
         self.queue = None;
         if let Some(thread) = self.thread.take() {
-            // A panic of the thread was already seen by its callers.
+            // After a panic of the thread all requests failed, so it needs no further report.
             let _ = thread.join();
         }
     }
 }
 
 impl Storage {
-    /// Opens `folder` and checks it; makes it if it does not exist or is empty. Blocks.
+    /// Opens and checks `folder`; creates it if it does not exist or is empty. Blocks the thread.
     ///
     /// # Errors
     ///
-    /// Names the file and the cause when the folder cannot be used or has lost answered commits.
+    /// If the folder cannot be opened, is damaged, or has lost acknowledged commits.
     pub fn open(folder: &Path, options: StorageOptions) -> Result<Self, OpenError> {
         let opened = open_folder(folder, &options)?;
         let database = Arc::new(opened.database);
@@ -112,25 +112,25 @@
         })
     }
 
-    /// Random id of this folder, made with it.
+    /// Returns the random id that the folder got at its creation.
     pub fn replica_id(&self) -> u64 {
         self.inner.replica_id
     }
 
-    /// Answers a seal; durable on return.
+    /// Seals a log; durable on return.
     pub async fn seal(&self, request: Seal) -> Result<SealReply, StorageError> {
         self.submit(0, |answer| Command::Seal(request, answer))
             .await
     }
 
-    /// Answers an install; durable on return.
+    /// Installs a log; durable on return.
     pub async fn install(&self, request: Install) -> Result<WriteReply, StorageError> {
         let size = payload_bytes(&request.entries);
         self.submit(size, |answer| Command::Install(request, answer))
             .await
     }
 
-    /// Answers an append; durable on return.
+    /// Appends to a log; durable on return.
     pub async fn append(&self, request: Append) -> Result<WriteReply, StorageError> {
         let size = payload_bytes(&request.entries);
         self.submit(size, |answer| Command::Append(request, answer))
@@ -148,7 +148,7 @@
             .await
     }
 
-    /// Stores the bundle unless the stored one is as new; durable on return.
+    /// Stores the bundle if it is newer than the stored one; durable on return.
     pub async fn put_bundle(&self, revision: u64, bytes: Vec<u8>) -> Result<(), StorageError> {
         let size = bytes.len();
         let bundle = StoredBundle { revision, bytes };
@@ -156,23 +156,24 @@
             .await
     }
 
-    /// Stores the replica set unless the stored one is as new; requests under older sets are refused from then on.
+    /// Stores the replica set if it is newer than the stored one; durable on return. Requests under older sets are then
+    /// refused.
     pub async fn put_replica_set(&self, set: ReplicaSet) -> Result<(), StorageError> {
         self.submit(0, |answer| Command::PutReplicaSet(set, answer))
             .await
     }
 
-    /// Drops some of what is over its retention. Call every minute or so.
+    /// Retires or deletes some of the logs whose retention has passed. To be called about once per minute.
     pub async fn sweep(&self) -> Result<SweepReport, StorageError> {
         self.submit(0, Command::Sweep).await
     }
 
-    /// Why nothing is stored any more; `None` while the disk works.
+    /// Returns the cause of the current failure; `None` while the disk works.
     pub fn failure(&self) -> Option<String> {
         self.inner.shared.failure()
     }
 
-    /// The newest bundle that was stored.
+    /// Reads the stored bundle.
     pub async fn get_bundle(&self) -> Result<Option<StoredBundle>, StorageError> {
         self.read(|database| {
             let transaction = database.begin_read()?;
@@ -187,23 +188,23 @@
         .await
     }
 
-    /// Revision of the newest bundle that was stored; 0: none.
+    /// Returns the revision of the stored bundle; 0 if there is none.
     pub fn bundle_revision(&self) -> u64 {
         self.content().bundle_revision
     }
 
-    /// The replica set that was stored.
+    /// Returns the stored replica set.
     pub fn replica_set(&self) -> Option<ReplicaSet> {
         self.content().replica_set.clone()
     }
 
-    /// The durable state of a log.
+    /// Returns the durable state of a log.
     pub fn log_state(&self, log: &str) -> Option<LogState> {
         let content = self.content();
         content.logs.get(log).map(|record| record.state.clone())
     }
 
-    /// Names of logs that start with `prefix` and should have a writer.
+    /// Returns the names of logs that start with `prefix` and should have a writer.
     pub fn open_logs(&self, prefix: &str) -> Vec<String> {
         let content = self.content();
         logs_with_prefix(&content, prefix)
@@ -212,7 +213,7 @@
             .collect()
     }
 
-    /// As [`Storage::open_logs`], each with the process that its promised epoch belongs to.
+    /// Like [`Storage::open_logs`], but with the process that owns each log's promised epoch.
     pub fn open_logs_with_owners(&self, prefix: &str) -> Vec<(String, ProcessId)> {
         let content = self.content();
         logs_with_prefix(&content, prefix)
@@ -221,7 +222,7 @@
             .collect()
     }
 
-    /// The first `limit` logs after the name `after`, as they are held here.
+    /// Describes the first `limit` logs whose names follow `after`.
     pub fn known_logs(&self, after: &str, limit: usize) -> Vec<KnownLog> {
         let content = self.content();
         let after = (Bound::Excluded(after), Bound::Unbounded);
@@ -235,7 +236,7 @@
         .collect()
     }
 
-    /// Describes the logs that start with `prefix`.
+    /// Describes the logs whose names start with `prefix`.
     pub fn describe_logs(&self, prefix: &str) -> DescribeLogsReply {
         let content = self.content();
         let logs = logs_with_prefix(&content, prefix)
@@ -271,7 +272,7 @@
         .await
     }
 
-    /// Copies logs whose names follow `after`, `limit` at most, as of the last commit.
+    /// Reads at most `limit` logs whose names follow `after`, as of the last commit.
     pub async fn export_logs(
         &self,
         after: &str,
@@ -287,6 +288,7 @@
         content.unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
+    /// Queues a request whose entries have `size` bytes, and waits for its response.
     async fn submit<T>(
         &self,
         size: usize,
--- a/crates/storage/src/tables.rs
+++ b/crates/storage/src/tables.rs
@@ -1,23 +1,23 @@
-//! Tables of the database file.
+//! Table definitions of the database.
 
 use redb::TableDefinition;
 
 /// Single values by name.
 pub(crate) const META: TableDefinition<'static, &str, &[u8]> = TableDefinition::new("meta");
 
-/// State of each log by its name; see [`crate::records::LogRecord`] for the fields.
+/// State of each log by name; see [`crate::records::LogRecord`] for the fields.
 pub(crate) const LOGS: TableDefinition<'static, &str, LogRow<'static>> =
     TableDefinition::new("logs");
 
-/// Entries by log and index.
+/// Payloads of entries by log name and index.
 pub(crate) const ENTRIES: TableDefinition<'static, (&str, u64), &[u8]> =
     TableDefinition::new("entries");
 
-/// Promised round and owner, log round and owner, owner's node, length, flags, time of the last change in
-/// milliseconds on the store's clock.
+/// Row of a log: promised round and owner, log round and owner, owner's node, length, flags, and the time of the last
+/// change in milliseconds on the store's clock.
 pub(crate) type LogRow<'a> = (u64, u64, u64, u64, &'a str, u64, u8, u64);
 
-/// Names in [`META`].
+/// Keys in [`META`].
 pub(crate) mod keys {
     pub const REPLICA_ID: &str = "replica-id";
     pub const SEQUENCE: &str = "sequence";
--- a/crates/storage/src/watermark.rs
+++ b/crates/storage/src/watermark.rs
@@ -1,28 +1,28 @@
-//! The number of the last answered commit, in a file of its own.
+//! The number of the last acknowledged commit, in a separate file.
 //!
-//! After damage the database may fall back to an earlier commit and look whole. The watermark is written after
-//! each commit and before its answers, so such a fall-back is noticed. Two slots are written in turn: a torn
-//! write spoils one at most.
+//! After damage the database may roll back to an earlier commit and appear intact. The watermark is written after each
+//! commit and before its responses are sent, so that such a rollback is detected. Commits alternate between two slots,
+//! so that a torn write damages at most one of them.
 
 use std::fs::{File, OpenOptions};
 use std::io;
 use std::os::unix::fs::FileExt;
 use std::path::Path;
 
-/// Bytes of one slot: replica id, commit number, CRC-32 of both.
+/// Size of one slot in bytes: replica id, commit number, CRC-32 of both.
 const SLOT_BYTES: usize = 20;
 
-/// Distance of the slots, so that they do not share a disk sector.
+/// Offset between the slots in bytes, so that they do not share a disk sector.
 const SLOT_DISTANCE: u64 = 4096;
 
-/// What the file says.
+/// Content of one slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Mark {
     pub replica_id: u64,
     pub sequence: u64,
 }
 
-/// The open file.
+/// Open watermark file.
 #[derive(Debug)]
 pub(crate) struct Watermark {
     file: File,
@@ -30,7 +30,7 @@
 }
 
 impl Watermark {
-    /// Makes the file anew with commit number 0.
+    /// Creates or overwrites the file, with commit number 0.
     pub fn create(path: &Path, replica_id: u64) -> io::Result<Self> {
         let file = OpenOptions::new()
             .write(true)
@@ -43,7 +43,7 @@
         Ok(watermark)
     }
 
-    /// Opens the file; `None` in place of the mark if neither slot is whole.
+    /// Opens the file and returns the newest intact slot; `None` if neither slot is intact.
     pub fn open(path: &Path) -> io::Result<(Self, Option<Mark>)> {
         let file = OpenOptions::new().read(true).write(true).open(path)?;
         let mark = [0, SLOT_DISTANCE]
@@ -54,7 +54,7 @@
         Ok((Self { file, replica_id }, mark))
     }
 
-    /// Records that commit `sequence` is about to be answered; durable on return.
+    /// Records that commit `sequence` is about to be acknowledged; durable on return.
     pub fn record(&self, sequence: u64) -> io::Result<()> {
         let mut slot = [0; SLOT_BYTES];
         slot[..8].copy_from_slice(&self.replica_id.to_be_bytes());
--- a/crates/storage/tests/storage.rs
+++ b/crates/storage/tests/storage.rs
@@ -1,4 +1,4 @@
-//! The replica's disk: durability, damage, retention.
+//! Tests of a replica's storage: durability, damage and retention.
 
 use std::fs::OpenOptions;
 use std::os::unix::fs::FileExt;
@@ -18,7 +18,7 @@
     Storage::open(folder, StorageOptions::default())
 }
 
-/// Opens the folder as the only replica of set 1.
+/// Opens the folder as the only member of replica set 1.
 async fn open_replica(folder: &Path, options: StorageOptions) -> Storage {
     let storage = Storage::open(folder, options).expect("folder opens");
     storage
@@ -159,7 +159,7 @@
 }
 
 #[tokio::test]
-async fn older_replica_sets_and_strangers_are_refused() {
+async fn requests_under_older_sets_or_at_a_non_member_are_refused() {
     let folder = tempfile::tempdir().unwrap();
     let storage = open(folder.path()).unwrap();
     assert_eq!(
@@ -199,7 +199,7 @@
 }
 
 #[tokio::test]
-async fn an_import_raises_promises_and_keeps_the_newer_log() {
+async fn an_import_raises_the_promised_epoch_and_keeps_a_newer_log() {
     let (from, to) = (tempfile::tempdir().unwrap(), tempfile::tempdir().unwrap());
     let source = open_replica(from.path(), StorageOptions::default()).await;
     write_log(&source, LOG, true).await;
@@ -217,7 +217,7 @@
 }
 
 #[tokio::test]
-async fn retention_keeps_the_first_entry_of_closed_logs_and_drops_claims() {
+async fn retention_keeps_the_first_entry_of_closed_logs_and_deletes_claims() {
     let folder = tempfile::tempdir().unwrap();
     let options = StorageOptions {
         closed_retention: Duration::ZERO,
@@ -241,7 +241,7 @@
     assert!(!storage.read_log("claim/pool/key").await.unwrap().found);
 }
 
-/// Every way of damaging the file either leaves all answered data readable or is refused by name.
+/// Guards against silent data loss: a damaged file is either opened with all acknowledged entries or refused.
 #[tokio::test]
 async fn a_damaged_file_is_recovered_or_refused() {
     let folder = tempfile::tempdir().unwrap();
@@ -252,10 +252,10 @@
     let replica_id = storage.replica_id();
     drop(storage);
     let file = folder.path().join("journal.redb");
-    let whole = std::fs::read(&file).unwrap();
+    let original = std::fs::read(&file).unwrap();
     let mut refused = 0;
     for damage in 0..24 {
-        std::fs::write(&file, damaged(&whole, damage)).unwrap();
+        std::fs::write(&file, damaged(&original, damage)).unwrap();
         match open(folder.path()) {
             Ok(storage) => {
                 assert_eq!(storage.replica_id(), replica_id);
@@ -276,15 +276,15 @@
     assert!(refused >= 8, "{refused} of 24 refused");
 }
 
-/// Cuts 1/8 to 8/8 off the end, writes garbage over 1 to 8 places, or adds garbage behind the end.
-fn damaged(whole: &[u8], damage: usize) -> Vec<u8> {
-    let mut bytes = whole.to_vec();
+/// Damages the bytes: truncates 1/8 to 8/8, overwrites 1 to 8 places, or appends garbage.
+fn damaged(original: &[u8], damage: usize) -> Vec<u8> {
+    let mut bytes = original.to_vec();
     let share = damage % 8 + 1;
     match damage / 8 {
-        0 => bytes.truncate(whole.len() - whole.len() * share / 8),
+        0 => bytes.truncate(original.len() - original.len() * share / 8),
         1 => {
             for place in 0..share {
-                let start = whole.len() * (2 * place + 1) / 20;
+                let start = original.len() * (2 * place + 1) / 20;
                 bytes[start..start + 4096].fill(0xA5);
             }
         }
@@ -294,7 +294,7 @@
 }
 
 #[tokio::test]
-async fn a_disk_that_fell_back_to_an_earlier_commit_is_refused() {
+async fn a_database_rolled_back_to_an_earlier_commit_is_refused() {
     let folder = tempfile::tempdir().unwrap();
     let storage = open_replica(folder.path(), StorageOptions::default()).await;
     drop(storage);
@@ -332,7 +332,7 @@
 }
 
 #[tokio::test]
-async fn a_torn_watermark_slot_is_survived() {
+async fn a_folder_with_one_torn_watermark_slot_opens() {
     let folder = tempfile::tempdir().unwrap();
     let storage = open_replica(folder.path(), StorageOptions::default()).await;
     write_log(&storage, LOG, false).await;
@@ -360,7 +360,7 @@
     }
 }
 
-/// An install may leave out what the replica holds of the log that was adopted, and a seal its entries.
+/// An install may omit entries that the replica holds at the named epoch, and is rejected if it does not hold them.
 #[tokio::test]
 async fn an_install_keeps_the_first_entries_of_the_same_log() {
     let folder = tempfile::tempdir().unwrap();
@@ -392,9 +392,9 @@
     assert_eq!(storage.read_log(LOG).await.unwrap().entries, expected);
 }
 
-/// A disk that was full for a moment is used again by the same process, with all that was answered.
+/// Guards against a process that needs a restart after a temporary disk failure, and against data loss by the reopening.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_disk_that_refused_a_write_is_used_again() {
+async fn a_folder_is_reopened_after_a_failed_commit() {
     let folder = tempfile::tempdir().unwrap();
     let options = StorageOptions::default();
     let faults = options.faults.clone();
@@ -414,7 +414,7 @@
     assert!(storage.install(install("refused")).await.is_err());
     let deadline = std::time::Instant::now() + std::time::Duration::from_secs(30);
     while storage.failure().is_some() || storage.read_log("kept").await.is_err() {
-        assert!(std::time::Instant::now() < deadline, "not used again");
+        assert!(std::time::Instant::now() < deadline, "not reopened");
         tokio::time::sleep(std::time::Duration::from_millis(20)).await;
     }
     assert!(storage.read_log("kept").await.unwrap().found);
@@ -423,9 +423,9 @@
     assert!(storage.read_log("after").await.unwrap().found);
 }
 
-/// Only closed logs under the rule's prefix go, and all of them.
+/// Guards against a drop rule that deletes open logs or logs with another prefix.
 #[tokio::test]
-async fn closed_logs_under_a_rule_are_dropped_whole_and_open_ones_stay() {
+async fn a_drop_rule_deletes_only_closed_logs_with_its_prefix() {
     let folder = tempfile::tempdir().unwrap();
     let options = StorageOptions {
         dropped_when_closed: vec![DropRule {
