--- a/crates/transport/src/calls.rs
+++ b/crates/transport/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls in flight on one client connection.
+//! Table of the calls in flight on one client connection.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard};
@@ -7,30 +7,30 @@
 use tokio::sync::oneshot;
 
 use crate::CallError;
-use crate::limits::{CALLS_IN_FLIGHT, QUEUED_REQUEST_BYTES};
+use crate::limits::{MAX_CALLS_IN_FLIGHT, MAX_QUEUED_REQUEST_BYTES};
 
-/// What a call ends with.
+/// Result of a call.
 pub(crate) type CallResult = Result<Response, CallError>;
 
-/// Why a call could not be added to the table.
+/// Error of adding a call to the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum RegisterError {
     #[error("connection closed")]
     Closed,
-    #[error("{CALLS_IN_FLIGHT} calls in flight already")]
+    #[error("limit of {MAX_CALLS_IN_FLIGHT} calls in flight reached")]
     TooManyCalls,
-    #[error("{QUEUED_REQUEST_BYTES} bytes of requests queued already")]
+    #[error("limit of {MAX_QUEUED_REQUEST_BYTES} bytes of queued requests reached")]
     TooManyBytes,
 }
 
 #[derive(Debug)]
 struct Call {
     reply: oneshot::Sender<CallResult>,
-    /// Set before the first byte goes to the socket, never cleared.
+    /// Set before the first byte is written to the socket.
     handed_to_socket: bool,
 }
 
-/// Calls in flight. Each ends once: answered, given up by its caller, or failed with the connection.
+/// Calls in flight. Each ends exactly once: completed, abandoned by its caller, or failed with the connection.
 #[derive(Debug, Default)]
 pub(crate) struct Calls {
     state: Mutex<State>,
@@ -44,7 +44,11 @@
 }
 
 impl Calls {
-    /// Adds a call whose encoded request of `bytes` bytes is about to be queued.
+    /// Adds a call whose encoded request of `bytes` bytes is about to be queued; returns the receiver of its result.
+    ///
+    /// # Errors
+    ///
+    /// If the connection is closed or a limit is reached.
     pub fn register(
         &self,
         call_id: u64,
@@ -54,10 +58,10 @@
         if state.closed {
             return Err(RegisterError::Closed);
         }
-        if state.calls.len() >= CALLS_IN_FLIGHT {
+        if state.calls.len() >= MAX_CALLS_IN_FLIGHT {
             return Err(RegisterError::TooManyCalls);
         }
-        if state.queued_bytes > 0 && state.queued_bytes + bytes > QUEUED_REQUEST_BYTES {
+        if state.queued_bytes > 0 && state.queued_bytes + bytes > MAX_QUEUED_REQUEST_BYTES {
             return Err(RegisterError::TooManyBytes);
         }
         state.queued_bytes += bytes;
@@ -70,14 +74,15 @@
         Ok(reply)
     }
 
-    /// Counts a request of `bytes` bytes as off the queue.
-    pub fn unqueue(&self, bytes: usize) {
+    /// Records that a request of `bytes` bytes has left the queue.
+    pub fn release_queued(&self, bytes: usize) {
         let mut state = self.lock();
         state.queued_bytes = state.queued_bytes.saturating_sub(bytes);
     }
 
-    /// Marks a call as about to be written. `false`: its caller gave up, it must not be sent.
-    pub fn hand_to_socket(&self, call_id: u64) -> bool {
+    /// Marks a call as about to be written to the socket. Returns false if its caller has abandoned it; it must not be
+    /// sent then.
+    pub fn mark_handed_to_socket(&self, call_id: u64) -> bool {
         let mut state = self.lock();
         match state.calls.get_mut(&call_id) {
             Some(call) => {
@@ -88,7 +93,7 @@
         }
     }
 
-    /// Ends a call with its response. `false`: nobody waits for it any more.
+    /// Ends a call with its result. Returns false if its caller no longer waits.
     pub fn complete(&self, call_id: u64, result: CallResult) -> bool {
         let call = self.lock().calls.remove(&call_id);
         match call {
@@ -97,13 +102,14 @@
         }
     }
 
-    /// Ends a call without a response; tells whether bytes of it may have left. `None`: it had ended already.
-    pub fn give_up(&self, call_id: u64) -> Option<bool> {
+    /// Ends a call without a response. Returns whether its request may have been written to the socket; `None` if the call
+    /// had already ended.
+    pub fn abandon(&self, call_id: u64) -> Option<bool> {
         let call = self.lock().calls.remove(&call_id)?;
         Some(call.handed_to_socket)
     }
 
-    /// Ends all calls and refuses further ones.
+    /// Fails all calls and refuses further ones.
     pub fn close(&self, reason: &str) {
         let calls = {
             let mut state = self.lock();
@@ -119,18 +125,18 @@
         }
     }
 
-    /// Whether further calls are refused.
+    /// Returns whether further calls are refused.
     pub fn is_closed(&self) -> bool {
         self.lock().closed
     }
 
-    /// Whether no call is in flight.
+    /// Returns whether no call is in flight.
     pub fn is_idle(&self) -> bool {
         self.lock().calls.is_empty()
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        // No code that holds the lock can panic half way through a change.
+        // No code that holds the lock can panic during a change.
         self.state
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -1,4 +1,4 @@
-//! Calling side.
+//! The client, which sends requests to peers.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -8,13 +8,13 @@
 use ladderstage_wire::messages::{Request, Response};
 
 use crate::connection::{Attempt, Connection};
-use crate::limits::{CLIENT_CONNECTIONS, CLIENT_CONNECTIONS_BUSY, CLIENT_IDLE};
+use crate::limits::{CLIENT_CONNECTIONS, CLIENT_IDLE_TIMEOUT, MAX_CLIENT_CONNECTIONS};
 use crate::{CallError, Traffic};
 
-/// Times a call moves to another connection because the one it met had just closed.
-const CONNECTIONS_TRIED: usize = 3;
+/// Maximum number of connections that one call tries if each has just closed.
+const MAX_CONNECTIONS_TRIED: usize = 3;
 
-/// Calls peers, keeping one connection to each open. Cheap to clone; clones share the connections.
+/// Client that keeps one connection to each peer open. Cheap to clone; clones share the connections.
 #[derive(Debug, Clone)]
 pub struct Client {
     shared: Arc<Shared>,
@@ -24,7 +24,7 @@
 struct Shared {
     connections: Mutex<HashMap<SocketAddr, Entry>>,
     traffic: Arc<Traffic>,
-    /// Connections kept open before idle ones are closed.
+    /// Number of connections above which idle ones are closed.
     kept: usize,
 }
 
@@ -41,13 +41,13 @@
 }
 
 impl Client {
-    /// A client without connections.
+    /// Creates a client without connections.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A client that keeps this many connections open before it closes idle ones, least recently used first.
-    /// Busy ones are never closed; at most [`CLIENT_CONNECTIONS_BUSY`] or `kept` are open, whichever is more.
+    /// Creates a client that closes idle connections, least recently used first, when more than `kept` are open. Busy
+    /// connections are never closed; at most [`MAX_CLIENT_CONNECTIONS`] or `kept` are open, whichever is larger.
     pub fn with_connections(kept: usize) -> Self {
         let shared = Shared {
             connections: Mutex::default(),
@@ -59,22 +59,26 @@
         }
     }
 
-    /// Bytes and frames exchanged by this client and its clones.
+    /// Returns the counters of bytes and frames exchanged by this client and its clones.
     pub fn traffic(&self) -> Arc<Traffic> {
         Arc::clone(&self.shared.traffic)
     }
 
-    /// Connections that are open or being opened.
+    /// Returns the number of connections that are open or being opened.
     pub fn open_connections(&self) -> usize {
         let mut connections = self.lock();
-        connections.retain(|_, entry| !entry.connection.is_spent());
+        connections.retain(|_, entry| !entry.connection.needs_replacement());
         connections.len()
     }
 
-    /// Sends `request` to the peer at `address` and waits for its response, `timeout` at most, connecting included.
+    /// Sends `request` to the peer at `address` and waits for its response. `timeout` includes the time to connect.
     ///
-    /// Needs a tokio runtime. Dropping the future gives the call up; a request already sent may still be carried
-    /// out.
+    /// Must be called within a tokio runtime. Dropping the future abandons the call; a request that was already sent may
+    /// still be executed.
+    ///
+    /// # Errors
+    ///
+    /// See [`CallError`].
     pub async fn call(
         &self,
         address: SocketAddr,
@@ -82,14 +86,16 @@
         timeout: Duration,
     ) -> Result<Response, CallError> {
         let mut request = Box::new(request);
-        for _ in 0..CONNECTIONS_TRIED {
+        for _ in 0..MAX_CONNECTIONS_TRIED {
             let connection = self.connection_to(address)?;
             match connection.call(*request, timeout).await {
                 Attempt::Ended(result) => return result,
                 Attempt::Closed(unsent) => request = unsent,
             }
         }
-        Err(CallError::NotSent("connections close at once".to_owned()))
+        Err(CallError::NotSent(
+            "connections closed before use".to_owned(),
+        ))
     }
 
     fn connection_to(&self, address: SocketAddr) -> Result<Arc<Connection>, CallError> {
@@ -102,7 +108,7 @@
             return Ok(Arc::clone(&entry.connection));
         }
         connections.remove(&address);
-        make_room(&mut connections, self.shared.kept)?;
+        evict_idle(&mut connections, self.shared.kept)?;
         let traffic = Arc::clone(&self.shared.traffic);
         let connection = Arc::new(Connection::open(address, traffic));
         let entry = Entry {
@@ -114,7 +120,7 @@
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<SocketAddr, Entry>> {
-        // No code that holds the lock can panic half way through a change.
+        // No code that holds the lock can panic during a change.
         self.shared
             .connections
             .lock()
@@ -125,29 +131,33 @@
 impl Entry {
     fn is_usable(&self, now: Instant) -> bool {
         let idle_for = now.saturating_duration_since(self.last_used);
-        let too_old = self.connection.is_idle() && idle_for > CLIENT_IDLE;
-        !too_old && !self.connection.is_spent()
+        let too_old = self.connection.is_idle() && idle_for > CLIENT_IDLE_TIMEOUT;
+        !too_old && !self.connection.needs_replacement()
     }
 
-    /// Nobody waits on it: no call in flight, and no caller about to make one.
+    /// Returns whether the connection has no call in flight and no caller about to make one.
     fn is_idle(&self) -> bool {
         Arc::strong_count(&self.connection) == 1 && self.connection.is_idle()
     }
 }
 
 /// Closes idle connections, least recently used first, until one more may be opened.
-fn make_room(connections: &mut HashMap<SocketAddr, Entry>, kept: usize) -> Result<(), CallError> {
+///
+/// # Errors
+///
+/// If too many connections are busy.
+fn evict_idle(connections: &mut HashMap<SocketAddr, Entry>, kept: usize) -> Result<(), CallError> {
     if connections.len() < kept {
         return Ok(());
     }
-    connections.retain(|_, entry| !entry.connection.is_spent());
+    connections.retain(|_, entry| !entry.connection.needs_replacement());
     while connections.len() >= kept {
         let Some(address) = least_recently_used(connections) else {
             break;
         };
         connections.remove(&address);
     }
-    match connections.len() < CLIENT_CONNECTIONS_BUSY.max(kept) {
+    match connections.len() < MAX_CLIENT_CONNECTIONS.max(kept) {
         true => Ok(()),
         false => Err(CallError::NotSent("too many busy connections".to_owned())),
     }
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -1,11 +1,11 @@
-//! One client connection: many calls over one socket.
+//! One client connection, which multiplexes many calls over one socket.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 use std::time::Duration;
 
-use ladderstage_wire::frame::seal;
+use ladderstage_wire::frame::encode_frame;
 use ladderstage_wire::messages::mod_Frame::OneOfbody;
 use ladderstage_wire::messages::{Frame, Request};
 use tokio::sync::{mpsc, oneshot};
@@ -13,12 +13,12 @@
 
 use crate::calls::{CallResult, Calls, RegisterError};
 use crate::driver::{Driver, OutgoingRequest};
-use crate::limits::{CALLS_IN_FLIGHT, TIMEOUTS_BEFORE_REPLACEMENT};
+use crate::limits::{MAX_CALLS_IN_FLIGHT, TIMEOUTS_BEFORE_REPLACEMENT};
 use crate::{CallError, Traffic};
 
-/// How a call that got onto a connection, or did not, ended.
+/// Result of an attempt to make a call on a connection.
 pub(crate) enum Attempt {
-    /// The call is over.
+    /// The call ended with this result.
     Ended(CallResult),
     /// The connection was closed before the call was added; nothing was sent.
     Closed(Box<Request>),
@@ -35,11 +35,11 @@
 }
 
 impl Connection {
-    /// Starts to connect; calls may be made at once and are sent when the connection stands.
+    /// Starts to connect. Calls may be made immediately and are sent once the connection is established.
     pub fn open(address: SocketAddr, traffic: Arc<Traffic>) -> Self {
         let calls = Arc::new(Calls::default());
         let timeouts_in_a_row = Arc::new(AtomicU32::new(0));
-        let (outgoing, requests) = mpsc::channel(CALLS_IN_FLIGHT);
+        let (outgoing, requests) = mpsc::channel(MAX_CALLS_IN_FLIGHT);
         let driver = Driver {
             address,
             calls: Arc::clone(&calls),
@@ -56,29 +56,29 @@
         }
     }
 
-    /// Whether new calls should go elsewhere: closed, or silent for too many calls.
-    pub fn is_spent(&self) -> bool {
+    /// Returns whether the connection must be replaced: it is closed, or too many consecutive calls timed out.
+    pub fn needs_replacement(&self) -> bool {
         let timeouts = self.timeouts_in_a_row.load(Ordering::Relaxed);
         timeouts >= TIMEOUTS_BEFORE_REPLACEMENT || self.calls.is_closed()
     }
 
-    /// Whether no call is in flight.
+    /// Returns whether no call is in flight.
     pub fn is_idle(&self) -> bool {
         self.calls.is_idle()
     }
 
-    /// Makes one call.
+    /// Makes a call.
     pub async fn call(&self, request: Request, timeout: Duration) -> Attempt {
         let call_id = self.last_call_id.fetch_add(1, Ordering::Relaxed) + 1;
         let frame = Frame {
             call_id,
             body: OneOfbody::request(request),
         };
-        let block = match seal(&frame) {
-            Ok(block) => block,
+        let encoded = match encode_frame(&frame) {
+            Ok(encoded) => encoded,
             Err(error) => return not_sent(error.to_string()),
         };
-        let mut reply = match self.calls.register(call_id, block.len()) {
+        let mut reply = match self.calls.register(call_id, encoded.len()) {
             Ok(reply) => reply,
             Err(RegisterError::Closed) => return closed(frame),
             Err(error) => return not_sent(error.to_string()),
@@ -88,7 +88,7 @@
             call_id,
         };
         drop(frame);
-        self.enqueue(call_id, block);
+        self.enqueue(call_id, encoded);
         match tokio::time::timeout(timeout, &mut reply).await {
             Ok(Ok(result)) => Attempt::Ended(result),
             Ok(Err(_)) => not_sent("request queue is full".to_owned()),
@@ -96,13 +96,13 @@
         }
     }
 
-    /// A request that finds no room is taken off the table, which drops the sender of its reply.
-    fn enqueue(&self, call_id: u64, block: Vec<u8>) {
-        let bytes = block.len();
-        let request = OutgoingRequest { call_id, block };
+    /// Queues an encoded request. If the queue is full, abandons the call, which drops the sender of its reply.
+    fn enqueue(&self, call_id: u64, encoded: Vec<u8>) {
+        let bytes = encoded.len();
+        let request = OutgoingRequest { call_id, encoded };
         if self.outgoing.try_send(request).is_err() {
-            self.calls.unqueue(bytes);
-            self.calls.give_up(call_id);
+            self.calls.release_queued(bytes);
+            self.calls.abandon(call_id);
         }
     }
 
@@ -112,13 +112,13 @@
         timeout: Duration,
         mut reply: oneshot::Receiver<CallResult>,
     ) -> CallResult {
-        match self.calls.give_up(call_id) {
+        match self.calls.abandon(call_id) {
             Some(true) => {
                 self.timeouts_in_a_row.fetch_add(1, Ordering::Relaxed);
                 Err(CallError::Unknown(format!("no answer within {timeout:?}")))
             }
             Some(false) => Err(CallError::NotSent(format!("not sent within {timeout:?}"))),
-            // It ended at this moment.
+            // The call ended at the same moment.
             None => reply
                 .try_recv()
                 .unwrap_or_else(|_| Err(CallError::Unknown("answer lost".to_owned()))),
@@ -143,7 +143,7 @@
     }
 }
 
-/// Takes the call off the table when its caller stops waiting, also when the caller's future is dropped.
+/// Guard that abandons the call when its caller stops waiting, including when the caller's future is dropped.
 struct CallGuard<'a> {
     calls: &'a Calls,
     call_id: u64,
@@ -151,6 +151,6 @@
 
 impl Drop for CallGuard<'_> {
     fn drop(&mut self) {
-        self.calls.give_up(self.call_id);
+        self.calls.abandon(self.call_id);
     }
 }
--- a/crates/transport/src/driver.rs
+++ b/crates/transport/src/driver.rs
@@ -1,4 +1,4 @@
-//! The task of one client connection: connects, writes requests, reads responses.
+//! The task of one client connection: connects, writes requests and reads responses.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,17 +15,17 @@
 
 use crate::calls::{CallResult, Calls};
 use crate::framing::{ReadError, read_frame};
-use crate::limits::CONNECT_LIMIT;
+use crate::limits::CONNECT_TIMEOUT;
 use crate::{CallError, Traffic};
 
-/// A request on its way to the socket.
+/// Encoded request that waits to be written.
 #[derive(Debug)]
 pub(crate) struct OutgoingRequest {
     pub call_id: u64,
-    pub block: Vec<u8>,
+    pub encoded: Vec<u8>,
 }
 
-/// What the task of a client connection works with.
+/// Task of a client connection.
 #[derive(Debug)]
 pub(crate) struct Driver {
     pub address: SocketAddr,
@@ -35,7 +35,7 @@
 }
 
 impl Driver {
-    /// Runs the connection until it breaks; then every call in flight fails.
+    /// Runs the connection until it fails, then fails all calls in flight.
     pub async fn run(self, requests: mpsc::Receiver<OutgoingRequest>) {
         let reason = match self.connect().await {
             Ok(stream) => self.exchange(stream, requests).await,
@@ -50,11 +50,11 @@
 
     async fn connect(&self) -> Result<TcpStream, String> {
         let connecting = TcpStream::connect(self.address);
-        let stream = tokio::time::timeout(CONNECT_LIMIT, connecting)
+        let stream = tokio::time::timeout(CONNECT_TIMEOUT, connecting)
             .await
-            .map_err(|_| format!("not connected within {CONNECT_LIMIT:?}"))?
+            .map_err(|_| format!("not connected within {CONNECT_TIMEOUT:?}"))?
             .map_err(|error| format!("not connected: {error}"))?;
-        // Without it small frames wait for acknowledgements; the connection works all the same.
+        // Only affects latency, so an error is ignored.
         let _ = stream.set_nodelay(true);
         Ok(stream)
     }
@@ -77,12 +77,12 @@
         mut requests: mpsc::Receiver<OutgoingRequest>,
     ) -> String {
         while let Some(request) = requests.recv().await {
-            let bytes = request.block.len();
-            self.calls.unqueue(bytes);
-            if !self.calls.hand_to_socket(request.call_id) {
+            let bytes = request.encoded.len();
+            self.calls.release_queued(bytes);
+            if !self.calls.mark_handed_to_socket(request.call_id) {
                 continue;
             }
-            if let Err(error) = writer.write_all(&request.block).await {
+            if let Err(error) = writer.write_all(&request.encoded).await {
                 return format!("write failed: {error}");
             }
             self.traffic.sent(bytes);
@@ -98,7 +98,7 @@
                 Err(error) => return self.read_failed(&error),
             };
             self.timeouts_in_a_row.store(0, Ordering::Relaxed);
-            if let Err(reason) = self.take_response(frame) {
+            if let Err(reason) = self.on_response(frame) {
                 log::warn!(
                     "event=peer_frame_refused peer={} reason={reason:?}",
                     self.address
@@ -119,9 +119,9 @@
         error.to_string()
     }
 
-    fn take_response(&self, frame: Frame) -> Result<(), String> {
+    fn on_response(&self, frame: Frame) -> Result<(), String> {
         let OneOfbody::response(response) = frame.body else {
-            return Err("frame is no response".to_owned());
+            return Err("frame is not a response".to_owned());
         };
         if !self.calls.complete(frame.call_id, call_result(response)) {
             log::debug!("event=late_response_dropped peer={}", self.address);
@@ -130,11 +130,11 @@
     }
 }
 
-/// A response that does not settle whether the request was carried out is an unknown outcome: one of no kind
-/// known here, and `INTERNAL`, which also stands for a handler that failed half way.
+/// Converts a response to the result of its call. The outcome is unknown if the response is of an unknown kind, or if it
+/// is `INTERNAL`, which a handler that failed during execution also returns.
 fn call_result(response: Response) -> CallResult {
     match response.kind {
-        OneOfkind::None => Err(CallError::Unknown("response of no known kind".to_owned())),
+        OneOfkind::None => Err(CallError::Unknown("unknown kind of response".to_owned())),
         OneOfkind::refused(refused) if refused.reason == Reason::INTERNAL => Err(
             CallError::Unknown(format!("peer failed: {}", refused.detail)),
         ),
--- a/crates/transport/src/error.rs
+++ b/crates/transport/src/error.rs
@@ -1,17 +1,17 @@
-//! Why a call gave no response.
+//! Errors of calls.
 
 use ladderstage_wire::messages::Refused;
 
-/// Why a call gave no response.
+/// Error of a call.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// No byte of the request left this process.
+    /// No byte of the request was sent.
     #[error("request not sent: {0}")]
     NotSent(String),
-    /// The request may have reached the peer; whether it was carried out is unknown.
+    /// The request may have reached the peer; it is unknown whether it was executed.
     #[error("no response: {0}")]
     Unknown(String),
-    /// The peer answered that it did not carry out the request.
+    /// The peer refused to execute the request.
     #[error("refused: {} ({:?})", .0.detail, .0.reason)]
     Refused(Refused),
 }
--- a/crates/transport/src/framing.rs
+++ b/crates/transport/src/framing.rs
@@ -1,4 +1,4 @@
-//! Frames read from and written to a byte stream.
+//! Reads frames from a byte stream.
 
 use std::io;
 
@@ -8,7 +8,7 @@
 
 use crate::Traffic;
 
-/// Why no frame could be read.
+/// Error of reading a frame.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ReadError {
     /// The stream ended between two frames.
@@ -20,19 +20,19 @@
     /// The stream failed.
     #[error(transparent)]
     Stream(#[from] io::Error),
-    /// The bytes are no frame.
+    /// The bytes are not a valid frame.
     #[error(transparent)]
     Frame(#[from] FrameError),
 }
 
-/// Reads one frame. Not cancel safe: bytes read so far are lost.
+/// Reads one frame. Not cancel safe: if the future is dropped, the bytes read so far are lost.
 pub(crate) async fn read_frame<R>(reader: &mut R, traffic: &Traffic) -> Result<Frame, ReadError>
 where
     R: AsyncRead + Unpin,
 {
     let header = read_header(reader).await?;
     let payload = read_payload(reader, header.length).await?;
-    let frame = header.open(&payload)?;
+    let frame = header.decode_payload(&payload)?;
     traffic.received(HEADER_BYTES + payload.len());
     Ok(frame)
 }
@@ -56,7 +56,7 @@
     Ok(FrameHeader::parse(bytes)?)
 }
 
-/// The buffer grows with the bytes that arrive, not with the length that the header claims.
+/// Reads a payload. The buffer grows with the received bytes, as the length in the header is not trusted.
 async fn read_payload<R>(reader: &mut R, length: usize) -> Result<Vec<u8>, ReadError>
 where
     R: AsyncRead + Unpin,
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,5 +1,5 @@
-//! Calls between ladderstage processes over TCP: one multiplexed connection to each peer, typed requests and
-//! responses, and errors that say whether the peer may have seen the request.
+//! Calls between ladderstage processes over TCP: one multiplexed connection to each peer, typed requests and responses,
+//! and errors that distinguish whether the peer may have received the request.
 
 mod calls;
 mod client;
--- a/crates/transport/src/limits.rs
+++ b/crates/transport/src/limits.rs
@@ -1,44 +1,44 @@
-//! Bounds of connections, calls and waits.
+//! Limits and timeouts of connections and calls.
 
 use std::time::Duration;
 
-/// Connections that a client keeps open before it closes idle ones, least recently used first.
+/// Number of connections above which a client closes idle ones, least recently used first.
 pub const CLIENT_CONNECTIONS: usize = 64;
 
-/// Connections that a client opens at most, when none of the others is idle.
-pub const CLIENT_CONNECTIONS_BUSY: usize = 256;
+/// Maximum number of open connections of a client, if none of them is idle.
+pub const MAX_CLIENT_CONNECTIONS: usize = 256;
 
-/// Calls in flight on one client connection; one more is not sent.
-pub const CALLS_IN_FLIGHT: usize = 1024;
+/// Maximum number of calls in flight on one client connection; further calls are not sent.
+pub const MAX_CALLS_IN_FLIGHT: usize = 1024;
 
-/// Bytes of requests waiting for one client connection; a request that would pass it is not sent.
-/// A single request always fits.
-pub const QUEUED_REQUEST_BYTES: usize = 64 * 1024 * 1024;
+/// Maximum size of the requests queued for one client connection, in bytes; a request that would exceed it is not sent.
+/// A request is always accepted if the queue is empty.
+pub const MAX_QUEUED_REQUEST_BYTES: usize = 64 * 1024 * 1024;
 
-/// Longest attempt to connect; calls with shorter timeouts give up earlier.
-pub const CONNECT_LIMIT: Duration = Duration::from_secs(3);
+/// Timeout of an attempt to connect; calls with shorter timeouts end earlier.
+pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A client connection that answered nothing while this many calls in a row timed out is replaced.
+/// Number of consecutive timeouts after which a client connection is replaced.
 pub const TIMEOUTS_BEFORE_REPLACEMENT: u32 = 3;
 
-/// A client connection without calls for this long is not used again. Shorter than [`SERVER_IDLE`], so that the
-/// server does not close a connection just as a request is sent on it.
-pub const CLIENT_IDLE: Duration = Duration::from_secs(120);
+/// Time without calls after which a client connection is not used again. Shorter than [`SERVER_IDLE_TIMEOUT`], so that the
+/// server does not close a connection while a request is being sent.
+pub const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// A server closes a connection on which nothing arrived for this long and no request is being answered.
-pub const SERVER_IDLE: Duration = Duration::from_secs(600);
+/// Time without received data after which a server closes a connection that has no request in flight.
+pub const SERVER_IDLE_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// Connections that a server keeps; further ones are closed as they arrive.
-pub const SERVER_CONNECTIONS: usize = 4096;
+/// Maximum number of connections of a server; further ones are closed immediately.
+pub const MAX_SERVER_CONNECTIONS: usize = 4096;
 
-/// Requests of one connection that are answered side by side; further ones are refused as overloaded.
-pub const REQUESTS_IN_FLIGHT: usize = 1024;
+/// Maximum number of requests in flight on one server connection; further ones are refused as `OVERLOADED`.
+pub const MAX_REQUESTS_IN_FLIGHT: usize = 1024;
 
-/// Responses of one connection that wait to be written; handlers wait for room.
-pub const QUEUED_RESPONSES: usize = 64;
+/// Maximum number of queued responses of one server connection; handlers wait while the queue is full.
+pub const MAX_QUEUED_RESPONSES: usize = 64;
 
-/// Longest wait for a peer to take one response.
-pub const WRITE_LIMIT: Duration = Duration::from_secs(30);
+/// Timeout of writing one response.
+pub const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Hint for callers refused by a server that answers as many requests as it can.
+/// Time after which a caller that was refused as `OVERLOADED` should retry.
 pub const OVERLOADED_RETRY_AFTER: Duration = Duration::from_millis(100);
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -1,4 +1,4 @@
-//! Answering side.
+//! The server, which accepts connections and handles requests of peers.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -11,22 +11,22 @@
 use tokio::task::{AbortHandle, JoinSet};
 
 use crate::Traffic;
-use crate::limits::SERVER_CONNECTIONS;
+use crate::limits::MAX_SERVER_CONNECTIONS;
 use crate::session::Session;
 
-/// Pause after a failed accept, such as when no file descriptor is free.
-const ACCEPT_RETRY: Duration = Duration::from_millis(50);
+/// Pause after a failed accept, for example if the process is out of file descriptors.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Answers requests. A refusal is a `Response` of kind `Refused`.
+/// Handler of requests. It refuses a request with a `Response` of kind `Refused`.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request; requests of one connection run side by side.
+    /// Handles one request. Requests of one connection are handled concurrently.
     ///
-    /// A handler runs to its end also when the connection has closed meanwhile. If it panics, the caller is told
-    /// `INTERNAL`, which its client reports as an unknown outcome.
+    /// The handler runs to completion even if the connection closes. If it panics, the caller receives `INTERNAL`, which
+    /// its client reports as an unknown outcome.
     fn handle(&self, request: Request) -> Pin<Box<dyn Future<Output = Response> + Send + '_>>;
 }
 
-/// A listener for peers' calls; it stops and closes its connections when dropped.
+/// Server for calls of peers. Dropping it closes the listener and all connections.
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
@@ -35,10 +35,11 @@
 }
 
 impl Server {
-    /// Listens on `address` (port 0: any free port) and answers through `handler`.
+    /// Starts to listen on `address`, where port 0 selects any free port, and passes requests to `handler`.
     ///
     /// # Errors
-    /// If the address cannot be listened on.
+    ///
+    /// If the address cannot be bound.
     pub async fn start(address: SocketAddr, handler: Arc<dyn Handler>) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -51,12 +52,12 @@
         })
     }
 
-    /// Address it listens on.
+    /// Returns the address on which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Bytes and frames exchanged with callers.
+    /// Returns the counters of bytes and frames exchanged with callers.
     pub fn traffic(&self) -> Arc<Traffic> {
         Arc::clone(&self.traffic)
     }
@@ -68,7 +69,7 @@
     }
 }
 
-/// Accepts connections for ever. The set owns the connections' tasks and aborts them when it is dropped.
+/// Accepts connections until the task is aborted, which also aborts the connections' tasks.
 async fn accept(listener: TcpListener, handler: Arc<dyn Handler>, traffic: Arc<Traffic>) {
     let mut sessions = JoinSet::new();
     loop {
@@ -76,13 +77,13 @@
             Ok(accepted) => accepted,
             Err(error) => {
                 log::warn!("event=peer_accept_failed reason={:?}", error.to_string());
-                tokio::time::sleep(ACCEPT_RETRY).await;
+                tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
                 continue;
             }
         };
         while sessions.try_join_next().is_some() {}
-        if sessions.len() >= SERVER_CONNECTIONS {
-            log::warn!("event=peer_connection_refused peer={peer} limit={SERVER_CONNECTIONS}");
+        if sessions.len() >= MAX_SERVER_CONNECTIONS {
+            log::warn!("event=peer_connection_refused peer={peer} limit={MAX_SERVER_CONNECTIONS}");
             continue;
         }
         let session = Session::new(peer, Arc::clone(&handler), Arc::clone(&traffic));
--- a/crates/transport/src/session.rs
+++ b/crates/transport/src/session.rs
@@ -1,11 +1,11 @@
-//! One connection of a server.
+//! One server connection.
 
 use std::net::SocketAddr;
 use std::panic::AssertUnwindSafe;
 use std::sync::Arc;
 
 use futures_util::FutureExt;
-use ladderstage_wire::frame::seal;
+use ladderstage_wire::frame::encode_frame;
 use ladderstage_wire::messages::mod_Frame::OneOfbody;
 use ladderstage_wire::messages::mod_Refused::Reason;
 use ladderstage_wire::messages::{Frame, Refused, Request, Response, mod_Request, mod_Response};
@@ -16,13 +16,14 @@
 
 use crate::framing::{ReadError, read_frame};
 use crate::limits::{
-    OVERLOADED_RETRY_AFTER, QUEUED_RESPONSES, REQUESTS_IN_FLIGHT, SERVER_IDLE, WRITE_LIMIT,
+    MAX_QUEUED_RESPONSES, MAX_REQUESTS_IN_FLIGHT, OVERLOADED_RETRY_AFTER, SERVER_IDLE_TIMEOUT,
+    WRITE_TIMEOUT,
 };
 use crate::{Handler, Traffic};
 
 type Responses = mpsc::Sender<Frame>;
 
-/// One connection of a server.
+/// Server side of one connection.
 pub(crate) struct Session {
     peer: SocketAddr,
     handler: Arc<dyn Handler>,
@@ -36,16 +37,16 @@
             peer,
             handler,
             traffic,
-            in_flight: Arc::new(Semaphore::new(REQUESTS_IN_FLIGHT)),
+            in_flight: Arc::new(Semaphore::new(MAX_REQUESTS_IN_FLIGHT)),
         }
     }
 
-    /// Answers requests until the connection closes, breaks or sends something that is no frame.
+    /// Handles requests until the connection closes, fails or receives an invalid frame.
     pub async fn run(self, stream: TcpStream) {
-        // Without it small frames wait for acknowledgements; the connection works all the same.
+        // Only affects latency, so an error is ignored.
         let _ = stream.set_nodelay(true);
         let (reader, writer) = stream.into_split();
-        let (responses, queue) = mpsc::channel(QUEUED_RESPONSES);
+        let (responses, queue) = mpsc::channel(MAX_QUEUED_RESPONSES);
         let reason = tokio::select! {
             reason = self.read_requests(reader, responses) => reason,
             reason = self.write_responses(writer, queue) => reason,
@@ -63,7 +64,7 @@
                 Ok(frame) => frame,
                 Err(error) => return self.read_failed(&error),
             };
-            if let Some(refusal) = self.take_request(frame, &responses)
+            if let Some(refusal) = self.on_request(frame, &responses)
                 && responses.send(refusal).await.is_err()
             {
                 return "writer stopped".to_owned();
@@ -71,14 +72,15 @@
         }
     }
 
+    /// Reads the next frame. Returns `Closed` if the connection is idle for too long.
     async fn next_frame(&self, reader: &mut BufReader<OwnedReadHalf>) -> Result<Frame, ReadError> {
         let reading = read_frame(reader, &self.traffic);
         tokio::pin!(reading);
         loop {
-            if let Ok(result) = tokio::time::timeout(SERVER_IDLE, &mut reading).await {
+            if let Ok(result) = tokio::time::timeout(SERVER_IDLE_TIMEOUT, &mut reading).await {
                 return result;
             }
-            if self.in_flight.available_permits() == REQUESTS_IN_FLIGHT {
+            if self.in_flight.available_permits() == MAX_REQUESTS_IN_FLIGHT {
                 return Err(ReadError::Closed);
             }
         }
@@ -95,15 +97,15 @@
         reason
     }
 
-    /// Starts to answer a request, or returns its refusal.
-    fn take_request(&self, frame: Frame, responses: &Responses) -> Option<Frame> {
+    /// Starts to handle a request, or returns its refusal.
+    fn on_request(&self, frame: Frame, responses: &Responses) -> Option<Frame> {
         let call_id = frame.call_id;
         let Some(request) = known_request(frame) else {
             log::warn!(
-                "event=peer_frame_refused peer={} reason=\"no known request\"",
+                "event=peer_frame_refused peer={} reason=\"unknown request\"",
                 self.peer
             );
-            return Some(refusal(call_id, Reason::MALFORMED, "no known request"));
+            return Some(refusal(call_id, Reason::MALFORMED, "unknown request"));
         };
         let Ok(permit) = Arc::clone(&self.in_flight).try_acquire_owned() else {
             return Some(refusal(
@@ -124,15 +126,15 @@
         mut queue: mpsc::Receiver<Frame>,
     ) -> String {
         while let Some(frame) = queue.recv().await {
-            let block = match encode_response(&frame) {
-                Ok(block) => block,
+            let encoded = match encode_response(&frame) {
+                Ok(encoded) => encoded,
                 Err(reason) => return reason,
             };
-            let writing = writer.write_all(&block);
-            match tokio::time::timeout(WRITE_LIMIT, writing).await {
-                Ok(Ok(())) => self.traffic.sent(block.len()),
+            let writing = writer.write_all(&encoded);
+            match tokio::time::timeout(WRITE_TIMEOUT, writing).await {
+                Ok(Ok(())) => self.traffic.sent(encoded.len()),
                 Ok(Err(error)) => return format!("write failed: {error}"),
-                Err(_) => return format!("peer took no response within {WRITE_LIMIT:?}"),
+                Err(_) => return format!("response not written within {WRITE_TIMEOUT:?}"),
             }
         }
         "reader stopped".to_owned()
@@ -148,7 +150,7 @@
     }
 }
 
-/// Runs the handler to its end and queues its response; the connection may be gone by then.
+/// Runs the handler to completion and queues its response, unless the connection has closed.
 async fn answer(
     handler: Arc<dyn Handler>,
     call_id: u64,
@@ -170,14 +172,15 @@
     let _ = responses.send(frame).await;
 }
 
-/// A response over the frame limit is replaced by `INTERNAL`: the request was carried out, its answer is lost.
+/// Encodes a response. One that exceeds the frame limit is replaced by `INTERNAL`, so that the outcome is unknown to the
+/// caller.
 fn encode_response(frame: &Frame) -> Result<Vec<u8>, String> {
-    match seal(frame) {
-        Ok(block) => Ok(block),
+    match encode_frame(frame) {
+        Ok(encoded) => Ok(encoded),
         Err(error) => {
             let detail = error.to_string();
             log::error!("event=peer_response_refused reason={detail:?}");
-            seal(&refusal(frame.call_id, Reason::INTERNAL, &detail))
+            encode_frame(&refusal(frame.call_id, Reason::INTERNAL, &detail))
                 .map_err(|error| error.to_string())
         }
     }
--- a/crates/transport/src/traffic.rs
+++ b/crates/transport/src/traffic.rs
@@ -1,8 +1,8 @@
-//! Counts of what went over the connections.
+//! Counters of bytes and frames.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Bytes and frames in both directions since the start.
+/// Counters of bytes and frames in both directions.
 #[derive(Debug, Default)]
 pub struct Traffic {
     bytes_in: AtomicU64,
@@ -11,21 +11,21 @@
     frames_out: AtomicU64,
 }
 
-/// Values of [`Traffic`] at one moment.
+/// Snapshot of [`Traffic`].
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TrafficSnapshot {
-    /// Bytes received, headers included.
+    /// Number of bytes received in complete frames, including headers.
     pub bytes_in: u64,
-    /// Bytes sent, headers included.
+    /// Number of bytes sent in complete frames, including headers.
     pub bytes_out: u64,
-    /// Frames received whole.
+    /// Number of complete frames received.
     pub frames_in: u64,
-    /// Frames sent whole.
+    /// Number of complete frames sent.
     pub frames_out: u64,
 }
 
 impl Traffic {
-    /// The counts now.
+    /// Returns the current values.
     pub fn snapshot(&self) -> TrafficSnapshot {
         TrafficSnapshot {
             bytes_in: self.bytes_in.load(Ordering::Relaxed),
--- a/crates/transport/tests/calls.rs
+++ b/crates/transport/tests/calls.rs
@@ -1,21 +1,21 @@
-//! Calls over working, broken and absent connections.
+//! Tests of calls over working and failing connections.
 
 mod common;
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use common::{PATIENCE, Scripted, any_port, ask, echoed, serve};
-use ladderstage_transport::limits::{CALLS_IN_FLIGHT, CLIENT_CONNECTIONS};
+use common::{ScriptedHandler, TEST_TIMEOUT, any_port, echoed, read_log_request, start_server};
+use ladderstage_transport::limits::{CLIENT_CONNECTIONS, MAX_CALLS_IN_FLIGHT};
 use ladderstage_transport::{CallError, Client};
-use ladderstage_wire::frame::{HEADER_BYTES, seal};
+use ladderstage_wire::frame::{HEADER_BYTES, encode_frame};
 use ladderstage_wire::messages::mod_Frame::OneOfbody;
 use ladderstage_wire::messages::{Frame, Request, Response, mod_Response};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinSet;
 
-const SHORT: Duration = Duration::from_millis(200);
+const SHORT_TIMEOUT: Duration = Duration::from_millis(200);
 
 async fn read_request(stream: &mut TcpStream) -> u64 {
     let mut header = [0; HEADER_BYTES];
@@ -23,30 +23,36 @@
     let header = ladderstage_wire::frame::FrameHeader::parse(header).expect("header");
     let mut payload = vec![0; header.length];
     stream.read_exact(&mut payload).await.expect("payload");
-    header.open(&payload).expect("frame").call_id
+    header.decode_payload(&payload).expect("frame").call_id
 }
 
 fn done(call_id: u64) -> Vec<u8> {
     let kind = mod_Response::OneOfkind::done(Default::default());
     let body = OneOfbody::response(Response { kind });
-    seal(&Frame { call_id, body }).expect("small")
+    encode_frame(&Frame { call_id, body }).expect("small")
 }
 
 #[tokio::test]
 async fn answers_come_back_out_of_order_on_one_connection() {
-    let handler = Arc::new(Scripted::default());
-    let server = serve(Arc::clone(&handler)).await;
+    let handler = Arc::new(ScriptedHandler::default());
+    let server = start_server(Arc::clone(&handler)).await;
     let client = Client::new();
     let first = tokio::spawn({
         let (client, address) = (client.clone(), server.address());
-        async move { client.call(address, ask("hold"), PATIENCE).await }
+        async move {
+            client
+                .call(address, read_log_request("hold"), TEST_TIMEOUT)
+                .await
+        }
     });
     handler.held.notified().await;
     let calls = (0..100).map(|number| {
         let (client, address) = (client.clone(), server.address());
         tokio::spawn(async move {
             let text = format!("text {number}");
-            let response = client.call(address, ask(&text), PATIENCE).await;
+            let response = client
+                .call(address, read_log_request(&text), TEST_TIMEOUT)
+                .await;
             assert_eq!(echoed(response.expect("answer")), text);
         })
     });
@@ -69,12 +75,16 @@
     let address = listener.local_addr().expect("address");
     drop(listener);
     let client = Client::new();
-    let result = client.call(address, ask("x"), PATIENCE).await;
+    let result = client
+        .call(address, read_log_request("x"), TEST_TIMEOUT)
+        .await;
     assert!(matches!(result, Err(CallError::NotSent(_))), "{result:?}");
-    let handler = Arc::new(Scripted::default());
+    let handler = Arc::new(ScriptedHandler::default());
     let server = ladderstage_transport::Server::start(address, handler).await;
     let _server = server.expect("listen again");
-    let response = client.call(address, ask("x"), PATIENCE).await;
+    let response = client
+        .call(address, read_log_request("x"), TEST_TIMEOUT)
+        .await;
     assert_eq!(echoed(response.expect("answer")), "x");
 }
 
@@ -85,7 +95,11 @@
     let client = Client::new();
     let calls = (0..3).map(|_| {
         let client = client.clone();
-        tokio::spawn(async move { client.call(address, ask("x"), Duration::MAX).await })
+        tokio::spawn(async move {
+            client
+                .call(address, read_log_request("x"), Duration::MAX)
+                .await
+        })
     });
     let calls = calls.collect::<Vec<_>>();
     let (mut stream, _) = listener.accept().await.expect("connection");
@@ -94,7 +108,9 @@
     }
     drop(stream);
     for call in calls {
-        let result = tokio::time::timeout(PATIENCE, call).await.expect("ends");
+        let result = tokio::time::timeout(TEST_TIMEOUT, call)
+            .await
+            .expect("ends");
         let result = result.expect("task");
         assert!(matches!(result, Err(CallError::Unknown(_))), "{result:?}");
     }
@@ -106,13 +122,19 @@
     let address = listener.local_addr().expect("address");
     let client = Client::new();
     let accepting = tokio::spawn(async move { listener.accept().await.expect("connection").0 });
-    let result = client.call(address, ask("x"), SHORT).await;
+    let result = client
+        .call(address, read_log_request("x"), SHORT_TIMEOUT)
+        .await;
     assert!(matches!(result, Err(CallError::Unknown(_))), "{result:?}");
     let mut stream = accepting.await.expect("task");
     let late = read_request(&mut stream).await;
     let second = tokio::spawn({
         let client = client.clone();
-        async move { client.call(address, ask("y"), PATIENCE).await }
+        async move {
+            client
+                .call(address, read_log_request("y"), TEST_TIMEOUT)
+                .await
+        }
     });
     let current = read_request(&mut stream).await;
     stream.write_all(&done(late)).await.expect("write");
@@ -128,11 +150,13 @@
     let client = Client::new();
     let calling = tokio::spawn(async move {
         loop {
-            let _ = client.call(address, ask("x"), SHORT).await;
+            let _ = client
+                .call(address, read_log_request("x"), SHORT_TIMEOUT)
+                .await;
         }
     });
     let _first = listener.accept().await.expect("connection");
-    let second = tokio::time::timeout(PATIENCE, listener.accept()).await;
+    let second = tokio::time::timeout(TEST_TIMEOUT, listener.accept()).await;
     assert!(second.is_ok(), "no second connection");
     calling.abort();
 }
@@ -142,72 +166,88 @@
     let listener = TcpListener::bind(any_port()).await.expect("listen");
     let address = listener.local_addr().expect("address");
     let client = Client::new();
-    // More than the socket buffers take, to a peer that reads nothing.
+    // Fills the socket buffers, as the peer reads nothing.
     let blocking = tokio::spawn({
         let client = client.clone();
         let text = "x".repeat(15 * 1024 * 1024);
-        async move { client.call(address, ask(&text), PATIENCE).await }
+        async move {
+            client
+                .call(address, read_log_request(&text), TEST_TIMEOUT)
+                .await
+        }
     });
     let _stream = listener.accept().await.expect("connection");
-    let result = client.call(address, ask("y"), SHORT).await;
+    let result = client
+        .call(address, read_log_request("y"), SHORT_TIMEOUT)
+        .await;
     assert!(matches!(result, Err(CallError::NotSent(_))), "{result:?}");
     blocking.abort();
 }
 
 #[tokio::test]
-async fn calls_over_the_bound_are_not_sent() {
-    let handler = Arc::new(Scripted::default());
-    let server = serve(Arc::clone(&handler)).await;
+async fn calls_over_the_limit_are_not_sent() {
+    let handler = Arc::new(ScriptedHandler::default());
+    let server = start_server(Arc::clone(&handler)).await;
     let client = Client::new();
     let address = server.address();
     let mut calls = JoinSet::new();
-    for _ in 0..CALLS_IN_FLIGHT + 2 {
+    for _ in 0..MAX_CALLS_IN_FLIGHT + 2 {
         let client = client.clone();
-        calls.spawn(async move { client.call(address, ask("hold"), Duration::MAX).await });
+        calls.spawn(async move {
+            client
+                .call(address, read_log_request("hold"), Duration::MAX)
+                .await
+        });
     }
     for _ in 0..2 {
-        let refused = tokio::time::timeout(PATIENCE, calls.join_next()).await;
+        let refused = tokio::time::timeout(TEST_TIMEOUT, calls.join_next()).await;
         let refused = refused.expect("ends at once").expect("call").expect("task");
         assert!(matches!(refused, Err(CallError::NotSent(_))), "{refused:?}");
     }
     calls.shutdown().await;
-    // Given up calls make room, here at once and at the server as its handlers end.
+    // Abandoned calls free capacity: at the client immediately, at the server when their handlers end.
     let answered = async {
         loop {
             handler.release.notify_waiters();
-            match client.call(address, ask("x"), PATIENCE).await {
+            match client
+                .call(address, read_log_request("x"), TEST_TIMEOUT)
+                .await
+            {
                 Ok(response) => break echoed(response),
                 Err(_) => tokio::task::yield_now().await,
             }
         }
     };
-    let answered = tokio::time::timeout(PATIENCE, answered).await;
-    assert_eq!(answered.expect("room"), "x");
+    let answered = tokio::time::timeout(TEST_TIMEOUT, answered).await;
+    assert_eq!(answered.expect("free capacity"), "x");
 }
 
 #[tokio::test]
-async fn refusals_and_failures_of_the_handler_are_told_apart() {
-    let server = serve(Arc::new(Scripted::default())).await;
+async fn refusals_and_failures_of_the_handler_give_different_errors() {
+    let server = start_server(Arc::new(ScriptedHandler::default())).await;
     let client = Client::new();
-    let call = |request: Request| client.call(server.address(), request, PATIENCE);
-    let refused = call(ask("refuse")).await;
+    let call = |request: Request| client.call(server.address(), request, TEST_TIMEOUT);
+    let refused = call(read_log_request("refuse")).await;
     assert!(matches!(refused, Err(CallError::Refused(_))), "{refused:?}");
     let malformed = call(Request::default()).await;
     assert!(
         matches!(malformed, Err(CallError::Refused(_))),
         "{malformed:?}"
     );
-    // Both may have taken effect.
-    let panicked = call(ask("panic")).await;
+    // Requests of which the handler panicked or the response was too long may have been executed.
+    let panicked = call(read_log_request("panic")).await;
     assert!(
         matches!(panicked, Err(CallError::Unknown(_))),
         "{panicked:?}"
     );
-    let too_big = call(ask("big")).await;
+    let too_big = call(read_log_request("big")).await;
     assert!(matches!(too_big, Err(CallError::Unknown(_))), "{too_big:?}");
-    let too_big = call(ask(&"x".repeat(17 * 1024 * 1024))).await;
+    let too_big = call(read_log_request(&"x".repeat(17 * 1024 * 1024))).await;
     assert!(matches!(too_big, Err(CallError::NotSent(_))), "{too_big:?}");
-    assert_eq!(echoed(call(ask("x")).await.expect("answer")), "x");
+    assert_eq!(
+        echoed(call(read_log_request("x")).await.expect("answer")),
+        "x"
+    );
     assert_eq!(client.open_connections(), 1);
 }
 
@@ -216,8 +256,10 @@
     let client = Client::new();
     let mut servers = Vec::new();
     for _ in 0..CLIENT_CONNECTIONS + 8 {
-        let server = serve(Arc::new(Scripted::default())).await;
-        let response = client.call(server.address(), ask("x"), PATIENCE).await;
+        let server = start_server(Arc::new(ScriptedHandler::default())).await;
+        let response = client
+            .call(server.address(), read_log_request("x"), TEST_TIMEOUT)
+            .await;
         assert_eq!(echoed(response.expect("answer")), "x");
         servers.push(server);
     }
@@ -226,21 +268,27 @@
 
 #[tokio::test]
 async fn dropped_server_closes_its_connections() {
-    let server = serve(Arc::new(Scripted::default())).await;
+    let server = start_server(Arc::new(ScriptedHandler::default())).await;
     let client = Client::new();
     let address = server.address();
     client
-        .call(address, ask("x"), PATIENCE)
+        .call(address, read_log_request("x"), TEST_TIMEOUT)
         .await
         .expect("answer");
     let held = tokio::spawn({
         let client = client.clone();
-        async move { client.call(address, ask("hold"), Duration::MAX).await }
+        async move {
+            client
+                .call(address, read_log_request("hold"), Duration::MAX)
+                .await
+        }
     });
     while server.traffic().snapshot().frames_in < 2 {
         tokio::task::yield_now().await;
     }
     drop(server);
-    let result = tokio::time::timeout(PATIENCE, held).await.expect("ends");
+    let result = tokio::time::timeout(TEST_TIMEOUT, held)
+        .await
+        .expect("ends");
     assert!(matches!(result.expect("task"), Err(CallError::Unknown(_))));
 }
--- a/crates/transport/tests/common/mod.rs
+++ b/crates/transport/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A handler whose answers the request's text chooses, and helpers to make requests.
+//! Test handler whose response depends on the request, and helpers for requests.
 
-#![allow(dead_code, reason = "each test binary uses a part")]
+#![allow(dead_code, reason = "each test binary uses only some of the helpers")]
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -15,18 +15,18 @@
 };
 use tokio::sync::Notify;
 
-/// Longer than any wait that should end by itself.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of waits that should end much earlier.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Answers `ReadLog`: "hold" waits for `release`, "panic" panics, "refuse" refuses, "big" is over the frame limit,
-/// anything else is echoed.
+/// Handler of `ReadLog` requests, by log name: "hold" waits for `release`, "panic" panics, "refuse" is refused, "big"
+/// returns a response over the frame limit, any other name is echoed.
 #[derive(Default)]
-pub struct Scripted {
+pub struct ScriptedHandler {
     pub held: Notify,
     pub release: Notify,
 }
 
-impl Handler for Scripted {
+impl Handler for ScriptedHandler {
     fn handle(&self, request: Request) -> Pin<Box<dyn Future<Output = Response> + Send + '_>> {
         Box::pin(async move {
             let mod_Request::OneOfkind::read_log(request) = request.kind else {
@@ -38,7 +38,7 @@
                     self.release.notified().await;
                     echo(b"hold".to_vec())
                 }
-                "panic" => panic!("asked to"),
+                "panic" => panic!("requested by the test"),
                 "refuse" => refused(Reason::LEAVING),
                 "big" => echo(vec![0; 17 * 1024 * 1024]),
                 log => echo(log.as_bytes().to_vec()),
@@ -68,14 +68,14 @@
     }
 }
 
-pub fn ask(log: &str) -> Request {
+pub fn read_log_request(log: &str) -> Request {
     let kind = mod_Request::OneOfkind::read_log(ReadLog {
         log: log.to_owned(),
     });
     Request { kind }
 }
 
-/// The text that [`Scripted`] echoed.
+/// Returns the text that [`ScriptedHandler`] echoed.
 pub fn echoed(response: Response) -> String {
     let mod_Response::OneOfkind::read_log(mut reply) = response.kind else {
         panic!("unexpected response {response:?}");
@@ -87,6 +87,6 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-pub async fn serve(handler: Arc<Scripted>) -> Server {
+pub async fn start_server(handler: Arc<ScriptedHandler>) -> Server {
     Server::start(any_port(), handler).await.expect("listen")
 }
--- a/crates/transport/tests/hostile_frames.rs
+++ b/crates/transport/tests/hostile_frames.rs
@@ -1,4 +1,4 @@
-//! Bytes that are no frames close their own connection and disturb no other.
+//! Guards against invalid frames on one connection that affect another connection or the server.
 
 mod common;
 
@@ -6,60 +6,66 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::{Arc, LazyLock};
 
-use common::{PATIENCE, Scripted, ask, echoed, serve};
+use common::{ScriptedHandler, TEST_TIMEOUT, echoed, read_log_request, start_server};
 use ladderstage_transport::{Client, Server};
-use ladderstage_wire::frame::{HEADER_BYTES, MAX_PAYLOAD_BYTES, seal};
+use ladderstage_wire::frame::{HEADER_BYTES, MAX_PAYLOAD_BYTES, encode_frame};
 use ladderstage_wire::messages::Frame;
 use ladderstage_wire::messages::mod_Frame::OneOfbody;
 use proptest::prelude::*;
 use tokio::runtime::Runtime;
 
-struct Bystander {
+/// Server with a client whose connection must stay usable.
+struct OtherConnection {
     runtime: Runtime,
     server: Server,
     client: Client,
 }
 
-static BYSTANDER: LazyLock<Bystander> = LazyLock::new(|| {
+static OTHER_CONNECTION: LazyLock<OtherConnection> = LazyLock::new(|| {
     let runtime = Runtime::new().expect("runtime");
-    let server = runtime.block_on(serve(Arc::new(Scripted::default())));
+    let server = runtime.block_on(start_server(Arc::new(ScriptedHandler::default())));
     let client = Client::new();
-    Bystander {
+    OtherConnection {
         runtime,
         server,
         client,
     }
 });
 
-impl Bystander {
-    /// The connection that was opened first still answers.
-    fn goes_on(&self) {
-        let call = self
-            .client
-            .call(self.server.address(), ask("still here"), PATIENCE);
+impl OtherConnection {
+    /// Asserts that the client's first connection still works.
+    fn assert_works(&self) {
+        let call = self.client.call(
+            self.server.address(),
+            read_log_request("still here"),
+            TEST_TIMEOUT,
+        );
         let response = self.runtime.block_on(call).expect("answer");
         assert_eq!(echoed(response), "still here");
         assert_eq!(self.client.open_connections(), 1);
     }
 }
 
-fn valid_block(call_id: u64, log: &str) -> Vec<u8> {
-    let body = OneOfbody::request(ask(log));
-    seal(&Frame { call_id, body }).expect("small")
+fn encoded_request(call_id: u64, log: &str) -> Vec<u8> {
+    let body = OneOfbody::request(read_log_request(log));
+    encode_frame(&Frame { call_id, body }).expect("small")
 }
 
+/// Returns `payload` as a frame with a valid header.
 fn checksummed(payload: &[u8]) -> Vec<u8> {
-    let mut block = (payload.len() as u32).to_be_bytes().to_vec();
-    block.extend(crc32fast::hash(payload).to_be_bytes());
-    block.extend(payload);
-    block
+    let mut encoded = (payload.len() as u32).to_be_bytes().to_vec();
+    encoded.extend(crc32fast::hash(payload).to_be_bytes());
+    encoded.extend(payload);
+    encoded
 }
 
 /// Sends `bytes` and the end of the stream, then reads until the server closes.
 fn send_raw(address: SocketAddr, bytes: &[u8]) {
     let mut stream = TcpStream::connect(address).expect("connect");
-    stream.set_read_timeout(Some(PATIENCE)).expect("timeout");
-    // The server may close before all is sent.
+    stream
+        .set_read_timeout(Some(TEST_TIMEOUT))
+        .expect("timeout");
+    // The write fails if the server closes first.
     let _ = stream.write_all(bytes);
     let _ = stream.shutdown(Shutdown::Write);
     read_to_close(&mut stream);
@@ -77,41 +83,43 @@
 
     #[test]
     fn random_bytes(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-        BYSTANDER.goes_on();
-        send_raw(BYSTANDER.server.address(), &bytes);
-        BYSTANDER.goes_on();
+        OTHER_CONNECTION.assert_works();
+        send_raw(OTHER_CONNECTION.server.address(), &bytes);
+        OTHER_CONNECTION.assert_works();
     }
 
     #[test]
     fn random_payload_with_a_right_checksum(payload in prop::collection::vec(any::<u8>(), 0..200)) {
-        BYSTANDER.goes_on();
-        send_raw(BYSTANDER.server.address(), &checksummed(&payload));
-        BYSTANDER.goes_on();
+        OTHER_CONNECTION.assert_works();
+        send_raw(OTHER_CONNECTION.server.address(), &checksummed(&payload));
+        OTHER_CONNECTION.assert_works();
     }
 
     #[test]
     fn truncated_or_damaged_frame(cut in 0_usize..40, damage in 0_usize..40, bits in 1_u8..) {
-        BYSTANDER.goes_on();
-        let mut block = valid_block(1, "a log with quite a long name");
-        block.truncate(block.len().saturating_sub(cut).max(1));
-        let place = damage % block.len();
-        block[place] ^= bits;
-        send_raw(BYSTANDER.server.address(), &block);
-        BYSTANDER.goes_on();
+        OTHER_CONNECTION.assert_works();
+        let mut encoded = encoded_request(1, "a log with quite a long name");
+        encoded.truncate(encoded.len().saturating_sub(cut).max(1));
+        let place = damage % encoded.len();
+        encoded[place] ^= bits;
+        send_raw(OTHER_CONNECTION.server.address(), &encoded);
+        OTHER_CONNECTION.assert_works();
     }
 }
 
 #[test]
-fn oversize_and_garbage_are_refused_without_waiting_for_more() {
+fn oversize_and_invalid_frames_close_the_connection_immediately() {
     let oversize = (MAX_PAYLOAD_BYTES as u32 + 1).to_be_bytes();
     let oversize = [oversize, [0; 4]].concat();
-    let mut damaged = valid_block(1, "x");
+    let mut damaged = encoded_request(1, "x");
     damaged[HEADER_BYTES] ^= 1;
     for bytes in [oversize, damaged, b"GET / HTTP/1.1\r\n\r\n".to_vec()] {
-        let mut stream = TcpStream::connect(BYSTANDER.server.address()).expect("connect");
-        stream.set_read_timeout(Some(PATIENCE)).expect("timeout");
+        let mut stream = TcpStream::connect(OTHER_CONNECTION.server.address()).expect("connect");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("timeout");
         stream.write_all(&bytes).expect("write");
         read_to_close(&mut stream);
     }
-    BYSTANDER.goes_on();
+    OTHER_CONNECTION.assert_works();
 }
--- a/crates/wire/src/compression.rs
+++ b/crates/wire/src/compression.rs
@@ -1,4 +1,4 @@
-//! Compression of what is large: texts cross zones several times, as copies in the journal and as answers to readers.
+//! Compression of large texts, which are copied across zones by the journal and for readers.
 
 use std::io::{Read, Write};
 
@@ -6,34 +6,35 @@
 use flate2::read::DeflateDecoder;
 use flate2::write::DeflateEncoder;
 
-/// Largest content that is unpacked: more than any frame carries would be a sign of damage.
-const LARGEST_CONTENT: u64 = 256 * 1024 * 1024;
+/// Maximum size of decompressed content, in bytes. It limits the memory that damaged input can claim.
+const MAX_CONTENT_BYTES: u64 = 256 * 1024 * 1024;
 
-/// Bytes that cannot be unpacked.
+/// Error of a decompression.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("not compressed content: {0}")]
+#[error("invalid compressed content: {0}")]
 pub struct CompressionError(String);
 
-/// Packs `content` at the least effort: most of what texts save is in the coding of single bytes.
+/// Compresses `content` at the fastest level.
 pub fn compress(content: &[u8]) -> Vec<u8> {
-    let packed = Vec::with_capacity(content.len() / 2);
-    let mut encoder = DeflateEncoder::new(packed, Compression::fast());
-    // Writing into a Vec fails for no input.
+    let compressed = Vec::with_capacity(content.len() / 2);
+    let mut encoder = DeflateEncoder::new(compressed, Compression::fast());
+    // Writing to a Vec cannot fail.
     let _ = encoder.write_all(content);
     encoder.finish().unwrap_or_default()
 }
 
-/// Unpacks what [`compress`] packed.
+/// Decompresses the output of [`compress`].
 ///
 /// # Errors
-/// If the bytes are damaged, or hold more than any message may.
-pub fn decompress(packed: &[u8]) -> Result<Vec<u8>, CompressionError> {
-    let mut content = Vec::with_capacity(packed.len() * 2);
-    let mut limited = DeflateDecoder::new(packed).take(LARGEST_CONTENT + 1);
+///
+/// If the bytes are damaged or the content is too large.
+pub fn decompress(compressed: &[u8]) -> Result<Vec<u8>, CompressionError> {
+    let mut content = Vec::with_capacity(compressed.len() * 2);
+    let mut limited = DeflateDecoder::new(compressed).take(MAX_CONTENT_BYTES + 1);
     let read = limited.read_to_end(&mut content);
     read.map_err(|error| CompressionError(error.to_string()))?;
-    if content.len() as u64 > LARGEST_CONTENT {
-        return Err(CompressionError("too large".to_owned()));
+    if content.len() as u64 > MAX_CONTENT_BYTES {
+        return Err(CompressionError("content too large".to_owned()));
     }
     Ok(content)
 }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,21 +1,21 @@
-//! Length-prefixed, checksummed blocks: `length: u32 BE`, `crc32 of the payload: u32 BE`, payload.
+//! Encoding of frames: payload length (`u32`, big-endian), CRC-32 of the payload (`u32`, big-endian), payload.
 
 use crate::messages::Frame;
 use crate::{DecodeError, decode, encode};
 
-/// Bytes before the payload.
+/// Size of the header in bytes.
 pub const HEADER_BYTES: usize = 8;
 
-/// Longest payload that is sent or accepted.
+/// Maximum size of a payload in bytes.
 pub const MAX_PAYLOAD_BYTES: usize = 16 * 1024 * 1024;
 
-/// A block that cannot be read as a frame.
+/// Error of encoding or decoding a frame.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// The block names a length over [`MAX_PAYLOAD_BYTES`].
-    #[error("frame of {length} bytes is over the limit of {MAX_PAYLOAD_BYTES}")]
+    /// The payload is longer than [`MAX_PAYLOAD_BYTES`].
+    #[error("frame of {length} bytes exceeds the limit of {MAX_PAYLOAD_BYTES}")]
     TooLong {
-        /// Length in bytes that was named or asked for.
+        /// Length of the payload in bytes.
         length: usize,
     },
     /// The payload does not match its checksum.
@@ -23,15 +23,15 @@
     Checksum {
         /// Checksum in the header.
         expected: u32,
-        /// Checksum of the payload that came.
+        /// Checksum of the received payload.
         found: u32,
     },
-    /// The payload matches its checksum but is no frame.
+    /// The payload matches its checksum but cannot be decoded.
     #[error(transparent)]
     Decode(#[from] DecodeError),
 }
 
-/// The header of one block.
+/// Header of an encoded frame.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FrameHeader {
     /// Payload length in bytes.
@@ -41,7 +41,11 @@
 }
 
 impl FrameHeader {
-    /// Reads a header and checks its length against the limit.
+    /// Parses a header.
+    ///
+    /// # Errors
+    ///
+    /// `TooLong` if the length exceeds the limit.
     pub fn parse(bytes: [u8; HEADER_BYTES]) -> Result<Self, FrameError> {
         let [a, b, c, d, e, f, g, h] = bytes;
         let length = u32::from_be_bytes([a, b, c, d]) as usize;
@@ -52,8 +56,12 @@
         Ok(Self { length, checksum })
     }
 
-    /// Checks the payload against the header and decodes it.
-    pub fn open(&self, payload: &[u8]) -> Result<Frame, FrameError> {
+    /// Verifies the payload's checksum and decodes it.
+    ///
+    /// # Errors
+    ///
+    /// `Checksum` or `Decode`.
+    pub fn decode_payload(&self, payload: &[u8]) -> Result<Frame, FrameError> {
         let found = crc32fast::hash(payload);
         if found != self.checksum {
             return Err(FrameError::Checksum {
@@ -66,16 +74,20 @@
 }
 
 /// Encodes a frame with its header.
-pub fn seal(frame: &Frame) -> Result<Vec<u8>, FrameError> {
+///
+/// # Errors
+///
+/// `TooLong` if the payload exceeds the limit.
+pub fn encode_frame(frame: &Frame) -> Result<Vec<u8>, FrameError> {
     let payload = encode(frame);
     if payload.len() > MAX_PAYLOAD_BYTES {
         return Err(FrameError::TooLong {
             length: payload.len(),
         });
     }
-    let mut block = Vec::with_capacity(HEADER_BYTES + payload.len());
-    block.extend_from_slice(&(payload.len() as u32).to_be_bytes());
-    block.extend_from_slice(&crc32fast::hash(&payload).to_be_bytes());
-    block.extend_from_slice(&payload);
-    Ok(block)
+    let mut encoded = Vec::with_capacity(HEADER_BYTES + payload.len());
+    encoded.extend_from_slice(&(payload.len() as u32).to_be_bytes());
+    encoded.extend_from_slice(&crc32fast::hash(&payload).to_be_bytes());
+    encoded.extend_from_slice(&payload);
+    Ok(encoded)
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,7 @@
-//! Messages between ladderstage processes and the frames that carry them.
+//! Messages between ladderstage processes, and the frames that carry them.
 //!
-//! The messages are generated from `proto/ladderstage.proto` and committed; `CONTRIBUTING.md` names the
-//! command that makes them anew. [`frame`] wraps each message with its length and a checksum, so that
-//! damaged bytes are refused before they are decoded.
+//! The messages are generated from `proto/ladderstage.proto` and committed; `CONTRIBUTING.md` gives the command that
+//! regenerates them. [`frame`] adds a length and a checksum, so that damaged bytes are detected before decoding.
 
 pub mod compression;
 pub mod frame;
@@ -11,20 +10,20 @@
 #[rustfmt::skip]
 mod generated;
 
-/// The generated messages.
+/// Generated message types.
 pub mod messages {
     pub use crate::generated::ladderstage::*;
 }
 
 use quick_protobuf::{BytesReader, MessageRead, MessageWrite, Writer};
 
-/// Bytes that are not the message they should be.
+/// Error of decoding a message.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("malformed {message}: {detail}")]
 pub struct DecodeError {
-    /// Rust name of the message that was expected.
+    /// Rust type name of the expected message.
     pub message: &'static str,
-    /// What the decoder met.
+    /// Error of the decoder.
     pub detail: String,
 }
 
@@ -32,12 +31,16 @@
 pub fn encode<M: MessageWrite>(message: &M) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(message.get_size());
     let mut writer = Writer::new(&mut bytes);
-    // Writing into a Vec fails for no input.
+    // Writing to a Vec cannot fail.
     let _ = message.write_message(&mut writer);
     bytes
 }
 
-/// Decodes one message that fills `bytes`.
+/// Decodes one message that occupies all of `bytes`.
+///
+/// # Errors
+///
+/// If the bytes are not an encoding of `M`.
 pub fn decode<M>(bytes: &[u8]) -> Result<M, DecodeError>
 where
     M: for<'a> MessageRead<'a>,
--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -1,9 +1,9 @@
-//! Messages and entries of job logs between builds: what earlier builds wrote is read as it was meant, what this build writes is what they
-//! read, and what nobody knows yet is passed over.
+//! Guards against incompatible encodings of messages and job log entries between builds.
 //!
-//! `formats/<commit>.txt` holds what the build of that commit wrote. With `LADDERSTAGE_WRITE_FORMATS=<file>` set, this build's go to a file.
+//! `formats/<commit>.txt` contains the samples as encoded by the build of that commit. If `LADDERSTAGE_WRITE_FORMATS` names
+//! a file, this build's samples are written to it.
 
-// Samples name all fields and leave room for later ones.
+// Samples set all fields, but use `..default()` for fields that are added later.
 #[allow(clippy::needless_update)]
 #[path = "formats/samples.rs"]
 mod samples;
@@ -16,16 +16,16 @@
 use ladderstage_wire::{DecodeError, decode, encode};
 use samples::{Message, samples};
 
-/// What earlier builds wrote.
+/// Samples encoded by earlier builds, by commit.
 const EARLIER: [(&str, &str); 2] = [
     ("b6915e3", include_str!("formats/b6915e3.txt")),
     ("c0c1299", include_str!("formats/c0c1299.txt")),
 ];
 
-/// Set to the file that gets this build's samples.
+/// Environment variable that names the file to which this build's samples are written.
 const WRITE_VARIABLE: &str = "LADDERSTAGE_WRITE_FORMATS";
 
-/// A field number that no message has, as each wire type: a number, eight bytes, a length and its bytes, four bytes.
+/// Fields with a number that no message uses, one of each wire type: varint, 64-bit, length-delimited, 32-bit.
 const UNKNOWN_FIELDS: [&[u8]; 4] = [
     &[0xa0, 0x38, 0x05],
     &[0xa1, 0x38, 1, 2, 3, 4, 5, 6, 7, 8],
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Decodes what is of the same type.
-    fn decode_alike(&self, bytes: &[u8]) -> Result<Self, DecodeError> {
+    /// Decodes a message of the same type as `self`.
+    fn decode_same_type(&self, bytes: &[u8]) -> Result<Self, DecodeError> {
         Ok(match self {
             Self::Frame(_) => Self::Frame(decode(bytes)?),
             Self::Entry(_) => Self::Entry(decode(bytes)?),
@@ -52,7 +52,7 @@
     }
 }
 
-/// Lines of a name and its bytes in hexadecimal digits.
+/// Parses lines of a sample's name and its bytes in hexadecimal digits.
 fn read_lines(text: &str) -> BTreeMap<&str, Vec<u8>> {
     let lines = text.lines().map(|line| line.split_once(' ').unwrap());
     let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap();
@@ -67,22 +67,22 @@
 }
 
 #[test]
-fn what_earlier_builds_wrote_is_read_as_it_was_meant() {
+fn samples_of_earlier_builds_decode_to_the_same_messages() {
     for (commit, text) in EARLIER {
         let written = read_lines(text);
         assert!(written.len() > 40, "{commit}");
         let known: BTreeMap<&str, Message> = samples().into_iter().collect();
         for (name, bytes) in written {
             let sample = &known[name];
-            let read = sample.decode_alike(&bytes);
+            let read = sample.decode_same_type(&bytes);
             assert_eq!(read.as_ref(), Ok(sample), "{name} of {commit}");
         }
     }
 }
 
-/// The same bytes: an earlier build reads in them what this one means.
+/// Identical bytes guarantee that earlier builds decode the same messages.
 #[test]
-fn this_build_writes_what_earlier_ones_read() {
+fn samples_encode_to_the_same_bytes_as_in_earlier_builds() {
     for (commit, text) in EARLIER {
         let written = read_lines(text);
         for (name, sample) in samples() {
@@ -94,19 +94,23 @@
 }
 
 #[test]
-fn fields_that_nobody_knows_yet_are_passed_over() {
+fn unknown_fields_are_skipped() {
     for (name, sample) in samples() {
         for field in UNKNOWN_FIELDS {
             let mut bytes = sample.encode();
             bytes.extend_from_slice(field);
-            assert_eq!(sample.decode_alike(&bytes).as_ref(), Ok(&sample), "{name}");
+            assert_eq!(
+                sample.decode_same_type(&bytes).as_ref(),
+                Ok(&sample),
+                "{name}"
+            );
         }
     }
 }
 
-/// So an older build sees a request that it does not know, and can refuse it.
+/// An earlier build must be able to detect and refuse a request of a kind that it does not know.
 #[test]
-fn a_kind_that_nobody_knows_yet_is_read_as_none() {
+fn an_unknown_kind_decodes_as_none() {
     for field in UNKNOWN_FIELDS {
         let request: Request = decode(field).unwrap();
         assert_eq!(request.kind, OneOfkind::None);
--- a/crates/wire/tests/formats/samples.rs
+++ b/crates/wire/tests/formats/samples.rs
@@ -1,46 +1,50 @@
-//! One sample of each message and entry that builds exchange on the platform, each field of it with a value of its own.
+//! One sample of each message and entry that builds exchange on the platform, with a distinct value in each field.
 //!
-//! Fields that are added later stay at their defaults here, so that a sample's bytes stay what earlier builds wrote.
+//! Fields that are added later keep their defaults here, so that the encoded samples stay the same.
 
 use ladderstage_wire::messages::mod_Frame::OneOfbody;
-use ladderstage_wire::messages::mod_JobEntry::OneOfkind as Entry;
-use ladderstage_wire::messages::mod_Request::OneOfkind as Ask;
-use ladderstage_wire::messages::mod_Response::OneOfkind as Answer;
+use ladderstage_wire::messages::mod_JobEntry::OneOfkind as EntryKind;
+use ladderstage_wire::messages::mod_Request::OneOfkind as RequestKind;
+use ladderstage_wire::messages::mod_Response::OneOfkind as ResponseKind;
 use ladderstage_wire::messages::*;
 
-/// What is encoded.
+/// Message that is encoded as a sample.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Message {
-    /// Between two processes.
+    /// Frame between two processes.
     Frame(Frame),
-    /// In a job's log.
+    /// Entry of a job's log.
     Entry(JobEntry),
-    /// In the coordination store, and on the replicas' disks.
+    /// Replica set in the coordination store and on the replicas' disks.
     Set(ReplicaSet),
 }
 
-/// All samples, with their names.
+/// Returns all samples with their names.
 pub fn samples() -> Vec<(&'static str, Message)> {
-    let asked = requests().into_iter().map(|(name, kind)| {
+    let request_samples = requests().into_iter().map(|(name, kind)| {
         let body = OneOfbody::request(Request { kind });
         (name, Message::Frame(Frame { call_id: 7, body }))
     });
-    let answered = responses().into_iter().map(|(name, kind)| {
+    let response_samples = responses().into_iter().map(|(name, kind)| {
         let body = OneOfbody::response(Response { kind });
         (name, Message::Frame(Frame { call_id: 8, body }))
     });
-    let kept = entries()
+    let entry_samples = entries()
         .into_iter()
         .map(|(name, kind)| (name, Message::Entry(JobEntry { kind })));
     let set = ("replica_set_record", Message::Set(replica_set()));
-    asked.chain(answered).chain(kept).chain([set]).collect()
+    request_samples
+        .chain(response_samples)
+        .chain(entry_samples)
+        .chain([set])
+        .collect()
 }
 
-fn requests() -> Vec<(&'static str, Ask)> {
+fn requests() -> Vec<(&'static str, RequestKind)> {
     vec![
         (
             "seal",
-            Ask::seal(Seal {
+            RequestKind::seal(Seal {
                 replica_set_version: 3,
                 log: log(),
                 epoch: epoch(4),
@@ -49,10 +53,10 @@
                 ..Seal::default()
             }),
         ),
-        ("install", Ask::install(install())),
+        ("install", RequestKind::install(install())),
         (
             "install_rest",
-            Ask::install_rest(Install {
+            RequestKind::install_rest(Install {
                 kept_epoch: epoch(2),
                 kept_length: 11,
                 ..install()
@@ -60,7 +64,7 @@
         ),
         (
             "append",
-            Ask::append(Append {
+            RequestKind::append(Append {
                 replica_set_version: 3,
                 log: log(),
                 epoch: epoch(4),
@@ -72,21 +76,21 @@
         ),
         (
             "read_log",
-            Ask::read_log(ReadLog {
+            RequestKind::read_log(ReadLog {
                 log: log(),
                 ..ReadLog::default()
             }),
         ),
         (
             "describe_logs",
-            Ask::describe_logs(DescribeLogs {
+            RequestKind::describe_logs(DescribeLogs {
                 prefix: "job/".into(),
                 ..DescribeLogs::default()
             }),
         ),
         (
             "owner_heartbeat",
-            Ask::owner_heartbeat(OwnerHeartbeat {
+            RequestKind::owner_heartbeat(OwnerHeartbeat {
                 node: "front-1".into(),
                 process: 99,
                 logs: vec![OwnedLog {
@@ -99,7 +103,7 @@
         ),
         (
             "shard_notice",
-            Ask::shard_notice(ShardNotice {
+            RequestKind::shard_notice(ShardNotice {
                 logs: vec![log()],
                 from_owner: true,
                 ..ShardNotice::default()
@@ -107,11 +111,11 @@
         ),
         (
             "fetch_replica_set",
-            Ask::fetch_replica_set(FetchReplicaSet::default()),
+            RequestKind::fetch_replica_set(FetchReplicaSet::default()),
         ),
         (
             "export_logs",
-            Ask::export_logs(ExportLogs {
+            RequestKind::export_logs(ExportLogs {
                 replica_set_version: 3,
                 after: log(),
                 limit: 20,
@@ -127,14 +131,14 @@
         ),
         (
             "fence_replica_set",
-            Ask::fence_replica_set(FenceReplicaSet {
+            RequestKind::fence_replica_set(FenceReplicaSet {
                 replica_set: Some(replica_set()),
                 ..FenceReplicaSet::default()
             }),
         ),
         (
             "import_logs",
-            Ask::import_logs(ImportLogs {
+            RequestKind::import_logs(ImportLogs {
                 replica_set_version: 3,
                 logs: vec![exported()],
                 ..ImportLogs::default()
@@ -142,7 +146,7 @@
         ),
         (
             "read_job",
-            Ask::read_job(ReadJob {
+            RequestKind::read_job(ReadJob {
                 job: "step-5".into(),
                 after: 2,
                 wait_ms: 700,
@@ -153,7 +157,7 @@
         ),
         (
             "read_job_body",
-            Ask::read_job_body(ReadJobBody {
+            RequestKind::read_job_body(ReadJobBody {
                 job: "step-5".into(),
                 item: "i-1".into(),
                 anywhere: true,
@@ -162,7 +166,7 @@
         ),
         (
             "end_job",
-            Ask::end_job(EndJob {
+            RequestKind::end_job(EndJob {
                 job: "step-5".into(),
                 anywhere: true,
                 ..EndJob::default()
@@ -170,15 +174,18 @@
         ),
         (
             "accept_job",
-            Ask::accept_job(AcceptJob {
+            RequestKind::accept_job(AcceptJob {
                 spec: Some(spec()),
                 ..AcceptJob::default()
             }),
         ),
-        ("read_demand", Ask::read_demand(ReadDemand::default())),
+        (
+            "read_demand",
+            RequestKind::read_demand(ReadDemand::default()),
+        ),
         (
             "take_kept_texts",
-            Ask::take_kept_texts(TakeKeptTexts {
+            RequestKind::take_kept_texts(TakeKeptTexts {
                 model: "m".into(),
                 min_version: 6,
                 items: vec!["i-1".into()],
@@ -189,7 +196,7 @@
         ),
         (
             "weight_news",
-            Ask::weight_news(WeightNews {
+            RequestKind::weight_news(WeightNews {
                 instances: vec![weights()],
                 usual_load_ms: 900,
                 load_limit: 9,
@@ -199,7 +206,7 @@
         ),
         (
             "giver_end",
-            Ask::giver_end(GiverEnd {
+            RequestKind::giver_end(GiverEnd {
                 node: "front-1".into(),
                 fence: 77,
                 orders: vec![RecentOrder {
@@ -212,22 +219,22 @@
         ),
         (
             "usage_note",
-            Ask::usage_note(UsageNote {
+            RequestKind::usage_note(UsageNote {
                 usage: vec![process_usage()],
                 ..UsageNote::default()
             }),
         ),
         (
             "read_usage",
-            Ask::read_usage(ReadUsage {
+            RequestKind::read_usage(ReadUsage {
                 window: 31,
                 ..ReadUsage::default()
             }),
         ),
-        // The build before this one had no such message.
+        // Commit b6915e3 has no sample of this message.
         (
             "suspect_news",
-            Ask::suspect_news(SuspectNews {
+            RequestKind::suspect_news(SuspectNews {
                 contents: vec![SuspectedContent {
                     content: 0xfeed,
                     ends: vec!["e-1@5".into()],
@@ -238,7 +245,7 @@
         ),
         (
             "weight_news_of_starts",
-            Ask::weight_news(WeightNews {
+            RequestKind::weight_news(WeightNews {
                 instances: vec![InstanceWeights {
                     started_unix_ms: 1_700_000_000_000,
                     ..weights()
@@ -249,11 +256,11 @@
     ]
 }
 
-fn responses() -> Vec<(&'static str, Answer)> {
+fn responses() -> Vec<(&'static str, ResponseKind)> {
     vec![
         (
             "seal_reply",
-            Answer::seal(SealReply {
+            ResponseKind::seal(SealReply {
                 replica_id: 21,
                 accepted: true,
                 promised: epoch(4),
@@ -266,7 +273,7 @@
         ),
         (
             "write_reply",
-            Answer::write(WriteReply {
+            ResponseKind::write(WriteReply {
                 replica_id: 21,
                 outcome: mod_WriteReply::Outcome::NEEDS_INSTALL,
                 promised: epoch(4),
@@ -276,7 +283,7 @@
         ),
         (
             "read_log_reply",
-            Answer::read_log(ReadLogReply {
+            ResponseKind::read_log(ReadLogReply {
                 replica_id: 21,
                 found: true,
                 promised: epoch(4),
@@ -288,7 +295,7 @@
         ),
         (
             "describe_logs_reply",
-            Answer::describe_logs(DescribeLogsReply {
+            ResponseKind::describe_logs(DescribeLogsReply {
                 replica_id: 21,
                 logs: vec![LogDescription {
                     log: log(),
@@ -303,7 +310,7 @@
         ),
         (
             "owner_heartbeat_reply",
-            Answer::owner_heartbeat(OwnerHeartbeatReply {
+            ResponseKind::owner_heartbeat(OwnerHeartbeatReply {
                 replica_id: 21,
                 evidence: Some(BundleEvidence {
                     revision: 5,
@@ -316,11 +323,11 @@
                 ..OwnerHeartbeatReply::default()
             }),
         ),
-        ("done", Answer::done(Done::default())),
-        ("replica_set", Answer::replica_set(replica_set())),
+        ("done", ResponseKind::done(Done::default())),
+        ("replica_set", ResponseKind::replica_set(replica_set())),
         (
             "export_logs_reply",
-            Answer::export_logs(ExportLogsReply {
+            ResponseKind::export_logs(ExportLogsReply {
                 logs: vec![exported()],
                 more: true,
                 ..ExportLogsReply::default()
@@ -328,7 +335,7 @@
         ),
         (
             "refused",
-            Answer::refused(Refused {
+            ResponseKind::refused(Refused {
                 reason: mod_Refused::Reason::NOT_OWNER,
                 detail: "not here".into(),
                 retry_after_ms: 50,
@@ -337,7 +344,7 @@
         ),
         (
             "job_results",
-            Answer::job_results(JobResults {
+            ResponseKind::job_results(JobResults {
                 total: 4,
                 results: vec![result()],
                 ..JobResults::default()
@@ -345,11 +352,11 @@
         ),
         (
             "compressed_job_results",
-            Answer::compressed_job_results(vec![1, 2, 3]),
+            ResponseKind::compressed_job_results(vec![1, 2, 3]),
         ),
         (
             "job_body",
-            Answer::job_body(JobBody {
+            ResponseKind::job_body(JobBody {
                 found: true,
                 body: b"prompt".to_vec(),
                 ..JobBody::default()
@@ -357,7 +364,7 @@
         ),
         (
             "demand",
-            Answer::demand(Demand {
+            ResponseKind::demand(Demand {
                 work: vec![ModelWork {
                     model: "m".into(),
                     tokens: 800,
@@ -374,11 +381,11 @@
         ),
         (
             "packed_kept_texts",
-            Answer::packed_kept_texts(vec![4, 5, 6]),
+            ResponseKind::packed_kept_texts(vec![4, 5, 6]),
         ),
         (
             "usage",
-            Answer::usage(Usage {
+            ResponseKind::usage(Usage {
                 usage: vec![process_usage()],
                 unix_ms: 1_700_000_000_001,
                 ..Usage::default()
@@ -387,14 +394,14 @@
     ]
 }
 
-fn entries() -> Vec<(&'static str, Entry)> {
+fn entries() -> Vec<(&'static str, EntryKind)> {
     vec![
-        ("entry_accepted", Entry::accepted(spec())),
-        ("entry_result", Entry::result(result())),
-        ("entry_ended", Entry::ended(JobEnded::default())),
+        ("entry_accepted", EntryKind::accepted(spec())),
+        ("entry_result", EntryKind::result(result())),
+        ("entry_ended", EntryKind::ended(JobEnded::default())),
         (
             "entry_progress",
-            Entry::progress(JobProgress {
+            EntryKind::progress(JobProgress {
                 item: "i-1".into(),
                 starts_over: true,
                 first_event: 8,
@@ -406,7 +413,7 @@
                 ..JobProgress::default()
             }),
         ),
-        ("entry_compressed", Entry::compressed(vec![7, 8, 9])),
+        ("entry_compressed", EntryKind::compressed(vec![7, 8, 9])),
     ]
 }
 
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -1,6 +1,8 @@
-//! Frames: what is sealed opens again, and damaged bytes give an error and never a panic.
+//! Tests of frames: an encoded frame decodes unchanged, and damaged bytes give an error, never a panic.
 
-use ladderstage_wire::frame::{FrameError, FrameHeader, HEADER_BYTES, MAX_PAYLOAD_BYTES, seal};
+use ladderstage_wire::frame::{
+    FrameError, FrameHeader, HEADER_BYTES, MAX_PAYLOAD_BYTES, encode_frame,
+};
 use ladderstage_wire::messages::{
     Append, Epoch, Frame, LogEntry, OpenShardReply, PullShardReply, Request, WriteReply,
     mod_Frame::OneOfbody, mod_OpenShardReply, mod_PullShardReply, mod_Request::OneOfkind,
@@ -25,14 +27,14 @@
     }
 }
 
-fn split(block: &[u8]) -> (FrameHeader, &[u8]) {
-    let header: [u8; HEADER_BYTES] = block[..HEADER_BYTES].try_into().expect("header bytes");
+fn split(encoded: &[u8]) -> (FrameHeader, &[u8]) {
+    let header: [u8; HEADER_BYTES] = encoded[..HEADER_BYTES].try_into().expect("header bytes");
     let header = FrameHeader::parse(header).expect("length within the limit");
-    (header, &block[HEADER_BYTES..])
+    (header, &encoded[HEADER_BYTES..])
 }
 
 #[test]
-fn an_unknown_or_missing_outcome_of_a_write_is_not_taken_for_stored() {
+fn an_unknown_or_missing_outcome_of_a_write_decodes_as_unspecified() {
     let unknown_number = [0x10, 99];
     for bytes in [&unknown_number[..], &[]] {
         let reply: WriteReply = decode(bytes).expect("a message");
@@ -41,7 +43,7 @@
 }
 
 #[test]
-fn an_unknown_or_missing_outcome_of_a_shard_is_not_taken_for_success() {
+fn an_unknown_or_missing_outcome_of_a_shard_call_decodes_as_unspecified() {
     let unknown_number = [0x08, 99];
     for bytes in [&unknown_number[..], &[]] {
         let opened: OpenShardReply = decode(bytes).expect("a message");
@@ -53,20 +55,20 @@
 
 proptest! {
     #[test]
-    fn a_sealed_frame_opens_unchanged(call_id: u64, log in ".{0,40}", payload: Vec<u8>) {
+    fn an_encoded_frame_decodes_unchanged(call_id: u64, log in ".{0,40}", payload: Vec<u8>) {
         let frame = append_frame(call_id, log, payload);
-        let block = seal(&frame).expect("small frame");
-        let (header, body) = split(&block);
-        prop_assert_eq!(header.open(body).expect("valid frame"), frame);
+        let encoded = encode_frame(&frame).expect("small frame");
+        let (header, body) = split(&encoded);
+        prop_assert_eq!(header.decode_payload(body).expect("valid frame"), frame);
     }
 
     #[test]
     fn a_flipped_bit_is_refused(position in 0usize..200, bit in 0u8..8) {
-        let mut block = seal(&append_frame(1, "shard/a/1/0".to_owned(), vec![7; 200])).expect("small frame");
-        let index = HEADER_BYTES + position % (block.len() - HEADER_BYTES);
-        block[index] ^= 1 << bit;
-        let (header, body) = split(&block);
-        let refused = matches!(header.open(body), Err(FrameError::Checksum { .. }));
+        let mut encoded = encode_frame(&append_frame(1, "shard/a/1/0".to_owned(), vec![7; 200])).expect("small frame");
+        let index = HEADER_BYTES + position % (encoded.len() - HEADER_BYTES);
+        encoded[index] ^= 1 << bit;
+        let (header, body) = split(&encoded);
+        let refused = matches!(header.decode_payload(body), Err(FrameError::Checksum { .. }));
         prop_assert!(refused);
     }
 
