--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -71,7 +71,7 @@
     #[error("the log is retired")]
     Retired,
     /// The outcome of an earlier append of this writer is unknown; that append must be retried first.
-    #[error("an earlier append is unresolved")]
+    #[error("the outcome of an earlier append is unknown")]
     Unresolved,
 }
 
--- a/crates/journal/src/replica.rs
+++ b/crates/journal/src/replica.rs
@@ -176,7 +176,7 @@
             return not_a_replica();
         }
         let Some(set) = request.replica_set else {
-            return refused(Reason::MALFORMED, "no replica set in the fence");
+            return refused(Reason::MALFORMED, "fence request without a replica set");
         };
         let result = self.replica_sets.learn(set).await;
         respond(result.map(|_| Done {}), ResponseKind::done)
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -115,13 +115,15 @@
         match self.calls.abandon(call_id) {
             Some(true) => {
                 self.timeouts_in_a_row.fetch_add(1, Ordering::Relaxed);
-                Err(CallError::Unknown(format!("no answer within {timeout:?}")))
+                Err(CallError::Unknown(format!(
+                    "no response within {timeout:?}"
+                )))
             }
             Some(false) => Err(CallError::NotSent(format!("not sent within {timeout:?}"))),
             // The call ended at the same moment.
             None => reply
                 .try_recv()
-                .unwrap_or_else(|_| Err(CallError::Unknown("answer lost".to_owned()))),
+                .unwrap_or_else(|_| Err(CallError::Unknown("response lost".to_owned()))),
         }
     }
 }
--- a/crates/transport/tests/calls.rs
+++ b/crates/transport/tests/calls.rs
@@ -234,7 +234,7 @@
         matches!(malformed, Err(CallError::Refused(_))),
         "{malformed:?}"
     );
-    // Requests of which the handler panicked or the response was too long may have been executed.
+    // After a panic or an oversized response, the outcome is unknown.
     let panicked = call(read_log_request("panic")).await;
     assert!(
         matches!(panicked, Err(CallError::Unknown(_))),
