--- a/crates/front/src/job/context.rs
+++ b/crates/front/src/job/context.rs
@@ -6,17 +6,17 @@
 use ladderstage_journal::Journal;
 use ladderstage_journal::replica_set::ReplicaSets;
 
-use super::confirmation::Confirmation;
+use super::confirmation::QuorumConfirmation;
 use super::lengths::TextLengths;
-use super::trainer_steps::NewestSteps;
+use super::trainer_steps::LatestSteps;
 use crate::activity::Activity;
 use crate::backend::BackendTable;
-use crate::config::ConfigInForce;
+use crate::config::CurrentConfig;
 use crate::dialect::SharedCodec;
 use crate::metrics::Metrics;
 use crate::nodes::Nodes;
-use crate::orders::{EndedGivers, LearntLoads};
-use crate::roster::DirectView;
+use crate::orders::{FormerLeaders, LearnedLoadLimit};
+use crate::roster::DiscoveryView;
 use crate::suspects::Suspects;
 
 /// What jobs work with.
@@ -28,11 +28,11 @@
     /// The other nodes.
     pub nodes: Nodes,
     /// Routes.
-    pub config: ConfigInForce,
+    pub config: CurrentConfig,
     /// Instances.
     pub backends: BackendTable,
     /// Whether their records are followed here.
-    pub view: DirectView,
+    pub view: DiscoveryView,
     /// Names.
     pub codec: SharedCodec,
     /// Counters.
@@ -40,15 +40,15 @@
     /// How long a job can be read after it was handed in.
     pub retention: Duration,
     /// Whether the replicas still know this node as the owner of its jobs.
-    pub confirmation: Confirmation,
+    pub confirmation: QuorumConfirmation,
     /// How long texts are.
     pub lengths: TextLengths,
     /// The newest steps of trainers.
-    pub steps: NewestSteps,
+    pub steps: LatestSteps,
     /// What givers of orders have learnt of loads.
-    pub learnt_loads: LearntLoads,
+    pub learned_load_limit: LearnedLoadLimit,
     /// The giver of orders that told its end last.
-    pub ended_givers: EndedGivers,
+    pub former_leaders: FormerLeaders,
     /// Counts the jobs that run at this node.
     pub activity: Activity,
     /// Requests under which instances end.
--- a/crates/front/src/job/peers.rs
+++ b/crates/front/src/job/peers.rs
@@ -58,9 +58,9 @@
         let services = config.services.iter();
         let instances = services
             .filter(|(_, service)| !service.models.is_empty())
-            .flat_map(|(name, _)| self.context.backends.of_service(name));
+            .flat_map(|(name, _)| self.context.backends.instances_of(name));
         let known = instances.filter_map(|instance| {
-            let pace_ms = instance.recent_pace_ms()?;
+            let pace_ms = instance.recent_unit_time_ms()?;
             Some(InstancePace {
                 instance: instance.id().to_owned(),
                 event_micros: (pace_ms * 1e3) as u64,
@@ -85,7 +85,7 @@
             }
             RequestKind::accept_job(request) => self.answer_accept(request).await,
             RequestKind::giver_end(end) => {
-                self.context.ended_givers.note(&end, Instant::now());
+                self.context.former_leaders.record(&end, Instant::now());
                 ResponseKind::done(Done {})
             }
             RequestKind::read_demand(_) => ResponseKind::demand(self.demand()),
@@ -93,7 +93,7 @@
                 if notice.from_owner {
                     self.take_over(notice.logs);
                 } else {
-                    self.on_untended(notice.logs);
+                    self.on_orphaned_logs(notice.logs);
                 }
                 ResponseKind::done(Done {})
             }
@@ -107,21 +107,21 @@
         let now = Instant::now();
         for told in &news.instances {
             let instance = self.context.backends.get(&told.instance);
-            let Some(instance) = instance.filter(|one| one.is_start(told.started_unix_ms)) else {
+            let Some(instance) = instance.filter(|one| one.matches_incarnation(told.started_unix_ms)) else {
                 continue;
             };
             if told.loading_ms > 0 {
                 let until = now + Duration::from_millis(told.loading_ms);
-                instance.note_loading(&told.model, until);
+                instance.mark_loading(&told.model, until);
             } else {
-                instance.note_version(&told.model, told.version);
+                instance.record_version(&told.model, told.version);
             }
         }
         if news.usual_load_ms > 0 {
             let usual = Duration::from_millis(news.usual_load_ms);
             let limit = news.load_limit as usize;
-            let limit = LoadLimit::from_learnt(limit, usual, news.limit_is_near);
-            self.context.learnt_loads.note(&limit);
+            let limit = LoadLimit::from_learned(limit, usual, news.limit_is_near);
+            self.context.learned_load_limit.record(&limit);
         }
         self.context.backends.notify();
     }
@@ -175,7 +175,7 @@
     }
 
     /// Takes over jobs that a replica hears no owner of, unless their owner answers: the replica may be cut off.
-    pub fn on_untended(&self, logs: Vec<String>) {
+    pub fn on_orphaned_logs(&self, logs: Vec<String>) {
         for id in self.not_here(&logs) {
             let registry = self.clone();
             tokio::spawn(async move {
--- a/crates/front/src/job/starting.rs
+++ b/crates/front/src/job/starting.rs
@@ -85,9 +85,9 @@
                 .entry(index)
                 .or_insert_with(|| run.item_content(index))
         };
-        let held = run.holds(index, content);
+        let held = run.current_hold(index, content);
         // Others of its content are under way, and the next of them to end decides.
-        self.has_waiting_items |= held.is_some_and(|held| held.is_short());
+        self.has_waiting_items |= held.is_some_and(|held| held.is_concurrency_hold());
         held.is_some()
     }
 
@@ -99,7 +99,7 @@
         kept: ItemText,
     ) {
         // The run begins with its first poll; the guard counts it from now on.
-        let guard = instance.as_ref().map(Instance::begin);
+        let guard = instance.as_ref().map(Instance::track_request);
         let run = Arc::clone(run);
         self.begun.forget(index);
         self.carried.remove(&run.spec.items[index].id);
@@ -125,7 +125,7 @@
         let is_scored = reward_call.is_empty() || !carried.score.is_empty();
         let is_done = carried.is_whole && is_scored && carried.reward_call == reward_call;
         log::info!(
-            "event=text_carried item={} job={} events={} versions={:?} whole={} scored={is_scored}",
+            "event=text_reused item={} job={} events={} versions={:?} whole={} scored={is_scored}",
             item.id,
             spec.job,
             carried.events,
@@ -167,7 +167,7 @@
             metrics: Arc::clone(&self.context.metrics),
             spec: Arc::clone(spec),
             service: service.to_owned(),
-            rank: route.rank(tenant.map(AsRef::as_ref)),
+            priority_header: route.priority_header(tenant.map(AsRef::as_ref)),
             allowed_at_begin: route.allowed_regions_for(tenant.map(AsRef::as_ref)),
             max_attempts: route.max_attempts,
             single_version: route.single_version,
@@ -176,9 +176,9 @@
             window: self.window.clone(),
             begun: self.begun.clone(),
             tokens_per_event,
-            learnt_loads: self.context.learnt_loads.clone(),
+            learned_load_limit: self.context.learned_load_limit.clone(),
             suspects: self.context.suspects.clone(),
-            give_up_at: route.max_queue.map(|age| self.job.opened_at + age),
+            give_up_at: route.max_queue_time.map(|age| self.job.opened_at + age),
         }))
     }
 }
--- a/crates/journal/src/confirmation.rs
+++ b/crates/journal/src/confirmation.rs
@@ -17,7 +17,7 @@
     /// # Errors
     ///
     /// `Fenced`, `StaleReplicaSet`, or `NoQuorum` if too few replicas responded.
-    pub async fn confirm(&self) -> Result<(), JournalError> {
+    pub async fn confirm_ownership(&self) -> Result<(), JournalError> {
         let quorum = ReplicaCalls::quorum(&self.set);
         let mut unfenced = BTreeSet::new();
         let mut fenced = BTreeSet::new();
--- a/crates/journal/src/hooks.rs
+++ b/crates/journal/src/hooks.rs
@@ -19,10 +19,10 @@
     fn fenced(&self, log: &str);
 
     /// Called when a replica reports a higher epoch for `log`; other replicas may still accept this node's writer.
-    fn contested(&self, _log: &str) {}
+    fn fence_reported(&self, _log: &str) {}
 
     /// Called with logs that this node should take over because their owners are silent.
-    fn untended(&self, logs: Vec<String>);
+    fn orphaned(&self, logs: Vec<String>);
 }
 
 /// Holder of the hooks, which are set after the journal has started.
--- a/crates/journal/src/options.rs
+++ b/crates/journal/src/options.rs
@@ -31,17 +31,17 @@
     /// Allows this node to create the first set; otherwise it only waits for one.
     pub may_bootstrap: bool,
     /// Prefix of the names of monitored logs: their writers send heartbeats, and silent writers are replaced.
-    pub tended_prefix: &'static str,
+    pub monitored_prefix: &'static str,
     /// Time between an owner's heartbeats to the replicas.
-    pub owner_heartbeat: Duration,
+    pub owner_heartbeat_interval: Duration,
     /// Time without a heartbeat after which a log's owner is replaced.
     pub owner_timeout: Duration,
     /// Timeout of one round of calls to the replicas.
     pub round_timeout: Duration,
     /// Time between reads of the replica set's record.
-    pub poll: Duration,
+    pub poll_interval: Duration,
     /// Upper bound of the poll interval while reads of the record fail.
-    pub longest_pause: Duration,
+    pub max_poll_interval: Duration,
     /// Time that a replica must be missing before another disk replaces it.
     pub replace_after: Duration,
 }
--- a/crates/journal/src/peers.rs
+++ b/crates/journal/src/peers.rs
@@ -18,12 +18,12 @@
     }
 
     /// Returns the members to which orphaned logs are assigned; by default all successors.
-    fn takers(&self) -> Vec<Member> {
+    fn takeover_candidates(&self) -> Vec<Member> {
         self.successors()
     }
 
     /// Returns whether a process is known to have exited. This is a hint that only speeds up the take-over of its logs.
-    fn is_gone(&self, _process: ProcessId) -> bool {
+    fn has_exited(&self, _process: ProcessId) -> bool {
         false
     }
 
--- a/crates/journal/src/registry.rs
+++ b/crates/journal/src/registry.rs
@@ -10,22 +10,22 @@
 /// Open writers of monitored logs, by log name. A writer is registered from its take-over until it is dropped.
 /// Writers of other logs, such as claims, are not registered.
 pub(crate) struct OwnedLogs {
-    tended_prefix: &'static str,
+    monitored_prefix: &'static str,
     writers: Mutex<BTreeMap<String, WeakWriter>>,
 }
 
 impl OwnedLogs {
     /// Creates an empty registry for logs whose names start with `tended_prefix`.
-    pub fn new(tended_prefix: &'static str) -> Self {
+    pub fn new(monitored_prefix: &'static str) -> Self {
         Self {
-            tended_prefix,
+            monitored_prefix,
             writers: Mutex::default(),
         }
     }
 
     /// Registers a writer; it replaces one of the same log with a lower epoch.
     pub fn insert(&self, writer: &Arc<WriterShared>) {
-        if !writer.log.starts_with(self.tended_prefix) {
+        if !writer.log.starts_with(self.monitored_prefix) {
             return;
         }
         let mut writers = self.lock();
--- a/crates/journal/src/replica.rs
+++ b/crates/journal/src/replica.rs
@@ -184,17 +184,17 @@
 
     /// Returns the open logs whose names start with `prefix` and whose owner was silent for `timeout`. If `is_gone`
     /// returns true for the owner's process, a fraction of `timeout` suffices.
-    pub fn untended(
+    pub fn orphaned(
         &self,
         prefix: &str,
         timeout: Duration,
-        is_gone: impl Fn(ProcessId) -> bool,
+        has_exited: impl Fn(ProcessId) -> bool,
     ) -> Vec<String> {
         let Some(storage) = &self.storage else {
             return Vec::new();
         };
         let open = storage.open_logs_with_owners(prefix).into_iter();
-        let open = open.map(|(log, owner)| match is_gone(owner) {
+        let open = open.map(|(log, owner)| match has_exited(owner) {
             true => (log, timeout.mul_f64(EXITED_OWNER_TIMEOUT_FRACTION)),
             false => (log, timeout),
         });
--- a/crates/storage/src/open.rs
+++ b/crates/storage/src/open.rs
@@ -34,7 +34,7 @@
     /// Time after its last change at which a claim is deleted.
     pub claim_retention: Duration,
     /// Rules for closed logs that are deleted; they take precedence over `closed_retention`.
-    pub dropped_when_closed: Vec<DropRule>,
+    pub drop_rules: Vec<DropRule>,
     /// Failures injected by tests.
     pub faults: StorageFaults,
 }
@@ -81,7 +81,7 @@
             queue_bytes: 64 * 1024 * 1024,
             closed_retention: Duration::from_secs(24 * 3600),
             claim_retention: Duration::from_secs(24 * 3600),
-            dropped_when_closed: Vec::new(),
+            drop_rules: Vec::new(),
             faults: StorageFaults::default(),
         }
     }
--- a/crates/storage/tests/storage.rs
+++ b/crates/storage/tests/storage.rs
@@ -428,7 +428,7 @@
 async fn a_drop_rule_deletes_only_closed_logs_with_its_prefix() {
     let folder = tempfile::tempdir().unwrap();
     let options = StorageOptions {
-        dropped_when_closed: vec![DropRule {
+        drop_rules: vec![DropRule {
             prefix: "job/".to_owned(),
             after: Duration::from_millis(1),
         }],
