--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -13,11 +13,11 @@
 pub mod jitter;
 mod metrics;
 mod options;
+mod orphaned;
 mod peers;
 mod registry;
 mod replica;
 pub mod replica_set;
-mod orphaned;
 mod writer;
 
 use std::sync::{Arc, Mutex};
@@ -38,9 +38,9 @@
 use calls::{ReplicaCalls, RoundStep};
 use heartbeat::Heartbeats;
 use hooks::HookSlot;
+use orphaned::OrphanMonitor;
 use registry::OwnedLogs;
 use replica::ReplicaService;
-use orphaned::OrphanMonitor;
 
 pub use hooks::JournalHooks;
 pub use metrics::JournalMetrics;
@@ -98,7 +98,7 @@
     hooks: HookSlot,
     /// Kept alive for the tasks, which hold weak references and end once these are dropped.
     _heartbeats: Arc<Heartbeats>,
-    _watch: Arc<OrphanMonitor>,
+    _monitor: Arc<OrphanMonitor>,
 }
 
 impl std::fmt::Debug for Journal {
@@ -134,7 +134,7 @@
             hooks: hooks.clone(),
         });
         let owner_timeout = options.owner_timeout;
-        let watch = Arc::new(OrphanMonitor {
+        let monitor = Arc::new(OrphanMonitor {
             node: options.node.clone(),
             calls: Arc::clone(&calls),
             hooks: hooks.clone(),
@@ -143,8 +143,8 @@
         });
         let interval = options.owner_heartbeat_interval;
         tokio::spawn(heartbeat::run(Arc::downgrade(&heartbeats), interval));
-        tokio::spawn(orphaned::run(Arc::downgrade(&watch), owner_timeout));
-        tokio::spawn(orphaned::run_sweeps(Arc::downgrade(&watch)));
+        tokio::spawn(orphaned::run(Arc::downgrade(&monitor), owner_timeout));
+        tokio::spawn(orphaned::run_sweeps(Arc::downgrade(&monitor)));
         let inner = Inner {
             node: options.node.clone(),
             epochs: Mutex::new(EpochSource::new(process)),
@@ -152,7 +152,7 @@
             owned,
             hooks,
             _heartbeats: heartbeats,
-            _watch: watch,
+            _monitor: monitor,
         };
         Self {
             inner: Arc::new(inner),
--- a/crates/journal/src/orphaned.rs
+++ b/crates/journal/src/orphaned.rs
@@ -30,24 +30,24 @@
 }
 
 /// Checks for orphaned logs several times per `owner_timeout`, with jitter, until the journal is dropped.
-pub(crate) async fn run(watch: Weak<OrphanMonitor>, owner_timeout: Duration) {
+pub(crate) async fn run(monitor: Weak<OrphanMonitor>, owner_timeout: Duration) {
     loop {
         tokio::time::sleep(crate::jitter::jittered(owner_timeout / CHECKS_PER_TIMEOUT)).await;
-        let Some(watch) = watch.upgrade() else {
+        let Some(monitor) = monitor.upgrade() else {
             return;
         };
-        watch.check().await;
+        monitor.check().await;
     }
 }
 
 /// Periodically removes logs whose retention has passed, with jitter, until the journal is dropped.
-pub(crate) async fn run_sweeps(watch: Weak<OrphanMonitor>) {
+pub(crate) async fn run_sweeps(monitor: Weak<OrphanMonitor>) {
     loop {
         tokio::time::sleep(crate::jitter::jittered(SWEEP_INTERVAL)).await;
-        let Some(watch) = watch.upgrade() else {
+        let Some(monitor) = monitor.upgrade() else {
             return;
         };
-        watch.sweep().await;
+        monitor.sweep().await;
     }
 }
 
@@ -67,7 +67,9 @@
         let takeover_candidates = self.calls.peers.takeover_candidates();
         let mut notices = BTreeMap::<String, Vec<String>>::new();
         for log in logs {
-            let names = takeover_candidates.iter().map(|member| member.node.as_str());
+            let names = takeover_candidates
+                .iter()
+                .map(|member| member.node.as_str());
             let successor = rendezvous_first(log.as_bytes(), names);
             let successor = successor.unwrap_or(&self.node).to_owned();
             let notice = notices.entry(successor).or_default();
--- a/crates/journal/src/registry.rs
+++ b/crates/journal/src/registry.rs
@@ -15,7 +15,7 @@
 }
 
 impl OwnedLogs {
-    /// Creates an empty registry for logs whose names start with `tended_prefix`.
+    /// Creates an empty registry for logs whose names start with `monitored_prefix`.
     pub fn new(monitored_prefix: &'static str) -> Self {
         Self {
             monitored_prefix,
--- a/crates/journal/src/replica.rs
+++ b/crates/journal/src/replica.rs
@@ -182,7 +182,7 @@
         respond(result.map(|_| Done {}), ResponseKind::done)
     }
 
-    /// Returns the open logs whose names start with `prefix` and whose owner was silent for `timeout`. If `is_gone`
+    /// Returns the open logs whose names start with `prefix` and whose owner was silent for `timeout`. If `has_exited`
     /// returns true for the owner's process, a fraction of `timeout` suffices.
     pub fn orphaned(
         &self,
--- a/crates/journal/src/replica_set/replacement.rs
+++ b/crates/journal/src/replica_set/replacement.rs
@@ -67,7 +67,7 @@
 }
 
 impl Replacement {
-    /// Checks the set every `poll`, with jitter, until the task is aborted.
+    /// Checks the set every `poll_interval`, with jitter, until the task is aborted.
     pub async fn run(mut self, poll_interval: Duration) {
         let mut pause = poll_interval;
         loop {
@@ -139,7 +139,10 @@
         };
         if replica_set::is_shrunk_by(set, own_id) {
             let copied = self.copy_to_remaining(set).await?;
-            log::info!("event=logs_handed_over version={} logs={copied}", set.version);
+            log::info!(
+                "event=logs_handed_over version={} logs={copied}",
+                set.version
+            );
             if let Some(complete) = replica_set::complete(set) {
                 self.swap(set, complete).await?;
             }
