--- a/crates/journal/src/replica_set/replacement.rs
+++ b/crates/journal/src/replica_set/replacement.rs
@@ -165,7 +165,8 @@
         }
     }
 
-    /// Returns the minimum size to which the set may shrink: one less than its target.
+    /// Returns the minimum size to which the set may shrink. For a target of 2f + 1 it is 2f, of which a majority is
+    /// still more than f.
     fn min_replicas(&self) -> usize {
         self.target_count.saturating_sub(1).max(MIN_REPLICAS)
     }
