--- a/crates/front/src/job/appending.rs
+++ b/crates/front/src/job/appending.rs
@@ -31,7 +31,9 @@
 }
 
 /// Waits for the append under way; never returns without one.
-pub(super) async fn wait_for(appending: &mut Option<BoxFuture<'static, AppendDone>>) -> AppendDone {
+pub(super) async fn wait_for_append(
+    appending: &mut Option<BoxFuture<'static, AppendDone>>,
+) -> AppendDone {
     match appending {
         Some(appending) => appending.await,
         None => std::future::pending().await,
--- a/crates/front/src/job/confirmation.rs
+++ b/crates/front/src/job/confirmation.rs
@@ -13,7 +13,7 @@
 
 impl Confirmation {
     /// Notes that a majority answered a question sent at `asked_at`.
-    pub fn note(&self, asked_at: Instant) {
+    pub fn record(&self, asked_at: Instant) {
         let mut known = self.lock();
         *known = (*known).max(Some(asked_at));
     }
--- a/crates/front/src/job/done.rs
+++ b/crates/front/src/job/done.rs
@@ -11,16 +11,16 @@
 /// What an item came to.
 pub(super) enum DoneItem {
     /// Its text is whole; the score is empty where nothing scores it.
-    Whole { text: ItemText, score: String },
+    Completed { text: ItemText, score: String },
     /// It is given up.
-    GivenUp,
+    Terminated,
 }
 
 impl DoneItem {
     fn into_result(self, item: &str) -> JobResult {
         match self {
-            Self::Whole { text, score } => text.into_result(item, score),
-            Self::GivenUp => JobResult {
+            Self::Completed { text, score } => text.into_result(item, score),
+            Self::Terminated => JobResult {
                 item: item.to_owned(),
                 state: ResultState::TERMINATED,
                 ..JobResult::default()
@@ -41,63 +41,65 @@
         let (Some(spec), Some(groups)) = (spec, &mut self.groups) else {
             return;
         };
-        for index in groups.take_ready(Instant::now()) {
+        for index in groups.drain_ready(Instant::now()) {
             if let Some(done) = self.held.remove(&index) {
                 let result = done.into_result(&spec.items[index].id);
-                self.queue.result(result);
+                self.queue.push_result(result);
             }
         }
     }
 
     /// When the results of the job are due; `None` if that is not known here.
-    fn due(&self, spec: &JobSpec) -> Option<Instant> {
+    fn due_at(&self, spec: &JobSpec) -> Option<Instant> {
         let config = self.context.config.current()?;
         let route = config.route(&spec.host, &spec.path)?;
-        let due = self.job.opened_at + route.result_deadline?;
-        self.is_accepted_here.then_some(due)
+        let due_at = self.job.opened_at + route.result_deadline?;
+        self.is_accepted_here.then_some(due_at)
     }
 
     /// Takes the result of an item, and holds it until it is to be listed. Its text is kept in the log meanwhile: whoever owns the job
     /// next needs not make it again.
-    fn take_done(&mut self, index: usize, done: DoneItem) {
+    fn hold_result(&mut self, index: usize, done: DoneItem) {
         let Some(spec) = self.job.state().spec().cloned() else {
             return;
         };
         self.finished.insert(index);
         if self.groups.is_none() {
-            let due = self.due(&spec);
+            let due_at = self.due_at(&spec);
             let state = self.job.state();
-            self.groups = Some(GroupListing::new(&spec, due, |item| state.is_listed(item)));
+            self.groups = Some(GroupListing::new(&spec, due_at, |item| {
+                state.is_listed(item)
+            }));
         }
         self.held.insert(index, done);
         if let Some(groups) = &mut self.groups {
-            groups.finish(index, Instant::now());
+            groups.add_result(index, Instant::now());
         }
         self.list_ready();
-        if let Some(DoneItem::Whole { text, .. }) = self.held.get_mut(&index)
-            && let Some(progress) = text.end(&spec.items[index].id)
+        if let Some(DoneItem::Completed { text, .. }) = self.held.get_mut(&index)
+            && let Some(progress) = text.finish(&spec.items[index].id)
         {
-            self.queue.progress(progress);
+            self.queue.push_progress(progress);
         }
     }
 
     /// Takes an item whose text is whole and scored.
     pub(super) fn finish(&mut self, index: usize, text: ItemText, score: String) {
         if self.queue.has_end() {
-            self.late.insert(index, (text, score));
+            self.late_texts.insert(index, (text, score));
             return;
         }
         let Some(spec) = self.job.state().spec().cloned() else {
             return;
         };
-        self.context.lengths.note(&spec.model, text.events());
+        self.context.lengths.record(&spec.model, text.events());
         self.count_run("completed");
-        self.take_done(index, DoneItem::Whole { text, score });
+        self.hold_result(index, DoneItem::Completed { text, score });
     }
 
-    pub(super) fn give_up(&mut self, index: usize) {
+    pub(super) fn terminate(&mut self, index: usize) {
         self.count_run("terminated");
-        self.take_done(index, DoneItem::GivenUp);
+        self.hold_result(index, DoneItem::Terminated);
     }
 
     fn count_run(&self, outcome: &str) {
--- a/crates/front/src/job/group_listing.rs
+++ b/crates/front/src/job/group_listing.rs
@@ -14,7 +14,7 @@
 
 /// Longest time that a whole group waits for others: as long as a read is held at most, so that a trainer who reads all the time has
 /// news of each group one read later.
-const GATHER: Duration = Duration::from_secs(1);
+const MAX_GROUP_WAIT: Duration = Duration::from_secs(1);
 
 /// Kept back from the time when results are due: their commit and one read.
 const DUE_MARGIN: Duration = Duration::from_millis(150);
@@ -29,11 +29,11 @@
     /// Items that have a result which is not listed yet, by group.
     held: HashMap<usize, Vec<usize>>,
     /// Groups that the trainer waits for.
-    wanted: usize,
+    desired: usize,
     /// Groups whose items all have results.
-    whole: usize,
+    complete_groups: usize,
     /// When the first of the whole groups that are not listed became whole.
-    whole_since: Option<Instant>,
+    complete_since: Option<Instant>,
     /// From this time on results are listed as they come; `None`: no groups are waited for at all.
     due: Option<Instant>,
 }
@@ -42,11 +42,11 @@
     /// The groups of a job; `is_listed` tells of items that have results in its log. Results are due at `due`; without one, or if the
     /// job is no step of a trainer, each is listed as it comes.
     pub fn new(spec: &JobSpec, due: Option<Instant>, is_listed: impl Fn(&str) -> bool) -> Self {
-        let wanted = spec.desired_groups as usize;
+        let desired = spec.desired_groups as usize;
         let mut listing = Self {
-            wanted,
+            desired,
             due: due
-                .filter(|_| wanted > 0)
+                .filter(|_| desired > 0)
                 .and_then(|due| due.checked_sub(DUE_MARGIN)),
             ..Self::default()
         };
@@ -60,12 +60,12 @@
                 listing.missing[group] += 1;
             }
         }
-        listing.whole = listing.missing.iter().filter(|count| **count == 0).count();
+        listing.complete_groups = listing.missing.iter().filter(|count| **count == 0).count();
         listing
     }
 
     /// Notes that an item has a result now.
-    pub fn finish(&mut self, index: usize, now: Instant) {
+    pub fn add_result(&mut self, index: usize, now: Instant) {
         let Some(group) = self.groups.get(index).copied() else {
             return;
         };
@@ -73,31 +73,31 @@
         let missing = &mut self.missing[group];
         *missing = missing.saturating_sub(1);
         if *missing == 0 {
-            self.whole += 1;
-            self.whole_since.get_or_insert(now);
+            self.complete_groups += 1;
+            self.complete_since.get_or_insert(now);
         }
     }
 
     /// Takes the items whose results are to be listed now.
-    pub fn take_ready(&mut self, now: Instant) -> Vec<usize> {
+    pub fn drain_ready(&mut self, now: Instant) -> Vec<usize> {
         if self.due.is_none_or(|due| now >= due) {
-            self.whole_since = None;
+            self.complete_since = None;
             return self.held.drain().flat_map(|(_, items)| items).collect();
         }
-        let is_enough = self.whole >= self.wanted;
+        let is_enough = self.complete_groups >= self.desired;
         let has_waited = self.list_at().is_some_and(|at| now >= at);
         if !is_enough && !has_waited {
             return Vec::new();
         }
-        self.whole_since = None;
+        self.complete_since = None;
         let missing = &self.missing;
         let mut ready = Vec::new();
         self.held.retain(|group, items| {
-            let is_whole = missing[*group] == 0;
-            if is_whole {
+            let is_complete = missing[*group] == 0;
+            if is_complete {
                 ready.append(items);
             }
-            !is_whole
+            !is_complete
         });
         ready
     }
@@ -105,10 +105,10 @@
     /// When results are to be listed at the latest; `None` while there are none.
     pub fn list_at(&self) -> Option<Instant> {
         let due = self.due.filter(|_| !self.held.is_empty());
-        let gathered = self.whole_since.map(|since| since + GATHER);
-        match (due, gathered) {
-            (Some(due), Some(gathered)) => Some(due.min(gathered)),
-            (due, gathered) => due.or(gathered),
+        let wait_ends = self.complete_since.map(|since| since + MAX_GROUP_WAIT);
+        match (due, wait_ends) {
+            (Some(due), Some(wait_ends)) => Some(due.min(wait_ends)),
+            (due, wait_ends) => due.or(wait_ends),
         }
     }
 }
--- a/crates/front/src/job/handover.rs
+++ b/crates/front/src/job/handover.rs
@@ -8,34 +8,34 @@
 use ladderstage_wire::messages::mod_Request::OneOfkind as RequestKind;
 use ladderstage_wire::messages::{Request, ShardNotice};
 
-use super::home::nearby;
+use super::local_job::{Command, Job};
 use super::locating::PEER_TIMEOUT;
 use super::lock::lock;
 use super::log_name;
+use super::preferred_owner::prefer_same_region;
 use super::registry::JobRegistry;
-use super::shared::{Command, Job};
 use crate::nodes::{NodeRecord, NodeRole, strongest};
 
 /// Between looks at the jobs that are still here.
-const LOOK_PAUSE: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How long a job's owner may take to write down what its runs have made.
-const RELEASE_LIMIT: Duration = Duration::from_millis(400);
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Between two notices about the same job.
-const NOTICE_PAUSE: Duration = Duration::from_millis(150);
+const NOTICE_INTERVAL: Duration = Duration::from_millis(150);
 
 impl JobRegistry {
     /// Hands open jobs to other fronts, those too that are accepted meanwhile, for as long as the future is polled.
     pub async fn hand_over(&self) {
         loop {
             let jobs = self.open_jobs();
-            let handed = jobs
+            let handovers = jobs
                 .iter()
                 .enumerate()
                 .map(|(index, job)| self.hand_over_job(job, index));
-            futures_util::future::join_all(handed).await;
-            tokio::time::sleep(LOOK_PAUSE).await;
+            futures_util::future::join_all(handovers).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -50,10 +50,12 @@
 
     /// Lets the owner of a job write down what its runs have made, and asks another front to take the job.
     async fn hand_over_job(&self, job: &Arc<Job>, index: usize) {
-        job.ask(Command::Release);
+        job.send(Command::Release);
         let mut changed = job.watch();
-        let released = async { while !job.is_released() && changed.changed().await.is_ok() {} };
-        let in_time = tokio::time::timeout(RELEASE_LIMIT, released).await.is_ok();
+        let all_saved = async { while !job.is_released() && changed.changed().await.is_ok() {} };
+        let in_time = tokio::time::timeout(RELEASE_TIMEOUT, all_saved)
+            .await
+            .is_ok();
         let Some(successor) = self.successor(job, index) else {
             log::warn!("event=job_not_handed_over job={} reason=no_front", job.id);
             return;
@@ -73,14 +75,14 @@
             job.id,
             successor.node
         );
-        self.wait_taken(&job.id).await;
+        self.wait_removed(&job.id).await;
     }
 
     /// Waits until a job is no longer here, for the pause between two notices at most.
-    async fn wait_taken(&self, id: &str) {
-        let deadline = Instant::now() + NOTICE_PAUSE;
+    async fn wait_removed(&self, id: &str) {
+        let deadline = Instant::now() + NOTICE_INTERVAL;
         while self.local(id).is_some() && Instant::now() < deadline {
-            tokio::time::sleep(LOOK_PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -95,7 +97,7 @@
         if let Some(allowed) = self.allowed_regions(job) {
             others.retain(|front| allowed.permits(nodes.region_of(front)));
         }
-        let mut others = nearby(strongest(others), |front| nodes.distance_to(front));
+        let mut others = prefer_same_region(strongest(others), |front| nodes.distance_to(front));
         others.sort_by_key(|front| std::cmp::Reverse(nodes.seen_since(&front.node)));
         let half = others.len().div_ceil(2).max(1);
         others.into_iter().nth(index % half)
--- a/crates/front/src/job/lengths.rs
+++ b/crates/front/src/job/lengths.rs
@@ -17,7 +17,7 @@
 
 impl TextLengths {
     /// Notes a text of `events` events.
-    pub fn note(&self, model: &str, events: u64) {
+    pub fn record(&self, model: &str, events: u64) {
         let now = Instant::now();
         let mut longest = self.lock();
         let known = longest.get(model).filter(|(_, at)| is_recent(*at, now));
--- a/crates/front/src/job/shared.rs
+++ b/crates/front/src/job/local_job.rs
@@ -65,7 +65,7 @@
         let mut contested_at = lock(&self.contested_at);
         if contested_at.is_none() {
             *contested_at = Some(Instant::now());
-            self.ask(Command::Contested);
+            self.send(Command::Contested);
         }
     }
 
@@ -90,7 +90,7 @@
     }
 
     /// Asks the owner; `false` if it has finished.
-    pub(super) fn ask(&self, command: Command) -> bool {
+    pub(super) fn send(&self, command: Command) -> bool {
         self.commands.send(command).is_ok()
     }
 
--- a/crates/front/src/job/locating.rs
+++ b/crates/front/src/job/locating.rs
@@ -12,21 +12,21 @@
 use ladderstage_wire::messages::mod_Response::OneOfkind as ResponseKind;
 use ladderstage_wire::messages::{ReadJob, Request};
 
+use super::local_job::Job;
 use super::lock::lock;
 use super::log_name;
 use super::reading::{ReadError, unavailable};
 use super::registry::JobRegistry;
-use super::shared::Job;
 
 /// Time for a peer to answer, beyond the time that it was asked to wait.
 pub(super) const PEER_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Where a job is.
-enum Place {
+enum Location {
     /// This node owns it.
-    Here(Arc<Job>),
+    Local(Arc<Job>),
     /// Another node does, or did when it was last heard of.
-    At { node: String, source: Source },
+    Remote { node: String, source: Source },
 }
 
 /// Who says which node owns a job.
@@ -39,19 +39,19 @@
 }
 
 /// What came of a question about a job.
-pub(super) enum Owned {
+pub(super) enum OwnerReply {
     /// This node owns the job.
-    Here(Arc<Job>),
+    Local(Arc<Job>),
     /// Its owner's answer.
     Answer(ResponseKind),
 }
 
 /// Why an owner gave no answer.
-enum NoAnswer {
+enum AskError {
     /// It does not know the job, or it is gone.
     NotOwner,
     /// It could not be asked.
-    NotAsked(ReadError),
+    NotSent(ReadError),
     /// It may own the job.
     Unavailable(ReadError),
 }
@@ -59,24 +59,24 @@
 impl JobRegistry {
     /// Asks the owner of a job. Becomes its owner if the one that the journal names does not know the job or is gone; one that
     /// is only remembered may have handed the job on.
-    pub(super) async fn ask(
+    pub(super) async fn ask_owner(
         &self,
         id: &str,
         request: &RequestKind,
         wait: Duration,
-    ) -> Result<Owned, ReadError> {
+    ) -> Result<OwnerReply, ReadError> {
         loop {
             let (node, source) = match self.locate(id).await? {
-                Place::Here(job) => return Ok(Owned::Here(job)),
-                Place::At { node, source } => (node, source),
+                Location::Local(job) => return Ok(OwnerReply::Local(job)),
+                Location::Remote { node, source } => (node, source),
             };
             match self.ask_node(id, &node, request.clone(), wait).await {
-                Ok(answer) => return Ok(Owned::Answer(answer)),
-                Err(NoAnswer::Unavailable(error)) => return Err(error),
+                Ok(answer) => return Ok(OwnerReply::Answer(answer)),
+                Err(AskError::Unavailable(error)) => return Err(error),
                 // Forgotten now: the journal is asked next.
                 Err(_) if source == Source::Memory => {}
-                Err(NoAnswer::NotOwner) => return self.adopt_or_hand_on(id, request, wait).await,
-                Err(NoAnswer::NotAsked(error)) => return Err(error),
+                Err(AskError::NotOwner) => return self.adopt_or_delegate(id, request, wait).await,
+                Err(AskError::NotSent(error)) => return Err(error),
             }
         }
     }
@@ -84,70 +84,70 @@
     /// Becomes the owner of a job that nobody owns, or lets a stronger front become that: the one that replicas tell of untended logs.
     /// After a kill of all nodes readers come before the replicas' word, and five of six steps went to fronts of 0.12 cores, which read
     /// the events of two hundred runs late.
-    async fn adopt_or_hand_on(
+    async fn adopt_or_delegate(
         &self,
         id: &str,
         request: &RequestKind,
         wait: Duration,
-    ) -> Result<Owned, ReadError> {
-        let Some(taker) = self.stronger_taker(id) else {
-            return Ok(Owned::Here(self.adopt(id).await?));
+    ) -> Result<OwnerReply, ReadError> {
+        let Some(candidate) = self.stronger_owner(id) else {
+            return Ok(OwnerReply::Local(self.adopt(id).await?));
         };
-        let answer = self.ask_node(id, &taker, asked_anywhere(request), wait);
+        let answer = self.ask_node(id, &candidate, with_forwarding(request), wait);
         match answer.await {
             Ok(answer) => {
-                log::info!("event=job_handed_on job={id} node={taker}");
-                lock(&self.shared.owners).insert(id.to_owned(), (taker, Instant::now()));
-                Ok(Owned::Answer(answer))
+                log::info!("event=job_handed_on job={id} node={candidate}");
+                lock(&self.shared.owners).insert(id.to_owned(), (candidate, Instant::now()));
+                Ok(OwnerReply::Answer(answer))
             }
-            Err(NoAnswer::Unavailable(error)) => Err(error),
-            Err(NoAnswer::NotOwner | NoAnswer::NotAsked(_)) => {
-                Ok(Owned::Here(self.adopt(id).await?))
+            Err(AskError::Unavailable(error)) => Err(error),
+            Err(AskError::NotOwner | AskError::NotSent(_)) => {
+                Ok(OwnerReply::Local(self.adopt(id).await?))
             }
         }
     }
 
     /// The front that is to own a job whose owner is gone, if it is another one.
-    fn stronger_taker(&self, id: &str) -> Option<String> {
+    fn stronger_owner(&self, id: &str) -> Option<String> {
         if self.context.nodes.is_leaving() {
             return None;
         }
         let own = self.context.nodes.own().node;
         let takers = self.context.nodes.takers();
-        if takers.iter().any(|taker| taker.node == own) {
+        if takers.iter().any(|candidate| candidate.node == own) {
             return None;
         }
-        let names = takers.iter().map(|taker| taker.node.as_str());
+        let names = takers.iter().map(|candidate| candidate.node.as_str());
         rendezvous_first(log_name(id).as_bytes(), names).map(str::to_owned)
     }
 
     /// Looks whether a job was accepted before.
-    pub(super) async fn find_accepted(&self, id: &str) -> Result<Owned, ReadError> {
-        self.ask(id, &nothing_of(id), Duration::ZERO).await
+    pub(super) async fn find_accepted(&self, id: &str) -> Result<OwnerReply, ReadError> {
+        self.ask_owner(id, &empty_read(id), Duration::ZERO).await
     }
 
     /// Whether another node answers as the confirmed owner of a job.
     pub(super) async fn is_owned(&self, id: &str) -> bool {
         lock(&self.shared.owners).remove(id);
-        let Ok(Place::At { node, .. }) = self.locate(id).await else {
+        let Ok(Location::Remote { node, .. }) = self.locate(id).await else {
             return false;
         };
-        let answer = self.ask_node(id, &node, nothing_of(id), Duration::ZERO);
+        let answer = self.ask_node(id, &node, empty_read(id), Duration::ZERO);
         matches!(answer.await, Ok(ResponseKind::job_results(_)))
     }
 
     /// Finds a job: here, at its last known owner, or by the journal.
-    async fn locate(&self, id: &str) -> Result<Place, ReadError> {
+    async fn locate(&self, id: &str) -> Result<Location, ReadError> {
         if let Some(job) = self.local(id) {
             if job.state().spec().is_none() {
                 return Err(unavailable("being accepted"));
             }
-            return Ok(Place::Here(job));
+            return Ok(Location::Local(job));
         }
         let remembered = lock(&self.shared.owners).get(id).cloned();
         if let Some((node, _)) = remembered {
             let source = Source::Memory;
-            return Ok(Place::At { node, source });
+            return Ok(Location::Remote { node, source });
         }
         let described = self.context.journal.describe(&log_name(id)).await;
         let logs = described.map_err(|error| unavailable(&error.to_string()))?;
@@ -157,12 +157,12 @@
             .find(|log| log.log == name && log.length > 0);
         let node = found.ok_or(ReadError::NotFound)?.owner_node;
         if node == self.context.nodes.own().node {
-            return Ok(Place::Here(self.adopt(id).await?));
+            return Ok(Location::Local(self.adopt(id).await?));
         }
-        let heard = (node.clone(), Instant::now());
-        lock(&self.shared.owners).insert(id.to_owned(), heard);
+        let known_owner = (node.clone(), Instant::now());
+        lock(&self.shared.owners).insert(id.to_owned(), known_owner);
         let source = Source::Journal;
-        Ok(Place::At { node, source })
+        Ok(Location::Remote { node, source })
     }
 
     async fn ask_node(
@@ -171,7 +171,7 @@
         node: &str,
         kind: RequestKind,
         wait: Duration,
-    ) -> Result<ResponseKind, NoAnswer> {
+    ) -> Result<ResponseKind, AskError> {
         let nodes = &self.context.nodes;
         let timeout = wait + PEER_TIMEOUT;
         let answer = nodes.call(node, Request { kind }, timeout).await;
@@ -186,17 +186,17 @@
         if !is_not_owner && nodes.is_present(node) {
             let cause = unavailable(&format!("owner {node}: {error}"));
             return Err(match error {
-                CallError::NotSent(_) => NoAnswer::NotAsked(cause),
-                _ => NoAnswer::Unavailable(cause),
+                CallError::NotSent(_) => AskError::NotSent(cause),
+                _ => AskError::Unavailable(cause),
             });
         }
         log::info!("event=job_owner_gone job={id} node={node} cause=\"{error}\"");
-        Err(NoAnswer::NotOwner)
+        Err(AskError::NotOwner)
     }
 }
 
 /// The same question for a node that may ask the owner in its turn, or become it.
-fn asked_anywhere(request: &RequestKind) -> RequestKind {
+fn with_forwarding(request: &RequestKind) -> RequestKind {
     let mut request = request.clone();
     match &mut request {
         RequestKind::read_job(read) => read.anywhere = true,
@@ -208,7 +208,7 @@
 }
 
 /// A question that only the owner of a job answers, for nothing of it.
-fn nothing_of(id: &str) -> RequestKind {
+fn empty_read(id: &str) -> RequestKind {
     RequestKind::read_job(ReadJob {
         job: id.to_owned(),
         after: u64::MAX,
--- a/crates/front/src/job/mod.rs
+++ b/crates/front/src/job/mod.rs
@@ -1,8 +1,6 @@
 //! Batch jobs: accepted once a majority of store disks holds them, run item by item, read at any front.
 
 mod appending;
-mod bounds;
-mod carrying;
 mod confirmation;
 mod context;
 mod digest;
@@ -10,45 +8,49 @@
 mod events;
 mod group_listing;
 mod handover;
-mod home;
-mod leftover;
 mod lengths;
+mod local_job;
 mod locating;
 mod lock;
+mod migration;
 mod owner;
-mod pace;
-mod peers;
-mod questions;
+mod peer_handler;
+mod peer_requests;
+mod preferred_owner;
 mod queue;
 mod reading;
+mod region_bounds;
 mod registry;
 mod relay;
+mod result_cache;
 mod run;
 mod run_context;
 mod run_end;
+mod scheduling;
 mod scoring;
-mod seen;
-mod shared;
-mod starting;
 mod state;
 mod stream;
 mod text;
+mod text_reuse;
 mod trainer_steps;
+mod unfinished;
 
-pub use bounds::{OutOfBounds, check_keepers};
 pub use confirmation::Confirmation;
 pub use context::JobContext;
 pub use digest::{FoundLog, LogDigest};
 pub use events::{Event, EventParser};
 pub use group_listing::GroupListing;
-pub use home::{home, home_in_region};
 pub use lengths::TextLengths;
-pub use pace::{Pace, expected_rest, pays_to_move, rest_demand};
+pub use migration::{
+    EventIntervals, expected_remaining_events, is_move_worthwhile, remaining_demand,
+};
+pub use preferred_owner::{home, preferred_owner_in_region};
 pub use queue::EntryQueue;
 pub use reading::ReadError;
+pub use region_bounds::{OutOfBounds, check_keepers};
 pub use registry::{AcceptError, JobRegistry};
-pub use run_context::{first_event_limit, refusal_pause};
-pub use state::{JobState, entry_bytes};
+pub use run_context::{first_event_timeout, refusal_pause};
+pub use state::{JobState, encode_entry};
 pub use text::ItemText;
 pub use trainer_steps::NewestSteps;
 
--- a/crates/front/src/job/owner.rs
+++ b/crates/front/src/job/owner.rs
@@ -11,31 +11,31 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::{AbortHandle, JoinSet};
 
-use super::appending::{AppendDone, RETRY_PAUSE, append_after, wait_for};
+use super::appending::{AppendDone, RETRY_PAUSE, append_after, wait_for_append};
 use super::context::JobContext;
 use super::digest::{FoundLog, LogDigest};
 use super::done::DoneItem;
 use super::group_listing::GroupListing;
-use super::leftover::{Leftover, Listing};
+use super::local_job::{Command, Job};
 use super::log_name;
 use super::queue::EntryQueue;
 use super::run::RunOutcome;
-use super::run_context::{BegunVersions, SendWindow};
-use super::shared::{Command, Job};
+use super::run_context::{FirstVersions, SendWindow};
 use super::state::JobState;
 use super::text::ItemText;
+use super::unfinished::{ListingHistory, UnfinishedItems};
 use crate::suspects::ContentDigest;
 
 /// Results that end within this time share one append.
-const GATHER: Duration = Duration::from_millis(20);
+const MIN_APPEND_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Pause before another look for room when no instance had any.
-const NO_ROOM_PAUSE: Duration = Duration::from_millis(25);
+const NO_CAPACITY_PAUSE: Duration = Duration::from_millis(25);
 
 /// How an owner's work ended.
 pub(super) enum OwnerEnd {
     /// The job was ended by its client; a later job may have the items again that it left behind.
-    Ended(Option<Box<Leftover>>),
+    Ended(Option<Box<UnfinishedItems>>),
     /// Another node owns it now.
     Lost,
 }
@@ -57,7 +57,7 @@
     /// Entries for the next append.
     pub(super) queue: EntryQueue,
     /// Entries of the append under way.
-    pub(super) in_append: Vec<LogEntry>,
+    pub(super) in_flight: Vec<LogEntry>,
     /// Runs under way, by item.
     pub(super) running: HashMap<usize, AbortHandle>,
     /// Items whose results were queued by this owner; not all of them are in the log yet.
@@ -68,26 +68,26 @@
     /// When requests may be sent for items.
     pub(super) window: SendWindow,
     /// How many results there were at which time.
-    pub(super) listing: Listing,
+    pub(super) listing_history: ListingHistory,
     /// Weight versions under which the texts of runs begin.
-    pub(super) begun: BegunVersions,
+    pub(super) first_versions: FirstVersions,
     /// Digests of items' contents, as far as they were needed.
-    pub(super) contents: HashMap<usize, ContentDigest>,
+    pub(super) content_digests: HashMap<usize, ContentDigest>,
     /// Texts of earlier jobs for items that came back in this one.
-    pub(super) carried: HashMap<String, KeptText>,
+    pub(super) earlier_texts: HashMap<String, KeptText>,
     /// The question for such texts, while it is under way.
-    pub(super) gathering: Option<BoxFuture<'static, Vec<KeptText>>>,
+    pub(super) text_collection: Option<BoxFuture<'static, Vec<KeptText>>>,
     /// Texts that were whole when no result was taken any more.
-    pub(super) late: HashMap<usize, (ItemText, String)>,
+    pub(super) late_texts: HashMap<usize, (ItemText, String)>,
     /// Which results are listed when; `None` until the first one.
     pub(super) groups: Option<GroupListing>,
     /// Items that are done and not listed yet.
     pub(super) held: HashMap<usize, DoneItem>,
     /// The job was accepted here, so that it is known when its results are due.
     pub(super) is_accepted_here: bool,
-    pub(super) enders: Vec<oneshot::Sender<()>>,
+    pub(super) end_waiters: Vec<oneshot::Sender<()>>,
     /// When the end was first asked for here; `None` also for a job that was found ended.
-    pub(super) end_asked_at: Option<Instant>,
+    pub(super) end_requested_at: Option<Instant>,
     pub(super) has_waiting_items: bool,
     pub(super) last_append: Instant,
     /// Text of items under way that is to be kept.
@@ -109,7 +109,7 @@
         let mut queue = EntryQueue::default();
         let is_accepted_here = spec.is_some();
         if let Some(spec) = spec {
-            queue.accept(spec);
+            queue.push_accepted(spec);
         }
         let is_ended = job.state().is_ended();
         let mut owner = Self {
@@ -118,25 +118,25 @@
             writer: Some(writer),
             digest,
             queue,
-            in_append: Vec::new(),
+            in_flight: Vec::new(),
             running: HashMap::new(),
             finished: HashSet::new(),
             runs: JoinSet::new(),
             stop: watch::Sender::new(false),
             window: SendWindow::default(),
-            listing: Listing::default(),
-            begun: BegunVersions::default(),
-            contents: HashMap::new(),
-            carried: HashMap::new(),
-            gathering: None,
-            late: HashMap::new(),
+            listing_history: ListingHistory::default(),
+            first_versions: FirstVersions::default(),
+            content_digests: HashMap::new(),
+            earlier_texts: HashMap::new(),
+            text_collection: None,
+            late_texts: HashMap::new(),
             groups: None,
             held: HashMap::new(),
             is_accepted_here,
-            enders: Vec::new(),
-            end_asked_at: None,
+            end_waiters: Vec::new(),
+            end_requested_at: None,
             has_waiting_items: false,
-            last_append: Instant::now() - GATHER,
+            last_append: Instant::now() - MIN_APPEND_INTERVAL,
             progress: mpsc::unbounded_channel(),
         };
         if is_ended {
@@ -156,14 +156,14 @@
                 appending = self.next_append();
             }
             if appending.is_none() {
-                self.note_release();
+                self.mark_released_if_idle();
             }
             self.start_runs();
             tokio::select! {
                 command = commands.recv() => match command {
                     Some(Command::End(answer)) => {
-                        self.enders.push(answer);
-                        self.end_asked_at.get_or_insert_with(Instant::now);
+                        self.end_waiters.push(answer);
+                        self.end_requested_at.get_or_insert_with(Instant::now);
                         self.queue_end();
                     }
                     Some(Command::Contested) => {}
@@ -172,27 +172,27 @@
                     }
                     Some(Command::Lost) | None => return self.lost(),
                 },
-                texts = gathered(&mut self.gathering) => {
-                    self.gathering = None;
-                    self.carried = texts.into_iter().map(|text| (text.item.clone(), text)).collect();
+                texts = collected_texts(&mut self.text_collection) => {
+                    self.text_collection = None;
+                    self.earlier_texts = texts.into_iter().map(|text| (text.item.clone(), text)).collect();
                 }
-                Some(ended) = self.runs.join_next() => self.on_run(ended),
+                Some(ended) = self.runs.join_next() => self.on_run_end(ended),
                 Some(progress) = self.progress.1.recv() => self.on_progress(progress),
-                done = wait_for(&mut appending) => {
+                done = wait_for_append(&mut appending) => {
                     appending = None;
                     if let Some(cause) = self.on_append(done).await {
                         return self.end(cause);
                     }
                 }
-                () = until(list_at) => self.list_ready(),
-                () = until(self.job.reclaim_at()), if appending.is_none() => {
+                () = sleep_until(list_at) => self.list_ready(),
+                () = sleep_until(self.job.reclaim_at()), if appending.is_none() => {
                     if let Some(cause) = self.reclaim().await {
                         return self.end(cause);
                     }
                 }
                 _ = table_changed.changed(), if self.has_waiting_items => {}
                 _ = config_changed.changed() => {}
-                () = tokio::time::sleep(NO_ROOM_PAUSE), if self.has_waiting_items => {}
+                () = tokio::time::sleep(NO_CAPACITY_PAUSE), if self.has_waiting_items => {}
             }
         }
     }
@@ -200,23 +200,23 @@
     /// Takes no results any more. Runs go on: a later job may have their items again.
     fn queue_end(&mut self) {
         for (index, done) in std::mem::take(&mut self.held) {
-            if let DoneItem::Whole { text, score } = done {
-                self.late.insert(index, (text, score));
+            if let DoneItem::Completed { text, score } = done {
+                self.late_texts.insert(index, (text, score));
             }
         }
         self.groups = None;
-        self.queue.end();
+        self.queue.push_end();
     }
 
     /// Says that the job can be handed on once the runs are stopped and nothing waits to be written.
-    fn note_release(&mut self) {
+    fn mark_released_if_idle(&mut self) {
         let is_idle = self.runs.is_empty() && self.progress.1.is_empty();
         if *self.stop.borrow() && is_idle {
             self.job.set_released();
         }
     }
 
-    fn on_run(&mut self, ended: Result<(usize, RunOutcome), tokio::task::JoinError>) {
+    fn on_run_end(&mut self, ended: Result<(usize, RunOutcome), tokio::task::JoinError>) {
         let Ok((index, outcome)) = ended else {
             return;
         };
@@ -227,13 +227,13 @@
         self.running.remove(&index);
         match outcome {
             RunOutcome::Completed { text, score } => self.finish(index, text, score),
-            RunOutcome::Terminated => self.give_up(index),
+            RunOutcome::Terminated => self.terminate(index),
             RunOutcome::NotStarted | RunOutcome::Stopped(_) => {}
         }
     }
 
     fn on_progress(&mut self, progress: JobProgress) {
-        self.queue.progress(progress);
+        self.queue.push_progress(progress);
     }
 
     /// Takes the queue into one append, after the gathering time.
@@ -242,14 +242,14 @@
             return None;
         }
         let writer = self.writer.take()?;
-        self.in_append = self.queue.take();
-        let entries = self.in_append.clone();
+        self.in_flight = self.queue.drain();
+        let entries = self.in_flight.clone();
         let closes = self.queue.has_end();
         let is_first = self.job.state().spec().is_none();
         let pause = if is_first || closes {
             Duration::ZERO
         } else {
-            GATHER
+            MIN_APPEND_INTERVAL
         };
         let pause = pause.saturating_sub(self.last_append.elapsed());
         Some(append_after(pause, writer, entries, closes))
@@ -260,8 +260,8 @@
         match done.result {
             Ok(()) => {
                 self.writer = Some(done.writer);
-                let entries = std::mem::take(&mut self.in_append);
-                self.commit(&entries);
+                let entries = std::mem::take(&mut self.in_flight);
+                self.apply_committed(&entries);
                 self.job.state().is_ended().then_some(StopCause::Ended)
             }
             Err(JournalError::Fenced) => Some(StopCause::Lost),
@@ -271,12 +271,12 @@
                     self.job.id
                 );
                 drop(done.writer);
-                self.take_over_again().await
+                self.retake_log().await
             }
         }
     }
 
-    fn commit(&mut self, entries: &[LogEntry]) {
+    fn apply_committed(&mut self, entries: &[LogEntry]) {
         self.digest.extend(entries);
         let mut state = self.job.state();
         for entry in entries {
@@ -297,7 +297,7 @@
         );
         let results = state.results().len();
         drop(state);
-        self.listing.note(results);
+        self.listing_history.record(results);
         self.job.notify();
     }
 
@@ -306,17 +306,17 @@
         log::info!("event=job_log_reclaimed job={}", self.job.id);
         self.writer = None;
         self.job.clear_contested();
-        self.take_over_again().await
+        self.retake_log().await
     }
 
     /// Takes the log under the newest replica set; what the last append left behind is found there or not.
-    async fn take_over_again(&mut self) -> Option<StopCause> {
+    async fn retake_log(&mut self) -> Option<StopCause> {
         let log = log_name(&self.job.id);
         loop {
             match self.context.journal.take_over(&log).await {
                 Ok((writer, entries)) => {
                     self.writer = Some(writer);
-                    return self.go_on_from(&entries);
+                    return self.resume_from(&entries);
                 }
                 Err(JournalError::Fenced | JournalError::Retired) => return Some(StopCause::Lost),
                 Err(error) => {
@@ -332,13 +332,13 @@
     }
 
     /// Goes on from the log as it was found. Runs go on too unless another owner has written to it.
-    fn go_on_from(&mut self, entries: &[LogEntry]) -> Option<StopCause> {
-        let pending = std::mem::take(&mut self.in_append);
+    fn resume_from(&mut self, entries: &[LogEntry]) -> Option<StopCause> {
+        let pending = std::mem::take(&mut self.in_flight);
         let found = self.digest.compare(entries, &pending);
         log::info!("event=job_log_found job={} found={found:?}", self.job.id);
         match found {
-            FoundLog::WithoutAppend => self.queue.put_back(pending),
-            FoundLog::WithAppend => self.commit(&pending),
+            FoundLog::WithoutAppend => self.queue.requeue(pending),
+            FoundLog::WithAppend => self.apply_committed(&pending),
             FoundLog::Other => {
                 let Ok(state) = JobState::replay(entries) else {
                     return Some(StopCause::Lost);
@@ -346,7 +346,7 @@
                 *self.job.state() = state;
                 self.digest = LogDigest::of(entries);
                 self.job.notify();
-                self.start_anew(pending);
+                self.reset_runs(pending);
             }
         }
         self.job.state().is_ended().then_some(StopCause::Ended)
@@ -354,7 +354,7 @@
 
     /// Drops runs and what they made since the last commit: another owner may have had the log in between, and its text may
     /// differ. Items go on from what the log holds.
-    fn start_anew(&mut self, pending: Vec<LogEntry>) {
+    fn reset_runs(&mut self, pending: Vec<LogEntry>) {
         self.runs = JoinSet::new();
         self.running.clear();
         self.finished.clear();
@@ -364,12 +364,12 @@
         let is_accepted = self.job.state().spec().is_some();
         let is_ended = self.queue.has_end() || self.job.state().is_ended();
         if !is_accepted {
-            self.queue.put_back(pending);
+            self.queue.requeue(pending);
             return;
         }
         self.queue = EntryQueue::default();
         if is_ended {
-            self.queue.end();
+            self.queue.push_end();
         }
     }
 
@@ -387,27 +387,29 @@
     }
 
     fn ended(mut self) -> OwnerEnd {
-        let leftover = self.take_leftover();
+        let unfinished = self.split_off_unfinished();
         self.job.state().drop_bodies();
-        for ender in self.enders.drain(..) {
-            let _ = ender.send(());
+        for end_waiter in self.end_waiters.drain(..) {
+            let _ = end_waiter.send(());
         }
         self.job.notify();
         log::info!("event=job_ended job={}", self.job.id);
-        OwnerEnd::Ended(leftover.map(Box::new))
+        OwnerEnd::Ended(unfinished.map(Box::new))
     }
 }
 
 /// The texts that were asked for; never returns if none were.
-async fn gathered(gathering: &mut Option<BoxFuture<'static, Vec<KeptText>>>) -> Vec<KeptText> {
-    match gathering {
-        Some(gathering) => gathering.await,
+async fn collected_texts(
+    text_collection: &mut Option<BoxFuture<'static, Vec<KeptText>>>,
+) -> Vec<KeptText> {
+    match text_collection {
+        Some(text_collection) => text_collection.await,
         None => std::future::pending().await,
     }
 }
 
 /// Returns at `at`; never without it.
-async fn until(at: Option<Instant>) {
+async fn sleep_until(at: Option<Instant>) {
     match at {
         Some(at) => tokio::time::sleep_until(at.into()).await,
         None => std::future::pending().await,
--- a/crates/front/src/job/peers.rs
+++ b/crates/front/src/job/peer_handler.rs
@@ -16,17 +16,17 @@
 };
 
 use super::LOG_PREFIX;
+use super::local_job::Job;
 use super::lock::lock;
 use super::reading::{ReadError, body_local, end_local, results_answer};
 use super::registry::JobRegistry;
-use super::shared::Job;
 use crate::orders::LoadLimit;
 
 /// Jobs accepted within this time count for the demand.
 const DEMAND_WINDOW: Duration = Duration::from_secs(15);
 
 /// Tokens of an item whose client gave no guess.
-const UNKNOWN_TOKENS: u64 = 1_000;
+const DEFAULT_ITEM_TOKENS: u64 = 1_000;
 
 impl JobRegistry {
     /// Work that this node accepted lately, by model, and the paces that it has seen.
@@ -72,18 +72,18 @@
     /// Answers another node's question about a job of this node.
     pub async fn handle(&self, request: RequestKind) -> Response {
         let kind = match request {
-            RequestKind::read_job(request) => self.answer_read(request).await,
-            RequestKind::read_job_body(request) => self.answer_body(request).await,
-            RequestKind::end_job(request) => self.answer_end(request).await,
+            RequestKind::read_job(request) => self.handle_read(request).await,
+            RequestKind::read_job_body(request) => self.handle_body(request).await,
+            RequestKind::end_job(request) => self.handle_end(request).await,
             RequestKind::take_kept_texts(request) => {
                 let texts = self.take_kept_texts(request).await;
                 ResponseKind::packed_kept_texts(compress(&encode(&texts)))
             }
             RequestKind::weight_news(news) => {
-                self.take_news(&news);
+                self.apply_weight_news(&news);
                 ResponseKind::done(Done {})
             }
-            RequestKind::accept_job(request) => self.answer_accept(request).await,
+            RequestKind::accept_job(request) => self.handle_accept(request).await,
             RequestKind::giver_end(end) => {
                 self.context.ended_givers.note(&end, Instant::now());
                 ResponseKind::done(Done {})
@@ -91,7 +91,7 @@
             RequestKind::read_demand(_) => ResponseKind::demand(self.demand()),
             RequestKind::shard_notice(notice) => {
                 if notice.from_owner {
-                    self.take_over(notice.logs);
+                    self.take_over_logs(notice.logs);
                 } else {
                     self.on_untended(notice.logs);
                 }
@@ -103,18 +103,18 @@
     }
 
     /// Takes what the giver of orders tells of instances' weights.
-    fn take_news(&self, news: &WeightNews) {
+    fn apply_weight_news(&self, news: &WeightNews) {
         let now = Instant::now();
-        for told in &news.instances {
-            let instance = self.context.backends.get(&told.instance);
-            let Some(instance) = instance.filter(|one| one.is_start(told.started_unix_ms)) else {
+        for update in &news.instances {
+            let instance = self.context.backends.get(&update.instance);
+            let Some(instance) = instance.filter(|one| one.is_start(update.started_unix_ms)) else {
                 continue;
             };
-            if told.loading_ms > 0 {
-                let until = now + Duration::from_millis(told.loading_ms);
-                instance.note_loading(&told.model, until);
+            if update.loading_ms > 0 {
+                let until = now + Duration::from_millis(update.loading_ms);
+                instance.note_loading(&update.model, until);
             } else {
-                instance.note_version(&told.model, told.version);
+                instance.note_version(&update.model, update.version);
             }
         }
         if news.usual_load_ms > 0 {
@@ -126,7 +126,7 @@
         self.context.backends.notify();
     }
 
-    async fn answer_read(&self, request: ReadJob) -> ResponseKind {
+    async fn handle_read(&self, request: ReadJob) -> ResponseKind {
         let ReadJob { job, after, .. } = &request;
         let wait = Duration::from_millis(request.wait_ms);
         let read = if request.anywhere {
@@ -137,18 +137,18 @@
                 Err(refused) => return ResponseKind::refused(refused),
             }
         };
-        read.map_or_else(refusal_of, |results| {
+        read.map_or_else(refusal_from, |results| {
             results_answer(results, request.takes_compressed)
         })
     }
 
-    async fn answer_body(&self, request: ReadJobBody) -> ResponseKind {
+    async fn handle_body(&self, request: ReadJobBody) -> ResponseKind {
         let ReadJobBody { job, item, .. } = &request;
         let body = if request.anywhere {
             match self.body_here_or_at_owner(job, item).await {
                 Ok(body) => Some(body),
                 Err(ReadError::NotFound) => None,
-                Err(error) => return refusal_of(error),
+                Err(error) => return refusal_from(error),
             }
         } else {
             match self.local_or_refusal(job) {
@@ -162,7 +162,7 @@
         })
     }
 
-    async fn answer_end(&self, request: EndJob) -> ResponseKind {
+    async fn handle_end(&self, request: EndJob) -> ResponseKind {
         let ended = if request.anywhere {
             self.end_here_or_at_owner(&request.job).await
         } else {
@@ -171,12 +171,12 @@
                 Err(refused) => return ResponseKind::refused(refused),
             }
         };
-        ended.map_or_else(refusal_of, |()| ResponseKind::done(Done {}))
+        ended.map_or_else(refusal_from, |()| ResponseKind::done(Done {}))
     }
 
     /// Takes over jobs that a replica hears no owner of, unless their owner answers: the replica may be cut off.
     pub fn on_untended(&self, logs: Vec<String>) {
-        for id in self.not_here(&logs) {
+        for id in self.jobs_not_local(&logs) {
             let registry = self.clone();
             tokio::spawn(async move {
                 if registry.is_owned(&id).await {
@@ -189,14 +189,14 @@
     }
 
     /// Takes over jobs that their owner gives up.
-    fn take_over(&self, logs: Vec<String>) {
-        for id in self.not_here(&logs) {
+    fn take_over_logs(&self, logs: Vec<String>) {
+        for id in self.jobs_not_local(&logs) {
             let registry = self.clone();
             tokio::spawn(async move { registry.adopt_or_log(&id).await });
         }
     }
 
-    fn not_here(&self, logs: &[String]) -> Vec<String> {
+    fn jobs_not_local(&self, logs: &[String]) -> Vec<String> {
         let ids = logs.iter().filter_map(|log| log.strip_prefix(LOG_PREFIX));
         ids.filter(|id| self.local(id).is_none())
             .map(str::to_owned)
@@ -231,11 +231,17 @@
 fn expected_tokens(spec: &JobSpec) -> u64 {
     let guesses = spec.items.iter().map(|item| item.expected_tokens);
     guesses
-        .map(|guess| if guess == 0 { UNKNOWN_TOKENS } else { guess })
+        .map(|guess| {
+            if guess == 0 {
+                DEFAULT_ITEM_TOKENS
+            } else {
+                guess
+            }
+        })
         .sum()
 }
 
-fn refusal_of(error: ReadError) -> ResponseKind {
+fn refusal_from(error: ReadError) -> ResponseKind {
     let reason = match error {
         ReadError::NotFound => Reason::NOT_OWNER,
         ReadError::Unavailable(_) => Reason::NOT_READY,
--- a/crates/front/src/job/questions.rs
+++ b/crates/front/src/job/peer_requests.rs
@@ -6,7 +6,7 @@
 use ladderstage_wire::messages::mod_Response::OneOfkind as ResponseKind;
 use ladderstage_wire::messages::{EndJob, JobResults, ReadJob, ReadJobBody};
 
-use super::reading::{ReadError, unavailable, unpack};
+use super::reading::{ReadError, decompress_results, unavailable};
 
 /// Asks for results from position `after` on. `anywhere`: the node may ask the owner in its turn.
 pub(super) fn read_request(id: &str, after: u64, wait: Duration, anywhere: bool) -> RequestKind {
@@ -37,16 +37,16 @@
 }
 
 /// Results that a node answered.
-pub(super) fn results_of(answer: ResponseKind) -> Result<JobResults, ReadError> {
+pub(super) fn results_from(answer: ResponseKind) -> Result<JobResults, ReadError> {
     match answer {
         ResponseKind::job_results(results) => Ok(results),
-        ResponseKind::compressed_job_results(packed) => unpack(&packed),
+        ResponseKind::compressed_job_results(compressed) => decompress_results(&compressed),
         _ => Err(unavailable("another answer than asked for")),
     }
 }
 
 /// The body that a node answered.
-pub(super) fn body_of(answer: ResponseKind) -> Result<Vec<u8>, ReadError> {
+pub(super) fn body_from(answer: ResponseKind) -> Result<Vec<u8>, ReadError> {
     match answer {
         ResponseKind::job_body(body) if body.found => Ok(body.body),
         ResponseKind::job_body(_) => Err(ReadError::NotFound),
@@ -55,7 +55,7 @@
 }
 
 /// Whether a node answered that it is done.
-pub(super) fn done_of(answer: ResponseKind) -> Result<(), ReadError> {
+pub(super) fn done_from(answer: ResponseKind) -> Result<(), ReadError> {
     match answer {
         ResponseKind::done(_) => Ok(()),
         _ => Err(unavailable("another answer than asked for")),
--- a/crates/front/src/job/home.rs
+++ b/crates/front/src/job/preferred_owner.rs
@@ -19,16 +19,16 @@
 use ladderstage_wire::messages::{AcceptJob, Done, JobSpec, Request};
 
 use super::lock::lock;
-use super::peers::refused;
+use super::peer_handler::refused;
 use super::registry::{AcceptError, JobRegistry};
 use crate::nodes::{NodeRecord, NodeRole};
 
 /// Time for the home to accept a job, which takes some tens of milliseconds. A home that is frozen or cut off costs each step
 /// so much, of the 0.4 s in which trainers want their answer.
-const HOME_TIMEOUT: Duration = Duration::from_millis(250);
+const REMOTE_ACCEPT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// What became of a job that was handed to its home.
-enum HomeAnswer {
+enum RemoteAccept {
     /// It is kept.
     Accepted,
     /// Nothing of it is kept there.
@@ -45,23 +45,23 @@
     /// See [`AcceptError`].
     pub async fn accept(&self, spec: JobSpec) -> Result<(), AcceptError> {
         // The body is sent to another front only where the bounds allow it. Here, a job that was accepted before is found without it.
-        let may_leave = self.check_bounds(&spec).is_ok();
-        let Some(home) = self.home_of(&spec).filter(|_| may_leave) else {
+        let may_leave = self.check_regions(&spec).is_ok();
+        let Some(home) = self.preferred_owner_of(&spec).filter(|_| may_leave) else {
             return self.accept_here(spec).await;
         };
         let id = spec.job.clone();
-        match self.accept_at(&home, spec.clone()).await {
-            HomeAnswer::Accepted => {
+        match self.accept_remotely(&home, spec.clone()).await {
+            RemoteAccept::Accepted => {
                 log::info!("event=job_accepted_at_home job={id} home={home}");
-                let heard = (home, Instant::now());
-                lock(&self.shared.owners).insert(id, heard);
+                let known_owner = (home, Instant::now());
+                lock(&self.shared.owners).insert(id, known_owner);
                 Ok(())
             }
-            HomeAnswer::NotKept(cause) => {
+            RemoteAccept::NotKept(cause) => {
                 log::warn!("event=job_home_refused job={id} home={home} cause=\"{cause}\"");
                 self.accept_here(spec).await
             }
-            HomeAnswer::InDoubt(cause) => {
+            RemoteAccept::InDoubt(cause) => {
                 log::warn!("event=job_home_in_doubt job={id} home={home} cause=\"{cause}\"");
                 // The home may still run it, whatever is found here.
                 self.accept_here(spec).await.map_err(|error| match error {
@@ -73,7 +73,7 @@
     }
 
     /// The front that is to own a job, if it is another one. Jobs that are no steps of a trainer stay where they are.
-    fn home_of(&self, spec: &JobSpec) -> Option<String> {
+    fn preferred_owner_of(&self, spec: &JobSpec) -> Option<String> {
         if spec.desired_groups == 0 {
             return None;
         }
@@ -82,30 +82,32 @@
         let fronts = nodes.with_role(NodeRole::Front);
         let (model, step) = (&spec.model, spec.train_step);
         if !nodes.regions().has_several() {
-            return home(&own, &fronts, model, step);
+            return preferred_owner(&own, &fronts, model, step);
         }
-        home_in_region(&own, &fronts, model, step, |front| nodes.distance_to(front))
+        preferred_owner_in_region(&own, &fronts, model, step, |front| nodes.distance_to(front))
     }
 
-    async fn accept_at(&self, home: &str, spec: JobSpec) -> HomeAnswer {
+    async fn accept_remotely(&self, home: &str, spec: JobSpec) -> RemoteAccept {
         let kind = RequestKind::accept_job(AcceptJob { spec: Some(spec) });
         let nodes = &self.context.nodes;
-        let answer = nodes.call(home, Request { kind }, HOME_TIMEOUT).await;
+        let answer = nodes
+            .call(home, Request { kind }, REMOTE_ACCEPT_TIMEOUT)
+            .await;
         match answer.map(|response| response.kind) {
-            Ok(ResponseKind::done(_)) => HomeAnswer::Accepted,
+            Ok(ResponseKind::done(_)) => RemoteAccept::Accepted,
             Ok(ResponseKind::refused(refused)) | Err(CallError::Refused(refused))
                 if matches!(refused.reason, Reason::NOT_READY | Reason::LEAVING) =>
             {
-                HomeAnswer::NotKept(refused.detail)
+                RemoteAccept::NotKept(refused.detail)
             }
-            Ok(_) => HomeAnswer::InDoubt("another answer than asked for".to_owned()),
-            Err(CallError::NotSent(cause)) => HomeAnswer::NotKept(cause),
-            Err(error) => HomeAnswer::InDoubt(error.to_string()),
+            Ok(_) => RemoteAccept::InDoubt("another answer than asked for".to_owned()),
+            Err(CallError::NotSent(cause)) => RemoteAccept::NotKept(cause),
+            Err(error) => RemoteAccept::InDoubt(error.to_string()),
         }
     }
 
     /// Accepts a job that was handed in at another front.
-    pub(super) async fn answer_accept(&self, request: AcceptJob) -> ResponseKind {
+    pub(super) async fn handle_accept(&self, request: AcceptJob) -> ResponseKind {
         let Some(spec) = request.spec else {
             return refused(Reason::MALFORMED, "no job");
         };
@@ -124,31 +126,36 @@
 }
 
 /// The front that is to own a step that was handed in at `own`, if it is another one: none if no front of the zone is stronger.
-pub fn home(own: &NodeRecord, fronts: &[NodeRecord], model: &str, step: u64) -> Option<String> {
+pub fn preferred_owner(
+    own: &NodeRecord,
+    fronts: &[NodeRecord],
+    model: &str,
+    step: u64,
+) -> Option<String> {
     let in_zone = fronts.iter().filter(|front| front.zone == own.zone);
     let in_zone: Vec<NodeRecord> = in_zone.cloned().collect();
-    strongest_home(own, &in_zone, model, step)
+    preferred_among(own, &in_zone, model, step)
 }
 
-/// As [`home`]; if no front of the zone is stronger, a front of the region.
-pub fn home_in_region(
+/// As [`preferred_owner`]; if no front of the zone is stronger, a front of the region.
+pub fn preferred_owner_in_region(
     own: &NodeRecord,
     fronts: &[NodeRecord],
     model: &str,
     step: u64,
     distance: impl Fn(&NodeRecord) -> Distance,
 ) -> Option<String> {
-    home(own, fronts, model, step).or_else(|| {
+    preferred_owner(own, fronts, model, step).or_else(|| {
         let near = fronts
             .iter()
             .filter(|front| distance(front) < Distance::Elsewhere);
         let near: Vec<NodeRecord> = near.cloned().collect();
-        strongest_home(own, &near, model, step)
+        preferred_among(own, &near, model, step)
     })
 }
 
 /// The front among the strongest of `fronts` that is to own a step, if these are stronger than the front where it was handed in.
-fn strongest_home(
+fn preferred_among(
     own: &NodeRecord,
     fronts: &[NodeRecord],
     model: &str,
@@ -169,7 +176,7 @@
 }
 
 /// The fronts of this region, or all if there is none: a job that moves stays near its trainer if it can.
-pub(super) fn nearby(
+pub(super) fn prefer_same_region(
     fronts: Vec<NodeRecord>,
     distance: impl Fn(&NodeRecord) -> Distance,
 ) -> Vec<NodeRecord> {
--- a/crates/front/src/job/queue.rs
+++ b/crates/front/src/job/queue.rs
@@ -3,7 +3,7 @@
 use ladderstage_wire::messages::mod_JobEntry::OneOfkind as EntryKind;
 use ladderstage_wire::messages::{JobEnded, JobProgress, JobResult, JobSpec, LogEntry};
 
-use super::state::entry_bytes;
+use super::state::encode_entry;
 
 /// The entries in order. Nothing follows the end: progress that arrives later is not kept, so a result that follows it would
 /// lack a part of its text.
@@ -15,31 +15,31 @@
 
 impl EntryQueue {
     /// The job as it was handed in.
-    pub fn accept(&mut self, spec: JobSpec) {
-        self.entries.push(entry_bytes(EntryKind::accepted(spec)));
+    pub fn push_accepted(&mut self, spec: JobSpec) {
+        self.entries.push(encode_entry(EntryKind::accepted(spec)));
     }
 
     /// Text of an item that is to be kept.
-    pub fn progress(&mut self, progress: JobProgress) {
+    pub fn push_progress(&mut self, progress: JobProgress) {
         if !self.has_end {
             self.entries
-                .push(entry_bytes(EntryKind::progress(progress)));
+                .push(encode_entry(EntryKind::progress(progress)));
         }
     }
 
     /// An item's result; its progress was put in before.
-    pub fn result(&mut self, result: JobResult) {
+    pub fn push_result(&mut self, result: JobResult) {
         if !self.has_end {
-            self.entries.push(entry_bytes(EntryKind::result(result)));
+            self.entries.push(encode_entry(EntryKind::result(result)));
         }
     }
 
     /// The end of the job; `false` if it was put in before.
-    pub fn end(&mut self) -> bool {
+    pub fn push_end(&mut self) -> bool {
         let is_new = !std::mem::replace(&mut self.has_end, true);
         if is_new {
             self.entries
-                .push(entry_bytes(EntryKind::ended(JobEnded {})));
+                .push(encode_entry(EntryKind::ended(JobEnded {})));
         }
         is_new
     }
@@ -55,12 +55,12 @@
     }
 
     /// All that waits, for one append.
-    pub fn take(&mut self) -> Vec<LogEntry> {
+    pub fn drain(&mut self) -> Vec<LogEntry> {
         std::mem::take(&mut self.entries)
     }
 
     /// Puts the entries of an append that has to be made again before all others.
-    pub fn put_back(&mut self, mut entries: Vec<LogEntry>) {
+    pub fn requeue(&mut self, mut entries: Vec<LogEntry>) {
         entries.append(&mut self.entries);
         self.entries = entries;
     }
--- a/crates/front/src/job/reading.rs
+++ b/crates/front/src/job/reading.rs
@@ -9,14 +9,14 @@
 use ladderstage_wire::{decode, encode};
 use tokio::sync::oneshot;
 
-use super::shared::{Command, Job};
+use super::local_job::{Command, Job};
 use super::state::JobState;
 
 /// Bytes of texts in one answer, at most one result more.
-const RESULT_BYTES: usize = 768 * 1024;
+const MAX_PAGE_BYTES: usize = 768 * 1024;
 
 /// How long an end waits for its commit.
-pub(super) const COMMIT_LIMIT: Duration = Duration::from_millis(3_500);
+pub(super) const COMMIT_TIMEOUT: Duration = Duration::from_millis(3_500);
 
 /// Why a job could not be read.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -57,7 +57,7 @@
     let mut bytes = 0;
     let mut results = Vec::new();
     for result in &all[start..] {
-        if !results.is_empty() && bytes + result.text.len() > RESULT_BYTES {
+        if !results.is_empty() && bytes + result.text.len() > MAX_PAGE_BYTES {
             break;
         }
         bytes += result.text.len();
@@ -81,33 +81,33 @@
         return Ok(());
     }
     let (answer, ended) = oneshot::channel();
-    if !job.ask(Command::End(answer)) {
+    if !job.send(Command::End(answer)) {
         return match job.state().is_ended() {
             true => Ok(()),
             false => Err(unavailable("the owner has stopped")),
         };
     }
-    match tokio::time::timeout(COMMIT_LIMIT, ended).await {
+    match tokio::time::timeout(COMMIT_TIMEOUT, ended).await {
         Ok(Ok(())) => Ok(()),
         _ => Err(unavailable("the end is not committed yet")),
     }
 }
 
 /// Results in an answer from this size on are packed for another node, in bytes of texts.
-const LEAST_PACKED: usize = 1_024;
+const MIN_COMPRESSED_BYTES: usize = 1_024;
 
 /// The answer for another node, packed if it is large and the other takes that.
 pub(super) fn results_answer(results: JobResults, takes_compressed: bool) -> ResponseKind {
     let texts = results.results.iter().map(|result| result.text.len());
-    if !takes_compressed || texts.sum::<usize>() < LEAST_PACKED {
+    if !takes_compressed || texts.sum::<usize>() < MIN_COMPRESSED_BYTES {
         return ResponseKind::job_results(results);
     }
     ResponseKind::compressed_job_results(compress(&encode(&results)))
 }
 
 /// Results out of another node's packed answer.
-pub(super) fn unpack(packed: &[u8]) -> Result<JobResults, ReadError> {
-    let plain = decompress(packed).map_err(|error| unavailable(&error.to_string()))?;
+pub(super) fn decompress_results(compressed: &[u8]) -> Result<JobResults, ReadError> {
+    let plain = decompress(compressed).map_err(|error| unavailable(&error.to_string()))?;
     decode(&plain).map_err(|error| unavailable(&error.to_string()))
 }
 
--- a/crates/front/src/job/bounds.rs
+++ b/crates/front/src/job/region_bounds.rs
@@ -9,8 +9,8 @@
 use ladderstage::region::AllowedRegions;
 use ladderstage_wire::messages::{JobSpec, ReplicaMember, ReplicaSet};
 
+use super::local_job::Job;
 use super::registry::JobRegistry;
-use super::shared::Job;
 use crate::nodes::Nodes;
 
 /// Why a job may not be kept or served within the regions of its route and tenant.
@@ -28,7 +28,7 @@
         /// The node.
         node: String,
         /// Its region, as far as it is known.
-        region: Region,
+        region: RegionName,
         /// The regions inside.
         allowed: AllowedRegions,
     },
@@ -58,9 +58,9 @@
 
 /// A region, or that none is known.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Region(pub Option<String>);
+pub struct RegionName(pub Option<String>);
 
-impl fmt::Display for Region {
+impl fmt::Display for RegionName {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(self.0.as_deref().unwrap_or("no known region"))
     }
@@ -99,7 +99,7 @@
     }
     if let Some(outside) = nodes.any_outside(&allowed()) {
         return Err(OutOfBounds::Node {
-            region: Region(Some(outside.region).filter(|region| !region.is_empty())),
+            region: RegionName(Some(outside.region).filter(|region| !region.is_empty())),
             node: outside.node,
             allowed: allowed(),
         });
@@ -120,7 +120,7 @@
     ///
     /// # Errors
     /// Where it would leave them, or that no instance lies in them.
-    pub(super) fn check_bounds(&self, spec: &JobSpec) -> Result<(), OutOfBounds> {
+    pub(super) fn check_regions(&self, spec: &JobSpec) -> Result<(), OutOfBounds> {
         let context = &self.context;
         let bound = context
             .config
--- a/crates/front/src/job/registry.rs
+++ b/crates/front/src/job/registry.rs
@@ -8,23 +8,25 @@
 use ladderstage_journal::JournalError;
 use ladderstage_wire::messages::{JobResults, JobSpec};
 
-use super::carrying::LeftoverEntry;
 use super::context::JobContext;
 use super::digest::LogDigest;
-use super::locating::Owned;
+use super::local_job::{Command, Job};
+use super::locating::OwnerReply;
 use super::lock::lock;
 use super::owner::{Owner, OwnerEnd};
-use super::questions::{body_of, body_request, done_of, end_request, read_request, results_of};
-use super::reading::{COMMIT_LIMIT, ReadError, body_local, end_local, read_local, unavailable};
-use super::seen::SeenResults;
-use super::shared::{Command, Job};
+use super::peer_requests::{
+    body_from, body_request, done_from, end_request, read_request, results_from,
+};
+use super::reading::{COMMIT_TIMEOUT, ReadError, body_local, end_local, read_local, unavailable};
+use super::result_cache::ResultCache;
 use super::state::JobState;
+use super::text_reuse::UnfinishedEntry;
 use super::{LOG_PREFIX, log_name};
 use crate::orders::{EndedGivers, LearntLoads};
 
 /// An owner answers reads for this long after a majority of replicas last confirmed it: another owner may have listed more
 /// since, and readers may see an older state for a second at most.
-const READ_TRUST: Duration = Duration::from_millis(700);
+const MAX_READ_CONFIRMATION_AGE: Duration = Duration::from_millis(700);
 
 /// Between looks for jobs that need not be kept any more.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(10);
@@ -44,30 +46,30 @@
 #[derive(Clone)]
 pub struct JobRegistry {
     pub(super) context: Arc<JobContext>,
-    pub(super) shared: Arc<Shared>,
+    pub(super) shared: Arc<SharedState>,
     pub(super) started_at: Instant,
 }
 
 #[derive(Default)]
-pub(super) struct Shared {
+pub(super) struct SharedState {
     pub(super) jobs: Mutex<HashMap<String, Arc<Job>>>,
     /// Jobs whose logs are being taken over.
     pub(super) opening: Mutex<HashSet<String>>,
     /// Owners of other jobs as last heard.
     pub(super) owners: Mutex<HashMap<String, (String, Instant)>>,
     /// Results that were read at other owners.
-    pub(super) seen: Mutex<SeenResults>,
+    pub(super) result_cache: Mutex<ResultCache>,
     /// What ended jobs left behind here.
-    pub(super) leftovers: Mutex<Vec<LeftoverEntry>>,
+    pub(super) unfinished: Mutex<Vec<UnfinishedEntry>>,
 }
 
 /// Removes a job from those being opened.
-struct Opening {
-    shared: Arc<Shared>,
+struct OpeningGuard {
+    shared: Arc<SharedState>,
     id: String,
 }
 
-impl Drop for Opening {
+impl Drop for OpeningGuard {
     fn drop(&mut self) {
         lock(&self.shared.opening).remove(&self.id);
     }
@@ -87,19 +89,19 @@
     pub(super) async fn accept_here(&self, spec: JobSpec) -> Result<(), AcceptError> {
         let id = spec.job.clone();
         match self.find_accepted(&id).await {
-            Ok(Owned::Here(job)) => return self.wait_accepted(&job).await,
-            Ok(Owned::Answer(_)) => return Ok(()),
+            Ok(OwnerReply::Local(job)) => return self.wait_accepted(&job).await,
+            Ok(OwnerReply::Answer(_)) => return Ok(()),
             Err(ReadError::NotFound) => {}
             Err(ReadError::Unavailable(cause)) => return Err(AcceptError::NotKept(cause)),
         }
-        if let Err(cause) = self.check_bounds(&spec) {
+        if let Err(cause) = self.check_regions(&spec) {
             log::warn!("event=job_out_of_bounds job={id} cause=\"{cause}\"");
             let refused = &self.context.metrics.refused_by_region;
             refused.with_label_values(&["job"]).inc();
             return Err(AcceptError::NotKept(cause.to_string()));
         }
-        let about = describe(&spec);
-        let opened = tokio::time::timeout(COMMIT_LIMIT, self.open(&id, Some(spec))).await;
+        let fields = log_fields(&spec);
+        let opened = tokio::time::timeout(COMMIT_TIMEOUT, self.open(&id, Some(spec))).await;
         let job = match opened {
             Ok(Ok(job)) => job,
             Ok(Err(JournalError::NoQuorum(cause))) => return Err(AcceptError::NotKept(cause)),
@@ -116,7 +118,7 @@
             .jobs
             .with_label_values(&["accepted"])
             .inc();
-        log::info!("event=job_accepted job={id} {about}");
+        log::info!("event=job_accepted job={id} {fields}");
         Ok(())
     }
 
@@ -157,7 +159,7 @@
         wait: Duration,
         relayed: bool,
     ) -> Result<JobResults, ReadError> {
-        let known = lock(&self.shared.seen).known(id);
+        let known = lock(&self.shared.result_cache).count(id);
         let has_some = after < known;
         let (from, wait) = if has_some {
             (known, Duration::ZERO)
@@ -166,22 +168,25 @@
         };
         let request = read_request(id, from, wait, relayed);
         let asked = if relayed {
-            self.relay(id, &request, wait).await.and_then(results_of)
+            self.relay(id, &request, wait).await.and_then(results_from)
         } else {
-            match self.ask(id, &request, wait).await {
-                Ok(Owned::Here(job)) => return self.read_here(&job, after, wait).await,
-                Ok(Owned::Answer(answer)) => results_of(answer),
+            match self.ask_owner(id, &request, wait).await {
+                Ok(OwnerReply::Local(job)) => return self.read_here(&job, after, wait).await,
+                Ok(OwnerReply::Answer(answer)) => results_from(answer),
                 Err(error) => Err(error),
             }
         };
-        let mut seen = lock(&self.shared.seen);
+        let mut result_cache = lock(&self.shared.result_cache);
         match asked {
             Ok(results) => {
-                seen.note(id, from, &results);
-                Ok(seen.page(id, after).unwrap_or(results))
+                result_cache.insert(id, from, &results);
+                Ok(result_cache.page(id, after).unwrap_or(results))
             }
             // What was read before holds whether its owner is reached or not.
-            Err(error) => seen.page(id, after).filter(|_| has_some).ok_or(error),
+            Err(error) => result_cache
+                .page(id, after)
+                .filter(|_| has_some)
+                .ok_or(error),
         }
     }
 
@@ -194,7 +199,7 @@
             return self.body_here_or_at_owner(id, item).await;
         }
         let request = body_request(id, item, true);
-        body_of(self.relay(id, &request, Duration::ZERO).await?)
+        body_from(self.relay(id, &request, Duration::ZERO).await?)
     }
 
     /// As [`JobRegistry::body`], without the help of a front that is no owner.
@@ -204,9 +209,9 @@
         item: &str,
     ) -> Result<Vec<u8>, ReadError> {
         let request = body_request(id, item, false);
-        match self.ask(id, &request, Duration::ZERO).await? {
-            Owned::Here(job) => body_local(&job, item).ok_or(ReadError::NotFound),
-            Owned::Answer(answer) => body_of(answer),
+        match self.ask_owner(id, &request, Duration::ZERO).await? {
+            OwnerReply::Local(job) => body_local(&job, item).ok_or(ReadError::NotFound),
+            OwnerReply::Answer(answer) => body_from(answer),
         }
     }
 
@@ -219,15 +224,15 @@
             return self.end_here_or_at_owner(id).await;
         }
         let request = end_request(id, true);
-        done_of(self.relay(id, &request, COMMIT_LIMIT).await?)
+        done_from(self.relay(id, &request, COMMIT_TIMEOUT).await?)
     }
 
     /// As [`JobRegistry::end`], without the help of a front that is no owner.
     pub(super) async fn end_here_or_at_owner(&self, id: &str) -> Result<(), ReadError> {
         let request = end_request(id, false);
-        match self.ask(id, &request, COMMIT_LIMIT).await? {
-            Owned::Here(job) => end_local(&job).await,
-            Owned::Answer(answer) => done_of(answer),
+        match self.ask_owner(id, &request, COMMIT_TIMEOUT).await? {
+            OwnerReply::Local(job) => end_local(&job).await,
+            OwnerReply::Answer(answer) => done_from(answer),
         }
     }
 
@@ -243,7 +248,7 @@
 
     /// Notes that a majority of replicas answered a heartbeat sent at `asked_at`.
     pub fn on_confirmed(&self, asked_at: Instant) {
-        self.context.confirmation.note(asked_at);
+        self.context.confirmation.record(asked_at);
     }
 
     /// Notes that a replica says that another node has the log.
@@ -257,7 +262,7 @@
     /// Whether this node's state of a job is recent enough to be read.
     pub(super) fn is_readable(&self, job: &Job) -> bool {
         let age = self.context.confirmation.age(job.opened_at);
-        job.state().is_ended() || job.is_uncontested() && age < READ_TRUST
+        job.state().is_ended() || job.is_uncontested() && age < MAX_READ_CONFIRMATION_AGE
     }
 
     pub(super) async fn read_here(
@@ -277,7 +282,7 @@
     pub fn on_fenced(&self, log: &str) {
         let id = log.strip_prefix(LOG_PREFIX).unwrap_or_default();
         if let Some(job) = self.local(id) {
-            job.ask(Command::Lost);
+            job.send(Command::Lost);
         }
     }
 
@@ -288,7 +293,7 @@
             let retention = self.context.retention;
             lock(&self.shared.jobs).retain(|_, job| job.opened_at.elapsed() < retention * 2);
             lock(&self.shared.owners).retain(|_, (_, heard)| heard.elapsed() < retention);
-            lock(&self.shared.seen).forget(retention);
+            lock(&self.shared.result_cache).remove_unread_for(retention);
         }
     }
 
@@ -305,7 +310,7 @@
                 }
             }
         };
-        let waited = tokio::time::timeout(COMMIT_LIMIT, accepted).await;
+        let waited = tokio::time::timeout(COMMIT_TIMEOUT, accepted).await;
         waited.map_err(|_| AcceptError::InDoubt("the commit takes too long".to_owned()))
     }
 
@@ -330,7 +335,7 @@
         if !lock(&self.shared.opening).insert(id.to_owned()) {
             return Err(JournalError::Unresolved);
         }
-        let opening = Opening {
+        let opening = OpeningGuard {
             shared: Arc::clone(&self.shared),
             id: id.to_owned(),
         };
@@ -358,17 +363,17 @@
         let context = Arc::clone(&self.context);
         let digest = LogDigest::of(&entries);
         let trainer_spec = spec.as_ref().filter(|spec| spec.desired_groups > 0);
-        let carried = trainer_spec.map(|spec| self.gather_kept_texts(spec));
+        let collection = trainer_spec.map(|spec| self.collect_kept_texts(spec));
         let mut owner = Owner::new(context, Arc::clone(&job), writer, digest, spec);
-        owner.gathering = carried;
+        owner.text_collection = collection;
         let registry = self.clone();
         let owned = Arc::clone(&job);
         let activity = self.context.activity.begin();
         tokio::spawn(async move {
             let _activity = activity;
             match owner.run(commands).await {
-                OwnerEnd::Lost => registry.forget(&owned),
-                OwnerEnd::Ended(Some(leftover)) => registry.keep_leftover(*leftover).await,
+                OwnerEnd::Lost => registry.remove(&owned),
+                OwnerEnd::Ended(Some(unfinished)) => registry.keep_unfinished(*unfinished).await,
                 OwnerEnd::Ended(None) => {}
             }
         });
@@ -376,7 +381,7 @@
     }
 
     /// Forgets exactly this job.
-    fn forget(&self, job: &Arc<Job>) {
+    fn remove(&self, job: &Arc<Job>) {
         let mut jobs = lock(&self.shared.jobs);
         if jobs
             .get(&job.id)
@@ -388,7 +393,7 @@
 }
 
 /// What the log tells of a job that was handed in.
-fn describe(spec: &JobSpec) -> String {
+fn log_fields(spec: &JobSpec) -> String {
     format!(
         "model={} step={} oldest_version={} desired_groups={} items={}",
         spec.model,
--- a/crates/front/src/job/relay.rs
+++ b/crates/front/src/job/relay.rs
@@ -13,25 +13,25 @@
 use ladderstage_wire::messages::{Refused, Request};
 use rand::seq::SliceRandom;
 
+use super::local_job::Job;
 use super::reading::{ReadError, unavailable};
 use super::registry::JobRegistry;
-use super::shared::Job;
 use crate::nodes::NodeRole;
 
 /// A front counts as cut off when no majority of replicas has answered it for this long. A node without jobs among many asks
 /// only each third heartbeat, 0.9 s.
-const CUT_OFF_AFTER: Duration = Duration::from_millis(1_500);
+const UNREACHABLE_AFTER: Duration = Duration::from_millis(1_500);
 
 /// Fronts that are asked, one after the other.
-const RELAYS: usize = 2;
+const MAX_RELAYS: usize = 2;
 
 /// Time for another front to find the job and its owner, beyond the time that it was asked to wait.
-const RELAY_TIMEOUT: Duration = Duration::from_millis(1_200);
+const RELAY_MARGIN: Duration = Duration::from_millis(1_200);
 
 impl JobRegistry {
     /// Whether this node has not reached a majority of replicas of late.
     pub fn is_cut_off(&self) -> bool {
-        self.context.confirmation.age(self.started_at) > CUT_OFF_AFTER
+        self.context.confirmation.age(self.started_at) > UNREACHABLE_AFTER
     }
 
     /// Whether another front is asked about a job rather than its state here.
@@ -48,14 +48,14 @@
         wait: Duration,
     ) -> Result<ResponseKind, ReadError> {
         let mut last = unavailable("cut off from the journal, and no other front is known");
-        for front in self.relays() {
+        for front in self.relay_candidates() {
             let request = Request {
                 kind: request.clone(),
             };
             let call = self
                 .context
                 .nodes
-                .call(&front, request, wait + RELAY_TIMEOUT);
+                .call(&front, request, wait + RELAY_MARGIN);
             let answer = call.await.and_then(|response| match response.kind {
                 ResponseKind::refused(refused) => Err(CallError::Refused(refused)),
                 answer => Ok(answer),
@@ -76,7 +76,7 @@
     }
 
     /// Some other fronts, the nearest first.
-    fn relays(&self) -> Vec<String> {
+    fn relay_candidates(&self) -> Vec<String> {
         let nodes = &self.context.nodes;
         let own = nodes.own();
         let mut fronts = nodes.with_role(NodeRole::Front);
@@ -84,6 +84,6 @@
         fronts.shuffle(&mut rand::rng());
         fronts.sort_by_key(|front| nodes.distance_to(front));
         let names = fronts.into_iter().map(|front| front.node);
-        names.take(RELAYS).collect()
+        names.take(MAX_RELAYS).collect()
     }
 }
--- a/crates/front/src/job/seen.rs
+++ b/crates/front/src/job/result_cache.rs
@@ -12,10 +12,10 @@
 use super::reading::page_of;
 
 /// Bytes of texts that are remembered, all jobs together: a tenth of the memory of the smallest machines, 160 MB.
-const MOST_BYTES: usize = 16 * 1024 * 1024;
+const MAX_BYTES: usize = 16 * 1024 * 1024;
 
 /// Results from the first on, as far as they were read without a gap.
-struct SeenJob {
+struct CachedJob {
     total: u64,
     results: Vec<JobResult>,
     bytes: usize,
@@ -24,64 +24,67 @@
 
 /// What is remembered, by job.
 #[derive(Default)]
-pub(super) struct SeenResults {
-    jobs: HashMap<String, SeenJob>,
+pub(super) struct ResultCache {
+    jobs: HashMap<String, CachedJob>,
     bytes: usize,
 }
 
-impl SeenResults {
+impl ResultCache {
     /// How many results of a job are remembered, from the first on.
-    pub fn known(&self, job: &str) -> u64 {
-        let seen = self.jobs.get(job);
-        seen.map_or(0, |seen| seen.results.len() as u64)
+    pub fn count(&self, job: &str) -> u64 {
+        let cached = self.jobs.get(job);
+        cached.map_or(0, |cached| cached.results.len() as u64)
     }
 
     /// Results of a job from position `after` on; `None` if none of them was read before.
     pub fn page(&mut self, job: &str, after: u64) -> Option<JobResults> {
-        let seen = self.jobs.get_mut(job)?;
-        seen.read_at = Instant::now();
-        let is_known = after < seen.results.len() as u64;
-        is_known.then(|| page_of(&seen.results, seen.total, after))
+        let cached = self.jobs.get_mut(job)?;
+        cached.read_at = Instant::now();
+        let is_known = after < cached.results.len() as u64;
+        is_known.then(|| page_of(&cached.results, cached.total, after))
     }
 
     /// Remembers what the owner of a job answered for position `after`.
-    pub fn note(&mut self, job: &str, after: u64, answer: &JobResults) {
+    pub fn insert(&mut self, job: &str, after: u64, answer: &JobResults) {
         let now = Instant::now();
-        let seen = self.jobs.entry(job.to_owned()).or_insert_with(|| SeenJob {
-            total: 0,
-            results: Vec::new(),
-            bytes: 0,
-            read_at: now,
-        });
-        seen.total = answer.total;
-        let known = (seen.results.len() as u64).saturating_sub(after);
-        if after > seen.results.len() as u64 {
+        let cached = self
+            .jobs
+            .entry(job.to_owned())
+            .or_insert_with(|| CachedJob {
+                total: 0,
+                results: Vec::new(),
+                bytes: 0,
+                read_at: now,
+            });
+        cached.total = answer.total;
+        let known = (cached.results.len() as u64).saturating_sub(after);
+        if after > cached.results.len() as u64 {
             return;
         }
         for result in answer.results.iter().skip(known as usize) {
-            seen.bytes += result.text.len();
+            cached.bytes += result.text.len();
             self.bytes += result.text.len();
-            seen.results.push(result.clone());
+            cached.results.push(result.clone());
         }
-        self.make_room(job);
+        self.evict_until_fits(job);
     }
 
     /// Forgets jobs that nobody has read for `age`.
-    pub fn forget(&mut self, age: Duration) {
-        self.jobs.retain(|_, seen| seen.read_at.elapsed() < age);
-        self.bytes = self.jobs.values().map(|seen| seen.bytes).sum();
+    pub fn remove_unread_for(&mut self, age: Duration) {
+        self.jobs.retain(|_, cached| cached.read_at.elapsed() < age);
+        self.bytes = self.jobs.values().map(|cached| cached.bytes).sum();
     }
 
     /// Forgets the jobs that were read the longest ago, but not `kept`, until the rest fits.
-    fn make_room(&mut self, kept: &str) {
-        while self.bytes > MOST_BYTES {
+    fn evict_until_fits(&mut self, kept: &str) {
+        while self.bytes > MAX_BYTES {
             let others = self.jobs.iter().filter(|(job, _)| *job != kept);
-            let oldest = others.min_by_key(|(_, seen)| seen.read_at);
+            let oldest = others.min_by_key(|(_, cached)| cached.read_at);
             let Some(oldest) = oldest.map(|(job, _)| job.clone()) else {
                 return;
             };
-            let gone = self.jobs.remove(&oldest);
-            self.bytes -= gone.map_or(0, |seen| seen.bytes);
+            let evicted = self.jobs.remove(&oldest);
+            self.bytes -= evicted.map_or(0, |cached| cached.bytes);
         }
     }
 }
--- a/crates/front/src/job/run.rs
+++ b/crates/front/src/job/run.rs
@@ -8,7 +8,7 @@
 use ladderstage_clock::Instant;
 
 use super::run_context::{RunContext, refusal_pause};
-use super::run_end::{RunEnd, STALE_WEIGHTS_PAUSE, fits};
+use super::run_end::{RunEnd, STALE_WEIGHTS_PAUSE, can_continue};
 use super::scoring::{ScoreEnd, score};
 use super::stream::follow_stream;
 use super::text::ItemText;
@@ -16,7 +16,7 @@
 use crate::tenant::set_tenant;
 
 /// Pause before another instance is looked for when none has room.
-const NO_ROOM_PAUSE: Duration = Duration::from_millis(25);
+const NO_CAPACITY_PAUSE: Duration = Duration::from_millis(25);
 
 /// How long a text of one weight version waits for an instance that still has it.
 const VERSION_WAIT: Duration = Duration::from_millis(500);
@@ -58,11 +58,11 @@
 ) -> RunOutcome {
     let item = context.spec.items[index].id.clone();
     let mut stop = context.stop.clone();
-    let run = run_in_time(&context, index, first, &mut partial);
+    let run = run_with_deadline(&context, index, first, &mut partial);
     let ended = tokio::select! {
         ended = run => ended,
         _ = stop.wait_for(|stop| *stop) => {
-            return stopped(&context, &item, partial);
+            return stop_run(&context, &item, partial);
         }
     };
     match ended {
@@ -72,27 +72,27 @@
             score,
         },
         Some(ItemEnd::Terminated) => RunOutcome::Terminated,
-        Some(ItemEnd::Closed) => stopped(&context, &item, partial),
+        Some(ItemEnd::Closed) => stop_run(&context, &item, partial),
     }
 }
 
 /// Hands over what was made to be kept.
-fn stopped(context: &RunContext, item: &str, mut partial: ItemText) -> RunOutcome {
-    if let Some(progress) = partial.take_progress(item) {
+fn stop_run(context: &RunContext, item: &str, mut partial: ItemText) -> RunOutcome {
+    if let Some(progress) = partial.drain_progress(item) {
         let _ = context.progress.send(progress);
     }
     RunOutcome::Stopped(partial)
 }
 
 /// Runs the item until it is done or too old; `None` if it was not started.
-async fn run_in_time(
+async fn run_with_deadline(
     context: &RunContext,
     index: usize,
     first: Option<Arc<Instance>>,
     partial: &mut ItemText,
 ) -> Option<ItemEnd> {
     let run = run_until_done(context, index, first, partial);
-    let Some(at) = context.give_up_at else {
+    let Some(at) = context.item_deadline else {
         return run.await;
     };
     let ended = tokio::time::timeout_at(at.into(), run).await;
@@ -113,44 +113,44 @@
     first: Option<Arc<Instance>>,
     partial: &mut ItemText,
 ) -> Option<ItemEnd> {
-    if !partial.is_whole()
+    if !partial.is_complete()
         && let Some(first) = first
     {
-        match make_text(context, index, first, partial).await? {
-            TextEnd::Whole => {}
-            TextEnd::Impossible => return Some(ItemEnd::Terminated),
+        match generate_text(context, index, first, partial).await? {
+            TextEnd::Complete => {}
+            TextEnd::Unprocessable => return Some(ItemEnd::Terminated),
             TextEnd::Closed => return Some(ItemEnd::Closed),
         }
     }
     let item = &context.spec.items[index];
     let Some(reward) = &item.reward_call else {
-        partial.set_whole();
+        partial.mark_complete();
         let score = String::new();
         return Some(ItemEnd::Completed { score });
     };
-    if !partial.is_whole()
-        && let Some(progress) = partial.end(&item.id)
+    if !partial.is_complete()
+        && let Some(progress) = partial.finish(&item.id)
     {
         let _ = context.progress.send(progress);
     }
     match score(context, index, reward).await {
         ScoreEnd::Scored(score) => Some(ItemEnd::Completed { score }),
-        ScoreEnd::Failed | ScoreEnd::Impossible => Some(ItemEnd::Terminated),
+        ScoreEnd::Failed | ScoreEnd::Unprocessable => Some(ItemEnd::Terminated),
         ScoreEnd::Closed => Some(ItemEnd::Closed),
     }
 }
 
 /// How the making of a text ended.
 enum TextEnd {
-    Whole,
+    Complete,
     /// It can never be made, or failed as often as the route allows.
-    Impossible,
+    Unprocessable,
     /// No more requests may be sent for it.
     Closed,
 }
 
 /// Runs the item at one instance after the other; `None` if the first one took none of it.
-async fn make_text(
+async fn generate_text(
     context: &RunContext,
     index: usize,
     first: Arc<Instance>,
@@ -163,12 +163,12 @@
             return Some(TextEnd::Closed);
         };
         match end {
-            RunEnd::Complete => return Some(TextEnd::Whole),
-            RunEnd::Impossible => return Some(TextEnd::Impossible),
+            RunEnd::Complete => return Some(TextEnd::Complete),
+            RunEnd::Unprocessable => return Some(TextEnd::Unprocessable),
             RunEnd::Failed => {
                 failures += 1;
                 if failures >= context.max_attempts.max(1) {
-                    return Some(TextEnd::Impossible);
+                    return Some(TextEnd::Unprocessable);
                 }
             }
             RunEnd::NotTaken(_) if partial.events() == 0 && failures == 0 => return None,
@@ -189,7 +189,7 @@
     partial: &mut ItemText,
 ) -> Option<RunEnd> {
     let content = || context.item_content(index);
-    let _permit = context.admitted(index, content).await?;
+    let _permit = context.wait_admitted(index, content).await?;
     let started = Instant::now();
     let end = tokio::select! {
         end = run_once(context, index, instance, partial) => end,
@@ -199,8 +199,12 @@
     log_run(context, index, instance, partial, started, &end);
     context.metrics.note_sent("item", instance.distance());
     match end {
-        RunEnd::Broken(_) => context.look(index, instance, content(), started).await,
-        RunEnd::Complete | RunEnd::Impossible | RunEnd::Failed => {
+        RunEnd::Broken(_) => {
+            context
+                .report_broken_run(index, instance, content(), started)
+                .await
+        }
+        RunEnd::Complete | RunEnd::Unprocessable | RunEnd::Failed => {
             context.suspects.note_borne(content);
         }
         RunEnd::NotTaken(_) | RunEnd::Move(_) => {}
@@ -218,7 +222,7 @@
 ) {
     let outcome = match end {
         RunEnd::Complete => "complete".to_owned(),
-        RunEnd::Impossible => "impossible".to_owned(),
+        RunEnd::Unprocessable => "impossible".to_owned(),
         RunEnd::Failed => "failed".to_owned(),
         RunEnd::NotTaken(cause) => format!("not_taken cause=\"{cause}\""),
         RunEnd::Move(cause) | RunEnd::Broken(cause) => format!("moved cause=\"{cause}\""),
@@ -255,7 +259,7 @@
         if context.single_version && partial.events() > 0 && started.elapsed() > VERSION_WAIT {
             partial.start_over();
         }
-        let _ = tokio::time::timeout(NO_ROOM_PAUSE, table_changed.changed()).await;
+        let _ = tokio::time::timeout(NO_CAPACITY_PAUSE, table_changed.changed()).await;
     }
     None
 }
@@ -274,7 +278,7 @@
             &context.allowed_regions(),
             |instance| {
                 let is_excluded = exclude_last && instance.id() == last.id();
-                !is_excluded && fits(context, partial, instance)
+                !is_excluded && can_continue(context, partial, instance)
             },
         )
     };
@@ -291,10 +295,10 @@
     let names = context.codec.headers();
     let item = &context.spec.items[index];
     let Ok(attempt_id) = HeaderValue::from_str(&item.id) else {
-        return RunEnd::Impossible;
+        return RunEnd::Unprocessable;
     };
     let Some(head) = request_head(context, index, instance, &attempt_id, partial) else {
-        return RunEnd::Impossible;
+        return RunEnd::Unprocessable;
     };
     let body = Bytes::copy_from_slice(&item.body);
     let sending = send(
@@ -305,7 +309,7 @@
         &attempt_id,
         AnswerId::Required,
     );
-    let reply = match tokio::time::timeout(context.first_event_limit(), sending).await {
+    let reply = match tokio::time::timeout(context.first_event_timeout(), sending).await {
         Ok(Ok(reply)) => reply,
         Ok(Err(error)) => return on_exchange_error(context, instance, &error),
         Err(_) => {
@@ -315,7 +319,7 @@
     };
     match reply.status {
         StatusCode::OK => follow_stream(context, index, instance, reply, partial).await,
-        StatusCode::UNPROCESSABLE_ENTITY => RunEnd::Impossible,
+        StatusCode::UNPROCESSABLE_ENTITY => RunEnd::Unprocessable,
         StatusCode::INTERNAL_SERVER_ERROR => RunEnd::Failed,
         status => {
             instance.note_failure(Instant::now());
@@ -332,8 +336,8 @@
     let now = Instant::now();
     match error {
         ExchangeError::NotRun(_) => {
-            let usual_load = context.learnt_loads.get().and_then(|limit| limit.usual());
-            let pause = refusal_pause(instance.has_free_slot(), usual_load);
+            let typical_load = context.learnt_loads.get().and_then(|limit| limit.usual());
+            let pause = refusal_pause(instance.has_free_slot(), typical_load);
             instance.note_loading(&context.spec.model, now + pause);
         }
         ExchangeError::Misdirected {
--- a/crates/front/src/job/run_context.rs
+++ b/crates/front/src/job/run_context.rs
@@ -20,17 +20,17 @@
 };
 
 /// Longest wait for the first event of a run, where it is not known how fast events come.
-const FIRST_EVENT_LIMIT: Duration = Duration::from_millis(2_500);
+const MAX_FIRST_EVENT_WAIT: Duration = Duration::from_millis(2_500);
 
 /// The same in times between two events: a prompt is read in less than one, and an item that waits for a place for longer than so
 /// many is better off elsewhere.
-const FIRST_EVENT_PACES: f64 = 20.0;
+const FIRST_EVENT_INTERVALS: f64 = 20.0;
 
 /// Shortest such wait: connecting again after a lost packet takes a second.
-const LEAST_FIRST_EVENT_LIMIT: Duration = Duration::from_millis(1_100);
+const MIN_FIRST_EVENT_WAIT: Duration = Duration::from_millis(1_100);
 
 /// Between looks whether an item is still held back: a hold lasts until another run of its content ends, or for minutes.
-const HELD_LOOK: Duration = Duration::from_millis(250);
+const HOLD_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// What runs of a job share.
 #[derive(Clone)]
@@ -50,13 +50,13 @@
     /// How urgent its items are at instances.
     pub rank: HeaderValue,
     /// Where its items may run by the configuration under which these runs began.
-    pub allowed_at_begin: AllowedRegions,
+    pub allowed_at_start: AllowedRegions,
     /// Failed attempts after which an item is given up.
     pub max_attempts: u32,
     /// Every text must come from one weight version.
     pub single_version: bool,
     /// When items are given up.
-    pub give_up_at: Option<Instant>,
+    pub item_deadline: Option<Instant>,
     /// Takes text that is to be kept.
     pub progress: mpsc::UnboundedSender<JobProgress>,
     /// Tells that another node, or a later job, is to go on.
@@ -64,7 +64,7 @@
     /// When requests may still be sent for the items.
     pub window: SendWindow,
     /// Weight versions under which the texts of runs begin.
-    pub begun: BegunVersions,
+    pub first_versions: FirstVersions,
     /// Tokens that one event holds; 0: unknown.
     pub tokens_per_event: u64,
     /// What is known of loads of weights.
@@ -85,7 +85,7 @@
         let spec = &self.spec;
         self.config
             .allowed_regions(&spec.host, &spec.path, &spec.tenant)
-            .unwrap_or_else(|| self.allowed_at_begin.clone())
+            .unwrap_or_else(|| self.allowed_at_start.clone())
     }
 
     /// What its repeats share with a request that is sent for this job.
@@ -112,7 +112,7 @@
     }
 
     /// Waits until a request with `content` may be sent for the item at `index`; `None` once none may be sent any more.
-    pub(super) async fn admitted(
+    pub(super) async fn wait_admitted(
         &self,
         index: usize,
         content: impl Fn() -> ContentDigest,
@@ -120,14 +120,14 @@
         while self.window.is_open() {
             match self.admit(index, &content) {
                 Ok(permit) => return Some(permit),
-                Err(_) => self.while_held(index, &content).await,
+                Err(_) => self.wait_while_held(index, &content).await,
             }
         }
         None
     }
 
     /// For how long a request with `content` for the item at `index` would be held back.
-    pub(super) fn holds(
+    pub(super) fn held_back(
         &self,
         index: usize,
         content: impl FnOnce() -> ContentDigest,
@@ -135,9 +135,9 @@
         self.suspects.holds(self.subject(index), content)
     }
 
-    async fn while_held(&self, index: usize, content: &impl Fn() -> ContentDigest) {
-        while self.window.is_open() && self.holds(index, content).is_some() {
-            tokio::time::sleep(HELD_LOOK).await;
+    async fn wait_while_held(&self, index: usize, content: &impl Fn() -> ContentDigest) {
+        while self.window.is_open() && self.held_back(index, content).is_some() {
+            tokio::time::sleep(HOLD_POLL_INTERVAL).await;
         }
     }
 
@@ -149,7 +149,7 @@
     }
 
     /// Finds out what became of an instance under a run of the item at `index` whose connection broke.
-    pub(super) async fn look(
+    pub(super) async fn report_broken_run(
         &self,
         index: usize,
         instance: &Arc<Instance>,
@@ -167,7 +167,7 @@
     }
 
     /// Events that an item's text has at most; `None` if that is not known.
-    pub(super) fn most_events(&self, index: usize) -> Option<u64> {
+    pub(super) fn max_events(&self, index: usize) -> Option<u64> {
         self.spec.items[index]
             .tokens
             .checked_div(self.tokens_per_event)
@@ -175,42 +175,42 @@
 
     /// Longest wait for the first event of a run: a step bears a long item that begins anew once at an instance that hangs, if that is
     /// noticed soon.
-    pub(super) fn first_event_limit(&self) -> Duration {
+    pub(super) fn first_event_timeout(&self) -> Duration {
         let typical_ms = self.backends.typical_pace(&self.service);
-        first_event_limit(typical_ms)
+        first_event_timeout(typical_ms)
     }
 }
 
 /// How long an instance is left out for a model after it refused to start an item, unless it is heard to have newer weights before:
 /// with `free_slots` there it loads weights, which takes `usual_load`. Owners that tried it again each 0.15 s were refused 24 times for
 /// one item, and sent it a whole set of items each time.
-pub fn refusal_pause(free_slots: bool, usual_load: Option<Duration>) -> Duration {
-    match usual_load {
+pub fn refusal_pause(free_slots: bool, typical_load: Option<Duration>) -> Duration {
+    match typical_load {
         Some(usual) if free_slots => usual.max(LOADING_PAUSE),
         _ => LOADING_PAUSE,
     }
 }
 
 /// Longest wait for the first event of a run where events typically come each `typical_ms`.
-pub fn first_event_limit(typical_ms: Option<f64>) -> Duration {
+pub fn first_event_timeout(typical_ms: Option<f64>) -> Duration {
     let by_pace = typical_ms.and_then(|pace_ms| {
-        let seconds = pace_ms * FIRST_EVENT_PACES / 1e3;
+        let seconds = pace_ms * FIRST_EVENT_INTERVALS / 1e3;
         Duration::try_from_secs_f64(seconds).ok()
     });
-    by_pace.map_or(FIRST_EVENT_LIMIT, |limit| {
-        limit.clamp(LEAST_FIRST_EVENT_LIMIT, FIRST_EVENT_LIMIT)
+    by_pace.map_or(MAX_FIRST_EVENT_WAIT, |limit| {
+        limit.clamp(MIN_FIRST_EVENT_WAIT, MAX_FIRST_EVENT_WAIT)
     })
 }
 
 /// The weight version of the first event of each text that is under way, by item. Cheap to clone.
 #[derive(Debug, Clone, Default)]
-pub struct BegunVersions {
+pub struct FirstVersions {
     versions: Arc<Mutex<HashMap<usize, u64>>>,
 }
 
-impl BegunVersions {
+impl FirstVersions {
     /// Notes the version that made an event; the first counts.
-    pub fn note(&self, index: usize, version: u64) {
+    pub fn record(&self, index: usize, version: u64) {
         self.lock().entry(index).or_insert(version);
     }
 
--- a/crates/front/src/job/run_end.rs
+++ b/crates/front/src/job/run_end.rs
@@ -13,7 +13,7 @@
 pub(super) enum RunEnd {
     Complete,
     /// The instance answered that the item can never be done.
-    Impossible,
+    Unprocessable,
     /// The instance failed.
     Failed,
     /// The instance took none of it.
@@ -25,12 +25,12 @@
 }
 
 /// Whether an instance has weights that may go on with the text.
-pub(super) fn fits(context: &RunContext, partial: &ItemText, instance: &Instance) -> bool {
+pub(super) fn can_continue(context: &RunContext, partial: &ItemText, instance: &Instance) -> bool {
     let version = instance.version(&context.spec.model);
     if context.single_version
-        && let Some(begun) = partial.versions().first()
+        && let Some(first_version) = partial.versions().first()
     {
-        return version == *begun;
+        return version == *first_version;
     }
     version >= context.spec.min_version
 }
--- a/crates/front/src/job/starting.rs
+++ b/crates/front/src/job/scheduling.rs
@@ -5,8 +5,8 @@
 
 use ladderstage_wire::messages::JobSpec;
 
+use super::migration::remaining_demand;
 use super::owner::Owner;
-use super::pace::rest_demand;
 use super::run::run_item;
 use super::run_context::RunContext;
 use super::text::ItemText;
@@ -15,10 +15,10 @@
 
 /// Items are started for this long after a majority of replicas last confirmed this owner: another one may run the job, or
 /// it may have been ended.
-const START_TRUST: Duration = Duration::from_millis(1_500);
+const MAX_START_CONFIRMATION_AGE: Duration = Duration::from_millis(1_500);
 
 /// One of so many items counts as long.
-const LONG_SHARE: usize = 8;
+const LONG_ITEM_DIVISOR: usize = 8;
 
 impl Owner {
     /// Starts items that have neither a result nor a run while instances have room: those that are expected to be the longest
@@ -28,11 +28,11 @@
         if self.queue.has_end() || *self.stop.borrow() || self.context.nodes.is_leaving() {
             return;
         }
-        if self.gathering.is_some() {
+        if self.text_collection.is_some() {
             return;
         }
         let age = self.context.confirmation.age(self.job.opened_at);
-        let is_owner = self.job.is_uncontested() && age <= START_TRUST;
+        let is_owner = self.job.is_uncontested() && age <= MAX_START_CONFIRMATION_AGE;
         // This front may have gone by the roster, which does not name these instances, until the job came.
         if !is_owner || !self.context.view.is_usable() {
             self.has_waiting_items = true;
@@ -47,27 +47,29 @@
         };
         let allowed = run.allowed_regions();
         let startable = self.startable(&spec);
-        let long_from = long_from(&spec);
+        let long_item_threshold = long_item_threshold(&spec);
         for index in startable {
             let Some(kept) = self.kept_text(&spec, index) else {
                 continue;
             };
-            if kept.is_whole() {
+            if kept.is_complete() {
                 self.spawn_run(&run, index, None, kept);
                 continue;
             }
             if self.is_held_back(&run, index) {
                 continue;
             }
-            let is_long = spec.items[index].expected_tokens >= long_from;
+            let is_long = spec.items[index].expected_tokens >= long_item_threshold;
             let demand = if is_long {
                 Demand::LongBatch
             } else {
-                rest_demand(kept.events())
+                remaining_demand(kept.events())
             };
-            let fits = |instance: &Instance| instance.version(&spec.model) >= spec.min_version;
+            let is_new_enough =
+                |instance: &Instance| instance.version(&spec.model) >= spec.min_version;
             let backends = &self.context.backends;
-            let chosen = backends.choose_within(&run.service, &spec.model, demand, &allowed, fits);
+            let chosen =
+                backends.choose_within(&run.service, &spec.model, demand, &allowed, is_new_enough);
             let Some(instance) = chosen else {
                 self.has_waiting_items = true;
                 return;
@@ -79,13 +81,13 @@
     /// Whether instances have ended under others of the item's content. It stays without a run and without a result: only its age or the end
     /// of the job ends it.
     fn is_held_back(&mut self, run: &RunContext, index: usize) -> bool {
-        let contents = &mut self.contents;
+        let content_digests = &mut self.content_digests;
         let content = || {
-            *contents
+            *content_digests
                 .entry(index)
                 .or_insert_with(|| run.item_content(index))
         };
-        let held = run.holds(index, content);
+        let held = run.held_back(index, content);
         // Others of its content are under way, and the next of them to end decides.
         self.has_waiting_items |= held.is_some_and(|held| held.is_short());
         held.is_some()
@@ -101,8 +103,8 @@
         // The run begins with its first poll; the guard counts it from now on.
         let guard = instance.as_ref().map(Instance::begin);
         let run = Arc::clone(run);
-        self.begun.forget(index);
-        self.carried.remove(&run.spec.items[index].id);
+        self.first_versions.forget(index);
+        self.earlier_texts.remove(&run.spec.items[index].id);
         let handle = self.runs.spawn(async move {
             drop(guard);
             (index, run_item(run, index, instance, kept).await)
@@ -113,11 +115,14 @@
     /// What there is of an item's text: in this job's log, else of an earlier job. `None` if that gave its result.
     fn kept_text(&mut self, spec: &JobSpec, index: usize) -> Option<ItemText> {
         let item = &spec.items[index];
-        let kept = self.job.state().kept(&item.id);
+        let kept = self.job.state().partial_text(&item.id);
         if kept.events() > 0 {
             return Some(kept);
         }
-        let carried = self.carried.get(&item.id).filter(|text| text.events > 0);
+        let carried = self
+            .earlier_texts
+            .get(&item.id)
+            .filter(|text| text.events > 0);
         let Some(carried) = carried.cloned() else {
             return Some(kept);
         };
@@ -168,26 +173,26 @@
             spec: Arc::clone(spec),
             service: service.to_owned(),
             rank: route.rank(tenant.map(AsRef::as_ref)),
-            allowed_at_begin: route.allowed_regions_for(tenant.map(AsRef::as_ref)),
+            allowed_at_start: route.allowed_regions_for(tenant.map(AsRef::as_ref)),
             max_attempts: route.max_attempts,
             single_version: route.single_version,
             progress: self.progress.0.clone(),
             stop: self.stop.subscribe(),
             window: self.window.clone(),
-            begun: self.begun.clone(),
+            first_versions: self.first_versions.clone(),
             tokens_per_event,
             learnt_loads: self.context.learnt_loads.clone(),
             suspects: self.context.suspects.clone(),
-            give_up_at: route.max_queue.map(|age| self.job.opened_at + age),
+            item_deadline: route.max_queue.map(|age| self.job.opened_at + age),
         }))
     }
 }
 
 /// Expected tokens from which an item is among the longest eighth of its job.
-fn long_from(spec: &JobSpec) -> u64 {
+fn long_item_threshold(spec: &JobSpec) -> u64 {
     let mut expected: Vec<u64> = spec.items.iter().map(|item| item.expected_tokens).collect();
     expected.sort_unstable();
-    let index = expected.len() - expected.len() / LONG_SHARE;
+    let index = expected.len() - expected.len() / LONG_ITEM_DIVISOR;
     expected
         .get(index)
         .copied()
--- a/crates/front/src/job/scoring.rs
+++ b/crates/front/src/job/scoring.rs
@@ -18,16 +18,16 @@
 use crate::tenant::set_tenant;
 
 /// Pause before a route or an instance is looked for again.
-const LOOK_PAUSE: Duration = Duration::from_millis(25);
+const RETRY_PAUSE: Duration = Duration::from_millis(25);
 
 /// Another instance is asked as well once a call has taken so many target latencies: the answer may be lost.
-const HEDGE_TARGETS: u32 = 2;
+const HEDGE_AFTER_TARGETS: u32 = 2;
 
 /// Calls for one text that are under way at once, at most.
-const MOST_AT_ONCE: usize = 2;
+const MAX_CONCURRENT_CALLS: usize = 2;
 
 /// Largest answer of a reward call.
-const ANSWER_LIMIT: usize = 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 1024 * 1024;
 
 /// What came of scoring a text.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -37,7 +37,7 @@
     /// The call failed as often as its route allows.
     Failed,
     /// The call can never be sent: its parts are no request.
-    Impossible,
+    Unprocessable,
     /// No more requests may be sent for the job.
     Closed,
 }
@@ -67,10 +67,10 @@
 /// Scores the text of the item at `index`, which must be whole.
 pub(super) async fn score(context: &RunContext, index: usize, reward: &RewardCall) -> ScoreEnd {
     let Ok(attempt_id) = HeaderValue::from_str(&reward.id) else {
-        return ScoreEnd::Impossible;
+        return ScoreEnd::Unprocessable;
     };
     let Ok(uri) = reward.path.parse::<Uri>() else {
-        return ScoreEnd::Impossible;
+        return ScoreEnd::Unprocessable;
     };
     let mut failures = 0;
     while context.window.is_open() {
@@ -87,41 +87,41 @@
                 attempt_id: attempt_id.clone(),
                 uri: uri.clone(),
             };
-            if let Some(end) = call.try_once(index, &mut failures).await {
+            if let Some(end) = call.try_instances(index, &mut failures).await {
                 return end;
             }
         }
-        tokio::time::sleep(LOOK_PAUSE).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
     ScoreEnd::Closed
 }
 
 impl Call<'_> {
     /// Asks instances until all calls under way have ended; `None` if that gave no score yet.
-    async fn try_once(&self, index: usize, failures: &mut u32) -> Option<ScoreEnd> {
+    async fn try_instances(&self, index: usize, failures: &mut u32) -> Option<ScoreEnd> {
         let service = self.route.pick_service(rand::random());
         let mut tried: Vec<Arc<Instance>> = Vec::new();
-        let mut under_way = FuturesUnordered::new();
+        let mut in_flight = FuturesUnordered::new();
         let mut hedge_at = Instant::now();
         loop {
-            let is_due = under_way.len() < MOST_AT_ONCE && Instant::now() >= hedge_at;
+            let is_due = in_flight.len() < MAX_CONCURRENT_CALLS && Instant::now() >= hedge_at;
             let may_start = is_due && self.context.window.is_open();
             if may_start
                 && let Some(instance) = self.next_instance(service, &tried)
                 && let Some(permit) = self.admit(index)
             {
                 tried.push(Arc::clone(&instance));
-                under_way.push(self.attempt(instance, permit));
+                in_flight.push(self.attempt(instance, permit));
             }
-            if under_way.is_empty() {
+            if in_flight.is_empty() {
                 return None;
             }
-            hedge_at = Instant::now() + self.route.target_latency * HEDGE_TARGETS;
+            hedge_at = Instant::now() + self.route.target_latency * HEDGE_AFTER_TARGETS;
             tokio::select! {
-                Some(ended) = under_way.next() => {
+                Some(ended) = in_flight.next() => {
                     hedge_at = Instant::now();
-                    self.look(index, &ended).await;
-                    if let Some(end) = self.take(index, ended, failures) {
+                    self.report_if_broken(index, &ended).await;
+                    if let Some(end) = self.apply_result(index, ended, failures) {
                         return Some(end);
                     }
                 }
@@ -155,7 +155,7 @@
     /// Whether the call may be sent: instances may have ended under it.
     fn admit(&self, index: usize) -> Option<RunPermit> {
         // Looked at first, as a refusal has a line in the log and the call is tried again soon.
-        if self.context.holds(index, || self.content()).is_some() {
+        if self.context.held_back(index, || self.content()).is_some() {
             return None;
         }
         self.context.admit(index, || self.content()).ok()
@@ -185,7 +185,7 @@
         let body = Bytes::copy_from_slice(&self.reward.body);
         let id = &self.attempt_id;
         let reply = send(instance, names, &head, &body, id, AnswerId::Required).await?;
-        let (status, headers, _) = reply.read_whole(ANSWER_LIMIT).await?;
+        let (status, headers, _) = reply.read_whole(MAX_ANSWER_BYTES).await?;
         if !status.is_success() {
             return Ok(Answer::Failed(status));
         }
@@ -220,7 +220,7 @@
     }
 
     /// Notes whether the instance bore the call, or finds out what became of it if the connection broke.
-    async fn look(&self, index: usize, ended: &Attempt) {
+    async fn report_if_broken(&self, index: usize, ended: &Attempt) {
         if let Err(ExchangeError::Broken(_)) = &ended.result {
             let reward = self.reward;
             let content = self
@@ -228,7 +228,7 @@
                 .content(&reward.host, &reward.path, &reward.body);
             let context = self.context;
             context
-                .look(index, &ended.instance, content, ended.started)
+                .report_broken_run(index, &ended.instance, content, ended.started)
                 .await;
         }
     }
@@ -243,7 +243,7 @@
     }
 
     /// Takes in a call that ended; `Some` ends the scoring.
-    fn take(&self, index: usize, ended: Attempt, failures: &mut u32) -> Option<ScoreEnd> {
+    fn apply_result(&self, index: usize, ended: Attempt, failures: &mut u32) -> Option<ScoreEnd> {
         let now = Instant::now();
         self.log(index, &ended);
         match ended.result {
@@ -264,8 +264,8 @@
                 }
             }
         }
-        let is_spent = *failures >= self.route.max_attempts.max(1);
-        is_spent.then_some(ScoreEnd::Failed)
+        let is_exhausted = *failures >= self.route.max_attempts.max(1);
+        is_exhausted.then_some(ScoreEnd::Failed)
     }
 
     fn log(&self, index: usize, ended: &Attempt) {
--- a/crates/front/src/job/state.rs
+++ b/crates/front/src/job/state.rs
@@ -18,18 +18,18 @@
     results: Vec<JobResult>,
     listed: HashSet<String>,
     /// Text kept of items that have no result yet.
-    kept: HashMap<String, ItemText>,
+    partial_texts: HashMap<String, ItemText>,
     is_ended: bool,
 }
 
-/// Entries from this size on are packed, in bytes; a smaller one hardly gets smaller.
-const LEAST_PACKED: usize = 512;
+/// Entries from this size on are compressed_entry, in bytes; a smaller one hardly gets smaller.
+const MIN_COMPRESSED_BYTES: usize = 512;
 
-/// One entry as bytes of the log, packed if it is large: it is copied to several replicas, read at each change of the owner, and
+/// One entry as bytes of the log, compressed_entry if it is large: it is copied to several replicas, read at each change of the owner, and
 /// kept in memory by all of them.
-pub fn entry_bytes(kind: EntryKind) -> LogEntry {
+pub fn encode_entry(kind: EntryKind) -> LogEntry {
     let plain = encode(&JobEntry { kind });
-    if plain.len() < LEAST_PACKED {
+    if plain.len() < MIN_COMPRESSED_BYTES {
         return LogEntry { payload: plain };
     }
     let kind = EntryKind::compressed(compress(&plain));
@@ -38,12 +38,12 @@
 }
 
 /// Reads an entry of the log.
-fn read_entry(entry: &LogEntry) -> Result<EntryKind, DecodeError> {
+fn decode_entry(entry: &LogEntry) -> Result<EntryKind, DecodeError> {
     let entry: JobEntry = decode(&entry.payload)?;
-    let EntryKind::compressed(packed) = entry.kind else {
+    let EntryKind::compressed(compressed_entry) = entry.kind else {
         return Ok(entry.kind);
     };
-    let plain = decompress(&packed).map_err(|error| DecodeError {
+    let plain = decompress(&compressed_entry).map_err(|error| DecodeError {
         message: "JobEntry",
         detail: error.to_string(),
     })?;
@@ -69,15 +69,15 @@
     /// # Errors
     /// If it is not one of a job's log.
     pub fn apply(&mut self, entry: &LogEntry) -> Result<(), DecodeError> {
-        match read_entry(entry)? {
+        match decode_entry(entry)? {
             EntryKind::accepted(spec) => self.accept(spec),
-            EntryKind::result(result) => self.list(result),
-            EntryKind::progress(progress) => self.keep(&progress),
+            EntryKind::result(result) => self.add_result(result),
+            EntryKind::progress(progress) => self.add_progress(&progress),
             EntryKind::ended(_) => self.is_ended = true,
             EntryKind::compressed(_) => {
                 return Err(DecodeError {
                     message: "JobEntry",
-                    detail: "packed twice".to_owned(),
+                    detail: "compressed_entry twice".to_owned(),
                 });
             }
             EntryKind::None => {}
@@ -118,8 +118,8 @@
     }
 
     /// Text kept of an item that has no result yet.
-    pub fn kept(&self, item: &str) -> ItemText {
-        self.kept.get(item).cloned().unwrap_or_default()
+    pub fn partial_text(&self, item: &str) -> ItemText {
+        self.partial_texts.get(item).cloned().unwrap_or_default()
     }
 
     /// Drops the bodies of items, which are not asked for once a job has ended.
@@ -145,18 +145,18 @@
         self.spec = Some(Arc::new(spec));
     }
 
-    fn list(&mut self, result: JobResult) {
+    fn add_result(&mut self, result: JobResult) {
         let is_known = self.indexes.contains_key(&result.item);
         if is_known && self.listed.insert(result.item.clone()) {
-            let kept = self.kept.remove(&result.item).unwrap_or_default();
-            self.results.push(kept.complete(result));
+            let kept = self.partial_texts.remove(&result.item).unwrap_or_default();
+            self.results.push(kept.complete_result(result));
         }
     }
 
-    fn keep(&mut self, progress: &JobProgress) {
+    fn add_progress(&mut self, progress: &JobProgress) {
         let is_open = self.indexes.contains_key(&progress.item) && !self.is_listed(&progress.item);
         if is_open {
-            self.kept
+            self.partial_texts
                 .entry(progress.item.clone())
                 .or_default()
                 .apply(progress);
--- a/crates/front/src/job/stream.rs
+++ b/crates/front/src/job/stream.rs
@@ -8,14 +8,14 @@
 use ladderstage_clock::Instant;
 
 use super::events::{Event, EventParser};
-use super::pace::Pace;
+use super::migration::EventIntervals;
 use super::run_context::RunContext;
 use super::run_end::{RunEnd, STALE_WEIGHTS_PAUSE};
 use super::text::ItemText;
 use crate::backend::{Instance, Reply, keep_alive};
 
 /// Longest wait for a further event.
-const NEXT_EVENT_LIMIT: Duration = Duration::from_millis(1_200);
+const MAX_EVENT_INTERVAL: Duration = Duration::from_millis(1_200);
 
 /// Events after which text is kept in the journal. Half as many are lost on average when an owner dies, and a step that is whole
 /// after 6.3 s of 8.2 s bears little beside the time until the next owner goes on.
@@ -35,13 +35,13 @@
     let is_framed = headers.contains_key(http::header::CONTENT_LENGTH)
         || headers.contains_key(http::header::TRANSFER_ENCODING);
     let mut parser = EventParser::new(names.weight_version.as_str());
-    let mut pace = Pace::default();
-    let most_events = context.most_events(index);
+    let mut intervals = EventIntervals::default();
+    let max_events = context.max_events(index);
     loop {
-        let limit = if pace.events == 0 {
-            context.first_event_limit()
+        let limit = if intervals.events == 0 {
+            context.first_event_timeout()
         } else {
-            NEXT_EVENT_LIMIT
+            MAX_EVENT_INTERVAL
         };
         let frame = match tokio::time::timeout(limit, body.frame()).await {
             Err(_) => {
@@ -72,28 +72,28 @@
         };
         for event in events {
             version = event.version.or(version);
-            if let Err(end) = take_event(context, instance, event, version, partial) {
+            if let Err(end) = append_event(context, instance, event, version, partial) {
                 return end;
             }
-            if let Some(begun) = partial.versions().first() {
-                context.begun.note(index, *begun);
+            if let Some(first_version) = partial.versions().first() {
+                context.first_versions.record(index, *first_version);
             }
-            pace.note(instance);
+            intervals.record_arrival(instance);
         }
-        if partial.fresh_events() >= EVENTS_PER_PROGRESS {
+        if partial.unsaved_events() >= EVENTS_PER_PROGRESS {
             let item = &context.spec.items[index].id;
-            if let Some(progress) = partial.take_progress(item) {
+            if let Some(progress) = partial.drain_progress(item) {
                 let _ = context.progress.send(progress);
             }
         }
-        if let Some(cause) = pace.reason_to_move(context, instance, partial, most_events) {
+        if let Some(cause) = intervals.reason_to_move(context, instance, partial, max_events) {
             return RunEnd::Move(cause);
         }
     }
 }
 
 /// Adds one event to the text; an event that does not follow or has unfit weights ends the run.
-fn take_event(
+fn append_event(
     context: &RunContext,
     instance: &Instance,
     event: Event,
@@ -117,7 +117,7 @@
         && partial
             .versions()
             .first()
-            .is_some_and(|begun| *begun != version)
+            .is_some_and(|first_version| *first_version != version)
     {
         partial.start_over();
         return Err(RunEnd::Move("weight version changed".to_owned()));
--- a/crates/front/src/job/text.rs
+++ b/crates/front/src/job/text.rs
@@ -13,18 +13,18 @@
     last_event: Option<u64>,
     versions: Vec<u64>,
     /// Part that is not in the journal yet.
-    fresh: Fresh,
+    unsaved: Unsaved,
     /// What the journal has is void.
     starts_over: bool,
     /// Some of the text is in the journal.
-    has_kept: bool,
+    has_saved: bool,
     /// The last event was the end of the text.
-    is_whole: bool,
+    is_complete: bool,
 }
 
 /// Events since the last progress that was handed to the journal.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-struct Fresh {
+struct Unsaved {
     text_start: usize,
     first_event: Option<u64>,
     events: u64,
@@ -53,49 +53,49 @@
     }
 
     /// Events that are not in the journal yet.
-    pub fn fresh_events(&self) -> u64 {
-        self.fresh.events
+    pub fn unsaved_events(&self) -> u64 {
+        self.unsaved.events
     }
 
     /// Whether nothing follows any more.
-    pub fn is_whole(&self) -> bool {
-        self.is_whole
+    pub fn is_complete(&self) -> bool {
+        self.is_complete
     }
 
     /// Notes that the text has ended; what is fresh goes to the journal with that. `None` for a text without events.
-    pub fn end(&mut self, item: &str) -> Option<JobProgress> {
-        self.is_whole = true;
+    pub fn finish(&mut self, item: &str) -> Option<JobProgress> {
+        self.is_complete = true;
         let last_event = self.last_event?;
-        let nothing_fresh = || JobProgress {
+        let completion_only = || JobProgress {
             item: item.to_owned(),
             first_event: last_event + 1,
             last_event,
             is_whole: true,
             ..JobProgress::default()
         };
-        Some(self.take_progress(item).unwrap_or_else(nothing_fresh))
+        Some(self.drain_progress(item).unwrap_or_else(completion_only))
     }
 
     /// Adds the next event, made by `version`.
     pub fn push(&mut self, event: &Event, version: u64) {
-        if self.fresh.events == 0 {
-            self.fresh.first_event = Some(event.id);
-            self.fresh.text_start = self.text.len() + usize::from(self.events > 0);
+        if self.unsaved.events == 0 {
+            self.unsaved.first_event = Some(event.id);
+            self.unsaved.text_start = self.text.len() + usize::from(self.events > 0);
         }
         if self.events > 0 {
             self.text.push('\n');
         }
         self.text.push_str(&event.data);
         self.events += 1;
-        self.fresh.events += 1;
+        self.unsaved.events += 1;
         self.last_event = Some(event.id);
         add_once(&mut self.versions, version);
-        add_once(&mut self.fresh.versions, version);
+        add_once(&mut self.unsaved.versions, version);
     }
 
     /// Text that an earlier job made; nothing of it is in the journal of this one.
     pub fn from_kept(kept: KeptText) -> Self {
-        let fresh = Fresh {
+        let unsaved = Unsaved {
             text_start: 0,
             first_event: Some(1),
             events: kept.events,
@@ -106,10 +106,10 @@
             events: kept.events,
             last_event: Some(kept.last_event),
             versions: kept.weight_versions,
-            fresh,
+            unsaved,
             starts_over: false,
-            has_kept: false,
-            is_whole: kept.is_whole,
+            has_saved: false,
+            is_complete: kept.is_whole,
         }
     }
 
@@ -123,20 +123,20 @@
             events: self.events,
             last_event,
             weight_versions: self.versions.clone(),
-            is_whole: self.is_whole,
+            is_whole: self.is_complete,
             reward_call: reward_call.unwrap_or_default(),
             score: score.to_owned(),
         })
     }
 
     /// Notes that the last event was the end of the text.
-    pub fn set_whole(&mut self) {
-        self.is_whole = true;
+    pub fn mark_complete(&mut self) {
+        self.is_complete = true;
     }
 
     /// Drops all text; what the journal has becomes void with the next progress or result.
     pub fn start_over(&mut self) {
-        let starts_over = self.starts_over || self.has_kept;
+        let starts_over = self.starts_over || self.has_saved;
         *self = Self {
             starts_over,
             ..Self::default()
@@ -144,35 +144,35 @@
     }
 
     /// Hands what is fresh to the journal; `None` if nothing is.
-    pub fn take_progress(&mut self, item: &str) -> Option<JobProgress> {
-        let first_event = self.fresh.first_event?;
+    pub fn drain_progress(&mut self, item: &str) -> Option<JobProgress> {
+        let first_event = self.unsaved.first_event?;
         let progress = JobProgress {
             item: item.to_owned(),
             starts_over: std::mem::take(&mut self.starts_over),
             first_event,
             last_event: self.last_event?,
-            events: self.fresh.events,
-            text: self.text[self.fresh.text_start..].to_owned(),
-            weight_versions: std::mem::take(&mut self.fresh.versions),
-            is_whole: self.is_whole,
+            events: self.unsaved.events,
+            text: self.text[self.unsaved.text_start..].to_owned(),
+            weight_versions: std::mem::take(&mut self.unsaved.versions),
+            is_whole: self.is_complete,
         };
-        self.fresh = Fresh::default();
-        self.has_kept = true;
+        self.unsaved = Unsaved::default();
+        self.has_saved = true;
         Some(progress)
     }
 
     /// The result as the journal takes it, with the score of a scored text: only what the journal does not have yet.
     pub fn into_result(self, item: &str, score: String) -> JobResult {
-        let follows_progress = self.has_kept && !self.starts_over;
+        let follows_progress = self.has_saved && !self.starts_over;
         let text = if !follows_progress {
             self.text
-        } else if self.fresh.events > 0 {
-            self.text[self.fresh.text_start..].to_owned()
+        } else if self.unsaved.events > 0 {
+            self.text[self.unsaved.text_start..].to_owned()
         } else {
             String::new()
         };
         let weight_versions = if follows_progress {
-            self.fresh.versions
+            self.unsaved.versions
         } else {
             self.versions
         };
@@ -200,18 +200,18 @@
         if self.events > 0 && progress.events > 0 {
             self.text.push('\n');
         }
-        self.is_whole = progress.is_whole;
+        self.is_complete = progress.is_whole;
         self.text.push_str(&progress.text);
         self.events += progress.events;
         self.last_event = Some(progress.last_event);
         for version in &progress.weight_versions {
             add_once(&mut self.versions, *version);
         }
-        self.has_kept = true;
+        self.has_saved = true;
     }
 
     /// The whole result from the one in the journal and the progress kept before it.
-    pub fn complete(self, mut result: JobResult) -> JobResult {
+    pub fn complete_result(self, mut result: JobResult) -> JobResult {
         if !std::mem::take(&mut result.follows_progress) || result.state != ResultState::COMPLETED {
             return result;
         }
--- a/crates/front/src/job/trainer_steps.rs
+++ b/crates/front/src/job/trainer_steps.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 
 /// Weight version that an instance has from its start: a bound of it says nothing of how the bound moves.
-const FIRST_VERSION: u64 = 1;
+const INITIAL_VERSION: u64 = 1;
 
 /// The newest step of each model that was accepted anywhere, as far as this front was told. Cheap to clone.
 #[derive(Debug, Clone, Default)]
@@ -21,7 +21,7 @@
 
 impl NewestSteps {
     /// Notes that the job of a step was accepted.
-    pub fn note(&self, model: &str, step: u64, min_version: u64) {
+    pub fn record(&self, model: &str, step: u64, min_version: u64) {
         let mut steps = self.lock();
         let is_older = |known: &NewestStep| known.step >= step;
         if !steps.get(model).is_some_and(is_older) {
@@ -34,7 +34,7 @@
     pub fn next_min_version(&self, model: &str, known: u64) -> u64 {
         let newest = self.lock().get(model).copied();
         let bound = newest.map_or(known, |newest| newest.min_version.max(known));
-        if bound <= FIRST_VERSION {
+        if bound <= INITIAL_VERSION {
             return bound;
         }
         bound + 1
--- a/crates/front/src/job/leftover.rs
+++ b/crates/front/src/job/unfinished.rs
@@ -13,28 +13,28 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::{AbortHandle, JoinSet};
 
+use super::local_job::Job;
 use super::owner::Owner;
 use super::run::{RunOutcome, run_item};
-use super::run_context::{BegunVersions, RunContext, SendWindow};
-use super::shared::Job;
+use super::run_context::{FirstVersions, RunContext, SendWindow};
 use super::text::ItemText;
 use crate::backend::Demand;
 
 /// How long requests may be sent for items of an ended job. Platforms forbid it from some time after the end was
 /// confirmed, 3 s on the strictest; the rest is for a request that is slow on its way.
-const SEND_TIME: Duration = Duration::from_millis(2_000);
+const SEND_GRACE: Duration = Duration::from_millis(2_000);
 
 /// How long an ended job's texts are kept. A trainer asks for its next step within one step's time of the end, 4 s to 8 s.
-const KEEP_TIME: Duration = Duration::from_secs(10);
+const RETENTION: Duration = Duration::from_secs(10);
 
 /// Trainers read about twice a second: what was listed this long before the end may not have been read.
-const READ_INTERVAL: Duration = Duration::from_millis(800);
+const TRAINER_READ_INTERVAL: Duration = Duration::from_millis(800);
 
 /// Pause before an item that found no instance is tried again.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 /// What a later job asks of what earlier ones left behind.
-pub(super) struct TakeTexts {
+pub(super) struct TextRequest {
     /// Oldest weight version that may have made the texts.
     pub min_version: u64,
     /// The later job's items.
@@ -44,7 +44,7 @@
 }
 
 /// Items of groups that were not whole when their job ended, and their runs.
-pub(super) struct Leftover {
+pub(super) struct UnfinishedItems {
     /// Tenant of the job.
     pub tenant: String,
     /// Model of the job.
@@ -55,7 +55,7 @@
     pub min_version: u64,
     job: Arc<Job>,
     /// Items that are likely to come back.
-    likely: Vec<JobItem>,
+    candidates: Vec<JobItem>,
     /// What there is of each item without a result: of an item that began anew, also what was made of it before.
     texts: HashMap<String, Vec<KeptText>>,
     runs: JoinSet<(usize, RunOutcome)>,
@@ -72,7 +72,7 @@
     id: String,
     handle: AbortHandle,
     /// Weight version under which its text began; `None` before the first event.
-    begun: Option<u64>,
+    first_version: Option<u64>,
 }
 
 impl Owner {
@@ -80,41 +80,48 @@
     ///
     /// Nothing is left behind by a job that was found ended, as when its log is taken over to be read: how long ago its end was
     /// confirmed is not known.
-    pub(super) fn take_leftover(&mut self) -> Option<Leftover> {
-        let Some(end_asked_at) = self.end_asked_at else {
+    pub(super) fn split_off_unfinished(&mut self) -> Option<UnfinishedItems> {
+        let Some(end_requested_at) = self.end_requested_at else {
             self.runs.abort_all();
             return None;
         };
-        self.window.close_at(end_asked_at + SEND_TIME);
+        self.window.close_at(end_requested_at + SEND_GRACE);
         let spec = self.job.state().spec().cloned();
         // Only trainers, who wait for groups, bring items back.
         let Some(spec) = spec.filter(|spec| spec.desired_groups > 0) else {
             self.runs.abort_all();
             return None;
         };
-        let likely = self.items_to_come_back(&spec, end_asked_at);
+        let candidates = self.unread_items(&spec, end_requested_at);
         let mut running = HashMap::new();
         for (index, handle) in &self.running {
-            if likely.contains(index) {
+            if candidates.contains(index) {
                 let id = spec.items[*index].id.clone();
                 let handle = handle.clone();
-                let begun = self.begun.get(*index);
-                running.insert(*index, RunningItem { id, handle, begun });
+                let first_version = self.first_versions.get(*index);
+                running.insert(
+                    *index,
+                    RunningItem {
+                        id,
+                        handle,
+                        first_version,
+                    },
+                );
             } else {
                 handle.abort();
             }
         }
         // Made first: new runs stop when those that are under way do.
         let context = self.run_context(&spec);
-        let likely_items = likely.iter().map(|index| spec.items[*index].clone());
-        Some(Leftover {
+        let candidate_items = candidates.iter().map(|index| spec.items[*index].clone());
+        Some(UnfinishedItems {
             tenant: spec.tenant.clone(),
             model: spec.model.clone(),
             step: spec.train_step,
             min_version: spec.min_version,
             job: Arc::clone(&self.job),
-            likely: likely_items.collect(),
-            texts: self.unlisted_texts(&spec, &likely),
+            candidates: candidate_items.collect(),
+            texts: self.unlisted_texts(&spec, &candidates),
             runs: std::mem::take(&mut self.runs),
             running,
             stop: std::mem::replace(&mut self.stop, watch::Sender::new(true)),
@@ -125,10 +132,10 @@
 
     /// Items of groups that the trainer has not read as whole, as far as that can be told: they lack a result, or the last one was
     /// listed just before the end.
-    fn items_to_come_back(&self, spec: &JobSpec, end_asked_at: Instant) -> Vec<usize> {
+    fn unread_items(&self, spec: &JobSpec, end_requested_at: Instant) -> Vec<usize> {
         let state = self.job.state();
-        let cutoff = end_asked_at.checked_sub(READ_INTERVAL);
-        let read = cutoff.map_or(0, |cutoff| self.listing.listed_before(cutoff));
+        let cutoff = end_requested_at.checked_sub(TRAINER_READ_INTERVAL);
+        let read = cutoff.map_or(0, |cutoff| self.listing_history.listed_before(cutoff));
         let read_items: HashSet<&str> = state.results()[..read.min(state.results().len())]
             .iter()
             .map(|result| result.item.as_str())
@@ -149,9 +156,9 @@
         let state = self.job.state();
         let text_of = |index: &usize| {
             let item = &spec.items[*index];
-            match self.late.get(index) {
+            match self.late_texts.get(index) {
                 Some((text, score)) => text.to_kept(item, score),
-                None => state.kept(&item.id).to_kept(item, ""),
+                None => state.partial_text(&item.id).to_kept(item, ""),
             }
         };
         let texts = items.iter().filter_map(text_of);
@@ -161,13 +168,13 @@
 
 /// How many results there were at which time.
 #[derive(Debug, Default)]
-pub(super) struct Listing {
+pub(super) struct ListingHistory {
     counts: Vec<(Instant, usize)>,
 }
 
-impl Listing {
+impl ListingHistory {
     /// Notes the number of results now.
-    pub fn note(&mut self, results: usize) {
+    pub fn record(&mut self, results: usize) {
         if self.counts.last().is_none_or(|(_, last)| *last < results) {
             self.counts.push((Instant::now(), results));
         }
@@ -181,7 +188,7 @@
 }
 
 /// The text of a listed result; its lines stand for its events, as nothing goes on after it.
-fn kept_of_result(item: &JobItem, result: &JobResult) -> Option<KeptText> {
+fn kept_text_from_result(item: &JobItem, result: &JobResult) -> Option<KeptText> {
     if result.state != ResultState::COMPLETED {
         return None;
     }
@@ -212,29 +219,29 @@
 }
 
 /// The text that is the furthest of those that may be used.
-fn best_of(texts: Vec<KeptText>, min_version: u64) -> Option<KeptText> {
+fn best_allowed_text(texts: Vec<KeptText>, min_version: u64) -> Option<KeptText> {
     let allowed = texts
         .into_iter()
         .filter(|text| is_allowed(text, min_version));
     allowed.max_by_key(|text| (!text.score.is_empty(), text.is_whole, text.events))
 }
 
-impl Leftover {
+impl UnfinishedItems {
     /// Goes on until a later job takes the texts, or for the time that they are kept. That job is expected to allow `min_version`
     /// and newer weights.
-    pub async fn linger(
+    pub async fn run_until_requested(
         mut self,
         min_version: u64,
-        mut takers: mpsc::UnboundedReceiver<TakeTexts>,
+        mut takers: mpsc::UnboundedReceiver<TextRequest>,
     ) {
-        self.begin_anew(min_version);
-        let deadline = tokio::time::sleep(KEEP_TIME);
+        self.restart_outdated(min_version);
+        let deadline = tokio::time::sleep(RETENTION);
         tokio::pin!(deadline);
         loop {
             tokio::select! {
                 Some(ended) = self.runs.join_next() => {
                     if let Ok((index, outcome)) = ended {
-                        self.take_run(index, outcome);
+                        self.record_run_end(index, outcome);
                     }
                 }
                 taker = takers.recv() => {
@@ -249,51 +256,59 @@
     }
 
     /// Begins items anew whose text the later job will not allow, and those that have none.
-    fn begin_anew(&mut self, min_version: u64) {
+    fn restart_outdated(&mut self, min_version: u64) {
         let Some(context) = &self.context else {
             return;
         };
-        let likely = self.likely.iter();
-        let anew: Vec<JobItem> = likely
-            .filter(|item| !self.has_allowed(&item.id, min_version))
+        let candidates = self.candidates.iter();
+        let outdated: Vec<JobItem> = candidates
+            .filter(|item| !self.has_usable_text(&item.id, min_version))
             .cloned()
             .collect();
         log::info!(
             "event=leftover_kept job={} step={} items={} anew={} min_version={min_version}",
             context.spec.job,
             self.step,
-            self.likely.len(),
-            anew.len()
+            self.candidates.len(),
+            outdated.len()
         );
         let spec = JobSpec {
             min_version,
-            items: anew,
-            ..about_job(&context.spec)
+            items: outdated,
+            ..spec_without_items(&context.spec)
         };
         let context = Arc::new(RunContext {
             spec: Arc::new(spec),
-            begun: BegunVersions::default(),
+            first_versions: FirstVersions::default(),
             ..context.as_ref().clone()
         });
         // Numbers of the new runs follow those of the job's items.
         let first = self.running.keys().max().map_or(0, |number| number + 1);
         for (index, item) in context.spec.items.iter().enumerate() {
-            self.stop_run_of(&item.id);
+            self.abort_run(&item.id);
             let context = Arc::clone(&context);
             let number = first + index;
-            let run = async move { (number, run_from_begin(context, index).await) };
+            let run = async move { (number, run_from_start(context, index).await) };
             let handle = self.runs.spawn(run);
             let id = item.id.clone();
-            let begun = None;
-            self.running
-                .insert(number, RunningItem { id, handle, begun });
+            let first_version = None;
+            self.running.insert(
+                number,
+                RunningItem {
+                    id,
+                    handle,
+                    first_version,
+                },
+            );
         }
     }
 
-    fn has_allowed(&self, item: &str, min_version: u64) -> bool {
+    fn has_usable_text(&self, item: &str, min_version: u64) -> bool {
         let mut runs = self.running.values();
         if let Some(run) = runs.find(|run| run.id == item) {
-            return run.begun.is_some_and(|version| version >= min_version);
+            return run
+                .first_version
+                .is_some_and(|version| version >= min_version);
         }
         let state = self.job.state();
         let listed = state.results().iter().find(|result| result.item == item);
@@ -304,7 +319,7 @@
         texts.is_some_and(|texts| texts.iter().any(|text| is_allowed(text, min_version)))
     }
 
-    fn stop_run_of(&mut self, item: &str) {
+    fn abort_run(&mut self, item: &str) {
         self.running.retain(|_, run| {
             let is_other = run.id != item;
             if !is_other {
@@ -314,11 +329,11 @@
         });
     }
 
-    fn take_run(&mut self, index: usize, outcome: RunOutcome) {
+    fn record_run_end(&mut self, index: usize, outcome: RunOutcome) {
         let Some(RunningItem { id, .. }) = self.running.remove(&index) else {
             return;
         };
-        let Some(item) = self.likely.iter().find(|item| item.id == id) else {
+        let Some(item) = self.candidates.iter().find(|item| item.id == id) else {
             return;
         };
         let kept = match &outcome {
@@ -332,12 +347,12 @@
     }
 
     /// Stops all runs and hands the texts over that the taker may use.
-    async fn hand_over(mut self, taker: TakeTexts) {
+    async fn hand_over(mut self, taker: TextRequest) {
         self.stop.send_replace(true);
         self.window.close_at(Instant::now());
         while let Some(ended) = self.runs.join_next().await {
             if let Ok((index, outcome)) = ended {
-                self.take_run(index, outcome);
+                self.record_run_end(index, outcome);
             }
         }
         let texts = self.texts_for(&taker);
@@ -351,9 +366,9 @@
     }
 }
 
-impl Leftover {
+impl UnfinishedItems {
     /// What there is of each of the taker's items that this job had too.
-    fn texts_for(&mut self, taker: &TakeTexts) -> Vec<KeptText> {
+    fn texts_for(&mut self, taker: &TextRequest) -> Vec<KeptText> {
         let job = Arc::clone(&self.job);
         let state = job.state();
         let results: HashMap<&str, &JobResult> = state
@@ -366,15 +381,15 @@
             .filter_map(|item| {
                 let mut texts = self.texts.remove(&item.id).unwrap_or_default();
                 let result = results.get(item.id.as_str());
-                texts.extend(result.and_then(|result| kept_of_result(item, result)));
-                best_of(texts, taker.min_version)
+                texts.extend(result.and_then(|result| kept_text_from_result(item, result)));
+                best_allowed_text(texts, taker.min_version)
             })
             .collect()
     }
 }
 
 /// A job without its items.
-fn about_job(spec: &JobSpec) -> JobSpec {
+fn spec_without_items(spec: &JobSpec) -> JobSpec {
     JobSpec {
         job: spec.job.clone(),
         host: spec.host.clone(),
@@ -389,10 +404,10 @@
 }
 
 /// Runs an item on the first instance that has room and weights that are new enough.
-async fn run_from_begin(context: Arc<RunContext>, index: usize) -> RunOutcome {
+async fn run_from_start(context: Arc<RunContext>, index: usize) -> RunOutcome {
     let mut stop = context.stop.clone();
     while context.window.is_open() && !*stop.borrow() {
-        let fits = |instance: &crate::backend::Instance| {
+        let is_new_enough = |instance: &crate::backend::Instance| {
             instance.version(&context.spec.model) >= context.spec.min_version
         };
         let backends = &context.backends;
@@ -401,7 +416,7 @@
             &context.spec.model,
             Demand::LongBatch,
             &context.allowed_regions(),
-            fits,
+            is_new_enough,
         );
         if let Some(instance) = chosen {
             let text = ItemText::default();
--- a/crates/front/tests/group_listing.rs
+++ b/crates/front/tests/group_listing.rs
@@ -37,9 +37,9 @@
     let mut listed = vec![None; done_ms.len()];
     for now in 0..=15_000 {
         for (index, _) in done_ms.iter().enumerate().filter(|(_, done)| **done == now) {
-            listing.finish(index, at(now));
+            listing.add_result(index, at(now));
         }
-        for index in listing.take_ready(at(now)) {
+        for index in listing.drain_ready(at(now)) {
             assert!(listed[index].is_none(), "listed twice");
             listed[index] = Some(now);
         }
@@ -158,10 +158,10 @@
     let now = Instant::now();
     let due = now + Duration::from_secs(5);
     let mut listing = GroupListing::new(&spec, Some(due), |item| item == "i0" || item == "i1");
-    listing.finish(2, now);
-    assert!(listing.take_ready(now).is_empty());
-    listing.finish(3, now);
-    assert_eq!(listing.take_ready(now).len(), 2);
+    listing.add_result(2, now);
+    assert!(listing.drain_ready(now).is_empty());
+    listing.add_result(3, now);
+    assert_eq!(listing.drain_ready(now).len(), 2);
 }
 
 proptest! {
--- a/crates/front/tests/homes.rs
+++ b/crates/front/tests/homes.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use ladderstage_front::job::{home, home_in_region};
+use ladderstage_front::job::{preferred_owner, preferred_owner_in_region};
 use ladderstage_front::nodes::{FormatLevel, NodeRecord, NodeRole};
 use ladderstage_front::region::Distance;
 use proptest::prelude::*;
@@ -25,7 +25,7 @@
 #[test]
 fn fronts_of_one_strength_keep_what_they_are_handed() {
     let fronts = [front("a", "z", 250), front("b", "z", 250)];
-    assert_eq!(home(&fronts[0], &fronts, "m", 0), None);
+    assert_eq!(preferred_owner(&fronts[0], &fronts, "m", 0), None);
 }
 
 #[test]
@@ -34,9 +34,15 @@
     let far = front("far", "y", 900);
     let weak = front("weak", "z", 120);
     let fronts = [strong.clone(), far.clone(), weak.clone()];
-    assert_eq!(home(&weak, &fronts, "m", 0).as_deref(), Some("strong"));
+    assert_eq!(
+        preferred_owner(&weak, &fronts, "m", 0).as_deref(),
+        Some("strong")
+    );
     strong.is_leaving = true;
-    assert_eq!(home(&weak, &[strong, far, weak.clone()], "m", 0), None);
+    assert_eq!(
+        preferred_owner(&weak, &[strong, far, weak.clone()], "m", 0),
+        None
+    );
 }
 
 /// A trainer and the owner of its steps are in one region as long as that has a strong front.
@@ -53,13 +59,14 @@
             Distance::Elsewhere
         }
     };
-    let home_of = |fronts: &[NodeRecord]| home_in_region(&weak, fronts, "m", 0, distance);
+    let preferred_owner_of =
+        |fronts: &[NodeRecord]| preferred_owner_in_region(&weak, fronts, "m", 0, distance);
     let all = [weak.clone(), near.clone(), far.clone()];
-    assert_eq!(home_of(&all).as_deref(), Some("near"));
-    assert_eq!(home_of(&[weak.clone(), far]), None);
+    assert_eq!(preferred_owner_of(&all).as_deref(), Some("near"));
+    assert_eq!(preferred_owner_of(&[weak.clone(), far]), None);
     let in_zone = front("in-zone", "east-1", 500);
     assert_eq!(
-        home_of(&[weak.clone(), near, in_zone]).as_deref(),
+        preferred_owner_of(&[weak.clone(), near, in_zone]).as_deref(),
         Some("in-zone")
     );
 }
@@ -78,8 +85,8 @@
         fronts.extend(weak.clone());
         let mut homes = BTreeSet::new();
         for step in first..first + strong as u64 {
-            let met = home(&weak[0], &fronts, &model, step);
-            prop_assert_eq!(&met, &home(&weak[1], &fronts, &model, step));
+            let met = preferred_owner(&weak[0], &fronts, &model, step);
+            prop_assert_eq!(&met, &preferred_owner(&weak[1], &fronts, &model, step));
             homes.insert(met.unwrap());
         }
         prop_assert_eq!(homes.len(), strong);
--- a/crates/front/tests/item_text.rs
+++ b/crates/front/tests/item_text.rs
@@ -1,6 +1,6 @@
 //! Text kept in the journal piece by piece is the text that was made.
 
-use ladderstage_front::job::{EntryQueue, Event, ItemText, JobState, entry_bytes};
+use ladderstage_front::job::{EntryQueue, Event, ItemText, JobState, encode_entry};
 use ladderstage_wire::messages::mod_JobEntry::OneOfkind as EntryKind;
 use ladderstage_wire::messages::{JobEnded, JobItem, JobResult, JobSpec, LogEntry};
 use proptest::prelude::*;
@@ -13,7 +13,7 @@
         body: b"prompt".to_vec(),
         ..JobItem::default()
     };
-    entry_bytes(EntryKind::accepted(JobSpec {
+    encode_entry(EntryKind::accepted(JobSpec {
         job: "job".to_owned(),
         items: vec![item(ITEM), item("item-2")],
         ..JobSpec::default()
@@ -48,14 +48,14 @@
                 id += 1;
                 text.push(&event(id), id / 7 + 1);
             }
-            let progress = text.take_progress(ITEM).expect("fresh events");
-            let entry = entry_bytes(EntryKind::progress(progress));
+            let progress = text.drain_progress(ITEM).expect("fresh events");
+            let entry = encode_entry(EntryKind::progress(progress));
             if is_doubled {
                 log.push(entry.clone());
             }
             log.push(entry);
         }
-        let restored = JobState::replay(&log).unwrap().kept(ITEM);
+        let restored = JobState::replay(&log).unwrap().partial_text(ITEM);
         prop_assert_eq!(restored.text(), joined(id));
         prop_assert_eq!(restored.last_event(), Some(id));
         for _ in 0..tail {
@@ -63,7 +63,7 @@
             text.push(&event(id), id / 7 + 1);
         }
         let versions = text.versions().to_vec();
-        log.push(entry_bytes(EntryKind::result(text.into_result(ITEM, String::new()))));
+        log.push(encode_entry(EntryKind::result(text.into_result(ITEM, String::new()))));
         let state = JobState::replay(&log).unwrap();
         let result = &state.results()[0];
         prop_assert_eq!(&result.text, &joined(id));
@@ -76,13 +76,13 @@
 fn another_owner_goes_on_from_kept_text() {
     let mut first = ItemText::default();
     (1..=3).for_each(|id| first.push(&event(id), 4));
-    let progress = first.take_progress(ITEM).unwrap();
+    let progress = first.drain_progress(ITEM).unwrap();
     first.push(&event(4), 4);
-    let mut log = vec![accepted(), entry_bytes(EntryKind::progress(progress))];
-    let mut second = JobState::replay(&log).unwrap().kept(ITEM);
+    let mut log = vec![accepted(), encode_entry(EntryKind::progress(progress))];
+    let mut second = JobState::replay(&log).unwrap().partial_text(ITEM);
     assert_eq!(second.last_event(), Some(3));
     (4..=5).for_each(|id| second.push(&event(id), 5));
-    log.push(entry_bytes(EntryKind::result(
+    log.push(encode_entry(EntryKind::result(
         second.into_result(ITEM, String::new()),
     )));
     let state = JobState::replay(&log).unwrap();
@@ -94,13 +94,13 @@
 fn text_that_starts_over_voids_what_was_kept() {
     let mut text = ItemText::default();
     (1..=4).for_each(|id| text.push(&event(id), 4));
-    let progress = text.take_progress(ITEM).unwrap();
+    let progress = text.drain_progress(ITEM).unwrap();
     text.start_over();
     (1..=2).for_each(|id| text.push(&event(id), 5));
     let log = [
         accepted(),
-        entry_bytes(EntryKind::progress(progress)),
-        entry_bytes(EntryKind::result(text.into_result(ITEM, String::new()))),
+        encode_entry(EntryKind::progress(progress)),
+        encode_entry(EntryKind::result(text.into_result(ITEM, String::new()))),
     ];
     let state = JobState::replay(&log).unwrap();
     assert_eq!(state.results()[0].text, joined(2));
@@ -111,20 +111,20 @@
 fn a_whole_text_waits_in_the_log_for_its_score() {
     let mut text = ItemText::default();
     text.push(&event(1), 5);
-    let first = text.take_progress(ITEM).unwrap();
+    let first = text.drain_progress(ITEM).unwrap();
     assert!(!first.is_whole);
-    let end = text.end(ITEM).unwrap();
+    let end = text.finish(ITEM).unwrap();
     assert!(end.is_whole);
     let mut log = vec![
         accepted(),
-        entry_bytes(EntryKind::progress(first)),
-        entry_bytes(EntryKind::progress(end)),
+        encode_entry(EntryKind::progress(first)),
+        encode_entry(EntryKind::progress(end)),
     ];
-    let kept = JobState::replay(&log).unwrap().kept(ITEM);
-    assert!(kept.is_whole());
+    let kept = JobState::replay(&log).unwrap().partial_text(ITEM);
+    assert!(kept.is_complete());
     assert_eq!(kept.text(), joined(1));
     let result = kept.into_result(ITEM, "score".to_owned());
-    log.push(entry_bytes(EntryKind::result(result)));
+    log.push(encode_entry(EntryKind::result(result)));
     let state = JobState::replay(&log).unwrap();
     assert_eq!(state.results()[0].text, joined(1));
     assert_eq!(state.results()[0].score, "score");
@@ -134,7 +134,7 @@
 #[test]
 fn the_first_result_of_an_item_keeps_its_position() {
     let result = |text: &str| {
-        entry_bytes(EntryKind::result(JobResult {
+        encode_entry(EntryKind::result(JobResult {
             item: ITEM.to_owned(),
             text: text.to_owned(),
             ..JobResult::default()
@@ -149,7 +149,7 @@
 
 #[test]
 fn an_ended_job_forgets_bodies_and_keeps_results() {
-    let ended = entry_bytes(EntryKind::ended(JobEnded {}));
+    let ended = encode_entry(EntryKind::ended(JobEnded {}));
     let mut state = JobState::replay(&[accepted(), ended]).unwrap();
     assert!(state.is_ended());
     assert_eq!(state.item(ITEM).unwrap().body, b"prompt");
@@ -163,16 +163,16 @@
     let mut text = ItemText::default();
     (1..=3).for_each(|id| text.push(&event(id), 4));
     let mut queue = EntryQueue::default();
-    queue.progress(text.take_progress(ITEM).unwrap());
+    queue.push_progress(text.drain_progress(ITEM).unwrap());
     (4..=6).for_each(|id| text.push(&event(id), 4));
-    let late = text.take_progress(ITEM).unwrap();
+    let late = text.drain_progress(ITEM).unwrap();
     text.push(&event(7), 4);
-    assert!(queue.end());
-    assert!(!queue.end());
-    queue.progress(late);
-    queue.result(text.into_result(ITEM, String::new()));
+    assert!(queue.push_end());
+    assert!(!queue.push_end());
+    queue.push_progress(late);
+    queue.push_result(text.into_result(ITEM, String::new()));
     let mut log = vec![accepted()];
-    log.extend(queue.take());
+    log.extend(queue.drain());
     let state = JobState::replay(&log).unwrap();
     assert!(state.is_ended());
     for result in state.results() {
--- a/crates/front/tests/pace.rs
+++ b/crates/front/tests/pace.rs
@@ -6,23 +6,33 @@
 use ladderstage_front::backend::{Candidate, Demand, choose};
 
 use ladderstage_front::job::{
-    Pace, expected_rest, first_event_limit, pays_to_move, refusal_pause, rest_demand,
+    EventIntervals, expected_remaining_events, first_event_timeout, is_move_worthwhile,
+    refusal_pause, remaining_demand,
 };
 use ladderstage_front::region::Distance;
 
 #[test]
 fn a_slow_run_moves_where_that_saves_more_than_the_move_costs() {
-    assert!(pays_to_move(170.0, 40.0, 4), "an instance that turned slow");
-    assert!(pays_to_move(51.0, 39.0, 24), "a long run on a slow machine");
-    assert!(!pays_to_move(51.0, 39.0, 12), "a run that may end soon");
-    assert!(!pays_to_move(43.0, 39.0, 100), "hardly slower");
+    assert!(
+        is_move_worthwhile(170.0, 40.0, 4),
+        "an instance that turned slow"
+    );
+    assert!(
+        is_move_worthwhile(51.0, 39.0, 24),
+        "a long run on a slow machine"
+    );
+    assert!(
+        !is_move_worthwhile(51.0, 39.0, 12),
+        "a run that may end soon"
+    );
+    assert!(!is_move_worthwhile(43.0, 39.0, 100), "hardly slower");
 }
 
 /// Found by a test that failed once under load: runs of a millisecond an event were moved back and forth.
 #[test]
 fn a_run_stays_where_a_move_saves_less_than_it_costs() {
-    assert!(!pays_to_move(4.0, 1.0, 4));
-    assert!(!pays_to_move(2.0, 1.0, 40));
+    assert!(!is_move_worthwhile(4.0, 1.0, 4));
+    assert!(!is_move_worthwhile(2.0, 1.0, 40));
 }
 
 /// Found in the logs of a day: of two free instances the rest of a long text got the idle one, which was a third slower, so that
@@ -37,16 +47,16 @@
         pace_ms: Some(pace_ms),
     };
     let idle_and_fast = [instance(0, 66.0), instance(5, 48.0), instance(1, 66.0)];
-    assert_eq!(choose(&idle_and_fast, rest_demand(4), 0), Some(0));
-    assert_eq!(choose(&idle_and_fast, rest_demand(24), 0), Some(1));
+    assert_eq!(choose(&idle_and_fast, remaining_demand(4), 0), Some(0));
+    assert_eq!(choose(&idle_and_fast, remaining_demand(24), 0), Some(1));
     let full = [instance(0, 66.0), instance(8, 48.0), instance(1, 66.0)];
-    assert_eq!(choose(&full, rest_demand(24), 0), Some(0));
+    assert_eq!(choose(&full, remaining_demand(24), 0), Some(0));
 }
 
 /// Found in the logs of a day: items of 6.3 s waited 2.5 s at an instance that hung, and their steps were late.
 #[test]
 fn the_first_event_is_awaited_for_about_as_long_as_it_takes() {
-    let wait_ms = |pace_ms| first_event_limit(pace_ms).as_millis();
+    let wait_ms = |pace_ms| first_event_timeout(pace_ms).as_millis();
     assert_eq!(wait_ms(Some(47.0)), 1_100);
     assert_eq!(wait_ms(Some(80.0)), 1_600);
     assert_eq!(wait_ms(Some(900.0)), 2_500);
@@ -58,12 +68,12 @@
 #[test]
 fn events_that_are_read_together_do_not_make_an_instance_look_fast() {
     let start = Instant::now();
-    let mut pace = Pace::default();
+    let mut intervals = EventIntervals::default();
     let paces: Vec<f64> = (0..41)
         .filter_map(|event| {
             // Made each 48 ms, and read two at a time.
             let read_at = (event + event % 2) * 48;
-            pace.take(start + Duration::from_millis(read_at))
+            intervals.add_event(start + Duration::from_millis(read_at))
         })
         .collect();
     assert_eq!(paces.len(), 10);
@@ -98,16 +108,16 @@
 #[test]
 fn a_run_leaves_an_instance_that_turns_slow_however_fast_it_was_before() {
     let start = Instant::now();
-    let mut pace = Pace::default();
+    let mut intervals = EventIntervals::default();
     let mut at_ms = 0;
     let mut left_after = None;
     for event in 1..=145_u64 {
         at_ms += if event <= 100 { 50 } else { 150 };
-        pace.take(start + Duration::from_millis(at_ms));
+        intervals.add_event(start + Duration::from_millis(at_ms));
         let whole = at_ms as f64 / event as f64;
-        let own = pace.own_pace(whole, 50.0);
-        let rest = expected_rest(event, Some(145));
-        if left_after.is_none() && pays_to_move(own, 50.0, rest) {
+        let own = intervals.expected_interval_ms(whole, 50.0);
+        let remaining = expected_remaining_events(event, Some(145));
+        if left_after.is_none() && is_move_worthwhile(own, 50.0, remaining) {
             left_after = Some(event);
         }
     }
@@ -120,7 +130,7 @@
 #[test]
 fn a_stumble_of_the_reader_is_no_reason_to_move() {
     let start = Instant::now();
-    let mut pace = Pace::default();
+    let mut intervals = EventIntervals::default();
     for event in 1..=60_u64 {
         // Nothing is read for a quarter of a second, then what had come meanwhile.
         let read_at = if (30..35).contains(&event) {
@@ -128,10 +138,10 @@
         } else {
             event * 50
         };
-        pace.take(start + Duration::from_millis(read_at));
-        let own = pace.own_pace(50.0, 50.0);
+        intervals.add_event(start + Duration::from_millis(read_at));
+        let own = intervals.expected_interval_ms(50.0, 50.0);
         assert!(
-            !pays_to_move(own, 50.0, event),
+            !is_move_worthwhile(own, 50.0, event),
             "at event {event}: {own} ms"
         );
     }
@@ -139,12 +149,16 @@
 
 #[test]
 fn the_rest_of_a_text_is_bounded_by_the_most_that_it_may_have() {
-    assert_eq!(expected_rest(24, Some(145)), 24);
-    assert_eq!(expected_rest(100, Some(145)), 45);
-    assert_eq!(expected_rest(144, Some(145)), 1);
-    assert_eq!(expected_rest(150, Some(145)), 0);
-    assert_eq!(expected_rest(30, None), 30);
-    assert!(!pays_to_move(59.0, 48.0, expected_rest(144, Some(145))));
+    assert_eq!(expected_remaining_events(24, Some(145)), 24);
+    assert_eq!(expected_remaining_events(100, Some(145)), 45);
+    assert_eq!(expected_remaining_events(144, Some(145)), 1);
+    assert_eq!(expected_remaining_events(150, Some(145)), 0);
+    assert_eq!(expected_remaining_events(30, None), 30);
+    assert!(!is_move_worthwhile(
+        59.0,
+        48.0,
+        expected_remaining_events(144, Some(145))
+    ));
 }
 
 #[test]
--- a/crates/front/tests/trainer_steps.rs
+++ b/crates/front/tests/trainer_steps.rs
@@ -6,19 +6,19 @@
 fn the_bound_rises_with_each_step_once_it_has_left_the_first_version() {
     let steps = NewestSteps::default();
     assert_eq!(steps.next_min_version("model", 1), 1);
-    steps.note("model", 1, 1);
+    steps.record("model", 1, 1);
     assert_eq!(
         steps.next_min_version("model", 1),
         1,
         "the first steps all allow version 1"
     );
-    steps.note("model", 5, 4);
+    steps.record("model", 5, 4);
     assert_eq!(
         steps.next_min_version("model", 3),
         5,
         "a newer step is open already"
     );
-    steps.note("model", 4, 3);
+    steps.record("model", 4, 3);
     assert_eq!(
         steps.next_min_version("model", 3),
         5,
