--- a/crates/front/src/activity.rs
+++ b/crates/front/src/activity.rs
@@ -1,19 +1,19 @@
-//! Whether some kind of work is under way at this node.
+//! Tracks whether work of some kind is in progress at this node.
 //!
-//! Each call to the coordination store has its price, and a fleet of nodes that all follow every change pays it many times.
-//! What nobody works with right now is followed less closely: an [`Activity`] tells.
+//! Reading the coordination store is costly for a large fleet, so changes are followed closely only
+//! while an [`Activity`] shows work that needs them.
 
 use std::time::Duration;
 
 use tokio::sync::watch;
 
-/// Counts work of one kind. Cheap to clone.
+/// Counter of work of one kind. Cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub struct Activity {
     count: watch::Sender<usize>,
 }
 
-/// Counts as work under way until it is dropped.
+/// Counts as work in progress until it is dropped.
 #[derive(Debug)]
 pub struct ActivityGuard {
     count: watch::Sender<usize>,
@@ -26,7 +26,7 @@
 }
 
 impl Activity {
-    /// Notes that work begins; it ends with the guard.
+    /// Starts work, which ends when the guard is dropped.
     pub fn begin(&self) -> ActivityGuard {
         self.count.send_modify(|count| *count += 1);
         ActivityGuard {
@@ -34,22 +34,22 @@
         }
     }
 
-    /// Whether work is under way.
+    /// Returns whether work is in progress.
     pub fn is_active(&self) -> bool {
         *self.count.borrow() > 0
     }
 
-    /// Returns once work is under way.
+    /// Waits until work is in progress.
     pub async fn active(&self) {
         self.wait_for(true).await;
     }
 
-    /// Returns once no work is under way.
+    /// Waits until no work is in progress.
     pub async fn idle(&self) {
         self.wait_for(false).await;
     }
 
-    /// Returns once there has been no work for `rest`.
+    /// Waits until there has been no work for `rest`.
     pub async fn rested(&self, rest: Duration) {
         loop {
             self.idle().await;
@@ -59,7 +59,8 @@
         }
     }
 
-    /// Passes `busy` while work is under way, and up to `idle`, the longer time, while none is.
+    /// Sleeps for `busy` while work is in progress and for up to `idle`, the longer time,
+    /// otherwise.
     pub async fn pause(&self, busy: Duration, idle: Duration) {
         tokio::time::sleep(busy).await;
         let rest = idle.saturating_sub(busy);
@@ -68,7 +69,7 @@
 
     async fn wait_for(&self, is_active: bool) {
         let mut count = self.count.subscribe();
-        // The sender lives as long as this activity.
+        // The sender outlives this call, so the wait cannot fail.
         let _ = count.wait_for(|count| (*count > 0) == is_active).await;
     }
 }
--- a/crates/front/src/job/appending.rs
+++ b/crates/front/src/job/appending.rs
@@ -1,4 +1,4 @@
-//! One append to a job's log, repeated until its outcome is known.
+//! Appends to a job's log, retried until their outcome is known.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 use ladderstage_journal::{JournalError, LogWriter};
 use ladderstage_wire::messages::LogEntry;
 
-/// Pause before an append or a take-over is tried again.
+/// Pause before an append or a takeover of the log is retried.
 pub(super) const RETRY_PAUSE: Duration = Duration::from_millis(60);
 
-/// An append that ended, with the writer given back.
+/// Result of a finished append, together with its writer.
 pub(super) struct AppendDone {
     pub writer: LogWriter,
     pub result: Result<(), JournalError>,
@@ -30,7 +30,7 @@
     })
 }
 
-/// Waits for the append under way; never returns without one.
+/// Waits for the append in progress; never returns if there is none.
 pub(super) async fn wait_for_append(
     appending: &mut Option<BoxFuture<'static, AppendDone>>,
 ) -> AppendDone {
@@ -40,7 +40,7 @@
     }
 }
 
-/// Repeats an append whose outcome is unknown until it is known.
+/// Retries an append until its outcome is known.
 async fn append_until_known(
     writer: &mut LogWriter,
     entries: Vec<LogEntry>,
--- a/crates/front/src/job/confirmation.rs
+++ b/crates/front/src/job/confirmation.rs
@@ -1,24 +1,24 @@
-//! When a majority of replicas last confirmed this node's logs.
+//! Tracks when a majority of replicas last confirmed this node's ownership of its logs.
 
 use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
 
 use ladderstage_clock::Instant;
 
-/// The send time of the last question in which a majority of replicas confirmed this node's logs.
+/// Send time of the latest heartbeat in which a majority of replicas confirmed this node's logs.
 #[derive(Debug, Default)]
 pub struct Confirmation {
     asked_at: Mutex<Option<Instant>>,
 }
 
 impl Confirmation {
-    /// Notes that a majority answered a question sent at `asked_at`.
+    /// Records that a majority of replicas answered a heartbeat sent at `asked_at`.
     pub fn record(&self, asked_at: Instant) {
         let mut known = self.lock();
         *known = (*known).max(Some(asked_at));
     }
 
-    /// How old the confirmation of a log is that was taken at `taken_at`.
+    /// Returns the age of the last confirmation of a log that was taken over at `taken_at`.
     pub fn age(&self, taken_at: Instant) -> Duration {
         let known = *self.lock();
         known.map_or(taken_at, |at| at.max(taken_at)).elapsed()
--- a/crates/front/src/job/context.rs
+++ b/crates/front/src/job/context.rs
@@ -1,4 +1,4 @@
-//! What the jobs of this node work with.
+//! Dependencies that all jobs of this node share.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,38 +19,38 @@
 use crate::roster::DirectView;
 use crate::suspects::Suspects;
 
-/// What jobs work with.
+/// Dependencies that all jobs of this node share.
 pub struct JobContext {
-    /// Where they are kept.
+    /// Journal that stores the jobs.
     pub journal: Journal,
-    /// Which nodes keep them.
+    /// Replica sets of the journal.
     pub replica_sets: ReplicaSets,
-    /// The other nodes.
+    /// Other nodes.
     pub nodes: Nodes,
-    /// Routes.
+    /// Current configuration, with the routes.
     pub config: ConfigInForce,
-    /// Instances.
+    /// Table of instances.
     pub backends: BackendTable,
-    /// Whether their records are followed here.
+    /// State of this node's direct view of the instances' records.
     pub view: DirectView,
-    /// Names.
+    /// Encoding of job requests and names of headers.
     pub codec: SharedCodec,
-    /// Counters.
+    /// Metrics.
     pub metrics: Arc<Metrics>,
-    /// How long a job can be read after it was handed in.
+    /// Time for which a job can be read after it was submitted.
     pub retention: Duration,
-    /// Whether the replicas still know this node as the owner of its jobs.
+    /// Time of the last majority confirmation of this node's logs.
     pub confirmation: Confirmation,
-    /// How long texts are.
+    /// Recent text lengths per model.
     pub lengths: TextLengths,
-    /// The newest steps of trainers.
+    /// Latest step of each trainer.
     pub steps: NewestSteps,
-    /// What givers of orders have learnt of loads.
+    /// Load times and load limits that order leaders have learned.
     pub learnt_loads: LearntLoads,
-    /// The giver of orders that told its end last.
+    /// Order leader that last announced its end.
     pub ended_givers: EndedGivers,
     /// Counts the jobs that run at this node.
     pub activity: Activity,
-    /// Requests under which instances end.
+    /// Requests that are suspected of crashing instances.
     pub suspects: Suspects,
 }
--- a/crates/front/src/job/digest.rs
+++ b/crates/front/src/job/digest.rs
@@ -1,10 +1,10 @@
-//! What an owner knows to be in its job's log, for comparison with what it finds there.
+//! Digest of a job's log, compared with the log's content after a takeover.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use ladderstage_wire::messages::LogEntry;
 
-/// Number and hash of the entries of a log, in order.
+/// Number and chained hash of the entries of a log.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LogDigest {
     entries: usize,
@@ -12,14 +12,14 @@
 }
 
 impl LogDigest {
-    /// Digest of a whole log.
+    /// Returns the digest of a complete log.
     pub fn of(entries: &[LogEntry]) -> Self {
         let mut digest = Self::default();
         digest.extend(entries);
         digest
     }
 
-    /// Takes in entries that follow.
+    /// Adds the entries that follow in the log.
     pub fn extend(&mut self, entries: &[LogEntry]) {
         for entry in entries {
             let mut hasher = DefaultHasher::new();
@@ -29,7 +29,8 @@
         self.entries += entries.len();
     }
 
-    /// What a log that was found is, if an append of `pending` to the log of this digest is in doubt.
+    /// Compares a log that was read back with this digest, given that the outcome of appending
+    /// `pending` is unknown.
     pub fn compare(&self, found: &[LogEntry], pending: &[LogEntry]) -> FoundLog {
         let found = Self::of(found);
         if found == *self {
@@ -44,13 +45,13 @@
     }
 }
 
-/// A log that was taken again, against what its owner knew.
+/// Content of a log that was taken over again, compared with its owner's state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FoundLog {
-    /// The append in doubt has no effect.
+    /// The append with unknown outcome had no effect.
     WithoutAppend,
-    /// The append in doubt was carried out.
+    /// The append with unknown outcome was committed.
     WithAppend,
-    /// Another owner has written to it.
+    /// Another owner has written to the log.
     Other,
 }
--- a/crates/front/src/job/done.rs
+++ b/crates/front/src/job/done.rs
@@ -1,4 +1,5 @@
-//! Items that are done: their results are held until they are to be listed, then queued for the job's log.
+//! Finished items: holds their results until they are due for listing, then queues them for the
+//! job's log.
 
 use ladderstage_clock::Instant;
 use ladderstage_wire::messages::mod_JobResult::State as ResultState;
@@ -8,11 +9,11 @@
 use super::owner::Owner;
 use super::text::ItemText;
 
-/// What an item came to.
+/// Outcome of a finished item.
 pub(super) enum DoneItem {
-    /// Its text is whole; the score is empty where nothing scores it.
+    /// The text is complete; `score` is empty for an item without a reward call.
     Completed { text: ItemText, score: String },
-    /// It is given up.
+    /// The item was terminated without a complete text.
     Terminated,
 }
 
@@ -30,12 +31,12 @@
 }
 
 impl Owner {
-    /// When results that are held are to be listed at the latest.
+    /// Returns the latest time at which held results are listed.
     pub(super) fn list_at(&self) -> Option<Instant> {
         self.groups.as_ref()?.list_at()
     }
 
-    /// Queues the results that are to be listed now.
+    /// Queues the results that are ready to be listed.
     pub(super) fn list_ready(&mut self) {
         let spec = self.job.state().spec().cloned();
         let (Some(spec), Some(groups)) = (spec, &mut self.groups) else {
@@ -49,7 +50,8 @@
         }
     }
 
-    /// When the results of the job are due; `None` if that is not known here.
+    /// Returns when the job's results are due, or `None` if this node did not accept the job or its
+    /// route sets no deadline.
     fn due_at(&self, spec: &JobSpec) -> Option<Instant> {
         let config = self.context.config.current()?;
         let route = config.route(&spec.host, &spec.path)?;
@@ -57,8 +59,8 @@
         self.is_accepted_here.then_some(due_at)
     }
 
-    /// Takes the result of an item, and holds it until it is to be listed. Its text is kept in the log meanwhile: whoever owns the job
-    /// next needs not make it again.
+    /// Holds the result of an item until it is listed. Its text goes to the log at once, so that a
+    /// later owner does not generate it again.
     fn hold_result(&mut self, index: usize, done: DoneItem) {
         let Some(spec) = self.job.state().spec().cloned() else {
             return;
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Takes an item whose text is whole and scored.
+    /// Accepts the complete and scored text of an item.
     pub(super) fn finish(&mut self, index: usize, text: ItemText, score: String) {
         if self.queue.has_end() {
             self.late_texts.insert(index, (text, score));
--- a/crates/front/src/job/events.rs
+++ b/crates/front/src/job/events.rs
@@ -1,34 +1,34 @@
-//! Server-sent events as instances write them.
+//! Parser for the server-sent events that instances send.
 
 /// One event of a stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// Its number in the stream.
+    /// Number of the event in its stream.
     pub id: u64,
-    /// Its data; several lines are joined by line feeds.
+    /// Data of the event; multiple lines are joined by line feeds.
     pub data: String,
-    /// Weight version that made it, where the event names one.
+    /// Weight version that generated the event, if the event names one.
     pub version: Option<u64>,
 }
 
-/// Splits a stream's bytes into events. Bytes of an event that is not whole yet are kept.
+/// Splits a stream's bytes into events and buffers an incomplete event.
 #[derive(Debug, Clone, Default)]
 pub struct EventParser {
-    /// Lower-case name of the line that tells a weight version.
+    /// Lower-case name of the field that carries the weight version.
     version_field: String,
     buffer: Vec<u8>,
 }
 
-/// Bytes that are no event.
+/// Error: the bytes are not a valid event.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("not an event: {0}")]
 pub struct EventError(String);
 
-/// Largest event that is kept.
+/// Largest incomplete event that is buffered, in bytes.
 const EVENT_LIMIT: usize = 4 * 1024 * 1024;
 
 impl EventParser {
-    /// A parser for streams that tell weight versions under `version_field`.
+    /// Creates a parser for streams that carry weight versions in `version_field`.
     pub fn new(version_field: &str) -> Self {
         Self {
             version_field: version_field.to_ascii_lowercase(),
@@ -36,10 +36,10 @@
         }
     }
 
-    /// Takes bytes and returns the events that are whole now.
+    /// Adds bytes and returns the events that they complete.
     ///
     /// # Errors
-    /// If the bytes are not events.
+    /// Fails if an event is malformed or exceeds the size limit.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Event>, EventError> {
         self.buffer.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -58,7 +58,7 @@
         Ok(events)
     }
 
-    /// Whether no part of an event is left over.
+    /// Returns whether no incomplete event is buffered.
     pub fn is_at_boundary(&self) -> bool {
         self.buffer.is_empty()
     }
@@ -92,7 +92,7 @@
     }
 }
 
-/// Position of the next blank line and its length, both line ends included.
+/// Finds the next blank line; returns its position and the length of its line ends.
 fn find_blank_line(bytes: &[u8]) -> Option<(usize, usize)> {
     let line_feeds = bytes.windows(2).position(|pair| pair == b"\n\n");
     let with_returns = bytes.windows(4).position(|four| four == b"\r\n\r\n");
--- a/crates/front/src/job/group_listing.rs
+++ b/crates/front/src/job/group_listing.rs
@@ -1,10 +1,9 @@
-//! When the results of a trainer's step are listed: by whole groups, a few at a time.
+//! Decides when the results of a trainer's step are listed: by complete groups.
 //!
-//! A trainer waits for whole groups, and reads about twice a second. A read that finds a result is answered at once, and the trainer
-//! looks again half a second later; one that finds none is held, and tells what comes at the moment it comes. Results that are
-//! listed one by one as they end keep the trainer in its pauses: it noticed the last group that it waits for 0.75 s late (mean of
-//! 31 steps of a calm run, by the logs' times of that group's last text and of the job's end). Listed by groups, that group
-//! meets a read that is held.
+//! A trainer polls about twice a second: a read that finds a new result returns at once and is
+//! followed by a pause, while a read that finds none blocks until the next result. Listing results
+//! one by one would keep the trainer in its pauses; listing complete groups lets a blocked read
+//! return as soon as the last required group is complete.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -12,35 +11,35 @@
 use ladderstage_clock::Instant;
 use ladderstage_wire::messages::JobSpec;
 
-/// Longest time that a whole group waits for others: as long as a read is held at most, so that a trainer who reads all the time has
-/// news of each group one read later.
+/// Longest time for which a complete group waits for others; equals the longest blocking read.
 const MAX_GROUP_WAIT: Duration = Duration::from_secs(1);
 
-/// Kept back from the time when results are due: their commit and one read.
+/// Time reserved before results are due, for their commit and one read.
 const DUE_MARGIN: Duration = Duration::from_millis(150);
 
-/// Groups of one step.
+/// Listing state of the groups of one step.
 #[derive(Debug, Default)]
 pub struct GroupListing {
     /// Group of each item.
     groups: Vec<usize>,
-    /// Items without a result, by group.
+    /// Number of items without a result, by group.
     missing: Vec<usize>,
-    /// Items that have a result which is not listed yet, by group.
+    /// Items with results that are not listed yet, by group.
     held: HashMap<usize, Vec<usize>>,
-    /// Groups that the trainer waits for.
+    /// Number of groups that the trainer requires.
     desired: usize,
-    /// Groups whose items all have results.
+    /// Number of groups in which all items have results.
     complete_groups: usize,
-    /// When the first of the whole groups that are not listed became whole.
+    /// Time at which the first unlisted group became complete.
     complete_since: Option<Instant>,
-    /// From this time on results are listed as they come; `None`: no groups are waited for at all.
+    /// Time from which results are listed as they arrive; `None` if they are always listed so.
     due: Option<Instant>,
 }
 
 impl GroupListing {
-    /// The groups of a job; `is_listed` tells of items that have results in its log. Results are due at `due`; without one, or if the
-    /// job is no step of a trainer, each is listed as it comes.
+    /// Creates the listing state of a job; `is_listed` returns whether the job's log has the result
+    /// of an item. If `due` is `None` or the job is not a trainer's step, every result is listed as
+    /// it arrives.
     pub fn new(spec: &JobSpec, due: Option<Instant>, is_listed: impl Fn(&str) -> bool) -> Self {
         let desired = spec.desired_groups as usize;
         let mut listing = Self {
@@ -64,7 +63,7 @@
         listing
     }
 
-    /// Notes that an item has a result now.
+    /// Adds the result of an item.
     pub fn add_result(&mut self, index: usize, now: Instant) {
         let Some(group) = self.groups.get(index).copied() else {
             return;
@@ -78,7 +77,7 @@
         }
     }
 
-    /// Takes the items whose results are to be listed now.
+    /// Removes and returns the items whose results are to be listed now.
     pub fn drain_ready(&mut self, now: Instant) -> Vec<usize> {
         if self.due.is_none_or(|due| now >= due) {
             self.complete_since = None;
@@ -102,7 +101,8 @@
         ready
     }
 
-    /// When results are to be listed at the latest; `None` while there are none.
+    /// Returns the latest time at which the held results are listed, or `None` if no listing is
+    /// scheduled.
     pub fn list_at(&self) -> Option<Instant> {
         let due = self.due.filter(|_| !self.held.is_empty());
         let wait_ends = self.complete_since.map(|since| since + MAX_GROUP_WAIT);
--- a/crates/front/src/job/handover.rs
+++ b/crates/front/src/job/handover.rs
@@ -1,4 +1,4 @@
-//! A planned stop: this node's jobs go to other fronts with all that was made of them.
+//! Handover of this node's jobs and their partial texts to other fronts before a planned stop.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,17 +16,17 @@
 use super::registry::JobRegistry;
 use crate::nodes::{NodeRecord, NodeRole, strongest};
 
-/// Between looks at the jobs that are still here.
+/// Interval at which the remaining jobs are checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long a job's owner may take to write down what its runs have made.
+/// Time for a job's owner to save the partial texts of its runs.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Between two notices about the same job.
+/// Interval between two notices about the same job.
 const NOTICE_INTERVAL: Duration = Duration::from_millis(150);
 
 impl JobRegistry {
-    /// Hands open jobs to other fronts, those too that are accepted meanwhile, for as long as the future is polled.
+    /// Hands over open jobs, including newly accepted ones, until the future is dropped.
     pub async fn hand_over(&self) {
         loop {
             let jobs = self.open_jobs();
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Jobs of this node that are not ended.
+    /// Returns the jobs of this node that have not ended.
     pub fn open_jobs(&self) -> Vec<Arc<Job>> {
         let jobs = lock(&self.shared.jobs);
         let open = jobs
@@ -48,7 +48,7 @@
         open.cloned().collect()
     }
 
-    /// Lets the owner of a job write down what its runs have made, and asks another front to take the job.
+    /// Has the owner of a job save its partial texts, then asks another front to take over the job.
     async fn hand_over_job(&self, job: &Arc<Job>, index: usize) {
         job.send(Command::Release);
         let mut changed = job.watch();
@@ -78,7 +78,7 @@
         self.wait_removed(&job.id).await;
     }
 
-    /// Waits until a job is no longer here, for the pause between two notices at most.
+    /// Waits until a job has left this node, at most for the interval between two notices.
     async fn wait_removed(&self, id: &str) {
         let deadline = Instant::now() + NOTICE_INTERVAL;
         while self.local(id).is_some() && Instant::now() < deadline {
@@ -86,14 +86,15 @@
         }
     }
 
-    /// A front that may keep the job at `index`: one of the strongest, of this region if it has any, and of the half that started last,
-    /// as restarts in turn come to the others first.
+    /// Chooses the front that takes over the job at `index`: one of the strongest, in this region
+    /// if possible. Chooses from the half that started last, because a rolling restart reaches
+    /// those fronts last.
     fn successor(&self, job: &Job, index: usize) -> Option<NodeRecord> {
         let nodes = &self.context.nodes;
         let own = nodes.own().node;
         let mut others = nodes.with_role(NodeRole::Front);
         others.retain(|front| front.node != own);
-        // Since it was accepted, it may have been bound to other regions.
+        // The route's regions may have changed since the job was accepted.
         if let Some(allowed) = self.allowed_regions(job) {
             others.retain(|front| allowed.permits(nodes.region_of(front)));
         }
--- a/crates/front/src/job/lengths.rs
+++ b/crates/front/src/job/lengths.rs
@@ -1,4 +1,4 @@
-//! How long the texts of each model have been of late.
+//! Recent text lengths of each model.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard};
@@ -6,17 +6,17 @@
 
 use ladderstage_clock::Instant;
 
-/// A length counts for so long.
+/// Time for which a length counts as recent.
 const LENGTH_WINDOW: Duration = Duration::from_secs(20);
 
-/// The longest text of each model, in events.
+/// Longest recent text of each model, in events.
 #[derive(Debug, Default)]
 pub struct TextLengths {
     longest: Mutex<BTreeMap<String, (u64, Instant)>>,
 }
 
 impl TextLengths {
-    /// Notes a text of `events` events.
+    /// Records a text of `events` events.
     pub fn record(&self, model: &str, events: u64) {
         let now = Instant::now();
         let mut longest = self.lock();
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Events of the longest recent text of a model; 0: none.
+    /// Returns the number of events of the longest recent text of a model, or 0 if there is none.
     pub fn longest(&self, model: &str) -> u64 {
         let longest = self.lock();
         let known = longest.get(model);
--- a/crates/front/src/job/local_job.rs
+++ b/crates/front/src/job/local_job.rs
@@ -1,4 +1,4 @@
-//! What a job's owner shares with readers and with the rest of its node.
+//! State that a job's owner shares with readers and with the rest of its node.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -10,33 +10,33 @@
 use super::lock::lock;
 use super::state::JobState;
 
-/// An owner whose log is another's at some replica, but not at a majority after several heartbeats, takes it again: the other
-/// writer has given up.
+/// Time after which an owner whose log is contested at some replica takes over its log again. The
+/// other writer has given up if no majority has accepted it by then.
 const RECLAIM_AFTER: Duration = Duration::from_millis(1_200);
 
-/// What an owner is asked.
+/// Command to the owner of a job.
 pub(super) enum Command {
-    /// End the job; answered once that is committed.
+    /// End the job; answered once the end is committed.
     End(oneshot::Sender<()>),
-    /// Another node has the log.
+    /// Stop: another node has taken over the log.
     Lost,
-    /// Some replica says that another node has the log; the owner looks at it in time.
+    /// A replica reports that another node has the log; the owner reclaims it after a delay.
     Contested,
-    /// Stop the runs and write down what they have made: another node is to take the job.
+    /// Stop the runs and save their partial texts, so that another node can take over the job.
     Release,
 }
 
-/// What a job's owner shares with readers.
+/// A job that this node owns, as seen by readers.
 pub struct Job {
-    /// Its id.
+    /// Id of the job.
     pub id: String,
-    /// When this node became its owner.
+    /// When this node became the owner.
     pub opened_at: Instant,
     state: Mutex<JobState>,
     changed: watch::Sender<u64>,
-    /// When a replica first said that another node has the log.
+    /// When a replica first reported that another node has the log.
     contested_at: Mutex<Option<Instant>>,
-    /// No run is under way and all that was made is in the log.
+    /// Whether all runs have stopped and all partial texts are in the log.
     is_released: AtomicBool,
     commands: mpsc::UnboundedSender<Command>,
 }
@@ -60,7 +60,7 @@
         lock(&self.state)
     }
 
-    /// Notes that a replica says that another node has the log.
+    /// Records that a replica reports another node as the writer of the log.
     pub(super) fn set_contested(&self) {
         let mut contested_at = lock(&self.contested_at);
         if contested_at.is_none() {
@@ -69,42 +69,43 @@
         }
     }
 
-    /// Whether no replica has said that another node has the log.
+    /// Returns whether no replica has reported another writer of the log.
     pub(super) fn is_uncontested(&self) -> bool {
         lock(&self.contested_at).is_none()
     }
 
-    /// When the owner is to take its log again, as nobody else has it by then.
+    /// Returns when the owner takes over its contested log again, or `None` if the log is not
+    /// contested.
     pub(super) fn reclaim_at(&self) -> Option<Instant> {
         lock(&self.contested_at).map(|at| at + RECLAIM_AFTER)
     }
 
-    /// Whether the owner has stopped its runs and written down what they made.
+    /// Returns whether the owner has stopped its runs and saved their partial texts.
     pub(super) fn is_released(&self) -> bool {
         self.is_released.load(Ordering::Relaxed)
     }
 
-    /// Changes with each commit.
+    /// Returns a receiver that is notified of each commit.
     pub(super) fn watch(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// Asks the owner; `false` if it has finished.
+    /// Sends a command to the owner; returns `false` if the owner has finished.
     pub(super) fn send(&self, command: Command) -> bool {
         self.commands.send(command).is_ok()
     }
 
-    /// Tells readers of a change.
+    /// Notifies readers of a change.
     pub(super) fn notify(&self) {
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Forgets that another node was said to have the log.
+    /// Clears the report that another node has the log.
     pub(super) fn clear_contested(&self) {
         *lock(&self.contested_at) = None;
     }
 
-    /// Notes that the job can be handed on.
+    /// Marks the job as ready for handover.
     pub(super) fn set_released(&self) {
         if !self.is_released.swap(true, Ordering::Relaxed) {
             self.notify();
--- a/crates/front/src/job/locating.rs
+++ b/crates/front/src/job/locating.rs
@@ -1,4 +1,4 @@
-//! Which node owns a job, and questions to it.
+//! Finds the owner of a job and sends requests to it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,47 +18,47 @@
 use super::reading::{ReadError, unavailable};
 use super::registry::JobRegistry;
 
-/// Time for a peer to answer, beyond the time that it was asked to wait.
+/// Time for a peer to answer, in addition to the wait that the request asks for.
 pub(super) const PEER_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Where a job is.
+/// Location of a job.
 enum Location {
-    /// This node owns it.
+    /// This node owns the job.
     Local(Arc<Job>),
-    /// Another node does, or did when it was last heard of.
+    /// Another node owns the job, or owned it when that was last known.
     Remote { node: String, source: Source },
 }
 
-/// Who says which node owns a job.
+/// Source of the information about a job's owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Source {
-    /// This node remembers it; the job may have moved on.
+    /// This node's cache; the job may have moved since.
     Memory,
-    /// A majority of the journal's replicas, a moment ago.
+    /// A majority of the journal's replicas, queried just now.
     Journal,
 }
 
-/// What came of a question about a job.
+/// Reply to a request about a job.
 pub(super) enum OwnerReply {
     /// This node owns the job.
     Local(Arc<Job>),
-    /// Its owner's answer.
+    /// Answer of the remote owner.
     Answer(ResponseKind),
 }
 
-/// Why an owner gave no answer.
+/// Reason why a node gave no answer about a job.
 enum AskError {
-    /// It does not know the job, or it is gone.
+    /// The node does not know the job or has left.
     NotOwner,
-    /// It could not be asked.
+    /// The request could not be sent.
     NotSent(ReadError),
-    /// It may own the job.
+    /// The node may own the job but did not answer.
     Unavailable(ReadError),
 }
 
 impl JobRegistry {
-    /// Asks the owner of a job. Becomes its owner if the one that the journal names does not know the job or is gone; one that
-    /// is only remembered may have handed the job on.
+    /// Sends a request to the owner of a job. Becomes the owner if the node that the journal names
+    /// does not know the job or has left.
     pub(super) async fn ask_owner(
         &self,
         id: &str,
@@ -73,7 +73,7 @@
             match self.ask_node(id, &node, request.clone(), wait).await {
                 Ok(answer) => return Ok(OwnerReply::Answer(answer)),
                 Err(AskError::Unavailable(error)) => return Err(error),
-                // Forgotten now: the journal is asked next.
+                // The cached owner has been removed, so the next iteration queries the journal.
                 Err(_) if source == Source::Memory => {}
                 Err(AskError::NotOwner) => return self.adopt_or_delegate(id, request, wait).await,
                 Err(AskError::NotSent(error)) => return Err(error),
@@ -81,9 +81,9 @@
         }
     }
 
-    /// Becomes the owner of a job that nobody owns, or lets a stronger front become that: the one that replicas tell of untended logs.
-    /// After a kill of all nodes readers come before the replicas' word, and five of six steps went to fronts of 0.12 cores, which read
-    /// the events of two hundred runs late.
+    /// Becomes the owner of a job without one, or delegates that to a stronger front. Uses the
+    /// front to which replicas announce orphaned logs, so that after a restart of all nodes readers
+    /// do not place jobs on weak fronts.
     async fn adopt_or_delegate(
         &self,
         id: &str,
@@ -107,7 +107,7 @@
         }
     }
 
-    /// The front that is to own a job whose owner is gone, if it is another one.
+    /// Returns the front that takes over a job without an owner, if it is not this node.
     fn stronger_owner(&self, id: &str) -> Option<String> {
         if self.context.nodes.is_leaving() {
             return None;
@@ -121,12 +121,12 @@
         rendezvous_first(log_name(id).as_bytes(), names).map(str::to_owned)
     }
 
-    /// Looks whether a job was accepted before.
+    /// Checks whether a job was accepted before.
     pub(super) async fn find_accepted(&self, id: &str) -> Result<OwnerReply, ReadError> {
         self.ask_owner(id, &empty_read(id), Duration::ZERO).await
     }
 
-    /// Whether another node answers as the confirmed owner of a job.
+    /// Returns whether another node answers as the confirmed owner of a job.
     pub(super) async fn is_owned(&self, id: &str) -> bool {
         lock(&self.shared.owners).remove(id);
         let Ok(Location::Remote { node, .. }) = self.locate(id).await else {
@@ -136,7 +136,7 @@
         matches!(answer.await, Ok(ResponseKind::job_results(_)))
     }
 
-    /// Finds a job: here, at its last known owner, or by the journal.
+    /// Finds the owner of a job: this node, the cached owner, or the owner that the journal names.
     async fn locate(&self, id: &str) -> Result<Location, ReadError> {
         if let Some(job) = self.local(id) {
             if job.state().spec().is_none() {
@@ -195,7 +195,7 @@
     }
 }
 
-/// The same question for a node that may ask the owner in its turn, or become it.
+/// Copies a request, allowing its receiver to forward it to the owner or to become the owner.
 fn with_forwarding(request: &RequestKind) -> RequestKind {
     let mut request = request.clone();
     match &mut request {
@@ -207,7 +207,7 @@
     request
 }
 
-/// A question that only the owner of a job answers, for nothing of it.
+/// Returns a read of no results, which only the owner of a job answers.
 fn empty_read(id: &str) -> RequestKind {
     RequestKind::read_job(ReadJob {
         job: id.to_owned(),
--- a/crates/front/src/job/lock.rs
+++ b/crates/front/src/job/lock.rs
@@ -1,8 +1,8 @@
-//! Locks of this folder.
+//! Helper for mutexes of this module.
 
 use std::sync::{Mutex, MutexGuard};
 
-/// Locks; a panic of another holder leaves nothing half changed.
+/// Locks a mutex, also a poisoned one: no holder leaves inconsistent data behind.
 pub(super) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex
         .lock()
--- a/crates/front/src/job/migration.rs
+++ b/crates/front/src/job/migration.rs
@@ -1,4 +1,4 @@
-//! How fast a run is, and whether it should go on at another instance.
+//! Measures the event intervals of a run and decides whether it migrates to a faster instance.
 
 use super::run_context::RunContext;
 use super::run_end::can_continue;
@@ -6,43 +6,43 @@
 use crate::backend::{Demand, Instance};
 use ladderstage_clock::Instant;
 
-/// A run that is slower than the typical pace by this factor goes on elsewhere.
+/// A run migrates if its event interval exceeds the typical one by this factor.
 const SLOW_FACTOR: f64 = 1.5;
 
-/// The same for a run that is expected to go on for long.
+/// The same factor for a run with many expected events.
 const LONG_RUN_SLOW_FACTOR: f64 = 1.15;
 
-/// Events from which on a text, or the rest of one, counts as long.
+/// Number of events from which a text, or its remainder, counts as long.
 const LONG_RUN_EVENTS: u64 = 24;
 
-/// Milliseconds that a move costs: another connection, admission, and the prompt read again.
+/// Cost of a migration in milliseconds: connecting, admission and reading the prompt again.
 const MOVE_COST_MS: f64 = 60.0;
 
-/// Events after which a run's pace is known.
+/// Number of events after which a run's event interval is known.
 const MIN_EVENTS: u32 = 3;
 
-/// A run whose last events came slower than those of the other instance by this factor goes on there, however fast it was before: an
-/// instance that turns slow is left after some events, and a stumble of the front that reads them is no reason.
+/// A run also migrates if its most recent interval exceeds that of the other instance by this
+/// factor, however fast the run was before.
 const SLOWDOWN_FACTOR: f64 = 1.8;
 
-/// Events between two looks at the pace.
+/// Number of events in one measurement window.
 const EVENTS_PER_WINDOW: u32 = 4;
 
-/// Time between the events of one run.
+/// Intervals between the events of one run.
 #[derive(Debug, Default)]
 pub struct EventIntervals {
-    /// Events so far.
+    /// Number of events so far.
     pub(super) events: u32,
     first_at: Option<Instant>,
     last_at: Option<Instant>,
-    /// The last event that began a look at the instance's pace.
+    /// Arrival of the event that started the current window.
     window_started_at: Option<Instant>,
-    /// Paces of the last two looks, in milliseconds an event, the newer one first.
+    /// Mean event intervals of the last two windows in milliseconds, the latest first.
     windows_ms: [Option<f64>; 2],
 }
 
 impl EventIntervals {
-    /// Notes an event that has just arrived.
+    /// Records an event that has just arrived and updates the instance's event interval.
     pub(super) fn record_arrival(&mut self, instance: &Instance) {
         let now = Instant::now();
         if let Some(pace_ms) = self.add_event(now) {
@@ -50,8 +50,9 @@
         }
     }
 
-    /// Takes an event that arrived at `now`; returns the instance's pace over the last few events, in milliseconds an event. A busy
-    /// front reads several events at once, so that the time between two of them is often none and sometimes twice as long.
+    /// Adds an event that arrived at `now`; returns the mean interval in milliseconds if the event
+    /// completes a window. Single intervals are unreliable because a busy front reads several
+    /// events at once.
     pub fn add_event(&mut self, now: Instant) -> Option<f64> {
         self.first_at.get_or_insert(now);
         self.last_at = Some(now);
@@ -66,13 +67,14 @@
         Some(pace_ms)
     }
 
-    /// The pace over the last two looks, in milliseconds an event; `None` before the second one.
+    /// Returns the mean event interval of the last two windows in milliseconds, or `None` before
+    /// the second one.
     pub fn recent_ms(&self) -> Option<f64> {
         let [last, before] = self.windows_ms;
         Some((last? + before?) / 2.0)
     }
 
-    /// Why the run should go on elsewhere: it is much slower than a typical run, and another instance has room.
+    /// Returns the reason to migrate the run if it is slow and a faster instance has free capacity.
     pub(super) fn reason_to_move(
         &self,
         context: &RunContext,
@@ -108,8 +110,9 @@
         pays.then(|| format!("slow: {own:.0} ms an event against {theirs:.0}"))
     }
 
-    /// The pace that the rest of the run is expected to have: that of the whole run, or of its last events where they are much slower
-    /// than those of an instance with `theirs_ms` an event.
+    /// Returns the expected event interval of the remaining run in milliseconds: the mean of the
+    /// complete run, or that of the last windows if the run has become much slower than
+    /// `theirs_ms`, the interval at the other instance.
     pub fn expected_interval_ms(&self, whole_ms: f64, theirs_ms: f64) -> f64 {
         let recent = self.recent_ms();
         let slowed_down = recent.filter(|recent| *recent > theirs_ms * SLOWDOWN_FACTOR);
@@ -117,15 +120,15 @@
     }
 }
 
-/// Events that a text with `events` so far is expected to have still: as many again, as one that has been long is likely to go on, but
-/// not more than `most` in all, if that is known. A text of 145 events was moved after 144. The longest text of late is no such bound:
-/// at the start of the first steps it is a short one.
+/// Returns the expected number of remaining events: as many as there are already, but no more than
+/// `most` allows in total. The longest recent text is not used as a limit because it is too short
+/// when a trainer starts.
 pub fn expected_remaining_events(events: u64, most: Option<u64>) -> u64 {
     most.map_or(events, |most| events.min(most.saturating_sub(events)))
 }
 
-/// What the rest of a text with `events` so far asks of an instance: one that has been long is likely to go on for long, and an
-/// idle slow instance is worse for it than a fast one with others beside.
+/// Returns the demand of the remainder of a text: a long text prefers a fast instance to an idle
+/// slow one.
 pub fn remaining_demand(events: u64) -> Demand {
     if events >= LONG_RUN_EVENTS {
         Demand::LongBatch
@@ -134,8 +137,8 @@
     }
 }
 
-/// Whether a run that is expected to have `rest` events still should go on where an event takes `theirs_ms` instead of `own_ms`: what
-/// that saves has to outweigh the move.
+/// Returns whether a run with `remaining` expected events should migrate to an instance with the
+/// event interval `theirs_ms`: the time saved must exceed the cost of migration.
 pub fn is_move_worthwhile(own_ms: f64, theirs_ms: f64, remaining: u64) -> bool {
     let factor = if remaining >= LONG_RUN_EVENTS {
         LONG_RUN_SLOW_FACTOR
--- a/crates/front/src/job/mod.rs
+++ b/crates/front/src/job/mod.rs
@@ -1,4 +1,5 @@
-//! Batch jobs: accepted once a majority of store disks holds them, run item by item, read at any front.
+//! Batch jobs: accepted once a majority of store disks holds them, run item by item, readable at
+//! any front.
 
 mod appending;
 mod confirmation;
@@ -54,11 +55,11 @@
 pub use text::ItemText;
 pub use trainer_steps::NewestSteps;
 
-/// Prefix of the jobs' logs in the journal; the job's id follows.
+/// Prefix of the names of job logs in the journal; the job key follows.
 pub const LOG_PREFIX: &str = "job/";
 
-/// By what a job is known among the nodes and in the journal: jobs of two tenants that have the same id are two jobs. Without
-/// tenants it is the id itself. A tenant's name may hold any sign, so what would end it is escaped.
+/// Returns the key that identifies a job among the nodes and in the journal. It includes the
+/// tenant, as two tenants may use the same id. Separators in the tenant's name are escaped.
 pub fn job_key(tenant: Option<&str>, id: &str) -> String {
     match tenant {
         Some(tenant) => {
@@ -69,7 +70,7 @@
     }
 }
 
-/// Name of a job's log.
+/// Returns the name of a job's log.
 pub fn log_name(job: &str) -> String {
     format!("{LOG_PREFIX}{job}")
 }
--- a/crates/front/src/job/owner.rs
+++ b/crates/front/src/job/owner.rs
@@ -1,4 +1,5 @@
-//! The owner of one batch job: starts its items, writes their results to the job's log, and tells readers.
+//! Owner of one batch job: starts its items, writes their results to the job's log, and notifies
+//! readers.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -26,71 +27,71 @@
 use super::unfinished::{ListingHistory, UnfinishedItems};
 use crate::suspects::ContentDigest;
 
-/// Results that end within this time share one append.
+/// Shortest interval between two appends; results within it share one append.
 const MIN_APPEND_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Pause before another look for room when no instance had any.
+/// Pause before waiting items are scheduled again when no instance had free capacity.
 const NO_CAPACITY_PAUSE: Duration = Duration::from_millis(25);
 
-/// How an owner's work ended.
+/// How an owner's task ended.
 pub(super) enum OwnerEnd {
-    /// The job was ended by its client; a later job may have the items again that it left behind.
+    /// The client ended the job; a later job may reuse its unfinished items.
     Ended(Option<Box<UnfinishedItems>>),
-    /// Another node owns it now.
+    /// Another node owns the job.
     Lost,
 }
 
-/// Why an owner is to stop.
+/// Reason to stop an owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StopCause {
     Ended,
     Lost,
 }
 
-/// Owns one job.
+/// Owner of one job.
 pub(super) struct Owner {
     pub(super) context: Arc<JobContext>,
     pub(super) job: Arc<Job>,
     pub(super) writer: Option<LogWriter>,
-    /// What is committed.
+    /// Digest of the committed entries.
     pub(super) digest: LogDigest,
     /// Entries for the next append.
     pub(super) queue: EntryQueue,
-    /// Entries of the append under way.
+    /// Entries of the append in progress.
     pub(super) in_flight: Vec<LogEntry>,
-    /// Runs under way, by item.
+    /// Runs in progress, by item.
     pub(super) running: HashMap<usize, AbortHandle>,
-    /// Items whose results were queued by this owner; not all of them are in the log yet.
+    /// Items whose results were queued or held by this owner; some are not in the log yet.
     pub(super) finished: HashSet<usize>,
     pub(super) runs: JoinSet<(usize, RunOutcome)>,
-    /// Tells the runs to stop.
+    /// Stops the runs.
     pub(super) stop: watch::Sender<bool>,
-    /// When requests may be sent for items.
+    /// Limits when requests may be sent for items.
     pub(super) window: SendWindow,
-    /// How many results there were at which time.
+    /// Number of results over time.
     pub(super) listing_history: ListingHistory,
-    /// Weight versions under which the texts of runs begin.
+    /// Weight versions of the first events of the runs' texts.
     pub(super) first_versions: FirstVersions,
-    /// Digests of items' contents, as far as they were needed.
+    /// Content digests of items, computed on demand.
     pub(super) content_digests: HashMap<usize, ContentDigest>,
-    /// Texts of earlier jobs for items that came back in this one.
+    /// Texts from earlier jobs for items that this job repeats.
     pub(super) earlier_texts: HashMap<String, KeptText>,
-    /// The question for such texts, while it is under way.
+    /// Request for texts of earlier jobs, while it is in progress.
     pub(super) text_collection: Option<BoxFuture<'static, Vec<KeptText>>>,
-    /// Texts that were whole when no result was taken any more.
+    /// Texts that were completed after the end of the job was queued, with their scores.
     pub(super) late_texts: HashMap<usize, (ItemText, String)>,
-    /// Which results are listed when; `None` until the first one.
+    /// Schedule for listing results; `None` until the first result.
     pub(super) groups: Option<GroupListing>,
-    /// Items that are done and not listed yet.
+    /// Finished items that are not listed yet.
     pub(super) held: HashMap<usize, DoneItem>,
-    /// The job was accepted here, so that it is known when its results are due.
+    /// Whether this node accepted the job and therefore knows when its results are due.
     pub(super) is_accepted_here: bool,
     pub(super) end_waiters: Vec<oneshot::Sender<()>>,
-    /// When the end was first asked for here; `None` also for a job that was found ended.
+    /// When the end was first requested at this node; `None` also for a job that had already ended.
     pub(super) end_requested_at: Option<Instant>,
     pub(super) has_waiting_items: bool,
     pub(super) last_append: Instant,
-    /// Text of items under way that is to be kept.
+    /// Channel for partial texts of running items.
     pub(super) progress: (
         mpsc::UnboundedSender<JobProgress>,
         mpsc::UnboundedReceiver<JobProgress>,
@@ -98,7 +99,7 @@
 }
 
 impl Owner {
-    /// An owner with the right to append; `spec` is written first if the log is empty.
+    /// Creates the owner of a log that this node may append to; queues `spec` as the first entry.
     pub fn new(
         context: Arc<JobContext>,
         job: Arc<Job>,
@@ -145,7 +146,7 @@
         owner
     }
 
-    /// Runs the job until it is ended or lost.
+    /// Runs the job until it ends or another node takes it over.
     pub async fn run(mut self, mut commands: mpsc::UnboundedReceiver<Command>) -> OwnerEnd {
         let mut table_changed = self.context.backends.watch();
         let mut config_changed = self.context.config.watch();
@@ -197,7 +198,8 @@
         }
     }
 
-    /// Takes no results any more. Runs go on: a later job may have their items again.
+    /// Queues the end of the job and accepts no more results. Runs continue, as a later job may
+    /// repeat their items.
     fn queue_end(&mut self) {
         for (index, done) in std::mem::take(&mut self.held) {
             if let DoneItem::Completed { text, score } = done {
@@ -208,7 +210,8 @@
         self.queue.push_end();
     }
 
-    /// Says that the job can be handed on once the runs are stopped and nothing waits to be written.
+    /// Marks the job as ready for handover once all runs have stopped and nothing is left to
+    /// append.
     fn mark_released_if_idle(&mut self) {
         let is_idle = self.runs.is_empty() && self.progress.1.is_empty();
         if *self.stop.borrow() && is_idle {
@@ -220,7 +223,7 @@
         let Ok((index, outcome)) = ended else {
             return;
         };
-        // A result follows the progress that its run sent before.
+        // The result must follow the progress that its run sent before.
         while let Ok(progress) = self.progress.1.try_recv() {
             self.on_progress(progress);
         }
@@ -236,7 +239,7 @@
         self.queue.push_progress(progress);
     }
 
-    /// Takes the queue into one append, after the gathering time.
+    /// Appends all queued entries after the minimum interval between appends.
     fn next_append(&mut self) -> Option<BoxFuture<'static, AppendDone>> {
         if self.queue.is_empty() {
             return None;
@@ -301,7 +304,7 @@
         self.job.notify();
     }
 
-    /// Takes the log again, above the promise that some replica has given to a writer that then gave up.
+    /// Takes over the log again, superseding a promise that a replica has made to a failed writer.
     async fn reclaim(&mut self) -> Option<StopCause> {
         log::info!("event=job_log_reclaimed job={}", self.job.id);
         self.writer = None;
@@ -309,7 +312,8 @@
         self.retake_log().await
     }
 
-    /// Takes the log under the newest replica set; what the last append left behind is found there or not.
+    /// Takes over the log under the latest replica set, which resolves the outcome of the last
+    /// append.
     async fn retake_log(&mut self) -> Option<StopCause> {
         let log = log_name(&self.job.id);
         loop {
@@ -331,7 +335,8 @@
         }
     }
 
-    /// Goes on from the log as it was found. Runs go on too unless another owner has written to it.
+    /// Resumes from the content of the log. Runs continue unless another owner has written to the
+    /// log.
     fn resume_from(&mut self, entries: &[LogEntry]) -> Option<StopCause> {
         let pending = std::mem::take(&mut self.in_flight);
         let found = self.digest.compare(entries, &pending);
@@ -352,8 +357,8 @@
         self.job.state().is_ended().then_some(StopCause::Ended)
     }
 
-    /// Drops runs and what they made since the last commit: another owner may have had the log in between, and its text may
-    /// differ. Items go on from what the log holds.
+    /// Aborts all runs and drops their uncommitted texts, which may differ from those that another
+    /// owner has written. Items resume from the log's content.
     fn reset_runs(&mut self, pending: Vec<LogEntry>) {
         self.runs = JoinSet::new();
         self.running.clear();
@@ -398,7 +403,7 @@
     }
 }
 
-/// The texts that were asked for; never returns if none were.
+/// Waits for the requested texts; never returns if none are requested.
 async fn collected_texts(
     text_collection: &mut Option<BoxFuture<'static, Vec<KeptText>>>,
 ) -> Vec<KeptText> {
@@ -408,7 +413,7 @@
     }
 }
 
-/// Returns at `at`; never without it.
+/// Sleeps until `at`; never returns if it is `None`.
 async fn sleep_until(at: Option<Instant>) {
     match at {
         Some(at) => tokio::time::sleep_until(at.into()).await,
--- a/crates/front/src/job/peer_handler.rs
+++ b/crates/front/src/job/peer_handler.rs
@@ -1,4 +1,4 @@
-//! What other nodes ask of this node's jobs, and jobs that change their owner.
+//! Handles requests of other nodes about this node's jobs, and takeovers of jobs.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -22,14 +22,15 @@
 use super::registry::JobRegistry;
 use crate::orders::LoadLimit;
 
-/// Jobs accepted within this time count for the demand.
+/// Jobs accepted within this time count towards the demand.
 const DEMAND_WINDOW: Duration = Duration::from_secs(15);
 
-/// Tokens of an item whose client gave no guess.
+/// Expected tokens of an item whose client gave no estimate.
 const DEFAULT_ITEM_TOKENS: u64 = 1_000;
 
 impl JobRegistry {
-    /// Work that this node accepted lately, by model, and the paces that it has seen.
+    /// Returns the work that this node accepted recently, by model, and its instances' event
+    /// intervals.
     pub fn demand(&self) -> Demand {
         let mut tokens = BTreeMap::<String, u64>::new();
         for job in lock(&self.shared.jobs).values() {
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Paces of the instances that hold models.
+    /// Returns the recent event intervals of the instances that serve models.
     fn paces(&self) -> Vec<InstancePace> {
         let Some(config) = self.context.config.current() else {
             return Vec::new();
@@ -69,7 +70,7 @@
         known.collect()
     }
 
-    /// Answers another node's question about a job of this node.
+    /// Answers another node's request about jobs.
     pub async fn handle(&self, request: RequestKind) -> Response {
         let kind = match request {
             RequestKind::read_job(request) => self.handle_read(request).await,
@@ -102,7 +103,7 @@
         Response { kind }
     }
 
-    /// Takes what the giver of orders tells of instances' weights.
+    /// Applies the order leader's update on the weights of instances.
     fn apply_weight_news(&self, news: &WeightNews) {
         let now = Instant::now();
         for update in &news.instances {
@@ -174,7 +175,8 @@
         ended.map_or_else(refusal_from, |()| ResponseKind::done(Done {}))
     }
 
-    /// Takes over jobs that a replica hears no owner of, unless their owner answers: the replica may be cut off.
+    /// Takes over jobs whose logs a replica reports as orphaned, unless their owner answers: the
+    /// replica may be partitioned.
     pub fn on_untended(&self, logs: Vec<String>) {
         for id in self.jobs_not_local(&logs) {
             let registry = self.clone();
@@ -188,7 +190,7 @@
         }
     }
 
-    /// Takes over jobs that their owner gives up.
+    /// Takes over jobs that their owner hands over.
     fn take_over_logs(&self, logs: Vec<String>) {
         for id in self.jobs_not_local(&logs) {
             let registry = self.clone();
@@ -227,7 +229,7 @@
     }
 }
 
-/// Tokens that are expected to come out of a job's items.
+/// Returns the expected number of tokens generated for a job's items.
 fn expected_tokens(spec: &JobSpec) -> u64 {
     let guesses = spec.items.iter().map(|item| item.expected_tokens);
     guesses
--- a/crates/front/src/job/peer_requests.rs
+++ b/crates/front/src/job/peer_requests.rs
@@ -1,4 +1,4 @@
-//! Questions about a job to another node, and what its answers say.
+//! Requests about jobs to other nodes, and conversion of the answers.
 
 use std::time::Duration;
 
@@ -8,7 +8,8 @@
 
 use super::reading::{ReadError, decompress_results, unavailable};
 
-/// Asks for results from position `after` on. `anywhere`: the node may ask the owner in its turn.
+/// Builds a request for results from position `after` on. `anywhere` allows the receiver to forward
+/// it to the owner.
 pub(super) fn read_request(id: &str, after: u64, wait: Duration, anywhere: bool) -> RequestKind {
     RequestKind::read_job(ReadJob {
         job: id.to_owned(),
@@ -19,7 +20,7 @@
     })
 }
 
-/// Asks for the body of an item.
+/// Builds a request for the body of an item.
 pub(super) fn body_request(id: &str, item: &str, anywhere: bool) -> RequestKind {
     RequestKind::read_job_body(ReadJobBody {
         job: id.to_owned(),
@@ -28,7 +29,7 @@
     })
 }
 
-/// Asks to end a job.
+/// Builds a request to end a job.
 pub(super) fn end_request(id: &str, anywhere: bool) -> RequestKind {
     RequestKind::end_job(EndJob {
         job: id.to_owned(),
@@ -36,7 +37,7 @@
     })
 }
 
-/// Results that a node answered.
+/// Extracts results from an answer.
 pub(super) fn results_from(answer: ResponseKind) -> Result<JobResults, ReadError> {
     match answer {
         ResponseKind::job_results(results) => Ok(results),
@@ -45,7 +46,7 @@
     }
 }
 
-/// The body that a node answered.
+/// Extracts an item's body from an answer.
 pub(super) fn body_from(answer: ResponseKind) -> Result<Vec<u8>, ReadError> {
     match answer {
         ResponseKind::job_body(body) if body.found => Ok(body.body),
@@ -54,7 +55,7 @@
     }
 }
 
-/// Whether a node answered that it is done.
+/// Checks that an answer confirms the request.
 pub(super) fn done_from(answer: ResponseKind) -> Result<(), ReadError> {
     match answer {
         ResponseKind::done(_) => Ok(()),
--- a/crates/front/src/job/preferred_owner.rs
+++ b/crates/front/src/job/preferred_owner.rs
@@ -1,10 +1,9 @@
-//! A trainer's step is owned by one of the strongest fronts of the zone: its home.
+//! Places each step of a trainer at its preferred owner, one of the strongest fronts of the zone.
 //!
-//! A trainer hands each step in at whichever front it meets. The owner reads every event of hundreds of runs at once, which takes a
-//! weak machine all of its processor time: events and results are late then. Where some machines are stronger than others, the
-//! weaker ones hand steps to them, those of a trainer in turn, so that its two open steps are at two machines. As the same few
-//! fronts own all steps, connections to instances are used again. The home lies in the zone of the front that was met, so that
-//! what the trainer reads crosses no zones; in a deployment with several regions, at least in its region.
+//! The owner of a step reads the events of hundreds of runs at once, which overloads a weak
+//! machine. Weaker fronts therefore forward steps to stronger ones of their zone, or at least of
+//! their region, so that reads do not cross zones. The steps of a trainer rotate among the
+//! strongest fronts, which spreads its open steps and reuses connections to instances.
 
 use std::time::Duration;
 
@@ -23,28 +22,28 @@
 use super::registry::{AcceptError, JobRegistry};
 use crate::nodes::{NodeRecord, NodeRole};
 
-/// Time for the home to accept a job, which takes some tens of milliseconds. A home that is frozen or cut off costs each step
-/// so much, of the 0.4 s in which trainers want their answer.
+/// Time for the preferred owner to accept a job; short enough to accept the job locally afterwards.
 const REMOTE_ACCEPT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What became of a job that was handed to its home.
+/// Outcome of forwarding a job to its preferred owner.
 enum RemoteAccept {
-    /// It is kept.
+    /// The preferred owner has accepted the job.
     Accepted,
-    /// Nothing of it is kept there.
+    /// The preferred owner has stored nothing of the job.
     NotKept(String),
-    /// It may be kept there.
+    /// The preferred owner may have stored the job.
     InDoubt(String),
 }
 
 impl JobRegistry {
-    /// Accepts a job, at its home if that is another front: `Ok` once a majority of store disks holds it, also if it was accepted
-    /// before.
+    /// Accepts a job, at its preferred owner if that is another front. Returns `Ok` once a majority
+    /// of store disks holds the job, also if it was accepted before.
     ///
     /// # Errors
     /// See [`AcceptError`].
     pub async fn accept(&self, spec: JobSpec) -> Result<(), AcceptError> {
-        // The body is sent to another front only where the bounds allow it. Here, a job that was accepted before is found without it.
+        // The body is sent to another front only if the allowed regions permit it. Locally, a job
+        // that was accepted before is found without its body.
         let may_leave = self.check_regions(&spec).is_ok();
         let Some(home) = self.preferred_owner_of(&spec).filter(|_| may_leave) else {
             return self.accept_here(spec).await;
@@ -63,7 +62,7 @@
             }
             RemoteAccept::InDoubt(cause) => {
                 log::warn!("event=job_home_in_doubt job={id} home={home} cause=\"{cause}\"");
-                // The home may still run it, whatever is found here.
+                // The preferred owner may still run the job, whatever the local outcome.
                 self.accept_here(spec).await.map_err(|error| match error {
                     AcceptError::NotKept(cause) => AcceptError::InDoubt(cause),
                     error => error,
@@ -72,7 +71,8 @@
         }
     }
 
-    /// The front that is to own a job, if it is another one. Jobs that are no steps of a trainer stay where they are.
+    /// Returns the preferred owner of a job if it is another front. Only steps of a trainer are
+    /// forwarded.
     fn preferred_owner_of(&self, spec: &JobSpec) -> Option<String> {
         if spec.desired_groups == 0 {
             return None;
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Accepts a job that was handed in at another front.
+    /// Accepts a job that another front forwarded.
     pub(super) async fn handle_accept(&self, request: AcceptJob) -> ResponseKind {
         let Some(spec) = request.spec else {
             return refused(Reason::MALFORMED, "no job");
@@ -125,7 +125,8 @@
     }
 }
 
-/// The front that is to own a step that was handed in at `own`, if it is another one: none if no front of the zone is stronger.
+/// Returns the preferred owner of a step that was submitted at `own`, or `None` if no other front
+/// of the zone is stronger.
 pub fn preferred_owner(
     own: &NodeRecord,
     fronts: &[NodeRecord],
@@ -137,7 +138,8 @@
     preferred_among(own, &in_zone, model, step)
 }
 
-/// As [`preferred_owner`]; if no front of the zone is stronger, a front of the region.
+/// Returns the preferred owner like [`preferred_owner`], but falls back to the fronts of the
+/// region.
 pub fn preferred_owner_in_region(
     own: &NodeRecord,
     fronts: &[NodeRecord],
@@ -154,7 +156,7 @@
     })
 }
 
-/// The front among the strongest of `fronts` that is to own a step, if these are stronger than the front where it was handed in.
+/// Chooses one of the strongest of `fronts`, or `None` if they are no stronger than `own`.
 fn preferred_among(
     own: &NodeRecord,
     fronts: &[NodeRecord],
@@ -169,13 +171,13 @@
     let names = near
         .filter(|front| front.cpu_millis == most)
         .map(|front| front.node.as_str());
-    // All fronts rank them alike, so that the steps of a model go round.
+    // All fronts compute the same ranking, so the steps of a model rotate among them.
     let ranked = rendezvous(model.as_bytes(), names);
     let turn = (step % ranked.len() as u64) as usize;
     Some(ranked[turn].to_owned())
 }
 
-/// The fronts of this region, or all if there is none: a job that moves stays near its trainer if it can.
+/// Returns the fronts of this region, or all fronts if the region has none.
 pub(super) fn prefer_same_region(
     fronts: Vec<NodeRecord>,
     distance: impl Fn(&NodeRecord) -> Distance,
--- a/crates/front/src/job/reading.rs
+++ b/crates/front/src/job/reading.rs
@@ -1,4 +1,4 @@
-//! Reading and ending a job at its owner.
+//! Reads and ends jobs that this node owns.
 
 use std::time::Duration;
 
@@ -12,24 +12,24 @@
 use super::local_job::{Command, Job};
 use super::state::JobState;
 
-/// Bytes of texts in one answer, at most one result more.
+/// Limit of the texts in one answer, in bytes; a single larger result is still returned.
 const MAX_PAGE_BYTES: usize = 768 * 1024;
 
-/// How long an end waits for its commit.
+/// Time limit for committing the acceptance or the end of a job.
 pub(super) const COMMIT_TIMEOUT: Duration = Duration::from_millis(3_500);
 
-/// Why a job could not be read.
+/// Error of reading or ending a job.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ReadError {
-    /// There is no such job or item.
+    /// The job or the item does not exist.
     #[error("not found")]
     NotFound,
-    /// Whether there is one cannot be told now.
+    /// The owner could not be reached or has no recent confirmation.
     #[error("unavailable: {0}")]
     Unavailable(String),
 }
 
-/// Results of a job of this node from position `after` on; waits up to `wait` for one.
+/// Returns results from position `after` on; waits up to `wait` if there are none yet.
 pub(super) async fn read_local(job: &Job, after: u64, wait: Duration) -> JobResults {
     let mut changed = job.watch();
     let deadline = Instant::now() + wait;
@@ -51,7 +51,7 @@
     page_of(state.results(), total, after)
 }
 
-/// The results of one answer, from position `after` on.
+/// Returns the results of one answer, from position `after` on.
 pub(super) fn page_of(all: &[JobResult], total: u64, after: u64) -> JobResults {
     let start = usize::try_from(after).unwrap_or(usize::MAX).min(all.len());
     let mut bytes = 0;
@@ -66,7 +66,7 @@
     JobResults { total, results }
 }
 
-/// Body of an item of a job of this node; `None` once it is not asked for any more.
+/// Returns the body of an item, or `None` if the item does not exist or the job has ended.
 pub(super) fn body_local(job: &Job, item: &str) -> Option<Vec<u8>> {
     let state = job.state();
     if state.is_ended() {
@@ -75,7 +75,7 @@
     state.item(item).map(|item| item.body.clone())
 }
 
-/// Ends a job of this node; `Ok` once that is committed.
+/// Ends a job; returns `Ok` once the end is committed.
 pub(super) async fn end_local(job: &Job) -> Result<(), ReadError> {
     if job.state().is_ended() {
         return Ok(());
@@ -93,10 +93,10 @@
     }
 }
 
-/// Results in an answer from this size on are packed for another node, in bytes of texts.
+/// Minimum size of texts in an answer to be compressed for another node, in bytes.
 const MIN_COMPRESSED_BYTES: usize = 1_024;
 
-/// The answer for another node, packed if it is large and the other takes that.
+/// Builds the answer for another node, compressed if it is large and the other node supports it.
 pub(super) fn results_answer(results: JobResults, takes_compressed: bool) -> ResponseKind {
     let texts = results.results.iter().map(|result| result.text.len());
     if !takes_compressed || texts.sum::<usize>() < MIN_COMPRESSED_BYTES {
@@ -105,13 +105,13 @@
     ResponseKind::compressed_job_results(compress(&encode(&results)))
 }
 
-/// Results out of another node's packed answer.
+/// Decompresses the results in another node's answer.
 pub(super) fn decompress_results(compressed: &[u8]) -> Result<JobResults, ReadError> {
     let plain = decompress(compressed).map_err(|error| unavailable(&error.to_string()))?;
     decode(&plain).map_err(|error| unavailable(&error.to_string()))
 }
 
-/// Whether there is such a job cannot be told now.
+/// Creates the error for a job that cannot be reached at present.
 pub(super) fn unavailable(cause: &str) -> ReadError {
     ReadError::Unavailable(cause.to_owned())
 }
--- a/crates/front/src/job/region_bounds.rs
+++ b/crates/front/src/job/region_bounds.rs
@@ -1,8 +1,8 @@
-//! Whether a job may be accepted where its route and tenant name regions.
+//! Checks whether a job may be accepted if its route or tenant restricts the regions.
 //!
-//! Any node may come to hold a job: as its owner, as one that asks the owner for it or takes it over, as a replica of its log. The set
-//! of replicas spans all regions. So a job with such bounds is accepted only if every node lies inside them, and refused otherwise,
-//! before its body is sent to another node.
+//! Any node may come to hold a job: as its owner, as a front that forwards requests or takes it
+//! over, or as a replica of its log. A restricted job is therefore accepted only if all nodes lie
+//! in allowed regions, and is rejected before its body is sent to another node.
 
 use std::fmt;
 
@@ -13,50 +13,50 @@
 use super::registry::JobRegistry;
 use crate::nodes::Nodes;
 
-/// Why a job may not be kept or served within the regions of its route and tenant.
+/// Reason why a job cannot be stored or served within the allowed regions of its route and tenant.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum OutOfBounds {
-    /// Where it may be kept is not known, as no route takes it.
+    /// No route matches the job, so its allowed regions are unknown.
     #[error("no route takes it")]
     NoRoute,
-    /// Its route and its tenant have no region in common, or name none.
+    /// The route and the tenant have no allowed region in common.
     #[error("no region is allowed")]
     Nowhere,
-    /// A node lies outside.
+    /// A node lies outside the allowed regions.
     #[error("node {node} in {region} is outside {allowed}")]
     Node {
-        /// The node.
+        /// Name of the node.
         node: String,
-        /// Its region, as far as it is known.
+        /// Region of the node.
         region: RegionName,
-        /// The regions inside.
+        /// Allowed regions.
         allowed: AllowedRegions,
     },
-    /// Where a replica lies is not known.
+    /// The record of a replica's node is missing, so its region is unknown.
     #[error("replica {node} is not known, allowed {allowed}")]
     UnknownReplica {
-        /// The replica's node.
+        /// Name of the replica's node.
         node: String,
-        /// The regions inside.
+        /// Allowed regions.
         allowed: AllowedRegions,
     },
-    /// The set of replicas is not known.
+    /// The replica set is unknown.
     #[error("the replicas are not known, allowed {allowed}")]
     UnknownReplicas {
-        /// The regions inside.
+        /// Allowed regions.
         allowed: AllowedRegions,
     },
-    /// The service has instances, and none of them inside.
+    /// The service has instances, but none in the allowed regions.
     #[error("no instance of {service} is in {allowed}")]
     NoInstance {
-        /// The service.
+        /// Name of the service.
         service: String,
-        /// The regions inside.
+        /// Allowed regions.
         allowed: AllowedRegions,
     },
 }
 
-/// A region, or that none is known.
+/// Name of a region, if it is known.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RegionName(pub Option<String>);
 
@@ -66,10 +66,10 @@
     }
 }
 
-/// Whether every node that could come to hold a job lies in an allowed region.
+/// Checks that every node that may hold a job lies in an allowed region.
 ///
 /// # Errors
-/// The node that does not, or whose region is not known.
+/// Fails if a node lies outside the allowed regions or its region is unknown.
 pub fn check_keepers(
     allowed: &AllowedRegions,
     nodes: &Nodes,
@@ -108,7 +108,8 @@
 }
 
 impl JobRegistry {
-    /// Where a job of this node may be kept by the configuration in force; `None`: no route takes it any more, or it is not read yet.
+    /// Returns the regions in which a job of this node may be stored, or `None` if no route matches
+    /// it or its specification is not committed yet.
     pub(super) fn allowed_regions(&self, job: &Job) -> Option<AllowedRegions> {
         let state = job.state();
         let spec = state.spec()?;
@@ -116,10 +117,10 @@
         config.allowed_regions(&spec.host, &spec.path, &spec.tenant)
     }
 
-    /// Whether a job stays where its route and tenant allow it to be kept and served, by the configuration in force.
+    /// Checks that a job can be stored and served within its allowed regions.
     ///
     /// # Errors
-    /// Where it would leave them, or that no instance lies in them.
+    /// Fails if a node or every instance of a service lies outside the allowed regions.
     pub(super) fn check_regions(&self, spec: &JobSpec) -> Result<(), OutOfBounds> {
         let context = &self.context;
         let bound = context
@@ -134,7 +135,7 @@
         self.check_instances(spec, allowed)
     }
 
-    /// Whether each service of a job's route that has instances has one in an allowed region.
+    /// Checks that each service of the job's route that has instances has one in an allowed region.
     fn check_instances(&self, spec: &JobSpec, allowed: AllowedRegions) -> Result<(), OutOfBounds> {
         let context = &self.context;
         let config = context.config.current().unwrap_or_default();
--- a/crates/front/src/job/registry.rs
+++ b/crates/front/src/job/registry.rs
@@ -1,4 +1,5 @@
-//! The jobs of this node and the way to all others: accepts, reads, ends and adopts them.
+//! Registry of this node's jobs, and access to those of other nodes: accepts, reads, ends and
+//! adopts jobs.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::{Arc, Mutex};
@@ -24,25 +25,25 @@
 use super::{LOG_PREFIX, log_name};
 use crate::orders::{EndedGivers, LearntLoads};
 
-/// An owner answers reads for this long after a majority of replicas last confirmed it: another owner may have listed more
-/// since, and readers may see an older state for a second at most.
+/// Largest age of the last majority confirmation at which an owner answers reads. Limits how long
+/// readers may see the state of a superseded owner.
 const MAX_READ_CONFIRMATION_AGE: Duration = Duration::from_millis(700);
 
-/// Between looks for jobs that need not be kept any more.
+/// Interval at which expired jobs are removed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Why a job was not accepted.
+/// Reason why a job was not accepted.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum AcceptError {
-    /// Nothing of it is kept by this try.
+    /// This attempt has stored nothing of the job.
     #[error("not kept: {0}")]
     NotKept(String),
-    /// It may be kept.
+    /// The job may be stored.
     #[error("in doubt: {0}")]
     InDoubt(String),
 }
 
-/// The jobs of this node. Cheap to clone.
+/// Jobs of this node. Cheap to clone.
 #[derive(Clone)]
 pub struct JobRegistry {
     pub(super) context: Arc<JobContext>,
@@ -55,15 +56,15 @@
     pub(super) jobs: Mutex<HashMap<String, Arc<Job>>>,
     /// Jobs whose logs are being taken over.
     pub(super) opening: Mutex<HashSet<String>>,
-    /// Owners of other jobs as last heard.
+    /// Cached owners of other nodes' jobs, with the time of the information.
     pub(super) owners: Mutex<HashMap<String, (String, Instant)>>,
-    /// Results that were read at other owners.
+    /// Results that were read from other owners.
     pub(super) result_cache: Mutex<ResultCache>,
-    /// What ended jobs left behind here.
+    /// Unfinished items of ended jobs.
     pub(super) unfinished: Mutex<Vec<UnfinishedEntry>>,
 }
 
-/// Removes a job from those being opened.
+/// Removes a job from `opening` when it is dropped.
 struct OpeningGuard {
     shared: Arc<SharedState>,
     id: String,
@@ -76,7 +77,7 @@
 }
 
 impl JobRegistry {
-    /// No jobs yet.
+    /// Creates an empty registry.
     pub fn new(context: JobContext) -> Self {
         Self {
             context: Arc::new(context),
@@ -85,7 +86,8 @@
         }
     }
 
-    /// Accepts a job and owns it: `Ok` once a majority of store disks holds it, also if it was accepted before, then by any owner.
+    /// Accepts a job and becomes its owner. Returns `Ok` once a majority of store disks holds the
+    /// job, also if any node accepted it before.
     pub(super) async fn accept_here(&self, spec: JobSpec) -> Result<(), AcceptError> {
         let id = spec.job.clone();
         match self.find_accepted(&id).await {
@@ -122,7 +124,7 @@
         Ok(())
     }
 
-    /// Results from position `after` on; waits up to `wait` for one.
+    /// Returns results from position `after` on; waits up to `wait` for the first one.
     ///
     /// # Errors
     /// See [`ReadError`].
@@ -138,7 +140,7 @@
         self.read_elsewhere(id, after, wait, true).await
     }
 
-    /// As [`JobRegistry::read`], without the help of a front that is no owner.
+    /// Reads like [`JobRegistry::read`], but does not relay the request through another front.
     pub(super) async fn read_here_or_at_owner(
         &self,
         id: &str,
@@ -151,7 +153,7 @@
         }
     }
 
-    /// Reads a job of another node: only results that were not read here before are asked for.
+    /// Reads a job of another node; requests only results that are not cached.
     async fn read_elsewhere(
         &self,
         id: &str,
@@ -182,7 +184,7 @@
                 result_cache.insert(id, from, &results);
                 Ok(result_cache.page(id, after).unwrap_or(results))
             }
-            // What was read before holds whether its owner is reached or not.
+            // Cached results stay valid if the owner cannot be reached.
             Err(error) => result_cache
                 .page(id, after)
                 .filter(|_| has_some)
@@ -190,7 +192,7 @@
         }
     }
 
-    /// Body of an item that has no result yet.
+    /// Returns the body of an item of an open job.
     ///
     /// # Errors
     /// See [`ReadError`].
@@ -202,7 +204,8 @@
         body_from(self.relay(id, &request, Duration::ZERO).await?)
     }
 
-    /// As [`JobRegistry::body`], without the help of a front that is no owner.
+    /// Returns a body like [`JobRegistry::body`], but does not relay the request through another
+    /// front.
     pub(super) async fn body_here_or_at_owner(
         &self,
         id: &str,
@@ -215,7 +218,7 @@
         }
     }
 
-    /// Ends a job: `Ok` once that is committed, also if it was ended before.
+    /// Ends a job; returns `Ok` once the end is committed, also if it was ended before.
     ///
     /// # Errors
     /// See [`ReadError`].
@@ -227,7 +230,7 @@
         done_from(self.relay(id, &request, COMMIT_TIMEOUT).await?)
     }
 
-    /// As [`JobRegistry::end`], without the help of a front that is no owner.
+    /// Ends a job like [`JobRegistry::end`], but does not relay the request through another front.
     pub(super) async fn end_here_or_at_owner(&self, id: &str) -> Result<(), ReadError> {
         let request = end_request(id, false);
         match self.ask_owner(id, &request, COMMIT_TIMEOUT).await? {
@@ -236,22 +239,22 @@
         }
     }
 
-    /// What givers of orders have learnt of loads, here or by their word.
+    /// Returns the load times and limits that order leaders have learned.
     pub fn learnt_loads(&self) -> &LearntLoads {
         &self.context.learnt_loads
     }
 
-    /// The giver of orders that told its end last.
+    /// Returns the order leader that last announced its end.
     pub fn ended_givers(&self) -> &EndedGivers {
         &self.context.ended_givers
     }
 
-    /// Notes that a majority of replicas answered a heartbeat sent at `asked_at`.
+    /// Records that a majority of replicas answered a heartbeat sent at `asked_at`.
     pub fn on_confirmed(&self, asked_at: Instant) {
         self.context.confirmation.record(asked_at);
     }
 
-    /// Notes that a replica says that another node has the log.
+    /// Handles the report of a replica that another node has the log.
     pub fn on_contested(&self, log: &str) {
         let id = log.strip_prefix(LOG_PREFIX).unwrap_or_default();
         if let Some(job) = self.local(id) {
@@ -259,7 +262,7 @@
         }
     }
 
-    /// Whether this node's state of a job is recent enough to be read.
+    /// Returns whether this node's state of a job is recent enough to be read.
     pub(super) fn is_readable(&self, job: &Job) -> bool {
         let age = self.context.confirmation.age(job.opened_at);
         job.state().is_ended() || job.is_uncontested() && age < MAX_READ_CONFIRMATION_AGE
@@ -278,7 +281,7 @@
         Ok(results)
     }
 
-    /// Gives up a job whose log another node has taken.
+    /// Stops the owner of a job whose log another node has taken over.
     pub fn on_fenced(&self, log: &str) {
         let id = log.strip_prefix(LOG_PREFIX).unwrap_or_default();
         if let Some(job) = self.local(id) {
@@ -286,7 +289,7 @@
         }
     }
 
-    /// Forgets jobs that need not be read any more, for as long as the future is polled.
+    /// Removes expired jobs and cached results periodically, until the future is dropped.
     pub async fn sweep(&self) {
         loop {
             tokio::time::sleep(SWEEP_INTERVAL).await;
@@ -330,7 +333,7 @@
         Ok(job)
     }
 
-    /// Takes the job's log over and starts its owner.
+    /// Takes over the job's log and starts its owner.
     async fn open(&self, id: &str, spec: Option<JobSpec>) -> Result<Arc<Job>, JournalError> {
         if !lock(&self.shared.opening).insert(id.to_owned()) {
             return Err(JournalError::Unresolved);
@@ -380,7 +383,7 @@
         Ok(job)
     }
 
-    /// Forgets exactly this job.
+    /// Removes this job unless its entry has been replaced.
     fn remove(&self, job: &Arc<Job>) {
         let mut jobs = lock(&self.shared.jobs);
         if jobs
@@ -392,7 +395,7 @@
     }
 }
 
-/// What the log tells of a job that was handed in.
+/// Formats the fields of a job for the log.
 fn log_fields(spec: &JobSpec) -> String {
     format!(
         "model={} step={} oldest_version={} desired_groups={} items={}",
--- a/crates/front/src/job/relay.rs
+++ b/crates/front/src/job/relay.rs
@@ -1,7 +1,8 @@
-//! Calls about jobs at a front that is cut off from the journal: another front answers them.
+//! Relays requests about jobs through another front while this one cannot reach the journal.
 //!
-//! A client stays with its front for as long as that front is taken for ready. One that reaches neither the store nor the
-//! replicas, but its clients and the other fronts, would refuse all that it is asked about jobs.
+//! Clients stay with a front for as long as it reports that it is ready. Without relays, a front
+//! that is partitioned from the stores and replicas but not from its clients would reject all their
+//! requests about jobs.
 
 use std::time::Duration;
 
@@ -18,29 +19,29 @@
 use super::registry::JobRegistry;
 use crate::nodes::NodeRole;
 
-/// A front counts as cut off when no majority of replicas has answered it for this long. A node without jobs among many asks
-/// only each third heartbeat, 0.9 s.
+/// Time without an answer from a majority of replicas after which the journal counts as
+/// unreachable. An idle node sends only every third heartbeat.
 const UNREACHABLE_AFTER: Duration = Duration::from_millis(1_500);
 
-/// Fronts that are asked, one after the other.
+/// Largest number of fronts that are tried, one after the other.
 const MAX_RELAYS: usize = 2;
 
-/// Time for another front to find the job and its owner, beyond the time that it was asked to wait.
+/// Time for another front to find the job's owner, in addition to the requested wait.
 const RELAY_MARGIN: Duration = Duration::from_millis(1_200);
 
 impl JobRegistry {
-    /// Whether this node has not reached a majority of replicas of late.
+    /// Returns whether no majority of replicas has answered this node recently.
     pub fn is_cut_off(&self) -> bool {
         self.context.confirmation.age(self.started_at) > UNREACHABLE_AFTER
     }
 
-    /// Whether another front is asked about a job rather than its state here.
+    /// Returns whether requests about a job must be relayed rather than answered from local state.
     pub(super) fn needs_relay(&self, id: &str) -> bool {
         let is_unreadable = |job: &Job| job.state().spec().is_some() && !self.is_readable(job);
         self.is_cut_off() || self.local(id).is_some_and(|job| is_unreadable(&job))
     }
 
-    /// Asks other fronts, which answer wherever the job is.
+    /// Relays a request through other fronts until one answers.
     pub(super) async fn relay(
         &self,
         id: &str,
@@ -75,7 +76,7 @@
         Err(last)
     }
 
-    /// Some other fronts, the nearest first.
+    /// Returns other fronts to relay through, the nearest first.
     fn relay_candidates(&self) -> Vec<String> {
         let nodes = &self.context.nodes;
         let own = nodes.own();
--- a/crates/front/src/job/result_cache.rs
+++ b/crates/front/src/job/result_cache.rs
@@ -1,7 +1,7 @@
-//! Results of other nodes' jobs that were read through this node.
+//! Cache of other nodes' results that were read through this node.
 //!
-//! A result keeps its position and content for as long as it can be read, so what was read once need not be asked of its owner
-//! again. Trainers and whoever looks at their jobs read the same results several times, mostly in other zones than the owner's.
+//! A result never changes its position or content, so a cached one need not be requested again.
+//! Clients read the same results several times, often from another zone than the owner's.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,10 +11,10 @@
 
 use super::reading::page_of;
 
-/// Bytes of texts that are remembered, all jobs together: a tenth of the memory of the smallest machines, 160 MB.
+/// Limit of the cached texts of all jobs, in bytes.
 const MAX_BYTES: usize = 16 * 1024 * 1024;
 
-/// Results from the first on, as far as they were read without a gap.
+/// Cached results of one job, from the first one on without a gap.
 struct CachedJob {
     total: u64,
     results: Vec<JobResult>,
@@ -22,7 +22,7 @@
     read_at: Instant,
 }
 
-/// What is remembered, by job.
+/// Cached results, by job.
 #[derive(Default)]
 pub(super) struct ResultCache {
     jobs: HashMap<String, CachedJob>,
@@ -30,13 +30,13 @@
 }
 
 impl ResultCache {
-    /// How many results of a job are remembered, from the first on.
+    /// Returns the number of cached results of a job.
     pub fn count(&self, job: &str) -> u64 {
         let cached = self.jobs.get(job);
         cached.map_or(0, |cached| cached.results.len() as u64)
     }
 
-    /// Results of a job from position `after` on; `None` if none of them was read before.
+    /// Returns cached results of a job from position `after` on, or `None` if there are none.
     pub fn page(&mut self, job: &str, after: u64) -> Option<JobResults> {
         let cached = self.jobs.get_mut(job)?;
         cached.read_at = Instant::now();
@@ -44,7 +44,7 @@
         is_known.then(|| page_of(&cached.results, cached.total, after))
     }
 
-    /// Remembers what the owner of a job answered for position `after`.
+    /// Adds the results that a job's owner returned for position `after`.
     pub fn insert(&mut self, job: &str, after: u64, answer: &JobResults) {
         let now = Instant::now();
         let cached = self
@@ -69,13 +69,13 @@
         self.evict_until_fits(job);
     }
 
-    /// Forgets jobs that nobody has read for `age`.
+    /// Removes jobs that were not read for `age`.
     pub fn remove_unread_for(&mut self, age: Duration) {
         self.jobs.retain(|_, cached| cached.read_at.elapsed() < age);
         self.bytes = self.jobs.values().map(|cached| cached.bytes).sum();
     }
 
-    /// Forgets the jobs that were read the longest ago, but not `kept`, until the rest fits.
+    /// Evicts the least recently read jobs except `kept` until the cache is within its limit.
     fn evict_until_fits(&mut self, kept: &str) {
         while self.bytes > MAX_BYTES {
             let others = self.jobs.iter().filter(|(job, _)| *job != kept);
--- a/crates/front/src/job/run.rs
+++ b/crates/front/src/job/run.rs
@@ -1,4 +1,5 @@
-//! One item of a batch job: runs it as a stream, takes it up elsewhere when it is cut or slow, until it is whole.
+//! Runs one item of a batch job as a stream, and migrates it to another instance when the stream
+//! breaks or is slow, until its text is complete.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,41 +16,42 @@
 use crate::backend::{AnswerId, Demand, ExchangeError, Instance, RequestHead, send};
 use crate::tenant::set_tenant;
 
-/// Pause before another instance is looked for when none has room.
+/// Pause before instances are checked again when none has free capacity.
 const NO_CAPACITY_PAUSE: Duration = Duration::from_millis(25);
 
-/// How long a text of one weight version waits for an instance that still has it.
+/// Time for which a text that requires a single weight version waits for an instance with that
+/// version.
 const VERSION_WAIT: Duration = Duration::from_millis(500);
 
-/// What came of running an item.
+/// Outcome of running an item.
 pub enum RunOutcome {
-    /// Its text is whole; the score is empty where nothing scores it.
+    /// The text is complete.
     Completed {
-        /// The text.
+        /// Generated text.
         text: ItemText,
-        /// Its score.
+        /// Score of the text; empty for an item without a reward call.
         score: String,
     },
-    /// It is given up.
+    /// The item was terminated without a complete text.
     Terminated,
-    /// The instance took none of it; the job's owner chooses again what starts next.
+    /// The instance did not start the item; the job's owner schedules it again.
     NotStarted,
-    /// It was told to stop, or may send no more requests. What it had made was handed over to be kept.
+    /// The run was stopped or may send no more requests. Its partial text was sent to be saved.
     Stopped(ItemText),
 }
 
-/// How the work on an item ended.
+/// How the processing of an item ended.
 enum ItemEnd {
-    /// Its text is whole; the score is empty where nothing scores it.
+    /// The text is complete; `score` is empty for an item without a reward call.
     Completed { score: String },
-    /// It is given up.
+    /// The item was terminated.
     Terminated,
-    /// No more requests may be sent for it.
+    /// No more requests may be sent for the item.
     Closed,
 }
 
-/// Runs the item at `index` until it has a result, going on from `partial`; the first run goes to `first`, and none is needed
-/// for a text that is whole and only lacks its score.
+/// Runs the item at `index` until it has a result, resuming from `partial`. The first run uses the
+/// instance `first`; it is `None` for a complete text that only lacks its score.
 pub async fn run_item(
     context: Arc<RunContext>,
     index: usize,
@@ -76,7 +78,7 @@
     }
 }
 
-/// Hands over what was made to be kept.
+/// Sends the partial text to be saved.
 fn stop_run(context: &RunContext, item: &str, mut partial: ItemText) -> RunOutcome {
     if let Some(progress) = partial.drain_progress(item) {
         let _ = context.progress.send(progress);
@@ -84,7 +86,7 @@
     RunOutcome::Stopped(partial)
 }
 
-/// Runs the item until it is done or too old; `None` if it was not started.
+/// Runs the item until it is finished or its deadline passes; returns `None` if it was not started.
 async fn run_with_deadline(
     context: &RunContext,
     index: usize,
@@ -106,7 +108,8 @@
     })
 }
 
-/// Makes the text and has it scored; `None` if the first instance took none of it.
+/// Generates the text and has it scored; returns `None` if the first instance did not start the
+/// item.
 async fn run_until_done(
     context: &RunContext,
     index: usize,
@@ -140,16 +143,16 @@
     }
 }
 
-/// How the making of a text ended.
+/// How the generation of a text ended.
 enum TextEnd {
     Complete,
-    /// It can never be made, or failed as often as the route allows.
+    /// The item can never be processed, or failed as often as the route allows.
     Unprocessable,
-    /// No more requests may be sent for it.
+    /// No more requests may be sent for the item.
     Closed,
 }
 
-/// Runs the item at one instance after the other; `None` if the first one took none of it.
+/// Runs the item at one instance after the other; returns `None` if the first one did not start it.
 async fn generate_text(
     context: &RunContext,
     index: usize,
@@ -181,7 +184,8 @@
     }
 }
 
-/// Waits until the item may run, runs it at one instance, and notes what that tells of its content. `None` once it may not run any more.
+/// Waits until the item is admitted, runs it at one instance, and reports the outcome to the
+/// suspects ledger. Returns `None` once no more requests may be sent.
 async fn run_admitted(
     context: &RunContext,
     index: usize,
@@ -193,7 +197,7 @@
     let started = Instant::now();
     let end = tokio::select! {
         end = run_once(context, index, instance, partial) => end,
-        // Behind a cut its connection would stay silent until the next event is overdue.
+        // In a network partition the connection would stay silent until the next event times out.
         () = instance.ended() => RunEnd::Broken("the instance was started again".to_owned()),
     };
     log_run(context, index, instance, partial, started, &end);
@@ -243,8 +247,9 @@
     );
 }
 
-/// An instance with room and fitting weights, another than `last` if there is one. A text that must come from one weight
-/// version starts over if no instance has that version any more. `None` once no more requests may be sent.
+/// Waits for an instance with free capacity and suitable weights, preferring one other than `last`.
+/// Restarts a text that requires a single weight version if no instance has that version any more.
+/// Returns `None` once no more requests may be sent.
 async fn next_instance(
     context: &RunContext,
     last: &Arc<Instance>,
--- a/crates/front/src/job/run_context.rs
+++ b/crates/front/src/job/run_context.rs
@@ -1,4 +1,4 @@
-//! What the runs of one job share: what they are sent with, how long they wait, and until when they may go on.
+//! Context that the runs of one job share.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock};
@@ -19,68 +19,68 @@
     BrokenRun, ContentDigest, HeldBack, RequestContent, RunPermit, RunSubject, Suspects,
 };
 
-/// Longest wait for the first event of a run, where it is not known how fast events come.
+/// Longest wait for the first event of a run, in use while event intervals are unknown.
 const MAX_FIRST_EVENT_WAIT: Duration = Duration::from_millis(2_500);
 
-/// The same in times between two events: a prompt is read in less than one, and an item that waits for a place for longer than so
-/// many is better off elsewhere.
+/// The same wait as a multiple of the typical event interval; covers reading the prompt.
 const FIRST_EVENT_INTERVALS: f64 = 20.0;
 
-/// Shortest such wait: connecting again after a lost packet takes a second.
+/// Shortest wait for the first event; covers one reconnection after a lost packet.
 const MIN_FIRST_EVENT_WAIT: Duration = Duration::from_millis(1_100);
 
-/// Between looks whether an item is still held back: a hold lasts until another run of its content ends, or for minutes.
+/// Interval at which a held back item is checked.
 const HOLD_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What runs of a job share.
+/// Context that the runs of one job share.
 #[derive(Clone)]
 pub struct RunContext {
-    /// Instances.
+    /// Table of instances.
     pub backends: BackendTable,
-    /// Names.
+    /// Names of headers.
     pub codec: SharedCodec,
-    /// Routes, of reward calls too.
+    /// Current configuration, with the routes of items and reward calls.
     pub config: ConfigInForce,
-    /// Counters.
+    /// Metrics.
     pub metrics: Arc<Metrics>,
-    /// The job.
+    /// Specification of the job.
     pub spec: Arc<JobSpec>,
-    /// Service that runs its items.
+    /// Service that runs the items.
     pub service: String,
-    /// How urgent its items are at instances.
+    /// Priority of the items at instances.
     pub rank: HeaderValue,
-    /// Where its items may run by the configuration under which these runs began.
+    /// Regions in which the items may run by the configuration at the start of these runs.
     pub allowed_at_start: AllowedRegions,
-    /// Failed attempts after which an item is given up.
+    /// Number of failed attempts after which an item is terminated.
     pub max_attempts: u32,
-    /// Every text must come from one weight version.
+    /// Whether every text must come from a single weight version.
     pub single_version: bool,
-    /// When items are given up.
+    /// Time at which unfinished items are terminated.
     pub item_deadline: Option<Instant>,
-    /// Takes text that is to be kept.
+    /// Receives partial texts to be saved in the log.
     pub progress: mpsc::UnboundedSender<JobProgress>,
-    /// Tells that another node, or a later job, is to go on.
+    /// Stops the runs, so that another node or a later job can continue them.
     pub stop: watch::Receiver<bool>,
-    /// When requests may still be sent for the items.
+    /// Limits when requests may be sent for the items.
     pub window: SendWindow,
-    /// Weight versions under which the texts of runs begin.
+    /// Weight versions of the first events of the runs' texts.
     pub first_versions: FirstVersions,
-    /// Tokens that one event holds; 0: unknown.
+    /// Number of tokens per event, or 0 if it is unknown.
     pub tokens_per_event: u64,
-    /// What is known of loads of weights.
+    /// Learned load times and load limits.
     pub learnt_loads: LearntLoads,
-    /// Requests under which instances end.
+    /// Requests that are suspected of crashing instances.
     pub suspects: Suspects,
 }
 
 impl RunContext {
-    /// What the item at `index` has in common with its repeats, in this job and in later ones.
+    /// Returns the content digest of the item at `index`, which its repetitions share across jobs.
     pub(super) fn item_content(&self, index: usize) -> ContentDigest {
         let item = &self.spec.items[index];
         self.content(&self.spec.host, &item.path, &item.body)
     }
 
-    /// Where its items may run by the configuration in force; if that has no route for them, by the one in force when the runs began.
+    /// Returns the regions in which the items may run: by the current configuration, or by that at
+    /// the start of the runs if no route matches any more.
     pub(super) fn allowed_regions(&self) -> AllowedRegions {
         let spec = &self.spec;
         self.config
@@ -88,7 +88,7 @@
             .unwrap_or_else(|| self.allowed_at_start.clone())
     }
 
-    /// What its repeats share with a request that is sent for this job.
+    /// Returns the content digest of a request that is sent for this job.
     pub(super) fn content(&self, host: &str, path: &str, body: &[u8]) -> ContentDigest {
         ContentDigest::of(&RequestContent {
             host,
@@ -99,10 +99,10 @@
         })
     }
 
-    /// Whether a request with `content` may be sent for the item at `index`.
+    /// Admits a request with `content` for the item at `index`.
     ///
     /// # Errors
-    /// [`HeldBack`] if instances have ended under others of its content.
+    /// Returns [`HeldBack`] if requests with the same content are suspected of crashing instances.
     pub(super) fn admit(
         &self,
         index: usize,
@@ -111,7 +111,8 @@
         self.suspects.admit(self.subject(index), content)
     }
 
-    /// Waits until a request with `content` may be sent for the item at `index`; `None` once none may be sent any more.
+    /// Waits until a request with `content` is admitted for the item at `index`; returns `None`
+    /// once no more requests may be sent.
     pub(super) async fn wait_admitted(
         &self,
         index: usize,
@@ -126,7 +127,8 @@
         None
     }
 
-    /// For how long a request with `content` for the item at `index` would be held back.
+    /// Returns whether and how a request with `content` for the item at `index` is held back at
+    /// present.
     pub(super) fn held_back(
         &self,
         index: usize,
@@ -148,7 +150,8 @@
         }
     }
 
-    /// Finds out what became of an instance under a run of the item at `index` whose connection broke.
+    /// Finds out whether an instance crashed during a run of the item at `index` whose connection
+    /// broke, and reports that to the suspects ledger.
     pub(super) async fn report_broken_run(
         &self,
         index: usize,
@@ -166,24 +169,23 @@
         self.suspects.tell_of_item(content);
     }
 
-    /// Events that an item's text has at most; `None` if that is not known.
+    /// Returns the largest number of events of an item's text, or `None` if it is unknown.
     pub(super) fn max_events(&self, index: usize) -> Option<u64> {
         self.spec.items[index]
             .tokens
             .checked_div(self.tokens_per_event)
     }
 
-    /// Longest wait for the first event of a run: a step bears a long item that begins anew once at an instance that hangs, if that is
-    /// noticed soon.
+    /// Returns the longest wait for the first event of a run.
     pub(super) fn first_event_timeout(&self) -> Duration {
         let typical_ms = self.backends.typical_pace(&self.service);
         first_event_timeout(typical_ms)
     }
 }
 
-/// How long an instance is left out for a model after it refused to start an item, unless it is heard to have newer weights before:
-/// with `free_slots` there it loads weights, which takes `usual_load`. Owners that tried it again each 0.15 s were refused 24 times for
-/// one item, and sent it a whole set of items each time.
+/// Returns for how long an instance is excluded for a model after it rejected an item, unless newer
+/// weights are reported earlier. An instance that rejects with `free_slots` is loading weights, so
+/// it is excluded for the typical load time.
 pub fn refusal_pause(free_slots: bool, typical_load: Option<Duration>) -> Duration {
     match typical_load {
         Some(usual) if free_slots => usual.max(LOADING_PAUSE),
@@ -191,7 +193,7 @@
     }
 }
 
-/// Longest wait for the first event of a run where events typically come each `typical_ms`.
+/// Returns the longest wait for the first event of a run, given the typical event interval.
 pub fn first_event_timeout(typical_ms: Option<f64>) -> Duration {
     let by_pace = typical_ms.and_then(|pace_ms| {
         let seconds = pace_ms * FIRST_EVENT_INTERVALS / 1e3;
@@ -202,24 +204,25 @@
     })
 }
 
-/// The weight version of the first event of each text that is under way, by item. Cheap to clone.
+/// Weight version of the first event of each text in progress, by item. Cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub struct FirstVersions {
     versions: Arc<Mutex<HashMap<usize, u64>>>,
 }
 
 impl FirstVersions {
-    /// Notes the version that made an event; the first counts.
+    /// Records the weight version of an event unless an earlier event of the item is recorded.
     pub fn record(&self, index: usize, version: u64) {
         self.lock().entry(index).or_insert(version);
     }
 
-    /// Forgets an item, whose text begins anew.
+    /// Removes an item whose text restarts.
     pub fn forget(&self, index: usize) {
         self.lock().remove(&index);
     }
 
-    /// The version under which an item's text began; `None` before its first event.
+    /// Returns the weight version of the first event of an item's text, or `None` before that
+    /// event.
     pub fn get(&self, index: usize) -> Option<u64> {
         self.lock().get(&index).copied()
     }
@@ -231,19 +234,19 @@
     }
 }
 
-/// Until when requests may be sent for the items of a job: always while it is open, and for a short time after its end.
+/// Period in which requests may be sent for the items of a job: until shortly after the job's end.
 #[derive(Debug, Clone, Default)]
 pub struct SendWindow {
     closes_at: Arc<OnceLock<Instant>>,
 }
 
 impl SendWindow {
-    /// Sends end at `at`; only the first call counts.
+    /// Ends the period at `at`; only the first call has an effect.
     pub fn close_at(&self, at: Instant) {
         let _ = self.closes_at.set(at);
     }
 
-    /// Whether a request may be sent now.
+    /// Returns whether a request may be sent now.
     pub fn is_open(&self) -> bool {
         self.closes_at.get().is_none_or(|at| Instant::now() < *at)
     }
--- a/crates/front/src/job/run_end.rs
+++ b/crates/front/src/job/run_end.rs
@@ -1,4 +1,4 @@
-//! How one run of an item ends, and which instances may go on with its text.
+//! Outcome of a run of an item, and the choice of instances that can continue its text.
 
 use std::time::Duration;
 
@@ -6,25 +6,25 @@
 use super::text::ItemText;
 use crate::backend::Instance;
 
-/// How long an instance whose weights proved too old is left out for that model.
+/// Time for which an instance with outdated weights is excluded for the model.
 pub(super) const STALE_WEIGHTS_PAUSE: Duration = Duration::from_secs(1);
 
-/// How one run at one instance ended.
+/// Outcome of one run at one instance.
 pub(super) enum RunEnd {
     Complete,
-    /// The instance answered that the item can never be done.
+    /// The instance answered that the item can never be processed.
     Unprocessable,
-    /// The instance failed.
+    /// The instance failed to process the item.
     Failed,
-    /// The instance took none of it.
+    /// The instance did not start the item.
     NotTaken(String),
-    /// The item goes on at another instance.
+    /// The item migrates to another instance.
     Move(String),
-    /// The connection broke; the item goes on at another instance.
+    /// The connection broke; the item migrates to another instance.
     Broken(String),
 }
 
-/// Whether an instance has weights that may go on with the text.
+/// Returns whether an instance has weights that can continue the text.
 pub(super) fn can_continue(context: &RunContext, partial: &ItemText, instance: &Instance) -> bool {
     let version = instance.version(&context.spec.model);
     if context.single_version
--- a/crates/front/src/job/scheduling.rs
+++ b/crates/front/src/job/scheduling.rs
@@ -1,4 +1,4 @@
-//! Which items of a job start now, and where.
+//! Schedules the items of a job on instances.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,16 +13,17 @@
 use crate::backend::{Demand, Instance};
 use crate::config::Route;
 
-/// Items are started for this long after a majority of replicas last confirmed this owner: another one may run the job, or
-/// it may have been ended.
+/// Largest age of the last majority confirmation at which items are started: afterwards another
+/// owner may run the job, or it may have ended.
 const MAX_START_CONFIRMATION_AGE: Duration = Duration::from_millis(1_500);
 
-/// One of so many items counts as long.
+/// An item counts as long if it is among the longest `1 / LONG_ITEM_DIVISOR` of its job.
 const LONG_ITEM_DIVISOR: usize = 8;
 
 impl Owner {
-    /// Starts items that have neither a result nor a run while instances have room: those that are expected to be the longest
-    /// first, and on the fastest instances, as the step waits for them.
+    /// Starts items without a result or a run while instances have free capacity. The items with
+    /// the most expected tokens start first and on the fastest instances, because the step waits
+    /// for them.
     pub(super) fn start_runs(&mut self) {
         self.has_waiting_items = false;
         if self.queue.has_end() || *self.stop.borrow() || self.context.nodes.is_leaving() {
@@ -33,7 +34,8 @@
         }
         let age = self.context.confirmation.age(self.job.opened_at);
         let is_owner = self.job.is_uncontested() && age <= MAX_START_CONFIRMATION_AGE;
-        // This front may have gone by the roster, which does not name these instances, until the job came.
+        // The roster, which this front may use until its direct view is ready, lacks these
+        // instances.
         if !is_owner || !self.context.view.is_usable() {
             self.has_waiting_items = true;
             return;
@@ -78,8 +80,8 @@
         }
     }
 
-    /// Whether instances have ended under others of the item's content. It stays without a run and without a result: only its age or the end
-    /// of the job ends it.
+    /// Returns whether an item is held back because its content is suspected of crashing instances.
+    /// It stays open until its deadline or the end of the job.
     fn is_held_back(&mut self, run: &RunContext, index: usize) -> bool {
         let content_digests = &mut self.content_digests;
         let content = || {
@@ -88,7 +90,8 @@
                 .or_insert_with(|| run.item_content(index))
         };
         let held = run.held_back(index, content);
-        // Others of its content are under way, and the next of them to end decides.
+        // The hold is short while other runs of this content are in progress, as the next one to
+        // end decides.
         self.has_waiting_items |= held.is_some_and(|held| held.is_short());
         held.is_some()
     }
@@ -100,7 +103,7 @@
         instance: Option<Arc<Instance>>,
         kept: ItemText,
     ) {
-        // The run begins with its first poll; the guard counts it from now on.
+        // Counts the run from now on, although it starts only when its task is first polled.
         let guard = instance.as_ref().map(Instance::begin);
         let run = Arc::clone(run);
         self.first_versions.forget(index);
@@ -112,7 +115,8 @@
         self.running.insert(index, handle);
     }
 
-    /// What there is of an item's text: in this job's log, else of an earlier job. `None` if that gave its result.
+    /// Returns the saved text of an item, from this job's log or from an earlier job. Returns
+    /// `None` if the text completes the item.
     fn kept_text(&mut self, spec: &JobSpec, index: usize) -> Option<ItemText> {
         let item = &spec.items[index];
         let kept = self.job.state().partial_text(&item.id);
@@ -155,7 +159,8 @@
         startable
     }
 
-    /// How items run under the configuration in force; `None` while no route takes them.
+    /// Builds the context of runs from the current configuration; returns `None` while no route
+    /// matches.
     pub(super) fn run_context(&self, spec: &Arc<JobSpec>) -> Option<Arc<RunContext>> {
         let config = self.context.config.current()?;
         let route: &Route = config.route(&spec.host, &spec.path)?;
@@ -188,7 +193,7 @@
     }
 }
 
-/// Expected tokens from which an item is among the longest eighth of its job.
+/// Returns the number of expected tokens from which an item counts as long.
 fn long_item_threshold(spec: &JobSpec) -> u64 {
     let mut expected: Vec<u64> = spec.items.iter().map(|item| item.expected_tokens).collect();
     expected.sort_unstable();
--- a/crates/front/src/job/scoring.rs
+++ b/crates/front/src/job/scoring.rs
@@ -1,4 +1,4 @@
-//! The reward call of an item: scores its whole text, on another instance when one fails, until there is a score.
+//! Sends the reward call that scores the complete text of an item, retrying on other instances.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,45 +17,46 @@
 use crate::suspects::{ContentDigest, RunPermit};
 use crate::tenant::set_tenant;
 
-/// Pause before a route or an instance is looked for again.
+/// Pause before a route and an instance are chosen again.
 const RETRY_PAUSE: Duration = Duration::from_millis(25);
 
-/// Another instance is asked as well once a call has taken so many target latencies: the answer may be lost.
+/// Multiple of the target latency after which a second instance is called, as the answer may be
+/// lost.
 const HEDGE_AFTER_TARGETS: u32 = 2;
 
-/// Calls for one text that are under way at once, at most.
+/// Largest number of concurrent calls for one text.
 const MAX_CONCURRENT_CALLS: usize = 2;
 
-/// Largest answer of a reward call.
+/// Largest answer of a reward call, in bytes.
 const MAX_ANSWER_BYTES: usize = 1024 * 1024;
 
-/// What came of scoring a text.
+/// Outcome of scoring a text.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum ScoreEnd {
-    /// The signature of the good answer.
+    /// Signature of the successful answer.
     Scored(String),
     /// The call failed as often as its route allows.
     Failed,
-    /// The call can never be sent: its parts are no request.
+    /// The call can never be sent, because its parts form no valid request.
     Unprocessable,
     /// No more requests may be sent for the job.
     Closed,
 }
 
-/// How one call ended.
+/// Result of one call at one instance.
 struct Attempt {
     instance: Arc<Instance>,
     started: Instant,
     result: Result<Answer, ExchangeError>,
 }
 
-/// An instance's own answer.
+/// Answer of an instance.
 enum Answer {
     Scored(String),
     Failed(StatusCode),
 }
 
-/// A reward call ready to be sent under one route.
+/// Reward call that is ready to be sent under one route.
 struct Call<'a> {
     context: &'a RunContext,
     route: &'a Route,
@@ -64,7 +65,7 @@
     uri: Uri,
 }
 
-/// Scores the text of the item at `index`, which must be whole.
+/// Scores the complete text of the item at `index`.
 pub(super) async fn score(context: &RunContext, index: usize, reward: &RewardCall) -> ScoreEnd {
     let Ok(attempt_id) = HeaderValue::from_str(&reward.id) else {
         return ScoreEnd::Unprocessable;
@@ -74,7 +75,7 @@
     };
     let mut failures = 0;
     while context.window.is_open() {
-        // The route may change between two tries; without one nothing is known of the score.
+        // The configuration may change between two attempts; without a route the call waits.
         let config = context.config.current();
         let route = config
             .as_ref()
@@ -97,7 +98,8 @@
 }
 
 impl Call<'_> {
-    /// Asks instances until all calls under way have ended; `None` if that gave no score yet.
+    /// Calls instances until one returns a score or all calls have ended; returns `None` if there
+    /// is no final outcome yet.
     async fn try_instances(&self, index: usize, failures: &mut u32) -> Option<ScoreEnd> {
         let service = self.route.pick_service(rand::random());
         let mut tried: Vec<Arc<Instance>> = Vec::new();
@@ -130,7 +132,7 @@
         }
     }
 
-    /// An instance with room that was not tried yet.
+    /// Chooses an instance with free capacity that was not tried yet.
     fn next_instance(&self, service: &str, tried: &[Arc<Instance>]) -> Option<Arc<Instance>> {
         let is_new = |instance: &Instance| tried.iter().all(|one| one.id() != instance.id());
         let backends = &self.context.backends;
@@ -138,7 +140,8 @@
         backends.choose_within(service, "", Demand::Scoring, &allowed, is_new)
     }
 
-    /// Where the call may be served by the configuration in force, else by the one under which it is tried.
+    /// Returns the regions in which the call may be served: by the current configuration, or by the
+    /// route under which the call is sent if no route matches any more.
     fn allowed_regions(&self) -> AllowedRegions {
         let tenant = &self.context.spec.tenant;
         let config = &self.context.config;
@@ -152,9 +155,10 @@
             })
     }
 
-    /// Whether the call may be sent: instances may have ended under it.
+    /// Admits the call unless it is suspected of crashing instances.
     fn admit(&self, index: usize) -> Option<RunPermit> {
-        // Looked at first, as a refusal has a line in the log and the call is tried again soon.
+        // Checked first, because each rejection by `admit` is logged and the call is retried
+        // shortly.
         if self.context.held_back(index, || self.content()).is_some() {
             return None;
         }
@@ -219,7 +223,7 @@
         })
     }
 
-    /// Notes whether the instance bore the call, or finds out what became of it if the connection broke.
+    /// Finds out whether the instance crashed if the connection broke.
     async fn report_if_broken(&self, index: usize, ended: &Attempt) {
         if let Err(ExchangeError::Broken(_)) = &ended.result {
             let reward = self.reward;
@@ -233,7 +237,8 @@
         }
     }
 
-    /// The rank of the job's tenant goes before that of the call's route.
+    /// Returns the priority of the call: that of the job's tenant if it has one, otherwise that of
+    /// the route.
     fn rank(&self) -> HeaderValue {
         let config = self.context.config.current();
         let tenant = config
@@ -242,7 +247,7 @@
         self.route.rank(tenant.map(AsRef::as_ref))
     }
 
-    /// Takes in a call that ended; `Some` ends the scoring.
+    /// Processes the result of a call; returns `Some` if it ends the scoring.
     fn apply_result(&self, index: usize, ended: Attempt, failures: &mut u32) -> Option<ScoreEnd> {
         let now = Instant::now();
         self.log(index, &ended);
--- a/crates/front/src/job/state.rs
+++ b/crates/front/src/job/state.rs
@@ -1,4 +1,4 @@
-//! A batch job as its log tells it: a pure fold over the entries.
+//! State of a batch job, computed from the entries of its log.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -10,23 +10,23 @@
 
 use super::text::ItemText;
 
-/// State of one job. Entries that contradict earlier ones are ignored: the first wins.
+/// State of one job. The first of contradicting entries takes effect.
 #[derive(Debug, Clone, Default)]
 pub struct JobState {
     spec: Option<Arc<JobSpec>>,
     indexes: HashMap<String, usize>,
     results: Vec<JobResult>,
     listed: HashSet<String>,
-    /// Text kept of items that have no result yet.
+    /// Partial texts of items without a result.
     partial_texts: HashMap<String, ItemText>,
     is_ended: bool,
 }
 
-/// Entries from this size on are compressed_entry, in bytes; a smaller one hardly gets smaller.
+/// Minimum size of an entry to be compressed, in bytes; smaller entries would hardly shrink.
 const MIN_COMPRESSED_BYTES: usize = 512;
 
-/// One entry as bytes of the log, compressed_entry if it is large: it is copied to several replicas, read at each change of the owner, and
-/// kept in memory by all of them.
+/// Encodes a log entry, compressed if it is large, because all replicas store it and each new owner
+/// reads it.
 pub fn encode_entry(kind: EntryKind) -> LogEntry {
     let plain = encode(&JobEntry { kind });
     if plain.len() < MIN_COMPRESSED_BYTES {
@@ -37,7 +37,7 @@
     LogEntry { payload }
 }
 
-/// Reads an entry of the log.
+/// Decodes a log entry.
 fn decode_entry(entry: &LogEntry) -> Result<EntryKind, DecodeError> {
     let entry: JobEntry = decode(&entry.payload)?;
     let EntryKind::compressed(compressed_entry) = entry.kind else {
@@ -52,10 +52,10 @@
 }
 
 impl JobState {
-    /// The state after all entries.
+    /// Computes the state after all entries.
     ///
     /// # Errors
-    /// If an entry is not one of a job's log.
+    /// Fails if an entry cannot be decoded.
     pub fn replay(entries: &[LogEntry]) -> Result<Self, DecodeError> {
         let mut state = Self::default();
         for entry in entries {
@@ -64,10 +64,10 @@
         Ok(state)
     }
 
-    /// Takes one committed entry.
+    /// Applies one committed entry.
     ///
     /// # Errors
-    /// If it is not one of a job's log.
+    /// Fails if the entry cannot be decoded.
     pub fn apply(&mut self, entry: &LogEntry) -> Result<(), DecodeError> {
         match decode_entry(entry)? {
             EntryKind::accepted(spec) => self.accept(spec),
@@ -85,44 +85,44 @@
         Ok(())
     }
 
-    /// The job as it was handed in; `None` before that is committed.
+    /// Returns the job as submitted, or `None` before its acceptance is committed.
     pub fn spec(&self) -> Option<&Arc<JobSpec>> {
         self.spec.as_ref()
     }
 
-    /// Whether the job was ended by its client.
+    /// Returns whether the client has ended the job.
     pub fn is_ended(&self) -> bool {
         self.is_ended
     }
 
-    /// Results in the order of their positions.
+    /// Returns the results in the order of their positions.
     pub fn results(&self) -> &[JobResult] {
         &self.results
     }
 
-    /// Whether an item has a result.
+    /// Returns whether an item has a result.
     pub fn is_listed(&self, item: &str) -> bool {
         self.listed.contains(item)
     }
 
-    /// Whether every item has a result.
+    /// Returns whether every item has a result.
     pub fn is_complete(&self) -> bool {
         let total = self.spec.as_ref().map_or(0, |spec| spec.items.len());
         self.spec.is_some() && self.listed.len() >= total
     }
 
-    /// An item by its id.
+    /// Returns the item with the given id.
     pub fn item(&self, id: &str) -> Option<&JobItem> {
         let index = *self.indexes.get(id)?;
         self.spec.as_ref()?.items.get(index)
     }
 
-    /// Text kept of an item that has no result yet.
+    /// Returns the partial text of an item without a result.
     pub fn partial_text(&self, item: &str) -> ItemText {
         self.partial_texts.get(item).cloned().unwrap_or_default()
     }
 
-    /// Drops the bodies of items, which are not asked for once a job has ended.
+    /// Drops the bodies and headers of items, which an ended job no longer needs.
     pub fn drop_bodies(&mut self) {
         if let Some(spec) = &self.spec {
             let mut spec = spec.as_ref().clone();
--- a/crates/front/src/job/stream.rs
+++ b/crates/front/src/job/stream.rs
@@ -1,4 +1,5 @@
-//! The stream of one run: its events become the item's text, until it ends, breaks, or is better taken up elsewhere.
+//! Reads the event stream of one run into the item's text, until the stream ends, breaks, or the
+//! run migrates.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,14 +15,13 @@
 use super::text::ItemText;
 use crate::backend::{Instance, Reply, keep_alive};
 
-/// Longest wait for a further event.
+/// Longest wait for the next event after the first one.
 const MAX_EVENT_INTERVAL: Duration = Duration::from_millis(1_200);
 
-/// Events after which text is kept in the journal. Half as many are lost on average when an owner dies, and a step that is whole
-/// after 6.3 s of 8.2 s bears little beside the time until the next owner goes on.
+/// Number of events after which partial text is saved in the journal.
 const EVENTS_PER_PROGRESS: u64 = 8;
 
-/// Takes the events of one run into the text.
+/// Reads the events of one run into the text.
 pub(super) async fn follow_stream(
     context: &RunContext,
     index: usize,
@@ -92,7 +92,8 @@
     }
 }
 
-/// Adds one event to the text; an event that does not follow or has unfit weights ends the run.
+/// Appends one event to the text; ends the run if the event is out of sequence or its weights are
+/// unsuitable.
 fn append_event(
     context: &RunContext,
     instance: &Instance,
--- a/crates/front/src/job/text_reuse.rs
+++ b/crates/front/src/job/text_reuse.rs
@@ -1,4 +1,4 @@
-//! Texts on their way from ended jobs to a later one that has their items again.
+//! Transfers texts from ended jobs to a later job that repeats their items.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -18,11 +18,11 @@
 use super::registry::JobRegistry;
 use super::unfinished::{TextRequest, UnfinishedItems};
 
-/// How long a new job waits for texts of earlier ones. Its own acceptance takes 40 ms to 80 ms; a front that does not answer
-/// must not hold the job up for longer.
+/// Time for which a new job waits for texts of earlier jobs; an unresponsive front must not delay
+/// the job longer.
 const COLLECT_TIMEOUT: Duration = Duration::from_millis(120);
 
-/// What waits for a later job of its model.
+/// Unfinished items of an ended job that wait for a later job of the same model.
 pub(super) struct UnfinishedEntry {
     tenant: String,
     model: String,
@@ -31,7 +31,7 @@
 }
 
 impl JobRegistry {
-    /// Keeps what an ended job left behind until a later job takes it or its time is over.
+    /// Keeps the unfinished items of an ended job until a later job requests them or they expire.
     pub(super) async fn keep_unfinished(&self, unfinished: UnfinishedItems) {
         let (takers, receiver) = mpsc::unbounded_channel();
         let entry = UnfinishedEntry {
@@ -47,7 +47,7 @@
         lock(&self.shared.unfinished).retain(|entry| !entry.takers.is_closed());
     }
 
-    /// The texts that earlier jobs left behind here for a job that was accepted somewhere.
+    /// Returns the texts of ended jobs at this node for a job that was accepted at any node.
     pub(super) async fn take_kept_texts(&self, request: TakeKeptTexts) -> KeptTexts {
         let TakeKeptTexts {
             model,
@@ -76,18 +76,18 @@
         });
         let mut texts = Vec::new();
         for answer in answers {
-            // An entry whose time was just over answers nothing.
+            // An entry that has just expired drops the request.
             texts.extend(answer.await.unwrap_or_default());
         }
         KeptTexts { texts }
     }
 
-    /// Asks all fronts for the texts that earlier jobs left behind for a new one.
+    /// Requests the texts of ended jobs for a new job from all fronts.
     pub(super) fn collect_kept_texts(&self, spec: &JobSpec) -> BoxFuture<'static, Vec<KeptText>> {
         let request = TakeKeptTexts {
             model: spec.model.clone(),
             min_version: spec.min_version,
-            // The trainer puts what comes back first, and it is half of the job at most.
+            // Trainers put repeated items first, and these are at most half of a job.
             items: possibly_returned_items(spec).map(str::to_owned).collect(),
             train_step: spec.train_step,
             tenant: spec.tenant.clone(),
@@ -122,7 +122,8 @@
     }
 }
 
-/// Texts out of another front's answer; none if it is damaged, as they can be made again.
+/// Decompresses the texts in another front's answer; returns none if the answer is corrupt, as the
+/// texts can be generated again.
 fn decompress_texts(compressed: &[u8]) -> Vec<KeptText> {
     let plain = decompress(compressed).map_err(|error| error.to_string());
     let texts =
@@ -136,7 +137,7 @@
     }
 }
 
-/// Items that may have come back from an earlier job.
+/// Returns the items that may repeat those of an earlier job.
 fn possibly_returned_items(spec: &JobSpec) -> impl Iterator<Item = &str> {
     let half = spec.items.len().div_ceil(2);
     spec.items[..half].iter().map(|item| item.id.as_str())
--- a/crates/front/src/job/trainer_steps.rs
+++ b/crates/front/src/job/trainer_steps.rs
@@ -1,18 +1,18 @@
-//! The newest step of each trainer, and which weights its next job will allow.
+//! Latest step of each trainer, and the weights that its next job is expected to allow.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// Weight version that an instance has from its start: a bound of it says nothing of how the bound moves.
+/// Weight version of an instance at its start.
 const INITIAL_VERSION: u64 = 1;
 
-/// The newest step of each model that was accepted anywhere, as far as this front was told. Cheap to clone.
+/// Latest step of each model that any front has reported as accepted. Cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub struct NewestSteps {
     steps: Arc<Mutex<HashMap<String, NewestStep>>>,
 }
 
-/// A step and the oldest weight version that its job allows.
+/// Step and the oldest weight version that its job allows.
 #[derive(Debug, Clone, Copy)]
 struct NewestStep {
     step: u64,
@@ -20,7 +20,7 @@
 }
 
 impl NewestSteps {
-    /// Notes that the job of a step was accepted.
+    /// Records that the job of a step was accepted.
     pub fn record(&self, model: &str, step: u64, min_version: u64) {
         let mut steps = self.lock();
         let is_older = |known: &NewestStep| known.step >= step;
@@ -29,8 +29,9 @@
         }
     }
 
-    /// The oldest weight version that the next job of a model is expected to allow: the bound rises by one with each step, once
-    /// it has left the first version. `known` is the bound of a job that is known to be accepted.
+    /// Returns the oldest weight version that the next job of a model is expected to allow. Assumes
+    /// that the minimum rises by one with each step once it exceeds the initial version. `known` is
+    /// the minimum of a job that is known to be accepted.
     pub fn next_min_version(&self, model: &str, known: u64) -> u64 {
         let newest = self.lock().get(model).copied();
         let bound = newest.map_or(known, |newest| newest.min_version.max(known));
--- a/crates/front/src/job/unfinished.rs
+++ b/crates/front/src/job/unfinished.rs
@@ -1,7 +1,9 @@
-//! What an ended job leaves behind for a later one: a trainer brings groups that were not whole back under the same ids.
+//! Unfinished items of an ended job, kept for a later job: a trainer submits incomplete groups
+//! again under the same ids.
 //!
-//! Their runs go on past the end of the job, and those whose weights the later job will not allow begin anew under newer ones, so
-//! that the later job, wherever it is accepted, starts from what there is by then. Long texts take most of the time of a step.
+//! Their runs continue after the end of the job. Items whose weights the later job will not allow
+//! restart with newer ones, so that the later job can resume from partial texts at whichever front
+//! accepts it.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
@@ -20,30 +22,30 @@
 use super::text::ItemText;
 use crate::backend::Demand;
 
-/// How long requests may be sent for items of an ended job. Platforms forbid it from some time after the end was
-/// confirmed, 3 s on the strictest; the rest is for a request that is slow on its way.
+/// Time after the end of a job during which requests may be sent for its items; platforms forbid it
+/// 3 s after the end was confirmed.
 const SEND_GRACE: Duration = Duration::from_millis(2_000);
 
-/// How long an ended job's texts are kept. A trainer asks for its next step within one step's time of the end, 4 s to 8 s.
+/// Time for which the texts of an ended job are kept; covers the time until a trainer's next step.
 const RETENTION: Duration = Duration::from_secs(10);
 
-/// Trainers read about twice a second: what was listed this long before the end may not have been read.
+/// Results listed less than this time before the end may not have been read by the trainer.
 const TRAINER_READ_INTERVAL: Duration = Duration::from_millis(800);
 
-/// Pause before an item that found no instance is tried again.
+/// Pause before an item is retried that found no instance.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// What a later job asks of what earlier ones left behind.
+/// Request of a later job for texts of earlier jobs.
 pub(super) struct TextRequest {
-    /// Oldest weight version that may have made the texts.
+    /// Oldest weight version that may have generated the texts.
     pub min_version: u64,
-    /// The later job's items.
+    /// Items of the later job.
     pub items: Arc<HashSet<String>>,
-    /// Gets the texts.
+    /// Receives the texts.
     pub answer: oneshot::Sender<Vec<KeptText>>,
 }
 
-/// Items of groups that were not whole when their job ended, and their runs.
+/// Items of groups that were incomplete at the end of their job, with their runs.
 pub(super) struct UnfinishedItems {
     /// Tenant of the job.
     pub tenant: String,
@@ -54,32 +56,33 @@
     /// Oldest weight version that the job allowed.
     pub min_version: u64,
     job: Arc<Job>,
-    /// Items that are likely to come back.
+    /// Items that a later job is likely to repeat.
     candidates: Vec<JobItem>,
-    /// What there is of each item without a result: of an item that began anew, also what was made of it before.
+    /// Texts of each item without a result; a restarted item may have several.
     texts: HashMap<String, Vec<KeptText>>,
     runs: JoinSet<(usize, RunOutcome)>,
-    /// The items of the runs, by the number that a run goes by.
+    /// Items of the runs, by run number.
     running: HashMap<usize, RunningItem>,
     stop: watch::Sender<bool>,
     window: SendWindow,
-    /// Starts runs anew; `None` while no route takes them.
+    /// Context for restarted runs; `None` while no route matches.
     context: Option<Arc<RunContext>>,
 }
 
-/// A run under way.
+/// Run in progress.
 struct RunningItem {
     id: String,
     handle: AbortHandle,
-    /// Weight version under which its text began; `None` before the first event.
+    /// Weight version of the first event; `None` before that event.
     first_version: Option<u64>,
 }
 
 impl Owner {
-    /// Splits off the items that a later job may have again, with their runs; all other runs are ended. `None` if there are none.
+    /// Splits off the items that a later job may repeat, with their runs, and aborts all other
+    /// runs. Returns `None` if there are no such items.
     ///
-    /// Nothing is left behind by a job that was found ended, as when its log is taken over to be read: how long ago its end was
-    /// confirmed is not known.
+    /// Also returns `None` for a job that had already ended when its log was taken over, because
+    /// the time of its end is unknown.
     pub(super) fn split_off_unfinished(&mut self) -> Option<UnfinishedItems> {
         let Some(end_requested_at) = self.end_requested_at else {
             self.runs.abort_all();
@@ -87,7 +90,7 @@
         };
         self.window.close_at(end_requested_at + SEND_GRACE);
         let spec = self.job.state().spec().cloned();
-        // Only trainers, who wait for groups, bring items back.
+        // Only trainers, whose jobs set `desired_groups`, repeat items.
         let Some(spec) = spec.filter(|spec| spec.desired_groups > 0) else {
             self.runs.abort_all();
             return None;
@@ -111,7 +114,8 @@
                 handle.abort();
             }
         }
-        // Made first: new runs stop when those that are under way do.
+        // Built before `self.stop` is replaced, so that restarted runs stop together with those in
+        // progress.
         let context = self.run_context(&spec);
         let candidate_items = candidates.iter().map(|index| spec.items[*index].clone());
         Some(UnfinishedItems {
@@ -130,8 +134,8 @@
         })
     }
 
-    /// Items of groups that the trainer has not read as whole, as far as that can be told: they lack a result, or the last one was
-    /// listed just before the end.
+    /// Returns the items of groups that the trainer has probably not read completely: an item lacks
+    /// a result, or its result was listed shortly before the end.
     fn unread_items(&self, spec: &JobSpec, end_requested_at: Instant) -> Vec<usize> {
         let state = self.job.state();
         let cutoff = end_requested_at.checked_sub(TRAINER_READ_INTERVAL);
@@ -151,7 +155,8 @@
         groups.into_values().filter(is_unread).flatten().collect()
     }
 
-    /// Texts without a result: whole too late to be listed, or kept in the log.
+    /// Returns the texts of items without a result: completed too late to be listed, or saved in
+    /// the log.
     fn unlisted_texts(&self, spec: &JobSpec, items: &[usize]) -> HashMap<String, Vec<KeptText>> {
         let state = self.job.state();
         let text_of = |index: &usize| {
@@ -166,28 +171,29 @@
     }
 }
 
-/// How many results there were at which time.
+/// Number of results over time.
 #[derive(Debug, Default)]
 pub(super) struct ListingHistory {
     counts: Vec<(Instant, usize)>,
 }
 
 impl ListingHistory {
-    /// Notes the number of results now.
+    /// Records the current number of results.
     pub fn record(&mut self, results: usize) {
         if self.counts.last().is_none_or(|(_, last)| *last < results) {
             self.counts.push((Instant::now(), results));
         }
     }
 
-    /// Results that were listed by `time`.
+    /// Returns the number of results that were listed by `time`.
     pub fn listed_before(&self, time: Instant) -> usize {
         let before = self.counts.iter().take_while(|(at, _)| *at <= time);
         before.last().map_or(0, |(_, results)| *results)
     }
 }
 
-/// The text of a listed result; its lines stand for its events, as nothing goes on after it.
+/// Returns the text of a listed result. Its lines are counted as events, which suffices because
+/// nothing continues the text.
 fn kept_text_from_result(item: &JobItem, result: &JobResult) -> Option<KeptText> {
     if result.state != ResultState::COMPLETED {
         return None;
@@ -209,7 +215,7 @@
     })
 }
 
-/// Whether a text may be used where `min_version` is the oldest allowed.
+/// Returns whether all weight versions of a text are at least `min_version`.
 fn is_allowed(text: &KeptText, min_version: u64) -> bool {
     are_allowed(&text.weight_versions, min_version)
 }
@@ -218,7 +224,7 @@
     versions.iter().all(|version| *version >= min_version)
 }
 
-/// The text that is the furthest of those that may be used.
+/// Returns the most advanced of the allowed texts.
 fn best_allowed_text(texts: Vec<KeptText>, min_version: u64) -> Option<KeptText> {
     let allowed = texts
         .into_iter()
@@ -227,8 +233,8 @@
 }
 
 impl UnfinishedItems {
-    /// Goes on until a later job takes the texts, or for the time that they are kept. That job is expected to allow `min_version`
-    /// and newer weights.
+    /// Continues the runs until a later job requests the texts or they expire. That job is expected
+    /// to allow weights from `min_version` on.
     pub async fn run_until_requested(
         mut self,
         min_version: u64,
@@ -255,7 +261,7 @@
         }
     }
 
-    /// Begins items anew whose text the later job will not allow, and those that have none.
+    /// Restarts items without a text that the later job is expected to allow.
     fn restart_outdated(&mut self, min_version: u64) {
         let Some(context) = &self.context else {
             return;
@@ -282,7 +288,7 @@
             first_versions: FirstVersions::default(),
             ..context.as_ref().clone()
         });
-        // Numbers of the new runs follow those of the job's items.
+        // The numbers of restarted runs follow those of the runs in progress.
         let first = self.running.keys().max().map_or(0, |number| number + 1);
         for (index, item) in context.spec.items.iter().enumerate() {
             self.abort_run(&item.id);
@@ -346,7 +352,7 @@
         }
     }
 
-    /// Stops all runs and hands the texts over that the taker may use.
+    /// Stops all runs and sends the texts that the later job can use.
     async fn hand_over(mut self, taker: TextRequest) {
         self.stop.send_replace(true);
         self.window.close_at(Instant::now());
@@ -367,7 +373,7 @@
 }
 
 impl UnfinishedItems {
-    /// What there is of each of the taker's items that this job had too.
+    /// Returns the best text of each requested item that this job has.
     fn texts_for(&mut self, taker: &TextRequest) -> Vec<KeptText> {
         let job = Arc::clone(&self.job);
         let state = job.state();
@@ -388,7 +394,7 @@
     }
 }
 
-/// A job without its items.
+/// Copies a job's specification without its items.
 fn spec_without_items(spec: &JobSpec) -> JobSpec {
     JobSpec {
         job: spec.job.clone(),
@@ -403,7 +409,7 @@
     }
 }
 
-/// Runs an item on the first instance that has room and weights that are new enough.
+/// Runs an item on the first instance with free capacity and weights that are new enough.
 async fn run_from_start(context: Arc<RunContext>, index: usize) -> RunOutcome {
     let mut stop = context.stop.clone();
     while context.window.is_open() && !*stop.borrow() {
--- a/crates/front/tests/activity.rs
+++ b/crates/front/tests/activity.rs
@@ -1,10 +1,10 @@
-//! Changes are followed closely only while something works with them.
+//! Polling is fast only while work is in progress.
 
 use std::time::Duration;
 
 use ladderstage_front::activity::Activity;
 
-/// Longer than any test.
+/// Longer than any test takes.
 const NEVER: Duration = Duration::from_secs(3_600);
 
 #[tokio::test(start_paused = true)]
--- a/crates/front/tests/group_listing.rs
+++ b/crates/front/tests/group_listing.rs
@@ -1,4 +1,4 @@
-//! Which results of a step are listed when, and what that is worth to a trainer that reads twice a second.
+//! Listing of a step's results by groups, and its effect on a trainer that polls twice a second.
 
 use std::time::Duration;
 
@@ -7,13 +7,13 @@
 use ladderstage_wire::messages::{JobItem, JobSpec};
 use proptest::prelude::*;
 
-/// Between two reads of a trainer that is answered at once.
+/// Pause of a trainer after a read that returned at once, in milliseconds.
 const READ_PAUSE_MS: u64 = 500;
 
-/// Longest time that a read is held.
+/// Longest blocking read, in milliseconds.
 const LONGEST_HOLD_MS: u64 = 1_000;
 
-/// When the results of a step are due.
+/// Time at which the results of a step are due, in milliseconds.
 const DUE_MS: u64 = 7_500;
 
 fn step(groups: usize, size: usize, wanted: u32) -> JobSpec {
@@ -29,7 +29,7 @@
     }
 }
 
-/// When the items of a step are listed, in milliseconds, where they are done at `done_ms`.
+/// Returns when the items of a step are listed, in milliseconds, given when they are done.
 fn listed_at(spec: &JobSpec, due: Option<u64>, done_ms: &[u64]) -> Vec<Option<u64>> {
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
@@ -47,7 +47,8 @@
     listed
 }
 
-/// When a trainer ends a step: it looks whether enough groups are whole each half second, or as soon as a longer read is answered.
+/// Returns when a trainer ends a step: it checks for enough complete groups every half second, or
+/// when a longer blocking read returns.
 fn ended_at(spec: &JobSpec, listed: &[Option<u64>], offset: u64) -> u64 {
     let mut read = offset;
     let mut known = 0;
@@ -78,7 +79,8 @@
     groups.into_values().filter(|is_whole| *is_whole).count()
 }
 
-/// Texts of which one in forty is as long as texts get, the others a fifth of that on average.
+/// Returns completion times of which one in forty is close to the maximum and the others average a
+/// seventh of it.
 fn done_times(spec: &JobSpec, seed: u64) -> Vec<u64> {
     let mut state = seed | 1;
     let mut random = || {
@@ -100,8 +102,8 @@
         .collect()
 }
 
-/// The step of a trainer that waits for 26 groups of 28: read one by one as they end, the results told it of the last group 0.65 s
-/// late on average; listed by groups, 0.3 s at most.
+/// Guards against listing results one by one, with which the trainer notices its last group more
+/// than 0.5 s late instead of less than 0.3 s.
 #[test]
 fn a_trainer_hears_of_its_last_group_sooner() {
     let spec = step(28, 8, 26);
@@ -130,7 +132,8 @@
 fn groups_are_listed_whole_and_at_once_when_enough_are() {
     let spec = step(3, 2, 2);
     let listed = listed_at(&spec, Some(DUE_MS), &[100, 300, 200, 9_000, 400, 500]);
-    // Two groups are whole at 500 ms. The third is past the time when results are due: its first item is listed then.
+    // Two groups are complete at 500 ms. The third one misses the due time, at which its first item
+    // is listed.
     assert_eq!(listed[..2], [Some(500); 2]);
     assert_eq!(listed[4..], [Some(500); 2]);
     assert_eq!(listed[2], Some(DUE_MS - 150));
@@ -167,7 +170,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, cases: 24, ..ProptestConfig::default() })]
 
-    /// Every result is listed once: not before it is there, and a second after its group is whole or when it is due at the latest.
+    /// Every result is listed once, after it arrives and no later than the due time or a second
+    /// after its group is complete.
     #[test]
     fn every_result_is_listed_in_time(
         groups in 1_usize..6,
--- a/crates/front/tests/item_text.rs
+++ b/crates/front/tests/item_text.rs
@@ -1,4 +1,4 @@
-//! Text kept in the journal piece by piece is the text that was made.
+//! Text that is saved in the journal in parts equals the generated text.
 
 use ladderstage_front::job::{EntryQueue, Event, ItemText, JobState, encode_entry};
 use ladderstage_wire::messages::mod_JobEntry::OneOfkind as EntryKind;
@@ -34,7 +34,7 @@
 }
 
 proptest! {
-    /// Whatever the points at which progress is kept, and whichever entries are appended twice, the result is whole.
+    /// The result is complete at any split into saved parts, also if entries are appended twice.
     #[test]
     fn kept_pieces_join_to_the_whole_text(
         pieces in prop::collection::vec((1u64..6, any::<bool>()), 1..8),
@@ -157,7 +157,7 @@
     assert!(state.item(ITEM).unwrap().body.is_empty());
 }
 
-/// A run may complete at the moment at which its job is ended: its last progress is not kept then.
+/// Guards against listing a run that completes while its job ends without its last progress.
 #[test]
 fn no_result_follows_the_end_without_its_progress() {
     let mut text = ItemText::default();
--- a/crates/front/tests/log_digest.rs
+++ b/crates/front/tests/log_digest.rs
@@ -1,4 +1,4 @@
-//! A log that its owner takes again, against what the owner knew.
+//! Comparison of a log that was taken over again with its owner's digest.
 
 use ladderstage_front::job::{FoundLog, LogDigest};
 use ladderstage_wire::messages::LogEntry;
@@ -23,7 +23,7 @@
 }
 
 proptest! {
-    /// Whatever another owner wrote, its log is not taken for the known one.
+    /// A log with entries of another owner is never mistaken for the known one.
     #[test]
     fn a_log_with_another_owners_entries_is_another_one(
         known in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..4), 0..5),
--- a/crates/front/tests/pace.rs
+++ b/crates/front/tests/pace.rs
@@ -1,4 +1,4 @@
-//! When a run is moved to a faster instance.
+//! Migration of runs to faster instances, and the related timeouts.
 
 use std::time::Duration;
 
@@ -28,15 +28,14 @@
     assert!(!is_move_worthwhile(43.0, 39.0, 100), "hardly slower");
 }
 
-/// Found by a test that failed once under load: runs of a millisecond an event were moved back and forth.
+/// Guards against moving runs with very short event intervals back and forth.
 #[test]
 fn a_run_stays_where_a_move_saves_less_than_it_costs() {
     assert!(!is_move_worthwhile(4.0, 1.0, 4));
     assert!(!is_move_worthwhile(2.0, 1.0, 40));
 }
 
-/// Found in the logs of a day: of two free instances the rest of a long text got the idle one, which was a third slower, so that
-/// moving there did not pay, and the text stayed where it was.
+/// Guards against choosing an idle but slower instance for the remainder of a long text.
 #[test]
 fn the_rest_of_a_long_text_goes_to_the_fastest_instance_with_room() {
     let instance = |load, pace_ms| Candidate {
@@ -53,7 +52,7 @@
     assert_eq!(choose(&full, remaining_demand(24), 0), Some(0));
 }
 
-/// Found in the logs of a day: items of 6.3 s waited 2.5 s at an instance that hung, and their steps were late.
+/// Guards against waiting too long for the first event at an instance that hangs.
 #[test]
 fn the_first_event_is_awaited_for_about_as_long_as_it_takes() {
     let wait_ms = |pace_ms| first_event_timeout(pace_ms).as_millis();
@@ -63,15 +62,15 @@
     assert_eq!(wait_ms(None), 2_500);
 }
 
-/// Found in the logs of a day: runs of 48 ms an event were moved "against 29 ms", as the paces of instances were taken from single
-/// pairs of events, which a busy front often reads together.
+/// Guards against measuring too short event intervals when a busy front reads several events at
+/// once.
 #[test]
 fn events_that_are_read_together_do_not_make_an_instance_look_fast() {
     let start = Instant::now();
     let mut intervals = EventIntervals::default();
     let paces: Vec<f64> = (0..41)
         .filter_map(|event| {
-            // Made each 48 ms, and read two at a time.
+            // Events are generated every 48 ms and read two at a time.
             let read_at = (event + event % 2) * 48;
             intervals.add_event(start + Duration::from_millis(read_at))
         })
@@ -83,8 +82,7 @@
     );
 }
 
-/// Found in the logs of a day: items that an instance had let hang for 1.1 s waited another second for a slot, as each slot that was
-/// free went to an item that had not begun.
+/// Guards against starving an interrupted text: new items would take every slot that becomes free.
 #[test]
 fn a_text_that_was_cut_waits_behind_others_where_no_slot_is_free() {
     let instance = |load, pace_ms| Candidate {
@@ -103,8 +101,7 @@
     assert_eq!(choose(&others_wait, Demand::CutBatch, 0), None);
 }
 
-/// Found in the logs of a day: a text at an instance that turned three times slower after a hundred events went on there to its end,
-/// as the mean over the whole run hardly rose.
+/// Guards against hiding a late slowdown of an instance in the mean over the complete run.
 #[test]
 fn a_run_leaves_an_instance_that_turns_slow_however_fast_it_was_before() {
     let start = Instant::now();
@@ -132,7 +129,7 @@
     let start = Instant::now();
     let mut intervals = EventIntervals::default();
     for event in 1..=60_u64 {
-        // Nothing is read for a quarter of a second, then what had come meanwhile.
+        // Nothing is read for 250 ms, then all pending events at once.
         let read_at = if (30..35).contains(&event) {
             35 * 50
         } else {
--- a/crates/front/tests/trainer_steps.rs
+++ b/crates/front/tests/trainer_steps.rs
@@ -1,4 +1,4 @@
-//! Which weights the next job of a trainer is expected to allow.
+//! Weights that the next job of a trainer is expected to allow.
 
 use ladderstage_front::job::NewestSteps;
 
