--- a/crates/front/src/job/events.rs
+++ b/crates/front/src/job/events.rs
@@ -21,7 +21,7 @@
 
 /// Error: the bytes are not a valid event.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("not an event: {0}")]
+#[error("invalid event: {0}")]
 pub struct EventError(String);
 
 /// Largest incomplete event that is buffered, in bytes.
@@ -53,7 +53,7 @@
         }
         self.buffer.drain(..start);
         if self.buffer.len() > EVENT_LIMIT {
-            return Err(EventError("too long".to_owned()));
+            return Err(EventError("event exceeds the size limit".to_owned()));
         }
         Ok(events)
     }
@@ -70,7 +70,7 @@
         let mut data: Option<String> = None;
         for line in text.lines() {
             let Some((field, value)) = line.split_once(':') else {
-                return Err(EventError(format!("line without a field: {line:.40}")));
+                return Err(EventError(format!("line without a field name: {line:.40}")));
             };
             let value = value.strip_prefix(' ').unwrap_or(value);
             match field {
@@ -86,8 +86,8 @@
                 _ => {}
             }
         }
-        let id = id.ok_or_else(|| EventError("no id".to_owned()))?;
-        let data = data.ok_or_else(|| EventError("no data".to_owned()))?;
+        let id = id.ok_or_else(|| EventError("event without an id".to_owned()))?;
+        let data = data.ok_or_else(|| EventError("event without data".to_owned()))?;
         Ok(Event { id, data, version })
     }
 }
--- a/crates/front/src/job/locating.rs
+++ b/crates/front/src/job/locating.rs
@@ -140,7 +140,7 @@
     async fn locate(&self, id: &str) -> Result<Location, ReadError> {
         if let Some(job) = self.local(id) {
             if job.state().spec().is_none() {
-                return Err(unavailable("being accepted"));
+                return Err(unavailable("the job is still being accepted"));
             }
             return Ok(Location::Local(job));
         }
--- a/crates/front/src/job/migration.rs
+++ b/crates/front/src/job/migration.rs
@@ -107,7 +107,7 @@
             .pace_ms
             .unwrap_or(typical);
         let pays = is_move_worthwhile(self.expected_interval_ms(whole, theirs), theirs, remaining);
-        pays.then(|| format!("slow: {own:.0} ms an event against {theirs:.0}"))
+        pays.then(|| format!("slow: {own:.0} ms per event, {theirs:.0} ms at another instance"))
     }
 
     /// Returns the expected event interval of the remaining run in milliseconds: the mean of the
--- a/crates/front/src/job/peer_handler.rs
+++ b/crates/front/src/job/peer_handler.rs
@@ -98,7 +98,7 @@
                 }
                 ResponseKind::done(Done {})
             }
-            _ => refused(Reason::MALFORMED, "not a job request"),
+            _ => refused(Reason::MALFORMED, "request does not concern jobs"),
         };
         Response { kind }
     }
@@ -222,7 +222,7 @@
             };
             Refused {
                 reason,
-                detail: "no such job here".to_owned(),
+                detail: "this node does not own the job".to_owned(),
                 retry_after_ms: 0,
             }
         })
--- a/crates/front/src/job/peer_requests.rs
+++ b/crates/front/src/job/peer_requests.rs
@@ -42,7 +42,7 @@
     match answer {
         ResponseKind::job_results(results) => Ok(results),
         ResponseKind::compressed_job_results(compressed) => decompress_results(&compressed),
-        _ => Err(unavailable("another answer than asked for")),
+        _ => Err(unavailable("unexpected kind of answer")),
     }
 }
 
@@ -51,7 +51,7 @@
     match answer {
         ResponseKind::job_body(body) if body.found => Ok(body.body),
         ResponseKind::job_body(_) => Err(ReadError::NotFound),
-        _ => Err(unavailable("another answer than asked for")),
+        _ => Err(unavailable("unexpected kind of answer")),
     }
 }
 
@@ -59,6 +59,6 @@
 pub(super) fn done_from(answer: ResponseKind) -> Result<(), ReadError> {
     match answer {
         ResponseKind::done(_) => Ok(()),
-        _ => Err(unavailable("another answer than asked for")),
+        _ => Err(unavailable("unexpected kind of answer")),
     }
 }
--- a/crates/front/src/job/preferred_owner.rs
+++ b/crates/front/src/job/preferred_owner.rs
@@ -45,23 +45,23 @@
         // The body is sent to another front only if the allowed regions permit it. Locally, a job
         // that was accepted before is found without its body.
         let may_leave = self.check_regions(&spec).is_ok();
-        let Some(home) = self.preferred_owner_of(&spec).filter(|_| may_leave) else {
+        let Some(owner) = self.preferred_owner_of(&spec).filter(|_| may_leave) else {
             return self.accept_here(spec).await;
         };
         let id = spec.job.clone();
-        match self.accept_remotely(&home, spec.clone()).await {
+        match self.accept_remotely(&owner, spec.clone()).await {
             RemoteAccept::Accepted => {
-                log::info!("event=job_accepted_at_home job={id} home={home}");
-                let known_owner = (home, Instant::now());
+                log::info!("event=job_accepted_at_home job={id} home={owner}");
+                let known_owner = (owner, Instant::now());
                 lock(&self.shared.owners).insert(id, known_owner);
                 Ok(())
             }
             RemoteAccept::NotKept(cause) => {
-                log::warn!("event=job_home_refused job={id} home={home} cause=\"{cause}\"");
+                log::warn!("event=job_home_refused job={id} home={owner} cause=\"{cause}\"");
                 self.accept_here(spec).await
             }
             RemoteAccept::InDoubt(cause) => {
-                log::warn!("event=job_home_in_doubt job={id} home={home} cause=\"{cause}\"");
+                log::warn!("event=job_home_in_doubt job={id} home={owner} cause=\"{cause}\"");
                 // The preferred owner may still run the job, whatever the local outcome.
                 self.accept_here(spec).await.map_err(|error| match error {
                     AcceptError::NotKept(cause) => AcceptError::InDoubt(cause),
@@ -87,11 +87,11 @@
         preferred_owner_in_region(&own, &fronts, model, step, |front| nodes.distance_to(front))
     }
 
-    async fn accept_remotely(&self, home: &str, spec: JobSpec) -> RemoteAccept {
+    async fn accept_remotely(&self, owner: &str, spec: JobSpec) -> RemoteAccept {
         let kind = RequestKind::accept_job(AcceptJob { spec: Some(spec) });
         let nodes = &self.context.nodes;
         let answer = nodes
-            .call(home, Request { kind }, REMOTE_ACCEPT_TIMEOUT)
+            .call(owner, Request { kind }, REMOTE_ACCEPT_TIMEOUT)
             .await;
         match answer.map(|response| response.kind) {
             Ok(ResponseKind::done(_)) => RemoteAccept::Accepted,
@@ -100,7 +100,7 @@
             {
                 RemoteAccept::NotKept(refused.detail)
             }
-            Ok(_) => RemoteAccept::InDoubt("another answer than asked for".to_owned()),
+            Ok(_) => RemoteAccept::InDoubt("unexpected kind of answer".to_owned()),
             Err(CallError::NotSent(cause)) => RemoteAccept::NotKept(cause),
             Err(error) => RemoteAccept::InDoubt(error.to_string()),
         }
@@ -109,13 +109,13 @@
     /// Accepts a job that another front forwarded.
     pub(super) async fn handle_accept(&self, request: AcceptJob) -> ResponseKind {
         let Some(spec) = request.spec else {
-            return refused(Reason::MALFORMED, "no job");
+            return refused(Reason::MALFORMED, "request without a job");
         };
         if self.context.nodes.is_leaving() {
-            return refused(Reason::LEAVING, "this front stops");
+            return refused(Reason::LEAVING, "this front is stopping");
         }
         if self.is_cut_off() {
-            return refused(Reason::NOT_READY, "cut off from the journal");
+            return refused(Reason::NOT_READY, "the journal is unreachable");
         }
         match self.accept_here(spec).await {
             Ok(()) => ResponseKind::done(Done {}),
--- a/crates/front/src/job/reading.rs
+++ b/crates/front/src/job/reading.rs
@@ -84,12 +84,12 @@
     if !job.send(Command::End(answer)) {
         return match job.state().is_ended() {
             true => Ok(()),
-            false => Err(unavailable("the owner has stopped")),
+            false => Err(unavailable("the job's owner has stopped")),
         };
     }
     match tokio::time::timeout(COMMIT_TIMEOUT, ended).await {
         Ok(Ok(())) => Ok(()),
-        _ => Err(unavailable("the end is not committed yet")),
+        _ => Err(unavailable("the end of the job is not committed yet")),
     }
 }
 
--- a/crates/front/src/job/region_bounds.rs
+++ b/crates/front/src/job/region_bounds.rs
@@ -17,13 +17,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum OutOfBounds {
     /// No route matches the job, so its allowed regions are unknown.
-    #[error("no route takes it")]
+    #[error("no route matches the job")]
     NoRoute,
     /// The route and the tenant have no allowed region in common.
-    #[error("no region is allowed")]
+    #[error("route and tenant allow no common region")]
     Nowhere,
     /// A node lies outside the allowed regions.
-    #[error("node {node} in {region} is outside {allowed}")]
+    #[error("node {node} in {region} is outside the allowed regions {allowed}")]
     Node {
         /// Name of the node.
         node: String,
@@ -33,7 +33,7 @@
         allowed: AllowedRegions,
     },
     /// The record of a replica's node is missing, so its region is unknown.
-    #[error("replica {node} is not known, allowed {allowed}")]
+    #[error("replica {node} has no known region, allowed regions: {allowed}")]
     UnknownReplica {
         /// Name of the replica's node.
         node: String,
@@ -41,13 +41,13 @@
         allowed: AllowedRegions,
     },
     /// The replica set is unknown.
-    #[error("the replicas are not known, allowed {allowed}")]
+    #[error("the replica set is unknown, allowed regions: {allowed}")]
     UnknownReplicas {
         /// Allowed regions.
         allowed: AllowedRegions,
     },
     /// The service has instances, but none in the allowed regions.
-    #[error("no instance of {service} is in {allowed}")]
+    #[error("service {service} has no instance in the allowed regions {allowed}")]
     NoInstance {
         /// Name of the service.
         service: String,
@@ -62,7 +62,7 @@
 
 impl fmt::Display for RegionName {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str(self.0.as_deref().unwrap_or("no known region"))
+        formatter.write_str(self.0.as_deref().unwrap_or("an unknown region"))
     }
 }
 
--- a/crates/front/src/job/registry.rs
+++ b/crates/front/src/job/registry.rs
@@ -36,10 +36,10 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum AcceptError {
     /// This attempt has stored nothing of the job.
-    #[error("not kept: {0}")]
+    #[error("job not stored: {0}")]
     NotKept(String),
     /// The job may be stored.
-    #[error("in doubt: {0}")]
+    #[error("outcome unknown: {0}")]
     InDoubt(String),
 }
 
@@ -110,7 +110,7 @@
             Ok(Err(error)) => return Err(AcceptError::InDoubt(error.to_string())),
             Err(_) => {
                 return Err(AcceptError::NotKept(
-                    "the log was not sealed in time".to_owned(),
+                    "the takeover of the job's log timed out".to_owned(),
                 ));
             }
         };
@@ -276,7 +276,9 @@
     ) -> Result<JobResults, ReadError> {
         let results = read_local(job, after, wait).await;
         if !self.is_readable(job) {
-            return Err(unavailable("ownership is not confirmed"));
+            return Err(unavailable(
+                "no recent confirmation of this node's ownership",
+            ));
         }
         Ok(results)
     }
@@ -314,7 +316,7 @@
             }
         };
         let waited = tokio::time::timeout(COMMIT_TIMEOUT, accepted).await;
-        waited.map_err(|_| AcceptError::InDoubt("the commit takes too long".to_owned()))
+        waited.map_err(|_| AcceptError::InDoubt("the commit of the job timed out".to_owned()))
     }
 
     /// Becomes the owner of a job that is in the journal.
--- a/crates/front/src/job/relay.rs
+++ b/crates/front/src/job/relay.rs
@@ -48,7 +48,7 @@
         request: &RequestKind,
         wait: Duration,
     ) -> Result<ResponseKind, ReadError> {
-        let mut last = unavailable("cut off from the journal, and no other front is known");
+        let mut last = unavailable("the journal is unreachable and no other front is known");
         for front in self.relay_candidates() {
             let request = Request {
                 kind: request.clone(),
--- a/crates/front/src/job/run.rs
+++ b/crates/front/src/job/run.rs
@@ -198,7 +198,7 @@
     let end = tokio::select! {
         end = run_once(context, index, instance, partial) => end,
         // In a network partition the connection would stay silent until the next event times out.
-        () = instance.ended() => RunEnd::Broken("the instance was started again".to_owned()),
+        () = instance.ended() => RunEnd::Broken("the instance was restarted".to_owned()),
     };
     log_run(context, index, instance, partial, started, &end);
     context.metrics.note_sent("item", instance.distance());
@@ -319,7 +319,7 @@
         Ok(Err(error)) => return on_exchange_error(context, instance, &error),
         Err(_) => {
             instance.note_failure(Instant::now());
-            return RunEnd::Move("no answer in time".to_owned());
+            return RunEnd::Move("timed out waiting for the first event".to_owned());
         }
     };
     match reply.status {
--- a/crates/front/src/job/scoring.rs
+++ b/crates/front/src/job/scoring.rs
@@ -175,7 +175,11 @@
         let started = Instant::now();
         let _guard = instance.begin();
         let asked = tokio::time::timeout(self.route.timeout, self.ask(&instance)).await;
-        let late = || Err(ExchangeError::Broken("no answer in time".to_owned()));
+        let late = || {
+            Err(ExchangeError::Broken(
+                "timed out waiting for the answer".to_owned(),
+            ))
+        };
         Attempt {
             result: asked.unwrap_or_else(|_| late()),
             instance,
@@ -195,7 +199,7 @@
         }
         let stamp = headers.get(&names.response_stamp);
         let stamp = stamp.and_then(|stamp| stamp.to_str().ok());
-        let unsigned = || ExchangeError::Broken("unsigned answer".to_owned());
+        let unsigned = || ExchangeError::Broken("answer without a signature".to_owned());
         Ok(Answer::Scored(stamp.ok_or_else(unsigned)?.to_owned()))
     }
 
--- a/crates/front/src/job/state.rs
+++ b/crates/front/src/job/state.rs
@@ -40,10 +40,10 @@
 /// Decodes a log entry.
 fn decode_entry(entry: &LogEntry) -> Result<EntryKind, DecodeError> {
     let entry: JobEntry = decode(&entry.payload)?;
-    let EntryKind::compressed(compressed_entry) = entry.kind else {
+    let EntryKind::compressed(compressed_payload) = entry.kind else {
         return Ok(entry.kind);
     };
-    let plain = decompress(&compressed_entry).map_err(|error| DecodeError {
+    let plain = decompress(&compressed_payload).map_err(|error| DecodeError {
         message: "JobEntry",
         detail: error.to_string(),
     })?;
@@ -77,7 +77,7 @@
             EntryKind::compressed(_) => {
                 return Err(DecodeError {
                     message: "JobEntry",
-                    detail: "compressed_entry twice".to_owned(),
+                    detail: "entry is compressed twice".to_owned(),
                 });
             }
             EntryKind::None => {}
--- a/crates/front/src/job/stream.rs
+++ b/crates/front/src/job/stream.rs
@@ -46,11 +46,11 @@
         let frame = match tokio::time::timeout(limit, body.frame()).await {
             Err(_) => {
                 instance.note_failure(Instant::now());
-                return RunEnd::Move("no event in time".to_owned());
+                return RunEnd::Move("timed out waiting for an event".to_owned());
             }
             Ok(Some(Err(error))) => {
                 instance.note_failure(Instant::now());
-                return RunEnd::Broken(format!("cut: {error}"));
+                return RunEnd::Broken(format!("connection broken: {error}"));
             }
             Ok(Some(Ok(frame))) => frame,
             Ok(None) if is_framed && parser.is_at_boundary() => {
@@ -58,7 +58,7 @@
                 lease.give_back(keep_alive(&headers));
                 return RunEnd::Complete;
             }
-            Ok(None) => return RunEnd::Broken("ended without an end mark".to_owned()),
+            Ok(None) => return RunEnd::Broken("stream ended without an end marker".to_owned()),
         };
         let Ok(data) = frame.into_data() else {
             continue;
@@ -105,7 +105,10 @@
         .last_event()
         .is_some_and(|last| event.id != last + 1)
     {
-        return Err(RunEnd::Move(format!("event {} does not follow", event.id)));
+        return Err(RunEnd::Move(format!(
+            "event {} is out of sequence",
+            event.id
+        )));
     }
     let version = version.unwrap_or(0);
     let model = &context.spec.model;
