--- a/crates/front/src/activity.rs
+++ b/crates/front/src/activity.rs
@@ -59,11 +59,11 @@
         }
     }
 
-    /// Sleeps for `busy` while work is in progress and for up to `idle`, the longer time,
+    /// Sleeps for `busy_interval` while work is in progress and for up to `idle_interval`, the longer time,
     /// otherwise.
-    pub async fn pause(&self, busy: Duration, idle: Duration) {
-        tokio::time::sleep(busy).await;
-        let rest = idle.saturating_sub(busy);
+    pub async fn pause_until_next_poll(&self, busy_interval: Duration, idle_interval: Duration) {
+        tokio::time::sleep(busy_interval).await;
+        let rest = idle_interval.saturating_sub(busy_interval);
         let _ = tokio::time::timeout(rest, self.active()).await;
     }
 
--- a/crates/front/src/job/events.rs
+++ b/crates/front/src/job/events.rs
@@ -25,7 +25,7 @@
 pub struct EventError(String);
 
 /// Largest incomplete event that is buffered, in bytes.
-const EVENT_LIMIT: usize = 4 * 1024 * 1024;
+const MAX_EVENT_BYTES: usize = 4 * 1024 * 1024;
 
 impl EventParser {
     /// Creates a parser for streams that carry weight versions in `version_field`.
@@ -52,7 +52,7 @@
             start += end.0 + end.1;
         }
         self.buffer.drain(..start);
-        if self.buffer.len() > EVENT_LIMIT {
+        if self.buffer.len() > MAX_EVENT_BYTES {
             return Err(EventError("event exceeds the size limit".to_owned()));
         }
         Ok(events)
@@ -94,9 +94,9 @@
 
 /// Finds the next blank line; returns its position and the length of its line ends.
 fn find_blank_line(bytes: &[u8]) -> Option<(usize, usize)> {
-    let line_feeds = bytes.windows(2).position(|pair| pair == b"\n\n");
-    let with_returns = bytes.windows(4).position(|four| four == b"\r\n\r\n");
-    match (line_feeds, with_returns) {
+    let lf = bytes.windows(2).position(|pair| pair == b"\n\n");
+    let crlf = bytes.windows(4).position(|quad| quad == b"\r\n\r\n");
+    match (lf, crlf) {
         (Some(short), Some(long)) if long < short => Some((long, 4)),
         (Some(short), _) => Some((short, 2)),
         (None, Some(long)) => Some((long, 4)),
--- a/crates/front/src/job/group_listing.rs
+++ b/crates/front/src/job/group_listing.rs
@@ -25,7 +25,7 @@
     /// Number of items without a result, by group.
     missing: Vec<usize>,
     /// Items with results that are not listed yet, by group.
-    held: HashMap<usize, Vec<usize>>,
+    unlisted: HashMap<usize, Vec<usize>>,
     /// Number of groups that the trainer requires.
     desired: usize,
     /// Number of groups in which all items have results.
@@ -68,7 +68,7 @@
         let Some(group) = self.groups.get(index).copied() else {
             return;
         };
-        self.held.entry(group).or_default().push(index);
+        self.unlisted.entry(group).or_default().push(index);
         let missing = &mut self.missing[group];
         *missing = missing.saturating_sub(1);
         if *missing == 0 {
@@ -81,17 +81,17 @@
     pub fn drain_ready(&mut self, now: Instant) -> Vec<usize> {
         if self.due.is_none_or(|due| now >= due) {
             self.complete_since = None;
-            return self.held.drain().flat_map(|(_, items)| items).collect();
+            return self.unlisted.drain().flat_map(|(_, items)| items).collect();
         }
-        let is_enough = self.complete_groups >= self.desired;
-        let has_waited = self.list_at().is_some_and(|at| now >= at);
-        if !is_enough && !has_waited {
+        let has_enough_groups = self.complete_groups >= self.desired;
+        let is_wait_over = self.list_at().is_some_and(|at| now >= at);
+        if !has_enough_groups && !is_wait_over {
             return Vec::new();
         }
         self.complete_since = None;
         let missing = &self.missing;
         let mut ready = Vec::new();
-        self.held.retain(|group, items| {
+        self.unlisted.retain(|group, items| {
             let is_complete = missing[*group] == 0;
             if is_complete {
                 ready.append(items);
@@ -104,7 +104,7 @@
     /// Returns the latest time at which the held results are listed, or `None` if no listing is
     /// scheduled.
     pub fn list_at(&self) -> Option<Instant> {
-        let due = self.due.filter(|_| !self.held.is_empty());
+        let due = self.due.filter(|_| !self.unlisted.is_empty());
         let wait_ends = self.complete_since.map(|since| since + MAX_GROUP_WAIT);
         match (due, wait_ends) {
             (Some(due), Some(wait_ends)) => Some(due.min(wait_ends)),
--- a/crates/front/src/job/locating.rs
+++ b/crates/front/src/job/locating.rs
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Source {
     /// This node's cache; the job may have moved since.
-    Memory,
+    Cache,
     /// A majority of the journal's replicas, queried just now.
     Journal,
 }
@@ -74,7 +74,7 @@
                 Ok(answer) => return Ok(OwnerReply::Answer(answer)),
                 Err(AskError::Unavailable(error)) => return Err(error),
                 // The cached owner has been removed, so the next iteration queries the journal.
-                Err(_) if source == Source::Memory => {}
+                Err(_) if source == Source::Cache => {}
                 Err(AskError::NotOwner) => return self.adopt_or_delegate(id, request, wait).await,
                 Err(AskError::NotSent(error)) => return Err(error),
             }
@@ -144,9 +144,9 @@
             }
             return Ok(Location::Local(job));
         }
-        let remembered = lock(&self.shared.owners).get(id).cloned();
-        if let Some((node, _)) = remembered {
-            let source = Source::Memory;
+        let cached = lock(&self.shared.owners).get(id).cloned();
+        if let Some((node, _)) = cached {
+            let source = Source::Cache;
             return Ok(Location::Remote { node, source });
         }
         let described = self.context.journal.describe(&log_name(id)).await;
--- a/crates/front/src/job/migration.rs
+++ b/crates/front/src/job/migration.rs
@@ -45,8 +45,8 @@
     /// Records an event that has just arrived and updates the instance's event interval.
     pub(super) fn record_arrival(&mut self, instance: &Instance) {
         let now = Instant::now();
-        if let Some(pace_ms) = self.add_event(now) {
-            instance.note_pace(pace_ms, now);
+        if let Some(interval_ms) = self.add_event(now) {
+            instance.note_pace(interval_ms, now);
         }
     }
 
@@ -61,10 +61,10 @@
             return None;
         }
         let since = self.window_started_at.replace(now)?;
-        let taken = now.saturating_duration_since(since);
-        let pace_ms = taken.as_secs_f64() * 1e3 / f64::from(EVENTS_PER_WINDOW);
-        self.windows_ms = [Some(pace_ms), self.windows_ms[0]];
-        Some(pace_ms)
+        let elapsed = now.saturating_duration_since(since);
+        let interval_ms = elapsed.as_secs_f64() * 1e3 / f64::from(EVENTS_PER_WINDOW);
+        self.windows_ms = [Some(interval_ms), self.windows_ms[0]];
+        Some(interval_ms)
     }
 
     /// Returns the mean event interval of the last two windows in milliseconds, or `None` before
@@ -85,13 +85,13 @@
         if self.events <= MIN_EVENTS || self.events % EVENTS_PER_WINDOW != 0 {
             return None;
         }
-        let taken = self.last_at?.saturating_duration_since(self.first_at?);
-        let whole = taken.as_secs_f64() * 1e3 / f64::from(self.events - 1);
+        let elapsed = self.last_at?.saturating_duration_since(self.first_at?);
+        let mean_ms = elapsed.as_secs_f64() * 1e3 / f64::from(self.events - 1);
         let typical = context.backends.typical_pace(&context.service)?;
         let model = &context.spec.model;
         let remaining = expected_remaining_events(partial.events(), max_events);
-        let own = self.expected_interval_ms(whole, typical);
-        if !is_move_worthwhile(own, typical, remaining) {
+        let own_interval_ms = self.expected_interval_ms(mean_ms, typical);
+        if !is_move_worthwhile(own_interval_ms, typical, remaining) {
             return None;
         }
         let demand = remaining_demand(partial.events());
@@ -102,29 +102,35 @@
             &context.allowed_regions(),
             |other| other.id() != instance.id() && can_continue(context, partial, other),
         )?;
-        let theirs = other
+        let other_interval_ms = other
             .candidate("", Instant::now())
             .pace_ms
             .unwrap_or(typical);
-        let pays = is_move_worthwhile(self.expected_interval_ms(whole, theirs), theirs, remaining);
-        pays.then(|| format!("slow: {own:.0} ms per event, {theirs:.0} ms at another instance"))
+        let is_worthwhile = is_move_worthwhile(
+            self.expected_interval_ms(mean_ms, other_interval_ms),
+            other_interval_ms,
+            remaining,
+        );
+        is_worthwhile.then(|| format!("slow: {own_interval_ms:.0} ms per event, {other_interval_ms:.0} ms at another instance"))
     }
 
     /// Returns the expected event interval of the remaining run in milliseconds: the mean of the
     /// complete run, or that of the last windows if the run has become much slower than
-    /// `theirs_ms`, the interval at the other instance.
-    pub fn expected_interval_ms(&self, whole_ms: f64, theirs_ms: f64) -> f64 {
+    /// `other_ms`, the interval at the other instance.
+    pub fn expected_interval_ms(&self, mean_ms: f64, other_ms: f64) -> f64 {
         let recent = self.recent_ms();
-        let slowed_down = recent.filter(|recent| *recent > theirs_ms * SLOWDOWN_FACTOR);
-        slowed_down.map_or(whole_ms, |recent| recent.max(whole_ms))
+        let slowed_down = recent.filter(|recent| *recent > other_ms * SLOWDOWN_FACTOR);
+        slowed_down.map_or(mean_ms, |recent| recent.max(mean_ms))
     }
 }
 
 /// Returns the expected number of remaining events: as many as there are already, but no more than
-/// `most` allows in total. The longest recent text is not used as a limit because it is too short
+/// `max_events` allows in total. The longest recent text is not used as a limit because it is too short
 /// when a trainer starts.
-pub fn expected_remaining_events(events: u64, most: Option<u64>) -> u64 {
-    most.map_or(events, |most| events.min(most.saturating_sub(events)))
+pub fn expected_remaining_events(events: u64, max_events: Option<u64>) -> u64 {
+    max_events.map_or(events, |max_events| {
+        events.min(max_events.saturating_sub(events))
+    })
 }
 
 /// Returns the demand of the remainder of a text: a long text prefers a fast instance to an idle
@@ -138,13 +144,13 @@
 }
 
 /// Returns whether a run with `remaining` expected events should migrate to an instance with the
-/// event interval `theirs_ms`: the time saved must exceed the cost of migration.
-pub fn is_move_worthwhile(own_ms: f64, theirs_ms: f64, remaining: u64) -> bool {
+/// event interval `other_ms`: the time saved must exceed the cost of migration.
+pub fn is_move_worthwhile(own_ms: f64, other_ms: f64, remaining: u64) -> bool {
     let factor = if remaining >= LONG_RUN_EVENTS {
         LONG_RUN_SLOW_FACTOR
     } else {
         SLOW_FACTOR
     };
-    let saved_ms = (own_ms - theirs_ms) * remaining as f64;
-    own_ms > theirs_ms * factor && saved_ms > MOVE_COST_MS
+    let saved_ms = (own_ms - other_ms) * remaining as f64;
+    own_ms > other_ms * factor && saved_ms > MOVE_COST_MS
 }
--- a/crates/front/src/job/peer_handler.rs
+++ b/crates/front/src/job/peer_handler.rs
@@ -47,12 +47,12 @@
         });
         Demand {
             work: work.collect(),
-            paces: self.paces(),
+            paces: self.event_intervals(),
         }
     }
 
     /// Returns the recent event intervals of the instances that serve models.
-    fn paces(&self) -> Vec<InstancePace> {
+    fn event_intervals(&self) -> Vec<InstancePace> {
         let Some(config) = self.context.config.current() else {
             return Vec::new();
         };
@@ -61,10 +61,10 @@
             .filter(|(_, service)| !service.models.is_empty())
             .flat_map(|(name, _)| self.context.backends.of_service(name));
         let known = instances.filter_map(|instance| {
-            let pace_ms = instance.recent_pace_ms()?;
+            let interval_ms = instance.recent_pace_ms()?;
             Some(InstancePace {
                 instance: instance.id().to_owned(),
-                event_micros: (pace_ms * 1e3) as u64,
+                event_micros: (interval_ms * 1e3) as u64,
             })
         });
         known.collect()
@@ -108,7 +108,9 @@
         let now = Instant::now();
         for update in &news.instances {
             let instance = self.context.backends.get(&update.instance);
-            let Some(instance) = instance.filter(|one| one.is_start(update.started_unix_ms)) else {
+            let Some(instance) =
+                instance.filter(|instance| instance.is_start(update.started_unix_ms))
+            else {
                 continue;
             };
             if update.loading_ms > 0 {
@@ -119,9 +121,9 @@
             }
         }
         if news.usual_load_ms > 0 {
-            let usual = Duration::from_millis(news.usual_load_ms);
+            let typical = Duration::from_millis(news.usual_load_ms);
             let limit = news.load_limit as usize;
-            let limit = LoadLimit::from_learnt(limit, usual, news.limit_is_near);
+            let limit = LoadLimit::from_learnt(limit, typical, news.limit_is_near);
             self.context.learnt_loads.note(&limit);
         }
         self.context.backends.notify();
@@ -231,13 +233,13 @@
 
 /// Returns the expected number of tokens generated for a job's items.
 fn expected_tokens(spec: &JobSpec) -> u64 {
-    let guesses = spec.items.iter().map(|item| item.expected_tokens);
-    guesses
-        .map(|guess| {
-            if guess == 0 {
+    let estimates = spec.items.iter().map(|item| item.expected_tokens);
+    estimates
+        .map(|estimate| {
+            if estimate == 0 {
                 DEFAULT_ITEM_TOKENS
             } else {
-                guess
+                estimate
             }
         })
         .sum()
--- a/crates/front/src/job/preferred_owner.rs
+++ b/crates/front/src/job/preferred_owner.rs
@@ -44,8 +44,8 @@
     pub async fn accept(&self, spec: JobSpec) -> Result<(), AcceptError> {
         // The body is sent to another front only if the allowed regions permit it. Locally, a job
         // that was accepted before is found without its body.
-        let may_leave = self.check_regions(&spec).is_ok();
-        let Some(owner) = self.preferred_owner_of(&spec).filter(|_| may_leave) else {
+        let may_forward = self.check_regions(&spec).is_ok();
+        let Some(owner) = self.preferred_owner_of(&spec).filter(|_| may_forward) else {
             return self.accept_here(spec).await;
         };
         let id = spec.job.clone();
@@ -164,17 +164,17 @@
     step: u64,
 ) -> Option<String> {
     let near = fronts.iter().filter(|front| !front.is_leaving);
-    let most = near.clone().map(|front| front.cpu_millis).max()?;
-    if most <= own.cpu_millis {
+    let max_cpu_millis = near.clone().map(|front| front.cpu_millis).max()?;
+    if max_cpu_millis <= own.cpu_millis {
         return None;
     }
     let names = near
-        .filter(|front| front.cpu_millis == most)
+        .filter(|front| front.cpu_millis == max_cpu_millis)
         .map(|front| front.node.as_str());
     // All fronts compute the same ranking, so the steps of a model rotate among them.
     let ranked = rendezvous(model.as_bytes(), names);
-    let turn = (step % ranked.len() as u64) as usize;
-    Some(ranked[turn].to_owned())
+    let position = (step % ranked.len() as u64) as usize;
+    Some(ranked[position].to_owned())
 }
 
 /// Returns the fronts of this region, or all fronts if the region has none.
--- a/crates/front/src/job/region_bounds.rs
+++ b/crates/front/src/job/region_bounds.rs
@@ -142,8 +142,8 @@
         let route = config.route(&spec.host, &spec.path);
         for part in route.iter().flat_map(|route| &route.split) {
             let service = &part.service;
-            let is_known = !context.backends.of_service(service).is_empty();
-            if is_known && !context.backends.has_any_within(service, &allowed) {
+            let has_instances = !context.backends.of_service(service).is_empty();
+            if has_instances && !context.backends.has_any_within(service, &allowed) {
                 return Err(OutOfBounds::NoInstance {
                     service: service.clone(),
                     allowed,
--- a/crates/front/src/job/result_cache.rs
+++ b/crates/front/src/job/result_cache.rs
@@ -76,9 +76,9 @@
     }
 
     /// Evicts the least recently read jobs except `kept` until the cache is within its limit.
-    fn evict_until_fits(&mut self, kept: &str) {
+    fn evict_until_fits(&mut self, protected: &str) {
         while self.bytes > MAX_BYTES {
-            let others = self.jobs.iter().filter(|(job, _)| *job != kept);
+            let others = self.jobs.iter().filter(|(job, _)| *job != protected);
             let oldest = others.min_by_key(|(_, cached)| cached.read_at);
             let Some(oldest) = oldest.map(|(job, _)| job.clone()) else {
                 return;
--- a/crates/front/src/job/run_context.rs
+++ b/crates/front/src/job/run_context.rs
@@ -195,11 +195,11 @@
 
 /// Returns the longest wait for the first event of a run, given the typical event interval.
 pub fn first_event_timeout(typical_ms: Option<f64>) -> Duration {
-    let by_pace = typical_ms.and_then(|pace_ms| {
-        let seconds = pace_ms * FIRST_EVENT_INTERVALS / 1e3;
+    let by_interval = typical_ms.and_then(|interval_ms| {
+        let seconds = interval_ms * FIRST_EVENT_INTERVALS / 1e3;
         Duration::try_from_secs_f64(seconds).ok()
     });
-    by_pace.map_or(MAX_FIRST_EVENT_WAIT, |limit| {
+    by_interval.map_or(MAX_FIRST_EVENT_WAIT, |limit| {
         limit.clamp(MIN_FIRST_EVENT_WAIT, MAX_FIRST_EVENT_WAIT)
     })
 }
@@ -217,7 +217,7 @@
     }
 
     /// Removes an item whose text restarts.
-    pub fn forget(&self, index: usize) {
+    pub fn remove(&self, index: usize) {
         self.lock().remove(&index);
     }
 
--- a/crates/front/src/job/scheduling.rs
+++ b/crates/front/src/job/scheduling.rs
@@ -51,11 +51,11 @@
         let startable = self.startable(&spec);
         let long_item_threshold = long_item_threshold(&spec);
         for index in startable {
-            let Some(kept) = self.kept_text(&spec, index) else {
+            let Some(saved) = self.saved_text(&spec, index) else {
                 continue;
             };
-            if kept.is_complete() {
-                self.spawn_run(&run, index, None, kept);
+            if saved.is_complete() {
+                self.spawn_run(&run, index, None, saved);
                 continue;
             }
             if self.is_held_back(&run, index) {
@@ -65,7 +65,7 @@
             let demand = if is_long {
                 Demand::LongBatch
             } else {
-                remaining_demand(kept.events())
+                remaining_demand(saved.events())
             };
             let is_new_enough =
                 |instance: &Instance| instance.version(&spec.model) >= spec.min_version;
@@ -76,7 +76,7 @@
                 self.has_waiting_items = true;
                 return;
             };
-            self.spawn_run(&run, index, Some(instance), kept);
+            self.spawn_run(&run, index, Some(instance), saved);
         }
     }
 
@@ -101,51 +101,51 @@
         run: &Arc<RunContext>,
         index: usize,
         instance: Option<Arc<Instance>>,
-        kept: ItemText,
+        saved: ItemText,
     ) {
         // Counts the run from now on, although it starts only when its task is first polled.
         let guard = instance.as_ref().map(Instance::begin);
         let run = Arc::clone(run);
-        self.first_versions.forget(index);
+        self.first_versions.remove(index);
         self.earlier_texts.remove(&run.spec.items[index].id);
         let handle = self.runs.spawn(async move {
             drop(guard);
-            (index, run_item(run, index, instance, kept).await)
+            (index, run_item(run, index, instance, saved).await)
         });
         self.running.insert(index, handle);
     }
 
     /// Returns the saved text of an item, from this job's log or from an earlier job. Returns
     /// `None` if the text completes the item.
-    fn kept_text(&mut self, spec: &JobSpec, index: usize) -> Option<ItemText> {
+    fn saved_text(&mut self, spec: &JobSpec, index: usize) -> Option<ItemText> {
         let item = &spec.items[index];
-        let kept = self.job.state().partial_text(&item.id);
-        if kept.events() > 0 {
-            return Some(kept);
+        let saved = self.job.state().partial_text(&item.id);
+        if saved.events() > 0 {
+            return Some(saved);
         }
-        let carried = self
+        let earlier = self
             .earlier_texts
             .get(&item.id)
             .filter(|text| text.events > 0);
-        let Some(carried) = carried.cloned() else {
-            return Some(kept);
+        let Some(earlier) = earlier.cloned() else {
+            return Some(saved);
         };
         let reward_call = item.reward_call.as_ref().map_or("", |call| &call.id);
-        let is_scored = reward_call.is_empty() || !carried.score.is_empty();
-        let is_done = carried.is_whole && is_scored && carried.reward_call == reward_call;
+        let is_scored = reward_call.is_empty() || !earlier.score.is_empty();
+        let is_done = earlier.is_whole && is_scored && earlier.reward_call == reward_call;
         log::info!(
             "event=text_carried item={} job={} events={} versions={:?} whole={} scored={is_scored}",
             item.id,
             spec.job,
-            carried.events,
-            carried.weight_versions,
-            carried.is_whole
+            earlier.events,
+            earlier.weight_versions,
+            earlier.is_whole
         );
         if !is_done {
-            return Some(ItemText::from_kept(carried));
+            return Some(ItemText::from_kept(earlier));
         }
-        let score = carried.score.clone();
-        self.finish(index, ItemText::from_kept(carried), score);
+        let score = earlier.score.clone();
+        self.finish(index, ItemText::from_kept(earlier), score);
         None
     }
 
@@ -169,7 +169,7 @@
         let tokens_per_event = config
             .services
             .get(service)
-            .map_or(0, |one| one.tokens_per_event);
+            .map_or(0, |service_config| service_config.tokens_per_event);
         Some(Arc::new(RunContext {
             backends: self.context.backends.clone(),
             codec: Arc::clone(&self.context.codec),
--- a/crates/front/src/job/scoring.rs
+++ b/crates/front/src/job/scoring.rs
@@ -134,7 +134,7 @@
 
     /// Chooses an instance with free capacity that was not tried yet.
     fn next_instance(&self, service: &str, tried: &[Arc<Instance>]) -> Option<Arc<Instance>> {
-        let is_new = |instance: &Instance| tried.iter().all(|one| one.id() != instance.id());
+        let is_new = |instance: &Instance| tried.iter().all(|other| other.id() != instance.id());
         let backends = &self.context.backends;
         let allowed = self.allowed_regions();
         backends.choose_within(service, "", Demand::Scoring, &allowed, is_new)
@@ -175,13 +175,13 @@
         let started = Instant::now();
         let _guard = instance.begin();
         let asked = tokio::time::timeout(self.route.timeout, self.ask(&instance)).await;
-        let late = || {
+        let timed_out = || {
             Err(ExchangeError::Broken(
                 "timed out waiting for the answer".to_owned(),
             ))
         };
         Attempt {
-            result: asked.unwrap_or_else(|_| late()),
+            result: asked.unwrap_or_else(|_| timed_out()),
             instance,
             started,
         }
@@ -266,9 +266,9 @@
             Ok(Answer::Failed(_)) => ended.instance.note_failure(now),
             Err(ExchangeError::HeldBack(reason)) => self.context.metrics.note_held_back(reason),
             Err(error) => {
-                let is_silent =
+                let is_connection_failure =
                     matches!(error, ExchangeError::NotSent(_) | ExchangeError::Broken(_));
-                if is_silent {
+                if is_connection_failure {
                     ended.instance.note_failure(now);
                 }
             }
--- a/crates/front/src/job/stream.rs
+++ b/crates/front/src/job/stream.rs
@@ -31,7 +31,7 @@
 ) -> RunEnd {
     let names = context.codec.headers();
     let (headers, mut body, lease) = reply.into_parts();
-    let mut version = read_number(&headers, &names.weight_version);
+    let mut version = parse_number(&headers, &names.weight_version);
     let is_framed = headers.contains_key(http::header::CONTENT_LENGTH)
         || headers.contains_key(http::header::TRANSFER_ENCODING);
     let mut parser = EventParser::new(names.weight_version.as_str());
@@ -130,6 +130,6 @@
     Ok(())
 }
 
-fn read_number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
+fn parse_number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
     headers.get(name)?.to_str().ok()?.trim().parse().ok()
 }
--- a/crates/front/src/job/text.rs
+++ b/crates/front/src/job/text.rs
@@ -90,8 +90,8 @@
         self.events += 1;
         self.unsaved.events += 1;
         self.last_event = Some(event.id);
-        add_once(&mut self.versions, version);
-        add_once(&mut self.unsaved.versions, version);
+        push_unique(&mut self.versions, version);
+        push_unique(&mut self.unsaved.versions, version);
     }
 
     /// Restores a text that an earlier job generated; none of it is in this job's journal.
@@ -209,7 +209,7 @@
         self.events += progress.events;
         self.last_event = Some(progress.last_event);
         for version in &progress.weight_versions {
-            add_once(&mut self.versions, *version);
+            push_unique(&mut self.versions, *version);
         }
         self.has_saved = true;
     }
@@ -230,14 +230,14 @@
         }
         let mut versions = self.versions;
         for version in std::mem::take(&mut result.weight_versions) {
-            add_once(&mut versions, version);
+            push_unique(&mut versions, version);
         }
         result.weight_versions = versions;
         result
     }
 }
 
-fn add_once(versions: &mut Vec<u64>, version: u64) {
+fn push_unique(versions: &mut Vec<u64>, version: u64) {
     if !versions.contains(&version) {
         versions.push(version);
     }
--- a/crates/front/src/job/text_reuse.rs
+++ b/crates/front/src/job/text_reuse.rs
@@ -27,24 +27,24 @@
     tenant: String,
     model: String,
     step: u64,
-    takers: mpsc::UnboundedSender<TextRequest>,
+    requests: mpsc::UnboundedSender<TextRequest>,
 }
 
 impl JobRegistry {
     /// Keeps the unfinished items of an ended job until a later job requests them or they expire.
     pub(super) async fn keep_unfinished(&self, unfinished: UnfinishedItems) {
-        let (takers, receiver) = mpsc::unbounded_channel();
+        let (requests, receiver) = mpsc::unbounded_channel();
         let entry = UnfinishedEntry {
             tenant: unfinished.tenant.clone(),
             model: unfinished.model.clone(),
             step: unfinished.step,
-            takers,
+            requests,
         };
         lock(&self.shared.unfinished).push(entry);
         let steps = &self.context.steps;
         let min_version = steps.next_min_version(&unfinished.model, unfinished.min_version);
         unfinished.run_until_requested(min_version, receiver).await;
-        lock(&self.shared.unfinished).retain(|entry| !entry.takers.is_closed());
+        lock(&self.shared.unfinished).retain(|entry| !entry.requests.is_closed());
     }
 
     /// Returns the texts of ended jobs at this node for a job that was accepted at any node.
@@ -60,19 +60,19 @@
         let items: Arc<HashSet<String>> = Arc::new(items.into_iter().collect());
         let mut answers = Vec::new();
         lock(&self.shared.unfinished).retain(|entry| {
-            let is_of_trainer = entry.tenant == tenant && entry.model == model;
-            let is_for_it = is_of_trainer && entry.step < train_step;
-            if is_for_it {
+            let is_same_trainer = entry.tenant == tenant && entry.model == model;
+            let is_for_request = is_same_trainer && entry.step < train_step;
+            if is_for_request {
                 let (answer, texts) = oneshot::channel();
                 let items = Arc::clone(&items);
-                let _ = entry.takers.send(TextRequest {
+                let _ = entry.requests.send(TextRequest {
                     min_version,
                     items,
                     answer,
                 });
                 answers.push(texts);
             }
-            !is_for_it
+            !is_for_request
         });
         let mut texts = Vec::new();
         for answer in answers {
@@ -115,7 +115,9 @@
             .collect();
         texts.extend(self.take_kept_texts(request.clone()).await.texts);
         while let Some(answer) = calls.next().await {
-            if let Ok(ResponseKind::packed_kept_texts(compressed)) = answer.map(|one| one.kind) {
+            if let Ok(ResponseKind::packed_kept_texts(compressed)) =
+                answer.map(|response| response.kind)
+            {
                 texts.extend(decompress_texts(&compressed));
             }
         }
--- a/crates/front/src/job/unfinished.rs
+++ b/crates/front/src/job/unfinished.rs
@@ -238,7 +238,7 @@
     pub async fn run_until_requested(
         mut self,
         min_version: u64,
-        mut takers: mpsc::UnboundedReceiver<TextRequest>,
+        mut requests: mpsc::UnboundedReceiver<TextRequest>,
     ) {
         self.restart_outdated(min_version);
         let deadline = tokio::time::sleep(RETENTION);
@@ -250,9 +250,9 @@
                         self.record_run_end(index, outcome);
                     }
                 }
-                taker = takers.recv() => {
-                    if let Some(taker) = taker {
-                        self.hand_over(taker).await;
+                request = requests.recv() => {
+                    if let Some(request) = request {
+                        self.hand_over(request).await;
                     }
                     return;
                 }
@@ -353,7 +353,7 @@
     }
 
     /// Stops all runs and sends the texts that the later job can use.
-    async fn hand_over(mut self, taker: TextRequest) {
+    async fn hand_over(mut self, request: TextRequest) {
         self.stop.send_replace(true);
         self.window.close_at(Instant::now());
         while let Some(ended) = self.runs.join_next().await {
@@ -361,20 +361,20 @@
                 self.record_run_end(index, outcome);
             }
         }
-        let texts = self.texts_for(&taker);
+        let texts = self.texts_for(&request);
         log::info!(
             "event=leftover_taken step={} texts={} min_version={}",
             self.step,
             texts.len(),
-            taker.min_version
+            request.min_version
         );
-        let _ = taker.answer.send(texts);
+        let _ = request.answer.send(texts);
     }
 }
 
 impl UnfinishedItems {
     /// Returns the best text of each requested item that this job has.
-    fn texts_for(&mut self, taker: &TextRequest) -> Vec<KeptText> {
+    fn texts_for(&mut self, request: &TextRequest) -> Vec<KeptText> {
         let job = Arc::clone(&self.job);
         let state = job.state();
         let results: HashMap<&str, &JobResult> = state
@@ -382,13 +382,13 @@
             .iter()
             .map(|result| (result.item.as_str(), result))
             .collect();
-        let items = taker.items.iter().filter_map(|id| state.item(id));
+        let items = request.items.iter().filter_map(|id| state.item(id));
         items
             .filter_map(|item| {
                 let mut texts = self.texts.remove(&item.id).unwrap_or_default();
                 let result = results.get(item.id.as_str());
                 texts.extend(result.and_then(|result| kept_text_from_result(item, result)));
-                best_allowed_text(texts, taker.min_version)
+                best_allowed_text(texts, request.min_version)
             })
             .collect()
     }
--- a/crates/front/tests/group_listing.rs
+++ b/crates/front/tests/group_listing.rs
@@ -11,19 +11,19 @@
 const READ_PAUSE_MS: u64 = 500;
 
 /// Longest blocking read, in milliseconds.
-const LONGEST_HOLD_MS: u64 = 1_000;
+const MAX_BLOCKING_READ_MS: u64 = 1_000;
 
 /// Time at which the results of a step are due, in milliseconds.
 const DUE_MS: u64 = 7_500;
 
-fn step(groups: usize, size: usize, wanted: u32) -> JobSpec {
+fn step(groups: usize, size: usize, desired: u32) -> JobSpec {
     let items = (0..groups * size).map(|index| JobItem {
         id: format!("i{index}"),
         group: format!("g{}", index / size),
         ..JobItem::default()
     });
     JobSpec {
-        desired_groups: wanted,
+        desired_groups: desired,
         items: items.collect(),
         ..JobSpec::default()
     }
@@ -60,17 +60,17 @@
                 .filter(|listed| **listed <= at)
                 .count()
         };
-        let answered = (read..read + LONGEST_HOLD_MS).find(|at| count(*at) > known);
-        let answered = answered.unwrap_or(read + LONGEST_HOLD_MS);
+        let answered = (read..read + MAX_BLOCKING_READ_MS).find(|at| count(*at) > known);
+        let answered = answered.unwrap_or(read + MAX_BLOCKING_READ_MS);
         known = count(answered);
         read = answered.max(read + READ_PAUSE_MS);
-        if whole_groups(spec, listed, answered) >= spec.desired_groups as usize {
+        if complete_groups(spec, listed, answered) >= spec.desired_groups as usize {
             return read;
         }
     }
 }
 
-fn whole_groups(spec: &JobSpec, listed: &[Option<u64>], at: u64) -> usize {
+fn complete_groups(spec: &JobSpec, listed: &[Option<u64>], at: u64) -> usize {
     let mut groups = std::collections::BTreeMap::<&str, bool>::new();
     for (item, listed) in spec.items.iter().zip(listed) {
         let is_listed = listed.is_some_and(|listed| listed <= at);
@@ -105,7 +105,7 @@
 /// Guards against listing results one by one, with which the trainer notices its last group more
 /// than 0.5 s late instead of less than 0.3 s.
 #[test]
-fn a_trainer_hears_of_its_last_group_sooner() {
+fn group_listing_shortens_the_trainers_wait_for_its_last_group() {
     let spec = step(28, 8, 26);
     let (mut one_by_one, mut by_groups) = (0, 0);
     const STEPS: u64 = 16;
@@ -114,7 +114,7 @@
         let at_once: Vec<Option<u64>> = done.iter().copied().map(Some).collect();
         let by_group = listed_at(&spec, Some(DUE_MS), &done);
         let enough = (0..)
-            .find(|at| whole_groups(&spec, &at_once, *at) >= 26)
+            .find(|at| complete_groups(&spec, &at_once, *at) >= 26)
             .unwrap();
         one_by_one += ended_at(&spec, &at_once, seed * 12 % 500) - enough;
         by_groups += ended_at(&spec, &by_group, seed * 12 % 500) - enough;
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn groups_are_listed_whole_and_at_once_when_enough_are() {
+fn complete_groups_are_listed_together_once_enough_are_complete() {
     let spec = step(3, 2, 2);
     let listed = listed_at(&spec, Some(DUE_MS), &[100, 300, 200, 9_000, 400, 500]);
     // Two groups are complete at 500 ms. The third one misses the due time, at which its first item
@@ -141,14 +141,14 @@
 }
 
 #[test]
-fn a_whole_group_waits_a_second_at_most() {
+fn a_complete_group_waits_at_most_a_second() {
     let spec = step(3, 1, 3);
     let listed = listed_at(&spec, Some(DUE_MS), &[100, 900, 5_000]);
     assert_eq!(listed, [Some(1_100), Some(1_100), Some(5_000)]);
 }
 
 #[test]
-fn results_of_a_job_that_is_no_step_or_whose_time_is_not_known_are_listed_as_they_come() {
+fn results_without_desired_groups_or_due_time_are_listed_as_they_arrive() {
     let done = [100, 900, 5_000];
     let expected: Vec<Option<u64>> = done.iter().copied().map(Some).collect();
     assert_eq!(listed_at(&step(1, 3, 0), Some(DUE_MS), &done), expected);
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn groups_count_what_the_log_lists_already() {
+fn groups_count_results_that_are_already_in_the_log() {
     let spec = step(2, 2, 2);
     let now = Instant::now();
     let due = now + Duration::from_secs(5);
@@ -176,10 +176,10 @@
     fn every_result_is_listed_in_time(
         groups in 1_usize..6,
         size in 1_usize..4,
-        wanted in 0_u32..6,
+        desired in 0_u32..6,
         times in proptest::collection::vec(0_u64..12_000, 18),
     ) {
-        let spec = step(groups, size, wanted);
+        let spec = step(groups, size, desired);
         let done = &times[..groups * size];
         let listed = listed_at(&spec, Some(DUE_MS), done);
         for (index, listed) in listed.iter().enumerate() {
--- a/crates/front/tests/homes.rs
+++ b/crates/front/tests/homes.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn fronts_of_one_strength_keep_what_they_are_handed() {
+fn equally_strong_fronts_keep_the_steps_they_receive() {
     let fronts = [front("a", "z", 250), front("b", "z", 250)];
     assert_eq!(preferred_owner(&fronts[0], &fronts, "m", 0), None);
 }
@@ -75,7 +75,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn the_steps_of_a_model_go_round_whichever_weak_front_is_met(
+    fn steps_of_a_model_rotate_regardless_of_the_receiving_front(
         strong in 1usize..6,
         model in "[a-z]{1,8}",
         first in 0u64..1_000,
@@ -85,9 +85,9 @@
         fronts.extend(weak.clone());
         let mut homes = BTreeSet::new();
         for step in first..first + strong as u64 {
-            let met = preferred_owner(&weak[0], &fronts, &model, step);
-            prop_assert_eq!(&met, &preferred_owner(&weak[1], &fronts, &model, step));
-            homes.insert(met.unwrap());
+            let owner = preferred_owner(&weak[0], &fronts, &model, step);
+            prop_assert_eq!(&owner, &preferred_owner(&weak[1], &fronts, &model, step));
+            homes.insert(owner.unwrap());
         }
         prop_assert_eq!(homes.len(), strong);
     }
--- a/crates/front/tests/item_text.rs
+++ b/crates/front/tests/item_text.rs
@@ -36,7 +36,7 @@
 proptest! {
     /// The result is complete at any split into saved parts, also if entries are appended twice.
     #[test]
-    fn kept_pieces_join_to_the_whole_text(
+    fn saved_parts_join_to_the_complete_text(
         pieces in prop::collection::vec((1u64..6, any::<bool>()), 1..8),
         tail in 0u64..5,
     ) {
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn another_owner_goes_on_from_kept_text() {
+fn another_owner_resumes_from_saved_text() {
     let mut first = ItemText::default();
     (1..=3).for_each(|id| first.push(&event(id), 4));
     let progress = first.drain_progress(ITEM).unwrap();
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn text_that_starts_over_voids_what_was_kept() {
+fn a_restarted_text_invalidates_the_saved_text() {
     let mut text = ItemText::default();
     (1..=4).for_each(|id| text.push(&event(id), 4));
     let progress = text.drain_progress(ITEM).unwrap();
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_whole_text_waits_in_the_log_for_its_score() {
+fn a_complete_text_is_saved_while_its_score_is_pending() {
     let mut text = ItemText::default();
     text.push(&event(1), 5);
     let first = text.drain_progress(ITEM).unwrap();
--- a/crates/front/tests/log_digest.rs
+++ b/crates/front/tests/log_digest.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn an_append_in_doubt_is_found_or_not() {
+fn an_append_with_unknown_outcome_is_detected_in_the_log() {
     let known = entries(&[b"accepted".to_vec(), b"progress".to_vec()]);
     let pending = entries(&[b"result".to_vec(), b"more".to_vec()]);
     let digest = LogDigest::of(&known);
@@ -25,7 +25,7 @@
 proptest! {
     /// A log with entries of another owner is never mistaken for the known one.
     #[test]
-    fn a_log_with_another_owners_entries_is_another_one(
+    fn a_log_with_another_owners_entries_is_recognized(
         known in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..4), 0..5),
         pending in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..4), 0..3),
         found in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..4), 0..8),
--- a/crates/front/tests/pace.rs
+++ b/crates/front/tests/pace.rs
@@ -37,7 +37,7 @@
 
 /// Guards against choosing an idle but slower instance for the remainder of a long text.
 #[test]
-fn the_rest_of_a_long_text_goes_to_the_fastest_instance_with_room() {
+fn the_remainder_of_a_long_text_goes_to_the_fastest_instance_with_free_capacity() {
     let instance = |load, pace_ms| Candidate {
         load,
         slots: 8,
@@ -54,7 +54,7 @@
 
 /// Guards against waiting too long for the first event at an instance that hangs.
 #[test]
-fn the_first_event_is_awaited_for_about_as_long_as_it_takes() {
+fn the_first_event_timeout_follows_the_event_interval() {
     let wait_ms = |pace_ms| first_event_timeout(pace_ms).as_millis();
     assert_eq!(wait_ms(Some(47.0)), 1_100);
     assert_eq!(wait_ms(Some(80.0)), 1_600);
@@ -84,7 +84,7 @@
 
 /// Guards against starving an interrupted text: new items would take every slot that becomes free.
 #[test]
-fn a_text_that_was_cut_waits_behind_others_where_no_slot_is_free() {
+fn an_interrupted_text_queues_where_no_slot_is_free() {
     let instance = |load, pace_ms| Candidate {
         load,
         slots: 8,
@@ -107,25 +107,25 @@
     let start = Instant::now();
     let mut intervals = EventIntervals::default();
     let mut at_ms = 0;
-    let mut left_after = None;
+    let mut moved_after = None;
     for event in 1..=145_u64 {
         at_ms += if event <= 100 { 50 } else { 150 };
         intervals.add_event(start + Duration::from_millis(at_ms));
-        let whole = at_ms as f64 / event as f64;
-        let own = intervals.expected_interval_ms(whole, 50.0);
+        let mean_ms = at_ms as f64 / event as f64;
+        let own_interval_ms = intervals.expected_interval_ms(mean_ms, 50.0);
         let remaining = expected_remaining_events(event, Some(145));
-        if left_after.is_none() && is_move_worthwhile(own, 50.0, remaining) {
-            left_after = Some(event);
+        if moved_after.is_none() && is_move_worthwhile(own_interval_ms, 50.0, remaining) {
+            moved_after = Some(event);
         }
     }
     assert!(
-        left_after.is_some_and(|event| (101..=109).contains(&event)),
-        "{left_after:?}"
+        moved_after.is_some_and(|event| (101..=109).contains(&event)),
+        "{moved_after:?}"
     );
 }
 
 #[test]
-fn a_stumble_of_the_reader_is_no_reason_to_move() {
+fn a_short_stall_of_the_reader_does_not_move_a_run() {
     let start = Instant::now();
     let mut intervals = EventIntervals::default();
     for event in 1..=60_u64 {
@@ -136,16 +136,16 @@
             event * 50
         };
         intervals.add_event(start + Duration::from_millis(read_at));
-        let own = intervals.expected_interval_ms(50.0, 50.0);
+        let own_interval_ms = intervals.expected_interval_ms(50.0, 50.0);
         assert!(
-            !is_move_worthwhile(own, 50.0, event),
-            "at event {event}: {own} ms"
+            !is_move_worthwhile(own_interval_ms, 50.0, event),
+            "at event {event}: {own_interval_ms} ms"
         );
     }
 }
 
 #[test]
-fn the_rest_of_a_text_is_bounded_by_the_most_that_it_may_have() {
+fn remaining_events_are_bounded_by_the_maximum() {
     assert_eq!(expected_remaining_events(24, Some(145)), 24);
     assert_eq!(expected_remaining_events(100, Some(145)), 45);
     assert_eq!(expected_remaining_events(144, Some(145)), 1);
@@ -159,14 +159,14 @@
 }
 
 #[test]
-fn an_instance_that_refuses_with_free_slots_is_left_out_for_the_time_of_a_load() {
-    let usual = Duration::from_millis(930);
-    let short = refusal_pause(false, Some(usual));
-    assert_eq!(refusal_pause(true, Some(usual)), usual);
+fn an_instance_that_rejects_with_free_slots_is_excluded_for_the_typical_load_time() {
+    let typical = Duration::from_millis(930);
+    let short = refusal_pause(false, Some(typical));
+    assert_eq!(refusal_pause(true, Some(typical)), typical);
     assert_eq!(
         refusal_pause(true, None),
         short,
         "until it is known how long loads take"
     );
-    assert!(short < usual);
+    assert!(short < typical);
 }
--- a/crates/front/tests/scoring_choice.rs
+++ b/crates/front/tests/scoring_choice.rs
@@ -23,7 +23,7 @@
 
 proptest! {
     #[test]
-    fn no_instance_gets_more_calls_than_it_runs_side_by_side(load in 0u32..20, slots in 0u32..20, random: u64) {
+    fn no_instance_gets_more_calls_than_slots(load in 0u32..20, slots in 0u32..20, random: u64) {
         let chosen = choose(&[candidate(load, slots)], Demand::Scoring, random);
         prop_assert!(chosen.is_none() || load < slots);
     }
--- a/crates/front/tests/trainer_steps.rs
+++ b/crates/front/tests/trainer_steps.rs
@@ -3,7 +3,7 @@
 use ladderstage_front::job::NewestSteps;
 
 #[test]
-fn the_bound_rises_with_each_step_once_it_has_left_the_first_version() {
+fn the_minimum_rises_with_each_step_after_the_initial_version() {
     let steps = NewestSteps::default();
     assert_eq!(steps.next_min_version("model", 1), 1);
     steps.record("model", 1, 1);
