--- a/crates/front/src/job/done.rs
+++ b/crates/front/src/job/done.rs
@@ -52,11 +52,11 @@
 
     /// Returns when the job's results are due, or `None` if this node did not accept the job or its
     /// route sets no deadline.
-    fn due_at(&self, spec: &JobSpec) -> Option<Instant> {
+    fn due(&self, spec: &JobSpec) -> Option<Instant> {
         let config = self.context.config.current()?;
         let route = config.route(&spec.host, &spec.path)?;
-        let due_at = self.job.opened_at + route.result_deadline?;
-        self.is_accepted_here.then_some(due_at)
+        let due = self.job.opened_at + route.result_deadline?;
+        self.is_accepted_here.then_some(due)
     }
 
     /// Holds the result of an item until it is listed. Its text goes to the log at once, so that a
@@ -67,11 +67,9 @@
         };
         self.finished.insert(index);
         if self.groups.is_none() {
-            let due_at = self.due_at(&spec);
+            let due = self.due(&spec);
             let state = self.job.state();
-            self.groups = Some(GroupListing::new(&spec, due_at, |item| {
-                state.is_listed(item)
-            }));
+            self.groups = Some(GroupListing::new(&spec, due, |item| state.is_listed(item)));
         }
         self.held.insert(index, done);
         if let Some(groups) = &mut self.groups {
--- a/crates/front/src/job/migration.rs
+++ b/crates/front/src/job/migration.rs
@@ -125,12 +125,10 @@
 }
 
 /// Returns the expected number of remaining events: as many as there are already, but no more than
-/// `max_events` allows in total. The longest recent text is not used as a limit because it is too short
+/// `limit` allows in total. The longest recent text is not used as a limit because it is too short
 /// when a trainer starts.
-pub fn expected_remaining_events(events: u64, max_events: Option<u64>) -> u64 {
-    max_events.map_or(events, |max_events| {
-        events.min(max_events.saturating_sub(events))
-    })
+pub fn expected_remaining_events(events: u64, limit: Option<u64>) -> u64 {
+    limit.map_or(events, |limit| events.min(limit.saturating_sub(events)))
 }
 
 /// Returns the demand of the remainder of a text: a long text prefers a fast instance to an idle
--- a/crates/front/src/job/peer_handler.rs
+++ b/crates/front/src/job/peer_handler.rs
@@ -26,7 +26,7 @@
 const DEMAND_WINDOW: Duration = Duration::from_secs(15);
 
 /// Expected tokens of an item whose client gave no estimate.
-const DEFAULT_ITEM_TOKENS: u64 = 1_000;
+const DEFAULT_TOKENS: u64 = 1_000;
 
 impl JobRegistry {
     /// Returns the work that this node accepted recently, by model, and its instances' event
@@ -235,13 +235,7 @@
 fn expected_tokens(spec: &JobSpec) -> u64 {
     let estimates = spec.items.iter().map(|item| item.expected_tokens);
     estimates
-        .map(|estimate| {
-            if estimate == 0 {
-                DEFAULT_ITEM_TOKENS
-            } else {
-                estimate
-            }
-        })
+        .map(|tokens| if tokens == 0 { DEFAULT_TOKENS } else { tokens })
         .sum()
 }
 
--- a/crates/front/src/job/run.rs
+++ b/crates/front/src/job/run.rs
@@ -203,11 +203,7 @@
     log_run(context, index, instance, partial, started, &end);
     context.metrics.note_sent("item", instance.distance());
     match end {
-        RunEnd::Broken(_) => {
-            context
-                .report_broken_run(index, instance, content(), started)
-                .await
-        }
+        RunEnd::Broken(_) => context.probe(index, instance, content(), started).await,
         RunEnd::Complete | RunEnd::Unprocessable | RunEnd::Failed => {
             context.suspects.note_borne(content);
         }
--- a/crates/front/src/job/run_context.rs
+++ b/crates/front/src/job/run_context.rs
@@ -152,7 +152,7 @@
 
     /// Finds out whether an instance crashed during a run of the item at `index` whose connection
     /// broke, and reports that to the suspects ledger.
-    pub(super) async fn report_broken_run(
+    pub(super) async fn probe(
         &self,
         index: usize,
         instance: &Arc<Instance>,
--- a/crates/front/src/job/scoring.rs
+++ b/crates/front/src/job/scoring.rs
@@ -122,7 +122,7 @@
             tokio::select! {
                 Some(ended) = in_flight.next() => {
                     hedge_at = Instant::now();
-                    self.report_if_broken(index, &ended).await;
+                    self.probe_if_broken(index, &ended).await;
                     if let Some(end) = self.apply_result(index, ended, failures) {
                         return Some(end);
                     }
@@ -175,11 +175,7 @@
         let started = Instant::now();
         let _guard = instance.begin();
         let asked = tokio::time::timeout(self.route.timeout, self.ask(&instance)).await;
-        let timed_out = || {
-            Err(ExchangeError::Broken(
-                "timed out waiting for the answer".to_owned(),
-            ))
-        };
+        let timed_out = || Err(ExchangeError::Broken("answer timed out".to_owned()));
         Attempt {
             result: asked.unwrap_or_else(|_| timed_out()),
             instance,
@@ -228,7 +224,7 @@
     }
 
     /// Finds out whether the instance crashed if the connection broke.
-    async fn report_if_broken(&self, index: usize, ended: &Attempt) {
+    async fn probe_if_broken(&self, index: usize, ended: &Attempt) {
         if let Err(ExchangeError::Broken(_)) = &ended.result {
             let reward = self.reward;
             let content = self
@@ -236,7 +232,7 @@
                 .content(&reward.host, &reward.path, &reward.body);
             let context = self.context;
             context
-                .report_broken_run(index, &ended.instance, content, ended.started)
+                .probe(index, &ended.instance, content, ended.started)
                 .await;
         }
     }
