--- a/crates/front/src/job/migration.rs
+++ b/crates/front/src/job/migration.rs
@@ -90,8 +90,8 @@
         let typical = context.backends.typical_pace(&context.service)?;
         let model = &context.spec.model;
         let remaining = expected_remaining_events(partial.events(), max_events);
-        let own_interval_ms = self.expected_interval_ms(mean_ms, typical);
-        if !is_move_worthwhile(own_interval_ms, typical, remaining) {
+        let own_ms = self.expected_interval_ms(mean_ms, typical);
+        if !is_move_worthwhile(own_ms, typical, remaining) {
             return None;
         }
         let demand = remaining_demand(partial.events());
@@ -102,16 +102,16 @@
             &context.allowed_regions(),
             |other| other.id() != instance.id() && can_continue(context, partial, other),
         )?;
-        let other_interval_ms = other
+        let other_ms = other
             .candidate("", Instant::now())
             .pace_ms
             .unwrap_or(typical);
         let is_worthwhile = is_move_worthwhile(
-            self.expected_interval_ms(mean_ms, other_interval_ms),
-            other_interval_ms,
+            self.expected_interval_ms(mean_ms, other_ms),
+            other_ms,
             remaining,
         );
-        is_worthwhile.then(|| format!("slow: {own_interval_ms:.0} ms per event, {other_interval_ms:.0} ms at another instance"))
+        is_worthwhile.then(|| format!("slow: {own_ms:.0} ms per event, {other_ms:.0} ms elsewhere"))
     }
 
     /// Returns the expected event interval of the remaining run in milliseconds: the mean of the
--- a/crates/front/src/job/result_cache.rs
+++ b/crates/front/src/job/result_cache.rs
@@ -75,7 +75,7 @@
         self.bytes = self.jobs.values().map(|cached| cached.bytes).sum();
     }
 
-    /// Evicts the least recently read jobs except `kept` until the cache is within its limit.
+    /// Evicts the least recently read jobs except `protected` until the cache is within its limit.
     fn evict_until_fits(&mut self, protected: &str) {
         while self.bytes > MAX_BYTES {
             let others = self.jobs.iter().filter(|(job, _)| *job != protected);
--- a/crates/front/src/job/text_reuse.rs
+++ b/crates/front/src/job/text_reuse.rs
@@ -88,7 +88,7 @@
             model: spec.model.clone(),
             min_version: spec.min_version,
             // Trainers put repeated items first, and these are at most half of a job.
-            items: possibly_returned_items(spec).map(str::to_owned).collect(),
+            items: possibly_repeated_items(spec).map(str::to_owned).collect(),
             train_step: spec.train_step,
             tenant: spec.tenant.clone(),
         };
@@ -140,7 +140,7 @@
 }
 
 /// Returns the items that may repeat those of an earlier job.
-fn possibly_returned_items(spec: &JobSpec) -> impl Iterator<Item = &str> {
+fn possibly_repeated_items(spec: &JobSpec) -> impl Iterator<Item = &str> {
     let half = spec.items.len().div_ceil(2);
     spec.items[..half].iter().map(|item| item.id.as_str())
 }
