--- a/crates/front/src/activity.rs
+++ b/crates/front/src/activity.rs
@@ -49,22 +49,25 @@
         self.wait_for(false).await;
     }
 
-    /// Waits until there has been no work for `rest`.
-    pub async fn rested(&self, rest: Duration) {
+    /// Waits until there has been no work for `idle_time`.
+    pub async fn rested(&self, idle_time: Duration) {
         loop {
             self.idle().await;
-            if tokio::time::timeout(rest, self.active()).await.is_err() {
+            if tokio::time::timeout(idle_time, self.active())
+                .await
+                .is_err()
+            {
                 return;
             }
         }
     }
 
-    /// Sleeps for `busy_interval` while work is in progress and for up to `idle_interval`, the longer time,
-    /// otherwise.
+    /// Sleeps for `busy_interval` while work is in progress, otherwise for up to `idle_interval`,
+    /// which must be the longer one.
     pub async fn pause_until_next_poll(&self, busy_interval: Duration, idle_interval: Duration) {
         tokio::time::sleep(busy_interval).await;
-        let rest = idle_interval.saturating_sub(busy_interval);
-        let _ = tokio::time::timeout(rest, self.active()).await;
+        let remaining = idle_interval.saturating_sub(busy_interval);
+        let _ = tokio::time::timeout(remaining, self.active()).await;
     }
 
     async fn wait_for(&self, is_active: bool) {
