--- a/crates/clock/src/instant.rs
+++ b/crates/clock/src/instant.rs
@@ -59,7 +59,7 @@
     }
 
     /// The same moment by the steady clock, if the machine is not suspended in between: for waits.
-    pub fn to_steady(self) -> std::time::Instant {
+    pub fn to_std(self) -> std::time::Instant {
         let (now, steady) = (Self::now(), std::time::Instant::now());
         match self.checked_duration_since(now) {
             Some(later) => steady + later,
--- a/crates/daemon/src/hooks.rs
+++ b/crates/daemon/src/hooks.rs
@@ -68,7 +68,7 @@
         majority: bool,
     ) {
         if let Some(parts) = self.parts() {
-            let asked_at = asked_at.to_steady();
+            let asked_at = asked_at.to_std();
             parts.bundles.heartbeat_round(asked_at, &evidence, majority);
         }
     }
@@ -79,7 +79,7 @@
         }
     }
 
-    fn untended(&self, logs: Vec<String>) {
+    fn orphaned(&self, logs: Vec<String>) {
         let Some(parts) = self.parts() else {
             return;
         };
--- a/crates/daemon/src/settings/mod.rs
+++ b/crates/daemon/src/settings/mod.rs
@@ -174,12 +174,12 @@
                 settings.initial_replicas.clone(),
             ),
             may_bootstrap: true,
-            tended_prefix: "shard/",
-            owner_heartbeat: Duration::from_millis(timing.owner_heartbeat_ms),
+            monitored_prefix: "shard/",
+            owner_heartbeat_interval: Duration::from_millis(timing.owner_heartbeat_ms),
             owner_timeout: Duration::from_millis(timing.owner_timeout_ms),
             round_timeout: Duration::from_millis(timing.journal_timeout_ms),
-            poll: Duration::from_millis(timing.key_value_poll_ms),
-            longest_pause: Duration::from_secs(10),
+            poll_interval: Duration::from_millis(timing.key_value_poll_ms),
+            max_poll_interval: Duration::from_secs(10),
             replace_after: Duration::from_millis(timing.replica_replace_after_ms),
         }
     }
--- a/crates/daemon/src/shards/delivery.rs
+++ b/crates/daemon/src/shards/delivery.rs
@@ -146,7 +146,7 @@
             let decision = state.pull(pull, &in_force.bound, &self.first_tokens);
             let completes = decision.outcome == PullOutcome::Complete && !self.log.is_closed();
             if is_repeated(&decision) {
-                self.log.confirm().await?;
+                self.log.confirm_ownership().await?;
             }
             self.log.commit(decision.entries, completes).await?;
             let Some(now_in_force) = self.deliverable() else {
--- a/crates/daemon/src/shards/log.rs
+++ b/crates/daemon/src/shards/log.rs
@@ -97,11 +97,11 @@
     }
 
     /// Makes sure that this is still the log's only writer, for a reply that needs no commit.
-    pub(super) async fn confirm(&self) -> Result<(), CommitError> {
+    pub(super) async fn confirm_ownership(&self) -> Result<(), CommitError> {
         let Some(writer) = &self.writer else {
             return Err(CommitError::StaleReplicaSet);
         };
-        match writer.confirm().await {
+        match writer.confirm_ownership().await {
             Ok(()) => Ok(()),
             Err(JournalError::Fenced) => Err(CommitError::Fenced),
             Err(JournalError::StaleReplicaSet) => Err(CommitError::StaleReplicaSet),
--- a/crates/daemon/tests/journal/network.rs
+++ b/crates/daemon/tests/journal/network.rs
@@ -31,7 +31,7 @@
 /// What the hooks of one node were told.
 #[derive(Debug, Default)]
 pub struct Seen {
-    pub untended: BTreeSet<String>,
+    pub orphaned: BTreeSet<String>,
     pub fenced: BTreeSet<String>,
     pub evidence_with_majority: usize,
 }
@@ -64,8 +64,8 @@
         self.seen.lock().unwrap().fenced.insert(log.to_owned());
     }
 
-    fn untended(&self, logs: Vec<String>) {
-        self.seen.lock().unwrap().untended.extend(logs);
+    fn orphaned(&self, logs: Vec<String>) {
+        self.seen.lock().unwrap().orphaned.extend(logs);
     }
 }
 
@@ -295,7 +295,7 @@
         let response = match request.kind {
             RequestKind::fetch_replica_set(_) => node.replica_sets.handle_fetch_replica_set(),
             RequestKind::shard_notice(notice) => {
-                node.seen.lock().unwrap().untended.extend(notice.logs);
+                node.seen.lock().unwrap().orphaned.extend(notice.logs);
                 Response {
                     kind: ResponseKind::done(Done {}),
                 }
--- a/crates/daemon/tests/journal/owners.rs
+++ b/crates/daemon/tests/journal/owners.rs
@@ -25,15 +25,15 @@
     drop(closed);
     let names = ["n0", "n1", "n2", "n3", "n4"];
     let told = || -> Vec<&str> {
-        let is_told = |name: &&str| network.with_seen(name, |seen| seen.untended.contains(LOG));
+        let is_told = |name: &&str| network.with_seen(name, |seen| seen.orphaned.contains(LOG));
         names.into_iter().filter(is_told).collect()
     };
     until("somebody is told", async || !told().is_empty()).await;
     assert_eq!(told().len(), 1, "the same member is named by every replica");
     for name in names {
         network.with_seen(name, |seen| {
-            assert!(!seen.untended.contains("shard/trainer/1/1"), "a tended log");
-            assert!(!seen.untended.contains("shard/trainer/1/2"), "a closed log");
+            assert!(!seen.orphaned.contains("shard/trainer/1/1"), "a tended log");
+            assert!(!seen.orphaned.contains("shard/trainer/1/2"), "a closed log");
         });
     }
 }
--- a/crates/daemon/tests/journal/replica_sets.rs
+++ b/crates/daemon/tests/journal/replica_sets.rs
@@ -112,7 +112,7 @@
     network.stop_node("n1").await;
     // Only one replica of the writer's own set is left: it must tell, as there is no majority that could.
     let stale = Err(JournalError::StaleReplicaSet);
-    assert_eq!(early.confirm().await, stale);
+    assert_eq!(early.confirm_ownership().await, stale);
     assert_eq!(early.append(vec![entry("d")], false).await, stale);
     for (log, entries) in written {
         let (mut writer, found) = network.journal("n4").take_over(&log).await.unwrap();
--- a/crates/daemon/tests/journal/writers.rs
+++ b/crates/daemon/tests/journal/writers.rs
@@ -41,12 +41,12 @@
     let network = Network::start(3, 3).await;
     let (mut paused, _) = network.journal("n0").take_over(LOG).await.unwrap();
     paused.append(vec![entry("a")], false).await.unwrap();
-    paused.confirm().await.unwrap();
+    paused.confirm_ownership().await.unwrap();
     let (mut successor, found) = network.journal("n1").take_over(LOG).await.unwrap();
     assert_eq!(found, [entry("a")]);
     assert!(successor.epoch() > paused.epoch());
-    assert_eq!(paused.confirm().await, Err(JournalError::Fenced));
-    successor.confirm().await.unwrap();
+    assert_eq!(paused.confirm_ownership().await, Err(JournalError::Fenced));
+    successor.confirm_ownership().await.unwrap();
     let late = paused.append(vec![entry("late")], false).await;
     assert_eq!(late, Err(JournalError::Fenced));
     successor.append(vec![entry("b")], false).await.unwrap();
--- a/crates/daemon/tests/shards/nodes.rs
+++ b/crates/daemon/tests/shards/nodes.rs
@@ -256,7 +256,7 @@
         self.0.fenced(log);
     }
 
-    fn untended(&self, logs: Vec<String>) {
+    fn orphaned(&self, logs: Vec<String>) {
         let shards = self.0.clone();
         tokio::spawn(async move {
             shards
--- a/crates/front/src/activity.rs
+++ b/crates/front/src/activity.rs
@@ -27,7 +27,7 @@
 
 impl Activity {
     /// Starts work, which ends when the guard is dropped.
-    pub fn begin(&self) -> ActivityGuard {
+    pub fn start(&self) -> ActivityGuard {
         self.count.send_modify(|count| *count += 1);
         ActivityGuard {
             count: self.count.clone(),
@@ -40,20 +40,20 @@
     }
 
     /// Waits until work is in progress.
-    pub async fn active(&self) {
+    pub async fn wait_until_active(&self) {
         self.wait_for(true).await;
     }
 
     /// Waits until no work is in progress.
-    pub async fn idle(&self) {
+    pub async fn wait_until_idle(&self) {
         self.wait_for(false).await;
     }
 
     /// Waits until there has been no work for `idle_time`.
-    pub async fn rested(&self, idle_time: Duration) {
+    pub async fn wait_until_idle_for(&self, idle_time: Duration) {
         loop {
-            self.idle().await;
-            if tokio::time::timeout(idle_time, self.active())
+            self.wait_until_idle().await;
+            if tokio::time::timeout(idle_time, self.wait_until_active())
                 .await
                 .is_err()
             {
@@ -67,7 +67,7 @@
     pub async fn pause_until_next_poll(&self, busy_interval: Duration, idle_interval: Duration) {
         tokio::time::sleep(busy_interval).await;
         let remaining = idle_interval.saturating_sub(busy_interval);
-        let _ = tokio::time::timeout(remaining, self.active()).await;
+        let _ = tokio::time::timeout(remaining, self.wait_until_active()).await;
     }
 
     async fn wait_for(&self, is_active: bool) {
--- a/crates/front/src/backend/choice.rs
+++ b/crates/front/src/backend/choice.rs
@@ -44,7 +44,7 @@
     /// Shortest time in which it took a connection, in milliseconds; `None` before the first one.
     pub round_trip_ms: Option<f64>,
     /// Recent milliseconds per unit of work: per whole answer, round trip included, or per event; `None` while unknown.
-    pub pace_ms: Option<f64>,
+    pub unit_time_ms: Option<f64>,
 }
 
 impl Candidate {
@@ -58,7 +58,7 @@
 
     /// Recent milliseconds per unit of work, without the round trip.
     fn work_ms(&self, demand: Demand) -> Option<f64> {
-        let pace = self.pace_ms?;
+        let pace = self.unit_time_ms?;
         if demand.has_whole_answers() {
             return Some((pace - self.counted_round_trip_ms()).max(pace * LEAST_OWN_SHARE));
         }
@@ -77,7 +77,7 @@
     LongBatch,
     /// The rest of a text whose run was cut or moved, the fastest instance: it has lost time already, and is let in behind others
     /// rather than wait here until a slot is free that new items are started on.
-    CutBatch,
+    InterruptedBatch,
     /// A reward call: only an instance with slots to spare for clients who wait.
     Scoring,
 }
@@ -87,7 +87,7 @@
     fn has_whole_answers(self) -> bool {
         match self {
             Self::Live | Self::Scoring => true,
-            Self::Batch | Self::LongBatch | Self::CutBatch => false,
+            Self::Batch | Self::LongBatch | Self::InterruptedBatch => false,
         }
     }
 }
@@ -101,7 +101,7 @@
 
 /// Index of the instance to use; `None` if none fits. `random` decides among equal ones.
 pub fn choose(candidates: &[Candidate], demand: Demand, random: u64) -> Option<usize> {
-    let typical = typical_pace(candidates, demand);
+    let typical = typical_unit_time(candidates, demand);
     let fitting = candidates
         .iter()
         .enumerate()
@@ -123,7 +123,7 @@
     match demand {
         Demand::Live => u32::MAX,
         Demand::Batch | Demand::LongBatch => candidate.slots,
-        Demand::CutBatch => candidate.slots + candidate.slots.div_ceil(CUT_QUEUE_SHARE),
+        Demand::InterruptedBatch => candidate.slots + candidate.slots.div_ceil(CUT_QUEUE_SHARE),
         Demand::Scoring => candidate.slots - candidate.slots / LIVE_SLOT_SHARE,
     }
 }
@@ -136,10 +136,10 @@
         _ => 1.0,
     };
     let idle_share = match demand {
-        Demand::LongBatch | Demand::CutBatch => LONG_IDLE_SHARE,
+        Demand::LongBatch | Demand::InterruptedBatch => LONG_IDLE_SHARE,
         Demand::Live | Demand::Batch | Demand::Scoring => IDLE_SHARE,
     };
-    let queueing = if demand == Demand::CutBatch && candidate.load >= candidate.slots {
+    let queueing = if demand == Demand::InterruptedBatch && candidate.load >= candidate.slots {
         QUEUE_COST
     } else {
         0.0
@@ -169,7 +169,7 @@
 }
 
 /// Median of the known paces.
-fn typical_pace(candidates: &[Candidate], demand: Demand) -> Option<f64> {
+fn typical_unit_time(candidates: &[Candidate], demand: Demand) -> Option<f64> {
     median(
         candidates
             .iter()
--- a/crates/front/src/backend/cold/limits.rs
+++ b/crates/front/src/backend/cold/limits.rs
@@ -104,16 +104,16 @@
     /// Waits for wants, and returns all that were noted, services by instance.
     pub async fn take(&self) -> BTreeMap<String, String> {
         loop {
-            let wants = self.take_noted();
-            if !wants.is_empty() {
-                return wants;
+            let permit_requests = self.drain_pending();
+            if !permit_requests.is_empty() {
+                return permit_requests;
             }
             self.changed.notified().await;
         }
     }
 
     /// All that were noted so far, services by instance.
-    pub fn take_noted(&self) -> BTreeMap<String, String> {
+    pub fn drain_pending(&self) -> BTreeMap<String, String> {
         std::mem::take(&mut *self.lock())
     }
 
--- a/crates/front/src/backend/connection.rs
+++ b/crates/front/src/backend/connection.rs
@@ -62,7 +62,7 @@
     shared: Arc<Shared>,
 }
 
-/// A connection in use. Give it back with [`Lease::give_back`] once a whole answer was read; dropped, it is closed.
+/// A connection in use. Give it back with [`Lease::return_to_pool`] once a whole answer was read; dropped, it is closed.
 #[derive(Debug)]
 pub struct Lease {
     /// Sends the one request.
@@ -150,7 +150,7 @@
 
 impl Lease {
     /// Keeps the connection for another request, for `rest` or the default.
-    pub fn give_back(self, rest: Option<Duration>) {
+    pub fn return_to_pool(self, rest: Option<Duration>) {
         if self.sender.is_closed() {
             return;
         }
--- a/crates/front/src/backend/counters.rs
+++ b/crates/front/src/backend/counters.rs
@@ -12,7 +12,7 @@
     /// Zones that are drained.
     pub drained_zones: IntGauge,
     /// Choices that passed over a usable instance, by reason and zone.
-    pub passed_over: IntCounterVec,
+    pub skipped_instances: IntCounterVec,
 }
 
 impl Default for DiscoveryCounters {
@@ -29,7 +29,7 @@
             "ladderstage_unreadable_records_total",
             "Records of instances that name none by reason",
         );
-        let passed_over = Opts::new(
+        let skipped_instances = Opts::new(
             "ladderstage_instances_passed_over_total",
             "Choices that passed over a usable instance by reason and zone of the instance",
         );
@@ -37,7 +37,7 @@
             restarts: restarts.expect("valid name"),
             unreadable_records: IntCounterVec::new(options, &["reason"]).expect("valid name"),
             drained_zones: drained_zones.expect("valid name"),
-            passed_over: IntCounterVec::new(passed_over, &["reason", "zone"]).expect("valid name"),
+            skipped_instances: IntCounterVec::new(skipped_instances, &["reason", "zone"]).expect("valid name"),
         }
     }
 }
--- a/crates/front/src/backend/exchange.rs
+++ b/crates/front/src/backend/exchange.rs
@@ -83,7 +83,7 @@
     ///
     /// # Errors
     /// `Broken` if the body does not end as it should.
-    pub async fn read_whole(
+    pub async fn read_body(
         self,
         limit: usize,
     ) -> Result<(StatusCode, HeaderMap, Bytes), ExchangeError> {
@@ -92,7 +92,7 @@
         let body = collected
             .map_err(|error| ExchangeError::Broken(format!("body: {error}")))?
             .to_bytes();
-        self.lease.give_back(rest);
+        self.lease.return_to_pool(rest);
         Ok((self.status, self.headers, body))
     }
 
@@ -104,7 +104,7 @@
 
 /// Whether an answer must carry the id of its request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AnswerId {
+pub enum AnswerIdPolicy {
     /// An answer without the id belongs to another request.
     Required,
     /// Calls to the instance itself are answered without an id; one with another id belongs to another request.
@@ -121,12 +121,12 @@
     head: &RequestHead,
     body: &Bytes,
     attempt_id: &HeaderValue,
-    answer_id: AnswerId,
+    answer_id: AnswerIdPolicy,
 ) -> Result<Reply, ExchangeError> {
     let (response, lease) = send_on_some_connection(instance, head, body, answer_id).await?;
     let (parts, body) = response.into_parts();
     let found = parts.headers.get(&names.attempt_id);
-    let may_lack = answer_id == AnswerId::Optional && found.is_none();
+    let may_lack = answer_id == AnswerIdPolicy::Optional && found.is_none();
     if found != Some(attempt_id) && !may_lack {
         return Err(ExchangeError::Broken(
             "answer to another request".to_owned(),
@@ -157,11 +157,11 @@
         let at_address = reply.headers.get(&names.instance_id);
         let is_other_instance =
             at_address.is_some_and(|id| id.as_bytes() != instance.id().as_bytes());
-        let _ = reply.read_whole(REFUSAL_BODY_LIMIT).await;
+        let _ = reply.read_body(REFUSAL_BODY_LIMIT).await;
         return Err(ExchangeError::Misdirected { is_other_instance });
     }
     if reply.headers.contains_key(&names.not_executed) {
-        let _ = reply.read_whole(REFUSAL_BODY_LIMIT).await;
+        let _ = reply.read_body(REFUSAL_BODY_LIMIT).await;
         return Err(ExchangeError::NotRun(status));
     }
     Ok(reply)
@@ -171,12 +171,12 @@
 fn take_ticket(
     instance: &Instance,
     head: &RequestHead,
-    answer_id: AnswerId,
+    answer_id: AnswerIdPolicy,
 ) -> Result<Option<SendTicket>, HoldReason> {
     instance.check_region(&head.allowed)?;
     match answer_id {
-        AnswerId::Required => instance.take_send(Instant::now()),
-        AnswerId::Optional => Ok(None),
+        AnswerIdPolicy::Required => instance.take_send(Instant::now()),
+        AnswerIdPolicy::Optional => Ok(None),
     }
 }
 
@@ -184,7 +184,7 @@
     instance: &Arc<Instance>,
     head: &RequestHead,
     body: &Bytes,
-    answer_id: AnswerId,
+    answer_id: AnswerIdPolicy,
 ) -> Result<(http::Response<Incoming>, Lease), ExchangeError> {
     for _ in 0..CONNECTIONS_TRIED {
         let acquired = instance.connections().acquire().await;
@@ -193,7 +193,7 @@
             Ok(ticket) => ticket,
             Err(reason) => {
                 // Unused: the next request may have it.
-                lease.give_back(None);
+                lease.return_to_pool(None);
                 return Err(ExchangeError::HeldBack(reason));
             }
         };
--- a/crates/front/src/backend/gate.rs
+++ b/crates/front/src/backend/gate.rs
@@ -67,7 +67,7 @@
 
 impl DrainedZones {
     /// Notes that drains are followed here: until the first word of them, any zone may be one that is drained.
-    pub fn await_first(&self) {
+    pub fn mark_unknown(&self) {
         self.is_awaited.send_replace(true);
     }
 
@@ -153,7 +153,7 @@
     /// How many requests instances may get while they are cold.
     pub cold: ColdLimits,
     /// Cold instances for which work waits here.
-    pub wants: PermitWants,
+    pub permit_requests: PermitWants,
     /// Where this node and the instances are.
     pub locality: Locality,
 }
--- a/crates/front/src/backend/instance.rs
+++ b/crates/front/src/backend/instance.rs
@@ -36,7 +36,7 @@
 
 /// An instance as discovery tells of it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Discovered {
+pub struct DiscoveredInstance {
     /// Its id.
     pub id: String,
     /// Service that it belongs to.
@@ -74,7 +74,7 @@
     !*flag
 }
 
-impl Discovered {
+impl DiscoveredInstance {
     /// Whether another word about the instance tells the same, weights left out.
     pub fn is_same_without_weights(&self, other: &Self) -> bool {
         let Self {
@@ -117,7 +117,7 @@
 
 #[derive(Debug)]
 struct Known {
-    discovered: Discovered,
+    discovered: DiscoveredInstance,
     /// Load of others: what was told less own requests then, and when.
     others: Option<(u32, Instant)>,
     pace: Option<(f64, Instant)>,
@@ -143,7 +143,7 @@
 }
 
 impl Known {
-    fn recent_pace_ms(&self, now: Instant) -> Option<f64> {
+    fn recent_unit_time_ms(&self, now: Instant) -> Option<f64> {
         let (pace, at) = self.pace?;
         (now.saturating_duration_since(at) < PACE_TRUST).then_some(pace)
     }
@@ -171,7 +171,7 @@
 
 impl Instance {
     /// A newly discovered instance that gets requests as the gates allow.
-    pub fn new(discovered: Discovered, gates: SendGates) -> Self {
+    pub fn new(discovered: DiscoveredInstance, gates: SendGates) -> Self {
         let mut cold = ColdState::default();
         cold.told(Duration::from_millis(discovered.cold_ms), Instant::now());
         Self {
@@ -211,7 +211,7 @@
     }
 
     /// Whether a word about the start at `started_unix_ms` is about this one; 0: unknown, as from instances that do not tell.
-    pub fn is_start(&self, started_unix_ms: u64) -> bool {
+    pub fn matches_incarnation(&self, started_unix_ms: u64) -> bool {
         started_unix_ms == 0 || self.started_unix_ms == 0 || started_unix_ms == self.started_unix_ms
     }
 
@@ -244,10 +244,10 @@
     }
 
     /// What discovery told last; how much longer it is cold is as of now.
-    pub fn discovered(&self) -> Discovered {
+    pub fn discovered(&self) -> DiscoveredInstance {
         let known = self.lock();
         let cold = known.cold.remaining(Instant::now());
-        Discovered {
+        DiscoveredInstance {
             cold_ms: cold.as_millis() as u64,
             ..known.discovered.clone()
         }
@@ -274,7 +274,7 @@
     }
 
     /// Takes what discovery tells now. Weight versions only rise within one start.
-    pub fn update(&self, mut discovered: Discovered) {
+    pub fn update(&self, mut discovered: DiscoveredInstance) {
         let mut known = self.lock();
         for (model, version) in &known.discovered.versions {
             let newer = discovered.versions.entry(model.clone()).or_insert(0);
@@ -299,7 +299,7 @@
     }
 
     /// Notes a weight version that the instance told.
-    pub fn note_version(&self, model: &str, version: u64) {
+    pub fn record_version(&self, model: &str, version: u64) {
         let mut known = self.lock();
         let versions = &mut known.discovered.versions;
         let entry = versions.entry(model.to_owned()).or_insert(0);
@@ -310,7 +310,7 @@
     }
 
     /// Counts one more request until the guard is dropped.
-    pub fn begin(self: &Arc<Self>) -> RunGuard {
+    pub fn track_request(self: &Arc<Self>) -> RunGuard {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         RunGuard {
             instance: Arc::clone(self),
@@ -330,26 +330,26 @@
     }
 
     /// Notes the time that one unit of work took, in milliseconds.
-    pub fn note_pace(&self, pace_ms: f64, now: Instant) {
+    pub fn record_unit_time(&self, unit_time_ms: f64, now: Instant) {
         let mut known = self.lock();
         let pace = match known.pace {
             Some((pace, at)) if now.saturating_duration_since(at) < PACE_TRUST => {
-                pace + (pace_ms - pace) * PACE_WEIGHT
+                pace + (unit_time_ms - pace) * PACE_WEIGHT
             }
-            _ => pace_ms,
+            _ => unit_time_ms,
         };
         known.pace = Some((pace, now));
     }
 
     /// Notes a whole answer.
-    pub fn note_success(&self) {
+    pub fn record_success(&self) {
         let mut known = self.lock();
         known.failures = 0;
         known.paused_until = None;
     }
 
     /// Notes that no answer came, or a broken one: the instance gets a pause that grows.
-    pub fn note_failure(&self, now: Instant) {
+    pub fn record_failure(&self, now: Instant) {
         let mut known = self.lock();
         let factor = 1u32 << known.failures.min(8);
         known.failures += 1;
@@ -358,7 +358,7 @@
         // It may have ended, and come back before discovery tells.
         let is_news = known.cold.disconnected();
         if is_news && self.gates.cold.get(&known.discovered.service).is_some() {
-            log::info!("event=instance_doubtful instance={}", self.id);
+            log::info!("event=instance_maybe_cold instance={}", self.id);
         }
     }
 
@@ -384,7 +384,7 @@
     }
 
     /// Notes that a model cannot be used there for a moment.
-    pub fn note_loading(&self, model: &str, until: Instant) {
+    pub fn mark_loading(&self, model: &str, until: Instant) {
         self.lock().loading_until.insert(model.to_owned(), until);
     }
 
@@ -409,7 +409,7 @@
     ///
     /// # Errors
     /// Why it is to get none.
-    pub fn drain_gate(&self) -> Result<(), HoldReason> {
+    pub fn check_drain(&self) -> Result<(), HoldReason> {
         let known = self.lock();
         self.gates.drained.may_send_to(&known.discovered.zone)
     }
@@ -513,7 +513,7 @@
                 .regions
                 .between_zones(zone, &known.discovered.zone),
             round_trip_ms: self.connections.round_trip_ms(),
-            pace_ms: known.recent_pace_ms(now),
+            unit_time_ms: known.recent_unit_time_ms(now),
         }
     }
 
@@ -524,8 +524,8 @@
     }
 
     /// Recent milliseconds per unit of work; `None` while unknown.
-    pub fn recent_pace_ms(&self) -> Option<f64> {
-        self.lock().recent_pace_ms(Instant::now())
+    pub fn recent_unit_time_ms(&self) -> Option<f64> {
+        self.lock().recent_unit_time_ms(Instant::now())
     }
 
     fn lock(&self) -> MutexGuard<'_, Known> {
--- a/crates/front/src/backend/mod.rs
+++ b/crates/front/src/backend/mod.rs
@@ -18,7 +18,7 @@
 pub use connection::{ConnectError, Connections, Lease};
 pub use counters::DiscoveryCounters;
 pub(crate) use exchange::keep_alive;
-pub use exchange::{AnswerId, ExchangeError, Reply, RequestHead, end_to_end, send};
+pub use exchange::{AnswerIdPolicy, ExchangeError, Reply, RequestHead, end_to_end, send};
 pub use gate::{DrainedZones, HoldReason, Locality, SendGates};
-pub use instance::{Discovered, Instance, LOADING_PAUSE, Load, RunGuard};
+pub use instance::{DiscoveredInstance, Instance, LOADING_PAUSE, Load, RunGuard};
 pub use table::BackendTable;
--- a/crates/front/src/backend/table.rs
+++ b/crates/front/src/backend/table.rs
@@ -11,7 +11,7 @@
 use super::choice::{Candidate, Demand, choose, median};
 use super::counters::DiscoveryCounters;
 use super::gate::{HoldReason, Locality, SendGates};
-use super::instance::{Discovered, Instance};
+use super::instance::{DiscoveredInstance, Instance};
 
 /// The instances by id. Cheap to clone.
 #[derive(Debug, Clone)]
@@ -62,7 +62,7 @@
     }
 
     /// Takes the zones that are to be drained now.
-    pub fn set_drained(&self, zones: BTreeSet<Arc<str>>) {
+    pub fn set_drained_zones(&self, zones: BTreeSet<Arc<str>>) {
         let drained = &self.gates.drained;
         let before = drained.current();
         let is_news = !drained.is_known() || *before != zones;
@@ -97,14 +97,14 @@
     }
 
     /// Why drains leave no instance of a service that may get a request; `None`: one may, or there is no instance.
-    pub fn drained_out(&self, service: &str) -> Option<HoldReason> {
-        let instances = self.of_service(service);
+    pub fn drain_reason(&self, service: &str) -> Option<HoldReason> {
+        let instances = self.instances_of(service);
         let is_open =
-            |instance: &Arc<Instance>| instance.is_ready() && instance.drain_gate().is_ok();
+            |instance: &Arc<Instance>| instance.is_ready() && instance.check_drain().is_ok();
         if instances.iter().any(is_open) {
             return None;
         }
-        let reasons = instances.iter().map(|instance| instance.drain_gate().err());
+        let reasons = instances.iter().map(|instance| instance.check_drain().err());
         reasons.flatten().next()
     }
 
@@ -114,7 +114,7 @@
     }
 
     /// Forgets an instance whose record names none any more; `reason` is a label of metrics.
-    pub fn forget_unreadable(&self, id: &str, reason: &str) {
+    pub fn remove_unreadable(&self, id: &str, reason: &str) {
         let unreadable = &self.counters.unreadable_records;
         unreadable.with_label_values(&[reason]).inc();
         self.remove(id);
@@ -122,7 +122,7 @@
 
     /// Takes what discovery tells of one instance. Nothing that is believed of one start outlives it, and a word about an earlier start
     /// than the known one, which may come late, changes nothing.
-    pub fn upsert(&self, mut discovered: Discovered) {
+    pub fn upsert(&self, mut discovered: DiscoveredInstance) {
         let mut instances = self.lock();
         let known = instances.get(&discovered.id);
         if let Some(known) = known {
@@ -132,7 +132,7 @@
             }
             if discovered.started_unix_ms < start {
                 log::info!(
-                    "event=instance_word_late instance={} started={} known={start}",
+                    "event=instance_report_late instance={} started={} known={start}",
                     discovered.id,
                     discovered.started_unix_ms
                 );
@@ -189,9 +189,9 @@
 
     /// An instance says itself when it started. If that is later than what discovery told, it has been started again, and nothing
     /// that was believed of it holds but where it is.
-    pub fn note_start(&self, instance: &Instance, started_unix_ms: u64) {
+    pub fn record_incarnation(&self, instance: &Instance, started_unix_ms: u64) {
         if started_unix_ms > instance.started_unix_ms() {
-            self.upsert(Discovered {
+            self.upsert(DiscoveredInstance {
                 started_unix_ms,
                 versions: BTreeMap::new(),
                 ..instance.discovered()
@@ -204,7 +204,7 @@
     }
 
     /// Asks for instances if none was ever told of, and waits for the first one and for word of drained zones, `longest` at most.
-    pub async fn first_fed(&self, longest: Duration) {
+    pub async fn wait_for_first_instance(&self, longest: Duration) {
         let drained = &self.gates.drained;
         if *self.is_fed.borrow() && drained.is_known() {
             return;
@@ -221,7 +221,7 @@
     }
 
     /// Returns once somebody asked for instances before the first one was told of.
-    pub async fn wanted(&self) {
+    pub async fn wait_for_first_request(&self) {
         let mut is_wanted = self.is_wanted.subscribe();
         // The sender lives as long as this table.
         let _ = is_wanted.wait_for(|is_wanted| *is_wanted).await;
@@ -231,14 +231,14 @@
     pub fn remove(&self, id: &str) {
         if let Some(instance) = self.lock().remove(id) {
             instance.connections().close_idle();
-            log::info!("event=instance_gone instance={id}");
+            log::info!("event=instance_removed instance={id}");
             self.membership.send_modify(|count| *count += 1);
         }
         self.notify();
     }
 
     /// Forgets all instances among those that `is_meant` accepts whose ids are not among `kept`.
-    pub fn retain(&self, kept: &[String], is_meant: impl Fn(&Discovered) -> bool) {
+    pub fn retain(&self, kept: &[String], is_meant: impl Fn(&DiscoveredInstance) -> bool) {
         let gone: Vec<String> = {
             let instances = self.lock();
             let instances = instances.values();
@@ -272,7 +272,7 @@
     }
 
     /// What discovery told last of all instances, sorted by id.
-    pub fn discovered(&self) -> Vec<Discovered> {
+    pub fn discovered(&self) -> Vec<DiscoveredInstance> {
         let instances = self.lock();
         instances
             .values()
@@ -281,7 +281,7 @@
     }
 
     /// Instances of a service, sorted by id.
-    pub fn of_service(&self, service: &str) -> Vec<Arc<Instance>> {
+    pub fn instances_of(&self, service: &str) -> Vec<Arc<Instance>> {
         let instances = self.lock();
         let found = instances.values();
         found
@@ -291,12 +291,12 @@
     }
 
     /// Median of the recent paces of a service's instances, in milliseconds per unit of work.
-    pub fn typical_pace(&self, service: &str) -> Option<f64> {
+    pub fn typical_unit_time(&self, service: &str) -> Option<f64> {
         let now = Instant::now();
-        let instances = self.of_service(service);
+        let instances = self.instances_of(service);
         let paces = instances
             .iter()
-            .filter_map(|one| one.candidate(&self.zone, now).pace_ms);
+            .filter_map(|one| one.candidate(&self.zone, now).unit_time_ms);
         median(paces.collect())
     }
 
@@ -315,7 +315,7 @@
             None => {
                 // Work waits that these could take.
                 let idle = cold.iter().filter(|instance| instance.has_free_slot());
-                idle.for_each(|instance| self.gates.wants.note(instance.id(), service));
+                idle.for_each(|instance| self.gates.permit_requests.note(instance.id(), service));
             }
         }
         chosen
@@ -344,7 +344,7 @@
         now: Instant,
         fits: impl Fn(&Instance) -> bool,
     ) -> (Option<Arc<Instance>>, Vec<Arc<Instance>>) {
-        let mut usable = self.of_service(service);
+        let mut usable = self.instances_of(service);
         usable.retain(|instance| instance.is_usable(model, now) && fits(instance));
         let cold = self.pass_over_held(&mut usable, now);
         let candidates: Vec<Candidate> = usable
@@ -363,7 +363,7 @@
                 return true;
             };
             let labels = [reason.label(), &instance.zone()];
-            self.counters.passed_over.with_label_values(&labels).inc();
+            self.counters.skipped_instances.with_label_values(&labels).inc();
             if reason == HoldReason::Cold {
                 cold.push(Arc::clone(instance));
             }
@@ -382,7 +382,7 @@
     pub fn held_back(&self, service: &str) -> BTreeMap<HoldReason, usize> {
         let now = Instant::now();
         let mut counts = BTreeMap::new();
-        let ready = self.of_service(service).into_iter();
+        let ready = self.instances_of(service).into_iter();
         for instance in ready.filter(|instance| instance.is_ready()) {
             if let Err(reason) = instance.may_send(now) {
                 *counts.entry(reason).or_insert(0) += 1;
@@ -407,14 +407,14 @@
 
     /// Whether a service has an instance in an allowed region, ready or not.
     pub fn has_any_within(&self, service: &str, allowed: &AllowedRegions) -> bool {
-        let instances = self.of_service(service);
+        let instances = self.instances_of(service);
         instances.iter().any(|instance| instance.is_within(allowed))
     }
 
     /// A ready instance of a service in an allowed region, also one that gets a pause after a failure.
-    pub fn choose_again(&self, service: &str, allowed: &AllowedRegions) -> Option<Arc<Instance>> {
+    pub fn choose_for_retry(&self, service: &str, allowed: &AllowedRegions) -> Option<Arc<Instance>> {
         let now = Instant::now();
-        let instances = self.of_service(service);
+        let instances = self.instances_of(service);
         let ready: Vec<_> = instances
             .into_iter()
             .filter(|instance| instance.is_ready() && instance.is_within(allowed))
--- a/crates/front/src/capacity/counts.rs
+++ b/crates/front/src/capacity/counts.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::sync::Arc;
 
-use crate::backend::Discovered;
+use crate::backend::DiscoveredInstance;
 
 /// Whether instances may be taken away at short notice. The number of each kind is ordered apart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -33,7 +33,7 @@
 
 /// What one order is about: the instances of a service in a zone, of one kind.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Subject {
+pub struct InstancePool {
     /// The service.
     pub service: Arc<str>,
     /// The zone.
@@ -54,20 +54,20 @@
 }
 
 /// Counts instances by subject.
-pub fn count(instances: &[Discovered]) -> BTreeMap<Subject, Present> {
-    let mut counts = BTreeMap::<Subject, Present>::new();
+pub fn count(instances: &[DiscoveredInstance]) -> BTreeMap<InstancePool, Present> {
+    let mut counts = BTreeMap::<InstancePool, Present>::new();
     for instance in instances {
         let kind = if instance.is_preemptible {
             InstanceKind::Preemptible
         } else {
             InstanceKind::Kept
         };
-        let subject = Subject {
+        let pool = InstancePool {
             service: instance.service.as_str().into(),
             zone: instance.zone.as_str().into(),
             kind,
         };
-        let present = counts.entry(subject).or_default();
+        let present = counts.entry(pool).or_default();
         if instance.is_ready && instance.leaves_ms.is_none() {
             present.serving += 1;
         } else {
--- a/crates/front/src/capacity/duty.rs
+++ b/crates/front/src/capacity/duty.rs
@@ -10,18 +10,18 @@
 use futures_util::future::join_all;
 use ladderstage_clock::Instant;
 
-use super::counts::Subject;
+use super::counts::InstancePool;
 use super::counts::count;
 use super::outbox::Outbox;
 use super::planner::{CapacityPlanner, FleetNow, LossNews, REFUSAL_TIME};
 use super::sink::{CapacityOrder, CapacityOrderError, CapacitySink};
 use super::wanted::WantedCapacity;
 use crate::backend::BackendTable;
-use crate::config::{ConfigInForce, ServingConfig};
+use crate::config::{CurrentConfig, ServingConfig};
 use crate::coordination::{Coordination, CoordinationError, SwapResult};
 use crate::metrics::Metrics;
-use crate::orders::{GiverLease, Held};
-use crate::roster::DirectView;
+use crate::orders::{OrdersLease, HeldLease};
+use crate::roster::DiscoveryView;
 
 /// Record of what is wanted.
 const WANTED_KEY: &str = "ladderstage/capacity/wanted";
@@ -36,7 +36,7 @@
 const ARRIVAL_MARGIN: Duration = Duration::from_secs(2);
 
 /// Orders capacity while this node holds the lease.
-pub struct CapacityDuty {
+pub struct CapacityController {
     /// The store.
     pub coordination: Arc<dyn Coordination>,
     /// Name of this node.
@@ -44,13 +44,13 @@
     /// Instances, and the zones that are to be drained.
     pub backends: BackendTable,
     /// Whether the instances are known.
-    pub view: DirectView,
+    pub view: DiscoveryView,
     /// Services and their bounds.
-    pub config: ConfigInForce,
+    pub config: CurrentConfig,
     /// Where orders go.
     pub sink: Arc<dyn CapacitySink>,
     /// Least time between orders of holders at two nodes.
-    pub quiet: Duration,
+    pub quiet_period: Duration,
     /// Counters.
     pub metrics: Arc<Metrics>,
 }
@@ -67,15 +67,15 @@
     store_at: Instant,
 }
 
-impl CapacityDuty {
+impl CapacityController {
     /// Orders for as long as the future is polled.
-    pub async fn run(&self, lease: &GiverLease, held: &Held) {
+    pub async fn run(&self, lease: &OrdersLease, held: &HeldLease) {
         let begun = Instant::now();
         self.wait_for_scaled_service().await;
         let mut holding = self.begin().await;
         // A last holder that announced its end shortens the quiet time of orders to instances only: it names none of these orders.
         let is_own = held.last.as_ref().is_none_or(|last| last.node == self.node);
-        let quiet_until = if is_own { begun } else { begun + self.quiet };
+        let quiet_until = if is_own { begun } else { begun + self.quiet_period };
         loop {
             tokio::time::sleep(LOOK_PAUSE).await;
             let Some(config) = self.config.current() else {
@@ -89,9 +89,9 @@
         }
     }
 
-    async fn may_send(&self, lease: &GiverLease, held: &Held) -> bool {
-        lease.may_order(held).await.unwrap_or_else(|error| {
-            log::warn!("event=capacity_holder_not_named cause=\"{error}\"");
+    async fn may_send(&self, lease: &OrdersLease, held: &HeldLease) -> bool {
+        lease.may_issue_orders(held).await.unwrap_or_else(|error| {
+            log::warn!("event=capacity_lease_check_failed cause=\"{error}\"");
             false
         })
     }
@@ -130,13 +130,13 @@
                 Ok(None) => return (0, WantedCapacity::default()),
                 Ok(Some(record)) => {
                     let wanted = serde_json::from_slice(&record.value).unwrap_or_else(|error| {
-                        log::error!("event=capacity_unreadable cause=\"{error}\"");
+                        log::error!("event=capacity_record_invalid cause=\"{error}\"");
                         WantedCapacity::default()
                     });
                     return (record.revision, wanted);
                 }
                 Err(error) => {
-                    log::warn!("event=capacity_not_read cause=\"{error}\"");
+                    log::warn!("event=capacity_read_failed cause=\"{error}\"");
                     tokio::time::sleep(RETRY_PAUSE).await;
                 }
             }
@@ -149,10 +149,10 @@
         let there = count(&self.backends.discovered());
         let wanted = holding.planner.wanted();
         let ordered = wanted.subjects().filter(|(_, count)| count.is_ordered);
-        for (subject, count) in ordered {
-            let serving = there.get(&subject).map_or(0, |present| present.serving);
+        for (pool, count) in ordered {
+            let serving = there.get(&pool).map_or(0, |present| present.serving);
             if serving <= count.desired() {
-                holding.outbox.resume(&subject, count.desired(), now);
+                holding.outbox.resume(&pool, count.desired(), now);
             }
         }
     }
@@ -201,7 +201,7 @@
             }
             Err(error) => {
                 holding.store_at = Instant::now() + RETRY_PAUSE;
-                log::warn!("event=capacity_not_fixed cause=\"{error}\"");
+                log::warn!("event=capacity_order_store_failed cause=\"{error}\"");
             }
         }
     }
@@ -209,14 +209,14 @@
     /// Takes what the store holds now as wanted.
     fn take_fixed(&self, wanted: WantedCapacity, holding: &mut Holding) {
         let now = Instant::now();
-        for (subject, count) in wanted.subjects() {
-            let before = holding.planner.wanted().get(&subject);
+        for (pool, count) in wanted.subjects() {
+            let before = holding.planner.wanted().get(&pool);
             if count != before {
                 log::info!(
-                    "event=capacity_fixed service={} zone={} kind={} found={} extra={} found_before={} extra_before={} revision={}",
-                    subject.service,
-                    subject.zone,
-                    subject.kind,
+                    "event=capacity_order_stored service={} zone={} kind={} found={} extra={} found_before={} extra_before={} revision={}",
+                    pool.service,
+                    pool.zone,
+                    pool.kind,
                     count.found,
                     count.extra,
                     before.found,
@@ -225,7 +225,7 @@
                 );
             }
             if count.is_ordered {
-                holding.outbox.want(&subject, count.desired(), now);
+                holding.outbox.want(&pool, count.desired(), now);
             }
         }
         holding.planner.accept(wanted, now);
@@ -234,23 +234,23 @@
     /// Orders preemptible instances that are lacking again in their own zone.
     fn order_again(&self, drained: &BTreeSet<Arc<str>>, holding: &mut Holding) {
         let now = Instant::now();
-        for subject in holding.planner.to_order_again(drained, now) {
-            let desired = holding.planner.wanted().get(&subject).desired();
-            holding.outbox.repeat(&subject, desired, now);
+        for pool in holding.planner.to_order_again(drained, now) {
+            let desired = holding.planner.wanted().get(&pool).desired();
+            holding.outbox.repeat(&pool, desired, now);
         }
     }
 
     /// Sends the orders that are due, while the lease certainly lasts.
-    async fn send_due(&self, config: &ServingConfig, holding: &mut Holding, held: &Held) {
+    async fn send_due(&self, config: &ServingConfig, holding: &mut Holding, held: &HeldLease) {
         let due = holding.outbox.due(Instant::now());
-        let calls = due.into_iter().map(|(subject, desired)| async move {
+        let calls = due.into_iter().map(|(pool, desired)| async move {
             let order = CapacityOrder {
-                subject,
+                pool,
                 desired,
                 holder: self.node.clone(),
                 fence: held.fence,
             };
-            let is_proven = Instant::now() < held.proven_until();
+            let is_proven = Instant::now() < held.valid_until();
             let outcome = if is_proven {
                 Some(self.sink.order(&order).await)
             } else {
@@ -274,30 +274,30 @@
         outcome: &Result<(), CapacityOrderError>,
     ) {
         let now = Instant::now();
-        let subject = &order.subject;
-        let is_refused = matches!(outcome, Err(CapacityOrderError::NoneToBeHad));
+        let pool = &order.pool;
+        let is_refused = matches!(outcome, Err(CapacityOrderError::Unavailable));
         if is_refused {
-            holding.planner.note_refused(subject, now);
+            holding.planner.note_refused(pool, now);
         }
         let pause = if is_refused {
             REFUSAL_TIME
         } else {
-            arrival_time(config, subject)
+            arrival_time(config, pool)
         };
         let desired = order.desired;
-        holding.outbox.note(subject, desired, outcome, pause, now);
-        self.report(order, outcome, holding.planner.wanted().get(subject).extra);
+        holding.outbox.note(pool, desired, outcome, pause, now);
+        self.report(order, outcome, holding.planner.wanted().get(pool).extra);
     }
 
     /// Counts and logs an order; `extra` of its instances are wanted beyond the found ones.
     fn report(&self, order: &CapacityOrder, outcome: &Result<(), CapacityOrderError>, extra: u32) {
         let CapacityOrder {
-            subject, desired, ..
+            pool, desired, ..
         } = order;
         let label = outcome
             .as_ref()
             .map_or_else(CapacityOrderError::label, |()| "taken");
-        let labels = [subject.zone.as_ref(), subject.kind.label(), label];
+        let labels = [pool.zone.as_ref(), pool.kind.label(), label];
         self.metrics
             .capacity_orders
             .with_label_values(&labels)
@@ -305,9 +305,9 @@
         let cause = outcome.as_ref().err().map(ToString::to_string);
         log::info!(
             "event=capacity_ordered service={} zone={} kind={} desired={desired} extra={extra} fence={} outcome={label} cause=\"{}\"",
-            subject.service,
-            subject.zone,
-            subject.kind,
+            pool.service,
+            pool.zone,
+            pool.kind,
             order.fence,
             cause.unwrap_or_default()
         );
@@ -315,12 +315,12 @@
 
     fn note_loss(&self, news: &LossNews) {
         let LossNews {
-            subject,
+            pool,
             lost,
             before,
             reason,
         } = news;
-        let labels = [subject.zone.as_ref(), reason.label()];
+        let labels = [pool.zone.as_ref(), reason.label()];
         let more = u64::from(lost.saturating_sub(*before));
         self.metrics
             .capacity_lost
@@ -328,17 +328,17 @@
             .inc_by(more);
         log::info!(
             "event=capacity_lost service={} zone={} kind={} lost={lost} before={before} reason={}",
-            subject.service,
-            subject.zone,
-            subject.kind,
+            pool.service,
+            pool.zone,
+            pool.kind,
             reason.label()
         );
     }
 }
 
 /// How long after its order an instance serves at the latest.
-fn arrival_time(config: &ServingConfig, subject: &Subject) -> Duration {
-    let service = config.services.get(subject.service.as_ref());
+fn arrival_time(config: &ServingConfig, pool: &InstancePool) -> Duration {
+    let service = config.services.get(pool.service.as_ref());
     let scaling = service.and_then(|service| service.scaling.as_ref());
-    scaling.map_or(ARRIVAL_MARGIN, |scaling| scaling.boot + ARRIVAL_MARGIN)
+    scaling.map_or(ARRIVAL_MARGIN, |scaling| scaling.boot_time + ARRIVAL_MARGIN)
 }
--- a/crates/front/src/capacity/mod.rs
+++ b/crates/front/src/capacity/mod.rs
@@ -13,8 +13,8 @@
 pub mod sink;
 pub mod wanted;
 
-pub use counts::{InstanceKind, Present, Subject, count};
-pub use duty::CapacityDuty;
+pub use counts::{InstanceKind, Present, InstancePool, count};
+pub use duty::CapacityController;
 pub use losses::{LossReason, Losses};
 pub use outbox::Outbox;
 pub use placement::{Offer, place};
--- a/crates/front/src/capacity/outbox.rs
+++ b/crates/front/src/capacity/outbox.rs
@@ -5,7 +5,7 @@
 
 use ladderstage_clock::Instant;
 
-use super::counts::Subject;
+use super::counts::InstancePool;
 use super::sink::CapacityOrderError;
 
 /// First pause after an order that was not taken; doubles with each further one.
@@ -31,13 +31,13 @@
 /// The order of each subject, and when it is to be sent.
 #[derive(Debug, Default)]
 pub struct Outbox {
-    entries: BTreeMap<Subject, Entry>,
+    entries: BTreeMap<InstancePool, Entry>,
 }
 
 impl Outbox {
     /// Takes the count that is wanted of a subject; one that was taken already is not sent again.
-    pub fn want(&mut self, subject: &Subject, desired: u32, now: Instant) {
-        let entry = self.entries.get_mut(subject);
+    pub fn want(&mut self, pool: &InstancePool, desired: u32, now: Instant) {
+        let entry = self.entries.get_mut(pool);
         if let Some(entry) = entry {
             if entry.desired != desired {
                 entry.desired = desired;
@@ -53,21 +53,21 @@
             pause: FIRST_PAUSE,
             late_until: None,
         };
-        self.entries.insert(subject.clone(), entry);
+        self.entries.insert(pool.clone(), entry);
     }
 
     /// Takes a count that an earlier holder wanted: orders of that one may still be carried out late, and are overtaken.
-    pub fn resume(&mut self, subject: &Subject, desired: u32, now: Instant) {
-        self.want(subject, desired, now);
-        if let Some(entry) = self.entries.get_mut(subject) {
+    pub fn resume(&mut self, pool: &InstancePool, desired: u32, now: Instant) {
+        self.want(pool, desired, now);
+        if let Some(entry) = self.entries.get_mut(pool) {
             entry.late_until = Some(now + LATE_TIME);
         }
     }
 
     /// Makes the count of a subject due once more, not sooner than the pause noted with its last outcome.
-    pub fn repeat(&mut self, subject: &Subject, desired: u32, now: Instant) {
-        self.want(subject, desired, now);
-        if let Some(entry) = self.entries.get_mut(subject)
+    pub fn repeat(&mut self, pool: &InstancePool, desired: u32, now: Instant) {
+        self.want(pool, desired, now);
+        if let Some(entry) = self.entries.get_mut(pool)
             && now >= entry.next_at
         {
             entry.is_taken = false;
@@ -75,26 +75,26 @@
     }
 
     /// The orders that are due.
-    pub fn due(&self, now: Instant) -> Vec<(Subject, u32)> {
+    pub fn due(&self, now: Instant) -> Vec<(InstancePool, u32)> {
         let is_due = |entry: &Entry| {
             let is_late_over = entry.late_until.is_some_and(|until| now >= until);
             now >= entry.next_at && (!entry.is_taken || is_late_over)
         };
         let due = self.entries.iter().filter(|(_, entry)| is_due(entry));
-        due.map(|(subject, entry)| (subject.clone(), entry.desired))
+        due.map(|(pool, entry)| (pool.clone(), entry.desired))
             .collect()
     }
 
     /// Notes the outcome of an order. One that was taken, or for which there was no capacity, is repeated after `pause` at the earliest.
     pub fn note(
         &mut self,
-        subject: &Subject,
+        pool: &InstancePool,
         desired: u32,
         outcome: &Result<(), CapacityOrderError>,
         pause: Duration,
         now: Instant,
     ) {
-        let Some(entry) = self.entries.get_mut(subject) else {
+        let Some(entry) = self.entries.get_mut(pool) else {
             return;
         };
         if entry.late_until.is_some_and(|until| now >= until) {
@@ -106,7 +106,7 @@
                 entry.pause = FIRST_PAUSE;
                 entry.next_at = if entry.is_taken { now + pause } else { now };
             }
-            Err(CapacityOrderError::NoneToBeHad) => {
+            Err(CapacityOrderError::Unavailable) => {
                 entry.is_taken = false;
                 entry.pause = FIRST_PAUSE;
                 entry.next_at = now + pause;
--- a/crates/front/src/capacity/planner.rs
+++ b/crates/front/src/capacity/planner.rs
@@ -6,12 +6,12 @@
 
 use ladderstage_clock::Instant;
 
-use super::counts::{InstanceKind, Present, Subject, count};
+use super::counts::{InstanceKind, Present, InstancePool, count};
 use super::losses::{LossReason, Losses};
 use super::outbox::LATE_TIME;
 use super::placement::{Offer, Placed, place};
 use super::wanted::{CountWanted, WantedCapacity};
-use crate::backend::Discovered;
+use crate::backend::DiscoveredInstance;
 use crate::config::{ScalingSpec, ServiceSpec};
 
 /// Instances beyond those that were found count as the service's own once they have been there for so long: while instances are replaced
@@ -31,7 +31,7 @@
     /// Services by name.
     pub services: &'a BTreeMap<String, ServiceSpec>,
     /// All instances that discovery knows.
-    pub instances: &'a [Discovered],
+    pub instances: &'a [DiscoveredInstance],
     /// Zones that are to be drained.
     pub drained: &'a BTreeSet<Arc<str>>,
 }
@@ -40,7 +40,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LossNews {
     /// Which.
-    pub subject: Subject,
+    pub pool: InstancePool,
     /// How many are lost now.
     pub lost: u32,
     /// How many were before.
@@ -77,13 +77,13 @@
 #[derive(Debug)]
 pub struct CapacityPlanner {
     wanted: WantedCapacity,
-    losses: BTreeMap<Subject, Losses>,
-    surplus: BTreeMap<Subject, Surplus>,
+    losses: BTreeMap<InstancePool, Losses>,
+    surplus: BTreeMap<InstancePool, Surplus>,
     /// Most instances beyond the found ones that recent orders may bring, and until when these may be carried out.
-    ordered: BTreeMap<Subject, (u32, Instant)>,
-    refused_until: BTreeMap<Subject, Instant>,
+    ordered: BTreeMap<InstancePool, (u32, Instant)>,
+    refused_until: BTreeMap<InstancePool, Instant>,
     /// Preemptible instances that served at the last check.
-    served: BTreeMap<Subject, u32>,
+    served: BTreeMap<InstancePool, u32>,
     spare: BTreeMap<Arc<str>, Spare>,
 }
 
@@ -92,7 +92,7 @@
     pub fn new(wanted: WantedCapacity, now: Instant) -> Self {
         // Orders of an earlier holder may still be carried out.
         let ordered = wanted.subjects().filter(|(_, count)| count.is_ordered);
-        let ordered = ordered.map(|(subject, _)| (subject, (u32::MAX, now + LATE_TIME)));
+        let ordered = ordered.map(|(pool, _)| (pool, (u32::MAX, now + LATE_TIME)));
         Self {
             ordered: ordered.collect(),
             wanted,
@@ -118,22 +118,22 @@
     }
 
     /// Notes that none can be had of a subject now.
-    pub fn note_refused(&mut self, subject: &Subject, now: Instant) {
+    pub fn note_refused(&mut self, pool: &InstancePool, now: Instant) {
         self.refused_until
-            .insert(subject.clone(), now + REFUSAL_TIME);
+            .insert(pool.clone(), now + REFUSAL_TIME);
     }
 
     /// Takes what was fixed.
     pub fn accept(&mut self, wanted: WantedCapacity, now: Instant) {
-        for (subject, count) in wanted.subjects() {
-            let before = self.wanted.get(&subject);
+        for (pool, count) in wanted.subjects() {
+            let before = self.wanted.get(&pool);
             if count.extra == before.extra {
                 continue;
             }
             let most = before.extra.max(count.extra);
-            let (known, until) = self.ordered.get(&subject).copied().unwrap_or((0, now));
+            let (known, until) = self.ordered.get(&pool).copied().unwrap_or((0, now));
             let most = if now < until { most.max(known) } else { most };
-            self.ordered.insert(subject, (most, now + LATE_TIME));
+            self.ordered.insert(pool, (most, now + LATE_TIME));
         }
         self.wanted = wanted;
     }
@@ -163,52 +163,52 @@
     }
 
     /// Subjects that lack preemptible instances, which can only be had again by an order in their own zone.
-    pub fn to_order_again(&self, drained: &BTreeSet<Arc<str>>, now: Instant) -> Vec<Subject> {
-        let is_short = |subject: &Subject, serving: u32| {
-            serving < self.wanted.get(subject).desired()
-                && !drained.contains(&subject.zone)
-                && !self.is_refused(subject, now)
+    pub fn to_order_again(&self, drained: &BTreeSet<Arc<str>>, now: Instant) -> Vec<InstancePool> {
+        let is_short = |pool: &InstancePool, serving: u32| {
+            serving < self.wanted.get(pool).desired()
+                && !drained.contains(&pool.zone)
+                && !self.is_refused(pool, now)
         };
         let short = self.served.iter();
         short
-            .filter(|(subject, serving)| is_short(subject, **serving))
-            .map(|(subject, _)| subject.clone())
+            .filter(|(pool, serving)| is_short(pool, **serving))
+            .map(|(pool, _)| pool.clone())
             .collect()
     }
 
-    fn is_refused(&self, subject: &Subject, now: Instant) -> bool {
-        let until = self.refused_until.get(subject);
+    fn is_refused(&self, pool: &InstancePool, now: Instant) -> bool {
+        let until = self.refused_until.get(pool);
         until.is_some_and(|until| now < *until)
     }
 
     /// Counts instances that are there without an order of ours as the service's own.
     fn adopt(&mut self, service: &Service, next: &mut WantedCapacity, now: Instant) {
         let is_new = !self.wanted.has_service(&service.name);
-        for subject in service.subjects(next) {
-            let wanted = next.get(&subject);
-            let most_ordered = self.most_ordered(&subject, wanted.extra, now);
-            let own = service.present(&subject).serving;
+        for pool in service.subjects(next) {
+            let wanted = next.get(&pool);
+            let most_ordered = self.most_ordered(&pool, wanted.extra, now);
+            let own = service.present(&pool).serving;
             let own = own.saturating_sub(most_ordered);
             if own <= wanted.found {
-                self.surplus.remove(&subject);
+                self.surplus.remove(&pool);
                 continue;
             }
-            let surplus = self.surplus.entry(subject.clone()).or_insert(Surplus {
+            let surplus = self.surplus.entry(pool.clone()).or_insert(Surplus {
                 count: own,
                 since: now,
             });
             surplus.count = surplus.count.min(own);
             if is_new || now.saturating_duration_since(surplus.since) >= ADOPTION_TIME {
                 let found = surplus.count;
-                next.set(&subject, CountWanted { found, ..wanted });
-                self.surplus.remove(&subject);
+                next.set(&pool, CountWanted { found, ..wanted });
+                self.surplus.remove(&pool);
             }
         }
     }
 
     /// Most instances beyond the found ones that orders of ours may have brought.
-    fn most_ordered(&self, subject: &Subject, extra: u32, now: Instant) -> u32 {
-        let ordered = self.ordered.get(subject);
+    fn most_ordered(&self, pool: &InstancePool, extra: u32, now: Instant) -> u32 {
+        let ordered = self.ordered.get(pool);
         let ordered = ordered.filter(|(_, until)| now < *until);
         ordered.map_or(0, |(most, _)| *most).max(extra)
     }
@@ -220,19 +220,19 @@
         now: Instant,
         news: &mut Vec<LossNews>,
     ) {
-        for subject in service.subjects(wanted) {
-            let present = service.present(&subject);
-            if subject.kind == InstanceKind::Preemptible {
-                let desired = wanted.get(&subject).desired();
-                news.extend(self.look_for_taken_away(&subject, present, desired, now));
+        for pool in service.subjects(wanted) {
+            let present = service.present(&pool);
+            if pool.kind == InstanceKind::Preemptible {
+                let desired = wanted.get(&pool).desired();
+                news.extend(self.look_for_taken_away(&pool, present, desired, now));
             }
-            let found = wanted.get(&subject).found;
-            let is_drained = service.drained.contains(&subject.zone);
-            let losses = self.losses.entry(subject.clone()).or_default();
+            let found = wanted.get(&pool).found;
+            let is_drained = service.drained.contains(&pool.zone);
+            let losses = self.losses.entry(pool.clone()).or_default();
             let before = losses.lost();
             if let Some(reason) = losses.look(found, present, is_drained, now) {
                 news.push(LossNews {
-                    subject,
+                    pool,
                     lost: losses.lost(),
                     before,
                     reason,
@@ -245,21 +245,21 @@
     /// not started yet. Where some are left and none gave notice, the others crashed.
     fn look_for_taken_away(
         &mut self,
-        subject: &Subject,
+        pool: &InstancePool,
         present: Present,
         desired: u32,
         now: Instant,
     ) -> Option<LossNews> {
         let serving = present.serving;
-        let before = self.served.insert(subject.clone(), serving).unwrap_or(0);
+        let before = self.served.insert(pool.clone(), serving).unwrap_or(0);
         let is_none_left = serving == 0 && before > 0 && desired > 0;
         if !is_none_left && !present.is_taken_back {
             return None;
         }
-        let is_news = !self.is_refused(subject, now) && serving < desired;
-        self.note_refused(subject, now);
+        let is_news = !self.is_refused(pool, now) && serving < desired;
+        self.note_refused(pool, now);
         is_news.then(|| LossNews {
-            subject: subject.clone(),
+            pool: pool.clone(),
             lost: desired - serving,
             before: 0,
             reason: LossReason::TakenAway,
@@ -269,15 +269,15 @@
     /// Places as many instances as were lost.
     fn replace(&mut self, service: &Service, next: &mut WantedCapacity, now: Instant) {
         let subjects = service.subjects(next);
-        let lost: u32 = subjects.iter().map(|subject| self.lost(subject)).sum();
+        let lost: u32 = subjects.iter().map(|pool| self.lost(pool)).sum();
         let placed = placed(&subjects, next);
         let offers = self.offers(service, next, now);
         let target = self.target(service, lost, placed.values().sum(), now);
         set_placed(&subjects, next, &place(&offers, &placed, target));
     }
 
-    fn lost(&self, subject: &Subject) -> u32 {
-        self.losses.get(subject).map_or(0, Losses::lost)
+    fn lost(&self, pool: &InstancePool) -> u32 {
+        self.losses.get(pool).map_or(0, Losses::lost)
     }
 
     /// How many instances are to be there beyond the found ones.
@@ -304,7 +304,7 @@
         let subjects = service.subjects(wanted);
         let zones: BTreeSet<Arc<str>> = subjects
             .iter()
-            .map(|subject| Arc::clone(&subject.zone))
+            .map(|pool| Arc::clone(&pool.zone))
             .collect();
         let open = zones
             .into_iter()
@@ -320,10 +320,10 @@
         zone: Arc<str>,
         now: Instant,
     ) -> Offer {
-        let of_kind = |kind| service.subject(&zone, kind);
+        let of_kind = |kind| service.pool(&zone, kind);
         let kept = of_kind(InstanceKind::Kept);
         let preemptible = of_kind(InstanceKind::Preemptible);
-        let found = |subject: &Subject| wanted.get(subject).found;
+        let found = |pool: &InstancePool| wanted.get(pool).found;
         let mut kinds = Vec::new();
         if service.prefers_preemptible() {
             let most = self.most(service, &preemptible, wanted, now);
@@ -333,7 +333,7 @@
         let all_found = found(&kept) + found(&preemptible);
         Offer {
             serving: all_found.saturating_sub(self.lost(&kept) + self.lost(&preemptible)),
-            room: service.scaling.most.saturating_sub(all_found),
+            room: service.scaling.max_per_zone.saturating_sub(all_found),
             price: service.price(&zone),
             kinds,
             zone,
@@ -344,24 +344,24 @@
     fn most(
         &self,
         service: &Service,
-        subject: &Subject,
+        pool: &InstancePool,
         wanted: &WantedCapacity,
         now: Instant,
     ) -> u32 {
-        let count = wanted.get(subject);
-        let present = service.present(subject);
+        let count = wanted.get(pool);
+        let present = service.present(pool);
         let arrived = present.serving.saturating_sub(count.found);
-        if self.is_refused(subject, now) {
+        if self.is_refused(pool, now) {
             return count.extra.min(arrived);
         }
         // An order names all of its kind: where some of those are missing it could name fewer than are there.
         let is_whole = present.serving >= count.found;
         // Nor may it take away those that somebody else has just added.
-        let has_others = arrived > self.most_ordered(subject, count.extra, now);
+        let has_others = arrived > self.most_ordered(pool, count.extra, now);
         if has_others {
             return count.extra;
         }
-        if is_whole || subject.kind == InstanceKind::Preemptible {
+        if is_whole || pool.kind == InstanceKind::Preemptible {
             u32::MAX
         } else {
             count.extra
@@ -370,26 +370,26 @@
 }
 
 /// What is wanted of some subjects beyond the found instances.
-fn placed(subjects: &[Subject], wanted: &WantedCapacity) -> Placed {
-    let counts = subjects.iter().map(|subject| {
-        let extra = wanted.get(subject).extra;
-        ((Arc::clone(&subject.zone), subject.kind), extra)
+fn placed(subjects: &[InstancePool], wanted: &WantedCapacity) -> Placed {
+    let counts = subjects.iter().map(|pool| {
+        let extra = wanted.get(pool).extra;
+        ((Arc::clone(&pool.zone), pool.kind), extra)
     });
     counts.filter(|(_, extra)| *extra > 0).collect()
 }
 
 /// Makes `placed` what is wanted of some subjects beyond the found instances.
-fn set_placed(subjects: &[Subject], wanted: &mut WantedCapacity, placed: &Placed) {
-    for subject in subjects {
-        let before = wanted.get(subject);
-        let place = (Arc::clone(&subject.zone), subject.kind);
+fn set_placed(subjects: &[InstancePool], wanted: &mut WantedCapacity, placed: &Placed) {
+    for pool in subjects {
+        let before = wanted.get(pool);
+        let place = (Arc::clone(&pool.zone), pool.kind);
         let extra = placed.get(&place).copied().unwrap_or(0);
         let count = CountWanted {
             extra,
             is_ordered: before.is_ordered || extra > 0,
             ..before
         };
-        wanted.set(subject, count);
+        wanted.set(pool, count);
     }
 }
 
@@ -397,36 +397,36 @@
 struct Service<'a> {
     name: Arc<str>,
     scaling: &'a ScalingSpec,
-    counts: &'a BTreeMap<Subject, Present>,
+    counts: &'a BTreeMap<InstancePool, Present>,
     drained: &'a BTreeSet<Arc<str>>,
 }
 
 impl Service<'_> {
-    fn subject(&self, zone: &Arc<str>, kind: InstanceKind) -> Subject {
-        Subject {
+    fn pool(&self, zone: &Arc<str>, kind: InstanceKind) -> InstancePool {
+        InstancePool {
             service: Arc::clone(&self.name),
             zone: Arc::clone(zone),
             kind,
         }
     }
 
-    fn present(&self, subject: &Subject) -> Present {
-        self.counts.get(subject).copied().unwrap_or_default()
+    fn present(&self, pool: &InstancePool) -> Present {
+        self.counts.get(pool).copied().unwrap_or_default()
     }
 
     /// Both kinds in all zones that the service has, or had, instances in.
-    fn subjects(&self, wanted: &WantedCapacity) -> Vec<Subject> {
+    fn subjects(&self, wanted: &WantedCapacity) -> Vec<InstancePool> {
         let there = self.counts.keys().cloned();
-        let known = wanted.subjects().map(|(subject, _)| subject);
+        let known = wanted.subjects().map(|(pool, _)| pool);
         let zones: BTreeSet<Arc<str>> = there
             .chain(known)
-            .filter(|subject| subject.service == self.name)
-            .map(|subject| subject.zone)
+            .filter(|pool| pool.service == self.name)
+            .map(|pool| pool.zone)
             .collect();
         zones
             .iter()
             .flat_map(|zone| {
-                [InstanceKind::Kept, InstanceKind::Preemptible].map(|kind| self.subject(zone, kind))
+                [InstanceKind::Kept, InstanceKind::Preemptible].map(|kind| self.pool(zone, kind))
             })
             .collect()
     }
--- a/crates/front/src/capacity/sink.rs
+++ b/crates/front/src/capacity/sink.rs
@@ -2,13 +2,13 @@
 
 use futures_util::future::BoxFuture;
 
-use super::counts::Subject;
+use super::counts::InstancePool;
 
 /// An order: how many instances a zone is to hold of one kind. Sent again it changes nothing.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CapacityOrder {
     /// What it is about.
-    pub subject: Subject,
+    pub pool: InstancePool,
     /// How many instances there are to be.
     pub desired: u32,
     /// Name of the holder.
@@ -22,7 +22,7 @@
 pub enum CapacityOrderError {
     /// None can be had there now, or the receiver has seen a higher fencing token.
     #[error("none to be had")]
-    NoneToBeHad,
+    Unavailable,
     /// It was refused, and was not carried out.
     #[error("refused: {0}")]
     Refused(String),
@@ -35,7 +35,7 @@
     /// Label of metrics and word in logs.
     pub fn label(&self) -> &'static str {
         match self {
-            Self::NoneToBeHad => "none_to_be_had",
+            Self::Unavailable => "none_to_be_had",
             Self::Refused(_) => "refused",
             Self::Unknown(_) => "unknown",
         }
--- a/crates/front/src/capacity/wanted.rs
+++ b/crates/front/src/capacity/wanted.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::counts::{InstanceKind, Subject};
+use super::counts::{InstanceKind, InstancePool};
 
 /// What is wanted of one subject. An order names the sum.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
@@ -61,20 +61,20 @@
 
 impl WantedCapacity {
     /// What is wanted of a subject.
-    pub fn get(&self, subject: &Subject) -> CountWanted {
-        let zones = self.services.get(subject.service.as_ref());
-        let zone = zones.and_then(|zones| zones.get(subject.zone.as_ref()));
-        zone.map_or_else(CountWanted::default, |zone| *zone.of(subject.kind))
+    pub fn get(&self, pool: &InstancePool) -> CountWanted {
+        let zones = self.services.get(pool.service.as_ref());
+        let zone = zones.and_then(|zones| zones.get(pool.zone.as_ref()));
+        zone.map_or_else(CountWanted::default, |zone| *zone.of(pool.kind))
     }
 
     /// Changes what is wanted of a subject.
-    pub fn set(&mut self, subject: &Subject, count: CountWanted) {
-        if count == CountWanted::default() && !self.has_zone(subject) {
+    pub fn set(&mut self, pool: &InstancePool, count: CountWanted) {
+        if count == CountWanted::default() && !self.has_zone(pool) {
             return;
         }
-        let zones = self.services.entry(subject.service.to_string());
-        let zone = zones.or_default().entry(subject.zone.to_string());
-        *zone.or_default().of_mut(subject.kind) = count;
+        let zones = self.services.entry(pool.service.to_string());
+        let zone = zones.or_default().entry(pool.zone.to_string());
+        *zone.or_default().of_mut(pool.kind) = count;
     }
 
     /// Whether anything is known of a service.
@@ -83,24 +83,24 @@
     }
 
     /// All subjects, sorted.
-    pub fn subjects(&self) -> impl Iterator<Item = (Subject, CountWanted)> + '_ {
+    pub fn subjects(&self) -> impl Iterator<Item = (InstancePool, CountWanted)> + '_ {
         const KINDS: [InstanceKind; 2] = [InstanceKind::Kept, InstanceKind::Preemptible];
         self.services.iter().flat_map(|(service, zones)| {
             zones.iter().flat_map(move |(zone, wanted)| {
                 KINDS.into_iter().map(move |kind| {
-                    let subject = Subject {
+                    let pool = InstancePool {
                         service: service.as_str().into(),
                         zone: zone.as_str().into(),
                         kind,
                     };
-                    (subject, *wanted.of(kind))
+                    (pool, *wanted.of(kind))
                 })
             })
         })
     }
 
-    fn has_zone(&self, subject: &Subject) -> bool {
-        let zones = self.services.get(subject.service.as_ref());
-        zones.is_some_and(|zones| zones.contains_key(subject.zone.as_ref()))
+    fn has_zone(&self, pool: &InstancePool) -> bool {
+        let zones = self.services.get(pool.service.as_ref());
+        zones.is_some_and(|zones| zones.contains_key(pool.zone.as_ref()))
     }
 }
--- a/crates/front/src/config.rs
+++ b/crates/front/src/config.rs
@@ -9,7 +9,7 @@
 use ladderstage::region::AllowedRegions;
 use tokio::sync::watch;
 
-use crate::tenant::{KeyDigest, KeyRefusal, Tenant, holder};
+use crate::tenant::{KeyDigest, KeyRefusal, Tenant, find_tenant};
 
 /// What may be repeated on a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -55,7 +55,7 @@
     /// Most instances that one request may be sent to.
     pub max_attempts: u32,
     /// How long after a batch job was handed in an item may be given up; `None`: never by age.
-    pub max_queue: Option<Duration>,
+    pub max_queue_time: Option<Duration>,
     /// How long after a batch job was handed in its results are due.
     pub result_deadline: Option<Duration>,
     /// Every text must come from one weight version.
@@ -76,10 +76,10 @@
 
 impl Route {
     /// Value of the header that tells instances how urgent a request is: a tenant's rank goes before the route's.
-    pub fn rank(&self, tenant: Option<&Tenant>) -> HeaderValue {
+    pub fn priority_header(&self, tenant: Option<&Tenant>) -> HeaderValue {
         let by_tenant = tenant.and_then(|tenant| tenant.priority);
-        let rank = by_tenant.unwrap_or(self.priority);
-        HeaderValue::from(u16::from(rank.min(LOWEST_RANK)))
+        let priority_header = by_tenant.unwrap_or(self.priority);
+        HeaderValue::from(u16::from(priority_header.min(LOWEST_RANK)))
     }
 
     /// Where a tenant's requests may be served and kept: the bounds of both hold.
@@ -118,11 +118,11 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct ScalingSpec {
     /// Fewest instances in a zone, of both kinds together.
-    pub least: u32,
+    pub min_per_zone: u32,
     /// Most instances in a zone, of both kinds together.
-    pub most: u32,
+    pub max_per_zone: u32,
     /// Time from an order to the first request that a new instance serves.
-    pub boot: Duration,
+    pub boot_time: Duration,
     /// Price of an instance that may be taken away, against that of another; `None`: there are none.
     pub preemptible_price: Option<f64>,
     /// Price of a second of an instance, by zone.
@@ -192,8 +192,8 @@
     /// Why it is nobody's.
     pub fn tenant_of(&self, key: Option<&KeyDigest>) -> Result<&Arc<Tenant>, KeyRefusal> {
         let key = key.ok_or(KeyRefusal::Missing)?;
-        holder(&self.tenants, key).ok_or_else(|| match self.retired_keys.get(key) {
-            Some(version) => KeyRefusal::TakenAway { version: *version },
+        find_tenant(&self.tenants, key).ok_or_else(|| match self.retired_keys.get(key) {
+            Some(version) => KeyRefusal::Revoked { version: *version },
             None => KeyRefusal::Unknown,
         })
     }
@@ -269,13 +269,13 @@
 
 /// The newest configuration known to this process. Cheap to clone.
 #[derive(Debug, Clone)]
-pub struct ConfigInForce {
+pub struct CurrentConfig {
     current: watch::Sender<Option<Arc<ServingConfig>>>,
     /// Whether any route or tenant names regions. Checked for each request, so that without any no route is looked up.
     binds_regions: Arc<AtomicBool>,
 }
 
-impl Default for ConfigInForce {
+impl Default for CurrentConfig {
     fn default() -> Self {
         Self {
             current: watch::Sender::new(None),
@@ -284,9 +284,9 @@
     }
 }
 
-impl ConfigInForce {
+impl CurrentConfig {
     /// Takes a version unless one as new is in force; returns whether it was taken. A process never goes back.
-    pub fn offer(&self, mut config: ServingConfig) -> bool {
+    pub fn apply_if_newer(&self, mut config: ServingConfig) -> bool {
         self.current.send_if_modified(|current| {
             let known = current.as_ref().map(|known| known.version);
             if known.is_some_and(|known| known >= config.version) {
--- a/crates/front/src/coordination.rs
+++ b/crates/front/src/coordination.rs
@@ -8,7 +8,7 @@
 use futures_util::future::BoxFuture;
 
 pub use following::{Follower, Update, follow, follow_with};
-pub use observed::{Observed, StoreCalls};
+pub use observed::{ObservedStore, StoreCallMetrics};
 
 /// Number of a lease.
 pub type LeaseId = u64;
@@ -38,7 +38,7 @@
     Unknown(String),
     /// The lease does not exist any more.
     #[error("the lease is over")]
-    LeaseOver,
+    LeaseExpired,
 }
 
 /// What became of a conditional write that was answered.
@@ -85,7 +85,7 @@
         at: u64,
     },
     /// The store has forgotten that part of its history: list again.
-    HistoryGone,
+    HistoryCompacted,
 }
 
 /// Access to the store. Keys are the caller's; implementations translate calls only.
@@ -148,10 +148,10 @@
     fn revoke(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), CoordinationError>>;
 
     /// Gives up the watches under way, as their answers may never come; whoever waits for them begins anew.
-    fn doubt_watches(&self) {}
+    fn cancel_watches(&self) {}
 
     /// Returns once another call of this process has been carried out, at the latest after `longest`.
-    fn regained(&self, longest: Duration) -> BoxFuture<'_, ()> {
+    fn wait_for_success(&self, longest: Duration) -> BoxFuture<'_, ()> {
         Box::pin(tokio::time::sleep(longest))
     }
 }
--- a/crates/front/src/coordination/following.rs
+++ b/crates/front/src/coordination/following.rs
@@ -20,10 +20,10 @@
     fn pause(&self) -> impl Future<Output = ()> + Send;
 
     /// Takes what the store told as of its revision `at`; a watch that ended without news tells of no changes.
-    fn take(&mut self, update: Update, at: u64);
+    fn on_update(&mut self, update: Update, at: u64);
 
     /// The store does not answer: what was told may be old.
-    fn lost(&mut self) {}
+    fn on_unavailable(&mut self) {}
 
     /// Whether the first listing may be a stale read. The watch from its revision begins at once and tells what came since; until
     /// that is answered, or waits, what was told is as old as that read.
@@ -32,7 +32,7 @@
     }
 
     /// A watch is given up after this long and begun anew: its answer may have been lost without a sign.
-    fn longest_watch(&self) -> Duration {
+    fn max_watch_duration(&self) -> Duration {
         Duration::MAX
     }
 }
@@ -55,7 +55,7 @@
         tokio::time::sleep(self.gather)
     }
 
-    fn take(&mut self, update: Update, _at: u64) {
+    fn on_update(&mut self, update: Update, _at: u64) {
         (self.on_update)(update);
     }
 
@@ -95,7 +95,7 @@
         match result {
             // What the lost history told is as old as the last answer: the listing must not wait for another pause.
             Ok(Next::List) => {
-                log::info!("event=history_gone prefix={prefix}");
+                log::info!("event=store_history_compacted prefix={prefix}");
                 after = None;
             }
             Ok(Next::WatchAtOnce { at }) => {
@@ -106,16 +106,16 @@
             Ok(Next::Watch { at }) => {
                 after = Some(at);
                 if std::mem::take(&mut is_lost) {
-                    log::info!("event=store_regained prefix={prefix} revision={at}");
+                    log::info!("event=store_available prefix={prefix} revision={at}");
                 }
                 follower.pause().await;
             }
             Err(error) => {
-                follower.lost();
+                follower.on_unavailable();
                 if std::mem::replace(&mut is_lost, true) {
-                    coordination.regained(LONGEST_FAILURE_PAUSE).await;
+                    coordination.wait_for_success(LONGEST_FAILURE_PAUSE).await;
                 } else {
-                    log::warn!("event=store_lost prefix={prefix} cause=\"{error}\"");
+                    log::warn!("event=store_unavailable prefix={prefix} cause=\"{error}\"");
                     let pause = ladderstage_journal::jitter::jittered(FAILURE_PAUSE);
                     tokio::time::sleep(pause).await;
                 }
@@ -142,7 +142,7 @@
     follower: &mut impl Follower,
 ) -> Result<Next, CoordinationError> {
     let listing = coordination.list(prefix).await?;
-    follower.take(Update::Snapshot(listing.records), listing.at);
+    follower.on_update(Update::Snapshot(listing.records), listing.at);
     Ok(Next::Watch { at: listing.at })
 }
 
@@ -152,7 +152,7 @@
     follower: &mut impl Follower,
 ) -> Result<Next, CoordinationError> {
     let listing = coordination.list_stale(prefix).await?;
-    follower.take(Update::Snapshot(listing.records), listing.at);
+    follower.on_update(Update::Snapshot(listing.records), listing.at);
     Ok(Next::WatchAtOnce { at: listing.at })
 }
 
@@ -163,14 +163,14 @@
     follower: &mut impl Follower,
 ) -> Result<Next, CoordinationError> {
     let watching = coordination.watch(prefix, after);
-    let Ok(answer) = tokio::time::timeout(follower.longest_watch(), watching).await else {
+    let Ok(answer) = tokio::time::timeout(follower.max_watch_duration(), watching).await else {
         return Ok(Next::WatchAgain);
     };
     match answer? {
         WatchAnswer::Changes { changes, at } => {
-            follower.take(Update::Changes(changes), at);
+            follower.on_update(Update::Changes(changes), at);
             Ok(Next::Watch { at })
         }
-        WatchAnswer::HistoryGone => Ok(Next::List),
+        WatchAnswer::HistoryCompacted => Ok(Next::List),
     }
 }
--- a/crates/front/src/coordination/observed.rs
+++ b/crates/front/src/coordination/observed.rs
@@ -1,7 +1,7 @@
 //! Watches that do not outlive the store's silence.
 //!
 //! A store that went silent may never answer the calls it had at that moment, not even once it is back: on such a
-//! connection a watch would wait for its whole time while changes pass by. [`Observed`] looks at all calls of the process
+//! connection a watch would wait for its whole time while changes pass by. [`ObservedStore`] looks at all calls of the process
 //! and gives its watches up when another call got no answer, and once more when the store answers again.
 
 use std::sync::{Mutex, MutexGuard};
@@ -30,11 +30,11 @@
 
 /// Counts calls to the store by kind and outcome. Cheap to clone.
 #[derive(Debug, Clone)]
-pub struct StoreCalls {
+pub struct StoreCallMetrics {
     counter: IntCounterVec,
 }
 
-impl Default for StoreCalls {
+impl Default for StoreCallMetrics {
     fn default() -> Self {
         let options = Opts::new(
             "ladderstage_store_calls_total",
@@ -47,7 +47,7 @@
     }
 }
 
-impl StoreCalls {
+impl StoreCallMetrics {
     /// The counter, to be registered.
     pub fn counter(&self) -> &IntCounterVec {
         &self.counter
@@ -59,7 +59,7 @@
             Err(CoordinationError::Unavailable(_)) => "unavailable",
             Err(CoordinationError::Refused(_)) => "refused",
             Err(CoordinationError::Unknown(_)) => "unknown",
-            Err(CoordinationError::LeaseOver) => "lease_over",
+            Err(CoordinationError::LeaseExpired) => "lease_over",
         };
         self.counter.with_label_values(&[call, outcome]).inc();
     }
@@ -67,9 +67,9 @@
 
 /// A store whose watches end with an error when other calls show that they may have been forgotten.
 #[derive(Debug)]
-pub struct Observed<C> {
+pub struct ObservedStore<C> {
     store: C,
-    calls: StoreCalls,
+    calls: StoreCallMetrics,
     contact: Mutex<Contact>,
     /// Changes whenever the watches under way may have been forgotten.
     doubt: watch::Sender<u64>,
@@ -77,9 +77,9 @@
     carried_out: watch::Sender<u64>,
 }
 
-impl<C: Coordination> Observed<C> {
+impl<C: Coordination> ObservedStore<C> {
     /// Observes the calls to `store`, and counts them in `calls`.
-    pub fn new(store: C, calls: StoreCalls) -> Self {
+    pub fn new(store: C, calls: StoreCallMetrics) -> Self {
         Self {
             store,
             calls,
@@ -106,7 +106,7 @@
                 self.note_silence(error, sent);
             }
             // A refusal and a lease that is over are answers.
-            Ok(_) | Err(CoordinationError::Refused(_) | CoordinationError::LeaseOver) => {
+            Ok(_) | Err(CoordinationError::Refused(_) | CoordinationError::LeaseExpired) => {
                 self.note_answer(sent);
             }
         }
@@ -146,7 +146,7 @@
     }
 }
 
-impl<C: Coordination> Coordination for Observed<C> {
+impl<C: Coordination> Coordination for ObservedStore<C> {
     fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<Record>, CoordinationError>> {
         Box::pin(self.call("get", self.store.get(key)))
     }
@@ -223,11 +223,11 @@
         Box::pin(self.call("revoke", self.store.revoke(lease)))
     }
 
-    fn doubt_watches(&self) {
+    fn cancel_watches(&self) {
         self.doubt.send_modify(|count| *count += 1);
     }
 
-    fn regained(&self, longest: Duration) -> BoxFuture<'_, ()> {
+    fn wait_for_success(&self, longest: Duration) -> BoxFuture<'_, ()> {
         Box::pin(async move {
             let mut carried_out = self.carried_out.subscribe();
             let _ = tokio::time::timeout(longest, carried_out.changed()).await;
--- a/crates/front/src/dialect.rs
+++ b/crates/front/src/dialect.rs
@@ -16,7 +16,7 @@
     /// Milliseconds that the sender will wait.
     pub deadline_ms: HeaderName,
     /// Signature of the instance that answered.
-    pub response_stamp: HeaderName,
+    pub response_signature: HeaderName,
     /// Id of the only instance that may run the request.
     pub expect_instance: HeaderName,
     /// Name of the tenant that a request is for.
--- a/crates/front/src/explain/mod.rs
+++ b/crates/front/src/explain/mod.rs
@@ -5,5 +5,5 @@
 mod story;
 
 pub use line::LogLine;
-pub use steps::{LastItem, StepRow, steps, table};
-pub use story::{Step, Story};
+pub use steps::{LastItem, StepRow, steps, render_table};
+pub use story::{Step, Timeline};
--- a/crates/front/src/explain/steps.rs
+++ b/crates/front/src/explain/steps.rs
@@ -271,7 +271,7 @@
 }
 
 /// The rows as a table.
-pub fn table(rows: &[StepRow]) -> String {
+pub fn render_table(rows: &[StepRow]) -> String {
     let mut text = String::from(
         "accepted  step  min  items  back  wanted   first    half  wanted   ended  owners  refused  moved    far  last item\n",
     );
--- a/crates/front/src/explain/story.rs
+++ b/crates/front/src/explain/story.rs
@@ -49,21 +49,21 @@
 
 /// All steps of one id.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
-pub struct Story {
+pub struct Timeline {
     /// The id.
     pub id: String,
     /// Its steps by time.
     pub steps: Vec<Step>,
 }
 
-impl Story {
+impl Timeline {
     /// Picks the lines about `id`, and with them:
     ///
     /// - for an item, those about its job that concern each item;
     /// - for a request under whose content instances ended, those about that content;
     /// - for a request that drains left no instance, those about drains at the same node;
     /// - if something went wrong, those about instances that were lost and ordered.
-    pub fn tell(id: &str, lines: &[LogLine]) -> Self {
+    pub fn build(id: &str, lines: &[LogLine]) -> Self {
         let related = Related::of(id, lines);
         let mut picked: Vec<&LogLine> =
             lines.iter().filter(|line| related.includes(line)).collect();
@@ -163,7 +163,7 @@
         .collect()
 }
 
-impl std::fmt::Display for Story {
+impl std::fmt::Display for Timeline {
     /// A line a step; the first that went wrong is marked with `!`.
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         for step in &self.steps {
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -10,20 +10,20 @@
 
 use crate::activity::Activity;
 use crate::backend::{BackendTable, ColdAllowance};
-use crate::capacity::{CapacityDuty, CapacitySink};
-use crate::config::ConfigInForce;
+use crate::capacity::{CapacityController, CapacitySink};
+use crate::config::CurrentConfig;
 use crate::coordination::Coordination;
 use crate::dialect::SharedCodec;
 use crate::ingress::{self, Ingress, IngressState};
-use crate::job::{Confirmation, JobContext, JobRegistry, NewestSteps, TextLengths};
+use crate::job::{QuorumConfirmation, JobContext, JobRegistry, LatestSteps, TextLengths};
 use crate::live::LiveService;
 use crate::metrics::Metrics;
 use crate::nodes::{FormatLevel, NodeRecord, NodeRole, Nodes};
 use crate::orders::{
-    EndedGivers, LearntLoads, OrderGiver, OrderOptions, PermitAsker, PermitDealer, VersionsNamed,
+    FormerLeaders, LearnedLoadLimit, OrderLeader, OrderOptions, PermitRequester, PermitIssuer, AnnouncedVersions,
 };
 use crate::program::{JobHooks, JournalParts, PeerHandler, PeerParts, ProgramOptions};
-use crate::roster::{DirectView, RosterOptions, RosterWriter};
+use crate::roster::{DiscoveryView, RosterOptions, RosterWriter};
 use crate::suspects::{SuspectSharing, Suspects};
 use crate::suspension::watch_suspensions;
 use crate::usage::sharing::share;
@@ -42,26 +42,26 @@
 #[derive(Debug, Clone, Default)]
 pub struct Activities {
     /// Batch jobs and orders: they need to hear of instances.
-    pub with_instances: Activity,
+    pub instance_work: Activity,
     /// Orders: they need to hear of named versions.
-    pub with_versions: Activity,
+    pub version_work: Activity,
 }
 
 /// What the adapter of the outside feeds.
 #[derive(Clone)]
 pub struct FrontInputs {
     /// Configuration.
-    pub config: ConfigInForce,
+    pub config: CurrentConfig,
     /// Instances.
     pub backends: BackendTable,
     /// Named weight versions; followed while orders are given here.
-    pub versions: VersionsNamed,
+    pub versions: AnnouncedVersions,
     /// What is under way here.
     pub activities: Activities,
     /// As of when the instances are known from discovery itself.
-    pub view: DirectView,
+    pub view: DiscoveryView,
     /// As of when the drained zones are known from the store itself; `None`: no zone is drained in this deployment.
-    pub drains: Option<DirectView>,
+    pub drains: Option<DiscoveryView>,
     /// How the roster of instances is kept; `None`: none is.
     pub roster: Option<RosterOptions>,
     /// Names.
@@ -89,7 +89,7 @@
     /// Where they go.
     pub sink: Arc<dyn CapacitySink>,
     /// Least time between those of two holders.
-    pub quiet: Duration,
+    pub quiet_period: Duration,
 }
 
 /// Length of windows where nobody wants reports.
@@ -154,7 +154,7 @@
     metrics.add_discovery(inputs.backends.counters());
     let (suspects, unshared) = Suspects::new(Arc::clone(&metrics));
     let jobs = JobRegistry::new(common.job_context(&parts, &suspects));
-    let permits = PermitDealer::new(inputs.backends.gates().cold.clone());
+    let permits = PermitIssuer::new(inputs.backends.gates().cold.clone());
     let hooks = JobHooks {
         jobs: Some(jobs.clone()),
     };
@@ -186,10 +186,10 @@
         state: Arc::clone(&state),
     };
     listen(&options, addresses, ingress).await?;
-    let giver = common.order_giver(&jobs, &meter, &permits);
+    let order_leader = common.order_leader(&jobs, &meter, &permits);
     let permits_task = tokio::spawn({
-        let asker = common.permit_asker(permits);
-        async move { asker.run().await }
+        let permit_requester = common.permit_requester(permits);
+        async move { permit_requester.run().await }
     });
     let sharing_task = inputs.usage.as_ref().map(|_| {
         let nodes = nodes.clone();
@@ -209,10 +209,10 @@
     });
     let nodes_task = tokio::spawn({
         let nodes = nodes.clone();
-        let activity = inputs.activities.with_instances.clone();
+        let activity = inputs.activities.instance_work.clone();
         async move { nodes.run(coordination, &activity).await }
     });
-    let orders_task = tokio::spawn(async move { giver.run().await });
+    let orders_task = tokio::spawn(async move { order_leader.run().await });
     let sweep_task = tokio::spawn({
         let jobs = jobs.clone();
         async move { jobs.sweep().await }
@@ -280,24 +280,24 @@
             codec: Arc::clone(&inputs.codec),
             metrics: Arc::clone(self.metrics),
             retention: self.options.job_retention,
-            confirmation: Confirmation::default(),
+            confirmation: QuorumConfirmation::default(),
             lengths: TextLengths::default(),
-            steps: NewestSteps::default(),
-            learnt_loads: LearntLoads::default(),
-            ended_givers: EndedGivers::default(),
-            activity: inputs.activities.with_instances.clone(),
+            steps: LatestSteps::default(),
+            learned_load_limit: LearnedLoadLimit::default(),
+            former_leaders: FormerLeaders::default(),
+            activity: inputs.activities.instance_work.clone(),
             suspects: suspects.clone(),
         }
     }
 
-    fn order_giver(
+    fn order_leader(
         &self,
         jobs: &JobRegistry,
         meter: &UsageMeter,
-        permits: &PermitDealer,
-    ) -> OrderGiver {
+        permits: &PermitIssuer,
+    ) -> OrderLeader {
         let inputs = self.inputs;
-        OrderGiver {
+        OrderLeader {
             coordination: Arc::clone(self.coordination),
             nodes: self.nodes.clone(),
             backends: inputs.backends.clone(),
@@ -308,12 +308,12 @@
             jobs: jobs.clone(),
             activities: inputs.activities.clone(),
             options: OrderOptions {
-                quiet: self.options.order_quiet,
+                quiet_period: self.options.order_quiet_period,
             },
             roster: self.roster_writer(),
             usage: self.usage_reporter(meter),
             permits: permits.clone(),
-            capacity: self.capacity_duty(),
+            capacity: self.capacity_controller(),
         }
     }
 
@@ -342,27 +342,27 @@
         })
     }
 
-    fn capacity_duty(&self) -> Option<CapacityDuty> {
+    fn capacity_controller(&self) -> Option<CapacityController> {
         let capacity = self.inputs.capacity.clone()?;
-        Some(CapacityDuty {
+        Some(CapacityController {
             coordination: Arc::clone(self.coordination),
             node: self.options.node.clone(),
             backends: self.inputs.backends.clone(),
             view: self.inputs.view.clone(),
             config: self.inputs.config.clone(),
             sink: capacity.sink,
-            quiet: capacity.quiet,
+            quiet_period: capacity.quiet_period,
             metrics: Arc::clone(self.metrics),
         })
     }
 
-    fn permit_asker(&self, dealer: PermitDealer) -> PermitAsker {
-        PermitAsker {
+    fn permit_requester(&self, issuer: PermitIssuer) -> PermitRequester {
+        PermitRequester {
             allowance: self.inputs.cold,
             backends: self.inputs.backends.clone(),
             config: self.inputs.config.clone(),
             nodes: self.nodes.clone(),
-            dealer,
+            issuer,
             metrics: Arc::clone(self.metrics),
         }
     }
@@ -383,7 +383,7 @@
         let listener = bind(address).await?;
         // Clients of a front that is cut off from the journal are better served by others.
         let is_ready =
-            move || config.current().is_some() && !state.is_draining() && !jobs.is_cut_off();
+            move || config.current().is_some() && !state.is_draining() && !jobs.is_journal_unreachable();
         tokio::spawn(ingress::serve_readiness(listener, is_ready));
     }
     if let Some(address) = options.metrics_address {
@@ -405,7 +405,7 @@
         options.node,
         state.requests()
     );
-    let deadline = Instant::now() + options.grace.saturating_sub(STOP_MARGIN);
+    let deadline = Instant::now() + options.shutdown_grace.saturating_sub(STOP_MARGIN);
     state.drain();
     nodes.set_leaving(true);
     let answered = async {
--- a/crates/front/src/ingress/answers.rs
+++ b/crates/front/src/ingress/answers.rs
@@ -75,7 +75,7 @@
         if frame.is_none() {
             let rest = self.rest;
             if let Some(lease) = self.lease.take() {
-                lease.give_back(rest);
+                lease.return_to_pool(rest);
             }
             if let Some(run) = &self.run {
                 run.note_whole();
@@ -85,7 +85,7 @@
             && let Some(run) = self.run.take()
         {
             // The client's connection is aborted meanwhile.
-            tokio::spawn(run.look());
+            tokio::spawn(run.check_broken_run());
         }
         Poll::Ready(frame.map(|frame| frame.map_err(Into::into)))
     }
--- a/crates/front/src/ingress/mod.rs
+++ b/crates/front/src/ingress/mod.rs
@@ -32,7 +32,7 @@
 use self::answers::{AnswerBody, counted, empty, json, no_key, not_run, to_response, whole};
 use self::caller::caller;
 use self::state::RequestGuard;
-use crate::config::{ConfigInForce, Route, RouteKind, ServingConfig};
+use crate::config::{CurrentConfig, Route, RouteKind, ServingConfig};
 use crate::dialect::{JobCall, SharedCodec};
 use crate::job::{AcceptError, JobRegistry, ReadError, job_key};
 use crate::live::{LiveRequest, LiveService};
@@ -57,7 +57,7 @@
 /// What ingress works with.
 pub struct Ingress {
     /// Routes and limits.
-    pub config: ConfigInForce,
+    pub config: CurrentConfig,
     /// Live requests.
     pub live: LiveService,
     /// Batch jobs.
@@ -260,9 +260,9 @@
         let id = request.headers().get(&self.codec.headers().attempt_id);
         let id = id.and_then(|id| id.to_str().ok()).unwrap_or("-");
         let is_newest = self.has_newest_config();
-        let age = self.nodes.last_contact().map(|at| at.elapsed().as_millis());
+        let age = self.nodes.last_store_contact().map(|at| at.elapsed().as_millis());
         log::warn!(
-            "event=key_refused request={id} config={} reason={refusal} config_is_newest={is_newest} contact_ms={age:?}",
+            "event=key_rejected request={id} config={} reason={refusal} config_is_newest={is_newest} contact_ms={age:?}",
             config.version
         );
         let refused = &self.metrics.refused_keys;
@@ -339,12 +339,12 @@
         };
         match self.jobs.accept(spec).await {
             Ok(()) => empty(StatusCode::ACCEPTED),
-            Err(AcceptError::NotKept(cause)) => {
+            Err(AcceptError::NotStored(cause)) => {
                 log::warn!("event=job_refused job={id} cause=\"{cause}\"");
                 not_run()
             }
-            Err(AcceptError::InDoubt(cause)) => {
-                log::warn!("event=job_in_doubt job={id} cause=\"{cause}\"");
+            Err(AcceptError::OutcomeUnknown(cause)) => {
+                log::warn!("event=job_outcome_unknown job={id} cause=\"{cause}\"");
                 empty(StatusCode::GATEWAY_TIMEOUT)
             }
         }
@@ -403,7 +403,7 @@
     }
 
     fn has_newest_config(&self) -> bool {
-        let contact = self.nodes.last_contact();
+        let contact = self.nodes.last_store_contact();
         contact.is_some_and(|at| at.elapsed() < CONTACT_TRUST)
     }
 
--- a/crates/front/src/job/confirmation.rs
+++ b/crates/front/src/job/confirmation.rs
@@ -7,11 +7,11 @@
 
 /// Send time of the latest heartbeat in which a majority of replicas confirmed this node's logs.
 #[derive(Debug, Default)]
-pub struct Confirmation {
+pub struct QuorumConfirmation {
     asked_at: Mutex<Option<Instant>>,
 }
 
-impl Confirmation {
+impl QuorumConfirmation {
     /// Records that a majority of replicas answered a heartbeat sent at `asked_at`.
     pub fn record(&self, asked_at: Instant) {
         let mut known = self.lock();
--- a/crates/front/src/job/context.rs
+++ b/crates/front/src/job/context.rs
@@ -6,17 +6,17 @@
 use ladderstage_journal::Journal;
 use ladderstage_journal::replica_set::ReplicaSets;
 
-use super::confirmation::Confirmation;
+use super::confirmation::QuorumConfirmation;
 use super::lengths::TextLengths;
-use super::trainer_steps::NewestSteps;
+use super::trainer_steps::LatestSteps;
 use crate::activity::Activity;
 use crate::backend::BackendTable;
-use crate::config::ConfigInForce;
+use crate::config::CurrentConfig;
 use crate::dialect::SharedCodec;
 use crate::metrics::Metrics;
 use crate::nodes::Nodes;
-use crate::orders::{EndedGivers, LearntLoads};
-use crate::roster::DirectView;
+use crate::orders::{FormerLeaders, LearnedLoadLimit};
+use crate::roster::DiscoveryView;
 use crate::suspects::Suspects;
 
 /// Dependencies that all jobs of this node share.
@@ -28,11 +28,11 @@
     /// Other nodes.
     pub nodes: Nodes,
     /// Current configuration, with the routes.
-    pub config: ConfigInForce,
+    pub config: CurrentConfig,
     /// Table of instances.
     pub backends: BackendTable,
     /// State of this node's direct view of the instances' records.
-    pub view: DirectView,
+    pub view: DiscoveryView,
     /// Encoding of job requests and names of headers.
     pub codec: SharedCodec,
     /// Metrics.
@@ -40,15 +40,15 @@
     /// Time for which a job can be read after it was submitted.
     pub retention: Duration,
     /// Time of the last majority confirmation of this node's logs.
-    pub confirmation: Confirmation,
+    pub confirmation: QuorumConfirmation,
     /// Recent text lengths per model.
     pub lengths: TextLengths,
     /// Latest step of each trainer.
-    pub steps: NewestSteps,
+    pub steps: LatestSteps,
     /// Load times and load limits that order leaders have learned.
-    pub learnt_loads: LearntLoads,
+    pub learned_load_limit: LearnedLoadLimit,
     /// Order leader that last announced its end.
-    pub ended_givers: EndedGivers,
+    pub former_leaders: FormerLeaders,
     /// Counts the jobs that run at this node.
     pub activity: Activity,
     /// Requests that are suspected of crashing instances.
--- a/crates/front/src/job/handover.rs
+++ b/crates/front/src/job/handover.rs
@@ -99,7 +99,7 @@
             others.retain(|front| allowed.permits(nodes.region_of(front)));
         }
         let mut others = prefer_same_region(strongest(others), |front| nodes.distance_to(front));
-        others.sort_by_key(|front| std::cmp::Reverse(nodes.seen_since(&front.node)));
+        others.sort_by_key(|front| std::cmp::Reverse(nodes.first_seen(&front.node)));
         let half = others.len().div_ceil(2).max(1);
         others.into_iter().nth(index % half)
     }
--- a/crates/front/src/job/locating.rs
+++ b/crates/front/src/job/locating.rs
@@ -96,7 +96,7 @@
         let answer = self.ask_node(id, &candidate, with_forwarding(request), wait);
         match answer.await {
             Ok(answer) => {
-                log::info!("event=job_handed_on job={id} node={candidate}");
+                log::info!("event=job_takeover_forwarded job={id} node={candidate}");
                 lock(&self.shared.owners).insert(id.to_owned(), (candidate, Instant::now()));
                 Ok(OwnerReply::Answer(answer))
             }
@@ -113,11 +113,11 @@
             return None;
         }
         let own = self.context.nodes.own().node;
-        let takers = self.context.nodes.takers();
-        if takers.iter().any(|candidate| candidate.node == own) {
+        let takeover_candidates = self.context.nodes.takeover_candidates();
+        if takeover_candidates.iter().any(|candidate| candidate.node == own) {
             return None;
         }
-        let names = takers.iter().map(|candidate| candidate.node.as_str());
+        let names = takeover_candidates.iter().map(|candidate| candidate.node.as_str());
         rendezvous_first(log_name(id).as_bytes(), names).map(str::to_owned)
     }
 
--- a/crates/front/src/job/migration.rs
+++ b/crates/front/src/job/migration.rs
@@ -46,7 +46,7 @@
     pub(super) fn record_arrival(&mut self, instance: &Instance) {
         let now = Instant::now();
         if let Some(interval_ms) = self.add_event(now) {
-            instance.note_pace(interval_ms, now);
+            instance.record_unit_time(interval_ms, now);
         }
     }
 
@@ -87,7 +87,7 @@
         }
         let elapsed = self.last_at?.saturating_duration_since(self.first_at?);
         let mean_ms = elapsed.as_secs_f64() * 1e3 / f64::from(self.events - 1);
-        let typical = context.backends.typical_pace(&context.service)?;
+        let typical = context.backends.typical_unit_time(&context.service)?;
         let model = &context.spec.model;
         let remaining = expected_remaining_events(partial.events(), max_events);
         let own_ms = self.expected_interval_ms(mean_ms, typical);
--- a/crates/front/src/job/mod.rs
+++ b/crates/front/src/job/mod.rs
@@ -36,7 +36,7 @@
 mod trainer_steps;
 mod unfinished;
 
-pub use confirmation::Confirmation;
+pub use confirmation::QuorumConfirmation;
 pub use context::JobContext;
 pub use digest::{FoundLog, LogDigest};
 pub use events::{Event, EventParser};
@@ -48,12 +48,12 @@
 pub use preferred_owner::{home, preferred_owner_in_region};
 pub use queue::EntryQueue;
 pub use reading::ReadError;
-pub use region_bounds::{OutOfBounds, check_keepers};
+pub use region_bounds::{RegionBoundsError, check_node_regions};
 pub use registry::{AcceptError, JobRegistry};
 pub use run_context::{first_event_timeout, refusal_pause};
 pub use state::{JobState, encode_entry};
 pub use text::ItemText;
-pub use trainer_steps::NewestSteps;
+pub use trainer_steps::LatestSteps;
 
 /// Prefix of the names of job logs in the journal; the job key follows.
 pub const LOG_PREFIX: &str = "job/";
--- a/crates/front/src/job/peer_handler.rs
+++ b/crates/front/src/job/peer_handler.rs
@@ -59,9 +59,9 @@
         let services = config.services.iter();
         let instances = services
             .filter(|(_, service)| !service.models.is_empty())
-            .flat_map(|(name, _)| self.context.backends.of_service(name));
+            .flat_map(|(name, _)| self.context.backends.instances_of(name));
         let known = instances.filter_map(|instance| {
-            let interval_ms = instance.recent_pace_ms()?;
+            let interval_ms = instance.recent_unit_time_ms()?;
             Some(InstancePace {
                 instance: instance.id().to_owned(),
                 event_micros: (interval_ms * 1e3) as u64,
@@ -86,7 +86,7 @@
             }
             RequestKind::accept_job(request) => self.handle_accept(request).await,
             RequestKind::giver_end(end) => {
-                self.context.ended_givers.note(&end, Instant::now());
+                self.context.former_leaders.note(&end, Instant::now());
                 ResponseKind::done(Done {})
             }
             RequestKind::read_demand(_) => ResponseKind::demand(self.demand()),
@@ -94,7 +94,7 @@
                 if notice.from_owner {
                     self.take_over_logs(notice.logs);
                 } else {
-                    self.on_untended(notice.logs);
+                    self.on_orphaned_logs(notice.logs);
                 }
                 ResponseKind::done(Done {})
             }
@@ -109,22 +109,22 @@
         for update in &news.instances {
             let instance = self.context.backends.get(&update.instance);
             let Some(instance) =
-                instance.filter(|instance| instance.is_start(update.started_unix_ms))
+                instance.filter(|instance| instance.matches_incarnation(update.started_unix_ms))
             else {
                 continue;
             };
             if update.loading_ms > 0 {
                 let until = now + Duration::from_millis(update.loading_ms);
-                instance.note_loading(&update.model, until);
+                instance.mark_loading(&update.model, until);
             } else {
-                instance.note_version(&update.model, update.version);
+                instance.record_version(&update.model, update.version);
             }
         }
         if news.usual_load_ms > 0 {
             let typical = Duration::from_millis(news.usual_load_ms);
             let limit = news.load_limit as usize;
-            let limit = LoadLimit::from_learnt(limit, typical, news.limit_is_near);
-            self.context.learnt_loads.note(&limit);
+            let limit = LoadLimit::from_learned(limit, typical, news.limit_is_near);
+            self.context.learned_load_limit.note(&limit);
         }
         self.context.backends.notify();
     }
@@ -179,7 +179,7 @@
 
     /// Takes over jobs whose logs a replica reports as orphaned, unless their owner answers: the
     /// replica may be partitioned.
-    pub fn on_untended(&self, logs: Vec<String>) {
+    pub fn on_orphaned_logs(&self, logs: Vec<String>) {
         for id in self.jobs_not_local(&logs) {
             let registry = self.clone();
             tokio::spawn(async move {
--- a/crates/front/src/job/preferred_owner.rs
+++ b/crates/front/src/job/preferred_owner.rs
@@ -30,9 +30,9 @@
     /// The preferred owner has accepted the job.
     Accepted,
     /// The preferred owner has stored nothing of the job.
-    NotKept(String),
+    NotStored(String),
     /// The preferred owner may have stored the job.
-    InDoubt(String),
+    OutcomeUnknown(String),
 }
 
 impl JobRegistry {
@@ -56,15 +56,15 @@
                 lock(&self.shared.owners).insert(id, known_owner);
                 Ok(())
             }
-            RemoteAccept::NotKept(cause) => {
+            RemoteAccept::NotStored(cause) => {
                 log::warn!("event=job_home_refused job={id} home={owner} cause=\"{cause}\"");
                 self.accept_here(spec).await
             }
-            RemoteAccept::InDoubt(cause) => {
-                log::warn!("event=job_home_in_doubt job={id} home={owner} cause=\"{cause}\"");
+            RemoteAccept::OutcomeUnknown(cause) => {
+                log::warn!("event=job_home_outcome_unknown job={id} home={owner} cause=\"{cause}\"");
                 // The preferred owner may still run the job, whatever the local outcome.
                 self.accept_here(spec).await.map_err(|error| match error {
-                    AcceptError::NotKept(cause) => AcceptError::InDoubt(cause),
+                    AcceptError::NotStored(cause) => AcceptError::OutcomeUnknown(cause),
                     error => error,
                 })
             }
@@ -98,11 +98,11 @@
             Ok(ResponseKind::refused(refused)) | Err(CallError::Refused(refused))
                 if matches!(refused.reason, Reason::NOT_READY | Reason::LEAVING) =>
             {
-                RemoteAccept::NotKept(refused.detail)
+                RemoteAccept::NotStored(refused.detail)
             }
-            Ok(_) => RemoteAccept::InDoubt("unexpected kind of answer".to_owned()),
-            Err(CallError::NotSent(cause)) => RemoteAccept::NotKept(cause),
-            Err(error) => RemoteAccept::InDoubt(error.to_string()),
+            Ok(_) => RemoteAccept::OutcomeUnknown("unexpected kind of answer".to_owned()),
+            Err(CallError::NotSent(cause)) => RemoteAccept::NotStored(cause),
+            Err(error) => RemoteAccept::OutcomeUnknown(error.to_string()),
         }
     }
 
@@ -114,13 +114,13 @@
         if self.context.nodes.is_leaving() {
             return refused(Reason::LEAVING, "this front is stopping");
         }
-        if self.is_cut_off() {
+        if self.is_journal_unreachable() {
             return refused(Reason::NOT_READY, "the journal is unreachable");
         }
         match self.accept_here(spec).await {
             Ok(()) => ResponseKind::done(Done {}),
-            Err(AcceptError::NotKept(cause)) => refused(Reason::NOT_READY, &cause),
-            Err(AcceptError::InDoubt(cause)) => refused(Reason::INTERNAL, &cause),
+            Err(AcceptError::NotStored(cause)) => refused(Reason::NOT_READY, &cause),
+            Err(AcceptError::OutcomeUnknown(cause)) => refused(Reason::INTERNAL, &cause),
         }
     }
 }
--- a/crates/front/src/job/region_bounds.rs
+++ b/crates/front/src/job/region_bounds.rs
@@ -15,13 +15,13 @@
 
 /// Reason why a job cannot be stored or served within the allowed regions of its route and tenant.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum OutOfBounds {
+pub enum RegionBoundsError {
     /// No route matches the job, so its allowed regions are unknown.
     #[error("no route matches the job")]
     NoRoute,
     /// The route and the tenant have no allowed region in common.
     #[error("route and tenant allow no common region")]
-    Nowhere,
+    NoAllowedRegion,
     /// A node lies outside the allowed regions.
     #[error("node {node} in {region} is outside the allowed regions {allowed}")]
     Node {
@@ -70,20 +70,20 @@
 ///
 /// # Errors
 /// Fails if a node lies outside the allowed regions or its region is unknown.
-pub fn check_keepers(
+pub fn check_node_regions(
     allowed: &AllowedRegions,
     nodes: &Nodes,
     replicas: Option<&ReplicaSet>,
-) -> Result<(), OutOfBounds> {
+) -> Result<(), RegionBoundsError> {
     if allowed.is_all() {
         return Ok(());
     }
     if allowed.is_nowhere() {
-        return Err(OutOfBounds::Nowhere);
+        return Err(RegionBoundsError::NoAllowedRegion);
     }
     let allowed = || allowed.clone();
     let Some(replicas) = replicas else {
-        return Err(OutOfBounds::UnknownReplicas { allowed: allowed() });
+        return Err(RegionBoundsError::UnknownReplicas { allowed: allowed() });
     };
     let is_unknown = |member: &&ReplicaMember| !nodes.knows(&member.node);
     if let Some(member) = replicas
@@ -92,13 +92,13 @@
         .chain(&replicas.next)
         .find(is_unknown)
     {
-        return Err(OutOfBounds::UnknownReplica {
+        return Err(RegionBoundsError::UnknownReplica {
             node: member.node.clone(),
             allowed: allowed(),
         });
     }
-    if let Some(outside) = nodes.any_outside(&allowed()) {
-        return Err(OutOfBounds::Node {
+    if let Some(outside) = nodes.find_outside(&allowed()) {
+        return Err(RegionBoundsError::Node {
             region: RegionName(Some(outside.region).filter(|region| !region.is_empty())),
             node: outside.node,
             allowed: allowed(),
@@ -121,30 +121,30 @@
     ///
     /// # Errors
     /// Fails if a node or every instance of a service lies outside the allowed regions.
-    pub(super) fn check_regions(&self, spec: &JobSpec) -> Result<(), OutOfBounds> {
+    pub(super) fn check_regions(&self, spec: &JobSpec) -> Result<(), RegionBoundsError> {
         let context = &self.context;
         let bound = context
             .config
             .allowed_regions(&spec.host, &spec.path, &spec.tenant);
-        let allowed = bound.ok_or(OutOfBounds::NoRoute)?;
+        let allowed = bound.ok_or(RegionBoundsError::NoRoute)?;
         if allowed.is_all() {
             return Ok(());
         }
         let replicas = context.replica_sets.current();
-        check_keepers(&allowed, &context.nodes, replicas.as_deref())?;
+        check_node_regions(&allowed, &context.nodes, replicas.as_deref())?;
         self.check_instances(spec, allowed)
     }
 
     /// Checks that each service of the job's route that has instances has one in an allowed region.
-    fn check_instances(&self, spec: &JobSpec, allowed: AllowedRegions) -> Result<(), OutOfBounds> {
+    fn check_instances(&self, spec: &JobSpec, allowed: AllowedRegions) -> Result<(), RegionBoundsError> {
         let context = &self.context;
         let config = context.config.current().unwrap_or_default();
         let route = config.route(&spec.host, &spec.path);
         for part in route.iter().flat_map(|route| &route.split) {
             let service = &part.service;
-            let has_instances = !context.backends.of_service(service).is_empty();
+            let has_instances = !context.backends.instances_of(service).is_empty();
             if has_instances && !context.backends.has_any_within(service, &allowed) {
-                return Err(OutOfBounds::NoInstance {
+                return Err(RegionBoundsError::NoInstance {
                     service: service.clone(),
                     allowed,
                 });
--- a/crates/front/src/job/registry.rs
+++ b/crates/front/src/job/registry.rs
@@ -23,7 +23,7 @@
 use super::state::JobState;
 use super::text_reuse::UnfinishedEntry;
 use super::{LOG_PREFIX, log_name};
-use crate::orders::{EndedGivers, LearntLoads};
+use crate::orders::{FormerLeaders, LearnedLoadLimit};
 
 /// Largest age of the last majority confirmation at which an owner answers reads. Limits how long
 /// readers may see the state of a superseded owner.
@@ -37,10 +37,10 @@
 pub enum AcceptError {
     /// This attempt has stored nothing of the job.
     #[error("job not stored: {0}")]
-    NotKept(String),
+    NotStored(String),
     /// The job may be stored.
     #[error("outcome unknown: {0}")]
-    InDoubt(String),
+    OutcomeUnknown(String),
 }
 
 /// Jobs of this node. Cheap to clone.
@@ -94,22 +94,22 @@
             Ok(OwnerReply::Local(job)) => return self.wait_accepted(&job).await,
             Ok(OwnerReply::Answer(_)) => return Ok(()),
             Err(ReadError::NotFound) => {}
-            Err(ReadError::Unavailable(cause)) => return Err(AcceptError::NotKept(cause)),
+            Err(ReadError::Unavailable(cause)) => return Err(AcceptError::NotStored(cause)),
         }
         if let Err(cause) = self.check_regions(&spec) {
-            log::warn!("event=job_out_of_bounds job={id} cause=\"{cause}\"");
+            log::warn!("event=job_regions_rejected job={id} cause=\"{cause}\"");
             let refused = &self.context.metrics.refused_by_region;
             refused.with_label_values(&["job"]).inc();
-            return Err(AcceptError::NotKept(cause.to_string()));
+            return Err(AcceptError::NotStored(cause.to_string()));
         }
         let fields = log_fields(&spec);
         let opened = tokio::time::timeout(COMMIT_TIMEOUT, self.open(&id, Some(spec))).await;
         let job = match opened {
             Ok(Ok(job)) => job,
-            Ok(Err(JournalError::NoQuorum(cause))) => return Err(AcceptError::NotKept(cause)),
-            Ok(Err(error)) => return Err(AcceptError::InDoubt(error.to_string())),
+            Ok(Err(JournalError::NoQuorum(cause))) => return Err(AcceptError::NotStored(cause)),
+            Ok(Err(error)) => return Err(AcceptError::OutcomeUnknown(error.to_string())),
             Err(_) => {
-                return Err(AcceptError::NotKept(
+                return Err(AcceptError::NotStored(
                     "the takeover of the job's log timed out".to_owned(),
                 ));
             }
@@ -240,13 +240,13 @@
     }
 
     /// Returns the load times and limits that order leaders have learned.
-    pub fn learnt_loads(&self) -> &LearntLoads {
-        &self.context.learnt_loads
+    pub fn learned_load_limit(&self) -> &LearnedLoadLimit {
+        &self.context.learned_load_limit
     }
 
     /// Returns the order leader that last announced its end.
-    pub fn ended_givers(&self) -> &EndedGivers {
-        &self.context.ended_givers
+    pub fn former_leaders(&self) -> &FormerLeaders {
+        &self.context.former_leaders
     }
 
     /// Records that a majority of replicas answered a heartbeat sent at `asked_at`.
@@ -255,7 +255,7 @@
     }
 
     /// Handles the report of a replica that another node has the log.
-    pub fn on_contested(&self, log: &str) {
+    pub fn on_fence_reported(&self, log: &str) {
         let id = log.strip_prefix(LOG_PREFIX).unwrap_or_default();
         if let Some(job) = self.local(id) {
             job.set_contested();
@@ -316,7 +316,7 @@
             }
         };
         let waited = tokio::time::timeout(COMMIT_TIMEOUT, accepted).await;
-        waited.map_err(|_| AcceptError::InDoubt("the commit of the job timed out".to_owned()))
+        waited.map_err(|_| AcceptError::OutcomeUnknown("the commit of the job timed out".to_owned()))
     }
 
     /// Becomes the owner of a job that is in the journal.
@@ -373,7 +373,7 @@
         owner.text_collection = collection;
         let registry = self.clone();
         let owned = Arc::clone(&job);
-        let activity = self.context.activity.begin();
+        let activity = self.context.activity.start();
         tokio::spawn(async move {
             let _activity = activity;
             match owner.run(commands).await {
--- a/crates/front/src/job/relay.rs
+++ b/crates/front/src/job/relay.rs
@@ -31,14 +31,14 @@
 
 impl JobRegistry {
     /// Returns whether no majority of replicas has answered this node recently.
-    pub fn is_cut_off(&self) -> bool {
+    pub fn is_journal_unreachable(&self) -> bool {
         self.context.confirmation.age(self.started_at) > UNREACHABLE_AFTER
     }
 
     /// Returns whether requests about a job must be relayed rather than answered from local state.
     pub(super) fn needs_relay(&self, id: &str) -> bool {
         let is_unreadable = |job: &Job| job.state().spec().is_some() && !self.is_readable(job);
-        self.is_cut_off() || self.local(id).is_some_and(|job| is_unreadable(&job))
+        self.is_journal_unreachable() || self.local(id).is_some_and(|job| is_unreadable(&job))
     }
 
     /// Relays a request through other fronts until one answers.
--- a/crates/front/src/job/run.rs
+++ b/crates/front/src/job/run.rs
@@ -13,7 +13,7 @@
 use super::scoring::{ScoreEnd, score};
 use super::stream::follow_stream;
 use super::text::ItemText;
-use crate::backend::{AnswerId, Demand, ExchangeError, Instance, RequestHead, send};
+use crate::backend::{AnswerIdPolicy, Demand, ExchangeError, Instance, RequestHead, send};
 use crate::tenant::set_tenant;
 
 /// Pause before instances are checked again when none has free capacity.
@@ -100,7 +100,7 @@
     let ended = tokio::time::timeout_at(at.into(), run).await;
     ended.unwrap_or_else(|_| {
         log::warn!(
-            "event=item_given_up item={} job={} reason=age",
+            "event=item_abandoned item={} job={} reason=age",
             context.spec.items[index].id,
             context.spec.job
         );
@@ -201,11 +201,11 @@
         () = instance.ended() => RunEnd::Broken("the instance was restarted".to_owned()),
     };
     log_run(context, index, instance, partial, started, &end);
-    context.metrics.note_sent("item", instance.distance());
+    context.metrics.record_sent("item", instance.distance());
     match end {
         RunEnd::Broken(_) => context.probe(index, instance, content(), started).await,
         RunEnd::Complete | RunEnd::Unprocessable | RunEnd::Failed => {
-            context.suspects.note_borne(content);
+            context.suspects.record_completion(content);
         }
         RunEnd::NotTaken(_) | RunEnd::Move(_) => {}
     }
@@ -275,7 +275,7 @@
         backends.choose_within(
             &context.service,
             &context.spec.model,
-            Demand::CutBatch,
+            Demand::InterruptedBatch,
             &context.allowed_regions(),
             |instance| {
                 let is_excluded = exclude_last && instance.id() == last.id();
@@ -292,7 +292,7 @@
     instance: &Arc<Instance>,
     partial: &mut ItemText,
 ) -> RunEnd {
-    let _guard = instance.begin();
+    let _guard = instance.track_request();
     let names = context.codec.headers();
     let item = &context.spec.items[index];
     let Ok(attempt_id) = HeaderValue::from_str(&item.id) else {
@@ -308,13 +308,13 @@
         &head,
         &body,
         &attempt_id,
-        AnswerId::Required,
+        AnswerIdPolicy::Required,
     );
     let reply = match tokio::time::timeout(context.first_event_timeout(), sending).await {
         Ok(Ok(reply)) => reply,
         Ok(Err(error)) => return on_exchange_error(context, instance, &error),
         Err(_) => {
-            instance.note_failure(Instant::now());
+            instance.record_failure(Instant::now());
             return RunEnd::Move("timed out waiting for the first event".to_owned());
         }
     };
@@ -323,7 +323,7 @@
         StatusCode::UNPROCESSABLE_ENTITY => RunEnd::Unprocessable,
         StatusCode::INTERNAL_SERVER_ERROR => RunEnd::Failed,
         status => {
-            instance.note_failure(Instant::now());
+            instance.record_failure(Instant::now());
             RunEnd::Move(format!("status {}", status.as_u16()))
         }
     }
@@ -337,20 +337,20 @@
     let now = Instant::now();
     match error {
         ExchangeError::NotRun(_) => {
-            let typical_load = context.learnt_loads.get().and_then(|limit| limit.usual());
+            let typical_load = context.learned_load_limit.get().and_then(|limit| limit.typical_load_time());
             let pause = refusal_pause(instance.has_free_slot(), typical_load);
-            instance.note_loading(&context.spec.model, now + pause);
+            instance.mark_loading(&context.spec.model, now + pause);
         }
         ExchangeError::Misdirected {
             is_other_instance: false,
         } => {
-            instance.note_loading(&context.spec.model, now + STALE_WEIGHTS_PAUSE);
+            instance.mark_loading(&context.spec.model, now + STALE_WEIGHTS_PAUSE);
         }
-        ExchangeError::HeldBack(reason) => context.metrics.note_held_back(*reason),
+        ExchangeError::HeldBack(reason) => context.metrics.record_held_back(*reason),
         ExchangeError::Misdirected { .. }
         | ExchangeError::NotSent(_)
         | ExchangeError::Broken(_) => {
-            instance.note_failure(now);
+            instance.record_failure(now);
         }
     }
     if error.is_not_run() {
@@ -383,7 +383,7 @@
         set_tenant(&mut headers, &names.tenant, &context.spec.tenant);
     }
     headers.insert(names.attempt_id.clone(), attempt_id.clone());
-    headers.insert(names.request_priority.clone(), context.rank.clone());
+    headers.insert(names.request_priority.clone(), context.priority_header.clone());
     let expected = HeaderValue::from_str(instance.id()).ok()?;
     headers.insert(names.expect_instance.clone(), expected);
     if let Some(last) = partial.last_event() {
--- a/crates/front/src/job/run_context.rs
+++ b/crates/front/src/job/run_context.rs
@@ -11,10 +11,10 @@
 use tokio::sync::{mpsc, watch};
 
 use crate::backend::{BackendTable, Instance, LOADING_PAUSE};
-use crate::config::ConfigInForce;
+use crate::config::CurrentConfig;
 use crate::dialect::SharedCodec;
 use crate::metrics::Metrics;
-use crate::orders::LearntLoads;
+use crate::orders::LearnedLoadLimit;
 use crate::suspects::{
     BrokenRun, ContentDigest, HeldBack, RequestContent, RunPermit, RunSubject, Suspects,
 };
@@ -39,7 +39,7 @@
     /// Names of headers.
     pub codec: SharedCodec,
     /// Current configuration, with the routes of items and reward calls.
-    pub config: ConfigInForce,
+    pub config: CurrentConfig,
     /// Metrics.
     pub metrics: Arc<Metrics>,
     /// Specification of the job.
@@ -47,7 +47,7 @@
     /// Service that runs the items.
     pub service: String,
     /// Priority of the items at instances.
-    pub rank: HeaderValue,
+    pub priority_header: HeaderValue,
     /// Regions in which the items may run by the configuration at the start of these runs.
     pub allowed_at_start: AllowedRegions,
     /// Number of failed attempts after which an item is terminated.
@@ -67,7 +67,7 @@
     /// Number of tokens per event, or 0 if it is unknown.
     pub tokens_per_event: u64,
     /// Learned load times and load limits.
-    pub learnt_loads: LearntLoads,
+    pub learned_load_limit: LearnedLoadLimit,
     /// Requests that are suspected of crashing instances.
     pub suspects: Suspects,
 }
@@ -134,7 +134,7 @@
         index: usize,
         content: impl FnOnce() -> ContentDigest,
     ) -> Option<HeldBack> {
-        self.suspects.holds(self.subject(index), content)
+        self.suspects.current_hold(self.subject(index), content)
     }
 
     async fn wait_while_held(&self, index: usize, content: &impl Fn() -> ContentDigest) {
@@ -157,16 +157,16 @@
         index: usize,
         instance: &Arc<Instance>,
         content: ContentDigest,
-        began: Instant,
+        started_at: Instant,
     ) {
         let run = BrokenRun {
             subject: self.subject(index),
             instance,
             content,
-            began,
+            started_at,
         };
-        self.suspects.look(&run).await;
-        self.suspects.tell_of_item(content);
+        self.suspects.check_broken_run(&run).await;
+        self.suspects.announce_item(content);
     }
 
     /// Returns the largest number of events of an item's text, or `None` if it is unknown.
@@ -178,7 +178,7 @@
 
     /// Returns the longest wait for the first event of a run.
     pub(super) fn first_event_timeout(&self) -> Duration {
-        let typical_ms = self.backends.typical_pace(&self.service);
+        let typical_ms = self.backends.typical_unit_time(&self.service);
         first_event_timeout(typical_ms)
     }
 }
--- a/crates/front/src/job/scheduling.rs
+++ b/crates/front/src/job/scheduling.rs
@@ -134,7 +134,7 @@
         let is_scored = reward_call.is_empty() || !earlier.score.is_empty();
         let is_done = earlier.is_whole && is_scored && earlier.reward_call == reward_call;
         log::info!(
-            "event=text_carried item={} job={} events={} versions={:?} whole={} scored={is_scored}",
+            "event=text_reused item={} job={} events={} versions={:?} whole={} scored={is_scored}",
             item.id,
             spec.job,
             earlier.events,
@@ -186,9 +186,9 @@
             window: self.window.clone(),
             first_versions: self.first_versions.clone(),
             tokens_per_event,
-            learnt_loads: self.context.learnt_loads.clone(),
+            learned_load_limit: self.context.learned_load_limit.clone(),
             suspects: self.context.suspects.clone(),
-            item_deadline: route.max_queue.map(|age| self.job.opened_at + age),
+            item_deadline: route.max_queue_time.map(|age| self.job.opened_at + age),
         }))
     }
 }
--- a/crates/front/src/job/scoring.rs
+++ b/crates/front/src/job/scoring.rs
@@ -12,7 +12,7 @@
 use ladderstage_wire::messages::RewardCall;
 
 use super::run_context::RunContext;
-use crate::backend::{AnswerId, Demand, ExchangeError, Instance, RequestHead, send};
+use crate::backend::{AnswerIdPolicy, Demand, ExchangeError, Instance, RequestHead, send};
 use crate::config::Route;
 use crate::suspects::{ContentDigest, RunPermit};
 use crate::tenant::set_tenant;
@@ -173,7 +173,7 @@
 
     async fn attempt(&self, instance: Arc<Instance>, _permit: RunPermit) -> Attempt {
         let started = Instant::now();
-        let _guard = instance.begin();
+        let _guard = instance.track_request();
         let asked = tokio::time::timeout(self.route.timeout, self.ask(&instance)).await;
         let timed_out = || Err(ExchangeError::Broken("answer timed out".to_owned()));
         Attempt {
@@ -188,12 +188,12 @@
         let head = self.head(instance)?;
         let body = Bytes::copy_from_slice(&self.reward.body);
         let id = &self.attempt_id;
-        let reply = send(instance, names, &head, &body, id, AnswerId::Required).await?;
-        let (status, headers, _) = reply.read_whole(MAX_ANSWER_BYTES).await?;
+        let reply = send(instance, names, &head, &body, id, AnswerIdPolicy::Required).await?;
+        let (status, headers, _) = reply.read_body(MAX_ANSWER_BYTES).await?;
         if !status.is_success() {
             return Ok(Answer::Failed(status));
         }
-        let stamp = headers.get(&names.response_stamp);
+        let stamp = headers.get(&names.response_signature);
         let stamp = stamp.and_then(|stamp| stamp.to_str().ok());
         let unsigned = || ExchangeError::Broken("answer without a signature".to_owned());
         Ok(Answer::Scored(stamp.ok_or_else(unsigned)?.to_owned()))
@@ -210,7 +210,7 @@
         headers.insert(HOST, host);
         headers.insert(names.attempt_id.clone(), self.attempt_id.clone());
         headers.insert(names.deadline_ms.clone(), HeaderValue::from(deadline_ms));
-        headers.insert(names.request_priority.clone(), self.rank());
+        headers.insert(names.request_priority.clone(), self.priority_header());
         if !self.context.spec.tenant.is_empty() {
             set_tenant(&mut headers, &names.tenant, &self.context.spec.tenant);
         }
@@ -239,12 +239,12 @@
 
     /// Returns the priority of the call: that of the job's tenant if it has one, otherwise that of
     /// the route.
-    fn rank(&self) -> HeaderValue {
+    fn priority_header(&self) -> HeaderValue {
         let config = self.context.config.current();
         let tenant = config
             .as_ref()
             .and_then(|config| config.tenant(&self.context.spec.tenant));
-        self.route.rank(tenant.map(AsRef::as_ref))
+        self.route.priority_header(tenant.map(AsRef::as_ref))
     }
 
     /// Processes the result of a call; returns `Some` if it ends the scoring.
@@ -253,19 +253,19 @@
         self.log(index, &ended);
         match ended.result {
             Ok(Answer::Scored(stamp)) => {
-                ended.instance.note_success();
+                ended.instance.record_success();
                 let taken = now.saturating_duration_since(ended.started);
-                ended.instance.note_pace(taken.as_secs_f64() * 1e3, now);
+                ended.instance.record_unit_time(taken.as_secs_f64() * 1e3, now);
                 return Some(ScoreEnd::Scored(stamp));
             }
             Ok(Answer::Failed(StatusCode::INTERNAL_SERVER_ERROR)) => *failures += 1,
-            Ok(Answer::Failed(_)) => ended.instance.note_failure(now),
-            Err(ExchangeError::HeldBack(reason)) => self.context.metrics.note_held_back(reason),
+            Ok(Answer::Failed(_)) => ended.instance.record_failure(now),
+            Err(ExchangeError::HeldBack(reason)) => self.context.metrics.record_held_back(reason),
             Err(error) => {
                 let is_connection_failure =
                     matches!(error, ExchangeError::NotSent(_) | ExchangeError::Broken(_));
                 if is_connection_failure {
-                    ended.instance.note_failure(now);
+                    ended.instance.record_failure(now);
                 }
             }
         }
@@ -283,7 +283,7 @@
         let calls = &self.context.metrics.reward_calls;
         calls.with_label_values(&[label]).inc();
         let metrics = &self.context.metrics;
-        metrics.note_sent("reward_call", ended.instance.distance());
+        metrics.record_sent("reward_call", ended.instance.distance());
         log::info!(
             "event=reward_call item={} job={} request={} route={} instance={} distance={} started={} elapsed_ms={} outcome={outcome}",
             self.context.spec.items[index].id,
--- a/crates/front/src/job/stream.rs
+++ b/crates/front/src/job/stream.rs
@@ -45,17 +45,17 @@
         };
         let frame = match tokio::time::timeout(limit, body.frame()).await {
             Err(_) => {
-                instance.note_failure(Instant::now());
+                instance.record_failure(Instant::now());
                 return RunEnd::Move("timed out waiting for an event".to_owned());
             }
             Ok(Some(Err(error))) => {
-                instance.note_failure(Instant::now());
+                instance.record_failure(Instant::now());
                 return RunEnd::Broken(format!("connection broken: {error}"));
             }
             Ok(Some(Ok(frame))) => frame,
             Ok(None) if is_framed && parser.is_at_boundary() => {
-                instance.note_success();
-                lease.give_back(keep_alive(&headers));
+                instance.record_success();
+                lease.return_to_pool(keep_alive(&headers));
                 return RunEnd::Complete;
             }
             Ok(None) => return RunEnd::Broken("stream ended without an end marker".to_owned()),
@@ -66,7 +66,7 @@
         let events = match parser.push(&data) {
             Ok(events) => events,
             Err(error) => {
-                instance.note_failure(Instant::now());
+                instance.record_failure(Instant::now());
                 return RunEnd::Move(error.to_string());
             }
         };
@@ -112,9 +112,9 @@
     }
     let version = version.unwrap_or(0);
     let model = &context.spec.model;
-    instance.note_version(model, version);
+    instance.record_version(model, version);
     if version < context.spec.min_version {
-        instance.note_loading(model, Instant::now() + STALE_WEIGHTS_PAUSE);
+        instance.mark_loading(model, Instant::now() + STALE_WEIGHTS_PAUSE);
         return Err(RunEnd::Move(format!("weight version {version} is too old")));
     }
     if context.single_version
--- a/crates/front/src/job/text_reuse.rs
+++ b/crates/front/src/job/text_reuse.rs
@@ -133,7 +133,7 @@
     match texts {
         Ok(kept) => kept.texts,
         Err(cause) => {
-            log::warn!("event=kept_texts_unreadable cause=\"{cause}\"");
+            log::warn!("event=kept_texts_invalid cause=\"{cause}\"");
             Vec::new()
         }
     }
--- a/crates/front/src/job/trainer_steps.rs
+++ b/crates/front/src/job/trainer_steps.rs
@@ -8,7 +8,7 @@
 
 /// Latest step of each model that any front has reported as accepted. Cheap to clone.
 #[derive(Debug, Clone, Default)]
-pub struct NewestSteps {
+pub struct LatestSteps {
     steps: Arc<Mutex<HashMap<String, NewestStep>>>,
 }
 
@@ -19,7 +19,7 @@
     min_version: u64,
 }
 
-impl NewestSteps {
+impl LatestSteps {
     /// Records that the job of a step was accepted.
     pub fn record(&self, model: &str, step: u64, min_version: u64) {
         let mut steps = self.lock();
--- a/crates/front/src/job/unfinished.rs
+++ b/crates/front/src/job/unfinished.rs
@@ -272,7 +272,7 @@
             .cloned()
             .collect();
         log::info!(
-            "event=leftover_kept job={} step={} items={} anew={} min_version={min_version}",
+            "event=unfinished_items_kept job={} step={} items={} anew={} min_version={min_version}",
             context.spec.job,
             self.step,
             self.candidates.len(),
@@ -363,7 +363,7 @@
         }
         let texts = self.texts_for(&request);
         log::info!(
-            "event=leftover_taken step={} texts={} min_version={}",
+            "event=unfinished_items_received step={} texts={} min_version={}",
             self.step,
             texts.len(),
             request.min_version
--- a/crates/front/src/live.rs
+++ b/crates/front/src/live.rs
@@ -12,10 +12,10 @@
 use tokio::sync::watch;
 
 use crate::backend::{
-    AnswerId, BackendTable, Demand, ExchangeError, HoldReason, Instance, Reply, RequestHead,
+    AnswerIdPolicy, BackendTable, Demand, ExchangeError, HoldReason, Instance, Reply, RequestHead,
     RunGuard, end_to_end, send,
 };
-use crate::config::{ConfigInForce, Route, RouteKind};
+use crate::config::{CurrentConfig, Route, RouteKind};
 use crate::dialect::SharedCodec;
 use crate::metrics::Metrics;
 use crate::suspects::{
@@ -126,18 +126,18 @@
     id: HeaderValue,
     route: String,
     content: ContentDigest,
-    began: Instant,
+    started_at: Instant,
     suspects: Suspects,
 }
 
 impl StreamRun {
     /// The stream was passed on to its end.
     pub fn note_whole(&self) {
-        self.suspects.note_borne(|| self.content);
+        self.suspects.record_completion(|| self.content);
     }
 
     /// Finds out what became of the instance, as its connection broke.
-    pub async fn look(self) {
+    pub async fn check_broken_run(self) {
         let run = BrokenRun {
             subject: RunSubject::Request {
                 id: self.id.to_str().unwrap_or("?"),
@@ -145,9 +145,9 @@
             },
             instance: &self.instance,
             content: self.content,
-            began: self.began,
+            started_at: self.started_at,
         };
-        self.suspects.look(&run).await;
+        self.suspects.check_broken_run(&run).await;
         self.suspects.tell(self.content);
     }
 }
@@ -155,7 +155,7 @@
 /// Serves live requests.
 pub struct LiveService {
     /// Routes, whose bounds may change while a request is under way.
-    pub config: ConfigInForce,
+    pub config: CurrentConfig,
     /// Instances.
     pub backends: BackendTable,
     /// Names.
@@ -220,7 +220,7 @@
         limit: Instant,
         progress: &mut Progress,
     ) -> LiveAnswer {
-        self.backends.first_fed(FIRST_INSTANCES_WAIT).await;
+        self.backends.wait_for_first_instance(FIRST_INSTANCES_WAIT).await;
         let service = route.pick_service(rand::random());
         let mut under_way = FuturesUnordered::new();
         let mut hedge_at = Instant::now();
@@ -307,7 +307,7 @@
         chosen.or_else(|| {
             let tries = progress.tried.len() as u32;
             let is_left = may_repeat && tries < route.max_attempts * 2;
-            is_left.then(|| self.backends.choose_again(service, &allowed))?
+            is_left.then(|| self.backends.choose_for_retry(service, &allowed))?
         })
     }
 
@@ -328,7 +328,7 @@
             self.note_none_within(route, request, &allowed);
             return answer;
         }
-        if let Some(reason) = self.backends.drained_out(service) {
+        if let Some(reason) = self.backends.drain_reason(service) {
             self.note_drained_out(route, request, service, reason);
             return LiveAnswer::NoneMayServe(reason);
         }
@@ -358,7 +358,7 @@
             request.id(),
             route.name
         );
-        self.metrics.note_held_back(reason);
+        self.metrics.record_held_back(reason);
     }
 
     /// Logs what held ready instances back from a request for which none was tried.
@@ -404,7 +404,7 @@
         Box::pin(async move {
             let started = Instant::now();
             let head = self.head(route, request, &instance, limit);
-            let guard = instance.begin();
+            let guard = instance.track_request();
             let result = tokio::select! {
                 result = self.exchange(route, request, &instance, &head) => result,
                 () = instance.ended() => {
@@ -412,7 +412,7 @@
                 }
             };
             if let Err(ExchangeError::Broken(_)) = &result {
-                self.look(route, request, &instance, started).await;
+                self.check_broken_run(route, request, &instance, started).await;
             }
             Attempt {
                 instance,
@@ -434,21 +434,21 @@
     ) -> Result<AttemptAnswer, ExchangeError> {
         let names = self.codec.headers();
         let (body, id) = (&request.body, &request.attempt_id);
-        let reply = send(instance, names, head, body, id, AnswerId::Required).await?;
+        let reply = send(instance, names, head, body, id, AnswerIdPolicy::Required).await?;
         if route.kind == RouteKind::Streaming {
             return Ok(AttemptAnswer::Stream(reply));
         }
-        let (status, headers, body) = reply.read_whole(WHOLE_ANSWER_LIMIT).await?;
+        let (status, headers, body) = reply.read_body(WHOLE_ANSWER_LIMIT).await?;
         Ok(AttemptAnswer::Whole(status, headers, body))
     }
 
     /// Finds out what became of an instance under a request whose connection broke.
-    async fn look(
+    async fn check_broken_run(
         &self,
         route: &Route,
         request: &LiveRequest,
         instance: &Arc<Instance>,
-        began: Instant,
+        started_at: Instant,
     ) {
         let run = BrokenRun {
             subject: RunSubject::Request {
@@ -457,9 +457,9 @@
             },
             instance,
             content: request.content(route),
-            began,
+            started_at,
         };
-        self.suspects.look(&run).await;
+        self.suspects.check_broken_run(&run).await;
     }
 
     /// Headers for the instance: the client's, with the time that is left, the route's rank and the instance that is meant.
@@ -478,7 +478,7 @@
         let tenant = request.caller.tenant();
         headers.insert(
             names.request_priority.clone(),
-            route.rank(tenant.map(AsRef::as_ref)),
+            route.priority_header(tenant.map(AsRef::as_ref)),
         );
         request.caller.set_headers(&mut headers, &names.tenant);
         if let Ok(id) = HeaderValue::from_str(instance.id()) {
@@ -507,7 +507,7 @@
         }
         match ended.result {
             Ok(AttemptAnswer::Stream(reply)) => {
-                ended.instance.note_success();
+                ended.instance.record_success();
                 let run = StreamRun {
                     _guard: ended.guard,
                     _permit: ended.permit,
@@ -515,26 +515,26 @@
                     id: request.attempt_id.clone(),
                     route: route.name.clone(),
                     content: request.content(route),
-                    began: ended.started,
+                    started_at: ended.started,
                     suspects: self.suspects.clone(),
                 };
                 let run = Box::new(run);
                 Some(LiveAnswer::Stream { reply, run })
             }
             Ok(AttemptAnswer::Whole(status, headers, body)) => {
-                self.suspects.note_borne(|| request.content(route));
-                let is_signed = headers.contains_key(&self.codec.headers().response_stamp);
+                self.suspects.record_completion(|| request.content(route));
+                let is_signed = headers.contains_key(&self.codec.headers().response_signature);
                 if status.is_success() && !is_signed {
-                    ended.instance.note_failure(now);
+                    ended.instance.record_failure(now);
                     return self.after_broken(route);
                 }
                 if status.is_server_error() && route.kind == RouteKind::Safe {
                     progress.failure = Some((status, headers, body));
                     return None;
                 }
-                ended.instance.note_success();
+                ended.instance.record_success();
                 let taken = now.saturating_duration_since(ended.started);
-                ended.instance.note_pace(taken.as_secs_f64() * 1e3, now);
+                ended.instance.record_unit_time(taken.as_secs_f64() * 1e3, now);
                 Some(LiveAnswer::Whole {
                     status,
                     headers: end_to_end(&headers),
@@ -544,17 +544,17 @@
             Err(error) if error.is_not_run() => {
                 progress.possible_runs -= 1;
                 if let ExchangeError::HeldBack(reason) = error {
-                    self.metrics.note_held_back(reason);
+                    self.metrics.record_held_back(reason);
                     // It was not tried, and may take the request once it may be sent.
                     progress.tried.retain(|id| id != ended.instance.id());
                 }
                 if matches!(error, ExchangeError::NotSent(_)) {
-                    ended.instance.note_failure(now);
+                    ended.instance.record_failure(now);
                 }
                 None
             }
             Err(_) => {
-                ended.instance.note_failure(now);
+                ended.instance.record_failure(now);
                 let untold = || UntoldSuspect::new(&self.suspects, request.content(route));
                 progress.untold.get_or_insert_with(untold);
                 self.after_broken(route)
@@ -565,7 +565,7 @@
     /// Counts a request that began to run; instances of these services begin when a request arrives.
     fn count(&self, request: &LiveRequest, started: Instant) {
         if let Some(tenant) = request.caller.tenant() {
-            self.usage.note_begun(&tenant.name, started);
+            self.usage.record_start(&tenant.name, started);
         }
     }
 
@@ -596,7 +596,7 @@
             ended.started.elapsed().as_millis(),
         );
         self.metrics.attempts.inc();
-        self.metrics.note_sent("live", ended.instance.distance());
+        self.metrics.record_sent("live", ended.instance.distance());
     }
 }
 
--- a/crates/front/src/metrics.rs
+++ b/crates/front/src/metrics.rs
@@ -8,7 +8,7 @@
 };
 
 use crate::backend::{DiscoveryCounters, HoldReason};
-use crate::coordination::StoreCalls;
+use crate::coordination::StoreCallMetrics;
 use crate::nodes::Nodes;
 
 /// Upper bounds of latency buckets, in seconds.
@@ -195,7 +195,7 @@
     }
 
     /// Counts a request to an instance so far away.
-    pub fn note_sent(&self, work: &str, distance: Distance) {
+    pub fn record_sent(&self, work: &str, distance: Distance) {
         let labels = [work, distance.label()];
         self.sent.with_label_values(&labels).inc();
     }
@@ -208,7 +208,7 @@
     }
 
     /// Adds the counter of calls to the coordination store.
-    pub fn add_store_calls(&self, calls: &StoreCalls) {
+    pub fn add_store_calls(&self, calls: &StoreCallMetrics) {
         self.add(Box::new(calls.counter().clone()));
     }
 
@@ -222,11 +222,11 @@
         self.add(Box::new(counters.restarts.clone()));
         self.add(Box::new(counters.unreadable_records.clone()));
         self.add(Box::new(counters.drained_zones.clone()));
-        self.add(Box::new(counters.passed_over.clone()));
+        self.add(Box::new(counters.skipped_instances.clone()));
     }
 
     /// Counts a request that was not sent.
-    pub fn note_held_back(&self, reason: HoldReason) {
+    pub fn record_held_back(&self, reason: HoldReason) {
         let held_back = &self.held_back_requests;
         held_back.with_label_values(&[reason.label()]).inc();
     }
--- a/crates/front/src/nodes/following.rs
+++ b/crates/front/src/nodes/following.rs
@@ -47,13 +47,13 @@
     loop {
         tokio::select! {
             () = read_now_and_then(nodes, coordination.as_ref(), started) => {}
-            () = activity.active() => {}
+            () = activity.wait_until_active() => {}
         }
         let mut follower = NodeFollower { nodes, started };
         let following = follow_with(Arc::clone(coordination), NODE_PREFIX, &mut follower);
         tokio::select! {
             () = following => {}
-            () = activity.rested(REST_AFTER_WORK) => {}
+            () = activity.wait_until_idle_for(REST_AFTER_WORK) => {}
         }
     }
 }
@@ -123,7 +123,7 @@
         }
     }
 
-    fn take(&mut self, update: Update, at: u64) {
-        self.nodes.take(update, at);
+    fn on_update(&mut self, update: Update, at: u64) {
+        self.nodes.on_update(update, at);
     }
 }
--- a/crates/front/src/nodes/mod.rs
+++ b/crates/front/src/nodes/mod.rs
@@ -83,7 +83,7 @@
     records: BTreeMap<String, NodeRecord>,
     present: BTreeSet<String>,
     /// When each node's present process was first heard of.
-    seen_since: BTreeMap<String, Instant>,
+    first_seen: BTreeMap<String, Instant>,
     gone_at: BTreeMap<String, Instant>,
     /// Revision of the store as of which all this is known.
     at: u64,
@@ -164,7 +164,7 @@
 
     /// A node outside the allowed regions, which may be this one; `None`: there is none. A node whose record names no region may be of
     /// a build that knows no bounds, and counts as outside.
-    pub fn any_outside(&self, allowed: &AllowedRegions) -> Option<NodeRecord> {
+    pub fn find_outside(&self, allowed: &AllowedRegions) -> Option<NodeRecord> {
         let own = self.own();
         let known = lock(&self.known);
         let others = known.records.values();
@@ -180,7 +180,7 @@
     }
 
     /// Whether a node's record was ever heard of.
-    pub fn knows(&self, node: &str) -> bool {
+    pub fn has_seen(&self, node: &str) -> bool {
         node == self.own().node || lock(&self.known).records.contains_key(node)
     }
 
@@ -212,7 +212,7 @@
             return Ok(());
         }
         let listing = coordination.list(NODE_PREFIX).await?;
-        self.take(Update::Snapshot(listing.records), listing.at);
+        self.on_update(Update::Snapshot(listing.records), listing.at);
         Ok(())
     }
 
@@ -224,7 +224,7 @@
     }
 
     /// When the store last answered this node; `None`: never.
-    pub fn last_contact(&self) -> Option<Instant> {
+    pub fn last_store_contact(&self) -> Option<Instant> {
         *self.contact.borrow()
     }
 
@@ -245,8 +245,8 @@
     }
 
     /// When a node's present process was first heard of; `None`: never.
-    pub fn seen_since(&self, node: &str) -> Option<Instant> {
-        lock(&self.known).seen_since.get(node).copied()
+    pub fn first_seen(&self, node: &str) -> Option<Instant> {
+        lock(&self.known).first_seen.get(node).copied()
     }
 
     /// Whether a node's record is there.
@@ -292,11 +292,11 @@
     }
 
     /// Takes what the store tells as of its revision `at`; what is older than what is known here changes nothing.
-    fn take(&self, update: Update, at: u64) {
+    fn on_update(&self, update: Update, at: u64) {
         let own_formats = lock(&self.own).formats;
         let mut known = lock(&self.known);
         if at < known.at {
-            log::debug!("event=nodes_older at={at} known={}", known.at);
+            log::debug!("event=nodes_update_stale at={at} known={}", known.at);
             return;
         }
         known.at = at;
@@ -317,10 +317,10 @@
             .set(i64::try_from(behind).unwrap_or(i64::MAX));
     }
 
-    /// As [`Nodes::take`], of a stale read.
+    /// As [`Nodes::on_update`], of a stale read.
     fn take_stale(&self, records: Vec<Record>, at: u64) {
         let read_at = lock(&self.known).read_at;
-        self.take(Update::Snapshot(records), at);
+        self.on_update(Update::Snapshot(records), at);
         lock(&self.known).read_at = read_at;
     }
 
@@ -389,7 +389,7 @@
         let node = record.node.clone();
         let known_process = self.records.get(&node).map(|known| known.process);
         if known_process != Some(record.process) {
-            self.seen_since.insert(node.clone(), Instant::now());
+            self.first_seen.insert(node.clone(), Instant::now());
         }
         if has_line && self.records.get(&node) != Some(&record) {
             log::info!(
@@ -468,14 +468,14 @@
         fronts.map(|record| self.member(record)).collect()
     }
 
-    fn takers(&self) -> Vec<Member> {
+    fn takeover_candidates(&self) -> Vec<Member> {
         strongest(self.with_role(NodeRole::Front))
             .iter()
             .map(|record| self.member(record))
             .collect()
     }
 
-    fn is_gone(&self, process: ProcessId) -> bool {
+    fn has_exited(&self, process: ProcessId) -> bool {
         let is_own = self.own().process == process;
         let known = lock(&self.known);
         let mut present = known
--- a/crates/front/src/nodes/registration.rs
+++ b/crates/front/src/nodes/registration.rs
@@ -81,7 +81,7 @@
         let ttl = kind.ttl().as_millis();
         log::info!("event=node_registered node={node} lease={lease} ttl_ms={ttl}");
         match renew_until_over(nodes, coordination, lease, kind, activity).await {
-            LeaseEnd::Over => log::warn!("event=node_lease_over node={node} lease={lease}"),
+            LeaseEnd::Over => log::warn!("event=node_lease_expired node={node} lease={lease}"),
             LeaseEnd::TooLong => log::info!("event=node_lease_too_long node={node} lease={lease}"),
         }
     }
@@ -121,7 +121,7 @@
     loop {
         tokio::select! {
             () = tokio::time::sleep(kind.renewal()) => {}
-            () = activity.active(), if kind == LeaseKind::Long => return LeaseEnd::TooLong,
+            () = activity.wait_until_active(), if kind == LeaseKind::Long => return LeaseEnd::TooLong,
             _ = own_changed.changed() => {
                 if write_record(nodes, coordination, lease).await.is_err() {
                     return LeaseEnd::Over;
@@ -133,7 +133,7 @@
         }
         match coordination.renew(lease).await {
             Ok(()) => nodes.note_contact(),
-            Err(CoordinationError::LeaseOver) => return LeaseEnd::Over,
+            Err(CoordinationError::LeaseExpired) => return LeaseEnd::Over,
             Err(error) => {
                 log::warn!("event=node_lease_not_renewed cause=\"{error}\"");
                 tokio::time::sleep(RETRY_PAUSE).await;
--- a/crates/front/src/orders/calls.rs
+++ b/crates/front/src/orders/calls.rs
@@ -7,7 +7,7 @@
 use http::{HeaderMap, HeaderValue, StatusCode};
 use ladderstage::region::AllowedRegions;
 
-use crate::backend::{AnswerId, Instance, RequestHead, send};
+use crate::backend::{AnswerIdPolicy, Instance, RequestHead, send};
 use crate::dialect::{InstanceCall, InstanceReport, SharedCodec};
 
 /// Longest wait for an answer.
@@ -64,11 +64,11 @@
                 &head,
                 &call.body,
                 &attempt_id,
-                AnswerId::Optional,
+                AnswerIdPolicy::Optional,
             )
             .await;
             let reply = sent.map_err(|error| error.to_string())?;
-            let whole = reply.read_whole(ANSWER_LIMIT).await;
+            let whole = reply.read_body(ANSWER_LIMIT).await;
             whole
                 .map(|(status, _, body)| (status, body))
                 .map_err(|error| error.to_string())
--- a/crates/front/src/orders/demand.rs
+++ b/crates/front/src/orders/demand.rs
@@ -72,8 +72,8 @@
 
     /// Fronts that work with instances' weights, or are the first to be handed such work or the right to give orders.
     pub fn audience(&self, nodes: &Nodes) -> BTreeSet<String> {
-        let takers = nodes.takers().into_iter().map(|front| front.node);
-        takers.chain(self.workers.iter().cloned()).collect()
+        let takeover_candidates = nodes.takeover_candidates().into_iter().map(|front| front.node);
+        takeover_candidates.chain(self.workers.iter().cloned()).collect()
     }
 
     fn smooth(&mut self, last: &Self) {
--- a/crates/front/src/orders/ended.rs
+++ b/crates/front/src/orders/ended.rs
@@ -13,7 +13,7 @@
 use ladderstage_wire::messages::mod_Request::OneOfkind as RequestKind;
 use ladderstage_wire::messages::{GiverEnd, RecentOrder, Request};
 
-use super::lease::LastGiver;
+use super::lease::LastLeader;
 use crate::nodes::Nodes;
 
 /// How long a front may take to answer.
@@ -22,20 +22,20 @@
 /// What a giver told when it ended.
 #[derive(Debug, Clone)]
 struct EndedGiver {
-    giver: LastGiver,
+    giver: LastLeader,
     /// Instances with the times before which their last orders were sent.
     orders: Vec<(String, Instant)>,
 }
 
 /// The newest giver that told its end, as far as this node heard. Cheap to clone.
 #[derive(Debug, Clone, Default)]
-pub struct EndedGivers {
+pub struct FormerLeaders {
     newest: Arc<Mutex<Option<EndedGiver>>>,
 }
 
-impl EndedGivers {
+impl FormerLeaders {
     /// Takes what a giver told; `now` is when it was heard.
-    pub fn note(&self, end: &GiverEnd, now: Instant) {
+    pub fn record(&self, end: &GiverEnd, now: Instant) {
         let mut newest = self.lock();
         if newest
             .as_ref()
@@ -49,7 +49,7 @@
             Some((order.instance.clone(), sent_at))
         });
         *newest = Some(EndedGiver {
-            giver: LastGiver {
+            giver: LastLeader {
                 node: end.node.clone(),
                 fence: end.fence,
             },
@@ -58,7 +58,7 @@
     }
 
     /// The recent orders of `giver`, with the times before which they were sent; `None` if it has not told its end.
-    pub fn orders_of(&self, giver: &LastGiver) -> Option<Vec<(String, Instant)>> {
+    pub fn orders_of(&self, giver: &LastLeader) -> Option<Vec<(String, Instant)>> {
         let newest = self.lock();
         let ended = newest.as_ref().filter(|ended| ended.giver == *giver)?;
         Some(ended.orders.clone())
@@ -72,7 +72,7 @@
 }
 
 /// Tells all other fronts that `giver`, which is this node, gives orders no more, and which ones it gave at which times.
-pub(super) async fn tell_end(nodes: &Nodes, giver: LastGiver, orders: &[(String, Instant)]) {
+pub(super) async fn tell_end(nodes: &Nodes, giver: LastLeader, orders: &[(String, Instant)]) {
     let orders = orders.iter().map(|(instance, sent_at)| RecentOrder {
         instance: instance.clone(),
         age_ms: sent_at.elapsed().as_millis() as u64,
@@ -91,7 +91,7 @@
     let answers = join_all(calls).await;
     let heard = answers.iter().filter(|answer| answer.is_ok()).count();
     log::info!(
-        "event=giver_end_told fence={} fronts={} heard={heard}",
+        "event=order_leader_end_announced fence={} fronts={} heard={heard}",
         giver.fence,
         answers.len()
     );
--- a/crates/front/src/orders/given.rs
+++ b/crates/front/src/orders/given.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::demand::FleetDemand;
-use super::learnt::LearntWriter;
+use super::learnt::LoadLimitWriter;
 use super::link_use::LinkUse;
 use super::load_limit::{FinishedLoad, LoadLimit, LoadTiming};
 use super::news::NewsSender;
@@ -55,7 +55,7 @@
     /// What the fronts are to be told.
     pub news: NewsSender,
     /// Keeps what is learnt of loads.
-    pub learnt: LearntWriter,
+    pub learnt: LoadLimitWriter,
 }
 
 /// An order under way.
@@ -104,25 +104,25 @@
     }
 
     /// Leaves the instances alone that had orders of another giver less than `quiet` ago.
-    pub fn respect(&mut self, orders: Vec<(String, Instant)>, quiet: Duration) {
+    pub fn respect(&mut self, orders: Vec<(String, Instant)>, quiet_period: Duration) {
         for (instance, ordered_at) in &orders {
-            self.pauses.insert(instance.clone(), *ordered_at + quiet);
+            self.pauses.insert(instance.clone(), *ordered_at + quiet_period);
             self.ordered_at.insert(instance.clone(), *ordered_at);
         }
         self.respected.extend(orders);
     }
 
     /// Instances that had orders less than `quiet` ago.
-    pub fn recent_orders(&self, quiet: Duration) -> Vec<(String, Instant)> {
+    pub fn recent_orders(&self, quiet_period: Duration) -> Vec<(String, Instant)> {
         let recent = self
             .ordered_at
             .iter()
-            .filter(|(_, at)| at.elapsed() < quiet);
+            .filter(|(_, at)| at.elapsed() < quiet_period);
         recent.map(|(id, at)| (id.clone(), *at)).collect()
     }
 
     /// Notes an order under way; looked at when such a load is usually done. `is_taken`: the instance has said that it took it.
-    pub fn begin(
+    pub fn start(
         &mut self,
         instance: &Instance,
         planned: Planned,
@@ -210,9 +210,9 @@
                 "event=load_limit_changed limit={} before={before} taken_ms={} usual_ms={} at_begin={} near={}",
                 self.load_limit.get(),
                 finished.taken.as_millis(),
-                self.load_limit.usual().unwrap_or_default().as_millis(),
+                self.load_limit.typical_load_time().unwrap_or_default().as_millis(),
                 finished.at_begin,
-                self.load_limit.is_near()
+                self.load_limit.is_near_capacity()
             );
         }
     }
--- a/crates/front/src/orders/giver.rs
+++ b/crates/front/src/orders/giver.rs
@@ -12,14 +12,14 @@
 use super::demand::FleetDemand;
 use super::ended::tell_end;
 use super::given::{Given, LOOK_INTERVAL};
-use super::learnt::learnt_limit;
-use super::lease::{GiverLease, Held, LastGiver};
-use super::named::VersionsNamed;
-use super::permits::PermitDealer;
+use super::learnt::restore_load_limit;
+use super::lease::{OrdersLease, HeldLease, LastLeader};
+use super::named::AnnouncedVersions;
+use super::permits::PermitIssuer;
 use super::plan::{FleetInstance, Planned, plan};
 use crate::backend::{BackendTable, HoldReason, Instance, LOADING_PAUSE};
-use crate::capacity::CapacityDuty;
-use crate::config::ConfigInForce;
+use crate::capacity::CapacityController;
+use crate::config::CurrentConfig;
 use crate::coordination::Coordination;
 use crate::dialect::{SharedCodec, VersionOrder};
 use crate::front::Activities;
@@ -59,11 +59,11 @@
 #[derive(Debug, Clone, Copy)]
 pub struct OrderOptions {
     /// Least time between orders of givers at two nodes.
-    pub quiet: Duration,
+    pub quiet_period: Duration,
 }
 
 /// Gives orders while this node holds the lease.
-pub struct OrderGiver {
+pub struct OrderLeader {
     /// The store.
     pub coordination: Arc<dyn Coordination>,
     /// This node.
@@ -71,9 +71,9 @@
     /// Instances.
     pub backends: BackendTable,
     /// Services and their models.
-    pub config: ConfigInForce,
+    pub config: CurrentConfig,
     /// Versions wanted.
-    pub versions: VersionsNamed,
+    pub versions: AnnouncedVersions,
     /// Names.
     pub codec: SharedCodec,
     /// Counters.
@@ -89,9 +89,9 @@
     /// Reports use under the same lease; `None`: nobody wants reports.
     pub usage: Option<UsageReporter>,
     /// Deals permits for cold instances under the same lease.
-    pub permits: PermitDealer,
+    pub permits: PermitIssuer,
     /// Orders capacity under the same lease; `None`: the number of instances is not ours to change.
-    pub capacity: Option<CapacityDuty>,
+    pub capacity: Option<CapacityController>,
 }
 
 /// An order to give, and the instance that it goes to.
@@ -135,8 +135,8 @@
         };
         given.ordering.remove(&planned.instance);
         match outcome {
-            Outcome::Loading => given.begin(&instance, planned, LOAD_LIMIT, true),
-            Outcome::InDoubt => given.begin(&instance, planned, DOUBT_TIME, false),
+            Outcome::Loading => given.start(&instance, planned, LOAD_LIMIT, true),
+            Outcome::InDoubt => given.start(&instance, planned, DOUBT_TIME, false),
             Outcome::Pause(pause) => {
                 let until = Instant::now() + pause;
                 given.pauses.insert(planned.instance, until);
@@ -146,13 +146,13 @@
     }
 }
 
-impl OrderGiver {
+impl OrderLeader {
     /// Takes the lease whenever it is free and this node is a candidate, and gives orders while it lasts, for as long as the future is polled.
     pub async fn run(&self) {
-        let lease = GiverLease {
+        let lease = OrdersLease {
             coordination: Arc::clone(&self.coordination),
             node: self.nodes.own().node,
-            quiet: self.options.quiet,
+            quiet_period: self.options.quiet_period,
         };
         let mut respected = Vec::new();
         loop {
@@ -163,7 +163,7 @@
             // Who is a candidate by what was known some time ago may be none.
             let refreshed = self.nodes.refresh(self.coordination.as_ref(), NODES_AGE);
             if let Err(error) = refreshed.await {
-                log::warn!("event=giver_nodes_not_read cause=\"{error}\"");
+                log::warn!("event=order_leader_nodes_read_failed cause=\"{error}\"");
             }
             if !self.is_candidate() {
                 continue;
@@ -171,7 +171,7 @@
             match lease.take().await {
                 Ok(Some(held)) => self.hold(&lease, held, &mut respected).await,
                 Ok(None) => lease.wait_until_free().await,
-                Err(error) => log::warn!("event=giver_lease_not_taken cause=\"{error}\""),
+                Err(error) => log::warn!("event=orders_lease_acquire_failed cause=\"{error}\""),
             }
             tokio::time::sleep(ladderstage_journal::jitter::jittered(TAKE_PAUSE)).await;
         }
@@ -202,23 +202,23 @@
 
     /// Gives orders until the lease is lost or given back.
     /// `respected`: orders of other givers of which this node was told under an earlier lease.
-    async fn hold(&self, lease: &GiverLease, held: Held, respected: &mut Vec<(String, Instant)>) {
-        let _with_instances = self.activities.with_instances.begin();
-        let _with_versions = self.activities.with_versions.begin();
+    async fn hold(&self, lease: &OrdersLease, held: HeldLease, respected: &mut Vec<(String, Instant)>) {
+        let _with_instances = self.activities.instance_work.start();
+        let _with_versions = self.activities.version_work.start();
         if self.roster.drains.is_some() {
             // The roster is written from here on. A watch of drains that lost its answer would stay silent for its whole time.
-            self.coordination.doubt_watches();
+            self.coordination.cancel_watches();
         }
-        let dealing = self.permits.begin(held.watch_proof());
+        let dealing = self.permits.start(held.watch_proof());
         let mut given = self.begin_given().await;
-        given.respect(std::mem::take(respected), self.options.quiet);
+        given.respect(std::mem::take(respected), self.options.quiet_period);
         let is_released = tokio::select! {
-            loss = lease.keep(&held) => {
-                log::warn!("event=giver_lease_lost fence={} reason={loss}", held.fence);
+            loss = lease.renew_until_lost(&held) => {
+                log::warn!("event=orders_lease_lost fence={} reason={loss}", held.fence);
                 false
             }
             reason = self.give_while_held(lease, &held, &mut given) => {
-                log::info!("event=giver_steps_down fence={} reason={reason}", held.fence);
+                log::info!("event=order_leader_steps_down fence={} reason={reason}", held.fence);
                 true
             }
             () = self.roster.run() => false,
@@ -228,13 +228,13 @@
         // A lease that is given back may be another's before that is known here.
         drop(dealing);
         *respected = std::mem::take(&mut given.respected);
-        respected.retain(|(_, ordered_at)| ordered_at.elapsed() < self.options.quiet);
+        respected.retain(|(_, ordered_at)| ordered_at.elapsed() < self.options.quiet_period);
         if held.is_named() {
-            let own = LastGiver {
+            let own = LastLeader {
                 node: self.nodes.own().node,
                 fence: held.fence,
             };
-            let orders = given.recent_orders(self.options.quiet);
+            let orders = given.recent_orders(self.options.quiet_period);
             tell_end(&self.nodes, own, &orders).await;
         }
         if is_released {
@@ -243,7 +243,7 @@
     }
 
     /// Reports use, if anybody wants that; a holder whose report was fenced reports no more.
-    async fn report_usage(&self, lease: &GiverLease, held: &Held) {
+    async fn report_usage(&self, lease: &OrdersLease, held: &HeldLease) {
         if let Some(usage) = &self.usage {
             usage.run(lease, held).await;
         }
@@ -251,7 +251,7 @@
     }
 
     /// Orders capacity, if that is ours to do.
-    async fn order_capacity(&self, lease: &GiverLease, held: &Held) {
+    async fn order_capacity(&self, lease: &OrdersLease, held: &HeldLease) {
         if let Some(capacity) = &self.capacity {
             capacity.run(lease, held).await;
         }
@@ -261,8 +261,8 @@
     /// What a new holder knows.
     async fn begin_given(&self) -> Given {
         let mut given = Given::default();
-        let learnt = self.jobs.learnt_loads();
-        match learnt_limit(learnt, self.coordination.as_ref()).await {
+        let learnt = self.jobs.learned_load_limit();
+        match restore_load_limit(learnt, self.coordination.as_ref()).await {
             Some(learnt) => given.load_limit = learnt,
             None => given.learn_from = Some(Instant::now() + SETTLE_TIME),
         }
@@ -271,19 +271,19 @@
 
     /// Ends the quiet time of a new holder if the last one has told its end: only the instances that had its orders a moment ago are
     /// left alone.
-    fn look_for_end_of_last(&self, held: &Held, given: &mut Given) {
+    fn look_for_end_of_last(&self, held: &HeldLease, given: &mut Given) {
         if !held.is_quiet() {
             return;
         }
         let last = held.last.as_ref();
-        let ended = last.and_then(|last| self.jobs.ended_givers().orders_of(last));
+        let ended = last.and_then(|last| self.jobs.former_leaders().orders_of(last));
         if let Some(orders) = ended {
             log::info!(
-                "event=giver_quiet_over fence={} recent_orders={}",
+                "event=order_leader_quiet_period_ended fence={} recent_orders={}",
                 held.fence,
                 orders.len()
             );
-            given.respect(orders, self.options.quiet);
+            given.respect(orders, self.options.quiet_period);
             held.end_quiet();
         }
     }
@@ -292,8 +292,8 @@
     /// not keep the others from their weights, nor a load that is done from being noticed.
     async fn give_while_held(
         &self,
-        lease: &GiverLease,
-        held: &Held,
+        lease: &OrdersLease,
+        held: &HeldLease,
         given: &mut Given,
     ) -> &'static str {
         let mut answers = FuturesUnordered::new();
@@ -303,7 +303,7 @@
             }
             self.refresh_demand(given).await;
             self.look_for_end_of_last(held, given);
-            match lease.may_order(held).await {
+            match lease.may_issue_orders(held).await {
                 Ok(true) => {
                     self.look_at_loads(given).await;
                     for order in self.next_orders(given) {
@@ -312,9 +312,9 @@
                     }
                 }
                 Ok(false) => {}
-                Err(error) => log::warn!("event=giver_not_named cause=\"{error}\""),
+                Err(error) => log::warn!("event=orders_lease_check_failed cause=\"{error}\""),
             }
-            self.jobs.learnt_loads().note(&given.load_limit);
+            self.jobs.learned_load_limit().record(&given.load_limit);
             given.learnt.save(&given.load_limit, &self.coordination);
             let audience = given.demand.audience(&self.nodes);
             given.news.send(&self.nodes, &audience, &given.load_limit);
@@ -344,7 +344,7 @@
         given.demand.fill(&mut demands);
         let mut instances = self.fleet();
         // Weights that nothing may use now are not loaded, and each model keeps instances in the zones left.
-        instances.retain(|one| one.drain_gate() != Err(HoldReason::ZoneDrained));
+        instances.retain(|one| one.check_drain() != Err(HoldReason::ZoneDrained));
         let mut fleet: Vec<FleetInstance> = instances
             .iter()
             .map(|instance| FleetInstance {
@@ -385,18 +385,18 @@
         let services = config.services.iter();
         services
             .filter(|(_, service)| !service.models.is_empty())
-            .flat_map(|(name, _)| self.backends.of_service(name))
+            .flat_map(|(name, _)| self.backends.instances_of(name))
             .filter(|instance| instance.is_ready())
             .collect()
     }
 
     /// Gives one order; returns it with what follows.
-    async fn give(&self, held: &Held, order: Order) -> (Order, Outcome) {
+    async fn give(&self, held: &HeldLease, order: Order) -> (Order, Outcome) {
         let outcome = self.give_to(held, &order.instance, &order.planned).await;
         (order, outcome)
     }
 
-    async fn give_to(&self, held: &Held, instance: &Arc<Instance>, planned: &Planned) -> Outcome {
+    async fn give_to(&self, held: &HeldLease, instance: &Arc<Instance>, planned: &Planned) -> Outcome {
         let report = match self.calls().report(instance).await {
             Ok(report) => report,
             Err(cause) => {
@@ -407,17 +407,17 @@
                 return Outcome::Pause(DOUBT_TIME);
             }
         };
-        if !instance.is_start(report.started_unix_ms) {
-            self.backends.note_start(instance, report.started_unix_ms);
+        if !instance.matches_incarnation(report.started_unix_ms) {
+            self.backends.record_incarnation(instance, report.started_unix_ms);
             return Outcome::Pause(LOOK_INTERVAL);
         }
         for (model, version) in &report.versions {
-            instance.note_version(model, *version);
+            instance.record_version(model, *version);
         }
         if report.busy || instance.version(&planned.model) >= planned.version {
             return Outcome::Pause(LOOK_INTERVAL * 4);
         }
-        if Instant::now() + CALL_LIMIT >= held.proven_until() {
+        if Instant::now() + CALL_LIMIT >= held.valid_until() {
             return Outcome::Pause(LOOK_INTERVAL);
         }
         let order = VersionOrder {
@@ -439,11 +439,11 @@
             Err(_) => ("in_doubt", Outcome::InDoubt),
         };
         if label == "taken" {
-            instance.note_loading(&planned.model, Instant::now() + LOADING_PAUSE * 4);
+            instance.mark_loading(&planned.model, Instant::now() + LOADING_PAUSE * 4);
         }
         self.metrics.orders.with_label_values(&[label]).inc();
         log::info!(
-            "event=order_given instance={} model={} version={} had={} fence={} expected={} outcome={label} status={}",
+            "event=order_issued instance={} model={} version={} had={} fence={} expected={} outcome={label} status={}",
             instance.id(),
             planned.model,
             planned.version,
--- a/crates/front/src/orders/learnt.rs
+++ b/crates/front/src/orders/learnt.rs
@@ -12,7 +12,7 @@
 use tokio::task::JoinSet;
 
 use super::load_limit::LoadLimit;
-use super::news::LearntLoads;
+use super::news::LearnedLoadLimit;
 use crate::coordination::Coordination;
 
 /// The record.
@@ -39,20 +39,20 @@
     fn of(limit: &LoadLimit) -> Option<Self> {
         Some(Self {
             limit: limit.get(),
-            usual_ms: limit.usual()?.as_millis() as u64,
+            usual_ms: limit.typical_load_time()?.as_millis() as u64,
             is_near: limit.is_near(),
         })
     }
 
     fn into_limit(self) -> LoadLimit {
-        let usual = Duration::from_millis(self.usual_ms.max(1));
-        LoadLimit::from_learnt(self.limit, usual, self.is_near)
+        let typical_load_time = Duration::from_millis(self.usual_ms.max(1));
+        LoadLimit::from_learned(self.limit, typical_load_time, self.is_near)
     }
 }
 
 /// What a new giver goes on from: its own knowledge or what it was told, else the record; `None` if there is neither.
-pub async fn learnt_limit(
-    learnt: &LearntLoads,
+pub async fn restore_load_limit(
+    learnt: &LearnedLoadLimit,
     coordination: &dyn Coordination,
 ) -> Option<LoadLimit> {
     if let Some(limit) = learnt.get() {
@@ -62,18 +62,18 @@
     let record = match reading.await {
         Ok(Ok(record)) => record?,
         Ok(Err(error)) => {
-            log::warn!("event=learnt_loads_not_read cause=\"{error}\"");
+            log::warn!("event=learned_load_limit_read_failed cause=\"{error}\"");
             return None;
         }
         Err(_) => {
-            log::warn!("event=learnt_loads_not_read cause=\"no answer in time\"");
+            log::warn!("event=learned_load_limit_read_failed cause=\"no answer in time\"");
             return None;
         }
     };
     match serde_json::from_slice::<LearntRecord>(&record.value) {
         Ok(record) => {
             log::info!(
-                "event=learnt_loads_read limit={} usual_ms={} near={}",
+                "event=learned_load_limit_read limit={} usual_ms={} near={}",
                 record.limit,
                 record.usual_ms,
                 record.is_near
@@ -81,7 +81,7 @@
             Some(record.into_limit())
         }
         Err(error) => {
-            log::error!("event=learnt_loads_unreadable cause=\"{error}\"");
+            log::error!("event=learned_load_limit_invalid cause=\"{error}\"");
             None
         }
     }
@@ -89,12 +89,12 @@
 
 /// Writes the record now and then; nothing waits for it.
 #[derive(Debug, Default)]
-pub struct LearntWriter {
+pub struct LoadLimitWriter {
     written: Option<(LearntRecord, Instant)>,
     writes: JoinSet<()>,
 }
 
-impl LearntWriter {
+impl LoadLimitWriter {
     /// Writes what is learnt if it has changed and the last write is some time ago.
     pub fn save(&mut self, limit: &LoadLimit, coordination: &Arc<dyn Coordination>) {
         while self.writes.try_join_next().is_some() {}
@@ -113,7 +113,7 @@
         let coordination = Arc::clone(coordination);
         self.writes.spawn(async move {
             if let Err(error) = coordination.put(LEARNT_KEY, value, None).await {
-                log::warn!("event=learnt_loads_not_written cause=\"{error}\"");
+                log::warn!("event=learned_load_limit_write_failed cause=\"{error}\"");
             }
         });
     }
--- a/crates/front/src/orders/lease.rs
+++ b/crates/front/src/orders/lease.rs
@@ -32,14 +32,14 @@
 
 /// Who gave orders last, as the lasting record names them.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct LastGiver {
+pub struct LastLeader {
     /// Its node.
     pub node: String,
     /// The fence of its lease.
     pub fence: u64,
 }
 
-impl LastGiver {
+impl LastLeader {
     fn write(&self) -> Vec<u8> {
         format!("{} {}", self.node, self.fence).into_bytes()
     }
@@ -57,29 +57,29 @@
 
 /// A lease that this node holds.
 #[derive(Debug)]
-pub struct Held {
+pub struct HeldLease {
     lease: LeaseId,
     /// Rises with each holder.
     pub fence: u64,
     /// Who gave orders before; `None`: nobody.
-    pub last: Option<LastGiver>,
+    pub last: Option<LastLeader>,
     /// Until when the lease certainly lasts, by the steady clock from the send of the last renewal.
-    proven_until: watch::Sender<Instant>,
+    valid_until: watch::Sender<Instant>,
     /// Before this an order of the last holder may be too recent.
     quiet_until: watch::Sender<Instant>,
     /// The lasting record names this holder.
     is_named: AtomicBool,
 }
 
-impl Held {
+impl HeldLease {
     /// Until when the lease certainly lasts.
-    pub fn proven_until(&self) -> Instant {
-        *self.proven_until.borrow()
+    pub fn valid_until(&self) -> Instant {
+        *self.valid_until.borrow()
     }
 
     /// Follows until when the lease certainly lasts.
     pub fn watch_proof(&self) -> watch::Receiver<Instant> {
-        self.proven_until.subscribe()
+        self.valid_until.subscribe()
     }
 
     /// Whether this holder may have given orders.
@@ -103,28 +103,28 @@
 pub enum LeaseLoss {
     /// The store says that it is over.
     #[error("over")]
-    Over,
+    Expired,
     /// It could not be renewed in time.
     #[error("unproven")]
     Unproven,
 }
 
 /// Takes, renews and proves the lease for one node.
-pub struct GiverLease {
+pub struct OrdersLease {
     /// The store.
     pub coordination: Arc<dyn Coordination>,
     /// Name of this node: the holder, whichever process it runs.
     pub node: String,
     /// Least time between orders of two holders.
-    pub quiet: Duration,
+    pub quiet_period: Duration,
 }
 
-impl GiverLease {
+impl OrdersLease {
     /// Takes the lease if it is free.
     ///
     /// # Errors
     /// When the store did not answer; the lease may then be taken without use until it ends.
-    pub async fn take(&self) -> Result<Option<Held>, CoordinationError> {
+    pub async fn acquire(&self) -> Result<Option<HeldLease>, CoordinationError> {
         let record = self.coordination.get(GIVER_KEY).await?;
         // A record of this node is of an earlier process: the same holder, which gives no orders any more.
         let is_own = record
@@ -159,19 +159,19 @@
                 let quiet_until = if self.is_own(last.as_ref()) || last.is_none() {
                     Instant::now()
                 } else {
-                    last_order_before + self.quiet
+                    last_order_before + self.quiet_period
                 };
                 log::info!(
-                    "event=giver_lease_gained lease={lease} fence={revision} last={last:?} quiet_ms={}",
+                    "event=orders_lease_acquired lease={lease} fence={revision} last={last:?} quiet_ms={}",
                     quiet_until
                         .saturating_duration_since(Instant::now())
                         .as_millis()
                 );
-                Ok(Some(Held {
+                Ok(Some(HeldLease {
                     lease,
                     fence: revision,
                     last,
-                    proven_until: watch::Sender::new(asked_at + GIVER_LEASE),
+                    valid_until: watch::Sender::new(asked_at + GIVER_LEASE),
                     quiet_until: watch::Sender::new(quiet_until),
                     is_named: AtomicBool::new(false),
                 }))
@@ -194,24 +194,24 @@
     }
 
     /// Renews the lease again and again; returns once it is lost.
-    pub async fn keep(&self, held: &Held) -> LeaseLoss {
+    pub async fn renew_until_lost(&self, held: &HeldLease) -> LeaseLoss {
         tokio::time::sleep(RENEWAL).await;
         loop {
             match self.renew(held).await {
                 Ok(()) => tokio::time::sleep(RENEWAL).await,
-                Err(CoordinationError::LeaseOver) => return LeaseLoss::Over,
+                Err(CoordinationError::LeaseExpired) => return LeaseLoss::Expired,
                 Err(error) => {
-                    log::warn!("event=giver_lease_not_renewed cause=\"{error}\"");
+                    log::warn!("event=orders_lease_renewal_failed cause=\"{error}\"");
                     tokio::time::sleep(RENEWAL_RETRY).await;
                 }
             }
-            if Instant::now() >= held.proven_until() {
+            if Instant::now() >= held.valid_until() {
                 return LeaseLoss::Unproven;
             }
         }
     }
 
-    async fn renew(&self, held: &Held) -> Result<(), CoordinationError> {
+    async fn renew(&self, held: &HeldLease) -> Result<(), CoordinationError> {
         let asked_at = Instant::now();
         let renewal = self.coordination.renew(held.lease);
         let renewed = tokio::time::timeout(RENEWAL_LIMIT, renewal).await;
@@ -219,7 +219,7 @@
             let cause = "no answer to a renewal in time".to_owned();
             Err(CoordinationError::Unknown(cause))
         })?;
-        held.proven_until.send_replace(asked_at + GIVER_LEASE);
+        held.valid_until.send_replace(asked_at + GIVER_LEASE);
         Ok(())
     }
 
@@ -227,34 +227,34 @@
     ///
     /// # Errors
     /// When the store did not take that name; no order may be given then.
-    pub async fn may_order(&self, held: &Held) -> Result<bool, CoordinationError> {
+    pub async fn may_issue_orders(&self, held: &HeldLease) -> Result<bool, CoordinationError> {
         if held.is_quiet() {
             return Ok(false);
         }
         if !held.is_named() {
-            let own = LastGiver {
+            let own = LastLeader {
                 node: self.node.clone(),
                 fence: held.fence,
             };
             self.coordination.put(LAST_KEY, own.write(), None).await?;
             held.is_named.store(true, Ordering::Relaxed);
         }
-        Ok(Instant::now() < held.proven_until())
+        Ok(Instant::now() < held.valid_until())
     }
 
     /// Gives the lease back.
-    pub async fn release(&self, held: &Held) {
+    pub async fn release(&self, held: &HeldLease) {
         let _ = self.coordination.revoke(held.lease).await;
-        log::info!("event=giver_lease_released fence={}", held.fence);
+        log::info!("event=orders_lease_released fence={}", held.fence);
     }
 
-    async fn last(&self) -> Result<Option<LastGiver>, CoordinationError> {
+    async fn last(&self) -> Result<Option<LastLeader>, CoordinationError> {
         let record = self.coordination.get(LAST_KEY).await?;
-        Ok(record.map(|record| LastGiver::read(&record.value)))
+        Ok(record.map(|record| LastLeader::read(&record.value)))
     }
 
     /// Whether this node gave orders last.
-    fn is_own(&self, last: Option<&LastGiver>) -> bool {
+    fn is_own(&self, last: Option<&LastLeader>) -> bool {
         last.is_some_and(|last| last.node == self.node)
     }
 }
--- a/crates/front/src/orders/load_limit.rs
+++ b/crates/front/src/orders/load_limit.rs
@@ -124,13 +124,13 @@
     least: Option<Duration>,
     /// Times of the latest loads with few others beside them, and their median.
     usual_times: VecDeque<Duration>,
-    usual: Option<Duration>,
+    typical_load_time: Option<Duration>,
     /// Most loads that went on beside each other evenly.
     proven: f64,
     /// `None`: the link was not seen to be full here.
     full: Option<FullLink>,
     /// Loads were seen to slow each other down, or nearly so, here or by an earlier giver of orders: the limit doubles no more.
-    is_near: bool,
+    is_near_capacity: bool,
     latest: VecDeque<LatestLoad>,
     /// Loads since the last rise that used the limit up and were even.
     even_loads: usize,
@@ -166,10 +166,10 @@
             limit: LEAST_LIMIT,
             least: None,
             usual_times: VecDeque::new(),
-            usual: None,
+            typical_load_time: None,
             proven: 0.0,
             full: None,
-            is_near: false,
+            is_near_capacity: false,
             latest: VecDeque::new(),
             even_loads: 0,
         }
@@ -179,14 +179,14 @@
 impl LoadLimit {
     /// What another giver of orders has learnt: its limit, the usual time of a load, and whether the limit is near what the link
     /// bears.
-    pub fn from_learnt(limit: usize, usual: Duration, is_near: bool) -> Self {
+    pub fn from_learned(limit: usize, typical_load_time: Duration, is_near_capacity: bool) -> Self {
         Self {
             limit: limit.max(LEAST_LIMIT),
-            least: Some(usual),
-            usual_times: VecDeque::from([usual]),
-            usual: Some(usual),
+            least: Some(typical_load_time),
+            usual_times: VecDeque::from([typical_load_time]),
+            typical_load_time: Some(typical_load_time),
             proven: limit as f64 / PROBE_FACTOR,
-            is_near,
+            is_near_capacity,
             ..Self::default()
         }
     }
@@ -202,20 +202,20 @@
     }
 
     /// What a load takes with few others beside it; `None` before the first one.
-    pub fn usual(&self) -> Option<Duration> {
-        self.usual
+    pub fn typical_load_time(&self) -> Option<Duration> {
+        self.typical_load_time
     }
 
     fn set_usual(&mut self, times: VecDeque<Duration>) {
         let mut sorted: Vec<Duration> = times.iter().copied().collect();
         sorted.sort();
-        self.usual = sorted.get(sorted.len().saturating_sub(1) / 2).copied();
+        self.typical_load_time = sorted.get(sorted.len().saturating_sub(1) / 2).copied();
         self.usual_times = times;
     }
 
     /// Whether loads were seen to slow each other down, or nearly so.
-    pub fn is_near(&self) -> bool {
-        self.is_near
+    pub fn is_near_capacity(&self) -> bool {
+        self.is_near_capacity
     }
 
     /// Takes in a finished load. One that was noticed late may have been even, and is not known to have been slow.
@@ -228,10 +228,10 @@
         if load.timing == LoadTiming::Exact {
             self.note_usual(load.taken, load.link.most());
         }
-        let Some(usual) = self.usual() else {
+        let Some(typical_load_time) = self.typical_load_time() else {
             return;
         };
-        let ratio = load.taken.as_secs_f64() / usual.as_secs_f64().max(f64::MIN_POSITIVE);
+        let ratio = load.taken.as_secs_f64() / typical_load_time.as_secs_f64().max(f64::MIN_POSITIVE);
         if ratio > EVEN_RATIO && !self.is_telling(load, now) {
             return;
         }
@@ -240,9 +240,9 @@
             ratio,
             beside,
             borne_by_begin: load.at_begin as f64 / ratio,
-            borne_by_share: load.link.borne(usual),
+            borne_by_share: load.link.borne(typical_load_time),
         });
-        self.is_near |= self.are_most(|load| load.ratio > EVEN_RATIO);
+        self.is_near_capacity |= self.are_most(|load| load.ratio > EVEN_RATIO);
         if self.are_most(|load| load.ratio >= SLOW_RATIO) {
             self.take_full(now);
             return;
@@ -256,7 +256,7 @@
     /// The first load tells the usual time, and then those with few others beside them at any moment.
     fn note_usual(&mut self, taken: Duration, most_beside: usize) {
         let few = (self.proven * FEW_SHARE).max(LEAST_LIMIT as f64);
-        if most_beside as f64 > few && self.usual.is_some() {
+        if most_beside as f64 > few && self.typical_load_time.is_some() {
             return;
         }
         let mut times = std::mem::take(&mut self.usual_times);
@@ -358,7 +358,7 @@
             return;
         }
         self.proven = Estimate::of(beyond.iter().map(|load| load.beside)).value;
-        if !self.is_near {
+        if !self.is_near_capacity {
             let probe = (self.proven * PROBE_FACTOR).round() as usize;
             self.limit = self.limit.max(probe);
         }
@@ -368,7 +368,7 @@
     fn rise_near(&mut self, beside: f64, now: Instant) {
         let held = |full: &FullLink| now.saturating_duration_since(full.at) < full.hold;
         let is_held = self.full.as_ref().is_some_and(held);
-        if !self.is_near || is_held || beside < self.limit as f64 * USED_SHARE {
+        if !self.is_near_capacity || is_held || beside < self.limit as f64 * USED_SHARE {
             return;
         }
         self.even_loads += 1;
--- a/crates/front/src/orders/looking.rs
+++ b/crates/front/src/orders/looking.rs
@@ -7,7 +7,7 @@
 use ladderstage_clock::Instant;
 
 use super::given::{Given, Load};
-use super::giver::OrderGiver;
+use super::giver::OrderLeader;
 use crate::backend::Instance;
 
 /// Longest wait for the report of an instance that loads. Reports take some milliseconds, and the others' loads wait for it.
@@ -26,7 +26,7 @@
     Over,
 }
 
-impl OrderGiver {
+impl OrderLeader {
     /// Looks whether instances that took an order have its version: at all of them at once, as one that hangs must not keep the
     /// others' news back.
     pub(super) async fn look_at_loads(&self, given: &mut Given) {
@@ -58,7 +58,7 @@
 
     /// `instance` is none if it is gone.
     async fn look_at_load(&self, instance: Option<&Arc<Instance>>, load: &Load) -> LoadLook {
-        let is_same_start = |one: &&Arc<Instance>| one.is_start(load.started_unix_ms);
+        let is_same_start = |one: &&Arc<Instance>| one.matches_incarnation(load.started_unix_ms);
         let instance = instance.filter(is_same_start);
         let Some(instance) = instance.filter(|_| Instant::now() < load.give_up_at) else {
             return LoadLook::Over;
@@ -72,12 +72,12 @@
         let Ok(Ok(report)) = asking.await else {
             return LoadLook::NoAnswer;
         };
-        if !instance.is_start(report.started_unix_ms) {
-            self.backends.note_start(instance, report.started_unix_ms);
+        if !instance.matches_incarnation(report.started_unix_ms) {
+            self.backends.record_incarnation(instance, report.started_unix_ms);
             return LoadLook::Over;
         }
         for (model, version) in &report.versions {
-            instance.note_version(model, *version);
+            instance.record_version(model, *version);
         }
         if !report.busy && is_loaded() {
             LoadLook::Loaded
--- a/crates/front/src/orders/named.rs
+++ b/crates/front/src/orders/named.rs
@@ -15,11 +15,11 @@
 
 /// Newest version named for each model. Cheap to clone.
 #[derive(Debug, Clone, Default)]
-pub struct VersionsNamed {
+pub struct AnnouncedVersions {
     versions: Arc<Mutex<BTreeMap<String, Named>>>,
 }
 
-impl VersionsNamed {
+impl AnnouncedVersions {
     /// Notes a version; versions only rise.
     pub fn note(&self, model: &str, version: u64) {
         let mut versions = lock(&self.versions);
@@ -29,7 +29,7 @@
         {
             return;
         }
-        log::info!("event=version_named model={model} version={version}");
+        log::info!("event=version_announced model={model} version={version}");
         let heard_at = Instant::now();
         versions.insert(model.to_owned(), Named { version, heard_at });
     }
--- a/crates/front/src/orders/news.rs
+++ b/crates/front/src/orders/news.rs
@@ -21,13 +21,13 @@
 
 /// What givers of orders have learnt of loads: a later giver starts from that. Cheap to clone.
 #[derive(Debug, Clone, Default)]
-pub struct LearntLoads {
+pub struct LearnedLoadLimit {
     limit: Arc<Mutex<Option<LoadLimit>>>,
 }
 
-impl LearntLoads {
+impl LearnedLoadLimit {
     /// Notes what this node has learnt, or was told.
-    pub fn note(&self, limit: &LoadLimit) {
+    pub fn record(&self, limit: &LoadLimit) {
         if limit.least().is_some() {
             *self.lock() = Some(limit.clone());
         }
@@ -82,9 +82,9 @@
         }
         let kind = RequestKind::weight_news(WeightNews {
             instances: std::mem::take(&mut self.news),
-            usual_load_ms: limit.usual().unwrap_or_default().as_millis() as u64,
+            usual_load_ms: limit.typical_load_time().unwrap_or_default().as_millis() as u64,
             load_limit: limit.get() as u64,
-            limit_is_near: limit.is_near(),
+            limit_is_near: limit.is_near_capacity(),
         });
         let own = nodes.own().node;
         for front in audience.iter().filter(|front| **front != own) {
@@ -93,7 +93,7 @@
             let request = Request { kind: kind.clone() };
             self.calls.spawn(async move {
                 if let Err(error) = nodes.call(&front, request, NEWS_TIMEOUT).await {
-                    log::debug!("event=weight_news_lost node={front} cause=\"{error}\"");
+                    log::debug!("event=weight_update_not_sent node={front} cause=\"{error}\"");
                 }
             });
         }
