--- a/crates/front/src/orders/permits/asking.rs
+++ b/crates/front/src/orders/permits/asking.rs
@@ -10,9 +10,9 @@
 use ladderstage_wire::messages::mod_Response::OneOfkind as ResponseKind;
 use ladderstage_wire::messages::{AskSendPermits, Request, SendPermit, SendPermits};
 
-use super::dealer::PermitDealer;
+use super::issuer::PermitIssuer;
 use crate::backend::{BackendTable, ColdAllowance, PERMIT_LIFETIME};
-use crate::config::ConfigInForce;
+use crate::config::CurrentConfig;
 use crate::metrics::Metrics;
 use crate::nodes::{NodeRole, Nodes};
 use crate::orders::candidates::by_rank;
@@ -33,22 +33,22 @@
 const NODES_ASKED: usize = 6;
 
 /// Keeps the limits up to date and asks for permits at this node.
-pub struct PermitAsker {
+pub struct PermitRequester {
     /// By how much callers may exceed what cold instances bear; `None`: they get any number of requests.
     pub allowance: Option<ColdAllowance>,
     /// Instances.
     pub backends: BackendTable,
     /// Services and what they bear.
-    pub config: ConfigInForce,
+    pub config: CurrentConfig,
     /// The other nodes.
     pub nodes: Nodes,
     /// Deals at this node, and is asked first: the node may hold the lease itself.
-    pub dealer: PermitDealer,
+    pub issuer: PermitIssuer,
     /// Counters.
     pub metrics: Arc<Metrics>,
 }
 
-impl PermitAsker {
+impl PermitRequester {
     /// Asks for as long as the future is polled.
     pub async fn run(&self) {
         let Some(allowance) = self.allowance else {
@@ -70,12 +70,12 @@
     }
 
     async fn ask_while_work_waits(&self) {
-        let wants = &self.backends.gates().wants;
+        let permit_requests = &self.backends.gates().permit_requests;
         let mut last_dealer = None;
         loop {
-            let mut wanted = wants.take().await;
+            let mut wanted = permit_requests.take().await;
             tokio::time::sleep(GATHER).await;
-            wanted.append(&mut wants.take_noted());
+            wanted.append(&mut permit_requests.drain_pending());
             let asked = wanted.len();
             let (dealt, until) = self.ask(wanted, &mut last_dealer).await;
             if last_dealer.is_none() {
@@ -104,7 +104,7 @@
     ) -> (SendPermits, Instant) {
         let question = self.question(wanted);
         let asked_at = Instant::now();
-        if let Some(dealt) = self.dealer.deal(&question) {
+        if let Some(dealt) = self.issuer.issue(&question) {
             *last_dealer = Some(self.nodes.own().node);
             return (dealt, asked_at + PERMIT_LIFETIME);
         }
--- a/crates/front/src/orders/permits/dealer.rs
+++ b/crates/front/src/orders/permits/dealer.rs
@@ -14,7 +14,7 @@
 
 /// Answers questions for permits. Cheap to clone.
 #[derive(Debug, Clone, Default)]
-pub struct PermitDealer {
+pub struct PermitIssuer {
     limits: ColdLimits,
     holding: Arc<Mutex<Option<Holding>>>,
 }
@@ -22,23 +22,23 @@
 /// The lease under which this node deals.
 #[derive(Debug)]
 struct Holding {
-    proven_until: watch::Receiver<Instant>,
+    valid_until: watch::Receiver<Instant>,
     ledger: PermitLedger,
 }
 
 /// This node deals until it is dropped.
 #[derive(Debug)]
 pub struct Dealing {
-    dealer: PermitDealer,
+    issuer: PermitIssuer,
 }
 
 impl Drop for Dealing {
     fn drop(&mut self) {
-        *self.dealer.lock() = None;
+        *self.issuer.lock() = None;
     }
 }
 
-impl PermitDealer {
+impl PermitIssuer {
     /// Deals by some limits.
     pub fn new(limits: ColdLimits) -> Self {
         Self {
@@ -48,29 +48,29 @@
     }
 
     /// Begins to deal under a lease that this node has just gained; `proven_until` tells until when it certainly lasts.
-    pub fn begin(&self, proven_until: watch::Receiver<Instant>) -> Dealing {
+    pub fn start(&self, valid_until: watch::Receiver<Instant>) -> Dealing {
         *self.lock() = Some(Holding {
-            proven_until,
+            valid_until,
             ledger: PermitLedger::new(Instant::now()),
         });
         Dealing {
-            dealer: self.clone(),
+            issuer: self.clone(),
         }
     }
 
     /// Deals what is asked for, as far as the limits allow; `None` if this node does not certainly hold the lease.
-    pub fn deal(&self, asked: &AskSendPermits) -> Option<SendPermits> {
+    pub fn issue(&self, asked: &AskSendPermits) -> Option<SendPermits> {
         let now = Instant::now();
         let mut holding = self.lock();
         let holding = holding.as_mut()?;
-        if now >= *holding.proven_until.borrow() {
+        if now >= *holding.valid_until.borrow() {
             return None;
         }
         let wanted = asked.wanted.iter().take(MOST_INSTANCES);
         let dealt = wanted.filter_map(|wanted| {
             let limit = self.limits.get(&wanted.service)?;
             let ledger = &mut holding.ledger;
-            let count = ledger.deal(&wanted.instance, wanted.count, limit.dealt, now);
+            let count = ledger.issue(&wanted.instance, wanted.count, limit.dealt, now);
             (count > 0).then(|| SendPermit {
                 count,
                 ..wanted.clone()
--- a/crates/front/src/orders/permits/ledger.rs
+++ b/crates/front/src/orders/permits/ledger.rs
@@ -13,7 +13,7 @@
     .saturating_add(WRITE_MARGIN);
 
 /// A new holder deals nothing for so long, so that no window holds requests by its permits and by those of an earlier holder.
-pub const QUIET_TIME: Duration = DEAL_WINDOW;
+pub const PERMIT_QUIET_PERIOD: Duration = DEAL_WINDOW;
 
 /// What one holder has dealt.
 #[derive(Debug)]
@@ -27,13 +27,13 @@
     /// A ledger of a holder whose lease began at `held_from` or earlier.
     pub fn new(held_from: Instant) -> Self {
         Self {
-            deals_from: held_from + QUIET_TIME,
+            deals_from: held_from + PERMIT_QUIET_PERIOD,
             dealt: BTreeMap::new(),
         }
     }
 
     /// Deals up to `wanted` permits for an instance, of which `most` may be dealt in any window; returns how many.
-    pub fn deal(&mut self, instance: &str, wanted: u32, most: u32, now: Instant) -> u32 {
+    pub fn issue(&mut self, instance: &str, wanted: u32, most: u32, now: Instant) -> u32 {
         if now < self.deals_from {
             return 0;
         }
--- a/crates/front/src/orders/permits/mod.rs
+++ b/crates/front/src/orders/permits/mod.rs
@@ -1,9 +1,9 @@
 //! Permits to send requests to cold instances: the holder of the orders lease deals them out, so that the sum over all nodes is bounded.
 
 mod asking;
-mod dealer;
+mod issuer;
 mod ledger;
 
-pub use asking::PermitAsker;
-pub use dealer::PermitDealer;
-pub use ledger::{PermitLedger, QUIET_TIME};
+pub use asking::PermitRequester;
+pub use issuer::PermitIssuer;
+pub use ledger::{PermitLedger, PERMIT_QUIET_PERIOD};
--- a/crates/front/src/program.rs
+++ b/crates/front/src/program.rs
@@ -18,10 +18,10 @@
 use ladderstage_wire::messages::mod_Response::OneOfkind as ResponseKind;
 use ladderstage_wire::messages::{BundleEvidence, Done, Refused, Request, Response};
 
-use crate::coordination::{Coordination, StoreCalls};
+use crate::coordination::{Coordination, StoreCallMetrics};
 use crate::job::{JobRegistry, LOG_PREFIX};
 use crate::nodes::Nodes;
-use crate::orders::PermitDealer;
+use crate::orders::PermitIssuer;
 use crate::set_records::CoordinatedSetRecords;
 use crate::suspects::Suspects;
 use crate::usage::UsageMeter;
@@ -59,17 +59,17 @@
     /// The whole system starts for the first time.
     pub is_first_start: bool,
     /// Disks that may be lost at once.
-    pub tolerated_losses: usize,
+    pub tolerated_failures: usize,
     /// How long a batch job can be read after it was handed in.
     pub job_retention: Duration,
     /// Least time between orders of two givers; none is needed where instances refuse those of an earlier one.
-    pub order_quiet: Duration,
+    pub order_quiet_period: Duration,
     /// Processor time of this machine, in thousandths of a core; 0: unknown.
     pub cpu_millis: u32,
     /// How long a stop may take.
-    pub grace: Duration,
+    pub shutdown_grace: Duration,
     /// Counts calls to the coordination store.
-    pub store_calls: StoreCalls,
+    pub store_calls: StoreCallMetrics,
 }
 
 impl ProgramOptions {
@@ -83,14 +83,14 @@
     pub fn journal(&self) -> JournalOptions {
         JournalOptions {
             node: self.node.clone(),
-            initial_replicas: InitialReplicas::Count(2 * self.tolerated_losses + 1),
+            initial_replicas: InitialReplicas::Count(2 * self.tolerated_failures + 1),
             may_bootstrap: self.is_first_start,
-            tended_prefix: LOG_PREFIX,
-            owner_heartbeat: OWNER_HEARTBEAT,
+            monitored_prefix: LOG_PREFIX,
+            owner_heartbeat_interval: OWNER_HEARTBEAT,
             owner_timeout: OWNER_TIMEOUT,
             round_timeout: ROUND_TIMEOUT,
-            poll: SET_POLL,
-            longest_pause: SET_POLL,
+            poll_interval: SET_POLL,
+            max_poll_interval: SET_POLL,
             replace_after: REPLACE_AFTER,
         }
     }
@@ -149,9 +149,9 @@
         }
     }
 
-    fn contested(&self, log: &str) {
+    fn fence_reported(&self, log: &str) {
         if let Some(jobs) = &self.jobs {
-            jobs.on_contested(log);
+            jobs.on_fence_reported(log);
         }
     }
 
@@ -161,9 +161,9 @@
         }
     }
 
-    fn untended(&self, logs: Vec<String>) {
+    fn orphaned(&self, logs: Vec<String>) {
         if let Some(jobs) = &self.jobs {
-            jobs.on_untended(logs);
+            jobs.on_orphaned_logs(logs);
         }
     }
 }
@@ -175,7 +175,7 @@
     pub jobs: Option<JobRegistry>,
     pub usage: Option<UsageMeter>,
     pub suspects: Option<Suspects>,
-    pub permits: Option<PermitDealer>,
+    pub permits: Option<PermitIssuer>,
 }
 
 /// Answers other nodes once the parts are there.
@@ -214,7 +214,7 @@
                 }
                 RequestKind::suspect_news(news) => match &parts.suspects {
                     Some(suspects) => {
-                        suspects.take_news(&news);
+                        suspects.apply_updates(&news);
                         Response {
                             kind: ResponseKind::done(Done {}),
                         }
@@ -222,7 +222,7 @@
                     None => refuse(Reason::MALFORMED, "no requests at this node"),
                 },
                 RequestKind::ask_send_permits(asked) => {
-                    let dealt = parts.permits.as_ref().and_then(|one| one.deal(&asked));
+                    let dealt = parts.permits.as_ref().and_then(|one| one.issue(&asked));
                     match dealt {
                         Some(dealt) => Response {
                             kind: ResponseKind::send_permits(dealt),
--- a/crates/front/src/roster/mod.rs
+++ b/crates/front/src/roster/mod.rs
@@ -19,9 +19,9 @@
 mod writer;
 
 pub use options::{FIRST_START_WAIT, RESTART_WAIT, RosterOptions};
-pub use reader::{DirectSource, DrainFollowing, RosterReader};
+pub use reader::{DiscoverySource, DrainTracking, RosterReader};
 pub use record::{Roster, RosterDrains};
-pub use view::DirectView;
+pub use view::DiscoveryView;
 pub use writer::RosterWriter;
 
 /// The record.
--- a/crates/front/src/roster/options.rs
+++ b/crates/front/src/roster/options.rs
@@ -29,7 +29,7 @@
     /// How long the record outlives its writer.
     pub lease: Duration,
     /// Between two answers of discovery at the writer.
-    pub writer_gather: Duration,
+    pub writer_batch_interval: Duration,
     /// Between two answers about the roster at a reader.
     pub reader_gather: Duration,
     /// From so many fronts on there is a roster.
@@ -44,7 +44,7 @@
         let gather = (limit.checked_sub(lease)? / 2).min(MOST_GATHER);
         (gather >= LEAST_GATHER).then_some(Self {
             lease,
-            writer_gather: gather,
+            writer_batch_interval: gather,
             reader_gather: gather,
             least_fronts: LEAST_FRONTS,
         })
@@ -52,6 +52,6 @@
 
     /// The longest that a change takes to reach a reader, calls not counted.
     pub fn longest(&self) -> Duration {
-        self.writer_gather + self.lease + self.reader_gather
+        self.writer_batch_interval + self.lease + self.reader_gather
     }
 }
--- a/crates/front/src/roster/reader.rs
+++ b/crates/front/src/roster/reader.rs
@@ -5,10 +5,10 @@
 
 use tokio::sync::watch;
 
-use super::{DirectView, ROSTER_KEY, Roster, RosterOptions};
+use super::{DiscoveryView, ROSTER_KEY, Roster, RosterOptions};
 use crate::activity::Activity;
 use crate::backend::BackendTable;
-use crate::config::ConfigInForce;
+use crate::config::CurrentConfig;
 use crate::coordination::{Change, Coordination, Follower, Record, Update, follow_with};
 
 /// Discovery is followed for so long after the last work: a front that is handed steps gets one every few seconds, and one that
@@ -16,22 +16,22 @@
 const REST_AFTER_WORK: Duration = Duration::from_secs(15);
 
 /// Discovery's own records.
-pub trait DirectSource: Send + Sync {
+pub trait DiscoverySource: Send + Sync {
     /// Follows them into the table of instances for as long as the future is polled, and notes in `view` as of when they are
     /// known.
-    fn follow(&self, view: &DirectView) -> impl Future<Output = ()> + Send;
+    fn follow(&self, view: &DiscoveryView) -> impl Future<Output = ()> + Send;
 
     /// The same for the zones that are to be drained.
-    fn follow_drains(&self, view: &DirectView) -> impl Future<Output = ()> + Send;
+    fn follow_drains(&self, view: &DiscoveryView) -> impl Future<Output = ()> + Send;
 }
 
 /// Where the operator may have zones drained.
 #[derive(Debug, Clone)]
-pub struct DrainFollowing {
+pub struct DrainTracking {
     /// As of when the drained zones are known here from the store.
-    pub view: DirectView,
+    pub view: DiscoveryView,
     /// Counts while this node may keep the roster.
-    pub keeps_roster: Activity,
+    pub roster_duty: Activity,
 }
 
 /// Feeds the table of instances.
@@ -41,17 +41,17 @@
     /// The instances.
     pub backends: BackendTable,
     /// The configuration.
-    pub config: ConfigInForce,
+    pub config: CurrentConfig,
     /// As of when they are known here from discovery itself.
-    pub view: DirectView,
+    pub view: DiscoveryView,
     /// Work here that needs to know the instances' weights, and of changes soon.
     pub activity: Activity,
     /// `None`: the notice time is too short for a roster.
     pub options: Option<RosterOptions>,
     /// `None`: no zone is drained in this deployment.
-    pub drains: Option<DrainFollowing>,
+    pub drains: Option<DrainTracking>,
     /// How long a node that has just started waits for a roster before it follows discovery.
-    pub first_wait: Duration,
+    pub startup_wait: Duration,
     /// Discovery.
     pub source: S,
 }
@@ -59,11 +59,11 @@
 /// The roster as the store told last; `None`: there is none.
 pub(super) type KnownRoster = watch::Sender<Option<Arc<Roster>>>;
 
-impl<S: DirectSource> RosterReader<S> {
+impl<S: DiscoverySource> RosterReader<S> {
     /// Feeds the table for as long as the future is polled.
     pub async fn run(&self) {
         if self.drains.is_some() {
-            self.backends.gates().drained.await_first();
+            self.backends.gates().drained.mark_unknown();
         }
         let known = KnownRoster::new(None);
         let Some(options) = self.options else {
@@ -87,7 +87,7 @@
                 () = self.source.follow(&self.view) => return,
                 () = self.may_rest(known) => {}
             }
-            self.view.note_resting();
+            self.view.mark_unfollowed();
             self.go_by_roster(known).await;
         }
     }
@@ -95,23 +95,23 @@
     /// Waits for a roster at the start, until work begins or a request needs instances. A fleet whose nodes all list discovery as they
     /// start, and hear of each instance that starts beside them, pays for that many times.
     pub(super) async fn begins_by_roster(&self, known: &KnownRoster) -> bool {
-        if self.first_wait.is_zero() {
+        if self.startup_wait.is_zero() {
             return false;
         }
         let mut known = known.subscribe();
         tokio::select! {
             _ = known.wait_for(|roster| roster.as_ref().is_some_and(|one| self.covers_config(one))) => true,
-            () = tokio::time::sleep(self.first_wait) => false,
-            () = self.activity.active() => false,
-            () = self.backends.wanted() => false,
+            () = tokio::time::sleep(self.startup_wait) => false,
+            () = self.activity.wait_until_active() => false,
+            () = self.backends.wait_for_first_request() => false,
         }
     }
 
     async fn go_by_roster(&self, known: &KnownRoster) {
-        log::info!("event=instances_by_roster");
+        log::info!("event=instances_from_roster");
         self.follow_roster(known).await;
         log::info!(
-            "event=instances_by_discovery working={}",
+            "event=instances_from_discovery working={}",
             self.activity.is_active()
         );
     }
@@ -120,11 +120,11 @@
     async fn may_rest(&self, known: &KnownRoster) {
         loop {
             if self.activity.is_active() {
-                self.activity.rested(REST_AFTER_WORK).await;
+                self.activity.wait_until_idle_for(REST_AFTER_WORK).await;
             }
             tokio::select! {
                 () = self.roster_is_as_new(known) => return,
-                () = self.activity.active() => {}
+                () = self.activity.wait_until_active() => {}
             }
         }
     }
@@ -172,7 +172,7 @@
             tokio::select! {
                 _ = changed.changed() => {}
                 _ = config.changed() => {}
-                () = self.activity.active() => return,
+                () = self.activity.wait_until_active() => return,
             }
         }
     }
@@ -210,7 +210,7 @@
         tokio::time::sleep(self.gather)
     }
 
-    fn take(&mut self, update: Update, _at: u64) {
+    fn on_update(&mut self, update: Update, _at: u64) {
         match update {
             Update::Snapshot(records) => match records.iter().find(|one| one.key == ROSTER_KEY) {
                 Some(record) => self.written(record),
--- a/crates/front/src/roster/record.rs
+++ b/crates/front/src/roster/record.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::backend::{BackendTable, Discovered};
+use crate::backend::{BackendTable, DiscoveredInstance};
 
 /// The zones that are to be drained as of a revision of the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -32,7 +32,7 @@
     pub services: BTreeSet<String>,
     /// All instances of these services, sorted by id. Those of drained zones are not ready, for readers of older builds, which do not know
     /// `drains`.
-    pub instances: Vec<Discovered>,
+    pub instances: Vec<DiscoveredInstance>,
     /// The zones that are to be drained; `None`: the writer does not know.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub drains: Option<RosterDrains>,
@@ -83,8 +83,8 @@
     /// Whether another roster names the same services, instances and drained zones.
     pub fn is_same(&self, other: &Self) -> bool {
         // The time for which an instance stays cold counts down: only whether it is cold matters.
-        let is_same = |one: &Discovered, other: &Discovered| {
-            let as_cold = Discovered {
+        let is_same = |one: &DiscoveredInstance, other: &DiscoveredInstance| {
+            let as_cold = DiscoveredInstance {
                 cold_ms: other.cold_ms,
                 ..one.clone()
             };
--- a/crates/front/src/roster/view.rs
+++ b/crates/front/src/roster/view.rs
@@ -16,23 +16,23 @@
 
 /// State of this node's own following of discovery. Cheap to clone.
 #[derive(Debug, Clone, Default)]
-pub struct DirectView {
+pub struct DiscoveryView {
     known: watch::Sender<Known>,
 }
 
-impl DirectView {
+impl DiscoveryView {
     /// Notes that the instances are known as of a revision.
-    pub fn note(&self, at: u64) {
+    pub fn set_known(&self, at: u64) {
         self.known.send_replace(Known::AsOf(at));
     }
 
     /// Notes that the store does not answer.
-    pub fn note_lost(&self) {
+    pub fn mark_unavailable(&self) {
         self.known.send_replace(Known::Lost);
     }
 
     /// Notes that discovery is followed no more.
-    pub fn note_resting(&self) {
+    pub fn mark_unfollowed(&self) {
         self.known.send_replace(Known::Nothing);
     }
 
--- a/crates/front/src/roster/writer.rs
+++ b/crates/front/src/roster/writer.rs
@@ -6,9 +6,9 @@
 use ladderstage_journal::Peers;
 use tokio::time::MissedTickBehavior;
 
-use super::{DirectView, ROSTER_KEY, Roster, RosterDrains, RosterOptions};
+use super::{DiscoveryView, ROSTER_KEY, Roster, RosterDrains, RosterOptions};
 use crate::backend::BackendTable;
-use crate::config::ConfigInForce;
+use crate::config::CurrentConfig;
 use crate::coordination::{Coordination, CoordinationError, LeaseId, SwapResult};
 use crate::nodes::Nodes;
 
@@ -43,11 +43,11 @@
     /// The instances.
     pub backends: BackendTable,
     /// The configuration.
-    pub config: ConfigInForce,
+    pub config: CurrentConfig,
     /// As of when they are known here.
-    pub view: DirectView,
+    pub view: DiscoveryView,
     /// As of when the drained zones are known here from the store; `None`: no zone is drained in this deployment.
-    pub drains: Option<DirectView>,
+    pub drains: Option<DiscoveryView>,
     /// The other nodes.
     pub nodes: Nodes,
     /// `None`: the notice time is too short for a roster.
@@ -178,11 +178,11 @@
                 Ok(())
             }
             Ok(SwapResult::Lost(_)) => {
-                log::info!("event=roster_overtaken expected={:?}", kept.revision);
+                log::info!("event=roster_write_conflict expected={:?}", kept.revision);
                 kept.revision = None;
                 Ok(())
             }
-            Err(CoordinationError::LeaseOver) => Err(CoordinationError::LeaseOver.into()),
+            Err(CoordinationError::LeaseExpired) => Err(CoordinationError::LeaseExpired.into()),
             Err(error) => {
                 log::warn!("event=roster_not_written cause=\"{error}\"");
                 kept.revision = None;
@@ -213,7 +213,7 @@
         }
         match self.coordination.renew(kept.lease).await {
             Ok(()) => Ok(()),
-            Err(CoordinationError::LeaseOver) => Err(CoordinationError::LeaseOver.into()),
+            Err(CoordinationError::LeaseExpired) => Err(CoordinationError::LeaseExpired.into()),
             Err(error) => {
                 log::warn!("event=roster_not_renewed cause=\"{error}\"");
                 Ok(())
--- a/crates/front/src/store.rs
+++ b/crates/front/src/store.rs
@@ -134,7 +134,7 @@
         storage.replica_id()
     );
     let activity = Activity::default();
-    let _holds_disk = activity.begin();
+    let _holds_disk = activity.start();
     tokio::select! {
         () = nodes.run(Arc::clone(&coordination), &activity) => Ok(()),
         () = watch_suspensions(coordination.as_ref(), &metrics) => Ok(()),
@@ -152,7 +152,7 @@
     let options = StorageOptions {
         cache_bytes: CACHE_BYTES,
         queue_bytes: QUEUE_BYTES,
-        dropped_when_closed: vec![DropRule {
+        drop_rules: vec![DropRule {
             prefix: LOG_PREFIX.to_owned(),
             after: job_retention * KEPT_RETENTIONS,
         }],
@@ -198,7 +198,7 @@
     {
         return std::future::pending().await;
     }
-    log::info!("event=retirement_begun replica_id={replica_id}");
+    log::info!("event=retirement_started replica_id={replica_id}");
     nodes.set_leaving(true);
     let _ = inputs.retirement.send(RetirementState::Running);
     let mut set = replica_sets.watch();
--- a/crates/front/src/suspects/ledger.rs
+++ b/crates/front/src/suspects/ledger.rs
@@ -14,11 +14,11 @@
 /// Ends after which a live request's content is held back. Before a service of three instances that one request ends twice a second, others
 /// were served 27,779 of 27,780 times with two, 27,146 with three, 9,140 without a bound; one was held back for ends that others caused
 /// (plays of 100 s, twenty seeds: crates/front/tests/suspect_load.rs).
-pub const LIVE_MOST_ENDS: usize = 2;
+pub const LIVE_MAX_CRASHES: usize = 2;
 
 /// The same for items of batch jobs, which run for seconds and meet ends that others caused more often: on 45 instances of which one ends each
 /// two seconds, 12 tries of 27,780 were held back with three, 288 with two (same plays, runs of 7 s).
-pub const ITEM_MOST_ENDS: usize = 3;
+pub const ITEM_MAX_CRASHES: usize = 3;
 
 /// How long a content is held back after the last end that made or kept it so; doubles with each further end. One trial then shows whether
 /// instances bear it by now, as after a new release.
@@ -97,12 +97,12 @@
 
     /// The name of an end of `start` under a run that began at `began`; `None` if that end is known. An instance that ended, and
     /// took a run after that under the same name, has been started again since.
-    fn name_end(&self, start: &str, began: Instant) -> Option<Arc<str>> {
+    fn name_end(&self, start: &str, started_at: Instant) -> Option<Arc<str>> {
         let mut name: Arc<str> = start.into();
         let mut further = 1;
         while self.ends.contains(&name) {
             let noticed = self.noticed.get(&name);
-            if noticed.is_none_or(|noticed| began <= *noticed) {
+            if noticed.is_none_or(|noticed| started_at <= *noticed) {
                 return None;
             }
             further += 1;
@@ -149,7 +149,7 @@
 
     /// Whether a run may begin now of a content that is held back after `most_ends`.
     pub fn admit(&mut self, content: ContentDigest, most_ends: usize, now: Instant) -> Admission {
-        if let Some(retry_after) = self.holds(content, most_ends, now) {
+        if let Some(retry_after) = self.current_hold(content, most_ends, now) {
             return Admission::Held { retry_after };
         }
         let Some(suspect) = self.suspects.get_mut(&content) else {
@@ -164,7 +164,7 @@
     }
 
     /// For how long such a run would be held back; `None` if it would not.
-    pub fn holds(
+    pub fn current_hold(
         &self,
         content: ContentDigest,
         most_ends: usize,
@@ -194,11 +194,11 @@
         &mut self,
         content: ContentDigest,
         start: &str,
-        began: Instant,
+        started_at: Instant,
         now: Instant,
     ) -> bool {
         let suspect = self.entry(content, now);
-        let Some(name) = suspect.name_end(start, began) else {
+        let Some(name) = suspect.name_end(start, started_at) else {
             return false;
         };
         suspect.noticed.insert(Arc::clone(&name), now);
--- a/crates/front/src/suspects/mod.rs
+++ b/crates/front/src/suspects/mod.rs
@@ -20,7 +20,7 @@
 
 pub use content::{ContentDigest, RequestContent};
 pub use ledger::{
-    Admission, Cleared, FIRST_HOLD, ITEM_MOST_ENDS, LIVE_MOST_ENDS, LONGEST_HOLD, MOST_CONTENTS,
+    Admission, Cleared, FIRST_HOLD, ITEM_MAX_CRASHES, LIVE_MAX_CRASHES, LONGEST_HOLD, MOST_CONTENTS,
     SUSPICION, SuspectLedger,
 };
 pub use probe::{InstanceFate, probe};
@@ -53,8 +53,8 @@
     /// Ends of instances after which its content is held back.
     fn most_ends(&self) -> usize {
         match self {
-            Self::Request { .. } => LIVE_MOST_ENDS,
-            Self::Item { .. } => ITEM_MOST_ENDS,
+            Self::Request { .. } => LIVE_MAX_CRASHES,
+            Self::Item { .. } => ITEM_MAX_CRASHES,
         }
     }
 
@@ -86,7 +86,7 @@
     /// What it is told by.
     pub content: ContentDigest,
     /// When it was sent.
-    pub began: Instant,
+    pub started_at: Instant,
 }
 
 /// Contents of which something new is known and not yet shared, at most; more are dropped with a line.
@@ -155,7 +155,7 @@
 
 impl HeldBack {
     /// Whether only runs under way are waited for.
-    pub fn is_short(self) -> bool {
+    pub fn is_concurrency_hold(self) -> bool {
         self.retry_after <= BUSY_RETRY
     }
 }
@@ -207,7 +207,7 @@
     }
 
     /// Whether a run would be held back now. `content` is asked for only while any content is suspected.
-    pub fn holds(
+    pub fn current_hold(
         &self,
         subject: RunSubject<'_>,
         content: impl FnOnce() -> ContentDigest,
@@ -218,13 +218,13 @@
         let content = content();
         let held = self
             .lock()
-            .holds(content, subject.most_ends(), Instant::now());
+            .current_hold(content, subject.most_ends(), Instant::now());
         held.map(|retry_after| HeldBack { retry_after })
     }
 
     /// Finds out what became of the instance under a run that broke, and suspects its content at this node if the instance ended.
-    pub async fn look(&self, run: &BrokenRun<'_>) -> InstanceFate {
-        let run_ms = run.began.elapsed().as_millis();
+    pub async fn check_broken_run(&self, run: &BrokenRun<'_>) -> InstanceFate {
+        let run_ms = run.started_at.elapsed().as_millis();
         let fate = if run.instance.has_ended() {
             InstanceFate::Ended
         } else {
@@ -233,7 +233,7 @@
         let content = run.content;
         let start = run.instance.start_name();
         if fate == InstanceFate::Ended {
-            self.update(|ledger| ledger.note_end(content, &start, run.began, Instant::now()));
+            self.update(|ledger| ledger.note_end(content, &start, run.started_at, Instant::now()));
         }
         log::warn!(
             "event=run_broken {} instance={} content={content} run_ms={run_ms} instance_now={} ends={:?}",
@@ -257,14 +257,14 @@
     }
 
     /// As [`Suspects::tell`], for an item, which only its owner runs again and again.
-    pub fn tell_of_item(&self, content: ContentDigest) {
+    pub fn announce_item(&self, content: ContentDigest) {
         if self.lock().ends(content).len() >= ITEM_TOLD_FROM {
             self.tell(content);
         }
     }
 
     /// An instance bore a run to the end of its answer. `content` is asked for only while any content is suspected.
-    pub fn note_borne(&self, content: impl FnOnce() -> ContentDigest) {
+    pub fn record_completion(&self, content: impl FnOnce() -> ContentDigest) {
         if self.count.load(Ordering::Relaxed) == 0 {
             return;
         }
@@ -279,7 +279,7 @@
     }
 
     /// Takes what another front tells.
-    pub fn take_news(&self, news: &SuspectNews) {
+    pub fn apply_updates(&self, news: &SuspectNews) {
         news.contents.iter().for_each(|told| self.take(told));
     }
 
--- a/crates/front/src/suspects/sharing.rs
+++ b/crates/front/src/suspects/sharing.rs
@@ -128,7 +128,7 @@
             async move {
                 let told = self.nodes.call(&node, request, TELL_TIMEOUT).await;
                 told.inspect_err(|error| {
-                    log::info!("event=suspects_not_told front={node} cause=\"{error}\"");
+                    log::info!("event=suspects_not_announced front={node} cause=\"{error}\"");
                 })
                 .is_ok()
             }
@@ -146,7 +146,7 @@
             }
         }
         log::info!(
-            "event=suspects_told contents={contents:?} fronts={told} of={count} elapsed_ms={}",
+            "event=suspects_announced contents={contents:?} fronts={told} of={count} elapsed_ms={}",
             begun.elapsed().as_millis()
         );
     }
@@ -196,7 +196,7 @@
 
     /// Whether the store answered this node lately. Reading it before it does would cost a call a second at each node that is cut off.
     fn is_in_touch(&self) -> bool {
-        let contact = self.nodes.last_contact();
+        let contact = self.nodes.last_store_contact();
         contact.is_none_or(|at| at.elapsed() < OUT_OF_TOUCH)
     }
 
--- a/crates/front/src/suspension.rs
+++ b/crates/front/src/suspension.rs
@@ -14,7 +14,7 @@
         if let Some(suspended) = watch.look() {
             log::warn!("event=machine_suspended for_ms={}", suspended.as_millis());
             metrics.suspensions.inc();
-            coordination.doubt_watches();
+            coordination.cancel_watches();
         }
     }
 }
--- a/crates/front/src/tenant.rs
+++ b/crates/front/src/tenant.rs
@@ -55,7 +55,7 @@
     Unknown,
     /// A version took the key away.
     #[error("key_taken_away_in_version_{version}")]
-    TakenAway {
+    Revoked {
         /// That version.
         version: u64,
     },
@@ -67,7 +67,7 @@
         match self {
             Self::Missing => "no_key",
             Self::Unknown => "unknown_key",
-            Self::TakenAway { .. } => "key_taken_away",
+            Self::Revoked { .. } => "key_taken_away",
         }
     }
 }
@@ -117,7 +117,7 @@
 
 /// The tenant that holds a key. All keys are compared, each in full, so that the time taken tells nothing of them: some two
 /// hundred keys take a few microseconds.
-pub fn holder<'a>(tenants: &'a [Arc<Tenant>], key: &KeyDigest) -> Option<&'a Arc<Tenant>> {
+pub fn find_tenant<'a>(tenants: &'a [Arc<Tenant>], key: &KeyDigest) -> Option<&'a Arc<Tenant>> {
     let mut found = None;
     for tenant in tenants {
         for known in &tenant.keys {
--- a/crates/front/src/usage/meter.rs
+++ b/crates/front/src/usage/meter.rs
@@ -68,7 +68,7 @@
     }
 
     /// Counts a request of a tenant that began to run at `at`.
-    pub fn note_begun(&self, tenant: &Arc<str>, at: Instant) {
+    pub fn record_start(&self, tenant: &Arc<str>, at: Instant) {
         let window = self.clock.window_of(at);
         let mut counted = self.lock();
         let processes = counted.windows.entry(window).or_default();
--- a/crates/front/src/usage/reporter.rs
+++ b/crates/front/src/usage/reporter.rs
@@ -20,7 +20,7 @@
 use crate::coordination::{Coordination, CoordinationError, SwapResult};
 use crate::metrics::Metrics;
 use crate::nodes::{NodeRole, Nodes};
-use crate::orders::{GiverLease, Held};
+use crate::orders::{OrdersLease, HeldLease};
 
 /// The fixed reports of the newest windows.
 const REPORTS_KEY: &str = "ladderstage/usage/reports";
@@ -68,7 +68,7 @@
     Fenced,
     /// Nothing is known of it, or it was refused; it may be sent again.
     #[error("{0}")]
-    NotTaken(String),
+    NotAccepted(String),
 }
 
 /// Takes reports.
@@ -166,15 +166,15 @@
 
 impl UsageReporter {
     /// Reports for as long as the future is polled; returns once a later holder is known.
-    pub async fn run(&self, lease: &GiverLease, held: &Held) {
+    pub async fn run(&self, lease: &OrdersLease, held: &HeldLease) {
         let mut holding = self.begin().await;
         loop {
             tokio::time::sleep(LOOK_PAUSE).await;
-            match lease.may_order(held).await {
+            match lease.may_issue_orders(held).await {
                 Ok(true) => {}
                 Ok(false) => continue,
                 Err(error) => {
-                    log::warn!("event=usage_holder_not_named cause=\"{error}\"");
+                    log::warn!("event=usage_lease_check_failed cause=\"{error}\"");
                     continue;
                 }
             }
@@ -205,7 +205,7 @@
         let next = next.max(oldest);
         let fixed = found.into_fixed();
         // Whether an earlier holder got through with its last reports is not known.
-        let is_due = |window: &u64| clock.since_end(*window, now) < Some(self.options.due);
+        let is_due = |window: &u64| clock.since_end(*window, now) < Some(self.options.due_after);
         let unsent = fixed.reports.keys().copied().filter(is_due);
         Holding {
             clock,
@@ -241,7 +241,7 @@
     async fn fix_next(&self, holding: &mut Holding) {
         let window = holding.next;
         let since_end = holding.clock.since_end(window, Instant::now());
-        let Some(since_end) = since_end.filter(|at| *at >= self.options.due.mul_f64(GATHER_SHARE))
+        let Some(since_end) = since_end.filter(|at| *at >= self.options.due_after.mul_f64(GATHER_SHARE))
         else {
             return;
         };
@@ -254,7 +254,7 @@
             // The clock was ahead of the other fronts'.
             return;
         }
-        if !missing.is_empty() && since_end < self.options.due.mul_f64(FIX_SHARE) {
+        if !missing.is_empty() && since_end < self.options.due_after.mul_f64(FIX_SHARE) {
             return;
         }
         let total = self.meter.total(window);
@@ -353,21 +353,21 @@
     }
 
     /// Sends what was not taken yet, the oldest first.
-    async fn send_unsent(&self, holding: &mut Holding, held: &Held) -> Result<(), ReportError> {
+    async fn send_unsent(&self, holding: &mut Holding, held: &HeldLease) -> Result<(), ReportError> {
         let now = Instant::now();
-        let due: Vec<u64> = holding
+        let due_after: Vec<u64> = holding
             .unsent
             .iter()
             .filter(|(_, at)| **at <= now)
             .map(|(window, _)| *window)
             .collect();
-        for window in due {
+        for window in due_after {
             let Some(counts) = holding.fixed.get(window).cloned() else {
                 log::error!("event=usage_not_reported window={window} reason=too_old");
                 holding.unsent.remove(&window);
                 continue;
             };
-            if Instant::now() >= held.proven_until() {
+            if Instant::now() >= held.valid_until() {
                 return Ok(());
             }
             let report = UsageReport {
@@ -406,7 +406,7 @@
                 holding.unsent.remove(&window);
                 Ok(())
             }
-            Err(ReportError::NotTaken(_)) => {
+            Err(ReportError::NotAccepted(_)) => {
                 holding.unsent.insert(window, Instant::now() + RETRY_PAUSE);
                 Ok(())
             }
--- a/crates/front/src/usage/sharing.rs
+++ b/crates/front/src/usage/sharing.rs
@@ -55,8 +55,8 @@
 /// The strongest fronts, which take weak ones' work, by rendezvous hash of this node.
 fn keepers(nodes: &Nodes) -> Vec<String> {
     let own = nodes.own().node;
-    let takers = nodes.takers();
-    let others = takers.iter().map(|taker| taker.node.as_str());
+    let takeover_candidates = nodes.takeover_candidates();
+    let others = takeover_candidates.iter().map(|taker| taker.node.as_str());
     let ranked = rendezvous(own.as_bytes(), others.filter(|node| *node != own));
     ranked
         .into_iter()
--- a/crates/front/src/usage/windows.rs
+++ b/crates/front/src/usage/windows.rs
@@ -10,7 +10,7 @@
     /// Length of a window; window k begins k times this after the epoch.
     pub window: Duration,
     /// A report is due this long after its window has ended.
-    pub due: Duration,
+    pub due_after: Duration,
 }
 
 /// Tells windows from the steady clock: the time of day, which may jump by seconds and back, is read once.
--- a/crates/front/tests/activity.rs
+++ b/crates/front/tests/activity.rs
@@ -13,7 +13,7 @@
     let pause = activity.pause_until_next_poll(Duration::from_millis(10), NEVER);
     let work = async {
         tokio::time::sleep(Duration::from_secs(5)).await;
-        activity.begin()
+        activity.start()
     };
     let started = tokio::time::Instant::now();
     let ((), guard) = tokio::join!(pause, work);
@@ -24,7 +24,7 @@
     assert_eq!(started.elapsed().as_secs(), 5, "work is under way");
     drop(guard);
     assert!(!activity.is_active());
-    activity.idle().await;
+    activity.wait_until_idle().await;
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/front/tests/capacity_duty.rs
+++ b/crates/front/tests/capacity_duty.rs
@@ -8,14 +8,14 @@
 use std::time::Duration;
 
 use futures_util::future::BoxFuture;
-use ladderstage_front::backend::{BackendTable, Discovered};
+use ladderstage_front::backend::{BackendTable, DiscoveredInstance};
 use ladderstage_front::capacity::{
-    CapacityDuty, CapacityOrder, CapacityOrderError, CapacitySink, InstanceKind,
+    CapacityController, CapacityOrder, CapacityOrderError, CapacitySink, InstanceKind,
 };
-use ladderstage_front::config::{ConfigInForce, ScalingSpec, ServiceSpec, ServingConfig};
+use ladderstage_front::config::{CurrentConfig, ScalingSpec, ServiceSpec, ServingConfig};
 use ladderstage_front::metrics::Metrics;
-use ladderstage_front::orders::GiverLease;
-use ladderstage_front::roster::DirectView;
+use ladderstage_front::orders::OrdersLease;
+use ladderstage_front::roster::DiscoveryView;
 use support::memory_store::{MemoryStore, NodeFaults};
 
 const SERVICE: &str = "model";
@@ -57,7 +57,7 @@
         let orders = self.orders().into_iter().rev();
         let mut taken = orders.filter(|(_, outcome)| *outcome == "taken");
         taken
-            .find(|(order, _)| order.subject.zone.as_ref() == zone)
+            .find(|(order, _)| order.pool.zone.as_ref() == zone)
             .map(|(order, _)| order)
     }
 
@@ -65,8 +65,8 @@
         if let Some(failure) = self.failures.lock().unwrap().pop_front() {
             return Err(failure);
         }
-        if self.empty_zones.contains(order.subject.zone.as_ref()) {
-            return Err(CapacityOrderError::NoneToBeHad);
+        if self.empty_zones.contains(order.pool.zone.as_ref()) {
+            return Err(CapacityOrderError::Unavailable);
         }
         Ok(())
     }
@@ -91,8 +91,8 @@
     }
 }
 
-fn instance(zone: &str, index: usize) -> Discovered {
-    Discovered {
+fn instance(zone: &str, index: usize) -> DiscoveredInstance {
+    DiscoveredInstance {
         id: format!("{zone}-{index}"),
         service: SERVICE.to_owned(),
         address: "127.0.0.1:9".parse().unwrap(),
@@ -107,11 +107,11 @@
     }
 }
 
-fn config(has_bounds: bool) -> ConfigInForce {
+fn config(has_bounds: bool) -> CurrentConfig {
     let scaling = ScalingSpec {
-        least: 1,
-        most: 8,
-        boot: Duration::from_secs(4),
+        min_per_zone: 1,
+        max_per_zone: 8,
+        boot_time: Duration::from_secs(4),
         preemptible_price: Some(0.2),
         zone_prices: BTreeMap::new(),
     };
@@ -119,8 +119,8 @@
         scaling: has_bounds.then_some(scaling),
         ..ServiceSpec::default()
     };
-    let config = ConfigInForce::default();
-    config.offer(ServingConfig {
+    let config = CurrentConfig::default();
+    config.apply_if_newer(ServingConfig {
         version: 1,
         services: BTreeMap::from([(SERVICE.to_owned(), service)]),
         ..ServingConfig::default()
@@ -130,8 +130,8 @@
 
 /// One node with a fleet of two instances in each of three zones, the store as it sees it, and a receiver.
 struct Node {
-    duty: CapacityDuty,
-    lease: GiverLease,
+    duty: CapacityController,
+    lease: OrdersLease,
     receiver: Arc<Receiver>,
 }
 
@@ -143,22 +143,22 @@
         for zone in ZONES {
             (0..2).for_each(|index| backends.upsert(instance(zone, index)));
         }
-        let view = DirectView::default();
-        view.note(1);
-        let duty = CapacityDuty {
+        let view = DiscoveryView::default();
+        view.set_known(1);
+        let duty = CapacityController {
             coordination: coordination.clone(),
             node: name.to_owned(),
             backends,
             view,
             config: config(true),
             sink: receiver.clone(),
-            quiet: Duration::ZERO,
+            quiet_period: Duration::ZERO,
             metrics: Arc::new(Metrics::new()),
         };
-        let lease = GiverLease {
+        let lease = OrdersLease {
             coordination,
             node: name.to_owned(),
-            quiet: Duration::ZERO,
+            quiet_period: Duration::ZERO,
         };
         Self {
             duty,
@@ -170,14 +170,14 @@
     /// Holds the lease until something was seen, and then ends like a process that is killed.
     async fn hold_until<T>(&self, seen: impl Future<Output = T>) -> T {
         let held = loop {
-            if let Some(held) = self.lease.take().await.unwrap() {
+            if let Some(held) = self.lease.acquire().await.unwrap() {
                 break held;
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         };
         tokio::select! {
             seen = tokio::time::timeout(PATIENCE, seen) => seen.expect("seen in time"),
-            loss = self.lease.keep(&held) => panic!("the lease is lost: {loss}"),
+            loss = self.lease.renew_until_lost(&held) => panic!("the lease is lost: {loss}"),
             () = self.duty.run(&self.lease, &held) => panic!("the duty ended"),
         }
     }
@@ -209,7 +209,7 @@
     node.drain("b");
     let receiver = Arc::clone(&node.receiver);
     let order = node.hold_until(eventually(|| receiver.taken("a"))).await;
-    assert_eq!(order.subject.kind, InstanceKind::Preemptible);
+    assert_eq!(order.pool.kind, InstanceKind::Preemptible);
     assert_eq!((order.desired, order.holder.as_str()), (1, "one"));
     let other = node.hold_until(eventually(|| receiver.taken("c"))).await;
     assert_eq!(other.desired, 1);
@@ -241,7 +241,7 @@
             .all(|(earlier, _)| earlier.fence < order.fence)
     );
     assert!(earlier.iter().any(|(earlier, _)| {
-        earlier.subject == order.subject && earlier.desired == order.desired
+        earlier.pool == order.pool && earlier.desired == order.desired
     }));
     assert_eq!(
         fixed(&store).unwrap(),
@@ -315,7 +315,7 @@
         store.set_faults(
             "one",
             NodeFaults {
-                late_swap: Some(Duration::ZERO),
+                delayed_swap: Some(Duration::ZERO),
                 ..NodeFaults::default()
             },
         );
@@ -332,7 +332,7 @@
 async fn an_old_listing_orders_nothing() {
     let store = MemoryStore::default();
     let node = Node::new("one", &store, Receiver::default());
-    node.duty.view.note_lost();
+    node.duty.view.mark_unavailable();
     node.drain("b");
     let receiver = Arc::clone(&node.receiver);
     node.hold_until(async {
@@ -341,7 +341,7 @@
         tokio::time::sleep(Duration::from_secs(4)).await;
         assert!(receiver.orders().is_empty());
         assert_eq!(fixed(&store), None);
-        node.duty.view.note(2);
+        node.duty.view.set_known(2);
         eventually(|| receiver.taken("a")).await;
     })
     .await;
@@ -356,7 +356,7 @@
         .hold_until(eventually(|| first.receiver.taken("a")))
         .await;
     let mut second = Node::new("two", &store, Receiver::default());
-    second.duty.quiet = Duration::from_secs(3_600);
+    second.duty.quiet_period = Duration::from_secs(3_600);
     second.drain("c");
     let before = fixed(&store);
     second
--- a/crates/front/tests/capacity_plan.rs
+++ b/crates/front/tests/capacity_plan.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 use ladderstage_clock::Instant;
-use ladderstage_front::backend::Discovered;
+use ladderstage_front::backend::DiscoveredInstance;
 use ladderstage_front::capacity::{
     CapacityOrderError, CapacityPlanner, CountWanted, FleetNow, InstanceKind, LossReason, Outbox,
-    Subject, WantedCapacity,
+    InstancePool, WantedCapacity,
 };
 use ladderstage_front::config::{ScalingSpec, ServiceSpec};
 use proptest::prelude::*;
@@ -45,9 +45,9 @@
     let prices = [("a", 0.85), ("b", 1.2), ("c", 1.0)];
     ServiceSpec {
         scaling: Some(ScalingSpec {
-            least: 1,
-            most: MOST,
-            boot: Duration::from_secs(4),
+            min_per_zone: 1,
+            max_per_zone: MOST,
+            boot_time: Duration::from_secs(4),
             preemptible_price,
             zone_prices: prices.map(|(zone, price)| (zone.to_owned(), price)).into(),
         }),
@@ -55,8 +55,8 @@
     }
 }
 
-fn subject(zone: &str, kind: InstanceKind) -> Subject {
-    Subject {
+fn pool(zone: &str, kind: InstanceKind) -> InstancePool {
+    InstancePool {
         service: SERVICE.into(),
         zone: zone.into(),
         kind,
@@ -116,10 +116,10 @@
         }
     }
 
-    fn discovered(&self) -> Vec<Discovered> {
+    fn discovered(&self) -> Vec<DiscoveredInstance> {
         let instances = self.instances.iter();
         instances
-            .map(|(id, (zone, kind, state))| Discovered {
+            .map(|(id, (zone, kind, state))| DiscoveredInstance {
                 id: id.clone(),
                 service: SERVICE.to_owned(),
                 address: "127.0.0.1:9".parse().unwrap(),
@@ -162,7 +162,7 @@
     }
 
     fn wanted(&self, zone: &str, kind: InstanceKind) -> CountWanted {
-        self.planner.wanted().get(&subject(zone, kind))
+        self.planner.wanted().get(&pool(zone, kind))
     }
 
     /// Preemptible instances ordered by zone.
@@ -278,7 +278,7 @@
     assert_eq!(fleet.look(), []);
     assert_eq!(fleet.extra(), [0, 4, 0], "those still to come stay as well");
     let again = || fleet.planner.to_order_again(&fleet.drained, fleet.now);
-    assert_eq!(again(), [subject("b", PREEMPTIBLE)]);
+    assert_eq!(again(), [pool("b", PREEMPTIBLE)]);
     fleet.deliver();
     fleet.look();
     assert_eq!(fleet.planner.to_order_again(&fleet.drained, fleet.now), []);
@@ -291,7 +291,7 @@
     fleet.look();
     assert_eq!(fleet.extra(), [0, 2, 0]);
     let now = fleet.now;
-    fleet.planner.note_refused(&subject("b", PREEMPTIBLE), now);
+    fleet.planner.note_refused(&pool("b", PREEMPTIBLE), now);
     fleet.look();
     assert_eq!(fleet.extra(), [1, 0, 1]);
 }
@@ -303,7 +303,7 @@
     fleet.look();
     for zone in ZONES {
         let now = fleet.now;
-        fleet.planner.note_refused(&subject(zone, PREEMPTIBLE), now);
+        fleet.planner.note_refused(&pool(zone, PREEMPTIBLE), now);
     }
     fleet.look();
     assert_eq!(fleet.extra(), [0; 3]);
@@ -340,7 +340,7 @@
     fleet.remove("b", PREEMPTIBLE, 2);
     fleet.wait(LONG);
     let again = fleet.planner.to_order_again(&fleet.drained, fleet.now);
-    assert!(again.contains(&subject("b", PREEMPTIBLE)));
+    assert!(again.contains(&pool("b", PREEMPTIBLE)));
     assert_eq!(fleet.wanted("b", PREEMPTIBLE).found, 2);
 }
 
@@ -450,8 +450,8 @@
                 self.drained.remove(ZONES[*zone]);
             }
             Step::Refuse(zone, preemptible) => {
-                let subject = subject(ZONES[*zone], kind(*preemptible));
-                self.planner.note_refused(&subject, self.now);
+                let pool = pool(ZONES[*zone], kind(*preemptible));
+                self.planner.note_refused(&pool, self.now);
             }
             Step::Forget => self.planner.note_unknown(),
             Step::Deliver => self.deliver(),
@@ -497,7 +497,7 @@
                 let known = fleet.planner.wanted();
                 let is_settled = [KEPT, PREEMPTIBLE]
                     .iter()
-                    .all(|kind| known.get(&subject(zone, *kind)).extra == 0);
+                    .all(|kind| known.get(&pool(zone, *kind)).extra == 0);
                 // Nothing is ordered into a drained zone once it is known what is there.
                 if !steps.iter().any(|step| matches!(step, Step::Forget | Step::NewHolder)) {
                     prop_assert!(is_settled);
@@ -535,7 +535,7 @@
 
 #[test]
 fn an_order_is_sent_until_it_is_answered_and_once_more_after_one_that_may_come_late() {
-    let (a, start) = (subject("a", PREEMPTIBLE), Instant::now());
+    let (a, start) = (pool("a", PREEMPTIBLE), Instant::now());
     let pause = Duration::from_secs(6);
     let lost = || Err(CapacityOrderError::Unknown("no answer".to_owned()));
     let mut outbox = Outbox::default();
@@ -553,7 +553,7 @@
 
 #[test]
 fn an_order_that_was_overtaken_by_a_newer_count_is_not_taken() {
-    let (a, start) = (subject("a", PREEMPTIBLE), Instant::now());
+    let (a, start) = (pool("a", PREEMPTIBLE), Instant::now());
     let mut outbox = Outbox::default();
     outbox.want(&a, 6, start);
     outbox.want(&a, 2, start);
@@ -563,7 +563,7 @@
 
 #[test]
 fn orders_that_are_refused_come_again_after_pauses_that_grow() {
-    let (a, start) = (subject("a", PREEMPTIBLE), Instant::now());
+    let (a, start) = (pool("a", PREEMPTIBLE), Instant::now());
     let mut outbox = Outbox::default();
     outbox.want(&a, 6, start);
     let mut now = start;
@@ -589,7 +589,7 @@
         extra: 2,
         is_ordered: true,
     };
-    wanted.set(&subject("a", PREEMPTIBLE), count);
+    wanted.set(&pool("a", PREEMPTIBLE), count);
     let text = serde_json::to_string(&wanted).unwrap();
     assert_eq!(
         serde_json::from_str::<WantedCapacity>(&text).unwrap(),
@@ -597,5 +597,5 @@
     );
     let later = r#"{"services":{"model":{"a":{"preemptible":{"found":5,"of_later":1},"of_later":{}}}},"of_later":[]}"#;
     let read: WantedCapacity = serde_json::from_str(later).unwrap();
-    assert_eq!(read.get(&subject("a", PREEMPTIBLE)).desired(), 5);
+    assert_eq!(read.get(&pool("a", PREEMPTIBLE)).desired(), 5);
 }
--- a/crates/front/tests/cold_instances.rs
+++ b/crates/front/tests/cold_instances.rs
@@ -5,11 +5,11 @@
 
 use ladderstage_clock::Instant;
 use ladderstage_front::backend::{
-    BackendTable, ColdAllowance, ColdLimit, ColdState, Demand, Discovered, HoldReason,
+    BackendTable, ColdAllowance, ColdLimit, ColdState, Demand, DiscoveredInstance, HoldReason,
     PERMIT_LIFETIME, SEND_WINDOW, SendShare, WRITE_MARGIN, Warmth,
 };
 use ladderstage_front::config::{ColdSpec, ServiceSpec, ServingConfig};
-use ladderstage_front::orders::{PermitLedger, QUIET_TIME};
+use ladderstage_front::orders::{PermitLedger, PERMIT_QUIET_PERIOD};
 use ladderstage_front::roster::Roster;
 use proptest::prelude::*;
 
@@ -36,8 +36,8 @@
     Duration::from_millis(milliseconds)
 }
 
-fn word(id: &str, cold_ms: u64) -> Discovered {
-    Discovered {
+fn word(id: &str, cold_ms: u64) -> DiscoveredInstance {
+    DiscoveredInstance {
         id: id.to_owned(),
         service: "service".to_owned(),
         address: "127.0.0.1:9".parse().unwrap(),
@@ -153,7 +153,7 @@
     first.started_unix_ms = 100;
     table.upsert(first);
     let now = Instant::now();
-    table.note_start(&table.get("i-1").unwrap(), 200);
+    table.record_incarnation(&table.get("i-1").unwrap(), 200);
     let again = table.get("i-1").unwrap();
     assert!(again.take_send(now).is_ok(), "one shows whether it runs");
     assert_eq!(again.take_send(now), Err(HoldReason::Cold));
@@ -189,8 +189,8 @@
     table.upsert(word("i-1", 3_000));
     let choose = || table.choose("service", "", Demand::Batch, |_| true);
     assert!(choose().is_none());
-    let wants = table.gates().wants.take_noted();
-    assert_eq!(wants.get("i-1").map(String::as_str), Some("service"));
+    let permit_requests = table.gates().permit_requests.drain_pending();
+    assert_eq!(permit_requests.get("i-1").map(String::as_str), Some("service"));
     let instance = table.get("i-1").unwrap();
     instance.add_permits(2, Instant::now() + Duration::from_secs(60));
     assert!(choose().is_some() && choose().is_some());
@@ -317,15 +317,15 @@
     let limit = limit();
     let held_from = Instant::now();
     let mut ledger = PermitLedger::new(held_from);
-    let first = held_from + QUIET_TIME;
-    assert_eq!(ledger.deal("i-1", 100, limit.dealt, first), limit.dealt);
+    let first = held_from + PERMIT_QUIET_PERIOD;
+    assert_eq!(ledger.issue("i-1", 100, limit.dealt, first), limit.dealt);
     let used_late = first + PERMIT_LIFETIME - ms(1);
     let within_a_second = used_late + SEND_WINDOW;
-    assert_eq!(ledger.deal("i-1", 100, limit.dealt, within_a_second), 0);
-    let another = ledger.deal("i-2", 100, limit.dealt, within_a_second);
+    assert_eq!(ledger.issue("i-1", 100, limit.dealt, within_a_second), 0);
+    let another = ledger.issue("i-2", 100, limit.dealt, within_a_second);
     assert_eq!(another, limit.dealt, "each instance has its own");
-    let later = first + QUIET_TIME + ms(1);
-    assert_eq!(ledger.deal("i-1", 100, limit.dealt, later), limit.dealt);
+    let later = first + PERMIT_QUIET_PERIOD + ms(1);
+    assert_eq!(ledger.issue("i-1", 100, limit.dealt, later), limit.dealt);
 }
 
 proptest! {
@@ -335,7 +335,7 @@
         let limit = limit();
         let mut now = Instant::now();
         let mut ledger = PermitLedger::new(now);
-        now += QUIET_TIME;
+        now += PERMIT_QUIET_PERIOD;
         let mut shares = vec![SendShare::default(); NODES];
         let mut on_the_way = Vec::new();
         let mut sent = Vec::new();
@@ -343,7 +343,7 @@
             match step {
                 Step::Pass(time) => now += ms(time),
                 Step::Ask { node, wanted, answer_after } => {
-                    let count = ledger.deal("i-1", wanted, limit.dealt, now);
+                    let count = ledger.issue("i-1", wanted, limit.dealt, now);
                     if let Some(after) = answer_after {
                         on_the_way.push((now + ms(after), node, count, now + PERMIT_LIFETIME));
                     }
--- a/crates/front/tests/ended_givers.rs
+++ b/crates/front/tests/ended_givers.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ladderstage_clock::Instant;
-use ladderstage_front::orders::{EndedGivers, LastGiver};
+use ladderstage_front::orders::{FormerLeaders, LastLeader};
 use ladderstage_wire::messages::{GiverEnd, RecentOrder};
 
 fn end(node: &str, fence: u64, ages_ms: &[(&str, u64)]) -> GiverEnd {
@@ -18,8 +18,8 @@
     }
 }
 
-fn giver(node: &str, fence: u64) -> LastGiver {
-    LastGiver {
+fn giver(node: &str, fence: u64) -> LastLeader {
+    LastLeader {
         node: node.to_owned(),
         fence,
     }
@@ -27,10 +27,10 @@
 
 #[test]
 fn only_the_word_of_that_very_giver_counts() {
-    let ended = EndedGivers::default();
+    let ended = FormerLeaders::default();
     let now = Instant::now() + Duration::from_secs(60);
     assert_eq!(ended.orders_of(&giver("front-1", 7)), None);
-    ended.note(&end("front-1", 7, &[("i-1", 400)]), now);
+    ended.record(&end("front-1", 7, &[("i-1", 400)]), now);
     let sent_at = now - Duration::from_millis(400);
     assert_eq!(
         ended.orders_of(&giver("front-1", 7)),
@@ -46,10 +46,10 @@
 
 #[test]
 fn a_late_word_of_an_earlier_giver_does_not_replace_a_newer_one() {
-    let ended = EndedGivers::default();
+    let ended = FormerLeaders::default();
     let now = Instant::now();
-    ended.note(&end("front-2", 9, &[]), now);
-    ended.note(&end("front-1", 7, &[]), now);
+    ended.record(&end("front-2", 9, &[]), now);
+    ended.record(&end("front-1", 7, &[]), now);
     assert_eq!(ended.orders_of(&giver("front-1", 7)), None);
     assert_eq!(ended.orders_of(&giver("front-2", 9)), Some(Vec::new()));
 }
--- a/crates/front/tests/explain.rs
+++ b/crates/front/tests/explain.rs
@@ -1,6 +1,6 @@
 //! Stories told from log lines.
 
-use ladderstage_front::explain::{LogLine, Story, steps, table};
+use ladderstage_front::explain::{LogLine, Timeline, steps, render_table};
 
 const LOG: &str = r#"
    4.1000 front-a time=100.100 level=info node=front-a module=m event=job_accepted job=j1 items=2
@@ -13,13 +13,13 @@
 time=101.001 level=info node=front-b module=m event=request_answered request=r1 route=x config=7 status=200 elapsed_ms=10
 "#;
 
-fn story(id: &str) -> Story {
+fn story(id: &str) -> Timeline {
     let lines: Vec<LogLine> = LOG.lines().filter_map(LogLine::parse).collect();
     assert_eq!(lines.len(), 7);
-    Story::tell(id, &lines)
+    Timeline::build(id, &lines)
 }
 
-fn events(story: &Story) -> Vec<&str> {
+fn events(story: &Timeline) -> Vec<&str> {
     story.steps.iter().map(|step| step.event.as_str()).collect()
 }
 
@@ -88,7 +88,7 @@
         "the score counts: {row:?}"
     );
     assert!(is_near(row.ended.unwrap(), 2.0));
-    assert!(table(&rows).contains("i1 events=3"));
+    assert!(render_table(&rows).contains("i1 events=3"));
 }
 
 #[test]
@@ -100,7 +100,7 @@
 "#;
     let lines: Vec<LogLine> = log.lines().filter_map(LogLine::parse).collect();
     assert_eq!(steps(&lines)[0].far_runs, 1);
-    let story = Story::tell("i1", &lines).to_string();
+    let story = Timeline::build("i1", &lines).to_string();
     assert!(story.contains("distance=elsewhere"), "{story}");
 }
 
@@ -126,7 +126,7 @@
 #[test]
 fn the_story_of_a_held_request_leads_to_the_instances_that_ended_under_others_of_its_content() {
     let lines: Vec<LogLine> = HELD.lines().filter_map(LogLine::parse).collect();
-    let story = Story::tell("r4", &lines);
+    let story = Timeline::build("r4", &lines);
     let expected = ["run_broken", "run_broken", "suspect_heard", "run_held_back"];
     assert_eq!(events(&story), expected);
     assert!(story.steps[0].details.contains("instance=s1"));
@@ -145,10 +145,10 @@
 #[test]
 fn the_story_of_a_request_that_drains_left_no_instance_leads_to_the_drains() {
     let lines: Vec<LogLine> = DRAINED.lines().filter_map(LogLine::parse).collect();
-    let held = Story::tell("r1", &lines);
+    let held = Timeline::build("r1", &lines);
     let expected = ["zone_drain_began", "request_held_back", "zone_drain_ended"];
     assert_eq!(events(&held), expected);
-    assert_eq!(events(&Story::tell("r2", &lines)), ["attempt"]);
+    assert_eq!(events(&Timeline::build("r2", &lines)), ["attempt"]);
 }
 
 #[test]
@@ -163,7 +163,7 @@
         .flat_map(str::lines)
         .filter_map(LogLine::parse)
         .collect();
-    let told = Story::tell("i1", &lines);
+    let told = Timeline::build("i1", &lines);
     let expected = [
         "capacity_lost",
         "job_accepted",
@@ -175,7 +175,7 @@
     assert_eq!(events(&told), expected);
     assert!(told.to_string().contains("reason=zone_drained"));
     // A request that was answered needs no cause.
-    let calm = Story::tell("r1", &lines);
+    let calm = Timeline::build("r1", &lines);
     assert_eq!(events(&calm), ["attempt", "request_answered"]);
 }
 
@@ -186,7 +186,7 @@
 time=100.101 level=warn node=front-a module=m event=request_answered request=r2 route=x config=7 status=503 elapsed_ms=151
 "#;
     let lines: Vec<LogLine> = log.lines().filter_map(LogLine::parse).collect();
-    let story = Story::tell("r2", &lines);
+    let story = Timeline::build("r2", &lines);
     assert_eq!(events(&story), ["no_instance", "request_answered"]);
     let text = story.to_string();
     assert!(text.contains("held_back=cold:3,zone_drained:15"), "{text}");
--- a/crates/front/tests/following.rs
+++ b/crates/front/tests/following.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use ladderstage_front::coordination::{
-    Change, Coordination, Follower, Observed, StoreCalls, Update, follow, follow_with,
+    Change, Coordination, Follower, ObservedStore, StoreCallMetrics, Update, follow, follow_with,
 };
 use support::memory_store::{MemoryStore, NodeFaults};
 use tokio::time::sleep;
@@ -34,9 +34,9 @@
             () = follow_with(followed, "instances/", &mut follower) => unreachable!("a follower goes on for ever"),
             () = forgetting => {}
         }
-        let mut listed_at = store.called_at("node", "list_stale", "instances/");
-        listed_at.extend(store.called_at("node", "list", "instances/"));
-        let watched_at = store.called_at("node", "watch", "instances/");
+        let mut listed_at = store.call_times("node", "list_stale", "instances/");
+        listed_at.extend(store.call_times("node", "list", "instances/"));
+        let watched_at = store.call_times("node", "watch", "instances/");
         assert_eq!(listed_at.len(), 2);
         if begins_stale {
             // The watch was under way.
@@ -59,7 +59,7 @@
         sleep(self.gather)
     }
 
-    fn take(&mut self, _: Update, _: u64) {}
+    fn on_update(&mut self, _: Update, _: u64) {}
 
     fn may_begin_stale(&self) -> bool {
         self.begins_stale
@@ -127,7 +127,7 @@
         ..NodeFaults::default()
     };
     let observed: Arc<dyn Coordination> =
-        Arc::new(Observed::new(store.of("node"), StoreCalls::default()));
+        Arc::new(ObservedStore::new(store.of("node"), StoreCallMetrics::default()));
     let lease = observed.grant(Duration::from_secs(60)).await.unwrap();
     store.set_faults("node", refused);
     let following = follow(
@@ -165,9 +165,9 @@
             sleep(Duration::from_millis(10))
         }
 
-        fn take(&mut self, _: Update, _: u64) {}
+        fn on_update(&mut self, _: Update, _: u64) {}
 
-        fn longest_watch(&self) -> Duration {
+        fn max_watch_duration(&self) -> Duration {
             Duration::from_secs(5)
         }
     }
--- a/crates/front/tests/formats.rs
+++ b/crates/front/tests/formats.rs
@@ -13,7 +13,7 @@
 use ladderstage_front::coordination::{Coordination, Record};
 use ladderstage_front::nodes::{FormatLevel, NodeRecord, NodeRole, Nodes, shared_level};
 use ladderstage_front::orders::{
-    GiverLease, LastGiver, LearntLoads, LearntWriter, LoadLimit, learnt_limit,
+    OrdersLease, LastLeader, LearnedLoadLimit, LoadLimitWriter, LoadLimit, restore_load_limit,
 };
 use ladderstage_front::roster::Roster;
 use ladderstage_front::suspects::SuspectRecord;
@@ -162,11 +162,11 @@
         let store = MemoryStore::default();
         store.write(LEARNT_KEY, written["learnt"].as_bytes().to_vec());
         let coordination: Arc<dyn Coordination> = Arc::new(store.of("front-2"));
-        let limit = learnt_limit(&LearntLoads::default(), coordination.as_ref()).await;
+        let limit = restore_load_limit(&LearnedLoadLimit::default(), coordination.as_ref()).await;
         let limit: LoadLimit = limit.unwrap();
-        assert_eq!((limit.get(), limit.is_near()), (11, true));
+        assert_eq!((limit.get(), limit.is_near_capacity()), (11, true));
         store.remove(LEARNT_KEY);
-        let mut writer = LearntWriter::default();
+        let mut writer = LoadLimitWriter::default();
         writer.save(&limit, &coordination);
         sleep(HEARD).await;
         assert_eq!(
@@ -182,27 +182,27 @@
         let store = MemoryStore::default();
         store.write(GIVER_KEY, written["giver"].as_bytes().to_vec());
         store.write(LAST_KEY, written["last"].as_bytes().to_vec());
-        let lease = |node: &str| GiverLease {
+        let lease = |node: &str| OrdersLease {
             coordination: Arc::new(store.of(node)),
             node: node.to_owned(),
-            quiet: Duration::ZERO,
+            quiet_period: Duration::ZERO,
         };
         let other = lease("front-2");
         assert!(
-            other.take().await.unwrap().is_none(),
+            other.acquire().await.unwrap().is_none(),
             "held by an earlier build"
         );
         store.remove(GIVER_KEY);
-        let held = other.take().await.unwrap().unwrap();
-        let last = LastGiver {
+        let held = other.acquire().await.unwrap().unwrap();
+        let last = LastLeader {
             node: "front-1".to_owned(),
             fence: 2,
         };
         assert_eq!(held.last, Some(last));
         store.remove(GIVER_KEY);
         let again = lease("front-1");
-        let held = again.take().await.unwrap().unwrap();
-        assert!(again.may_order(&held).await.unwrap());
+        let held = again.acquire().await.unwrap().unwrap();
+        assert!(again.may_issue_orders(&held).await.unwrap());
         assert_eq!(store.read(GIVER_KEY).unwrap(), written["giver"].as_bytes());
         let named = format!("front-1 {}", held.fence);
         assert_eq!(store.read(LAST_KEY).unwrap(), named.as_bytes());
@@ -219,7 +219,7 @@
     let known = || (level(), nodes.nodes_behind().get());
     assert_eq!(level(), FormatLevel::UNNAMED, "the others are not known");
     let activity = Activity::default();
-    let _work = activity.begin();
+    let _work = activity.start();
     let put = async |text: &str| {
         store.write("ladderstage/node/other", text.as_bytes().to_vec());
         sleep(HEARD).await;
--- a/crates/front/tests/instance_starts.rs
+++ b/crates/front/tests/instance_starts.rs
@@ -5,13 +5,13 @@
 use std::time::Duration;
 
 use ladderstage_clock::Instant;
-use ladderstage_front::backend::{BackendTable, Discovered, Instance, Load};
+use ladderstage_front::backend::{BackendTable, DiscoveredInstance, Instance, Load};
 use proptest::prelude::*;
 
 const MODEL: &str = "model";
 
-fn word(started_unix_ms: u64, version: u64) -> Discovered {
-    Discovered {
+fn word(started_unix_ms: u64, version: u64) -> DiscoveredInstance {
+    DiscoveredInstance {
         id: "i-1".to_owned(),
         service: "service".to_owned(),
         address: "127.0.0.1:9".parse().unwrap(),
@@ -42,10 +42,10 @@
         slots: 8,
     };
     earlier.note_load(load, now);
-    earlier.note_pace(900.0, now);
-    earlier.note_failure(now);
-    earlier.note_loading(MODEL, now + Duration::from_secs(9));
-    let _run = earlier.begin();
+    earlier.record_unit_time(900.0, now);
+    earlier.record_failure(now);
+    earlier.mark_loading(MODEL, now + Duration::from_secs(9));
+    let _run = earlier.track_request();
     assert!(!earlier.is_usable(MODEL, now));
     table.upsert(word(200, 6));
     let later = known(&table);
@@ -56,10 +56,10 @@
         "weights of the earlier start are gone"
     );
     let candidate = later.candidate("a", now);
-    assert_eq!((candidate.load, candidate.pace_ms), (0, None));
+    assert_eq!((candidate.load, candidate.unit_time_ms), (0, None));
     assert!(later.is_usable(MODEL, now));
     // What still comes of the earlier start is noted there only.
-    earlier.note_version(MODEL, 9);
+    earlier.record_version(MODEL, 9);
     assert_eq!(later.version(MODEL), 6);
 }
 
@@ -81,7 +81,7 @@
     let table = BackendTable::new("a");
     table.upsert(word(100, 7));
     let earlier = known(&table);
-    table.note_start(&earlier, 200);
+    table.record_incarnation(&earlier, 200);
     assert!(earlier.has_ended());
     assert_eq!(known(&table).started_unix_ms(), 200);
     assert_eq!(
@@ -94,7 +94,7 @@
     assert_eq!(known(&table).version(MODEL), 0);
     table.upsert(word(200, 5));
     assert_eq!(known(&table).version(MODEL), 5);
-    table.note_start(&known(&table), 100);
+    table.record_incarnation(&known(&table), 100);
     assert_eq!(known(&table).started_unix_ms(), 200);
 }
 
@@ -105,7 +105,7 @@
     table.upsert(word(0, 6));
     assert_eq!(known(&table).version(MODEL), 7);
     assert!(
-        known(&table).is_start(100),
+        known(&table).matches_incarnation(100),
         "a word about any start is about it"
     );
 }
--- a/crates/front/tests/learnt_loads.rs
+++ b/crates/front/tests/learnt_loads.rs
@@ -6,13 +6,13 @@
 use std::time::Duration;
 
 use ladderstage_front::coordination::Coordination;
-use ladderstage_front::orders::{LearntLoads, LearntWriter, LoadLimit, learnt_limit};
+use ladderstage_front::orders::{LearnedLoadLimit, LoadLimitWriter, LoadLimit, restore_load_limit};
 use support::memory_store::{MemoryStore, NodeFaults};
 
 const KEY: &str = "ladderstage/orders/learnt";
 
 fn learnt(limit: usize) -> LoadLimit {
-    LoadLimit::from_learnt(limit, Duration::from_millis(1_020), true)
+    LoadLimit::from_learned(limit, Duration::from_millis(1_020), true)
 }
 
 /// The store's answers come at once, on another task.
@@ -30,21 +30,21 @@
 async fn a_giver_after_a_kill_of_all_goes_on_from_what_was_learnt() {
     let store = MemoryStore::default();
     let before: Arc<dyn Coordination> = Arc::new(store.of("front-1"));
-    LearntWriter::default().save(&LoadLimit::default(), &before);
+    LoadLimitWriter::default().save(&LoadLimit::default(), &before);
     tokio::task::yield_now().await;
     assert_eq!(
         store.read(KEY),
         None,
         "nothing is learnt before the first load"
     );
-    let mut writer = LearntWriter::default();
+    let mut writer = LoadLimitWriter::default();
     writer.save(&learnt(11), &before);
     written(&store).await;
     let after = store.of("front-2");
-    let limit = learnt_limit(&LearntLoads::default(), &after).await.unwrap();
+    let limit = restore_load_limit(&LearnedLoadLimit::default(), &after).await.unwrap();
     assert_eq!(limit.get(), 11);
-    assert_eq!(limit.usual(), Some(Duration::from_millis(1_020)));
-    assert!(limit.is_near());
+    assert_eq!(limit.typical_load_time(), Some(Duration::from_millis(1_020)));
+    assert!(limit.is_near_capacity());
 }
 
 #[tokio::test(start_paused = true)]
@@ -54,32 +54,32 @@
         KEY,
         br#"{"limit":30,"usual_ms":900,"is_near":false}"#.to_vec(),
     );
-    let told = LearntLoads::default();
-    told.note(&learnt(9));
-    let limit = learnt_limit(&told, &store.of("front-1")).await.unwrap();
+    let told = LearnedLoadLimit::default();
+    told.record(&learnt(9));
+    let limit = restore_load_limit(&told, &store.of("front-1")).await.unwrap();
     assert_eq!(limit.get(), 9);
 }
 
 #[tokio::test(start_paused = true)]
 async fn without_a_usable_record_a_giver_begins_as_the_first_one() {
     let store = MemoryStore::default();
-    let nothing = LearntLoads::default();
-    assert!(learnt_limit(&nothing, &store.of("front-1")).await.is_none());
+    let nothing = LearnedLoadLimit::default();
+    assert!(restore_load_limit(&nothing, &store.of("front-1")).await.is_none());
     store.write(KEY, b"damaged".to_vec());
-    assert!(learnt_limit(&nothing, &store.of("front-1")).await.is_none());
-    let is_cut_off = NodeFaults {
-        is_cut_off: true,
+    assert!(restore_load_limit(&nothing, &store.of("front-1")).await.is_none());
+    let is_partitioned = NodeFaults {
+        is_partitioned: true,
         ..NodeFaults::default()
     };
-    store.set_faults("front-1", is_cut_off);
-    assert!(learnt_limit(&nothing, &store.of("front-1")).await.is_none());
+    store.set_faults("front-1", is_partitioned);
+    assert!(restore_load_limit(&nothing, &store.of("front-1")).await.is_none());
 }
 
 #[tokio::test(start_paused = true)]
 async fn the_record_is_written_now_and_then_only() {
     let store = MemoryStore::default();
     let node: Arc<dyn Coordination> = Arc::new(store.of("front-1"));
-    let mut writer = LearntWriter::default();
+    let mut writer = LoadLimitWriter::default();
     for limit in [4, 8, 8, 14] {
         writer.save(&learnt(limit), &node);
         written(&store).await;
--- a/crates/front/tests/load_limit.rs
+++ b/crates/front/tests/load_limit.rs
@@ -236,7 +236,7 @@
 fn loads_that_were_noticed_late_do_not_lower_the_limit() {
     let start = Instant::now();
     let least = Duration::from_millis(900);
-    let mut limit = LoadLimit::from_learnt(6, least, true);
+    let mut limit = LoadLimit::from_learned(6, least, true);
     let mut link = LinkUse::default();
     link.set_loads(6, start);
     let slow = |timing| {
@@ -264,7 +264,7 @@
 fn a_burst_of_too_many_loads_lowers_the_limit_once() {
     let start = Instant::now();
     let least = Duration::from_millis(900);
-    let mut limit = LoadLimit::from_learnt(25, least, true);
+    let mut limit = LoadLimit::from_learned(25, least, true);
     let mut link = LinkUse::default();
     link.set_loads(25, start);
     let burst = |taken_ms| {
@@ -368,7 +368,7 @@
 fn a_new_giver_goes_on_with_the_rise_of_the_one_before() {
     for pace in PACES {
         let mut shared = SharedLink::with_pace(24, pace);
-        shared.limit = LoadLimit::from_learnt(4, ALONE, false);
+        shared.limit = LoadLimit::from_learned(4, ALONE, false);
         let minute = busy_minute(&mut shared, |_, _| 1.0);
         assert!(minute.limits[5] >= 20, "{pace:?}: {:?}", minute.limits);
     }
@@ -378,7 +378,7 @@
 #[test]
 fn a_new_giver_does_not_double_what_was_full() {
     let mut shared = SharedLink::new(24);
-    shared.limit = LoadLimit::from_learnt(24, ALONE, true);
+    shared.limit = LoadLimit::from_learned(24, ALONE, true);
     let minute = busy_minute(&mut shared, |_, _| 1.0);
     assert!(
         minute.limits.iter().all(|limit| *limit <= 30),
--- a/crates/front/tests/nodes.rs
+++ b/crates/front/tests/nodes.rs
@@ -68,17 +68,17 @@
     let store = MemoryStore::default();
     let activity = Activity::default();
     let watcher = Running::start(&store, record("watcher", 7), &activity);
-    assert!(!watcher.nodes.is_gone(1), "nothing is known yet");
+    assert!(!watcher.nodes.has_exited(1), "nothing is known yet");
     let other = Running::start(&store, record("other", 1), &activity);
     sleep(STARTED).await;
-    assert!(!watcher.nodes.is_gone(1));
-    assert!(!watcher.nodes.is_gone(7), "this one");
+    assert!(!watcher.nodes.has_exited(1));
+    assert!(!watcher.nodes.has_exited(7), "this one");
     drop(other);
-    let _work = activity.begin();
+    let _work = activity.start();
     let _again = Running::start(&store, record("other", 2), &activity);
     sleep(Duration::from_millis(1_500)).await;
-    assert!(watcher.nodes.is_gone(1));
-    assert!(!watcher.nodes.is_gone(2));
+    assert!(watcher.nodes.has_exited(1));
+    assert!(!watcher.nodes.has_exited(2));
 }
 
 #[tokio::test(start_paused = true)]
@@ -130,9 +130,9 @@
     assert!(renewals <= 28, "{renewals}");
     assert!(store.calls("strong", "renew", "") >= 50);
     drop(strong);
-    let _work = activity.begin();
+    let _work = activity.start();
     sleep(Duration::from_secs(5)).await;
-    assert!(weak.nodes.is_gone(2), "followed closely now");
+    assert!(weak.nodes.has_exited(2), "followed closely now");
 }
 
 /// Other nodes miss one with work soon after it is gone.
@@ -147,11 +147,11 @@
     let weak = Running::start(&store, front("weak", 120, 1), &activity);
     let strong = Running::start(&store, front("strong", 500, 2), &activity);
     sleep(STARTED).await;
-    let _work = activity.begin();
+    let _work = activity.start();
     sleep(Duration::from_secs(5)).await;
     drop(weak);
     sleep(Duration::from_secs(5)).await;
-    assert!(strong.nodes.is_gone(1));
+    assert!(strong.nodes.has_exited(1));
 }
 
 /// A reading that comes late, or was stale, does not bring back what is known to be over.
--- a/crates/front/tests/pace.rs
+++ b/crates/front/tests/pace.rs
@@ -38,12 +38,12 @@
 /// Guards against choosing an idle but slower instance for the remainder of a long text.
 #[test]
 fn the_remainder_of_a_long_text_goes_to_the_fastest_instance_with_free_capacity() {
-    let instance = |load, pace_ms| Candidate {
+    let instance = |load, unit_time_ms| Candidate {
         load,
         slots: 8,
         distance: Distance::SameZone,
         round_trip_ms: None,
-        pace_ms: Some(pace_ms),
+        unit_time_ms: Some(unit_time_ms),
     };
     let idle_and_fast = [instance(0, 66.0), instance(5, 48.0), instance(1, 66.0)];
     assert_eq!(choose(&idle_and_fast, remaining_demand(4), 0), Some(0));
@@ -55,7 +55,7 @@
 /// Guards against waiting too long for the first event at an instance that hangs.
 #[test]
 fn the_first_event_timeout_follows_the_event_interval() {
-    let wait_ms = |pace_ms| first_event_timeout(pace_ms).as_millis();
+    let wait_ms = |unit_time_ms| first_event_timeout(unit_time_ms).as_millis();
     assert_eq!(wait_ms(Some(47.0)), 1_100);
     assert_eq!(wait_ms(Some(80.0)), 1_600);
     assert_eq!(wait_ms(Some(900.0)), 2_500);
@@ -77,7 +77,7 @@
         .collect();
     assert_eq!(paces.len(), 10);
     assert!(
-        paces.iter().all(|pace_ms| (pace_ms - 48.0).abs() < 1.0),
+        paces.iter().all(|unit_time_ms| (unit_time_ms - 48.0).abs() < 1.0),
         "{paces:?}"
     );
 }
@@ -85,20 +85,20 @@
 /// Guards against starving an interrupted text: new items would take every slot that becomes free.
 #[test]
 fn an_interrupted_text_queues_where_no_slot_is_free() {
-    let instance = |load, pace_ms| Candidate {
+    let instance = |load, unit_time_ms| Candidate {
         load,
         slots: 8,
         distance: Distance::SameZone,
         round_trip_ms: None,
-        pace_ms: Some(pace_ms),
+        unit_time_ms: Some(unit_time_ms),
     };
     let full = [instance(8, 66.0), instance(8, 48.0)];
     assert_eq!(choose(&full, Demand::Batch, 0), None);
-    assert_eq!(choose(&full, Demand::CutBatch, 0), Some(1));
+    assert_eq!(choose(&full, Demand::InterruptedBatch, 0), Some(1));
     let one_is_free = [instance(7, 66.0), instance(8, 48.0)];
-    assert_eq!(choose(&one_is_free, Demand::CutBatch, 0), Some(0));
+    assert_eq!(choose(&one_is_free, Demand::InterruptedBatch, 0), Some(0));
     let others_wait = [instance(9, 66.0), instance(9, 48.0)];
-    assert_eq!(choose(&others_wait, Demand::CutBatch, 0), None);
+    assert_eq!(choose(&others_wait, Demand::InterruptedBatch, 0), None);
 }
 
 /// Guards against hiding a late slowdown of an instance in the mean over the complete run.
--- a/crates/front/tests/region_choice.rs
+++ b/crates/front/tests/region_choice.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use ladderstage_front::backend::{BackendTable, Candidate, Demand, Discovered, choose};
+use ladderstage_front::backend::{BackendTable, Candidate, Demand, DiscoveredInstance, choose};
 use ladderstage_front::region::{AllowedRegions, Distance, RegionMap};
 use proptest::prelude::*;
 
@@ -20,13 +20,13 @@
 
 const SLOTS: u32 = 6;
 
-fn candidate(distance: Distance, load: u32, pace_ms: Option<f64>) -> Candidate {
+fn candidate(distance: Distance, load: u32, unit_time_ms: Option<f64>) -> Candidate {
     Candidate {
         load,
         slots: SLOTS,
         distance,
         round_trip_ms: (distance == Distance::Elsewhere).then_some(ROUND_TRIP_MS),
-        pace_ms,
+        unit_time_ms,
     }
 }
 
@@ -40,7 +40,7 @@
     let pace = match demand {
         Demand::Live => LIVE_MS + way,
         Demand::Scoring => REWARD_MS + way,
-        Demand::Batch | Demand::LongBatch | Demand::CutBatch => EVENT_MS,
+        Demand::Batch | Demand::LongBatch | Demand::InterruptedBatch => EVENT_MS,
     };
     candidate(distance, load, Some(pace))
 }
@@ -50,7 +50,7 @@
     Demand::Scoring,
     Demand::Batch,
     Demand::LongBatch,
-    Demand::CutBatch,
+    Demand::InterruptedBatch,
 ];
 
 #[test]
@@ -73,7 +73,7 @@
     let zones = zones.map(|(zone, region)| (zone.into(), region.into()));
     let table = BackendTable::new("e1").with_regions(RegionMap::new(zones.into()));
     for (id, zone) in [("near", "e1"), ("far", "w1"), ("lost", "unknown")] {
-        table.upsert(Discovered {
+        table.upsert(DiscoveredInstance {
             id: id.to_owned(),
             service: "service".to_owned(),
             address: "127.0.0.1:1".parse().unwrap(),
@@ -96,7 +96,7 @@
     let only = |region: &str| AllowedRegions::only([region.into()]);
     let chosen = |allowed: &AllowedRegions| {
         let first = table.choose_within("service", "", Demand::Live, allowed, |_| true);
-        let again = table.choose_again("service", allowed);
+        let again = table.choose_for_retry("service", allowed);
         [first, again].map(|one| one.map(|instance| instance.id().to_owned()))
     };
     for _ in 0..32 {
@@ -255,9 +255,9 @@
         random: u64,
     ) {
         let of = |index: usize, way: Option<f64>| {
-            let (load, is_near, pace_ms) = loads[index];
+            let (load, is_near, unit_time_ms) = loads[index];
             let distance = if is_near { Distance::SameZone } else { Distance::SameRegion };
-            Candidate { round_trip_ms: way, ..candidate(distance, load, pace_ms) }
+            Candidate { round_trip_ms: way, ..candidate(distance, load, unit_time_ms) }
         };
         let without: Vec<Candidate> = (0..loads.len()).map(|index| of(index, None)).collect();
         let with: Vec<Candidate> = (0..loads.len()).map(|index| of(index, Some(ways[index]))).collect();
--- a/crates/front/tests/region_nodes.rs
+++ b/crates/front/tests/region_nodes.rs
@@ -7,7 +7,7 @@
 
 use ladderstage_front::activity::Activity;
 use ladderstage_front::coordination::Coordination;
-use ladderstage_front::job::{OutOfBounds, check_keepers};
+use ladderstage_front::job::{RegionBoundsError, check_node_regions};
 use ladderstage_front::nodes::{FormatLevel, NodeRecord, NodeRole, Nodes};
 use ladderstage_front::region::{AllowedRegions, Distance, RegionMap};
 use ladderstage_wire::messages::{ReplicaMember, ReplicaSet};
@@ -86,26 +86,26 @@
     let nodes = front_that_knows(std::slice::from_ref(&store)).await;
     let replicas = set(&["store"], &[]);
     let check = |nodes: &Nodes, names: &[&str], replicas: Option<&ReplicaSet>| {
-        check_keepers(&allowed(names), nodes, replicas)
+        check_node_regions(&allowed(names), nodes, replicas)
     };
     assert_eq!(check(&nodes, &["east"], Some(&replicas)), Ok(()));
     assert_eq!(
         check(&nodes, &[], Some(&replicas)),
-        Err(OutOfBounds::Nowhere)
+        Err(RegionBoundsError::NoAllowedRegion)
     );
     let outside = check(&nodes, &["west"], Some(&replicas));
     assert!(
-        matches!(outside, Err(OutOfBounds::Node { .. })),
+        matches!(outside, Err(RegionBoundsError::Node { .. })),
         "{outside:?}"
     );
     let unknown = check(&nodes, &["east"], None);
-    assert!(matches!(unknown, Err(OutOfBounds::UnknownReplicas { .. })));
+    assert!(matches!(unknown, Err(RegionBoundsError::UnknownReplicas { .. })));
     for replicas in [set(&["store", "lost"], &[]), set(&["store"], &["joins"])] {
         let unknown = check(&nodes, &["east"], Some(&replicas));
-        assert!(matches!(unknown, Err(OutOfBounds::UnknownReplica { .. })));
+        assert!(matches!(unknown, Err(RegionBoundsError::UnknownReplica { .. })));
     }
     let everywhere = AllowedRegions::default();
-    assert_eq!(check_keepers(&everywhere, &nodes, None), Ok(()));
+    assert_eq!(check_node_regions(&everywhere, &nodes, None), Ok(()));
     for (role, zone) in [
         (NodeRole::Front, "w1"),
         (NodeRole::Store, "w1"),
@@ -115,7 +115,7 @@
         let nodes = front_that_knows(&[store.clone(), outside]).await;
         let refused = check(&nodes, &["east"], Some(&replicas));
         assert!(
-            matches!(&refused, Err(OutOfBounds::Node { node, .. }) if node == "outside"),
+            matches!(&refused, Err(RegionBoundsError::Node { node, .. }) if node == "outside"),
             "{refused:?}"
         );
     }
@@ -151,12 +151,12 @@
         ..record("earlier", NodeRole::Front, "e1")
     };
     let nodes = front_that_knows(&[earlier]).await;
-    let refused = check_keepers(&allowed(&["east"]), &nodes, Some(&set(&["own"], &[])));
+    let refused = check_node_regions(&allowed(&["east"]), &nodes, Some(&set(&["own"], &[])));
     assert!(
-        matches!(&refused, Err(OutOfBounds::Node { node, .. }) if node == "earlier"),
+        matches!(&refused, Err(RegionBoundsError::Node { node, .. }) if node == "earlier"),
         "{refused:?}"
     );
-    assert_eq!(nodes.any_outside(&AllowedRegions::default()), None);
+    assert_eq!(nodes.find_outside(&AllowedRegions::default()), None);
 }
 
 /// Records pass between this build and older ones, which know no regions.
--- a/crates/front/tests/roster.rs
+++ b/crates/front/tests/roster.rs
@@ -7,15 +7,15 @@
 use std::time::Duration;
 
 use ladderstage_front::activity::Activity;
-use ladderstage_front::backend::{BackendTable, Discovered, HoldReason};
+use ladderstage_front::backend::{BackendTable, DiscoveredInstance, HoldReason};
 use ladderstage_front::config::{
-    ConfigInForce, Route, RouteKind, ServiceSpec, ServingConfig, WeightedService,
+    CurrentConfig, Route, RouteKind, ServiceSpec, ServingConfig, WeightedService,
 };
 use ladderstage_front::coordination::{Change, Coordination, Follower, Update, follow_with};
 use ladderstage_front::nodes::{FormatLevel, NodeRecord, NodeRole, Nodes};
 use ladderstage_front::region::AllowedRegions;
 use ladderstage_front::roster::{
-    DirectSource, DirectView, DrainFollowing, ROSTER_KEY, Roster, RosterDrains, RosterOptions,
+    DiscoverySource, DiscoveryView, DrainTracking, ROSTER_KEY, Roster, RosterDrains, RosterOptions,
     RosterReader, RosterWriter,
 };
 use proptest::prelude::*;
@@ -43,8 +43,8 @@
     }
 }
 
-fn instance(id: &str) -> Discovered {
-    Discovered {
+fn instance(id: &str) -> DiscoveredInstance {
+    DiscoveredInstance {
         started_unix_ms: 0,
         cold_ms: 0,
         is_preemptible: false,
@@ -59,7 +59,7 @@
     }
 }
 
-fn write(store: &MemoryStore, instance: &Discovered) {
+fn write(store: &MemoryStore, instance: &DiscoveredInstance) {
     let value = serde_json::to_vec(instance).unwrap();
     store.write(&format!("{INSTANCES}{}", instance.id), value);
 }
@@ -79,7 +79,7 @@
             weight: 1,
         }],
         max_attempts: 2,
-        max_queue: None,
+        max_queue_time: None,
         result_deadline: None,
         single_version: false,
         resumable: false,
@@ -105,7 +105,7 @@
 
 struct RecordFollower<'a> {
     records: &'a InstanceRecords,
-    view: &'a DirectView,
+    view: &'a DiscoveryView,
 }
 
 impl Follower for RecordFollower<'_> {
@@ -113,7 +113,7 @@
         sleep(self.records.gather)
     }
 
-    fn take(&mut self, update: Update, at: u64) {
+    fn on_update(&mut self, update: Update, at: u64) {
         let table = &self.records.backends;
         let id = |key: &str| key.strip_prefix(INSTANCES).unwrap().to_owned();
         let changes = match update {
@@ -132,18 +132,18 @@
                 Change::Removed { key } => table.remove(&id(&key)),
             }
         }
-        self.view.note(at);
+        self.view.set_known(at);
     }
 
-    fn lost(&mut self) {
-        self.view.note_lost();
+    fn on_unavailable(&mut self) {
+        self.view.mark_unavailable();
     }
 }
 
 /// Follows the requests to drain zones.
 struct DrainRecordFollower<'a> {
     records: &'a InstanceRecords,
-    view: &'a DirectView,
+    view: &'a DiscoveryView,
     zones: BTreeSet<Arc<str>>,
 }
 
@@ -152,7 +152,7 @@
         sleep(self.records.gather)
     }
 
-    fn take(&mut self, update: Update, at: u64) {
+    fn on_update(&mut self, update: Update, at: u64) {
         let zone = |key: &str| Arc::from(key.strip_prefix(DRAINS).unwrap());
         match update {
             Update::Snapshot(records) => {
@@ -167,17 +167,17 @@
                 }
             }),
         }
-        self.records.backends.set_drained(self.zones.clone());
-        self.view.note(at);
+        self.records.backends.set_drained_zones(self.zones.clone());
+        self.view.set_known(at);
     }
 
-    fn lost(&mut self) {
-        self.view.note_lost();
+    fn on_unavailable(&mut self) {
+        self.view.mark_unavailable();
     }
 }
 
-impl DirectSource for InstanceRecords {
-    async fn follow(&self, view: &DirectView) {
+impl DiscoverySource for InstanceRecords {
+    async fn follow(&self, view: &DiscoveryView) {
         let mut follower = RecordFollower {
             records: self,
             view,
@@ -185,7 +185,7 @@
         follow_with(Arc::clone(&self.coordination), INSTANCES, &mut follower).await;
     }
 
-    async fn follow_drains(&self, view: &DirectView) {
+    async fn follow_drains(&self, view: &DiscoveryView) {
         let mut follower = DrainRecordFollower {
             records: self,
             view,
@@ -198,10 +198,10 @@
 /// A node that learns of instances, and may keep the roster.
 struct Node {
     backends: BackendTable,
-    config: ConfigInForce,
-    view: DirectView,
+    config: CurrentConfig,
+    view: DiscoveryView,
     activity: Activity,
-    drains: Option<DrainFollowing>,
+    drains: Option<DrainTracking>,
     coordination: NodeStore,
     tasks: Vec<JoinHandle<()>>,
 }
@@ -222,33 +222,33 @@
         store: &MemoryStore,
         name: &str,
         gather: Duration,
-        first_wait: Duration,
+        startup_wait: Duration,
     ) -> Self {
-        Self::start_following(store, name, gather, first_wait, None)
+        Self::start_following(store, name, gather, startup_wait, None)
     }
 
     /// A node of a deployment in which zones may be drained.
-    fn start_draining(store: &MemoryStore, name: &str, first_wait: Duration) -> Self {
-        let following = DrainFollowing {
-            view: DirectView::default(),
-            keeps_roster: Activity::default(),
+    fn start_draining(store: &MemoryStore, name: &str, startup_wait: Duration) -> Self {
+        let following = DrainTracking {
+            view: DiscoveryView::default(),
+            roster_duty: Activity::default(),
         };
         let gather = options().reader_gather;
-        Self::start_following(store, name, gather, first_wait, Some(following))
+        Self::start_following(store, name, gather, startup_wait, Some(following))
     }
 
     fn start_following(
         store: &MemoryStore,
         name: &str,
         gather: Duration,
-        first_wait: Duration,
-        drains: Option<DrainFollowing>,
+        startup_wait: Duration,
+        drains: Option<DrainTracking>,
     ) -> Self {
         let coordination = store.of(name);
         let backends = BackendTable::new("a");
-        let config = ConfigInForce::default();
-        config.offer(config_of(1, &[(RouteKind::Safe, "scorer")]));
-        let view = DirectView::default();
+        let config = CurrentConfig::default();
+        config.apply_if_newer(config_of(1, &[(RouteKind::Safe, "scorer")]));
+        let view = DiscoveryView::default();
         let activity = Activity::default();
         let reader = RosterReader {
             coordination: Arc::new(coordination.clone()),
@@ -258,7 +258,7 @@
             activity: activity.clone(),
             options: Some(options()),
             drains: drains.clone(),
-            first_wait,
+            startup_wait,
             source: InstanceRecords {
                 coordination: Arc::new(coordination.clone()),
                 backends: backends.clone(),
@@ -279,14 +279,14 @@
 
     /// A node with work, which keeps the roster.
     fn start_writer(store: &MemoryStore, name: &str) -> Self {
-        Self::start(store, name, options().writer_gather).keep_roster(name)
+        Self::start(store, name, options().writer_batch_interval).keep_roster(name)
     }
 
     /// Makes a node keep the roster.
     fn keep_roster(mut self, name: &str) -> Self {
         let node = &mut self;
-        let work = node.activity.begin();
-        let keeps = node.drains.as_ref().map(|one| one.keeps_roster.begin());
+        let work = node.activity.start();
+        let keeps = node.drains.as_ref().map(|one| one.roster_duty.start());
         let writer = RosterWriter {
             coordination: Arc::new(node.coordination.clone()),
             backends: node.backends.clone(),
@@ -371,7 +371,7 @@
 /// The same with an instance, `i-9`, of a service that the roster leaves out.
 async fn fleet_with_labeler() -> (MemoryStore, Node, Node) {
     let store = MemoryStore::default();
-    let labeler = Discovered {
+    let labeler = DiscoveredInstance {
         service: "labeler".to_owned(),
         ..instance("i-9")
     };
@@ -384,7 +384,7 @@
 }
 
 fn leave(store: &MemoryStore, id: &str) {
-    let leaving = Discovered {
+    let leaving = DiscoveredInstance {
         is_ready: false,
         ..instance(id)
     };
@@ -414,7 +414,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_front_without_work_hears_in_time_that_an_instance_leaves_or_is_gone() {
     let (store, _writer, reader) = fleet().await;
-    let in_time = options().writer_gather + options().reader_gather + CALLS;
+    let in_time = options().writer_batch_interval + options().reader_gather + CALLS;
     for round in 0..20_u64 {
         sleep(Duration::from_millis(37 * round)).await;
         leave(&store, "i-1");
@@ -447,7 +447,7 @@
 async fn a_writer_that_is_cut_off_loses_its_readers_in_time() {
     let (store, _writer, reader) = fleet().await;
     let cut_off = NodeFaults {
-        is_cut_off: true,
+        is_partitioned: true,
         ..NodeFaults::default()
     };
     store.set_faults("writer", cut_off);
@@ -486,12 +486,12 @@
     for late in [10, 200, 600, 1_500, 3_000] {
         let (store, _writer, reader) = fleet().await;
         let loses_answer = NodeFaults {
-            late_swap: Some(Duration::from_millis(late)),
+            delayed_swap: Some(Duration::from_millis(late)),
             ..NodeFaults::default()
         };
         store.set_faults("writer", loses_answer);
         store.remove(&format!("{INSTANCES}i-2"));
-        sleep(options().writer_gather).await;
+        sleep(options().writer_batch_interval).await;
         leave(&store, "i-1");
         reader.hears_that_it_leaves("i-1").await;
         for _ in 0..1_000 {
@@ -513,7 +513,7 @@
     sleep(Duration::from_secs(3)).await;
     let version = || reader.backends.get("i-1").unwrap().version("model");
     assert_eq!(version(), 0);
-    let work = reader.activity.begin();
+    let work = reader.activity.start();
     sleep(Duration::from_millis(50)).await;
     assert_eq!(version(), 7);
     drop(work);
@@ -532,7 +532,7 @@
         ..NodeFaults::default()
     };
     store.set_faults("reader", turned_away);
-    let _work = reader.activity.begin();
+    let _work = reader.activity.start();
     sleep(CALLS).await;
     assert!(reader.view.is_usable(), "there is nothing better");
     assert_eq!(reader.is_ready("i-9"), Some(true));
@@ -544,7 +544,7 @@
     store.remove(&format!("{INSTANCES}i-9"));
     sleep(Duration::from_secs(5)).await;
     assert_eq!(reader.is_ready("i-9"), Some(true), "not heard of");
-    let _work = reader.activity.begin();
+    let _work = reader.activity.start();
     while !reader.view.is_usable() {
         sleep(Duration::from_millis(1)).await;
     }
@@ -554,7 +554,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_front_whose_configuration_names_another_service_follows_discovery() {
     let (store, writer, reader) = fleet().await;
-    let new = Discovered {
+    let new = DiscoveredInstance {
         service: "labeler".to_owned(),
         ..instance("i-9")
     };
@@ -562,10 +562,10 @@
     sleep(Duration::from_secs(3)).await;
     assert_eq!(reader.is_ready("i-9"), None, "not in the roster");
     let moved = [(RouteKind::Safe, "scorer"), (RouteKind::Safe, "labeler")];
-    reader.config.offer(config_of(2, &moved));
+    reader.config.apply_if_newer(config_of(2, &moved));
     sleep(CALLS).await;
     assert_eq!(reader.is_ready("i-9"), Some(true));
-    writer.config.offer(config_of(2, &moved));
+    writer.config.apply_if_newer(config_of(2, &moved));
     sleep(Duration::from_secs(10)).await;
     assert!(reader.view.known_at().is_none(), "goes by the roster");
     assert_eq!(reader.is_ready("i-9"), Some(true));
@@ -643,7 +643,7 @@
         let asking = async {
             if let Some(asked_after) = asked_after {
                 sleep(Duration::from_millis(asked_after)).await;
-                reader.backends.first_fed(Duration::from_millis(300)).await;
+                reader.backends.wait_for_first_instance(Duration::from_millis(300)).await;
                 assert_eq!(reader.is_ready("i-1"), Some(true));
             }
         };
@@ -676,8 +676,8 @@
     (store, writer, reader)
 }
 
-fn in_zone_b(id: &str) -> Discovered {
-    Discovered {
+fn in_zone_b(id: &str) -> DiscoveredInstance {
+    DiscoveredInstance {
         zone: "b".to_owned(),
         ..instance(id)
     }
@@ -697,7 +697,7 @@
     sleep(Duration::from_secs(10)).await;
     let calls = |kind| store.calls("reader", kind, DRAINS);
     let before = (calls("list"), calls("watch"));
-    let in_time = options().writer_gather + options().reader_gather + CALLS;
+    let in_time = options().writer_batch_interval + options().reader_gather + CALLS;
     for round in 0..10_u64 {
         sleep(Duration::from_millis(83 * round)).await;
         drain(&store, "a");
@@ -724,7 +724,7 @@
     assert!(!reader.may_send("i-a"));
     write(
         &store,
-        &Discovered {
+        &DiscoveredInstance {
             zone: "nowhere".to_owned(),
             ..instance("i-new")
         },
@@ -743,7 +743,7 @@
     let (store, _writer, reader) = draining_fleet().await;
     drain(&store, "a");
     reader.until_may_send("i-a", false).await;
-    let work = reader.activity.begin();
+    let work = reader.activity.start();
     while reader.view.known_at().is_none() {
         assert!(!reader.may_send("i-a"));
         sleep(Duration::from_millis(1)).await;
@@ -767,7 +767,7 @@
             }
             1 => {
                 let faults = NodeFaults {
-                    is_cut_off: true,
+                    is_partitioned: true,
                     ..NodeFaults::default()
                 };
                 store.set_faults("writer", faults);
@@ -829,7 +829,7 @@
         };
         store.set_faults("new", blind);
         let new = Node::start_draining(&store, "new", Duration::from_millis(500));
-        let _work = new.activity.begin();
+        let _work = new.activity.start();
         sleep(Duration::from_secs(1)).await;
         assert_eq!(new.is_ready("i-b"), Some(true));
         let held = new
@@ -850,13 +850,13 @@
     drain(&store, "a");
     reader.until_may_send("i-a", false).await;
     let cut_off = NodeFaults {
-        is_cut_off: true,
+        is_partitioned: true,
         ..NodeFaults::default()
     };
     for node in ["writer", "reader"] {
         store.set_faults(node, cut_off.clone());
     }
-    let _work = reader.activity.begin();
+    let _work = reader.activity.start();
     for _ in 0..2_000 {
         sleep(Duration::from_millis(5)).await;
         assert!(reader.may_send("i-b") && !reader.may_send("i-a"));
@@ -971,7 +971,7 @@
         let mut faults = NodeFaults::default();
         match self {
             Self::Dies => return None,
-            Self::IsCutOff => faults.is_cut_off = true,
+            Self::IsCutOff => faults.is_partitioned = true,
             Self::IsRefused => faults.is_refused = true,
             Self::CannotFollowDrains => faults.refused_prefixes = [DRAINS.to_owned()].into(),
             Self::CannotFollowInstances => faults.refused_prefixes = [INSTANCES.to_owned()].into(),
--- a/crates/front/tests/scoring_choice.rs
+++ b/crates/front/tests/scoring_choice.rs
@@ -10,7 +10,7 @@
         slots,
         distance: Distance::SameZone,
         round_trip_ms: None,
-        pace_ms: None,
+        unit_time_ms: None,
     }
 }
 
--- a/crates/front/tests/support/memory_store.rs
+++ b/crates/front/tests/support/memory_store.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct NodeFaults {
     /// No call is answered.
-    pub is_cut_off: bool,
+    pub is_partitioned: bool,
     /// All calls are refused.
     pub is_refused: bool,
     /// Watches and listings under these prefixes are refused.
@@ -23,7 +23,7 @@
     /// Stale reads lack the changes of so many last revisions.
     pub stale_by: u64,
     /// The next swap is carried out after this long, and never answered.
-    pub late_swap: Option<Duration>,
+    pub delayed_swap: Option<Duration>,
 }
 
 #[derive(Default)]
@@ -103,7 +103,7 @@
         lease: Option<LeaseId>,
     ) -> Result<SwapResult, CoordinationError> {
         if lease.is_some_and(|lease| !self.leases.contains_key(&lease)) {
-            return Err(CoordinationError::LeaseOver);
+            return Err(CoordinationError::LeaseExpired);
         }
         let known = self.records.get(key).map(|(record, _)| record.clone());
         if known.as_ref().map_or(0, |record| record.revision) != expected {
@@ -155,11 +155,11 @@
 
     /// How many calls of a kind a node made about a key or prefix.
     pub fn calls(&self, node: &str, kind: &'static str, key: &str) -> usize {
-        self.called_at(node, kind, key).len()
+        self.call_times(node, kind, key).len()
     }
 
     /// When a node made calls of a kind about a key or prefix.
-    pub fn called_at(&self, node: &str, kind: &'static str, key: &str) -> Vec<Instant> {
+    pub fn call_times(&self, node: &str, kind: &'static str, key: &str) -> Vec<Instant> {
         let wanted = (node.to_owned(), kind, key.to_owned());
         self.with(|state| state.calls.get(&wanted).cloned().unwrap_or_default())
     }
@@ -204,7 +204,7 @@
     /// What does not work for a call, now or while it waits.
     async fn check(&self, key: &str) -> Result<(), CoordinationError> {
         let faults = self.faults();
-        if faults.is_cut_off {
+        if faults.is_partitioned {
             return std::future::pending().await;
         }
         if faults.is_refused || faults.refused_prefixes.contains(key) {
@@ -278,7 +278,7 @@
                 let (changes, at) = {
                     let state = self.store.lock();
                     if after < state.forgotten {
-                        return Ok(WatchAnswer::HistoryGone);
+                        return Ok(WatchAnswer::HistoryCompacted);
                     }
                     let history = state.history.iter();
                     let news =
@@ -304,7 +304,7 @@
         Box::pin(async move {
             self.begin("swap", key).await?;
             let mut faults = self.faults();
-            if let Some(late) = faults.late_swap.take() {
+            if let Some(late) = faults.delayed_swap.take() {
                 self.store.set_faults(&self.node, faults);
                 let store = self.store.clone();
                 let key = key.to_owned();
@@ -351,7 +351,7 @@
                 let (until, ttl) = state
                     .leases
                     .get_mut(&lease)
-                    .ok_or(CoordinationError::LeaseOver)?;
+                    .ok_or(CoordinationError::LeaseExpired)?;
                 *until = Instant::now() + *ttl;
                 Ok(())
             })
--- a/crates/front/tests/suspect_load.rs
+++ b/crates/front/tests/suspect_load.rs
@@ -11,7 +11,7 @@
 
 use ladderstage_clock::Instant;
 use ladderstage_front::suspects::{
-    Admission, ContentDigest, ITEM_MOST_ENDS, LIVE_MOST_ENDS, SuspectLedger,
+    Admission, ContentDigest, ITEM_MAX_CRASHES, LIVE_MAX_CRASHES, SuspectLedger,
 };
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -288,12 +288,12 @@
 #[test]
 fn other_callers_are_served_far_better_than_without_a_bound() {
     let [before, after] =
-        [NEVER, LIVE_MOST_ENDS].map(|most| play(Load::quotes(3, most, BAD_DAY_MS)));
+        [NEVER, LIVE_MAX_CRASHES].map(|most| play(Load::quotes(3, most, BAD_DAY_MS)));
     assert!(before.served * 2 < before.sent, "{before:?}");
     assert!(after.served * 1_000 > after.sent * 999, "{after:?}");
     for instances in [3, 45] {
         let [before, after] =
-            [NEVER, LIVE_MOST_ENDS].map(|most| play(Load::quotes(instances, most, BAD_DAY_MS)));
+            [NEVER, LIVE_MAX_CRASHES].map(|most| play(Load::quotes(instances, most, BAD_DAY_MS)));
         assert!(after.served >= before.served, "{before:?} {after:?}");
         assert!(after.ends * 3 < before.ends, "{before:?} {after:?}");
     }
@@ -304,8 +304,8 @@
     for instances in [3, 45] {
         for gap in [BAD_DAY_MS, FALLING_FLEET_MS] {
             let [_, three, four] =
-                [LIVE_MOST_ENDS, 3, 4].map(|most| play(Load::quotes(instances, most, gap)));
-            let chosen = play(Load::quotes(instances, LIVE_MOST_ENDS, gap));
+                [LIVE_MAX_CRASHES, 3, 4].map(|most| play(Load::quotes(instances, most, gap)));
+            let chosen = play(Load::quotes(instances, LIVE_MAX_CRASHES, gap));
             assert!(chosen.held * 1_000 <= chosen.sent, "{chosen:?}");
             assert!(chosen.served >= three.served && three.served >= four.served);
         }
@@ -315,7 +315,7 @@
 #[test]
 fn few_items_are_held_back_for_what_others_caused() {
     for gap in [BAD_DAY_MS, 2_000, FALLING_FLEET_MS] {
-        let [two, chosen] = [2, ITEM_MOST_ENDS].map(|most| play(Load::items(most, gap)));
+        let [two, chosen] = [2, ITEM_MAX_CRASHES].map(|most| play(Load::items(most, gap)));
         assert!(chosen.held <= two.held, "{two:?} {chosen:?}");
         assert!(chosen.served >= two.served, "{two:?} {chosen:?}");
         assert!(chosen.served * 50 > chosen.sent * 49, "{chosen:?}");
--- a/crates/front/tests/suspensions.rs
+++ b/crates/front/tests/suspensions.rs
@@ -7,19 +7,19 @@
 
 use ladderstage_clock::Instant;
 use ladderstage_clock::testing::suspend;
-use ladderstage_front::backend::{BackendTable, Discovered};
-use ladderstage_front::job::Confirmation;
-use ladderstage_front::orders::{GiverLease, LeaseLoss};
+use ladderstage_front::backend::{BackendTable, DiscoveredInstance};
+use ladderstage_front::job::QuorumConfirmation;
+use ladderstage_front::orders::{OrdersLease, LeaseLoss};
 use ladderstage_front::usage::WindowClock;
 use support::memory_store::MemoryStore;
 
 const SLEEP: Duration = Duration::from_secs(20);
 
-fn lease(store: &MemoryStore, node: &str) -> GiverLease {
-    GiverLease {
+fn lease(store: &MemoryStore, node: &str) -> OrdersLease {
+    OrdersLease {
         coordination: Arc::new(store.of(node)),
         node: node.to_owned(),
-        quiet: Duration::ZERO,
+        quiet_period: Duration::ZERO,
     }
 }
 
@@ -27,20 +27,20 @@
 async fn a_holder_that_wakes_gives_no_order_before_its_lease_is_renewed() {
     let store = MemoryStore::default();
     let lease = lease(&store, "front-1");
-    let held = lease.take().await.unwrap().unwrap();
-    assert!(lease.may_order(&held).await.unwrap());
+    let held = lease.acquire().await.unwrap().unwrap();
+    assert!(lease.may_issue_orders(&held).await.unwrap());
     suspend(SLEEP);
-    assert!(!lease.may_order(&held).await.unwrap());
+    assert!(!lease.may_issue_orders(&held).await.unwrap());
     // The store let the lease run out meanwhile, and the next renewal says so.
     tokio::time::advance(SLEEP).await;
-    assert_eq!(lease.keep(&held).await, LeaseLoss::Over);
+    assert_eq!(lease.renew_until_lost(&held).await, LeaseLoss::Expired);
 }
 
 #[test]
 fn an_owner_that_wakes_has_an_old_confirmation() {
-    let confirmation = Confirmation::default();
+    let confirmation = QuorumConfirmation::default();
     let taken_at = Instant::now();
-    confirmation.note(Instant::now());
+    confirmation.record(Instant::now());
     assert!(confirmation.age(taken_at) < SLEEP);
     suspend(SLEEP);
     assert!(confirmation.age(taken_at) >= SLEEP);
@@ -59,7 +59,7 @@
 #[test]
 fn a_pause_of_an_instance_is_over_after_the_sleep() {
     let table = BackendTable::new("a");
-    table.upsert(Discovered {
+    table.upsert(DiscoveredInstance {
         id: "i-1".to_owned(),
         service: "service".to_owned(),
         address: "127.0.0.1:9".parse().unwrap(),
@@ -73,9 +73,9 @@
         versions: [].into(),
     });
     let instance = table.get("i-1").unwrap();
-    instance.note_pace(40.0, Instant::now());
-    instance.note_failure(Instant::now());
+    instance.record_unit_time(40.0, Instant::now());
+    instance.record_failure(Instant::now());
     suspend(SLEEP);
     assert!(instance.is_usable("", Instant::now()));
-    assert_eq!(instance.recent_pace_ms(), None);
+    assert_eq!(instance.recent_unit_time_ms(), None);
 }
--- a/crates/front/tests/trainer_steps.rs
+++ b/crates/front/tests/trainer_steps.rs
@@ -1,10 +1,10 @@
 //! Weights that the next job of a trainer is expected to allow.
 
-use ladderstage_front::job::NewestSteps;
+use ladderstage_front::job::LatestSteps;
 
 #[test]
 fn the_minimum_rises_with_each_step_after_the_initial_version() {
-    let steps = NewestSteps::default();
+    let steps = LatestSteps::default();
     assert_eq!(steps.next_min_version("model", 1), 1);
     steps.record("model", 1, 1);
     assert_eq!(
--- a/crates/front/tests/usage.rs
+++ b/crates/front/tests/usage.rs
@@ -56,8 +56,8 @@
     let clock = WindowClock::anchored(WINDOW, now, Duration::from_secs(50));
     let meter = UsageMeter::new(1, clock);
     let tenant: Arc<str> = "one".into();
-    meter.note_begun(&tenant, now);
-    meter.note_begun(&tenant, now);
+    meter.record_start(&tenant, now);
+    meter.record_start(&tenant, now);
     meter.take(&[told(2, 10, 5), told(1, 10, 9), told(2, 11, 1)]);
     assert_eq!(meter.total(10).get("one"), Some(&7));
     assert_eq!(meter.total(11).get("one"), Some(&1));
--- a/crates/journal/src/confirmation.rs
+++ b/crates/journal/src/confirmation.rs
@@ -13,7 +13,7 @@
 impl WriterShared {
     /// `Ok` only if a quorum had promised the log to no higher epoch when it was asked, under this writer's replica
     /// set. As every later writer needs the promise of a quorum too, none had the log at the time of the call.
-    pub async fn confirm(&self) -> Result<(), JournalError> {
+    pub async fn confirm_ownership(&self) -> Result<(), JournalError> {
         let quorum = ReplicaCalls::quorum(&self.set);
         let mut holding = BTreeSet::new();
         let mut fenced = BTreeSet::new();
--- a/crates/journal/src/heartbeat.rs
+++ b/crates/journal/src/heartbeat.rs
@@ -150,7 +150,7 @@
             return;
         };
         if let Some(hooks) = self.hooks.get() {
-            hooks.contested(log);
+            hooks.fence_reported(log);
         }
         if !writer.on_fenced(replica) {
             return;
--- a/crates/journal/src/hooks.rs
+++ b/crates/journal/src/hooks.rs
@@ -18,10 +18,10 @@
     fn fenced(&self, log: &str);
 
     /// A replica says that a higher epoch has `log`; others may still accept this node's writer.
-    fn contested(&self, _log: &str) {}
+    fn fence_reported(&self, _log: &str) {}
 
     /// This node should take over these logs, as nobody tends them.
-    fn untended(&self, logs: Vec<String>);
+    fn orphaned(&self, logs: Vec<String>);
 }
 
 /// The hooks once they are set; before that nothing is told and no evidence is known.
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -16,7 +16,7 @@
 mod registry;
 mod replica;
 pub mod replica_set;
-mod untended;
+mod orphaned;
 mod writer;
 
 use std::sync::{Arc, Mutex};
@@ -39,7 +39,7 @@
 use hooks::HookSlot;
 use registry::OwnedLogs;
 use replica::ReplicaService;
-use untended::UntendedWatch;
+use orphaned::OrphanMonitor;
 
 pub use hooks::JournalHooks;
 pub use metrics::JournalMetrics;
@@ -97,7 +97,7 @@
     hooks: HookSlot,
     /// The tasks hold these weakly and end with them.
     _heartbeats: Arc<Heartbeats>,
-    _watch: Arc<UntendedWatch>,
+    _watch: Arc<OrphanMonitor>,
 }
 
 impl std::fmt::Debug for Journal {
@@ -124,7 +124,7 @@
             timeout: options.round_timeout,
             metrics: JournalMetrics::new(),
         });
-        let owned = Arc::new(OwnedLogs::new(options.tended_prefix));
+        let owned = Arc::new(OwnedLogs::new(options.monitored_prefix));
         let heartbeats = Arc::new(Heartbeats {
             node: options.node.clone(),
             process,
@@ -133,17 +133,17 @@
             hooks: hooks.clone(),
         });
         let owner_timeout = options.owner_timeout;
-        let watch = Arc::new(UntendedWatch {
+        let watch = Arc::new(OrphanMonitor {
             node: options.node.clone(),
             calls: Arc::clone(&calls),
             hooks: hooks.clone(),
             owner_timeout,
-            tended_prefix: options.tended_prefix,
+            monitored_prefix: options.monitored_prefix,
         });
-        let interval = options.owner_heartbeat;
+        let interval = options.owner_heartbeat_interval;
         tokio::spawn(heartbeat::run(Arc::downgrade(&heartbeats), interval));
-        tokio::spawn(untended::run(Arc::downgrade(&watch), owner_timeout));
-        tokio::spawn(untended::run_sweeps(Arc::downgrade(&watch)));
+        tokio::spawn(orphaned::run(Arc::downgrade(&watch), owner_timeout));
+        tokio::spawn(orphaned::run_sweeps(Arc::downgrade(&watch)));
         let inner = Inner {
             node: options.node.clone(),
             epochs: Mutex::new(EpochSource::new(process)),
--- a/crates/journal/src/options.rs
+++ b/crates/journal/src/options.rs
@@ -31,17 +31,17 @@
     /// The first set may be made; else it is only looked for.
     pub may_bootstrap: bool,
     /// Logs whose names start with this are tended: their writers send heartbeats and are replaced when silent.
-    pub tended_prefix: &'static str,
+    pub monitored_prefix: &'static str,
     /// Between an owner's heartbeats to the replicas.
-    pub owner_heartbeat: Duration,
+    pub owner_heartbeat_interval: Duration,
     /// After this long without a heartbeat a log's owner is replaced.
     pub owner_timeout: Duration,
     /// How long one round of calls to the replicas may take.
     pub round_timeout: Duration,
     /// Between looks at the replica set's record.
-    pub poll: Duration,
+    pub poll_interval: Duration,
     /// Longest pause between looks while the record's service fails; an empty disk is out of the set until the next one.
-    pub longest_pause: Duration,
+    pub max_poll_interval: Duration,
     /// How long a replica must be missing before another disk takes its place.
     pub replace_after: Duration,
 }
--- a/crates/journal/src/untended.rs
+++ b/crates/journal/src/orphaned.rs
@@ -21,16 +21,16 @@
 const SWEEP_INTERVAL: Duration = Duration::from_secs(60);
 
 /// What the watch needs.
-pub(crate) struct UntendedWatch {
+pub(crate) struct OrphanMonitor {
     pub node: String,
     pub calls: Arc<ReplicaCalls>,
     pub hooks: HookSlot,
     pub owner_timeout: Duration,
-    pub tended_prefix: &'static str,
+    pub monitored_prefix: &'static str,
 }
 
 /// Looks for untended logs, jittered, until the journal is dropped.
-pub(crate) async fn run(watch: Weak<UntendedWatch>, owner_timeout: Duration) {
+pub(crate) async fn run(watch: Weak<OrphanMonitor>, owner_timeout: Duration) {
     loop {
         tokio::time::sleep(crate::jitter::jittered(owner_timeout / LOOKS_PER_TIMEOUT)).await;
         let Some(watch) = watch.upgrade() else {
@@ -41,7 +41,7 @@
 }
 
 /// Drops what is over its retention, jittered, until the journal is dropped.
-pub(crate) async fn run_sweeps(watch: Weak<UntendedWatch>) {
+pub(crate) async fn run_sweeps(watch: Weak<OrphanMonitor>) {
     loop {
         tokio::time::sleep(crate::jitter::jittered(SWEEP_INTERVAL)).await;
         let Some(watch) = watch.upgrade() else {
@@ -51,23 +51,23 @@
     }
 }
 
-impl UntendedWatch {
+impl OrphanMonitor {
     async fn look(&self) {
         let service = &self.calls.service;
         let peers = &self.calls.peers;
-        let is_gone = |process| peers.is_gone(process);
-        let untended = service.untended(self.tended_prefix, self.owner_timeout, is_gone);
-        let notices = self.by_successor(untended).into_iter();
+        let has_exited = |process| peers.has_exited(process);
+        let orphaned = service.orphaned(self.monitored_prefix, self.owner_timeout, has_exited);
+        let notices = self.by_successor(orphaned).into_iter();
         let sends = notices.map(|(successor, logs)| self.notify(successor, logs));
         futures_util::future::join_all(sends).await;
     }
 
     /// Groups the logs by the member that rendezvous hashing names for each.
     fn by_successor(&self, logs: Vec<String>) -> BTreeMap<String, Vec<String>> {
-        let takers = self.calls.peers.takers();
+        let takeover_candidates = self.calls.peers.takeover_candidates();
         let mut notices = BTreeMap::<String, Vec<String>>::new();
         for log in logs {
-            let names = takers.iter().map(|member| member.node.as_str());
+            let names = takeover_candidates.iter().map(|member| member.node.as_str());
             let successor = rendezvous_first(log.as_bytes(), names);
             let successor = successor.unwrap_or(&self.node).to_owned();
             let notice = notices.entry(successor).or_default();
@@ -80,12 +80,12 @@
 
     async fn notify(&self, successor: String, logs: Vec<String>) {
         log::info!(
-            "event=logs_untended count={} successor={successor}",
+            "event=logs_orphaned count={} successor={successor}",
             logs.len()
         );
         if successor == self.node {
             if let Some(hooks) = self.hooks.get() {
-                hooks.untended(logs);
+                hooks.orphaned(logs);
             }
             return;
         }
@@ -97,7 +97,7 @@
         };
         let timeout = self.calls.timeout;
         if let Err(error) = self.calls.peers.call(&successor, request, timeout).await {
-            log::warn!("event=shard_notice_failed successor={successor} cause=\"{error}\"");
+            log::warn!("event=successor_notice_failed successor={successor} cause=\"{error}\"");
         }
     }
 
--- a/crates/journal/src/peers.rs
+++ b/crates/journal/src/peers.rs
@@ -18,12 +18,12 @@
     }
 
     /// Members that logs without an owner go to; by default all that may take one.
-    fn takers(&self) -> Vec<Member> {
+    fn takeover_candidates(&self) -> Vec<Member> {
         self.successors()
     }
 
     /// Whether a process is known to be over. A hint: only what is done sooner depends on it.
-    fn is_gone(&self, _process: ProcessId) -> bool {
+    fn has_exited(&self, _process: ProcessId) -> bool {
         false
     }
 
--- a/crates/journal/src/registry.rs
+++ b/crates/journal/src/registry.rs
@@ -9,22 +9,22 @@
 
 /// Open writers of tended logs by log; other logs, such as claims, are written and left. A writer is in it from its take-over until it is dropped.
 pub(crate) struct OwnedLogs {
-    tended_prefix: &'static str,
+    monitored_prefix: &'static str,
     writers: Mutex<BTreeMap<String, WeakWriter>>,
 }
 
 impl OwnedLogs {
     /// No writers yet; those of logs under `tended_prefix` will be kept.
-    pub fn new(tended_prefix: &'static str) -> Self {
+    pub fn new(monitored_prefix: &'static str) -> Self {
         Self {
-            tended_prefix,
+            monitored_prefix,
             writers: Mutex::default(),
         }
     }
 
     /// Adds a writer, in the place of an older one of the same log.
     pub fn insert(&self, writer: &Arc<WriterShared>) {
-        if !writer.log.starts_with(self.tended_prefix) {
+        if !writer.log.starts_with(self.monitored_prefix) {
             return;
         }
         let mut writers = self.lock();
--- a/crates/journal/src/replica.rs
+++ b/crates/journal/src/replica.rs
@@ -184,17 +184,17 @@
 
     /// Open logs whose names start with `prefix` and whose owner was silent for `timeout`, or for a share of it if `is_gone` says
     /// that its process is over.
-    pub fn untended(
+    pub fn orphaned(
         &self,
         prefix: &str,
         timeout: Duration,
-        is_gone: impl Fn(ProcessId) -> bool,
+        has_exited: impl Fn(ProcessId) -> bool,
     ) -> Vec<String> {
         let Some(storage) = &self.storage else {
             return Vec::new();
         };
         let open = storage.open_logs_with_owners(prefix).into_iter();
-        let open = open.map(|(log, owner)| match is_gone(owner) {
+        let open = open.map(|(log, owner)| match has_exited(owner) {
             true => (log, timeout.mul_f64(GONE_OWNER_SHARE)),
             false => (log, timeout),
         });
--- a/crates/journal/src/replica_set/bootstrap.rs
+++ b/crates/journal/src/replica_set/bootstrap.rs
@@ -20,22 +20,22 @@
     pub own: Option<ReplicaMember>,
     pub initial_replicas: InitialReplicas,
     pub may_bootstrap: bool,
-    pub poll: Duration,
+    pub poll_interval: Duration,
     /// Longest pause between looks while the records cannot be used.
-    pub longest_pause: Duration,
+    pub max_poll_interval: Duration,
 }
 
 impl Bootstrap {
     /// Looks until a set is known, here or from a peer.
     pub async fn run(&self, replica_sets: &ReplicaSets) {
         let mut known = replica_sets.watch();
-        let mut pause = self.poll;
+        let mut pause = self.poll_interval;
         while replica_sets.version() == 0 {
             match self.look(replica_sets).await {
-                Ok(()) => pause = self.poll,
+                Ok(()) => pause = self.poll_interval,
                 Err(error) => {
                     log::warn!("event=replica_set_lookup_failed cause=\"{error}\"");
-                    pause = (pause * 2).min(self.longest_pause);
+                    pause = (pause * 2).min(self.max_poll_interval);
                 }
             }
             let pause = crate::jitter::jittered(pause);
--- a/crates/journal/src/replica_set/mod.rs
+++ b/crates/journal/src/replica_set/mod.rs
@@ -66,7 +66,7 @@
         records: impl SetRecords,
     ) -> ReplicaSetTask {
         let options = options.into();
-        let poll = options.poll;
+        let poll_interval = options.poll_interval;
         let records: Arc<dyn SetRecords> = Arc::new(records);
         let bootstrap = Bootstrap {
             records: Arc::clone(&records),
@@ -77,8 +77,8 @@
             }),
             initial_replicas: options.initial_replicas.clone(),
             may_bootstrap: options.may_bootstrap,
-            longest_pause: options.longest_pause,
-            poll,
+            max_poll_interval: options.max_poll_interval,
+            poll_interval,
         };
         let replacement = Replacement {
             node: options.node.clone(),
@@ -86,7 +86,7 @@
             peers,
             replica_sets: self.clone(),
             replace_after: options.replace_after,
-            longest_pause: options.longest_pause,
+            max_poll_interval: options.max_poll_interval,
             wanted: options.initial_replicas.wanted(),
             missing_since: BTreeMap::new(),
             looked_at: None,
@@ -96,7 +96,7 @@
         let replica_sets = self.clone();
         let handle = tokio::spawn(async move {
             bootstrap.run(&replica_sets).await;
-            replacement.run(poll).await;
+            replacement.run(poll_interval).await;
         });
         ReplicaSetTask { handle }
     }
@@ -169,7 +169,7 @@
     /// As [`ReplicaSets::learn`], for callers that have nobody to tell of an error.
     pub(crate) async fn learn_or_log(&self, set: ReplicaSet) {
         if let Err(error) = self.learn(set).await {
-            log::error!("event=replica_set_not_stored cause=\"{error}\"");
+            log::error!("event=replica_set_store_failed cause=\"{error}\"");
         }
     }
 
--- a/crates/journal/src/replica_set/replacement.rs
+++ b/crates/journal/src/replica_set/replacement.rs
@@ -53,7 +53,7 @@
     /// How long a replica must be missing before it is replaced.
     pub replace_after: Duration,
     /// Longest pause between looks while they fail.
-    pub longest_pause: Duration,
+    pub max_poll_interval: Duration,
     /// Replicas that the set should have.
     pub wanted: usize,
     pub missing_since: BTreeMap<u64, Instant>,
@@ -67,18 +67,18 @@
 
 impl Replacement {
     /// Looks every `poll`, jittered, for as long as the process runs or until the task is aborted.
-    pub async fn run(mut self, poll: Duration) {
-        let mut pause = poll;
+    pub async fn run(mut self, poll_interval: Duration) {
+        let mut pause = poll_interval;
         loop {
             tokio::time::sleep(crate::jitter::jittered(pause)).await;
             let Some(set) = self.replica_sets.current() else {
                 continue;
             };
             match self.look(&set).await {
-                Ok(()) => pause = poll,
+                Ok(()) => pause = poll_interval,
                 Err(error) => {
                     log::warn!("event=replica_replacement_failed cause=\"{error}\"");
-                    pause = (pause * 2).min(self.longest_pause);
+                    pause = (pause * 2).min(self.max_poll_interval);
                 }
             }
         }
@@ -136,7 +136,7 @@
         };
         if replica_set::is_shrunk_by(set, own_id) {
             let copied = self.copy_to_remaining(set).await?;
-            log::info!("event=logs_handed_on version={} logs={copied}", set.version);
+            log::info!("event=logs_handed_over version={} logs={copied}", set.version);
             if let Some(complete) = replica_set::complete(set) {
                 self.swap(set, complete).await?;
             }
@@ -303,7 +303,7 @@
         });
         for (node, result) in futures_util::future::join_all(calls).await {
             if let Err(error) = result {
-                log::info!("event=replica_set_not_told node={node} cause=\"{error}\"");
+                log::info!("event=replica_set_announcement_failed node={node} cause=\"{error}\"");
             }
         }
     }
--- a/crates/journal/src/writer.rs
+++ b/crates/journal/src/writer.rs
@@ -158,8 +158,8 @@
     /// # Errors
     ///
     /// `Fenced` and `StaleReplicaSet` as for [`LogWriter::append`]; `NoQuorum`: nothing is known.
-    pub async fn confirm(&self) -> Result<(), JournalError> {
-        self.shared.confirm().await
+    pub async fn confirm_ownership(&self) -> Result<(), JournalError> {
+        self.shared.confirm_ownership().await
     }
 }
 
--- a/crates/ladderstage/src/journal/heartbeat.rs
+++ b/crates/ladderstage/src/journal/heartbeat.rs
@@ -47,7 +47,7 @@
     ///
     /// A replica that did not look for longer than `timeout` was paused itself: it could hear nobody, so all count as heard now.
     /// Call several times per `timeout`.
-    pub fn untended(
+    pub fn orphaned(
         &mut self,
         open: impl IntoIterator<Item = String>,
         now: Duration,
@@ -57,7 +57,7 @@
         self.silent(open, now, timeout)
     }
 
-    /// As [`HeartbeatTable::untended`], with a timeout of each log's own, `longest` at most.
+    /// As [`HeartbeatTable::orphaned`], with a timeout of each log's own, `longest` at most.
     pub fn silent(
         &mut self,
         open: impl IntoIterator<Item = (String, Duration)>,
@@ -72,14 +72,14 @@
         if was_paused {
             known.clear();
         }
-        let mut untended = Vec::new();
+        let mut orphaned = Vec::new();
         for (log, timeout) in open {
             let heard_at = known.remove(&log).unwrap_or(now);
             if now.saturating_sub(heard_at) >= timeout {
-                untended.push(log.clone());
+                orphaned.push(log.clone());
             }
             self.heard_at.insert(log, heard_at);
         }
-        untended
+        orphaned
     }
 }
--- a/crates/ladderstage/tests/journal/rules.rs
+++ b/crates/ladderstage/tests/journal/rules.rs
@@ -266,17 +266,17 @@
     let open = || [LOG.to_owned()];
     let mut table = HeartbeatTable::default();
     assert!(
-        table.untended(open(), at(100), timeout).is_empty(),
+        table.orphaned(open(), at(100), timeout).is_empty(),
         "a restart gives owners time"
     );
     assert!(!table.record(&owned(1), Some(&state), at(101)));
-    assert!(table.untended(open(), at(102), timeout).is_empty());
+    assert!(table.orphaned(open(), at(102), timeout).is_empty());
     assert!(
         table.record(&owned(0), Some(&state), at(103)),
         "a lower epoch is told that it is fenced"
     );
-    assert_eq!(table.untended(open(), at(103), timeout), [LOG]);
-    assert!(table.untended([], at(103), timeout).is_empty());
+    assert_eq!(table.orphaned(open(), at(103), timeout), [LOG]);
+    assert!(table.orphaned([], at(103), timeout).is_empty());
 }
 
 #[test]
@@ -286,13 +286,13 @@
     let open = || [LOG.to_owned()];
     let mut table = HeartbeatTable::default();
     table.touch(LOG, at(100));
-    assert!(table.untended(open(), at(101), timeout).is_empty());
+    assert!(table.orphaned(open(), at(101), timeout).is_empty());
     assert!(
-        table.untended(open(), at(160), timeout).is_empty(),
+        table.orphaned(open(), at(160), timeout).is_empty(),
         "the replica was paused from 101 to 160 and heard nobody"
     );
-    assert!(table.untended(open(), at(161), timeout).is_empty());
-    assert_eq!(table.untended(open(), at(162), timeout), [LOG]);
+    assert!(table.orphaned(open(), at(161), timeout).is_empty());
+    assert_eq!(table.orphaned(open(), at(162), timeout), [LOG]);
 }
 
 #[test]
--- a/crates/storage/src/committer.rs
+++ b/crates/storage/src/committer.rs
@@ -143,7 +143,7 @@
             let opened = match open_folder(&self.folder, &self.shared.options) {
                 Ok(opened) => opened,
                 Err(error) => {
-                    log::error!("event=storage_not_reopened cause=\"{error}\"");
+                    log::error!("event=storage_reopen_failed cause=\"{error}\"");
                     self.shared.set_failure(Some(error.to_string()));
                     continue;
                 }
--- a/crates/storage/src/open.rs
+++ b/crates/storage/src/open.rs
@@ -34,7 +34,7 @@
     /// How long a claim is kept after its last change, counted while the store is open.
     pub claim_retention: Duration,
     /// Closed logs that are dropped whole, before the rule for other closed logs.
-    pub dropped_when_closed: Vec<DropRule>,
+    pub drop_rules: Vec<DropRule>,
     /// Failures that tests ask for.
     pub faults: StorageFaults,
 }
@@ -81,7 +81,7 @@
             queue_bytes: 64 * 1024 * 1024,
             closed_retention: Duration::from_secs(24 * 3600),
             claim_retention: Duration::from_secs(24 * 3600),
-            dropped_when_closed: Vec::new(),
+            drop_rules: Vec::new(),
             faults: StorageFaults::default(),
         }
     }
--- a/crates/storage/src/retention.rs
+++ b/crates/storage/src/retention.rs
@@ -42,7 +42,7 @@
             break;
         }
         let is_claim = log.starts_with(CLAIM_PREFIX);
-        let rules = &options.dropped_when_closed;
+        let rules = &options.drop_rules;
         let rule = rules.iter().find(|rule| log.starts_with(&rule.prefix));
         if let Some(rule) = rule {
             if record.state.closed && is_over(record, rule.after) {
--- a/crates/storage/tests/storage.rs
+++ b/crates/storage/tests/storage.rs
@@ -428,7 +428,7 @@
 async fn closed_logs_under_a_rule_are_dropped_whole_and_open_ones_stay() {
     let folder = tempfile::tempdir().unwrap();
     let options = StorageOptions {
-        dropped_when_closed: vec![DropRule {
+        drop_rules: vec![DropRule {
             prefix: "job/".to_owned(),
             after: Duration::from_millis(1),
         }],
