--- a/crates/front/src/job/locating.rs
+++ b/crates/front/src/job/locating.rs
@@ -114,10 +114,15 @@
         }
         let own = self.context.nodes.own().node;
         let takeover_candidates = self.context.nodes.takeover_candidates();
-        if takeover_candidates.iter().any(|candidate| candidate.node == own) {
+        if takeover_candidates
+            .iter()
+            .any(|candidate| candidate.node == own)
+        {
             return None;
         }
-        let names = takeover_candidates.iter().map(|candidate| candidate.node.as_str());
+        let names = takeover_candidates
+            .iter()
+            .map(|candidate| candidate.node.as_str());
         rendezvous_first(log_name(id).as_bytes(), names).map(str::to_owned)
     }
 
--- a/crates/front/src/job/migration.rs
+++ b/crates/front/src/job/migration.rs
@@ -104,7 +104,7 @@
         )?;
         let other_ms = other
             .candidate("", Instant::now())
-            .pace_ms
+            .unit_time_ms
             .unwrap_or(typical);
         let is_worthwhile = is_move_worthwhile(
             self.expected_interval_ms(mean_ms, other_ms),
--- a/crates/front/src/job/peer_handler.rs
+++ b/crates/front/src/job/peer_handler.rs
@@ -86,7 +86,7 @@
             }
             RequestKind::accept_job(request) => self.handle_accept(request).await,
             RequestKind::giver_end(end) => {
-                self.context.former_leaders.note(&end, Instant::now());
+                self.context.former_leaders.record(&end, Instant::now());
                 ResponseKind::done(Done {})
             }
             RequestKind::read_demand(_) => ResponseKind::demand(self.demand()),
@@ -124,7 +124,7 @@
             let typical = Duration::from_millis(news.usual_load_ms);
             let limit = news.load_limit as usize;
             let limit = LoadLimit::from_learned(limit, typical, news.limit_is_near);
-            self.context.learned_load_limit.note(&limit);
+            self.context.learned_load_limit.record(&limit);
         }
         self.context.backends.notify();
     }
--- a/crates/front/src/job/preferred_owner.rs
+++ b/crates/front/src/job/preferred_owner.rs
@@ -61,7 +61,9 @@
                 self.accept_here(spec).await
             }
             RemoteAccept::OutcomeUnknown(cause) => {
-                log::warn!("event=job_home_outcome_unknown job={id} home={owner} cause=\"{cause}\"");
+                log::warn!(
+                    "event=job_home_outcome_unknown job={id} home={owner} cause=\"{cause}\""
+                );
                 // The preferred owner may still run the job, whatever the local outcome.
                 self.accept_here(spec).await.map_err(|error| match error {
                     AcceptError::NotStored(cause) => AcceptError::OutcomeUnknown(cause),
--- a/crates/front/src/job/region_bounds.rs
+++ b/crates/front/src/job/region_bounds.rs
@@ -85,7 +85,7 @@
     let Some(replicas) = replicas else {
         return Err(RegionBoundsError::UnknownReplicas { allowed: allowed() });
     };
-    let is_unknown = |member: &&ReplicaMember| !nodes.knows(&member.node);
+    let is_unknown = |member: &&ReplicaMember| !nodes.has_seen(&member.node);
     if let Some(member) = replicas
         .current
         .iter()
@@ -136,7 +136,11 @@
     }
 
     /// Checks that each service of the job's route that has instances has one in an allowed region.
-    fn check_instances(&self, spec: &JobSpec, allowed: AllowedRegions) -> Result<(), RegionBoundsError> {
+    fn check_instances(
+        &self,
+        spec: &JobSpec,
+        allowed: AllowedRegions,
+    ) -> Result<(), RegionBoundsError> {
         let context = &self.context;
         let config = context.config.current().unwrap_or_default();
         let route = config.route(&spec.host, &spec.path);
--- a/crates/front/src/job/registry.rs
+++ b/crates/front/src/job/registry.rs
@@ -316,7 +316,8 @@
             }
         };
         let waited = tokio::time::timeout(COMMIT_TIMEOUT, accepted).await;
-        waited.map_err(|_| AcceptError::OutcomeUnknown("the commit of the job timed out".to_owned()))
+        waited
+            .map_err(|_| AcceptError::OutcomeUnknown("the commit of the job timed out".to_owned()))
     }
 
     /// Becomes the owner of a job that is in the journal.
--- a/crates/front/src/job/run.rs
+++ b/crates/front/src/job/run.rs
@@ -337,7 +337,10 @@
     let now = Instant::now();
     match error {
         ExchangeError::NotRun(_) => {
-            let typical_load = context.learned_load_limit.get().and_then(|limit| limit.typical_load_time());
+            let typical_load = context
+                .learned_load_limit
+                .get()
+                .and_then(|limit| limit.typical_load_time());
             let pause = refusal_pause(instance.has_free_slot(), typical_load);
             instance.mark_loading(&context.spec.model, now + pause);
         }
@@ -383,7 +386,10 @@
         set_tenant(&mut headers, &names.tenant, &context.spec.tenant);
     }
     headers.insert(names.attempt_id.clone(), attempt_id.clone());
-    headers.insert(names.request_priority.clone(), context.priority_header.clone());
+    headers.insert(
+        names.request_priority.clone(),
+        context.priority_header.clone(),
+    );
     let expected = HeaderValue::from_str(instance.id()).ok()?;
     headers.insert(names.expect_instance.clone(), expected);
     if let Some(last) = partial.last_event() {
--- a/crates/front/src/job/run_context.rs
+++ b/crates/front/src/job/run_context.rs
@@ -188,7 +188,7 @@
 /// it is excluded for the typical load time.
 pub fn refusal_pause(free_slots: bool, typical_load: Option<Duration>) -> Duration {
     match typical_load {
-        Some(usual) if free_slots => usual.max(LOADING_PAUSE),
+        Some(typical) if free_slots => typical.max(LOADING_PAUSE),
         _ => LOADING_PAUSE,
     }
 }
--- a/crates/front/src/job/scheduling.rs
+++ b/crates/front/src/job/scheduling.rs
@@ -92,7 +92,7 @@
         let held = run.held_back(index, content);
         // The hold is short while other runs of this content are in progress, as the next one to
         // end decides.
-        self.has_waiting_items |= held.is_some_and(|held| held.is_short());
+        self.has_waiting_items |= held.is_some_and(|held| held.is_concurrency_hold());
         held.is_some()
     }
 
@@ -104,7 +104,7 @@
         saved: ItemText,
     ) {
         // Counts the run from now on, although it starts only when its task is first polled.
-        let guard = instance.as_ref().map(Instance::begin);
+        let guard = instance.as_ref().map(Instance::track_request);
         let run = Arc::clone(run);
         self.first_versions.remove(index);
         self.earlier_texts.remove(&run.spec.items[index].id);
@@ -177,7 +177,7 @@
             metrics: Arc::clone(&self.context.metrics),
             spec: Arc::clone(spec),
             service: service.to_owned(),
-            rank: route.rank(tenant.map(AsRef::as_ref)),
+            priority_header: route.priority_header(tenant.map(AsRef::as_ref)),
             allowed_at_start: route.allowed_regions_for(tenant.map(AsRef::as_ref)),
             max_attempts: route.max_attempts,
             single_version: route.single_version,
--- a/crates/front/src/job/scoring.rs
+++ b/crates/front/src/job/scoring.rs
@@ -255,7 +255,9 @@
             Ok(Answer::Scored(stamp)) => {
                 ended.instance.record_success();
                 let taken = now.saturating_duration_since(ended.started);
-                ended.instance.record_unit_time(taken.as_secs_f64() * 1e3, now);
+                ended
+                    .instance
+                    .record_unit_time(taken.as_secs_f64() * 1e3, now);
                 return Some(ScoreEnd::Scored(stamp));
             }
             Ok(Answer::Failed(StatusCode::INTERNAL_SERVER_ERROR)) => *failures += 1,
--- a/crates/front/tests/pace.rs
+++ b/crates/front/tests/pace.rs
@@ -38,12 +38,12 @@
 /// Guards against choosing an idle but slower instance for the remainder of a long text.
 #[test]
 fn the_remainder_of_a_long_text_goes_to_the_fastest_instance_with_free_capacity() {
-    let instance = |load, unit_time_ms| Candidate {
+    let instance = |load, interval_ms| Candidate {
         load,
         slots: 8,
         distance: Distance::SameZone,
         round_trip_ms: None,
-        unit_time_ms: Some(unit_time_ms),
+        unit_time_ms: Some(interval_ms),
     };
     let idle_and_fast = [instance(0, 66.0), instance(5, 48.0), instance(1, 66.0)];
     assert_eq!(choose(&idle_and_fast, remaining_demand(4), 0), Some(0));
@@ -55,7 +55,7 @@
 /// Guards against waiting too long for the first event at an instance that hangs.
 #[test]
 fn the_first_event_timeout_follows_the_event_interval() {
-    let wait_ms = |unit_time_ms| first_event_timeout(unit_time_ms).as_millis();
+    let wait_ms = |interval_ms| first_event_timeout(interval_ms).as_millis();
     assert_eq!(wait_ms(Some(47.0)), 1_100);
     assert_eq!(wait_ms(Some(80.0)), 1_600);
     assert_eq!(wait_ms(Some(900.0)), 2_500);
@@ -68,29 +68,31 @@
 fn events_that_are_read_together_do_not_make_an_instance_look_fast() {
     let start = Instant::now();
     let mut intervals = EventIntervals::default();
-    let paces: Vec<f64> = (0..41)
+    let intervals_ms: Vec<f64> = (0..41)
         .filter_map(|event| {
             // Events are generated every 48 ms and read two at a time.
             let read_at = (event + event % 2) * 48;
             intervals.add_event(start + Duration::from_millis(read_at))
         })
         .collect();
-    assert_eq!(paces.len(), 10);
+    assert_eq!(intervals_ms.len(), 10);
     assert!(
-        paces.iter().all(|unit_time_ms| (unit_time_ms - 48.0).abs() < 1.0),
-        "{paces:?}"
+        intervals_ms
+            .iter()
+            .all(|interval_ms| (interval_ms - 48.0).abs() < 1.0),
+        "{intervals_ms:?}"
     );
 }
 
 /// Guards against starving an interrupted text: new items would take every slot that becomes free.
 #[test]
 fn an_interrupted_text_queues_where_no_slot_is_free() {
-    let instance = |load, unit_time_ms| Candidate {
+    let instance = |load, interval_ms| Candidate {
         load,
         slots: 8,
         distance: Distance::SameZone,
         round_trip_ms: None,
-        unit_time_ms: Some(unit_time_ms),
+        unit_time_ms: Some(interval_ms),
     };
     let full = [instance(8, 66.0), instance(8, 48.0)];
     assert_eq!(choose(&full, Demand::Batch, 0), None);
--- a/crates/front/tests/trainer_steps.rs
+++ b/crates/front/tests/trainer_steps.rs
@@ -22,7 +22,7 @@
     assert_eq!(
         steps.next_min_version("model", 3),
         5,
-        "an older step that is told late"
+        "an older step that is reported late"
     );
     assert_eq!(steps.next_min_version("other", 7), 8);
 }
