--- a/crates/front/src/job/context.rs
+++ b/crates/front/src/job/context.rs
@@ -31,7 +31,7 @@
     pub config: CurrentConfig,
     /// Table of instances.
     pub backends: BackendTable,
-    /// State of this node's direct view of the instances' records.
+    /// Revision as of which this node knows the discovery records.
     pub view: DiscoveryView,
     /// Encoding of job requests and names of headers.
     pub codec: SharedCodec,
@@ -45,9 +45,9 @@
     pub lengths: TextLengths,
     /// Latest step of each trainer.
     pub steps: LatestSteps,
-    /// Load times and load limits that order leaders have learned.
+    /// Limit on concurrent weight loads, as learned so far.
     pub learned_load_limit: LearnedLoadLimit,
-    /// Order leader that last announced its end.
+    /// Recent orders of former order leaders.
     pub former_leaders: FormerLeaders,
     /// Counts the jobs that run at this node.
     pub activity: Activity,
--- a/crates/front/src/job/registry.rs
+++ b/crates/front/src/job/registry.rs
@@ -239,12 +239,12 @@
         }
     }
 
-    /// Returns the load times and limits that order leaders have learned.
+    /// Returns the limit on concurrent weight loads, as learned so far.
     pub fn learned_load_limit(&self) -> &LearnedLoadLimit {
         &self.context.learned_load_limit
     }
 
-    /// Returns the order leader that last announced its end.
+    /// Returns the recent orders of former order leaders.
     pub fn former_leaders(&self) -> &FormerLeaders {
         &self.context.former_leaders
     }
--- a/crates/front/src/job/run_context.rs
+++ b/crates/front/src/job/run_context.rs
@@ -66,7 +66,7 @@
     pub first_versions: FirstVersions,
     /// Number of tokens per event, or 0 if it is unknown.
     pub tokens_per_event: u64,
-    /// Learned load times and load limits.
+    /// Limit on concurrent weight loads, as learned so far.
     pub learned_load_limit: LearnedLoadLimit,
     /// Requests that are suspected of crashing instances.
     pub suspects: Suspects,
