--- a/crates/front/src/job/preferred_owner.rs
+++ b/crates/front/src/job/preferred_owner.rs
@@ -165,12 +165,12 @@
     model: &str,
     step: u64,
 ) -> Option<String> {
-    let near = fronts.iter().filter(|front| !front.is_leaving);
-    let max_cpu_millis = near.clone().map(|front| front.cpu_millis).max()?;
+    let staying = fronts.iter().filter(|front| !front.is_leaving);
+    let max_cpu_millis = staying.clone().map(|front| front.cpu_millis).max()?;
     if max_cpu_millis <= own.cpu_millis {
         return None;
     }
-    let names = near
+    let names = staying
         .filter(|front| front.cpu_millis == max_cpu_millis)
         .map(|front| front.node.as_str());
     // All fronts compute the same ranking, so the steps of a model rotate among them.
--- a/crates/front/src/job/scheduling.rs
+++ b/crates/front/src/job/scheduling.rs
@@ -34,8 +34,7 @@
         }
         let age = self.context.confirmation.age(self.job.opened_at);
         let is_owner = self.job.is_uncontested() && age <= MAX_START_CONFIRMATION_AGE;
-        // The roster, which this front may use until its direct view is ready, lacks these
-        // instances.
+        // Until its discovery view is ready this front uses the roster, which lacks these instances.
         if !is_owner || !self.context.view.is_usable() {
             self.has_waiting_items = true;
             return;
@@ -90,8 +89,7 @@
                 .or_insert_with(|| run.item_content(index))
         };
         let held = run.held_back(index, content);
-        // The hold is short while other runs of this content are in progress, as the next one to
-        // end decides.
+        // Other runs of this content are in progress, and the next one to end decides.
         self.has_waiting_items |= held.is_some_and(|held| held.is_concurrency_hold());
         held.is_some()
     }
--- a/crates/front/tests/group_listing.rs
+++ b/crates/front/tests/group_listing.rs
@@ -76,7 +76,10 @@
         let is_listed = listed.is_some_and(|listed| listed <= at);
         *groups.entry(&item.group).or_insert(true) &= is_listed;
     }
-    groups.into_values().filter(|is_whole| *is_whole).count()
+    groups
+        .into_values()
+        .filter(|is_complete| *is_complete)
+        .count()
 }
 
 /// Returns completion times of which one in forty is close to the maximum and the others average a
@@ -184,8 +187,8 @@
         let listed = listed_at(&spec, Some(DUE_MS), done);
         for (index, listed) in listed.iter().enumerate() {
             let group = index / size;
-            let whole = *done[group * size..(group + 1) * size].iter().max().unwrap();
-            let latest = (whole + 1_000).min(DUE_MS - 150).max(done[index]);
+            let complete_at = *done[group * size..(group + 1) * size].iter().max().unwrap();
+            let latest = (complete_at + 1_000).min(DUE_MS - 150).max(done[index]);
             let listed = listed.unwrap();
             prop_assert!(done[index] <= listed && listed <= latest, "{} {} {}", done[index], listed, latest);
         }
--- a/crates/front/tests/homes.rs
+++ b/crates/front/tests/homes.rs
@@ -83,12 +83,12 @@
         let mut fronts: Vec<_> = (0..strong).map(|index| front(&format!("s{index}"), "z", 500)).collect();
         let weak = [front("w0", "z", 120), front("w1", "z", 120)];
         fronts.extend(weak.clone());
-        let mut homes = BTreeSet::new();
+        let mut owners = BTreeSet::new();
         for step in first..first + strong as u64 {
             let owner = preferred_owner(&weak[0], &fronts, &model, step);
             prop_assert_eq!(&owner, &preferred_owner(&weak[1], &fronts, &model, step));
-            homes.insert(owner.unwrap());
+            owners.insert(owner.unwrap());
         }
-        prop_assert_eq!(homes.len(), strong);
+        prop_assert_eq!(owners.len(), strong);
     }
 }
