--- a/crates/front/src/job/done.rs
+++ b/crates/front/src/job/done.rs
@@ -1,4 +1,5 @@
-//! Items that are done: their results are held until they are to be listed, then queued for the job's log.
+//! Finished items: holds their results until they are due for listing, then queues them for the
+//! job's log.
 
 use ladderstage_clock::Instant;
 use ladderstage_wire::messages::mod_JobResult::State as ResultState;
@@ -8,19 +9,19 @@
 use super::owner::Owner;
 use super::text::ItemText;
 
-/// What an item came to.
+/// Outcome of a finished item.
 pub(super) enum DoneItem {
-    /// Its text is whole; the score is empty where nothing scores it.
-    Whole { text: ItemText, score: String },
-    /// It is given up.
-    GivenUp,
+    /// The text is complete; `score` is empty for an item without a reward call.
+    Completed { text: ItemText, score: String },
+    /// The item was terminated without a complete text.
+    Terminated,
 }
 
 impl DoneItem {
     fn into_result(self, item: &str) -> JobResult {
         match self {
-            Self::Whole { text, score } => text.into_result(item, score),
-            Self::GivenUp => JobResult {
+            Self::Completed { text, score } => text.into_result(item, score),
+            Self::Terminated => JobResult {
                 item: item.to_owned(),
                 state: ResultState::TERMINATED,
                 ..JobResult::default()
@@ -30,26 +31,27 @@
 }
 
 impl Owner {
-    /// When results that are held are to be listed at the latest.
+    /// Returns the latest time at which held results are listed.
     pub(super) fn list_at(&self) -> Option<Instant> {
         self.groups.as_ref()?.list_at()
     }
 
-    /// Queues the results that are to be listed now.
+    /// Queues the results that are ready to be listed.
     pub(super) fn list_ready(&mut self) {
         let spec = self.job.state().spec().cloned();
         let (Some(spec), Some(groups)) = (spec, &mut self.groups) else {
             return;
         };
-        for index in groups.take_ready(Instant::now()) {
+        for index in groups.drain_ready(Instant::now()) {
             if let Some(done) = self.held.remove(&index) {
                 let result = done.into_result(&spec.items[index].id);
-                self.queue.result(result);
+                self.queue.push_result(result);
             }
         }
     }
 
-    /// When the results of the job are due; `None` if that is not known here.
+    /// Returns when the job's results are due, or `None` if this node did not accept the job or its
+    /// route sets no deadline.
     fn due(&self, spec: &JobSpec) -> Option<Instant> {
         let config = self.context.config.current()?;
         let route = config.route(&spec.host, &spec.path)?;
@@ -57,9 +59,9 @@
         self.is_accepted_here.then_some(due)
     }
 
-    /// Takes the result of an item, and holds it until it is to be listed. Its text is kept in the log meanwhile: whoever owns the job
-    /// next needs not make it again.
-    fn take_done(&mut self, index: usize, done: DoneItem) {
+    /// Holds the result of an item until it is listed. Its text goes to the log at once, so that a
+    /// later owner does not generate it again.
+    fn hold_result(&mut self, index: usize, done: DoneItem) {
         let Some(spec) = self.job.state().spec().cloned() else {
             return;
         };
@@ -71,33 +73,33 @@
         }
         self.held.insert(index, done);
         if let Some(groups) = &mut self.groups {
-            groups.finish(index, Instant::now());
+            groups.add_result(index, Instant::now());
         }
         self.list_ready();
-        if let Some(DoneItem::Whole { text, .. }) = self.held.get_mut(&index)
-            && let Some(progress) = text.end(&spec.items[index].id)
+        if let Some(DoneItem::Completed { text, .. }) = self.held.get_mut(&index)
+            && let Some(progress) = text.finish(&spec.items[index].id)
         {
-            self.queue.progress(progress);
+            self.queue.push_progress(progress);
         }
     }
 
-    /// Takes an item whose text is whole and scored.
+    /// Accepts the complete and scored text of an item.
     pub(super) fn finish(&mut self, index: usize, text: ItemText, score: String) {
         if self.queue.has_end() {
-            self.late.insert(index, (text, score));
+            self.late_texts.insert(index, (text, score));
             return;
         }
         let Some(spec) = self.job.state().spec().cloned() else {
             return;
         };
-        self.context.lengths.note(&spec.model, text.events());
+        self.context.lengths.record(&spec.model, text.events());
         self.count_run("completed");
-        self.take_done(index, DoneItem::Whole { text, score });
+        self.hold_result(index, DoneItem::Completed { text, score });
     }
 
-    pub(super) fn give_up(&mut self, index: usize) {
+    pub(super) fn terminate(&mut self, index: usize) {
         self.count_run("terminated");
-        self.take_done(index, DoneItem::GivenUp);
+        self.hold_result(index, DoneItem::Terminated);
     }
 
     fn count_run(&self, outcome: &str) {
--- a/crates/front/src/job/scoring.rs
+++ b/crates/front/src/job/scoring.rs
@@ -1,4 +1,4 @@
-//! The reward call of an item: scores its whole text, on another instance when one fails, until there is a score.
+//! Sends the reward call that scores the complete text of an item, retrying on other instances.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,45 +17,46 @@
 use crate::suspects::{ContentDigest, RunPermit};
 use crate::tenant::set_tenant;
 
-/// Pause before a route or an instance is looked for again.
-const LOOK_PAUSE: Duration = Duration::from_millis(25);
+/// Pause before a route and an instance are chosen again.
+const RETRY_PAUSE: Duration = Duration::from_millis(25);
 
-/// Another instance is asked as well once a call has taken so many target latencies: the answer may be lost.
-const HEDGE_TARGETS: u32 = 2;
+/// Multiple of the target latency after which a second instance is called, as the answer may be
+/// lost.
+const HEDGE_AFTER_TARGETS: u32 = 2;
 
-/// Calls for one text that are under way at once, at most.
-const MOST_AT_ONCE: usize = 2;
+/// Largest number of concurrent calls for one text.
+const MAX_CONCURRENT_CALLS: usize = 2;
 
-/// Largest answer of a reward call.
-const ANSWER_LIMIT: usize = 1024 * 1024;
+/// Largest answer of a reward call, in bytes.
+const MAX_ANSWER_BYTES: usize = 1024 * 1024;
 
-/// What came of scoring a text.
+/// Outcome of scoring a text.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum ScoreEnd {
-    /// The signature of the good answer.
+    /// Signature of the successful answer.
     Scored(String),
     /// The call failed as often as its route allows.
     Failed,
-    /// The call can never be sent: its parts are no request.
-    Impossible,
+    /// The call can never be sent, because its parts form no valid request.
+    Unprocessable,
     /// No more requests may be sent for the job.
     Closed,
 }
 
-/// How one call ended.
+/// Result of one call at one instance.
 struct Attempt {
     instance: Arc<Instance>,
     started: Instant,
     result: Result<Answer, ExchangeError>,
 }
 
-/// An instance's own answer.
+/// Answer of an instance.
 enum Answer {
     Scored(String),
     Failed(StatusCode),
 }
 
-/// A reward call ready to be sent under one route.
+/// Reward call that is ready to be sent under one route.
 struct Call<'a> {
     context: &'a RunContext,
     route: &'a Route,
@@ -64,17 +65,17 @@
     uri: Uri,
 }
 
-/// Scores the text of the item at `index`, which must be whole.
+/// Scores the complete text of the item at `index`.
 pub(super) async fn score(context: &RunContext, index: usize, reward: &RewardCall) -> ScoreEnd {
     let Ok(attempt_id) = HeaderValue::from_str(&reward.id) else {
-        return ScoreEnd::Impossible;
+        return ScoreEnd::Unprocessable;
     };
     let Ok(uri) = reward.path.parse::<Uri>() else {
-        return ScoreEnd::Impossible;
+        return ScoreEnd::Unprocessable;
     };
     let mut failures = 0;
     while context.window.is_open() {
-        // The route may change between two tries; without one nothing is known of the score.
+        // The configuration may change between two attempts; without a route the call waits.
         let config = context.config.current();
         let route = config
             .as_ref()
@@ -87,41 +88,42 @@
                 attempt_id: attempt_id.clone(),
                 uri: uri.clone(),
             };
-            if let Some(end) = call.try_once(index, &mut failures).await {
+            if let Some(end) = call.try_instances(index, &mut failures).await {
                 return end;
             }
         }
-        tokio::time::sleep(LOOK_PAUSE).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
     ScoreEnd::Closed
 }
 
 impl Call<'_> {
-    /// Asks instances until all calls under way have ended; `None` if that gave no score yet.
-    async fn try_once(&self, index: usize, failures: &mut u32) -> Option<ScoreEnd> {
+    /// Calls instances until one returns a score or all calls have ended; returns `None` if there
+    /// is no final outcome yet.
+    async fn try_instances(&self, index: usize, failures: &mut u32) -> Option<ScoreEnd> {
         let service = self.route.pick_service(rand::random());
         let mut tried: Vec<Arc<Instance>> = Vec::new();
-        let mut under_way = FuturesUnordered::new();
+        let mut in_flight = FuturesUnordered::new();
         let mut hedge_at = Instant::now();
         loop {
-            let is_due = under_way.len() < MOST_AT_ONCE && Instant::now() >= hedge_at;
+            let is_due = in_flight.len() < MAX_CONCURRENT_CALLS && Instant::now() >= hedge_at;
             let may_start = is_due && self.context.window.is_open();
             if may_start
                 && let Some(instance) = self.next_instance(service, &tried)
                 && let Some(permit) = self.admit(index)
             {
                 tried.push(Arc::clone(&instance));
-                under_way.push(self.attempt(instance, permit));
+                in_flight.push(self.attempt(instance, permit));
             }
-            if under_way.is_empty() {
+            if in_flight.is_empty() {
                 return None;
             }
-            hedge_at = Instant::now() + self.route.target_latency * HEDGE_TARGETS;
+            hedge_at = Instant::now() + self.route.target_latency * HEDGE_AFTER_TARGETS;
             tokio::select! {
-                Some(ended) = under_way.next() => {
+                Some(ended) = in_flight.next() => {
                     hedge_at = Instant::now();
-                    self.check_broken_run(index, &ended).await;
-                    if let Some(end) = self.take(index, ended, failures) {
+                    self.probe_if_broken(index, &ended).await;
+                    if let Some(end) = self.apply_result(index, ended, failures) {
                         return Some(end);
                     }
                 }
@@ -130,15 +132,16 @@
         }
     }
 
-    /// An instance with room that was not tried yet.
+    /// Chooses an instance with free capacity that was not tried yet.
     fn next_instance(&self, service: &str, tried: &[Arc<Instance>]) -> Option<Arc<Instance>> {
-        let is_new = |instance: &Instance| tried.iter().all(|one| one.id() != instance.id());
+        let is_new = |instance: &Instance| tried.iter().all(|other| other.id() != instance.id());
         let backends = &self.context.backends;
         let allowed = self.allowed_regions();
         backends.choose_within(service, "", Demand::Scoring, &allowed, is_new)
     }
 
-    /// Where the call may be served by the configuration in force, else by the one under which it is tried.
+    /// Returns the regions in which the call may be served: by the current configuration, or by the
+    /// route under which the call is sent if no route matches any more.
     fn allowed_regions(&self) -> AllowedRegions {
         let tenant = &self.context.spec.tenant;
         let config = &self.context.config;
@@ -152,10 +155,11 @@
             })
     }
 
-    /// Whether the call may be sent: instances may have ended under it.
+    /// Admits the call unless it is suspected of crashing instances.
     fn admit(&self, index: usize) -> Option<RunPermit> {
-        // Looked at first, as a refusal has a line in the log and the call is tried again soon.
-        if self.context.current_hold(index, || self.content()).is_some() {
+        // Checked first, because each rejection by `admit` is logged and the call is retried
+        // shortly.
+        if self.context.held_back(index, || self.content()).is_some() {
             return None;
         }
         self.context.admit(index, || self.content()).ok()
@@ -171,9 +175,9 @@
         let started = Instant::now();
         let _guard = instance.track_request();
         let asked = tokio::time::timeout(self.route.timeout, self.ask(&instance)).await;
-        let late = || Err(ExchangeError::Broken("no answer in time".to_owned()));
+        let timed_out = || Err(ExchangeError::Broken("answer timed out".to_owned()));
         Attempt {
-            result: asked.unwrap_or_else(|_| late()),
+            result: asked.unwrap_or_else(|_| timed_out()),
             instance,
             started,
         }
@@ -185,13 +189,13 @@
         let body = Bytes::copy_from_slice(&self.reward.body);
         let id = &self.attempt_id;
         let reply = send(instance, names, &head, &body, id, AnswerIdPolicy::Required).await?;
-        let (status, headers, _) = reply.read_body(ANSWER_LIMIT).await?;
+        let (status, headers, _) = reply.read_body(MAX_ANSWER_BYTES).await?;
         if !status.is_success() {
             return Ok(Answer::Failed(status));
         }
         let stamp = headers.get(&names.response_signature);
         let stamp = stamp.and_then(|stamp| stamp.to_str().ok());
-        let unsigned = || ExchangeError::Broken("unsigned answer".to_owned());
+        let unsigned = || ExchangeError::Broken("answer without a signature".to_owned());
         Ok(Answer::Scored(stamp.ok_or_else(unsigned)?.to_owned()))
     }
 
@@ -219,8 +223,8 @@
         })
     }
 
-    /// Notes whether the instance bore the call, or finds out what became of it if the connection broke.
-    async fn check_broken_run(&self, index: usize, ended: &Attempt) {
+    /// Finds out whether the instance crashed if the connection broke.
+    async fn probe_if_broken(&self, index: usize, ended: &Attempt) {
         if let Err(ExchangeError::Broken(_)) = &ended.result {
             let reward = self.reward;
             let content = self
@@ -228,12 +232,13 @@
                 .content(&reward.host, &reward.path, &reward.body);
             let context = self.context;
             context
-                .check_broken_run(index, &ended.instance, content, ended.started)
+                .probe(index, &ended.instance, content, ended.started)
                 .await;
         }
     }
 
-    /// The rank of the job's tenant goes before that of the call's route.
+    /// Returns the priority of the call: that of the job's tenant if it has one, otherwise that of
+    /// the route.
     fn priority_header(&self) -> HeaderValue {
         let config = self.context.config.current();
         let tenant = config
@@ -242,30 +247,32 @@
         self.route.priority_header(tenant.map(AsRef::as_ref))
     }
 
-    /// Takes in a call that ended; `Some` ends the scoring.
-    fn take(&self, index: usize, ended: Attempt, failures: &mut u32) -> Option<ScoreEnd> {
+    /// Processes the result of a call; returns `Some` if it ends the scoring.
+    fn apply_result(&self, index: usize, ended: Attempt, failures: &mut u32) -> Option<ScoreEnd> {
         let now = Instant::now();
         self.log(index, &ended);
         match ended.result {
             Ok(Answer::Scored(stamp)) => {
                 ended.instance.record_success();
                 let taken = now.saturating_duration_since(ended.started);
-                ended.instance.record_unit_time(taken.as_secs_f64() * 1e3, now);
+                ended
+                    .instance
+                    .record_unit_time(taken.as_secs_f64() * 1e3, now);
                 return Some(ScoreEnd::Scored(stamp));
             }
             Ok(Answer::Failed(StatusCode::INTERNAL_SERVER_ERROR)) => *failures += 1,
             Ok(Answer::Failed(_)) => ended.instance.record_failure(now),
             Err(ExchangeError::HeldBack(reason)) => self.context.metrics.record_held_back(reason),
             Err(error) => {
-                let is_silent =
+                let is_connection_failure =
                     matches!(error, ExchangeError::NotSent(_) | ExchangeError::Broken(_));
-                if is_silent {
+                if is_connection_failure {
                     ended.instance.record_failure(now);
                 }
             }
         }
-        let is_spent = *failures >= self.route.max_attempts.max(1);
-        is_spent.then_some(ScoreEnd::Failed)
+        let is_exhausted = *failures >= self.route.max_attempts.max(1);
+        is_exhausted.then_some(ScoreEnd::Failed)
     }
 
     fn log(&self, index: usize, ended: &Attempt) {
