--- a/crates/front/src/capacity/counts.rs
+++ b/crates/front/src/capacity/counts.rs
@@ -1,4 +1,4 @@
-//! How many instances of each service are there, by zone and kind.
+//! Counts the instances of each service by zone and kind.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -6,17 +6,17 @@
 
 use crate::backend::Discovered;
 
-/// Whether instances may be taken away at short notice. The number of each kind is ordered apart.
+/// Billing class of an instance. Each class is ordered separately.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum InstanceKind {
-    /// They are not taken away.
+    /// Runs until it is stopped.
     Kept,
-    /// All of a zone may be taken away at once; they cost less.
+    /// Costs less, but the provider may reclaim all of a zone at once.
     Preemptible,
 }
 
 impl InstanceKind {
-    /// Label of metrics and word in logs.
+    /// Returns the name used in metric labels and logs.
     pub fn label(self) -> &'static str {
         match self {
             Self::Kept => "kept",
@@ -31,29 +31,29 @@
     }
 }
 
-/// What one order is about: the instances of a service in a zone, of one kind.
+/// Instances of one service in one zone and of one kind; the unit that an order sizes.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Subject {
-    /// The service.
+    /// Name of the service.
     pub service: Arc<str>,
-    /// The zone.
+    /// Name of the zone.
     pub zone: Arc<str>,
-    /// Which of its instances.
+    /// Billing class.
     pub kind: InstanceKind,
 }
 
-/// Instances of one subject.
+/// Instances of one pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Present {
-    /// Those that take work and are not about to leave.
+    /// Ready instances that have not announced their departure.
     pub serving: u32,
-    /// Those that are still there and take no new work.
+    /// Instances that are still running but accept no new work.
     pub leaving: u32,
-    /// They are preemptible, and some were told when they will be taken away.
+    /// The pool is preemptible and at least one instance announced that it will be reclaimed.
     pub is_taken_back: bool,
 }
 
-/// Counts instances by subject.
+/// Counts instances by pool.
 pub fn count(instances: &[Discovered]) -> BTreeMap<Subject, Present> {
     let mut counts = BTreeMap::<Subject, Present>::new();
     for instance in instances {
--- a/crates/front/src/capacity/duty.rs
+++ b/crates/front/src/capacity/duty.rs
@@ -1,7 +1,8 @@
-//! The holder's part: writes what is wanted to the store (fixes it), and sends it.
+//! Persists the desired capacity and sends the resulting orders while this node holds the orders
+//! lease.
 //!
-//! A count that is not fixed is never sent. An order names a count and not a difference, so a later holder, or this one after a lost
-//! answer, sends what is fixed again without harm.
+//! Only persisted counts are sent. An order names an absolute count, so sending it again, by this
+//! node or by a later holder, is harmless.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -23,57 +24,58 @@
 use crate::orders::{GiverLease, Held};
 use crate::roster::DirectView;
 
-/// Record of what is wanted.
+/// Key of the desired capacity.
 const WANTED_KEY: &str = "ladderstage/capacity/wanted";
 
-/// Pause between two checks of the fleet.
+/// Interval between checks of the fleet.
 const LOOK_PAUSE: Duration = Duration::from_millis(250);
 
-/// Pause after a call to the store that failed.
+/// Pause after a failed call to the store.
 const RETRY_PAUSE: Duration = Duration::from_millis(700);
 
-/// An order is repeated no sooner than this long after the boot time of its instances.
+/// Time beyond an instance's boot time before its order is repeated.
 const ARRIVAL_MARGIN: Duration = Duration::from_secs(2);
 
-/// Orders capacity while this node holds the lease.
+/// Orders capacity while this node holds the orders lease.
 pub struct CapacityDuty {
-    /// The store.
+    /// Client of the coordination store.
     pub coordination: Arc<dyn Coordination>,
     /// Name of this node.
     pub node: String,
-    /// Instances, and the zones that are to be drained.
+    /// Known instances and drained zones.
     pub backends: BackendTable,
-    /// Whether the instances are known.
+    /// Tells whether the list of instances is complete.
     pub view: DirectView,
-    /// Services and their bounds.
+    /// Services and their scaling bounds.
     pub config: ConfigInForce,
-    /// Where orders go.
+    /// Receiver of the orders.
     pub sink: Arc<dyn CapacitySink>,
-    /// Least time between orders of holders at two nodes.
+    /// Minimum time between orders of holders on two nodes.
     pub quiet: Duration,
-    /// Counters.
+    /// Metrics of this front.
     pub metrics: Arc<Metrics>,
 }
 
-/// What a holder knows.
+/// State of one holder.
 struct Holding {
-    /// Revision of the record; 0: there is none.
+    /// Revision of the stored record; 0 if there is none.
     revision: u64,
     planner: CapacityPlanner,
     outbox: Outbox,
-    /// Whether the orders of earlier holders were looked through.
+    /// Orders of earlier holders have been queued again.
     has_resumed: bool,
-    /// Nothing is written to the store before.
+    /// Earliest time of the next write to the store.
     store_at: Instant,
 }
 
 impl CapacityDuty {
-    /// Orders for as long as the future is polled.
+    /// Orders capacity for as long as the future is polled.
     pub async fn run(&self, lease: &GiverLease, held: &Held) {
         let begun = Instant::now();
         self.wait_for_scaled_service().await;
         let mut holding = self.begin().await;
-        // A last holder that announced its end shortens the quiet time of orders to instances only: it names none of these orders.
+        // The end that the previous holder announced lists weight orders only, so it does not
+        // shorten this quiet period.
         let is_own = held.last.as_ref().is_none_or(|last| last.node == self.node);
         let quiet_until = if is_own { begun } else { begun + self.quiet };
         loop {
@@ -81,7 +83,8 @@
             let Some(config) = self.config.current() else {
                 continue;
             };
-            // Also in the quiet time, so that what is lost is known and fixed once orders may be sent.
+            // Runs during the quiet period too, so that losses are persisted by the time orders may
+            // be sent.
             self.look(&config, &mut holding).await;
             if Instant::now() >= quiet_until && self.may_send(lease, held).await {
                 self.send_due(&config, &mut holding, held).await;
@@ -96,7 +99,7 @@
         })
     }
 
-    /// Returns once a service has bounds.
+    /// Returns once any service has scaling bounds.
     async fn wait_for_scaled_service(&self) {
         let mut config = self.config.watch();
         let has_bounds = |config: &Option<Arc<ServingConfig>>| {
@@ -105,11 +108,11 @@
                 services.any(|service| service.scaling.is_some())
             })
         };
-        // The sender lives as long as this duty.
+        // The sender lives as long as the controller.
         let _ = config.wait_for(has_bounds).await;
     }
 
-    /// What a new holder knows: what earlier ones fixed.
+    /// Loads the state that earlier holders persisted.
     async fn begin(&self) -> Holding {
         let (revision, wanted) = self.read_wanted().await;
         let now = Instant::now();
@@ -122,8 +125,8 @@
         }
     }
 
-    /// Reads the record of what is wanted, with its revision. One that cannot be read counts as empty: then all instances that are there
-    /// count as found, and none is ordered away.
+    /// Reads the desired capacity with its revision. An unreadable record counts as empty: all
+    /// running instances are then treated as found, and none is removed.
     async fn read_wanted(&self) -> (u64, WantedCapacity) {
         loop {
             match self.coordination.get(WANTED_KEY).await {
@@ -143,8 +146,8 @@
         }
     }
 
-    /// Sends what earlier holders ordered once more, as it is not known whether they got through; but no count that is below what is there:
-    /// others may have added instances meanwhile.
+    /// Queues the orders of earlier holders again, as their outcome is unknown. Skips counts below
+    /// the number of serving instances, which others may have added since.
     fn resume(&self, holding: &mut Holding, now: Instant) {
         let there = count(&self.backends.discovered());
         let wanted = holding.planner.wanted();
@@ -157,7 +160,7 @@
         }
     }
 
-    /// Plans anew, if it is known what is there, and fixes what is wanted.
+    /// Plans the desired capacity, if the fleet is known, and persists it.
     async fn look(&self, config: &ServingConfig, holding: &mut Holding) {
         let now = Instant::now();
         if self.view.known_at().is_none() || !self.backends.gates().drained.is_known() {
@@ -183,7 +186,7 @@
         self.order_again(&drained, holding);
     }
 
-    /// Writes what is wanted to the store; only then may it be sent.
+    /// Writes the desired capacity to the store; it may be sent only afterwards.
     async fn fix(&self, wanted: WantedCapacity, holding: &mut Holding) {
         let value = serde_json::to_vec(&wanted).unwrap_or_default();
         let swap = self
@@ -206,7 +209,7 @@
         }
     }
 
-    /// Takes what the store holds now as wanted.
+    /// Adopts the capacity that the store holds now.
     fn take_fixed(&self, wanted: WantedCapacity, holding: &mut Holding) {
         let now = Instant::now();
         for (subject, count) in wanted.subjects() {
@@ -231,7 +234,7 @@
         holding.planner.accept(wanted, now);
     }
 
-    /// Orders preemptible instances that are lacking again in their own zone.
+    /// Repeats orders for pools that lack preemptible instances.
     fn order_again(&self, drained: &BTreeSet<Arc<str>>, holding: &mut Holding) {
         let now = Instant::now();
         for subject in holding.planner.to_order_again(drained, now) {
@@ -240,7 +243,7 @@
         }
     }
 
-    /// Sends the orders that are due, while the lease certainly lasts.
+    /// Sends the orders that are due while the lease is certain to be valid.
     async fn send_due(&self, config: &ServingConfig, holding: &mut Holding, held: &Held) {
         let due = holding.outbox.due(Instant::now());
         let calls = due.into_iter().map(|(subject, desired)| async move {
@@ -265,7 +268,7 @@
         }
     }
 
-    /// Takes the outcome of an order into the plan and the outbox.
+    /// Applies the outcome of an order to the planner and the outbox.
     fn note(
         &self,
         config: &ServingConfig,
@@ -289,7 +292,7 @@
         self.report(order, outcome, holding.planner.wanted().get(subject).extra);
     }
 
-    /// Counts and logs an order; `extra` of its instances are wanted beyond the found ones.
+    /// Counts and logs an order; `extra` is the number of its instances beyond the found ones.
     fn report(&self, order: &CapacityOrder, outcome: &Result<(), CapacityOrderError>, extra: u32) {
         let CapacityOrder {
             subject, desired, ..
@@ -336,7 +339,7 @@
     }
 }
 
-/// How long after its order an instance serves at the latest.
+/// Returns the time within which an ordered instance starts to serve.
 fn arrival_time(config: &ServingConfig, subject: &Subject) -> Duration {
     let service = config.services.get(subject.service.as_ref());
     let scaling = service.and_then(|service| service.scaling.as_ref());
--- a/crates/front/src/capacity/losses.rs
+++ b/crates/front/src/capacity/losses.rs
@@ -1,4 +1,4 @@
-//! How many of the instances that belong to a subject are lost.
+//! Tracks how many instances of a pool are lost.
 
 use std::time::Duration;
 
@@ -6,25 +6,25 @@
 
 use super::counts::Present;
 
-/// How long an instance is missing without notice before it counts as lost. A crashed one is usually restarted under its id sooner, and is
-/// missing only once its record has lapsed.
+/// Time for which an instance may be missing without notice before it counts as lost. Exceeds the
+/// usual restart time of a crashed instance.
 pub const CRASH_TIME: Duration = Duration::from_secs(4);
 
-/// Why instances count as lost.
+/// Reason for which instances count as lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LossReason {
-    /// They take no more work, or gave notice that they leave.
+    /// They announced their departure or accept no new work.
     Leaving,
-    /// Their zone is to be drained.
+    /// Their zone is being drained.
     ZoneDrained,
-    /// They have been missing for longer than a crash lasts.
+    /// They were missing for longer than the grace period.
     Missing,
-    /// They were preemptible, and were taken away.
+    /// They were preemptible and were reclaimed.
     TakenAway,
 }
 
 impl LossReason {
-    /// Label of metrics and word in logs.
+    /// Returns the name used in metric labels and logs.
     pub fn label(self) -> &'static str {
         match self {
             Self::Leaving => "leaving",
@@ -35,21 +35,22 @@
     }
 }
 
-/// What is lost of one subject; kept between checks of the fleet.
+/// Lost instances of one pool, tracked across checks of the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Losses {
     lost: u32,
-    /// Since when more are missing than count as lost.
+    /// Time since which more instances are missing than count as lost.
     short_since: Option<Instant>,
 }
 
 impl Losses {
-    /// How many are lost.
+    /// Returns the number of lost instances.
     pub fn lost(&self) -> u32 {
         self.lost
     }
 
-    /// Compares what is there with the `found` instances; returns why more are lost than before, if so.
+    /// Compares the instances with the `found` count. Returns the reason if more are lost than
+    /// before.
     pub fn look(
         &mut self,
         found: u32,
@@ -65,7 +66,7 @@
         }
         let missing = found.saturating_sub(present.serving);
         let announced = missing.min(present.leaving);
-        // One that gave notice still counts as lost once it is gone.
+        // An instance that announced its departure still counts as lost once it is gone.
         self.lost = before.min(missing).max(announced);
         if missing == self.lost {
             self.short_since = None;
@@ -80,7 +81,7 @@
         (self.lost > before).then_some(LossReason::Leaving)
     }
 
-    /// Notes that it is not known what is there: time that passes meanwhile does not count as missing.
+    /// Restarts the grace period, because the fleet is unknown for now.
     pub fn note_unknown(&mut self) {
         self.short_since = None;
     }
--- a/crates/front/src/capacity/mod.rs
+++ b/crates/front/src/capacity/mod.rs
@@ -1,8 +1,9 @@
-//! Orders of capacity: instances that a service lost in one zone are ordered in others.
+//! Capacity orders: replaces instances that a service lost in one zone by instances in other zones.
 //!
-//! The plan is pure: [`counts`] tells what is there, [`losses`] what was lost, [`placement`] where a replacement goes, and [`planner`]
-//! puts them together into what is [`wanted`]. The holder of the orders lease first writes that to the store (it is then *fixed*) and
-//! then sends it ([`duty`]); [`outbox`] says which orders are due, and [`sink`] takes them.
+//! Planning has no side effects: [`counts`] counts the instances, [`losses`] tracks lost ones,
+//! [`placement`] chooses zones for replacements, and [`planner`] combines these into the
+//! [`desired`] capacity. [`controller`] runs on the holder of the orders lease: it persists the
+//! desired capacity and then sends the orders that [`outbox`] has due to a [`sink`].
 
 pub mod counts;
 pub mod duty;
--- a/crates/front/src/capacity/outbox.rs
+++ b/crates/front/src/capacity/outbox.rs
@@ -1,4 +1,4 @@
-//! Which orders are to be sent now.
+//! Schedules capacity orders and their retries.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,34 +8,34 @@
 use super::counts::Subject;
 use super::sink::CapacityOrderError;
 
-/// First pause after an order that was not taken; doubles with each further one.
+/// Pause after the first order that failed; doubles with each further one.
 const FIRST_PAUSE: Duration = Duration::from_millis(400);
 
-/// Longest pause after orders that were not taken.
+/// Upper limit of the pause after failed orders.
 const LONGEST_PAUSE: Duration = Duration::from_secs(4);
 
-/// An order without an answer may be carried out within this time, over newer ones.
+/// Time within which an unanswered order may still take effect, overriding newer ones.
 pub const LATE_TIME: Duration = Duration::from_secs(15);
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Entry {
     desired: u32,
     is_taken: bool,
-    /// It is not sent before.
+    /// Earliest time of the next attempt.
     next_at: Instant,
     pause: Duration,
-    /// Until when an order without an answer may be carried out.
+    /// Time until which an unanswered order may still take effect.
     late_until: Option<Instant>,
 }
 
-/// The order of each subject, and when it is to be sent.
+/// Latest order of each pool and the time of its next attempt.
 #[derive(Debug, Default)]
 pub struct Outbox {
     entries: BTreeMap<Subject, Entry>,
 }
 
 impl Outbox {
-    /// Takes the count that is wanted of a subject; one that was taken already is not sent again.
+    /// Sets the desired count of a pool. A count that was accepted already is not sent again.
     pub fn want(&mut self, subject: &Subject, desired: u32, now: Instant) {
         let entry = self.entries.get_mut(subject);
         if let Some(entry) = entry {
@@ -56,7 +56,8 @@
         self.entries.insert(subject.clone(), entry);
     }
 
-    /// Takes a count that an earlier holder wanted: orders of that one may still be carried out late, and are overtaken.
+    /// Sets a count that an earlier holder ordered. It is sent once more after that holder's orders
+    /// can no longer take effect.
     pub fn resume(&mut self, subject: &Subject, desired: u32, now: Instant) {
         self.want(subject, desired, now);
         if let Some(entry) = self.entries.get_mut(subject) {
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Makes the count of a subject due once more, not sooner than the pause noted with its last outcome.
+    /// Makes the count of a pool due again, after the pause that followed its last outcome.
     pub fn repeat(&mut self, subject: &Subject, desired: u32, now: Instant) {
         self.want(subject, desired, now);
         if let Some(entry) = self.entries.get_mut(subject)
@@ -74,7 +75,7 @@
         }
     }
 
-    /// The orders that are due.
+    /// Returns the orders that are due.
     pub fn due(&self, now: Instant) -> Vec<(Subject, u32)> {
         let is_due = |entry: &Entry| {
             let is_late_over = entry.late_until.is_some_and(|until| now >= until);
@@ -85,7 +86,8 @@
             .collect()
     }
 
-    /// Notes the outcome of an order. One that was taken, or for which there was no capacity, is repeated after `pause` at the earliest.
+    /// Records the outcome of an order. An accepted order, or one without available capacity, is
+    /// repeated after `pause` at the earliest.
     pub fn note(
         &mut self,
         subject: &Subject,
@@ -125,7 +127,7 @@
 }
 
 impl Entry {
-    /// Puts the order off by a pause that doubles.
+    /// Delays the next attempt, with exponential backoff.
     fn wait(&mut self, now: Instant) {
         self.next_at = now + self.pause;
         self.pause = (self.pause * 2).min(LONGEST_PAUSE);
--- a/crates/front/src/capacity/placement.rs
+++ b/crates/front/src/capacity/placement.rs
@@ -1,31 +1,33 @@
-//! Where instances are ordered beyond those that were found.
+//! Chooses the zones and kinds of replacement instances.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use super::counts::InstanceKind;
 
-/// What one zone offers.
+/// Capacity that one zone can provide.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Offer {
-    /// The zone.
+    /// Name of the zone.
     pub zone: Arc<str>,
-    /// Instances that serve there without an order of ours.
+    /// Serving instances that were not ordered here.
     pub serving: u32,
-    /// Instances that may be ordered there beyond those that were found, of both kinds together.
+    /// Instances of all kinds that may be ordered beyond the found ones.
     pub room: u32,
-    /// Price of a second of a kept instance there.
+    /// Price of one second of an on-demand instance.
     pub price: f64,
-    /// Most instances of each kind that can be had there, the preferred kind first.
+    /// Maximum number of orderable instances by kind, preferred kind first.
     pub kinds: Vec<(InstanceKind, u32)>,
 }
 
-/// Instances ordered by zone and kind.
+/// Ordered instances by zone and kind.
 pub type Placed = BTreeMap<(Arc<str>, InstanceKind), u32>;
 
-/// Spreads `target` instances over the zones. What is placed stays as far as it can. Further ones are of the preferred kind if there are
-/// any, and go to the zones with the fewest instances, of these to the cheapest, so that the loss of a zone costs the least; surplus ones
-/// are removed where there are most. Fewer than `target` are placed where there is no room for them.
+/// Spreads `target` instances over the zones, keeping the current placement where possible.
+///
+/// Adds instances of the preferred kind first, in the zone with the fewest instances and then the
+/// lowest price, so that the loss of a zone affects as few as possible. Removes them from the zone
+/// with the most instances. Places fewer than `target` if the zones lack capacity.
 pub fn place(offers: &[Offer], placed: &Placed, target: u32) -> Placed {
     let mut next = keep(offers, placed);
     while total(&next) < target {
@@ -47,7 +49,7 @@
     next
 }
 
-/// What stays of what is placed: nothing in zones that offer none, and no more than there is room for.
+/// Returns the part of the current placement that still fits the offers.
 fn keep(offers: &[Offer], placed: &Placed) -> Placed {
     let mut kept = Placed::new();
     for offer in offers {
@@ -74,7 +76,8 @@
     here.map(|(_, count)| *count).sum()
 }
 
-/// The kind of which one more can be had in a zone, and how many others are preferred to it.
+/// Returns the most preferred kind that the zone can still provide, with its rank in the zone's
+/// order of preference.
 fn kind_to_add(offer: &Offer, placed: &Placed) -> Option<(usize, InstanceKind)> {
     if in_zone(placed, &offer.zone) >= offer.room {
         return None;
@@ -110,7 +113,7 @@
     let places = placed.keys();
     let best = places.max_by(|(left, left_kind), (right, right_kind)| {
         let by_fullness = fullness(left).cmp(&fullness(right));
-        // Of two kinds the kept one costs more.
+        // On-demand instances cost more, so they are removed first.
         by_fullness
             .then(price(left).total_cmp(&price(right)))
             .then(right_kind.cmp(left_kind))
--- a/crates/front/src/capacity/planner.rs
+++ b/crates/front/src/capacity/planner.rs
@@ -1,4 +1,5 @@
-//! What is wanted, from what is there: whatever a service lost in one zone is placed in others until it is back.
+//! Plans the desired capacity: replaces instances that a service lost in one zone by instances in
+//! others until they return.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,83 +15,84 @@
 use crate::backend::Discovered;
 use crate::config::{ScalingSpec, ServiceSpec};
 
-/// Instances beyond those that were found count as the service's own once they have been there for so long: while instances are replaced
-/// one by one, there is one more for a short time.
+/// Time after which additional instances count as found. A rolling replacement runs one additional
+/// instance for less than this.
 pub const ADOPTION_TIME: Duration = Duration::from_secs(5);
 
-/// Replacements are given back once they have not been needed for so long: instances that return are slow at first, and may be lost again
-/// soon.
+/// Time for which replacements stay after they are last needed. Returning instances are slow at
+/// first and may be lost again.
 pub const GIVE_BACK_TIME: Duration = Duration::from_secs(10);
 
-/// How long a zone without capacity, or whose instances are being taken away, is left out.
+/// Time for which a pool without available capacity, or with reclaimed instances, is skipped.
 pub const REFUSAL_TIME: Duration = Duration::from_secs(2);
 
-/// What the plan is made from.
+/// Input of one planning round.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetNow<'a> {
     /// Services by name.
     pub services: &'a BTreeMap<String, ServiceSpec>,
-    /// All instances that discovery knows.
+    /// All discovered instances.
     pub instances: &'a [Discovered],
-    /// Zones that are to be drained.
+    /// Zones that are being drained.
     pub drained: &'a BTreeSet<Arc<str>>,
 }
 
-/// More instances count as lost than before.
+/// Increase in the number of lost instances of a pool.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LossNews {
-    /// Which.
+    /// Pool that lost instances.
     pub subject: Subject,
-    /// How many are lost now.
+    /// Instances lost now.
     pub lost: u32,
-    /// How many were before.
+    /// Instances lost before.
     pub before: u32,
-    /// Why.
+    /// Reason of the loss.
     pub reason: LossReason,
 }
 
-/// Result of one check of the fleet.
+/// Result of one planning round.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Plan {
-    /// What is wanted from now on; `None`: the same as before.
+    /// New desired capacity; `None` if it is unchanged.
     pub wanted: Option<WantedCapacity>,
-    /// What was lost since the last check.
+    /// Losses since the last round.
     pub losses: Vec<LossNews>,
 }
 
-/// Replacements that were not needed lately.
+/// Replacements that are not needed at present.
 #[derive(Debug, Clone, Copy)]
 struct Spare {
-    /// Most that were lost at one time since then.
+    /// Maximum number of instances lost at any time since `since`.
     most_lost: u32,
     since: Instant,
 }
 
-/// Instances that are there and that no order of ours explains.
+/// Instances that no order of this service accounts for.
 #[derive(Debug, Clone, Copy)]
 struct Surplus {
     count: u32,
     since: Instant,
 }
 
-/// Plans for one holder; keeps what has to be known from one check of the fleet to the next.
+/// Planner of one lease holder, with the state it keeps between rounds.
 #[derive(Debug)]
 pub struct CapacityPlanner {
     wanted: WantedCapacity,
     losses: BTreeMap<Subject, Losses>,
     surplus: BTreeMap<Subject, Surplus>,
-    /// Most instances beyond the found ones that recent orders may bring, and until when these may be carried out.
+    /// Maximum number of extra instances that recent orders may bring, and the time until which
+    /// these orders may take effect.
     ordered: BTreeMap<Subject, (u32, Instant)>,
     refused_until: BTreeMap<Subject, Instant>,
-    /// Preemptible instances that served at the last check.
+    /// Preemptible instances that were serving in the last round.
     served: BTreeMap<Subject, u32>,
     spare: BTreeMap<Arc<str>, Spare>,
 }
 
 impl CapacityPlanner {
-    /// A planner that goes on with what earlier holders wanted.
+    /// Creates a planner that continues from the capacity that earlier holders persisted.
     pub fn new(wanted: WantedCapacity, now: Instant) -> Self {
-        // Orders of an earlier holder may still be carried out.
+        // Orders of an earlier holder may still take effect.
         let ordered = wanted.subjects().filter(|(_, count)| count.is_ordered);
         let ordered = ordered.map(|(subject, _)| (subject, (u32::MAX, now + LATE_TIME)));
         Self {
@@ -104,26 +106,26 @@
         }
     }
 
-    /// What was fixed last.
+    /// Returns the desired capacity that was persisted last.
     pub fn wanted(&self) -> &WantedCapacity {
         &self.wanted
     }
 
-    /// Notes that it is not known which instances are there. What was counted of missing time starts again, so that records that lapsed
-    /// while the store was away can return first.
+    /// Discards observations because the fleet is unknown. Restarts the grace periods of missing
+    /// instances, so that records that expired during an outage of the store can return.
     pub fn note_unknown(&mut self) {
         self.surplus.clear();
         self.served.clear();
         self.losses.values_mut().for_each(Losses::note_unknown);
     }
 
-    /// Notes that none can be had of a subject now.
+    /// Marks a pool as having no available capacity for now.
     pub fn note_refused(&mut self, subject: &Subject, now: Instant) {
         self.refused_until
             .insert(subject.clone(), now + REFUSAL_TIME);
     }
 
-    /// Takes what was fixed.
+    /// Applies a persisted capacity.
     pub fn accept(&mut self, wanted: WantedCapacity, now: Instant) {
         for (subject, count) in wanted.subjects() {
             let before = self.wanted.get(&subject);
@@ -138,7 +140,7 @@
         self.wanted = wanted;
     }
 
-    /// Checks the fleet, and plans what is wanted from now on.
+    /// Plans the desired capacity for the current fleet.
     pub fn plan(&mut self, fleet: FleetNow, now: Instant) -> Plan {
         let counts = count(fleet.instances);
         let mut next = self.wanted.clone();
@@ -162,7 +164,8 @@
         }
     }
 
-    /// Subjects that lack preemptible instances, which can only be had again by an order in their own zone.
+    /// Returns the pools that lack preemptible instances. Only an order in the same zone replaces
+    /// these.
     pub fn to_order_again(&self, drained: &BTreeSet<Arc<str>>, now: Instant) -> Vec<Subject> {
         let is_short = |subject: &Subject, serving: u32| {
             serving < self.wanted.get(subject).desired()
@@ -181,7 +184,7 @@
         until.is_some_and(|until| now < *until)
     }
 
-    /// Counts instances that are there without an order of ours as the service's own.
+    /// Counts instances that no order accounts for as found once they have stayed long enough.
     fn adopt(&mut self, service: &Service, next: &mut WantedCapacity, now: Instant) {
         let is_new = !self.wanted.has_service(&service.name);
         for subject in service.subjects(next) {
@@ -206,7 +209,7 @@
         }
     }
 
-    /// Most instances beyond the found ones that orders of ours may have brought.
+    /// Returns the maximum number of extra instances that orders may have brought.
     fn most_ordered(&self, subject: &Subject, extra: u32, now: Instant) -> u32 {
         let ordered = self.ordered.get(subject);
         let ordered = ordered.filter(|(_, until)| now < *until);
@@ -241,8 +244,9 @@
         }
     }
 
-    /// Preemptible instances of a zone count as taken away if some gave notice or if none is left, also those that were ordered and have
-    /// not started yet. Where some are left and none gave notice, the others crashed.
+    /// Detects reclaimed preemptible instances: some announced it, or none is left. All missing
+    /// ones then count as lost, including ordered ones that have not started. If some are left
+    /// without an announcement, the missing ones crashed.
     fn look_for_taken_away(
         &mut self,
         subject: &Subject,
@@ -266,7 +270,7 @@
         })
     }
 
-    /// Places as many instances as were lost.
+    /// Places as many replacements as there are lost instances.
     fn replace(&mut self, service: &Service, next: &mut WantedCapacity, now: Instant) {
         let subjects = service.subjects(next);
         let lost: u32 = subjects.iter().map(|subject| self.lost(subject)).sum();
@@ -280,7 +284,7 @@
         self.losses.get(subject).map_or(0, Losses::lost)
     }
 
-    /// How many instances are to be there beyond the found ones.
+    /// Returns the number of extra instances the service should have.
     fn target(&mut self, service: &Service, lost: u32, placed: u32, now: Instant) -> u32 {
         if lost >= placed {
             self.spare.remove(&service.name);
@@ -340,7 +344,7 @@
         }
     }
 
-    /// Most instances of a subject that can be had beyond the found ones.
+    /// Returns the maximum number of extra instances that may be ordered in a pool.
     fn most(
         &self,
         service: &Service,
@@ -354,9 +358,10 @@
         if self.is_refused(subject, now) {
             return count.extra.min(arrived);
         }
-        // An order names all of its kind: where some of those are missing it could name fewer than are there.
+        // An order names the total of its pool. While found instances are missing, that total could
+        // be below the number running.
         let is_whole = present.serving >= count.found;
-        // Nor may it take away those that somebody else has just added.
+        // An order must not remove instances that somebody else has just added.
         let has_others = arrived > self.most_ordered(subject, count.extra, now);
         if has_others {
             return count.extra;
@@ -369,7 +374,7 @@
     }
 }
 
-/// What is wanted of some subjects beyond the found instances.
+/// Returns the desired extra instances of the given pools.
 fn placed(subjects: &[Subject], wanted: &WantedCapacity) -> Placed {
     let counts = subjects.iter().map(|subject| {
         let extra = wanted.get(subject).extra;
@@ -378,7 +383,7 @@
     counts.filter(|(_, extra)| *extra > 0).collect()
 }
 
-/// Makes `placed` what is wanted of some subjects beyond the found instances.
+/// Sets the desired extra instances of the given pools.
 fn set_placed(subjects: &[Subject], wanted: &mut WantedCapacity, placed: &Placed) {
     for subject in subjects {
         let before = wanted.get(subject);
@@ -393,7 +398,7 @@
     }
 }
 
-/// One service at one check of the fleet.
+/// View of one service during a planning round.
 struct Service<'a> {
     name: Arc<str>,
     scaling: &'a ScalingSpec,
@@ -414,7 +419,7 @@
         self.counts.get(subject).copied().unwrap_or_default()
     }
 
-    /// Both kinds in all zones that the service has, or had, instances in.
+    /// Returns both kinds of pool in every zone that has, or had, instances of the service.
     fn subjects(&self, wanted: &WantedCapacity) -> Vec<Subject> {
         let there = self.counts.keys().cloned();
         let known = wanted.subjects().map(|(subject, _)| subject);
@@ -431,13 +436,13 @@
             .collect()
     }
 
-    /// Whether there are preemptible instances and they cost less.
+    /// Returns true if preemptible instances are available and cost less.
     fn prefers_preemptible(&self) -> bool {
         let price = self.scaling.preemptible_price;
         price.is_some_and(|price| price < 1.0)
     }
 
-    /// Price of a zone; without prices all zones cost the same.
+    /// Returns the price of a zone; 1.0 if none is configured.
     fn price(&self, zone: &str) -> f64 {
         self.scaling.zone_prices.get(zone).copied().unwrap_or(1.0)
     }
--- a/crates/front/src/capacity/sink.rs
+++ b/crates/front/src/capacity/sink.rs
@@ -1,38 +1,38 @@
-//! Where orders go.
+//! Receiver of capacity orders.
 
 use futures_util::future::BoxFuture;
 
 use super::counts::Subject;
 
-/// An order: how many instances a zone is to hold of one kind. Sent again it changes nothing.
+/// Order for the total number of instances in a pool. Sending it again has no further effect.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CapacityOrder {
-    /// What it is about.
+    /// Pool to resize.
     pub subject: Subject,
-    /// How many instances there are to be.
+    /// Total number of instances.
     pub desired: u32,
-    /// Name of the holder.
+    /// Name of the lease holder.
     pub holder: String,
-    /// Its fencing token.
+    /// Fencing token of the lease holder.
     pub fence: u64,
 }
 
-/// Why an order was not taken.
+/// Reason for which an order was not accepted.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum CapacityOrderError {
-    /// None can be had there now, or the receiver has seen a higher fencing token.
+    /// No instance is available, or the receiver has seen a higher fencing token.
     #[error("none to be had")]
     NoneToBeHad,
-    /// It was refused, and was not carried out.
+    /// The order was rejected and has no effect.
     #[error("refused: {0}")]
     Refused(String),
-    /// Nothing is known of it; it may be carried out, now or later.
+    /// The outcome is unknown; the order may take effect now or later.
     #[error("outcome unknown: {0}")]
     Unknown(String),
 }
 
 impl CapacityOrderError {
-    /// Label of metrics and word in logs.
+    /// Returns the name used in metric labels and logs.
     pub fn label(&self) -> &'static str {
         match self {
             Self::NoneToBeHad => "none_to_be_had",
@@ -42,9 +42,12 @@
     }
 }
 
-/// Takes orders.
+/// Receives capacity orders.
 pub trait CapacitySink: Send + Sync + 'static {
-    /// Sends an order; `Ok` once it was taken.
+    /// Sends an order; returns once it is accepted.
+    ///
+    /// # Errors
+    /// When the order was not accepted, or its outcome is unknown.
     fn order<'a>(
         &'a self,
         order: &'a CapacityOrder,
--- a/crates/front/src/capacity/wanted.rs
+++ b/crates/front/src/capacity/wanted.rs
@@ -1,4 +1,4 @@
-//! How many instances are wanted, as the store holds it.
+//! Desired capacity in its stored form.
 
 use std::collections::BTreeMap;
 
@@ -6,30 +6,30 @@
 
 use super::counts::{InstanceKind, Subject};
 
-/// What is wanted of one subject. An order names the sum.
+/// Desired instances of one pool; an order names the sum of `found` and `extra`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct CountWanted {
-    /// Instances that were there without an order of ours; no order goes below it.
+    /// Instances that exist without an order; orders never go below this count.
     pub found: u32,
-    /// Instances beyond those.
+    /// Instances ordered beyond the found ones.
     #[serde(default)]
     pub extra: u32,
-    /// Whether anything was ever ordered; a later holder then sends the order again.
+    /// An order was sent at some time, so a later holder sends it again.
     #[serde(default)]
     pub is_ordered: bool,
 }
 
 impl CountWanted {
-    /// The count that an order names.
+    /// Returns the total that an order names.
     pub fn desired(self) -> u32 {
         self.found + self.extra
     }
 }
 
-/// What is wanted in one zone.
+/// Desired instances in one zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct ZoneWanted {
-    /// Kept instances.
+    /// On-demand instances.
     #[serde(default)]
     pub kept: CountWanted,
     /// Preemptible instances.
@@ -53,21 +53,21 @@
     }
 }
 
-/// What is wanted of all services that are scaled, by service and zone.
+/// Desired capacity of all scaled services, by service and zone.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct WantedCapacity {
     services: BTreeMap<String, BTreeMap<String, ZoneWanted>>,
 }
 
 impl WantedCapacity {
-    /// What is wanted of a subject.
+    /// Returns the desired instances of a pool.
     pub fn get(&self, subject: &Subject) -> CountWanted {
         let zones = self.services.get(subject.service.as_ref());
         let zone = zones.and_then(|zones| zones.get(subject.zone.as_ref()));
         zone.map_or_else(CountWanted::default, |zone| *zone.of(subject.kind))
     }
 
-    /// Changes what is wanted of a subject.
+    /// Sets the desired instances of a pool.
     pub fn set(&mut self, subject: &Subject, count: CountWanted) {
         if count == CountWanted::default() && !self.has_zone(subject) {
             return;
@@ -77,12 +77,12 @@
         *zone.or_default().of_mut(subject.kind) = count;
     }
 
-    /// Whether anything is known of a service.
+    /// Returns true if the service has any entry.
     pub fn has_service(&self, service: &str) -> bool {
         self.services.contains_key(service)
     }
 
-    /// All subjects, sorted.
+    /// Returns all pools in order.
     pub fn subjects(&self) -> impl Iterator<Item = (Subject, CountWanted)> + '_ {
         const KINDS: [InstanceKind; 2] = [InstanceKind::Kept, InstanceKind::Preemptible];
         self.services.iter().flat_map(|(service, zones)| {
--- a/crates/front/src/orders/calls.rs
+++ b/crates/front/src/orders/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to instances themselves: reports and orders.
+//! HTTP calls to instances: load reports and load orders.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,19 +10,22 @@
 use crate::backend::{AnswerId, Instance, RequestHead, send};
 use crate::dialect::{InstanceCall, InstanceReport, SharedCodec};
 
-/// Longest wait for an answer.
+/// Timeout of one call.
 pub(super) const CALL_LIMIT: Duration = Duration::from_millis(600);
 
-/// Largest answer that is read.
+/// Maximum size of an answer in bytes.
 const ANSWER_LIMIT: usize = 1 << 20;
 
-/// Calls instances.
+/// Client for calls to instances.
 pub(super) struct InstanceCalls {
     pub codec: SharedCodec,
 }
 
 impl InstanceCalls {
-    /// Asks an instance for its report.
+    /// Requests an instance's report.
+    ///
+    /// # Errors
+    /// When the call fails, the status is not 200 or the report is malformed.
     pub async fn report(&self, instance: &Arc<Instance>) -> Result<InstanceReport, String> {
         let (status, body) = self.call(instance, self.codec.report_call()).await?;
         if status != StatusCode::OK {
@@ -31,7 +34,11 @@
         self.codec.read_report(&body)
     }
 
-    /// Makes one call and reads its whole answer.
+    /// Makes one call and reads the complete answer.
+    ///
+    /// # Errors
+    /// When the request cannot be built or sent, or the answer exceeds its size limit or
+    /// [`CALL_LIMIT`].
     pub async fn call(
         &self,
         instance: &Arc<Instance>,
--- a/crates/front/src/orders/candidates.rs
+++ b/crates/front/src/orders/candidates.rs
@@ -1,17 +1,18 @@
-//! Which nodes try to become the giver of orders: a few, as each try and each look at the lease is a priced call.
+//! Selects the few nodes that try to acquire the orders lease, because every attempt and every
+//! check of it is a charged call to the store.
 
 use std::cmp::Reverse;
 
 use ladderstage::routing::rendezvous;
 
-/// Nodes that try.
+/// Number of nodes that try to acquire the lease.
 const CANDIDATES: usize = 4;
 
-/// Key by which nodes are ranked.
+/// Key of the rendezvous hash.
 const RANKING: &[u8] = b"orders/giver";
 
-/// Whether `own` is among the first of the present nodes: those with the most processor time, given in thousandths of a core, and of
-/// these by rendezvous hash. A weak machine notices late that loads are done. Nodes that are gone make room for the next.
+/// Returns true if `own` is among the first present nodes, ranked by CPU (in millicores), then by
+/// rendezvous hash. Strong nodes come first because a weak one detects finished loads late.
 pub fn is_candidate<'a>(own: &str, present: impl IntoIterator<Item = (&'a str, u32)>) -> bool {
     by_rank(present)
         .iter()
@@ -19,7 +20,7 @@
         .any(|name| *name == own)
 }
 
-/// The present nodes by how likely they hold the lease.
+/// Returns the present nodes in order of rank.
 pub(super) fn by_rank<'a>(present: impl IntoIterator<Item = (&'a str, u32)>) -> Vec<&'a str> {
     let present: Vec<(&str, u32)> = present.into_iter().collect();
     let cpu_millis = |name: &str| {
--- a/crates/front/src/orders/demand.rs
+++ b/crates/front/src/orders/demand.rs
@@ -1,4 +1,5 @@
-//! What all fronts tell of their work: how much of it each model has, how long its texts are, and how fast instances are.
+//! Collects the demand that all fronts report: tokens of work by model, text lengths, and the event
+//! interval of each instance.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,29 +16,29 @@
 use crate::job::JobRegistry;
 use crate::nodes::Nodes;
 
-/// Between questions to all fronts. In between only the strongest are asked, which steps are handed to, and those that told of work:
-/// with hundreds of fronts the answers of the others would take a weak giver's processor time for a quarter of a second.
+/// Interval between polls of all fronts. In between only the strongest and the busy ones are
+/// polled, to limit the CPU use of a weak leader in a deployment with hundreds of fronts.
 const ALL_INTERVAL: Duration = Duration::from_secs(12);
 
-/// From one round of answers to the next a pace rises by this factor at most: a load or a passing trouble is not an instance's own
-/// pace.
+/// Maximum factor by which an event interval grows from one poll to the next, so that a load or a
+/// brief disturbance does not count as the instance's own speed.
 const PACE_RISE: f64 = 1.05;
 
-/// The fronts' answers taken together.
+/// Combined reports of the fronts.
 #[derive(Debug, Default)]
 pub(super) struct FleetDemand {
     tokens: BTreeMap<String, u64>,
     longest_events: BTreeMap<String, u64>,
     paces_ms: BTreeMap<String, f64>,
-    /// Fronts that told of work.
+    /// Fronts that reported work.
     workers: BTreeSet<String>,
-    /// When all fronts were asked last.
+    /// Time of the last poll of all fronts.
     all_asked_at: Option<Instant>,
 }
 
 impl FleetDemand {
-    /// Asks the fronts that have work, and all of them now and then; those that do not answer in time are left out. `last` is what
-    /// they told the last time.
+    /// Polls the busy fronts, and all of them every [`ALL_INTERVAL`]. Fronts that do not answer in
+    /// time are left out. `last` holds the previous reports.
     pub async fn gather(nodes: &Nodes, jobs: &JobRegistry, last: &Self) -> Self {
         let asks_all = last
             .all_asked_at
@@ -70,7 +71,8 @@
         all
     }
 
-    /// Fronts that work with instances' weights, or are the first to be handed such work or the right to give orders.
+    /// Returns the fronts that use instances' weights, and those first in line to receive such work
+    /// or the orders lease.
     pub fn audience(&self, nodes: &Nodes) -> BTreeSet<String> {
         let takers = nodes.takers().into_iter().map(|front| front.node);
         takers.chain(self.workers.iter().cloned()).collect()
@@ -107,7 +109,7 @@
         all
     }
 
-    /// Fills in what is known of each model's work.
+    /// Fills in the reported work of each model.
     pub fn fill(&self, demands: &mut [ModelDemand]) {
         for demand in demands {
             let tokens = self.tokens.get(&demand.model).copied();
@@ -117,7 +119,7 @@
         }
     }
 
-    /// Milliseconds between two events at an instance; `None` while unknown.
+    /// Returns the milliseconds between two events at an instance; `None` while unknown.
     pub fn pace_ms(&self, instance: &str) -> Option<f64> {
         self.paces_ms.get(instance).copied()
     }
--- a/crates/front/src/orders/ended.rs
+++ b/crates/front/src/orders/ended.rs
@@ -1,8 +1,9 @@
-//! The word of a giver that gives orders no more.
+//! Announcement by which a former order leader shortens the quiet period of the next one.
 //!
-//! Instances that check no fences must not get orders of two givers in quick succession, so a new giver has to keep quiet for a time
-//! after the last order of the one before. A giver that loses its lease while it is well, as when the store turns it away, says
-//! itself to which instances it gave orders of late. All others may have orders of the next giver at once.
+//! Instances that do not check fences must not receive orders of two leaders in quick succession,
+//! so a new leader waits for a quiet period. A leader that stops while it can still reach other
+//! fronts announces the instances it recently sent orders to; the next leader may send orders to
+//! all others at once.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
@@ -16,25 +17,25 @@
 use super::lease::LastGiver;
 use crate::nodes::Nodes;
 
-/// How long a front may take to answer.
+/// Timeout of one announcement.
 const END_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What a giver told when it ended.
+/// Announcement of a former leader.
 #[derive(Debug, Clone)]
 struct EndedGiver {
     giver: LastGiver,
-    /// Instances with the times before which their last orders were sent.
+    /// Instances, each with a time before which its last order was sent.
     orders: Vec<(String, Instant)>,
 }
 
-/// The newest giver that told its end, as far as this node heard. Cheap to clone.
+/// Latest announcement of a former leader that this node received. Cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub struct EndedGivers {
     newest: Arc<Mutex<Option<EndedGiver>>>,
 }
 
 impl EndedGivers {
-    /// Takes what a giver told; `now` is when it was heard.
+    /// Records an announcement that was received at `now`.
     pub fn note(&self, end: &GiverEnd, now: Instant) {
         let mut newest = self.lock();
         if newest
@@ -43,7 +44,7 @@
         {
             return;
         }
-        // The way here only makes an order older than it is taken for.
+        // The delivery time of the announcement only adds to an order's age.
         let orders = end.orders.iter().filter_map(|order| {
             let sent_at = now.checked_sub(Duration::from_millis(order.age_ms))?;
             Some((order.instance.clone(), sent_at))
@@ -57,7 +58,8 @@
         });
     }
 
-    /// The recent orders of `giver`, with the times before which they were sent; `None` if it has not told its end.
+    /// Returns the recent orders of `giver`, each with a time before which it was sent; `None`
+    /// without an announcement for that fence.
     pub fn orders_of(&self, giver: &LastGiver) -> Option<Vec<(String, Instant)>> {
         let newest = self.lock();
         let ended = newest.as_ref().filter(|ended| ended.giver == *giver)?;
@@ -71,7 +73,8 @@
     }
 }
 
-/// Tells all other fronts that `giver`, which is this node, gives orders no more, and which ones it gave at which times.
+/// Announces to all other fronts that `giver`, which is this node, issues no more orders, with its
+/// recent ones.
 pub(super) async fn tell_end(nodes: &Nodes, giver: LastGiver, orders: &[(String, Instant)]) {
     let orders = orders.iter().map(|(instance, sent_at)| RecentOrder {
         instance: instance.clone(),
--- a/crates/front/src/orders/given.rs
+++ b/crates/front/src/orders/given.rs
@@ -1,4 +1,5 @@
-//! What a holder of the lease remembers of the orders that it gave.
+//! State of the order leader: orders in flight, weight loads in progress and the learned load
+//! limit.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -12,67 +13,71 @@
 use crate::backend::Instance;
 use ladderstage_clock::Instant;
 
-/// A load is first looked at after this share of the least time.
+/// Fraction of the shortest load time after which a load is first checked.
 const LOOK_SHARE: f64 = 0.97;
 
-/// Between looks at a load that should be done.
+/// Interval between checks of a load that is about to finish.
 const LOAD_LOOK_INTERVAL: Duration = Duration::from_millis(15);
 
-/// Between looks at a load whose instance does not answer: each look holds the others up.
+/// Interval between checks of a load whose instance does not answer, as each one delays the checks
+/// of other loads.
 const SILENT_LOOK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// A look at a load that comes later than this after it was due does not tell when the load was done.
+/// Maximum delay of a check for which the time at which the load finished still counts as exact.
 const LATE_LOOK: Duration = Duration::from_millis(60);
 
-/// Between looks at what is to be ordered.
+/// Maximum interval between planning rounds.
 pub(super) const LOOK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a holder remembers of its orders.
+/// State of an order leader.
 #[derive(Default)]
 pub(super) struct Given {
-    /// Instances that are to be left alone, and until when.
+    /// Instances excluded from orders, and until when.
     pub pauses: HashMap<String, Instant>,
-    /// Instances that orders are on their way to.
+    /// Instances with an order in flight.
     pub ordering: HashSet<String>,
-    /// Orders under way, by instance.
+    /// Loads in progress by instance.
     pub loads: HashMap<String, Load>,
-    /// Until when the last order to each instance may have been sent, by this giver or the one before.
+    /// Latest time at which the last order to each instance may have been sent, by this leader or
+    /// the previous one.
     ordered_at: HashMap<String, Instant>,
-    /// Orders of other givers that are too recent for one of this node, under this lease or a later one.
+    /// Orders of other leaders that are still within the quiet period, also for a later lease of
+    /// this node.
     pub respected: Vec<(String, Instant)>,
-    /// How many loads may be under way at once.
+    /// Limit on concurrent loads.
     pub load_limit: LoadLimit,
-    /// Loads that began earlier teach nothing: those of a giver before may have been under way beside them.
+    /// Loads that started earlier are not learned from, as loads of the previous leader may have
+    /// run at the same time.
     pub learn_from: Option<Instant>,
     link: LinkUse,
-    /// What the fronts told of their work, and when they were asked.
+    /// Latest demand that the fronts reported, and the time of that poll.
     pub demand: FleetDemand,
     pub demand_at: Option<Instant>,
-    /// The fronts were asked since instances were last traded between models.
+    /// The demand was refreshed since the last trade of instances between models.
     pub may_trade: bool,
-    /// Which model each instance serves.
+    /// Model that each instance serves.
     pub assignment: Assignment,
-    /// What the fronts are to be told.
+    /// Weight updates to send to the fronts.
     pub news: NewsSender,
-    /// Keeps what is learnt of loads.
+    /// Persists the learned load limit.
     pub learnt: LearntWriter,
 }
 
-/// An order under way.
+/// Load in progress.
 #[derive(Debug, Clone)]
 pub(super) struct Load {
     pub model: String,
     pub version: u64,
-    /// Start of the instance that took it; a later one knows nothing of it.
+    /// Start time of the instance process that accepted the order; a restarted process has lost it.
     pub started_unix_ms: u64,
     pub since: Instant,
     pub look_at: Instant,
     pub give_up_at: Instant,
-    /// Loads under way when it began, this one included.
+    /// Loads in progress when this one started, including it.
     pub beside: usize,
-    /// Use of the link until it began.
+    /// Use of the link before this load started.
     link_before: LinkUse,
-    /// Whether it is known when it began, and it was looked at whenever that was due.
+    /// Accuracy of the measured load time.
     timing: LoadTiming,
 }
 
@@ -91,19 +96,19 @@
             || self.loads.contains_key(instance)
     }
 
-    /// Loads under way or about to begin.
+    /// Returns the number of loads in progress or about to start.
     pub fn loading(&self) -> usize {
         self.loads.len() + self.ordering.len()
     }
 
-    /// Notes that an order to an instance is about to be sent, within `limit`.
+    /// Records an order that is sent to an instance within `limit`.
     pub fn note_order(&mut self, instance: &str, limit: Duration) {
         let sent_until = Instant::now() + limit;
         self.ordered_at.insert(instance.to_owned(), sent_until);
         self.ordering.insert(instance.to_owned());
     }
 
-    /// Leaves the instances alone that had orders of another giver less than `quiet` ago.
+    /// Excludes the instances that received an order of another leader less than `quiet` ago.
     pub fn respect(&mut self, orders: Vec<(String, Instant)>, quiet: Duration) {
         for (instance, ordered_at) in &orders {
             self.pauses.insert(instance.clone(), *ordered_at + quiet);
@@ -112,7 +117,7 @@
         self.respected.extend(orders);
     }
 
-    /// Instances that had orders less than `quiet` ago.
+    /// Returns the instances that received orders less than `quiet` ago.
     pub fn recent_orders(&self, quiet: Duration) -> Vec<(String, Instant)> {
         let recent = self
             .ordered_at
@@ -121,7 +126,8 @@
         recent.map(|(id, at)| (id.clone(), *at)).collect()
     }
 
-    /// Notes an order under way; looked at when such a load is usually done. `is_taken`: the instance has said that it took it.
+    /// Records a load in progress and schedules its first check. `is_taken`: the instance accepted
+    /// the order.
     pub fn begin(
         &mut self,
         instance: &Instance,
@@ -153,7 +159,7 @@
         self.link.set_loads(self.loads.len(), now);
     }
 
-    /// Orders under way that are to be looked at now.
+    /// Returns the loads that are due for a check.
     pub fn due_loads(&mut self) -> Vec<(String, Load)> {
         let now = Instant::now();
         let due = self
@@ -169,18 +175,19 @@
         .collect()
     }
 
-    /// Forgets an order: it is done, or given up.
+    /// Removes a load that finished or was abandoned.
     pub fn end(&mut self, instance: &str) {
         self.loads.remove(instance);
         self.link.set_loads(self.loads.len(), Instant::now());
     }
 
-    /// Learns from a load that is done. `is_by_report`: its instance's own report said so.
+    /// Learns from a finished load. `is_by_report`: the instance's own report showed it.
     pub fn note_load(&mut self, instance: &str, load: &Load, is_by_report: bool) {
         let now = Instant::now();
         let mut load = load.clone();
         if !is_by_report {
-            // Reports tell of some time ago; a load that is known from elsewhere seems shorter than others by that.
+            // Reports describe an earlier state, so a load seen finished by other means appears
+            // shorter than others.
             load.timing = LoadTiming::Unknown;
         } else if now.saturating_duration_since(load.look_at) > LATE_LOOK {
             load.note_late_look();
@@ -217,7 +224,7 @@
         }
     }
 
-    /// Looks at a load again soon: sooner once it is known how long loads take.
+    /// Schedules the next check of a load, sooner once typical load times are known.
     pub fn look_again(&mut self, instance: &str) {
         let pause = match self.load_limit.least() {
             Some(_) => LOAD_LOOK_INTERVAL,
@@ -226,7 +233,7 @@
         self.look_after(instance, pause);
     }
 
-    /// Looks again at a load whose instance did not answer.
+    /// Schedules the next check of a load whose instance did not answer.
     pub fn look_later(&mut self, instance: &str) {
         if let Some(load) = self.loads.get_mut(instance) {
             load.note_late_look();
@@ -240,7 +247,7 @@
         }
     }
 
-    /// When the next load should be looked at, at the latest after the usual interval.
+    /// Returns the time until the next load is due, limited to the planning interval.
     pub fn next_look(&self) -> Duration {
         let now = Instant::now();
         let due = self.loads.values().map(|load| load.look_at);
@@ -250,7 +257,7 @@
         })
     }
 
-    /// Trades some instances between models if the fronts were asked for their work since the last time.
+    /// Trades instances between models if the demand was refreshed since the last trade.
     pub fn trade_once(&mut self, demands: &[ModelDemand], fleet: &[FleetInstance]) {
         if !std::mem::take(&mut self.may_trade) {
             return;
--- a/crates/front/src/orders/giver.rs
+++ b/crates/front/src/orders/giver.rs
@@ -1,4 +1,4 @@
-//! The node that gives orders: holds a lease, proves it by the steady clock, and stops by itself.
+//! Order leader: sends weight-load orders to instances while this node holds the orders lease.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,99 +29,99 @@
 use crate::roster::RosterWriter;
 use crate::usage::UsageReporter;
 
-/// Pause before the lease is tried again.
+/// Pause between attempts to acquire the lease.
 const TAKE_PAUSE: Duration = Duration::from_millis(250);
 
-/// Between looks whether this node is to try to become the giver.
+/// Interval between checks of whether this node is a candidate.
 const CANDIDATE_LOOK: Duration = Duration::from_millis(500);
 
-/// A node tries to become the giver only if it knows the others as of this time ago: one that has just started with all others may
-/// know itself only.
+/// Maximum age of the node list for an attempt to acquire the lease. Nodes that start together know
+/// only themselves at first.
 const NODES_AGE: Duration = Duration::from_secs(5);
 
-/// Between questions to the fronts about their work.
+/// Interval between polls of the fronts for their demand.
 const DEMAND_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Orders that are given at the same moment at most.
+/// Maximum number of orders planned in one round.
 const ORDERS_AT_ONCE: usize = 16;
 
-/// Longest wait for a load.
+/// Time after which a load is abandoned.
 const LOAD_LIMIT: Duration = Duration::from_secs(5);
 
-/// A giver to whom nobody told how long loads take learns nothing from loads of this first time: twice the longest load that
-/// was seen, so that those of an earlier giver are over.
+/// Time for which a leader without a learned limit ignores finished loads, so that loads of the
+/// previous leader do not distort the limit.
 const SETTLE_TIME: Duration = Duration::from_millis(3_000);
 
-/// How long an instance is left alone whose answer to a call was lost.
+/// Time for which an instance is excluded after a call without an answer.
 const DOUBT_TIME: Duration = Duration::from_millis(1_500);
 
-/// Times of the lease.
+/// Options of the order leader.
 #[derive(Debug, Clone, Copy)]
 pub struct OrderOptions {
-    /// Least time between orders of givers at two nodes.
+    /// Minimum time between orders of leaders on two nodes.
     pub quiet: Duration,
 }
 
-/// Gives orders while this node holds the lease.
+/// Issues weight-load orders while this node holds the orders lease.
 pub struct OrderGiver {
-    /// The store.
+    /// Client of the coordination store.
     pub coordination: Arc<dyn Coordination>,
-    /// This node.
+    /// Known nodes, including this one.
     pub nodes: Nodes,
-    /// Instances.
+    /// Known instances.
     pub backends: BackendTable,
     /// Services and their models.
     pub config: ConfigInForce,
-    /// Versions wanted.
+    /// Announced weight versions.
     pub versions: VersionsNamed,
-    /// Names.
+    /// Encoding of calls to instances.
     pub codec: SharedCodec,
-    /// Counters.
+    /// Metrics of this front.
     pub metrics: Arc<Metrics>,
-    /// Work accepted here.
+    /// Jobs that this node owns.
     pub jobs: JobRegistry,
-    /// Counts while this node may give orders.
+    /// Active while this node holds the lease.
     pub activities: Activities,
-    /// Times.
+    /// Timing options.
     pub options: OrderOptions,
-    /// Tells the fronts without such work of the instances.
+    /// Publishes the roster of instances for fronts that do not follow discovery.
     pub roster: RosterWriter,
-    /// Reports use under the same lease; `None`: nobody wants reports.
+    /// Reports usage under the same lease; `None` if reports are disabled.
     pub usage: Option<UsageReporter>,
-    /// Deals permits for cold instances under the same lease.
+    /// Issues permits for cold instances under the same lease.
     pub permits: PermitDealer,
-    /// Orders capacity under the same lease; `None`: the number of instances is not ours to change.
+    /// Orders capacity under the same lease; `None` if capacity is managed elsewhere.
     pub capacity: Option<CapacityDuty>,
 }
 
-/// An order to give, and the instance that it goes to.
+/// Planned order and the instance that receives it.
 struct Order {
     instance: Arc<Instance>,
     planned: Planned,
 }
 
-/// What follows an order.
+/// Consequence of an order for its instance.
 enum Outcome {
-    /// The instance loads.
+    /// The instance accepted the order and loads the version.
     Loading,
-    /// The instance may load, or will a little later.
+    /// The outcome is unknown; the instance may be loading, or start to.
     InDoubt,
-    /// The instance is left alone for a moment.
+    /// The instance is excluded for this time.
     Pause(Duration),
-    /// The instance has seen the order of a later holder.
+    /// The instance has seen an order of a later leader.
     Fenced,
 }
 
-/// How a holder stands after its orders.
+/// Status of the leader after its orders were answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Standing {
-    /// It may give more.
+    /// May issue further orders.
     Holder,
-    /// There is a later holder.
+    /// A later leader exists.
     Fenced,
 }
 
-/// Takes what comes of orders until the pause is over.
+/// Processes the outcomes of orders until the pause is over.
 async fn take_answers(
     given: &mut Given,
     answers: &mut FuturesUnordered<impl Future<Output = (Order, Outcome)>>,
@@ -147,7 +147,8 @@
 }
 
 impl OrderGiver {
-    /// Takes the lease whenever it is free and this node is a candidate, and gives orders while it lasts, for as long as the future is polled.
+    /// Acquires the lease whenever it is free and this node is a candidate, and issues orders while
+    /// the lease is valid. Runs for as long as the future is polled.
     pub async fn run(&self) {
         let lease = GiverLease {
             coordination: Arc::clone(&self.coordination),
@@ -160,7 +161,7 @@
                 tokio::time::sleep(CANDIDATE_LOOK).await;
                 continue;
             }
-            // Who is a candidate by what was known some time ago may be none.
+            // The node list may be outdated, so refresh it before trying.
             let refreshed = self.nodes.refresh(self.coordination.as_ref(), NODES_AGE);
             if let Err(error) = refreshed.await {
                 log::warn!("event=giver_nodes_not_read cause=\"{error}\"");
@@ -185,8 +186,8 @@
         !own.is_leaving && is_candidate(&own.node, ranked)
     }
 
-    /// Whether any service holds models or has instances that need permits while they are cold, use is to be reported or capacity ordered;
-    /// the lease is taken before the first version is named.
+    /// Returns true if any duty of the lease holder is configured: models, cold instances that need
+    /// permits, usage reports or capacity orders. Does not wait for the first announced version.
     fn has_duties(&self) -> bool {
         let config = self.config.current();
         self.usage.is_some()
@@ -200,13 +201,14 @@
             })
     }
 
-    /// Gives orders until the lease is lost or given back.
-    /// `respected`: orders of other givers of which this node was told under an earlier lease.
+    /// Issues orders until the lease is lost or released. `respected` carries orders of other
+    /// leaders from one lease of this node to the next.
     async fn hold(&self, lease: &GiverLease, held: Held, respected: &mut Vec<(String, Instant)>) {
         let _with_instances = self.activities.with_instances.begin();
         let _with_versions = self.activities.with_versions.begin();
         if self.roster.drains.is_some() {
-            // The roster is written from here on. A watch of drains that lost its answer would stay silent for its whole time.
+            // This node writes the roster from now on. A watch of drains whose answer was lost
+            // would stay silent until its timeout.
             self.coordination.doubt_watches();
         }
         let dealing = self.permits.begin(held.watch_proof());
@@ -225,7 +227,7 @@
             () = self.report_usage(lease, &held) => false,
             () = self.order_capacity(lease, &held) => false,
         };
-        // A lease that is given back may be another's before that is known here.
+        // After the release another node may hold the lease before this one notices.
         drop(dealing);
         *respected = std::mem::take(&mut given.respected);
         respected.retain(|(_, ordered_at)| ordered_at.elapsed() < self.options.quiet);
@@ -242,7 +244,7 @@
         }
     }
 
-    /// Reports use, if anybody wants that; a holder whose report was fenced reports no more.
+    /// Reports usage if configured; stops for good once a report is fenced.
     async fn report_usage(&self, lease: &GiverLease, held: &Held) {
         if let Some(usage) = &self.usage {
             usage.run(lease, held).await;
@@ -250,7 +252,7 @@
         std::future::pending::<()>().await;
     }
 
-    /// Orders capacity, if that is ours to do.
+    /// Orders capacity if configured.
     async fn order_capacity(&self, lease: &GiverLease, held: &Held) {
         if let Some(capacity) = &self.capacity {
             capacity.run(lease, held).await;
@@ -258,7 +260,7 @@
         std::future::pending::<()>().await;
     }
 
-    /// What a new holder knows.
+    /// Returns the initial state of a new leader.
     async fn begin_given(&self) -> Given {
         let mut given = Given::default();
         let learnt = self.jobs.learnt_loads();
@@ -269,8 +271,8 @@
         given
     }
 
-    /// Ends the quiet time of a new holder if the last one has told its end: only the instances that had its orders a moment ago are
-    /// left alone.
+    /// Ends the quiet period early if the previous leader announced its recent orders; only the
+    /// instances of those stay excluded.
     fn look_for_end_of_last(&self, held: &Held, given: &mut Given) {
         if !held.is_quiet() {
             return;
@@ -288,8 +290,8 @@
         }
     }
 
-    /// Returns why this node is to give orders no more. Orders that wait for an answer hold nothing up: an instance that hangs must
-    /// not keep the others from their weights, nor a load that is done from being noticed.
+    /// Issues orders until this node must stop, and returns the reason. Does not wait for answers,
+    /// so that an instance that hangs delays neither other orders nor the checks of loads.
     async fn give_while_held(
         &self,
         lease: &GiverLease,
@@ -325,7 +327,7 @@
         }
     }
 
-    /// Asks the fronts now and then what work they have and how fast it goes.
+    /// Refreshes the demand of the fronts if it is outdated.
     async fn refresh_demand(&self, given: &mut Given) {
         let is_known = |at: Instant| at.elapsed() < DEMAND_INTERVAL;
         if given.demand_at.is_some_and(is_known) {
@@ -336,14 +338,15 @@
         given.may_trade = true;
     }
 
-    /// What is to be ordered now.
+    /// Plans the orders to send now.
     fn next_orders(&self, given: &mut Given) -> Vec<Order> {
         let now = Instant::now();
         given.pauses.retain(|_, until| *until > now);
         let mut demands = self.versions.demands();
         given.demand.fill(&mut demands);
         let mut instances = self.fleet();
-        // Weights that nothing may use now are not loaded, and each model keeps instances in the zones left.
+        // Weights in drained zones are not used, so none are loaded there and models are assigned
+        // to the remaining zones.
         instances.retain(|one| one.drain_gate() != Err(HoldReason::ZoneDrained));
         let mut fleet: Vec<FleetInstance> = instances
             .iter()
@@ -377,7 +380,7 @@
         orders
     }
 
-    /// Ready instances of the services that hold models.
+    /// Returns the ready instances of all services that have models.
     pub(super) fn fleet(&self) -> Vec<Arc<Instance>> {
         let Some(config) = self.config.current() else {
             return Vec::new();
@@ -390,7 +393,7 @@
             .collect()
     }
 
-    /// Gives one order; returns it with what follows.
+    /// Sends one order; returns it with its outcome.
     async fn give(&self, held: &Held, order: Order) -> (Order, Outcome) {
         let outcome = self.give_to(held, &order.instance, &order.planned).await;
         (order, outcome)
@@ -461,7 +464,7 @@
         }
     }
 
-    /// Runs go on under new weights unless a route asks for texts of one version.
+    /// Returns true unless a route requires that each text comes from a single version.
     fn keeps_runs(&self, _model: &str) -> bool {
         let config = self.config.current();
         config.is_none_or(|config| !config.routes.iter().any(|route| route.single_version))
--- a/crates/front/src/orders/learnt.rs
+++ b/crates/front/src/orders/learnt.rs
@@ -1,8 +1,5 @@
-//! What givers of orders have learnt of loads, in a lasting record: a giver that knows nothing, as after a kill of all nodes, goes on
-//! from it.
-//!
-//! Without it the limit of loads rose from two again, was at eight after 8 s, and went to 26 where the link bore ten, so that loads took
-//! 2.6 s instead of 1.0 s: the steps of those 15 s found no instance with their weights (log of a day with a closing kill).
+//! Persists the learned load limit, so that a leader without knowledge of its own, as after a
+//! restart of all nodes, does not start from the minimum and then overload the link.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,27 +12,27 @@
 use super::news::LearntLoads;
 use crate::coordination::Coordination;
 
-/// The record.
+/// Key of the stored limit.
 const LEARNT_KEY: &str = "ladderstage/orders/learnt";
 
-/// Least time between two writes: each has its price, and the limit changes about every second while it rises.
+/// Minimum interval between writes, as each is a charged call.
 const WRITE_PAUSE: Duration = Duration::from_secs(3);
 
-/// Longest wait for the record: a giver without it begins as the first one does.
+/// Timeout of the read; without an answer a leader starts from the default limit.
 const READ_LIMIT: Duration = Duration::from_millis(500);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 struct LearntRecord {
-    /// Loads at once.
+    /// Maximum number of concurrent loads.
     limit: usize,
-    /// What a load takes with few others beside it.
+    /// Typical load time in milliseconds with few other loads at the same time.
     usual_ms: u64,
-    /// The limit is near what the link bears.
+    /// The limit is close to the capacity of the link.
     is_near: bool,
 }
 
 impl LearntRecord {
-    /// `None` before the first load.
+    /// Returns `None` before the first load finished.
     fn of(limit: &LoadLimit) -> Option<Self> {
         Some(Self {
             limit: limit.get(),
@@ -50,7 +47,8 @@
     }
 }
 
-/// What a new giver goes on from: its own knowledge or what it was told, else the record; `None` if there is neither.
+/// Returns the load limit that a new leader starts from: the one known to this node, else the
+/// stored one; `None` if there is neither.
 pub async fn learnt_limit(
     learnt: &LearntLoads,
     coordination: &dyn Coordination,
@@ -87,7 +85,7 @@
     }
 }
 
-/// Writes the record now and then; nothing waits for it.
+/// Writes the learned load limit to the store in the background.
 #[derive(Debug, Default)]
 pub struct LearntWriter {
     written: Option<(LearntRecord, Instant)>,
@@ -95,7 +93,7 @@
 }
 
 impl LearntWriter {
-    /// Writes what is learnt if it has changed and the last write is some time ago.
+    /// Writes the limit if it changed and the last write is long enough ago.
     pub fn save(&mut self, limit: &LoadLimit, coordination: &Arc<dyn Coordination>) {
         while self.writes.try_join_next().is_some() {}
         let Some(record) = LearntRecord::of(limit) else {
--- a/crates/front/src/orders/lease.rs
+++ b/crates/front/src/orders/lease.rs
@@ -1,4 +1,5 @@
-//! The right to give orders: a leased record that names the holder, and a lasting one that names the last who gave orders.
+//! Orders lease: a leased record names the current holder, and a persistent one names the node that
+//! issued orders last.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -9,33 +10,34 @@
 
 use crate::coordination::{Coordination, CoordinationError, LeaseId, SwapResult};
 
-/// The leased record.
+/// Key of the leased record.
 const GIVER_KEY: &str = "ladderstage/orders/giver";
 
-/// The lasting record.
+/// Key of the persistent record.
 const LAST_KEY: &str = "ladderstage/orders/last";
 
-/// How long the lease outlives its holder. Shorter than the time for which a new holder keeps quiet.
+/// Lifetime of the lease after its last renewal. Shorter than the quiet period of a new holder.
 const GIVER_LEASE: Duration = Duration::from_millis(1_500);
 
-/// Longest wait for a renewal: a lost answer must leave time for two more tries.
+/// Timeout of one renewal; short enough to retry twice after a lost answer.
 const RENEWAL_LIMIT: Duration = Duration::from_millis(400);
 
-/// Pause before a renewal is tried again.
+/// Pause before a failed renewal is retried.
 const RENEWAL_RETRY: Duration = Duration::from_millis(80);
 
-/// Between renewals.
+/// Interval between renewals.
 const RENEWAL: Duration = Duration::from_millis(400);
 
-/// For so long the lease is left to the node that gave orders last, which needs not keep quiet.
+/// Delay by which other nodes let the last leader acquire the lease first, as it needs no quiet
+/// period.
 const PRECEDENCE: Duration = Duration::from_millis(700);
 
-/// Who gave orders last, as the lasting record names them.
+/// Node that issued orders last, as stored in the persistent record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LastGiver {
-    /// Its node.
+    /// Name of the node.
     pub node: String,
-    /// The fence of its lease.
+    /// Fence of its lease.
     pub fence: u64,
 }
 
@@ -44,7 +46,7 @@
         format!("{} {}", self.node, self.fence).into_bytes()
     }
 
-    /// Processes of an earlier version wrote only the node.
+    /// Earlier versions stored the node without a fence.
     fn read(value: &[u8]) -> Self {
         let text = String::from_utf8_lossy(value);
         let (node, fence) = text.split_once(' ').unwrap_or((&text, ""));
@@ -55,78 +57,79 @@
     }
 }
 
-/// A lease that this node holds.
+/// Orders lease that this node holds.
 #[derive(Debug)]
 pub struct Held {
     lease: LeaseId,
-    /// Rises with each holder.
+    /// Fencing token; increases with each holder.
     pub fence: u64,
-    /// Who gave orders before; `None`: nobody.
+    /// Node that issued orders last; `None` if no orders were ever issued.
     pub last: Option<LastGiver>,
-    /// Until when the lease certainly lasts, by the steady clock from the send of the last renewal.
+    /// Time until which the lease is certain to be valid, counted on the monotonic clock from the
+    /// start of the last renewal.
     proven_until: watch::Sender<Instant>,
-    /// Before this an order of the last holder may be too recent.
+    /// End of the quiet period after the previous leader's orders.
     quiet_until: watch::Sender<Instant>,
-    /// The lasting record names this holder.
+    /// The persistent record names this holder.
     is_named: AtomicBool,
 }
 
 impl Held {
-    /// Until when the lease certainly lasts.
+    /// Returns the time until which the lease is certain to be valid.
     pub fn proven_until(&self) -> Instant {
         *self.proven_until.borrow()
     }
 
-    /// Follows until when the lease certainly lasts.
+    /// Watches the time until which the lease is certain to be valid.
     pub fn watch_proof(&self) -> watch::Receiver<Instant> {
         self.proven_until.subscribe()
     }
 
-    /// Whether this holder may have given orders.
+    /// Returns true if this holder may have issued orders.
     pub fn is_named(&self) -> bool {
         self.is_named.load(Ordering::Relaxed)
     }
 
-    /// Whether an order of the last holder may still be too recent.
+    /// Returns true during the quiet period after the previous leader's orders.
     pub fn is_quiet(&self) -> bool {
         Instant::now() < *self.quiet_until.borrow()
     }
 
-    /// Ends the quiet time: it is known which orders the last holder gave when.
+    /// Ends the quiet period, because the previous leader's recent orders are known.
     pub fn end_quiet(&self) {
         self.quiet_until.send_replace(Instant::now());
     }
 }
 
-/// Why a lease is held no more.
+/// Reason for which a lease was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum LeaseLoss {
-    /// The store says that it is over.
+    /// The store reports that the lease has expired.
     #[error("over")]
     Over,
-    /// It could not be renewed in time.
+    /// The lease could not be renewed in time.
     #[error("unproven")]
     Unproven,
 }
 
-/// Takes, renews and proves the lease for one node.
+/// Acquires, renews and verifies the orders lease for one node.
 pub struct GiverLease {
-    /// The store.
+    /// Client of the coordination store.
     pub coordination: Arc<dyn Coordination>,
-    /// Name of this node: the holder, whichever process it runs.
+    /// Name of this node; a restarted process counts as the same holder.
     pub node: String,
-    /// Least time between orders of two holders.
+    /// Minimum time between orders of two holders.
     pub quiet: Duration,
 }
 
 impl GiverLease {
-    /// Takes the lease if it is free.
+    /// Acquires the lease if it is free.
     ///
     /// # Errors
-    /// When the store did not answer; the lease may then be taken without use until it ends.
+    /// When the store does not answer. The lease may then be held, unused, until it expires.
     pub async fn take(&self) -> Result<Option<Held>, CoordinationError> {
         let record = self.coordination.get(GIVER_KEY).await?;
-        // A record of this node is of an earlier process: the same holder, which gives no orders any more.
+        // A record that names this node belongs to an earlier process, which issues no more orders.
         let is_own = record
             .as_ref()
             .is_some_and(|record| record.value == self.node.as_bytes());
@@ -148,9 +151,9 @@
             .await?
         {
             SwapResult::Won { revision } => {
-                // Asked again under the lease: nobody else becomes the last holder now.
+                // Read again under the lease, when no other node can become the last leader.
                 let last = self.last().await?;
-                // A holder in between has named itself before its first order.
+                // Any holder in between recorded itself before its first order.
                 let last_order_before = if last == last_before {
                     found_free_at
                 } else {
@@ -183,7 +186,7 @@
         }
     }
 
-    /// Waits for the holder's record to go, by a watch that costs one call a change.
+    /// Waits with a watch until the holder's record is gone.
     pub async fn wait_until_free(&self) {
         let Ok(listing) = self.coordination.list(GIVER_KEY).await else {
             return;
@@ -193,7 +196,7 @@
         }
     }
 
-    /// Renews the lease again and again; returns once it is lost.
+    /// Renews the lease until it is lost.
     pub async fn keep(&self, held: &Held) -> LeaseLoss {
         tokio::time::sleep(RENEWAL).await;
         loop {
@@ -223,10 +226,11 @@
         Ok(())
     }
 
-    /// Whether orders may be given now. Before its first order a holder names itself the last one.
+    /// Returns true if orders may be issued now. Records this holder as the last leader before its
+    /// first order.
     ///
     /// # Errors
-    /// When the store did not take that name; no order may be given then.
+    /// When the store did not accept that record. No order may be issued then.
     pub async fn may_order(&self, held: &Held) -> Result<bool, CoordinationError> {
         if held.is_quiet() {
             return Ok(false);
@@ -242,7 +246,7 @@
         Ok(Instant::now() < held.proven_until())
     }
 
-    /// Gives the lease back.
+    /// Releases the lease.
     pub async fn release(&self, held: &Held) {
         let _ = self.coordination.revoke(held.lease).await;
         log::info!("event=giver_lease_released fence={}", held.fence);
@@ -253,7 +257,7 @@
         Ok(record.map(|record| LastGiver::read(&record.value)))
     }
 
-    /// Whether this node gave orders last.
+    /// Returns true if this node issued orders last.
     fn is_own(&self, last: Option<&LastGiver>) -> bool {
         last.is_some_and(|last| last.node == self.node)
     }
--- a/crates/front/src/orders/link_use.rs
+++ b/crates/front/src/orders/link_use.rs
@@ -1,21 +1,21 @@
-//! How many loads shared the link that brings weights, and for how long.
+//! Measures how many weight loads share the link, and for how long.
 
 use std::time::Duration;
 
 use ladderstage_clock::Instant;
 
-/// For how long how many loads were under way at once: the time with one load first, then that with two, and so on.
+/// Time spent at each number of concurrent loads, starting with one.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LinkTimes(Vec<Duration>);
 
 impl LinkTimes {
-    /// Most loads under way at once.
+    /// Returns the maximum number of concurrent loads.
     pub fn most(&self) -> usize {
         let used = self.0.iter().rposition(|time| !time.is_zero());
         used.map_or(0, |index| index + 1)
     }
 
-    /// Loads under way on average.
+    /// Returns the average number of concurrent loads, weighted by time.
     pub fn mean(&self) -> f64 {
         let times = || self.0.iter().map(Duration::as_secs_f64);
         let loads = times()
@@ -24,18 +24,21 @@
         loads.sum::<f64>() / times().sum::<f64>().max(f64::MIN_POSITIVE)
     }
 
-    /// Loads that the link bears at once, as a load shows that needs `least` alone and had these times: with so many its work is
-    /// done just now. Each load goes on at full speed while no more are under way than that, and at its share of it while there are
-    /// more.
+    /// Estimates the link capacity, in concurrent loads, from a load that had these times and takes
+    /// `least` alone.
+    ///
+    /// Assumes that each load proceeds at full speed up to the capacity and at an equal share of
+    /// the link beyond it. Returns the capacity at which the load's work is just complete.
     pub fn borne(&self, least: Duration) -> f64 {
         let least = least.as_secs_f64();
         let seconds = |index: usize| self.0[index].as_secs_f64();
         let share = |index: usize| seconds(index) / (index + 1) as f64;
-        // Seconds of work that are done on a link that bears no load fully, then one, then two, and so on.
+        // Work in seconds that a link with a capacity of 0, 1, 2, ... loads completes.
         let mut done = 0.0;
         let mut shares: f64 = (0..self.0.len()).map(share).sum();
         for borne in 0..self.0.len() {
-            // One load more adds its share of all times in which at least so many were under way.
+            // Each unit of capacity adds the load's share of all times with at least that many
+            // loads.
             if done + shares >= least {
                 return borne as f64 + (least - done) / shares.max(f64::MIN_POSITIVE);
             }
@@ -46,7 +49,7 @@
     }
 }
 
-/// Adds up for how long how many loads are under way.
+/// Accumulates the time spent at each number of concurrent loads.
 #[derive(Debug, Clone, Default)]
 pub struct LinkUse {
     times: LinkTimes,
@@ -55,7 +58,7 @@
 }
 
 impl LinkUse {
-    /// The times between `before` and now.
+    /// Returns the times between `before` and `now`.
     pub fn since(&self, before: &Self, now: Instant) -> LinkTimes {
         let mut until_now = self.clone();
         until_now.set_loads(self.loads, now);
@@ -66,7 +69,7 @@
         times
     }
 
-    /// Notes how many loads are under way from now on.
+    /// Sets the number of loads in progress from `now` on.
     pub fn set_loads(&mut self, loads: usize, now: Instant) {
         if let Some(changed_at) = self.changed_at
             && self.loads > 0
--- a/crates/front/src/orders/load_limit.rs
+++ b/crates/front/src/orders/load_limit.rs
@@ -1,19 +1,19 @@
-//! How many instances may load weights at once.
+//! Adaptive limit on concurrent weight loads.
 //!
-//! Loads share the link that brings weights: up to some number each takes the time that it takes alone, beyond it each goes on at its
-//! share of the link. That number is told nowhere. It is estimated from finished loads, between two bounds: the most loads that are
-//! *proven* to go on beside each other without slowing down, and the number that the link was seen to be *full* with. Until loads
-//! slow each other down the limit is twice what is proven, so that it doubles with each wave of them. Then it is what the slow loads
-//! showed, and rises slowly above it, as links change.
+//! All loads share one link. Up to the capacity of the link each load takes its typical time;
+//! beyond it, loads slow each other down. The capacity is not known, so it is estimated from
+//! finished loads: `proven` is the highest concurrency without slowdown, and `full` is the last
+//! saturation. Before the first slowdown the limit is twice the proven concurrency, so it doubles
+//! with each wave of loads. After a slowdown it drops to the estimated capacity and then rises
+//! slowly, as links change.
 //!
-//! A full link slows all loads that share it; a sick instance only its own. And the end of a load is noticed late, as instances tell
-//! their state of some time ago. So no single load shows anything: the latest ones are looked at together, against the median time of
-//! loads with few others beside them that were noticed in the same way.
+//! A saturated link slows all loads, an unhealthy instance only its own, and finish times are
+//! noticed with a delay. Decisions therefore use the latest loads together, relative to the median
+//! time of loads with few others at the same time.
 //!
-//! What slows a load down differs by link: the loads that were under way when it began set its pace once, or those that are under way
-//! at each moment share the link anew. Each slow load is looked at both ways; the way on which the latest loads agree better counts.
-//!
-//! Too many loads at once bring no weights sooner and keep instances from work for longer; too few leave the link unused.
+//! On some links a load's speed depends on the concurrency when it started, on others on the
+//! concurrency at each moment. Both estimates are kept, and the one with the smaller spread is
+//! used.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -21,142 +21,146 @@
 use super::link_use::LinkTimes;
 use ladderstage_clock::Instant;
 
-/// Loads that are always tried at once.
+/// Initial and minimum limit.
 const LEAST_LIMIT: usize = 2;
 
-/// Loads that may be under way at once against those that are proven to go on evenly, until loads slow each other down.
+/// Ratio of the limit to the proven concurrency before the first slowdown.
 const PROBE_FACTOR: f64 = 2.0;
 
-/// Loads with more beside them than is proven that must go on evenly to prove more.
+/// Number of unslowed loads above the proven concurrency that raise it.
 const LEAST_PROOF: usize = 3;
 
-/// Time against the usual one up to which loads do not slow each other down; what is measured is some tens of milliseconds off.
+/// Maximum ratio to the typical time at which a load counts as unslowed.
 const EVEN_RATIO: f64 = 1.12;
 
-/// The same near what the link bears: one load of ten too many shows.
+/// Same as [`EVEN_RATIO`] close to the link's capacity, where one load too many must be detected.
 const NEAR_EVEN_RATIO: f64 = 1.08;
 
-/// Time against the usual one from which on loads slow each other down.
+/// Minimum ratio to the typical time at which a load counts as slow.
 const SLOW_RATIO: f64 = 1.25;
 
-/// Share of the latest loads that must be slow for the link to count as full. Where a fifth of the instances are sick, as on the days
-/// on which a link was taken for full that was not, five of six loads are of sick ones once in 600 times.
+/// Fraction of the latest loads that must be slow for the link to count as saturated; high enough
+/// that some unhealthy instances do not suffice.
 const FULL_SHARE: f64 = 0.75;
 
-/// Latest loads that are looked at, at least; of a larger limit half as many as it allows at once.
+/// Minimum number of recent loads to evaluate; half of a larger limit.
 const LEAST_LATEST: usize = 6;
 
-/// The same at most: more show nothing else.
+/// Maximum number of recent loads to evaluate.
 const MOST_LATEST: usize = 24;
 
-/// Loads with few others beside them whose median time is the usual one.
+/// Number of loads whose median is the typical time.
 const USUAL_LOADS: usize = 15;
 
-/// A load has few others beside it up to this share of what is proven.
+/// Maximum concurrency, relative to the proven one, at which a load contributes to the typical
+/// time.
 const FEW_SHARE: f64 = 0.8;
 
-/// Of what the slow loads show, the estimate is what this share of them stays below: a load that is slow by itself shows too little.
+/// Quantile of the slow loads' estimates that is used, as loads that are slow for another reason
+/// yield estimates that are too low.
 const SHOWN_QUANTILE: f64 = 0.75;
 
-/// First time without rises after the link was full; doubles each time it shows about the same again.
+/// Initial time without increases after a saturation; doubles while the capacity stays about the
+/// same.
 const FIRST_HOLD: Duration = Duration::from_secs(10);
 
-/// Longest time without rises.
+/// Maximum time without increases.
 const LONGEST_HOLD: Duration = Duration::from_secs(160);
 
-/// The link shows about the same as before if it lies within this factor of it.
+/// Factor within which two capacity estimates count as the same.
 const SAME_FACTOR: f64 = 1.3;
 
-/// Loads with at most this share of the others beside them that were there before are fewer.
+/// Maximum ratio of concurrency to that before a decrease at which it counts as lower.
 const FEWER_SHARE: f64 = 0.85;
 
-/// A lower limit that leaves so large a share of the slowness, with fewer loads beside each, was lowered in vain.
+/// Ratio of slowness to that before a decrease from which on the decrease counts as ineffective.
 const VAIN_SHARE: f64 = 0.95;
 
-/// A load used the limit up if so large a share of it was under way beside it.
+/// Minimum ratio of concurrency to the limit at which a load counts as using the limit.
 const USED_SHARE: f64 = 0.5;
 
-/// Part of the limit by which it rises after a wave of even loads near what the link bears, one load at least.
+/// Fraction by which the limit increases close to the link's capacity, at least one load.
 const RISE_SHARE: f64 = 0.1;
 
-/// When the link was last seen to be full.
+/// Latest saturation of the link.
 #[derive(Debug, Clone, PartialEq)]
 struct FullLink {
-    /// Loads that it bears, as it showed then.
+    /// Estimated capacity in concurrent loads.
     borne: f64,
-    /// How slow the loads were, and how many were beside each.
+    /// Median slowness and concurrency of the loads.
     ratio: f64,
     beside: f64,
-    /// Limit before.
+    /// Limit before the decrease.
     limit_before: usize,
     at: Instant,
-    /// For so long the limit does not rise.
+    /// Time after `at` without increases.
     hold: Duration,
 }
 
 impl FullLink {
-    /// Whether loads with fewer others beside them are as slow as a moment ago: then it is not the link that slows them.
+    /// Returns true if loads are as slow as before a recent decrease, despite lower concurrency:
+    /// then the link is not the cause.
     fn was_in_vain(&self, ratio: f64, beside: f64, now: Instant) -> bool {
         let is_recent = now.saturating_duration_since(self.at) < FIRST_HOLD;
         is_recent && beside <= self.beside * FEWER_SHARE && ratio >= self.ratio * VAIN_SHARE
     }
 }
 
-/// One of the latest loads.
+/// Sample from a recent load.
 #[derive(Debug, Clone, PartialEq)]
 struct LatestLoad {
     taken: Duration,
-    /// Time against the usual one.
+    /// Load time relative to the typical one.
     ratio: f64,
-    /// Loads under way when it began, or on average, whichever are fewer.
+    /// Concurrency at the start or on average, whichever is lower.
     beside: f64,
-    /// Loads that the link bears if its pace was set as it began.
+    /// Estimated capacity if the concurrency at the start determined the speed.
     borne_by_begin: f64,
-    /// The same if its pace was its share of the link at each moment.
+    /// Estimated capacity if the concurrency at each moment determined the speed.
     borne_by_share: f64,
 }
 
-/// The limit, learnt from finished loads.
+/// Limit on concurrent loads, learned from finished loads.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadLimit {
     limit: usize,
-    /// Shortest load so far.
+    /// Shortest load time so far.
     least: Option<Duration>,
-    /// Times of the latest loads with few others beside them, and their median.
+    /// Recent load times at low concurrency, and their median.
     usual_times: VecDeque<Duration>,
     usual: Option<Duration>,
-    /// Most loads that went on beside each other evenly.
+    /// Highest concurrency at which loads were not slowed down.
     proven: f64,
-    /// `None`: the link was not seen to be full here.
+    /// `None` if no saturation was observed here.
     full: Option<FullLink>,
-    /// Loads were seen to slow each other down, or nearly so, here or by an earlier giver of orders: the limit doubles no more.
+    /// A slowdown was observed, here or by an earlier leader, so the limit no longer doubles.
     is_near: bool,
     latest: VecDeque<LatestLoad>,
-    /// Loads since the last rise that used the limit up and were even.
+    /// Unslowed loads since the last increase that used the limit.
     even_loads: usize,
 }
 
-/// What is known of one load that is done.
+/// Measurements of a finished load.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FinishedLoad {
-    /// How long it took.
+    /// Load time.
     pub taken: Duration,
-    /// For how long how many loads shared the link while it was under way.
+    /// Time spent at each level of concurrency during the load.
     pub link: LinkTimes,
-    /// Loads under way when it began, this one included.
+    /// Loads in progress at the start, including this one.
     pub at_begin: usize,
-    /// Whether `taken` is what it took.
+    /// Accuracy of `taken`.
     pub timing: LoadTiming,
 }
 
-/// How well the time of a load is known.
+/// Accuracy of a load's measured time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadTiming {
-    /// It is known when it began and when it ended.
+    /// Start and finish are known.
     Exact,
-    /// It was looked at late: it may have taken less time.
+    /// The finish was noticed late, so the load may have taken less time.
     NoticedLate,
-    /// It is not known when it began, or its end was heard of in another way than those of others.
+    /// The start is unknown, or the finish was observed by other means than for other loads.
     Unknown,
 }
 
@@ -177,8 +181,8 @@
 }
 
 impl LoadLimit {
-    /// What another giver of orders has learnt: its limit, the usual time of a load, and whether the limit is near what the link
-    /// bears.
+    /// Creates a limit from the values that another leader learned: the limit, the typical load
+    /// time, and whether the limit is close to the capacity of the link.
     pub fn from_learnt(limit: usize, usual: Duration, is_near: bool) -> Self {
         Self {
             limit: limit.max(LEAST_LIMIT),
@@ -191,17 +195,17 @@
         }
     }
 
-    /// Loads that may be under way at once.
+    /// Returns the maximum number of concurrent loads.
     pub fn get(&self) -> usize {
         self.limit
     }
 
-    /// Shortest load so far; `None` before the first one.
+    /// Returns the shortest load time so far; `None` before the first load.
     pub fn least(&self) -> Option<Duration> {
         self.least
     }
 
-    /// What a load takes with few others beside it; `None` before the first one.
+    /// Returns the typical load time at low concurrency; `None` before the first load.
     pub fn usual(&self) -> Option<Duration> {
         self.usual
     }
@@ -213,12 +217,13 @@
         self.usual_times = times;
     }
 
-    /// Whether loads were seen to slow each other down, or nearly so.
+    /// Returns true once a slowdown was observed.
     pub fn is_near(&self) -> bool {
         self.is_near
     }
 
-    /// Takes in a finished load. One that was noticed late may have been even, and is not known to have been slow.
+    /// Updates the limit from a finished load. A load that was noticed late can count as unslowed,
+    /// but not as slow.
     pub fn note(&mut self, load: &FinishedLoad, now: Instant) {
         if load.timing == LoadTiming::Unknown {
             return;
@@ -253,7 +258,7 @@
         }
     }
 
-    /// The first load tells the usual time, and then those with few others beside them at any moment.
+    /// Updates the typical time from the first load, and from loads at low concurrency.
     fn note_usual(&mut self, taken: Duration, most_beside: usize) {
         let few = (self.proven * FEW_SHARE).max(LEAST_LIMIT as f64);
         if most_beside as f64 > few && self.usual.is_some() {
@@ -267,8 +272,9 @@
         self.set_usual(times);
     }
 
-    /// Whether a load that was not even tells of the link. One with few others beside it is slow by itself. One that began before the
-    /// limit was lowered last had those beside it that the limit was lowered for: each burst of too many lowers it once.
+    /// Returns true if a slowed load says something about the link. A load at low concurrency is
+    /// slow for another reason, and one that started before the latest decrease was part of the
+    /// same burst, which must lower the limit only once.
     fn is_telling(&self, load: &FinishedLoad, now: Instant) -> bool {
         let began_before = |at: Instant| now.saturating_duration_since(at) < load.taken;
         let lowered_at = self.full.as_ref().map(|full| full.at);
@@ -285,19 +291,20 @@
         }
     }
 
-    /// Loads that must be known to tell a full link from sick instances.
+    /// Returns the number of samples required to tell a saturated link from unhealthy instances.
     fn wanted_latest(&self) -> usize {
         (self.limit / 2).clamp(LEAST_LATEST, MOST_LATEST)
     }
 
-    /// Whether something holds for so many of the latest loads that a few sick instances cannot be the cause.
+    /// Returns true if a condition holds for enough samples to rule out a few unhealthy instances
+    /// as the cause.
     fn are_most(&self, holds: impl Fn(&LatestLoad) -> bool) -> bool {
         let count = self.latest.iter().filter(|load| holds(load)).count();
         self.latest.len() >= self.wanted_latest()
             && count as f64 >= FULL_SHARE * self.latest.len() as f64
     }
 
-    /// The latest loads slowed each other down, or something slows all of them.
+    /// Handles a slowdown of most recent loads.
     fn take_full(&mut self, now: Instant) {
         let ratio = Estimate::of(self.latest.iter().map(|load| load.ratio)).median;
         let beside = Estimate::of(self.latest.iter().map(|load| load.beside)).median;
@@ -309,7 +316,8 @@
         self.even_loads = 0;
     }
 
-    /// All loads take longer than they did, however many are under way: what they take now is the usual time.
+    /// Undoes the latest decrease and adopts the current load times as typical, because all loads
+    /// are slower at any concurrency.
     fn take_back(&mut self) {
         self.set_usual(self.latest.iter().map(|load| load.taken).collect());
         if let Some(full) = self.full.take() {
@@ -317,7 +325,7 @@
         }
     }
 
-    /// Lowers the limit to what the slow loads show.
+    /// Lowers the limit to the capacity that the slow loads indicate.
     fn lower(&mut self, ratio: f64, beside: f64, now: Instant) {
         let by_begin = Estimate::of(self.latest.iter().map(|load| load.borne_by_begin));
         let by_share = Estimate::of(self.latest.iter().map(|load| load.borne_by_share));
@@ -343,8 +351,8 @@
         });
     }
 
-    /// Loads with more beside them than is proven prove more if most of them were even. Until loads slow each other down the limit
-    /// follows.
+    /// Raises the proven concurrency if most loads above it were unslowed. The limit follows until
+    /// the first slowdown.
     fn prove(&mut self) {
         let beyond: Vec<&LatestLoad> = self
             .latest
@@ -364,7 +372,7 @@
         }
     }
 
-    /// Near what the link bears a whole wave of even loads that use the limit raises it by a part of it.
+    /// Raises the limit by a fraction after a complete wave of unslowed loads that used it.
     fn rise_near(&mut self, beside: f64, now: Instant) {
         let held = |full: &FullLink| now.saturating_duration_since(full.at) < full.hold;
         let is_held = self.full.as_ref().is_some_and(held);
@@ -379,18 +387,18 @@
     }
 }
 
-/// Whether two estimates of the link are about the same.
+/// Returns true if two capacity estimates are about the same.
 fn is_same(before: f64, now: f64) -> bool {
     let (low, high) = (before.min(now), before.max(now));
     high <= low * SAME_FACTOR
 }
 
-/// What several loads show together.
+/// Statistics of a set of values.
 #[derive(Debug, Clone, Copy)]
 struct Estimate {
     value: f64,
     median: f64,
-    /// How far they are apart, against the value.
+    /// Interquartile range relative to `value`.
     spread: f64,
 }
 
@@ -408,7 +416,7 @@
     }
 }
 
-/// The value that `share` of the sorted values stay below; 0 without any.
+/// Returns the value that a `share` of the sorted values does not exceed; 0 if there are none.
 fn quantile(sorted: &[f64], share: f64) -> f64 {
     let last = sorted.len().saturating_sub(1);
     let index = (last as f64 * share).round() as usize;
--- a/crates/front/src/orders/looking.rs
+++ b/crates/front/src/orders/looking.rs
@@ -1,4 +1,4 @@
-//! Looks whether loads of weights are done.
+//! Checks whether weight loads have finished.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,25 +10,25 @@
 use super::giver::OrderGiver;
 use crate::backend::Instance;
 
-/// Longest wait for the report of an instance that loads. Reports take some milliseconds, and the others' loads wait for it.
+/// Timeout of a load's report. The checks of all other loads wait for it.
 const REPORT_LIMIT: Duration = Duration::from_millis(100);
 
-/// What a look at a load shows.
+/// Result of a check.
 enum LoadLook {
-    /// Its report says so.
+    /// The instance's report shows the version.
     Loaded,
-    /// It was heard from elsewhere.
+    /// The version is already known by other means.
     KnownLoaded,
     Loading,
     /// The instance did not answer.
     NoAnswer,
-    /// The instance is gone, or took too long.
+    /// The instance is gone or restarted, or the load timed out.
     Over,
 }
 
 impl OrderGiver {
-    /// Looks whether instances that took an order have its version: at all of them at once, as one that hangs must not keep the
-    /// others' news back.
+    /// Checks all loads that are due, concurrently, so that an instance that hangs does not delay
+    /// the updates of others.
     pub(super) async fn look_at_loads(&self, given: &mut Given) {
         let fleet = self.fleet();
         let looks = given.due_loads().into_iter().map(|(id, load)| {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// `instance` is none if it is gone.
+    /// Checks one load; `instance` is `None` if it is gone.
     async fn look_at_load(&self, instance: Option<&Arc<Instance>>, load: &Load) -> LoadLook {
         let is_same_start = |one: &&Arc<Instance>| one.is_start(load.started_unix_ms);
         let instance = instance.filter(is_same_start);
--- a/crates/front/src/orders/mod.rs
+++ b/crates/front/src/orders/mod.rs
@@ -1,4 +1,5 @@
-//! Orders to change weight versions: planned purely, given by the one node that holds the lease.
+//! Weight-load orders: planned without side effects and issued by the one node that holds the
+//! orders lease.
 
 mod calls;
 mod candidates;
--- a/crates/front/src/orders/named.rs
+++ b/crates/front/src/orders/named.rs
@@ -1,4 +1,4 @@
-//! The weight versions that were named.
+//! Weight versions announced by trainers.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -6,21 +6,21 @@
 use super::plan::ModelDemand;
 use ladderstage_clock::Instant;
 
-/// A version and when this process heard of it.
+/// Version and the time at which this process learned of it.
 #[derive(Debug, Clone, Copy)]
 struct Named {
     version: u64,
     heard_at: Instant,
 }
 
-/// Newest version named for each model. Cheap to clone.
+/// Newest version announced for each model. Cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub struct VersionsNamed {
     versions: Arc<Mutex<BTreeMap<String, Named>>>,
 }
 
 impl VersionsNamed {
-    /// Notes a version; versions only rise.
+    /// Records a version; a lower one than the newest is ignored.
     pub fn note(&self, model: &str, version: u64) {
         let mut versions = lock(&self.versions);
         if versions
@@ -34,7 +34,7 @@
         versions.insert(model.to_owned(), Named { version, heard_at });
     }
 
-    /// What is wanted of each model.
+    /// Returns the demand for each model's newest version.
     pub(super) fn demands(&self) -> Vec<ModelDemand> {
         let versions = lock(&self.versions);
         let demands = versions.iter();
--- a/crates/front/src/orders/news.rs
+++ b/crates/front/src/orders/news.rs
@@ -1,7 +1,7 @@
-//! News of instances' weights, from the giver of orders to the fronts that work with them.
+//! Updates about instances' weights, sent by the order leader to the fronts that use them.
 //!
-//! Discovery tells of new weights with the instance's next heartbeat, up to 1.2 s late, and says nothing of loads under way. The
-//! giver knows both at once. A front that hears it starts items there sooner, and spares itself starts that would be refused.
+//! Discovery reports new weights only with the next heartbeat, and loads in progress not at all.
+//! With these updates a front starts items sooner and avoids requests that would be rejected.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -16,24 +16,25 @@
 use crate::backend::Instance;
 use crate::nodes::Nodes;
 
-/// How long a front may take to answer; news that come later are of no use.
+/// Timeout of one update; a later one is of no use.
 const NEWS_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What givers of orders have learnt of loads: a later giver starts from that. Cheap to clone.
+/// Load limit learned by order leaders, from which a later leader on this node starts. Cheap to
+/// clone.
 #[derive(Debug, Clone, Default)]
 pub struct LearntLoads {
     limit: Arc<Mutex<Option<LoadLimit>>>,
 }
 
 impl LearntLoads {
-    /// Notes what this node has learnt, or was told.
+    /// Records the limit that this node learned or received, once it is based on a finished load.
     pub fn note(&self, limit: &LoadLimit) {
         if limit.least().is_some() {
             *self.lock() = Some(limit.clone());
         }
     }
 
-    /// What is known.
+    /// Returns the learned limit; `None` if none is known.
     pub fn get(&self) -> Option<LoadLimit> {
         self.lock().clone()
     }
@@ -45,7 +46,7 @@
     }
 }
 
-/// Collects news and tells them to other fronts.
+/// Collects updates and sends them to other fronts.
 #[derive(Default)]
 pub(super) struct NewsSender {
     news: Vec<InstanceWeights>,
@@ -53,12 +54,12 @@
 }
 
 impl NewsSender {
-    /// An instance has taken an order and loads a version for about `time`.
+    /// Adds that an instance started to load a version, for about `time`.
     pub fn loading(&mut self, instance: &Instance, model: &str, version: u64, time: Duration) {
         self.add(instance, model, version, time.as_millis() as u64);
     }
 
-    /// An instance has a version.
+    /// Adds that an instance has loaded a version.
     pub fn loaded(&mut self, instance: &Instance, model: &str, version: u64) {
         self.add(instance, model, version, 0);
     }
@@ -73,8 +74,8 @@
         });
     }
 
-    /// Sends what was collected to an audience; a front that does not hear it goes by discovery. To tell hundreds of fronts of each
-    /// load takes a weak giver so long that it notices loads late.
+    /// Sends the collected updates to `audience`. Other fronts rely on discovery, because sending
+    /// each load to hundreds of fronts would delay the load checks of a weak leader.
     pub fn send(&mut self, nodes: &Nodes, audience: &BTreeSet<String>, limit: &LoadLimit) {
         while self.calls.try_join_next().is_some() {}
         if self.news.is_empty() {
--- a/crates/front/src/orders/permits/asking.rs
+++ b/crates/front/src/orders/permits/asking.rs
@@ -1,4 +1,4 @@
-//! Asks for permits while work waits here that a cold instance could take.
+//! Requests permits while work waits that a cold instance could serve.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -17,39 +17,42 @@
 use crate::nodes::{NodeRole, Nodes};
 use crate::orders::candidates::by_rank;
 
-/// Wants of this time are asked for together, as a job starts all its items at once.
+/// Delay that batches the permit requests of all items of a starting job.
 const GATHER: Duration = Duration::from_millis(10);
 
-/// Pause between two calls. What is dealt for an instance in a second is used up by fewer.
+/// Pause between two requests.
 const ASK_PAUSE: Duration = Duration::from_millis(100);
 
-/// A node asks for one of so many parts of an instance's permits at a time. More could lapse unused at a node with little work.
+/// Divisor of an instance's permits that yields the amount of one request. A larger amount could
+/// expire unused at a node with little work.
 const ASKED_SHARE: u32 = 5;
 
-/// The same while nobody deals, as between two holders of the lease.
+/// Pause between two requests while no node issues permits, as during a change of the lease holder.
 const NO_DEALER_PAUSE: Duration = Duration::from_millis(400);
 
-/// Nodes that are asked in turn, by their rank as holders of the lease: more than try to hold it, as ranks change while one holds it.
+/// Number of nodes asked in turn, by their rank as lease candidates. Exceeds the number of
+/// candidates, as ranks may change while a node holds the lease.
 const NODES_ASKED: usize = 6;
 
-/// Keeps the limits up to date and asks for permits at this node.
+/// Applies the configured limits and requests permits for this node.
 pub struct PermitAsker {
-    /// By how much callers may exceed what cold instances bear; `None`: they get any number of requests.
+    /// Excess over the capacity of cold instances that callers are allowed; `None` disables the
+    /// limits.
     pub allowance: Option<ColdAllowance>,
-    /// Instances.
+    /// Known instances.
     pub backends: BackendTable,
-    /// Services and what they bear.
+    /// Services and their limits.
     pub config: ConfigInForce,
-    /// The other nodes.
+    /// Other nodes.
     pub nodes: Nodes,
-    /// Deals at this node, and is asked first: the node may hold the lease itself.
+    /// Issuer on this node. It is asked first, as this node may hold the lease itself.
     pub dealer: PermitDealer,
-    /// Counters.
+    /// Metrics of this front.
     pub metrics: Arc<Metrics>,
 }
 
 impl PermitAsker {
-    /// Asks for as long as the future is polled.
+    /// Requests permits for as long as the future is polled.
     pub async fn run(&self) {
         let Some(allowance) = self.allowance else {
             return std::future::pending().await;
@@ -96,7 +99,8 @@
         }
     }
 
-    /// Asks for permits for instances, given with their services; returns what was dealt and until when it is good.
+    /// Requests permits for instances, given with their services. Returns the permits and the time
+    /// until which they are valid.
     async fn ask(
         &self,
         wanted: BTreeMap<String, String>,
@@ -135,7 +139,7 @@
         }
     }
 
-    /// Nodes that may hold the lease, the one that dealt last first.
+    /// Returns the nodes that may hold the lease, starting with the last issuer.
     fn likely_dealers(&self, last: Option<String>) -> Vec<String> {
         let own = self.nodes.own().node;
         let fronts = self.nodes.with_role(NodeRole::Front);
--- a/crates/front/src/orders/permits/dealer.rs
+++ b/crates/front/src/orders/permits/dealer.rs
@@ -1,4 +1,4 @@
-//! Deals permits while this node holds the orders lease.
+//! Issues permits while this node holds the orders lease.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 
@@ -9,24 +9,24 @@
 use super::ledger::PermitLedger;
 use crate::backend::ColdLimits;
 
-/// Instances that one question may name.
+/// Maximum number of instances per request.
 const MOST_INSTANCES: usize = 1_024;
 
-/// Answers questions for permits. Cheap to clone.
+/// Answers permit requests. Cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub struct PermitDealer {
     limits: ColdLimits,
     holding: Arc<Mutex<Option<Holding>>>,
 }
 
-/// The lease under which this node deals.
+/// Lease under which this node issues permits.
 #[derive(Debug)]
 struct Holding {
     proven_until: watch::Receiver<Instant>,
     ledger: PermitLedger,
 }
 
-/// This node deals until it is dropped.
+/// Guard during whose lifetime this node issues permits.
 #[derive(Debug)]
 pub struct Dealing {
     dealer: PermitDealer,
@@ -39,7 +39,7 @@
 }
 
 impl PermitDealer {
-    /// Deals by some limits.
+    /// Creates an issuer that applies the given limits.
     pub fn new(limits: ColdLimits) -> Self {
         Self {
             limits,
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Begins to deal under a lease that this node has just gained; `proven_until` tells until when it certainly lasts.
+    /// Starts to issue permits under a newly acquired lease. `proven_until` is the time until which
+    /// the lease is certain to be valid.
     pub fn begin(&self, proven_until: watch::Receiver<Instant>) -> Dealing {
         *self.lock() = Some(Holding {
             proven_until,
@@ -58,7 +59,8 @@
         }
     }
 
-    /// Deals what is asked for, as far as the limits allow; `None` if this node does not certainly hold the lease.
+    /// Issues the requested permits within the limits; `None` unless this node is certain to hold
+    /// the lease.
     pub fn deal(&self, asked: &AskSendPermits) -> Option<SendPermits> {
         let now = Instant::now();
         let mut holding = self.lock();
--- a/crates/front/src/orders/permits/ledger.rs
+++ b/crates/front/src/orders/permits/ledger.rs
@@ -1,4 +1,4 @@
-//! How many permits one holder has dealt within the last window.
+//! Ledger of the permits issued by one lease holder in the recent past.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -7,24 +7,26 @@
 
 use crate::backend::{PERMIT_LIFETIME, SEND_WINDOW, WRITE_MARGIN};
 
-/// Permits that are dealt within this time may be used within one window: each is used within its lifetime.
+/// Window in which the issued permits are limited. Permits issued this far apart cannot be used in
+/// the same [`SEND_WINDOW`].
 const DEAL_WINDOW: Duration = SEND_WINDOW
     .saturating_add(PERMIT_LIFETIME)
     .saturating_add(WRITE_MARGIN);
 
-/// A new holder deals nothing for so long, so that no window holds requests by its permits and by those of an earlier holder.
+/// Time for which a new holder issues no permits, so that its permits and those of an earlier
+/// holder are not used in the same window.
 pub const QUIET_TIME: Duration = DEAL_WINDOW;
 
-/// What one holder has dealt.
+/// Permits issued by one holder.
 #[derive(Debug)]
 pub struct PermitLedger {
     deals_from: Instant,
-    /// When permits were dealt, and how many, by instance; within the last window.
+    /// Time and number of permits issued in the last window, by instance.
     dealt: BTreeMap<String, VecDeque<(Instant, u32)>>,
 }
 
 impl PermitLedger {
-    /// A ledger of a holder whose lease began at `held_from` or earlier.
+    /// Creates the ledger of a holder whose lease started at `held_from` or earlier.
     pub fn new(held_from: Instant) -> Self {
         Self {
             deals_from: held_from + QUIET_TIME,
@@ -32,7 +34,8 @@
         }
     }
 
-    /// Deals up to `wanted` permits for an instance, of which `most` may be dealt in any window; returns how many.
+    /// Issues up to `wanted` permits for an instance, at most `most` in any window. Returns the
+    /// number issued.
     pub fn deal(&mut self, instance: &str, wanted: u32, most: u32, now: Instant) -> u32 {
         if now < self.deals_from {
             return 0;
@@ -48,7 +51,7 @@
         count
     }
 
-    /// Drops what was dealt before the last window.
+    /// Removes permits issued before the last window.
     fn forget(&mut self, now: Instant) {
         let is_over = |at: Instant| now.saturating_duration_since(at) > DEAL_WINDOW;
         self.dealt.retain(|_, recent| {
--- a/crates/front/src/orders/permits/mod.rs
+++ b/crates/front/src/orders/permits/mod.rs
@@ -1,4 +1,5 @@
-//! Permits to send requests to cold instances: the holder of the orders lease deals them out, so that the sum over all nodes is bounded.
+//! Permits for requests to cold instances. The holder of the orders lease issues them, which bounds
+//! the number of requests across all nodes.
 
 mod asking;
 mod dealer;
--- a/crates/front/src/orders/plan.rs
+++ b/crates/front/src/orders/plan.rs
@@ -1,102 +1,103 @@
-//! Which instance should load which version next.
+//! Plans which instance loads which weight version next.
 //!
-//! A job may allow the version before the newest, which must then be everywhere when the newest is named: each instance
-//! that serves a model loads every version, after the burst of work that follows its naming. Loading all models
-//! everywhere would take longer than versions last: each instance serves the model that it is assigned to, in shares of
-//! the models' demand.
+//! Each instance serves one model, assigned in proportion to demand, as loading all models
+//! everywhere would take longer than a version lasts. A job may still use the version before the
+//! newest one, so every instance loads every version of its model, after the burst of work that
+//! follows the announcement.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A version is named just before work that allows the one before it comes in a burst: that work may start everywhere first.
+/// Time after an announcement during which work that allows the previous version starts; those
+/// instances are not reloaded yet.
 const BURST_TIME: Duration = Duration::from_millis(400);
 
-/// Versions behind the newest from which on no job may use an instance.
+/// Number of versions behind the newest from which on no job may use an instance.
 const USELESS_LAG: u64 = 2;
 
-/// A model's texts count as short if they take at most this share of the time of the longest ones.
+/// Maximum text time, relative to the longest one, at which a model's texts count as short.
 const SHORT_SHARE: f64 = 0.8;
 
-/// Pace against the fastest from which on an instance counts as slow.
+/// Minimum event interval, relative to the fastest instance, at which an instance counts as slow.
 const SLOW_PACE: f64 = 1.15;
 
-/// Pace from which on an instance is not slow by nature: that will pass.
+/// Relative event interval from which on the slowness counts as temporary.
 const BROKEN_PACE: f64 = 2.0;
 
-/// Pace up to which an instance counts as fast.
+/// Maximum relative event interval at which an instance counts as fast.
 const FAST_PACE: f64 = 1.07;
 
-/// An instance that holds models.
+/// Instance that holds models.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FleetInstance {
-    /// Its id.
+    /// Instance id.
     pub id: String,
-    /// Versions that it has, by model.
+    /// Loaded version of each model.
     pub versions: BTreeMap<String, u64>,
-    /// Requests there as best known.
+    /// Known number of requests in progress.
     pub load: u32,
-    /// An order is under way there, or was given a moment ago.
+    /// Excluded from orders, because one is in progress or was issued recently.
     pub is_busy: bool,
     /// Milliseconds between two events of a run; `None` while unknown.
     pub pace_ms: Option<f64>,
 }
 
-/// What is wanted of one model.
+/// Demand for one model.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ModelDemand {
-    /// Its name.
+    /// Name of the model.
     pub model: String,
-    /// Newest version that was named.
+    /// Newest announced version.
     pub newest: u64,
-    /// How long ago that was.
+    /// Time since its announcement.
     pub named_for: Duration,
-    /// Work that asks for it, against the other models.
+    /// Amount of work, relative to other models.
     pub weight: f64,
-    /// Events of its longest recent text; 0: unknown.
+    /// Number of events in the longest recent text; 0 if unknown.
     pub longest_events: u64,
 }
 
-/// An order to give.
+/// Planned order to load a version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Planned {
-    /// Instance to load.
+    /// Instance id.
     pub instance: String,
-    /// Model.
+    /// Name of the model.
     pub model: String,
-    /// Version.
+    /// Version to load.
     pub version: u64,
 }
 
-/// Which model each instance serves.
+/// Assignment of models to instances.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Assignment {
     model_of: BTreeMap<String, String>,
-    /// Instances that were traded between models; once each, as what is seen of their pace may be passing.
+    /// Instances that were traded already; each is traded once, as its event interval may be
+    /// temporary.
     traded: BTreeSet<String>,
 }
 
-/// One of so many instances of a model may be traded in a round: each loads other weights for a second or two, and its model is served
-/// by the others meanwhile.
+/// Divisor of a model's instances that yields the maximum number of trades per round, as a traded
+/// instance is unavailable while it loads other weights.
 const TRADE_SHARE: usize = 5;
 
-/// Instances that one model may trade in a round. Where a third of 45 instances is slow by nature and each of three models got a third
-/// of those, one trade a round took 33 s until the models with long texts had none left.
+/// Returns the maximum number of trades per round.
 pub fn most_trades(demands: &[ModelDemand], fleet: &[FleetInstance]) -> usize {
     (fleet.len() / demands.len().max(1) / TRADE_SHARE).max(1)
 }
 
-/// Two instances that changed their models.
+/// Exchange of two instances between models.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Trade {
-    /// The model that got the fast one.
+    /// Model that received the fast instance.
     pub model: String,
-    /// The instance that it gave.
+    /// Instance that this model gave away.
     pub slow: String,
-    /// The instance that it got.
+    /// Instance that this model received.
     pub fast: String,
 }
 
-/// An instance and its pace against the fastest instance of the same model.
+/// Instance with its event interval relative to the fastest instance of its model.
 struct Paced<'a> {
     id: &'a str,
     pace_ms: f64,
@@ -104,12 +105,13 @@
 }
 
 impl Assignment {
-    /// Model of an instance.
+    /// Returns the model of an instance.
     pub fn model(&self, instance: &str) -> Option<&str> {
         self.model_of.get(instance).map(String::as_str)
     }
 
-    /// Adapts to the fleet and the demand. An instance keeps its model unless another one lacks more than one instance.
+    /// Adapts the assignment to the fleet and the demand. An instance keeps its model unless
+    /// another model lacks at least two instances.
     pub fn update(&mut self, demands: &[ModelDemand], fleet: &[FleetInstance]) {
         self.model_of.retain(|id, model| {
             fleet.iter().any(|one| one.id == *id) && demands.iter().any(|one| one.model == *model)
@@ -127,7 +129,7 @@
         self.balance(&quotas, fleet);
     }
 
-    /// The model whose weights are newest at the instance among those that lack instances.
+    /// Returns the model with the newest weights at the instance among those that lack instances.
     fn best_model(
         &self,
         demands: &[ModelDemand],
@@ -145,7 +147,8 @@
         best.map(|demand| demand.model.clone()).unwrap_or_default()
     }
 
-    /// Moves one instance from a model with too many to one that lacks two or more.
+    /// Moves one instance from the model with the largest surplus to one that lacks at least two,
+    /// or has none.
     fn balance(&mut self, quotas: &BTreeMap<String, usize>, fleet: &[FleetInstance]) {
         let surplus = |model: &String| self.count(model) as i64 - quotas[model] as i64;
         let Some(most) = quotas.keys().max_by_key(|model| surplus(model)) else {
@@ -166,8 +169,8 @@
         }
     }
 
-    /// Trades a slow instance of a model whose texts take long for a fast one of the model whose texts take the shortest time: a
-    /// step is as long as its longest texts.
+    /// Trades a slow instance of a model with long texts for a fast one of the model with the
+    /// shortest texts, because a step takes as long as its longest texts.
     pub fn trade(&mut self, demands: &[ModelDemand], fleet: &[FleetInstance]) -> Option<Trade> {
         let time = |demand: &ModelDemand| {
             let pace = self.best_pace(&demand.model, fleet)?;
@@ -205,7 +208,7 @@
         Some(trade)
     }
 
-    /// Pace of the fastest instance of a model.
+    /// Returns the event interval of a model's fastest instance.
     fn best_pace(&self, model: &str, fleet: &[FleetInstance]) -> Option<f64> {
         let paces = fleet
             .iter()
@@ -214,7 +217,7 @@
         paces.min_by(f64::total_cmp)
     }
 
-    /// Instances of a model that may be traded.
+    /// Returns the instances of a model that may be traded.
     fn paced<'a>(
         &'a self,
         model: &'a str,
@@ -243,7 +246,8 @@
     }
 }
 
-/// Instances for each model: shares of the weights by largest remainder, at least one each while there are enough.
+/// Returns the number of instances for each model: proportional to the weights by largest
+/// remainder, and at least one if there are enough instances.
 fn quotas(demands: &[ModelDemand], instances: usize) -> BTreeMap<String, usize> {
     let total: f64 = demands
         .iter()
@@ -271,10 +275,10 @@
         .collect()
 }
 
-/// The next order, given what is loading anywhere and how many may load at once.
+/// Plans the next order, given the number of loads in progress and its limit.
 ///
-/// Instances two or more versions behind go first and at once, as no job may use them; then, after the burst of work, those
-/// one behind, the least busy first.
+/// Instances that no job may use come first and without delay. Instances one version behind follow
+/// after the burst of work, the least loaded first.
 pub fn plan(
     demands: &[ModelDemand],
     assignment: &Assignment,
@@ -293,10 +297,11 @@
         .map(|(_, planned)| planned)
 }
 
-/// How urgent an order is: instances that no job may use first, of the model that has the smallest share of useful ones.
+/// Urgency of an order: unusable instances first, then the model with the largest share of unusable
+/// instances, then the one with most outdated ones.
 type Urgency = (bool, u64, usize);
 
-/// The next order for one model.
+/// Plans the next order for one model.
 fn next_of(
     demand: &ModelDemand,
     assignment: &Assignment,
