--- a/crates/front/tests/capacity_duty.rs
+++ b/crates/front/tests/capacity_duty.rs
@@ -1,4 +1,4 @@
-//! The holder's part of ordering capacity, before a store in memory and a receiver that fails.
+//! Tests the capacity controller against an in-memory store and a receiver that fails on demand.
 
 mod support;
 
@@ -22,21 +22,21 @@
 const ZONES: [&str; 3] = ["a", "b", "c"];
 const WANTED: &str = "ladderstage/capacity/wanted";
 
-/// Longest wait for something that must come.
+/// Timeout for events that must happen.
 const PATIENCE: Duration = Duration::from_secs(30);
 
-/// Some looks of a holder.
+/// Duration of several checks of the fleet.
 const SOME_LOOKS: Duration = Duration::from_millis(1_200);
 
-/// Takes orders, or fails those of some zones.
+/// Accepts orders, or fails them as configured.
 #[derive(Default)]
 struct Receiver {
     orders: Mutex<Vec<(CapacityOrder, &'static str)>>,
-    /// What becomes of the next orders.
+    /// Outcomes of the next orders.
     failures: Mutex<VecDeque<CapacityOrderError>>,
-    /// Zones in which none can be had.
+    /// Zones without available capacity.
     empty_zones: BTreeSet<&'static str>,
-    /// No order is answered.
+    /// Orders are recorded, but never answered.
     is_silent: bool,
 }
 
@@ -52,7 +52,7 @@
         self.orders.lock().unwrap().clone()
     }
 
-    /// The order for a zone that was taken last.
+    /// Returns the latest accepted order for a zone.
     fn taken(&self, zone: &str) -> Option<CapacityOrder> {
         let orders = self.orders().into_iter().rev();
         let mut taken = orders.filter(|(_, outcome)| *outcome == "taken");
@@ -128,7 +128,8 @@
     config
 }
 
-/// One node with a fleet of two instances in each of three zones, the store as it sees it, and a receiver.
+/// Node with a fleet of two instances in each of three zones, its view of the store, and a
+/// receiver.
 struct Node {
     duty: CapacityDuty,
     lease: GiverLease,
@@ -167,7 +168,8 @@
         }
     }
 
-    /// Holds the lease until something was seen, and then ends like a process that is killed.
+    /// Holds the lease until `seen` resolves, and then stops without a release, like a killed
+    /// process.
     async fn hold_until<T>(&self, seen: impl Future<Output = T>) -> T {
         let held = loop {
             if let Some(held) = self.lease.take().await.unwrap() {
@@ -287,7 +289,7 @@
     let is_found = || fixed(&store).filter(|text| text.contains("\"found\":2"));
     node.hold_until(async {
         eventually(is_found).await;
-        // The lease is renewed; only this record cannot be written.
+        // The lease can be renewed; only this record cannot be written.
         store.set_faults(
             "one",
             NodeFaults {
@@ -337,7 +339,7 @@
     let receiver = Arc::clone(&node.receiver);
     node.hold_until(async {
         eventually(|| (store.calls("one", "get", WANTED) > 0).then_some(())).await;
-        // Longer than counts must be known before they are used.
+        // Exceeds every grace period of the planner.
         tokio::time::sleep(Duration::from_secs(4)).await;
         assert!(receiver.orders().is_empty());
         assert_eq!(fixed(&store), None);
@@ -361,7 +363,7 @@
     let before = fixed(&store);
     second
         .hold_until(async {
-            // What is lost is written down meanwhile.
+            // Losses are persisted during the quiet period.
             eventually(|| (fixed(&store) != before).then_some(())).await;
             tokio::time::sleep(SOME_LOOKS).await;
         })
--- a/crates/front/tests/capacity_plan.rs
+++ b/crates/front/tests/capacity_plan.rs
@@ -1,4 +1,5 @@
-//! What is wanted of capacity: where losses are replaced, within which bounds, and on what knowledge.
+//! Tests the capacity planner: placement of replacements, bounds, and behavior with incomplete
+//! knowledge.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -17,21 +18,21 @@
 const ZONES: [&str; 3] = ["a", "b", "c"];
 const MOST: u32 = 8;
 
-/// Longer than anything that the planner waits for.
+/// Exceeds every delay of the planner.
 const LONG: Duration = Duration::from_secs(20);
 
-/// Between looks.
+/// Interval between planning rounds.
 const LOOK: Duration = Duration::from_millis(250);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
     Serving,
     Draining,
-    /// It says when it will be taken away.
+    /// Announced that it will be reclaimed.
     TakenAway,
 }
 
-/// A fleet that the planner looks at, look by look.
+/// Simulated fleet with its planner.
 struct Fleet {
     planner: CapacityPlanner,
     now: Instant,
@@ -64,7 +65,7 @@
 }
 
 impl Fleet {
-    /// Kept instances in each zone that the planner has seen for a while.
+    /// Creates a fleet of on-demand instances that the planner has observed for a while.
     fn settled(by_zone: [u32; 3]) -> Self {
         let mut fleet = Self::new(by_zone, Some(0.2));
         fleet.wait(LONG);
@@ -103,7 +104,7 @@
             .collect()
     }
 
-    /// Changes the state of the first instances of a zone.
+    /// Sets the state of the first instances of a zone.
     fn set(&mut self, zone: &str, kind: InstanceKind, count: usize, state: State) {
         for id in self.ids(zone, kind).into_iter().take(count) {
             self.instances.get_mut(&id).unwrap().2 = state;
@@ -135,7 +136,7 @@
             .collect()
     }
 
-    /// One look; what it wants is fixed at once. Returns the reasons of new losses.
+    /// Runs one planning round and applies its result at once. Returns the reasons of new losses.
     fn look(&mut self) -> Vec<LossReason> {
         self.now += LOOK;
         let instances = self.discovered();
@@ -165,7 +166,7 @@
         self.planner.wanted().get(&subject(zone, kind))
     }
 
-    /// Preemptible instances ordered by zone.
+    /// Returns the extra preemptible instances by zone.
     fn extra(&self) -> [u32; 3] {
         ZONES.map(|zone| self.wanted(zone, InstanceKind::Preemptible).extra)
     }
@@ -174,7 +175,7 @@
         ZONES.map(|zone| self.wanted(zone, InstanceKind::Kept).extra)
     }
 
-    /// Brings what was ordered.
+    /// Starts and stops instances to match the orders.
     fn deliver(&mut self) {
         for zone in ZONES {
             for kind in [InstanceKind::Kept, InstanceKind::Preemptible] {
@@ -205,7 +206,7 @@
     let mut fleet = Fleet::settled([5, 3, 4]);
     fleet.set("a", KEPT, 4, State::Draining);
     assert_eq!(fleet.look(), [LossReason::Leaving]);
-    // One is left in the first zone beside three and four in the others; then all have four.
+    // One is left in the first zone, with three and four in the others; afterwards each has four.
     assert_eq!((fleet.extra(), fleet.kept_extra()), ([3, 1, 0], [0; 3]));
 }
 
@@ -307,7 +308,7 @@
     }
     fleet.look();
     assert_eq!(fleet.extra(), [0; 3]);
-    // Not in the zone whose kept instances are not whole: the order's count could be too low there.
+    // None in the zone with missing on-demand instances, where the order's total could be too low.
     assert_eq!(fleet.kept_extra(), [1, 0, 0]);
     assert_eq!(fleet.wanted("a", KEPT).desired(), 3);
 }
@@ -348,7 +349,7 @@
 fn what_is_not_known_orders_nothing() {
     let mut fleet = Fleet::settled([5, 5, 5]);
     fleet.planner.note_unknown();
-    // Records lapsed while the store was away, and come back one after the other.
+    // Records expired during an outage of the store and return later.
     fleet.remove("a", KEPT, 5);
     fleet.wait(Duration::from_secs(2));
     fleet.add("a", KEPT, 5);
@@ -379,12 +380,12 @@
     fleet.look();
     fleet.deliver();
     fleet.wait(LONG);
-    // A later holder knows what was ordered, and not when.
+    // A later holder knows which orders were sent, but not when.
     let wanted = fleet.planner.wanted().clone();
     fleet.planner = CapacityPlanner::new(wanted, fleet.now);
     fleet.wait(LONG);
     fleet.drained.clear();
-    // Given back, and leaving only some seconds later.
+    // Released instances stop some seconds later.
     fleet.wait(LONG);
     assert_eq!(fleet.kept_extra(), [0; 3]);
     fleet.wait(Duration::from_secs(3));
@@ -394,7 +395,7 @@
     assert_eq!(fleet.kept_extra(), [0; 3]);
 }
 
-/// What happens to the fleet of the property test.
+/// Step of the property test.
 #[derive(Debug, Clone)]
 enum Step {
     Leave(usize, bool, usize),
@@ -485,7 +486,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever is lost, refused, forgotten or drained, bounds are kept, and a fleet that is whole again is left as found.
+    /// Bounds hold for any sequence of losses, refusals, drains and restarts, and a complete fleet
+    /// ends without extra instances.
     #[test]
     fn bounds_hold_and_a_whole_fleet_is_left_as_found(steps in steps()) {
         let mut fleet = Fleet::settled([5, 2, 4]);
@@ -498,7 +500,7 @@
                 let is_settled = [KEPT, PREEMPTIBLE]
                     .iter()
                     .all(|kind| known.get(&subject(zone, *kind)).extra == 0);
-                // Nothing is ordered into a drained zone once it is known what is there.
+                // Nothing is ordered in a drained zone while the fleet is known.
                 if !steps.iter().any(|step| matches!(step, Step::Forget | Step::NewHolder)) {
                     prop_assert!(is_settled);
                 }
@@ -519,7 +521,7 @@
         prop_assert_eq!(fleet.changes, changes);
     }
 
-    /// A fleet whose instances come and go by themselves within the time of a crash is left as it is.
+    /// Instances that return within the grace period cause no orders.
     #[test]
     fn instances_that_go_down_and_up_order_nothing(looks in proptest::collection::vec((0..3_usize, 1..14_u32), 1..30)) {
         let mut fleet = Fleet::settled([5, 5, 5]);
@@ -545,7 +547,7 @@
     outbox.want(&a, 3, start);
     outbox.note(&a, 3, &Ok(()), pause, start);
     assert!(outbox.due(start + pause).is_empty());
-    // The order for six may have been carried out in between.
+    // The order for six may have taken effect in between.
     assert_eq!(outbox.due(start + LONG), [(a.clone(), 3)]);
     outbox.note(&a, 3, &Ok(()), pause, start + LONG);
     assert!(outbox.due(start + LONG * 9).is_empty());
--- a/crates/front/tests/ended_givers.rs
+++ b/crates/front/tests/ended_givers.rs
@@ -1,4 +1,4 @@
-//! What a front remembers of a giver of orders that has told its end.
+//! Tests the record of announcements by former order leaders.
 
 use std::time::Duration;
 
--- a/crates/front/tests/learnt_loads.rs
+++ b/crates/front/tests/learnt_loads.rs
@@ -1,4 +1,4 @@
-//! What a giver of orders goes on from that knows nothing of loads itself.
+//! Tests how a new order leader restores the learned load limit.
 
 mod support;
 
@@ -15,7 +15,7 @@
     LoadLimit::from_learnt(limit, Duration::from_millis(1_020), true)
 }
 
-/// The store's answers come at once, on another task.
+/// Waits for the store's answer, which arrives on another task.
 async fn written(store: &MemoryStore) {
     for _ in 0..100 {
         if store.read(KEY).is_some() {
--- a/crates/front/tests/load_limit.rs
+++ b/crates/front/tests/load_limit.rs
@@ -1,4 +1,4 @@
-//! How many loads may be under way at once is learnt from how long they take.
+//! Tests the adaptive limit on concurrent loads.
 
 use std::time::Duration;
 
@@ -6,10 +6,11 @@
 use ladderstage_front::orders::{FinishedLoad, LinkUse, LoadLimit, LoadTiming};
 use proptest::prelude::*;
 
-/// How long a load takes while nothing else loads.
+/// Load time without concurrent loads.
 const ALONE: Duration = Duration::from_millis(900);
 
-/// Rounds of loads: each begins as many as the limit allows, all at the same moment. Returns the limits.
+/// Simulates rounds in which all allowed loads start at the same moment. Returns the limit after
+/// each round.
 fn rounds(free: usize, count: usize, off_by_ms: &[u64]) -> Vec<usize> {
     let mut limit = LoadLimit::default();
     let mut now = Instant::now();
@@ -68,18 +69,19 @@
     }
 }
 
-/// What sets the pace of a load on a link with more loads than it bears.
+/// Factor that determines the speed of a load on a saturated link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Pace {
-    /// Its share of the link at each moment.
+    /// The concurrency at each moment.
     Shared,
-    /// Its share of the link as it began.
+    /// The concurrency at the start of the load.
     SetAtBegin,
 }
 
 const PACES: [Pace; 2] = [Pace::Shared, Pace::SetAtBegin];
 
-/// A link that bears `free` loads at once, on which loads begin one after the other, each as soon as the limit allows.
+/// Simulated link with a capacity of `free` concurrent loads, on which each load starts as soon as
+/// the limit allows.
 struct SharedLink {
     free: f64,
     pace: Pace,
@@ -92,12 +94,13 @@
 struct OpenLoad {
     since: Instant,
     before: LinkUse,
-    /// Seconds of work done.
+    /// Work done, in seconds.
     done: f64,
     beside: usize,
-    /// Seconds for which the load stands still by itself, as one of a sick instance does.
+    /// Remaining time, in seconds, for which the load makes no progress, as at an unhealthy
+    /// instance.
     stall: f64,
-    /// Seconds of work in all.
+    /// Total work, in seconds.
     work: f64,
 }
 
@@ -121,7 +124,7 @@
         self.begin_slow(stall, 1.0);
     }
 
-    /// A load that is `slowness` times as much work as others.
+    /// Starts a load with `slowness` times the usual work.
     fn begin_slow(&mut self, stall: f64, slowness: f64) {
         let before = self.link.clone();
         self.loads.push(OpenLoad {
@@ -135,7 +138,7 @@
         self.link.set_loads(self.loads.len(), self.now);
     }
 
-    /// Passes one millisecond.
+    /// Advances the simulation by one millisecond.
     fn step(&mut self) {
         const STEP: Duration = Duration::from_millis(1);
         let speed = |beside: usize| (self.free / beside.max(1) as f64).min(1.0);
@@ -169,8 +172,8 @@
     }
 }
 
-/// Found on days with a new giver of orders: the number of loads beside each other was taken for their whole time, and four to
-/// nine were under way on a link that bears two.
+/// Guards against taking the concurrency at a load's start for that of its whole duration, which
+/// allowed several times the link's capacity.
 #[test]
 fn loads_that_begin_at_different_moments_show_what_their_link_bears() {
     let mut shared = SharedLink::new(2);
@@ -191,7 +194,8 @@
     );
 }
 
-/// Waves of `wave` loads each `pause` ms, as versions are named; returns the limits at the end of each wave.
+/// Runs waves of `wave` loads each `pause` milliseconds, as versions are announced. Returns the
+/// limit after each wave.
 fn waves(shared: &mut SharedLink, count: usize, wave: usize, pause: usize) -> Vec<usize> {
     let mut limits = Vec::new();
     for _ in 0..count {
@@ -208,8 +212,7 @@
     limits
 }
 
-/// Found on days of 44 instances, whose link bears nine loads: as a wave of too many ran out, each later load showed less, and
-/// the limit fell to four or five for up to 160 s.
+/// Guards against decreasing the limit again for each load that finishes after a burst.
 #[test]
 fn a_wave_of_too_many_loads_does_not_lower_the_limit_below_what_the_link_bears() {
     let mut shared = SharedLink::new(9);
@@ -217,8 +220,7 @@
     assert!(limits[4..].iter().all(|limit| *limit >= 8), "{limits:?}");
 }
 
-/// Found on a day with sick instances: one load that took 1.5 s instead of 1 s lowered the limit from eight to two, and 42 of 44
-/// instances got no new weights for 10 s.
+/// Guards against decreasing the limit because of a single slow load.
 #[test]
 fn one_slow_load_does_not_lower_the_limit() {
     let mut shared = SharedLink::new(9);
@@ -230,8 +232,8 @@
     assert!(limits.iter().all(|limit| *limit >= before), "{limits:?}");
 }
 
-/// Found in the logs of a day on which instances went dark: the giver waited 0.8 s for one of them, noticed three loads late that
-/// were done on time, and lowered the limit to four on a link that bears nine.
+/// Guards against counting loads as slow that only were noticed late, as when another instance
+/// hangs.
 #[test]
 fn loads_that_were_noticed_late_do_not_lower_the_limit() {
     let start = Instant::now();
@@ -258,8 +260,7 @@
     );
 }
 
-/// Found in the logs of two days: 25 loads had begun at once on a link that bears nine, and each three of them that ended lowered the
-/// limit again, to five.
+/// Guards against decreasing the limit several times for one burst.
 #[test]
 fn a_burst_of_too_many_loads_lowers_the_limit_once() {
     let start = Instant::now();
@@ -289,16 +290,16 @@
     assert!(lowered.iter().all(|one| *one == lowered[0]), "{lowered:?}");
 }
 
-/// What a link brought in a minute.
+/// Result of one simulated minute.
 struct Minute {
-    /// Loads that were done after the first ten seconds.
+    /// Loads finished after the first ten seconds.
     loads: usize,
-    /// The limits, each second.
+    /// Limit at each second.
     limits: Vec<usize>,
 }
 
-/// Loads wait all the time, as on a large fleet whose models name versions one after the other; `slowness` tells that of each
-/// load, by its number and its time.
+/// Simulates a minute in which loads are always waiting. `slowness` maps a load's number and start
+/// time in seconds to its relative work.
 fn busy_minute(shared: &mut SharedLink, slowness: impl Fn(usize, f64) -> f64) -> Minute {
     let begun_at = shared.now;
     let mut begun = 0;
@@ -324,14 +325,13 @@
     }
 }
 
-/// Every fifth load is one of a sick instance for the first half of a minute, by a pseudo-random choice.
+/// Slows down every fifth load, chosen pseudo-randomly, during the first half of a minute.
 fn sick_fifth(number: usize, since: f64) -> f64 {
     let is_sick = (number * 2_654_435_761) >> 8 & 0xff < 51;
     if is_sick && since < 30.0 { 1.28 } else { 1.0 }
 }
 
-/// Found on a quiet day of 122 instances, a fifth of them slow for eight seconds: three slow loads in a row were taken for a full
-/// link, again and again, and two at a time went on for ten seconds on a link that bears 24.
+/// Guards against mistaking several slow loads of unhealthy instances for a saturated link.
 #[test]
 fn sick_instances_are_not_taken_for_a_full_link() {
     let links = [2, 9, 24, 100].into_iter();
@@ -352,7 +352,7 @@
     }
 }
 
-/// Where all loads become slower, however many are under way, fewer at once do not help.
+/// If all loads slow down at any concurrency, a lower limit does not help.
 #[test]
 fn loads_that_are_all_slower_than_before_do_not_lower_the_limit_for_long() {
     let mut shared = SharedLink::new(24);
@@ -362,8 +362,8 @@
     assert!(late.iter().all(|limit| *limit >= 20), "{:?}", minute.limits);
 }
 
-/// Found on the same day: the second giver of orders took the limit of the first, which was still on its way up, for what the link
-/// bears.
+/// Guards against taking the limit of a previous leader, which was still increasing, for the link's
+/// capacity.
 #[test]
 fn a_new_giver_goes_on_with_the_rise_of_the_one_before() {
     for pace in PACES {
@@ -374,7 +374,7 @@
     }
 }
 
-/// A giver that knows from the one before that the link was full does not overshoot it.
+/// A leader that inherits a limit close to the link's capacity does not exceed it.
 #[test]
 fn a_new_giver_does_not_double_what_was_full() {
     let mut shared = SharedLink::new(24);
@@ -387,12 +387,12 @@
     );
 }
 
-/// Found on a day whose link bears 26: each wave of loads began one after the other, those that began first were even although more
-/// followed them, and 85 went at once and took 2.9 s each.
+/// Guards against proving a concurrency with loads that were joined by others only after their
+/// start.
 #[test]
 fn loads_that_others_followed_do_not_prove_that_so_many_go_evenly() {
     let mut shared = SharedLink::with_pace(26, Pace::SetAtBegin);
-    // Sixteen orders at most are given at once, each 50 ms.
+    // At most sixteen orders are issued per planning round of 50 ms.
     let mut limits = Vec::new();
     for millisecond in 0..40_000 {
         if millisecond % 50 == 0 {
--- a/crates/front/tests/order_candidates.rs
+++ b/crates/front/tests/order_candidates.rs
@@ -1,4 +1,4 @@
-//! Few nodes try to become the giver of orders, and others take the place of those that are gone.
+//! Tests the selection of candidates for the orders lease.
 
 use ladderstage_front::orders::is_candidate;
 
@@ -26,7 +26,8 @@
     assert!(!is_candidate("front-1", [("front-2", 500)]));
 }
 
-/// Found on a day of 250 fronts: the giver of orders had 0.12 cores and noticed loads 0.25 s late, and took them for slow ones.
+/// Guards against an order leader with little CPU, which detects finished loads late and takes them
+/// for slow ones.
 #[test]
 fn the_strongest_nodes_are_candidates_and_weaker_ones_only_where_those_are_too_few() {
     let name = |index: usize| format!("front-{index}");
--- a/crates/front/tests/order_plan.rs
+++ b/crates/front/tests/order_plan.rs
@@ -1,4 +1,4 @@
-//! Which instance loads which version next.
+//! Tests the plan of weight loads and the assignment of models to instances.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -76,7 +76,7 @@
     assert_eq!(counts["b"], 4);
 }
 
-/// The instances of a drained zone are left out, all of one model among them; later they return with the weights that they had.
+/// A drained zone removes all instances of one model; afterwards they return with their weights.
 #[test]
 fn each_model_keeps_instances_while_a_zone_is_drained_and_gets_its_own_back() {
     let demands = ["a", "b", "c", "d"].map(|model| demand(model, 5, 1_000));
@@ -152,7 +152,7 @@
 }
 
 proptest! {
-    /// Orders go only to instances of the model that lack the version, and all get it in the end.
+    /// Orders go only to instances of the model that lack the version, and eventually all have it.
     #[test]
     fn every_instance_of_a_model_gets_the_newest_version(
         count in 1usize..12,
@@ -178,7 +178,7 @@
     }
 }
 
-/// Two models with two instances each, the second of each slow by nature.
+/// Builds two models with two instances each; the second instance of each is slow.
 fn paced_fleet() -> Vec<FleetInstance> {
     let mut fleet = vec![
         instance("a-fast", &[("a", 2), ("b", 1)]),
@@ -244,7 +244,7 @@
     assert_eq!(assigned(&demands, &unknown).trade(&demands, &unknown), None);
 }
 
-/// Three models with fifteen instances each, of which every third is slow by nature, as on a fleet of 45.
+/// Builds fifteen instances for each model, every third of which is slow.
 fn mixed_fleet(models: &[&str]) -> Vec<FleetInstance> {
     let mut fleet = Vec::new();
     for model in models {
@@ -257,8 +257,8 @@
     fleet
 }
 
-/// One trade a round, and only for the model with the very longest texts, left slow instances with the other one for good: its texts
-/// of 145 events began at 64 ms an event instead of 49.5 ms.
+/// Guards against one trade per round for the model with the longest texts only, which left another
+/// model with slow instances.
 #[test]
 fn all_models_with_long_texts_are_rid_of_slow_instances_in_a_few_rounds() {
     let models = ["a", "b", "c"];
