--- a/crates/front/src/capacity/duty.rs
+++ b/crates/front/src/capacity/controller.rs
@@ -12,11 +12,11 @@
 use ladderstage_clock::Instant;
 
 use super::counts::Subject;
-use super::counts::count;
+use super::counts::count_instances;
+use super::desired::DesiredCapacity;
 use super::outbox::Outbox;
-use super::planner::{CapacityPlanner, FleetNow, LossNews, REFUSAL_TIME};
+use super::planner::{CapacityPlanner, FleetState, LossUpdate, UNAVAILABLE_PAUSE};
 use super::sink::{CapacityOrder, CapacityOrderError, CapacitySink};
-use super::wanted::WantedCapacity;
 use crate::backend::BackendTable;
 use crate::config::{ConfigInForce, ServingConfig};
 use crate::coordination::{Coordination, CoordinationError, SwapResult};
@@ -25,16 +25,16 @@
 use crate::roster::DirectView;
 
 /// Key of the desired capacity.
-const WANTED_KEY: &str = "ladderstage/capacity/wanted";
+const DESIRED_CAPACITY_KEY: &str = "ladderstage/capacity/wanted";
 
 /// Interval between checks of the fleet.
-const LOOK_PAUSE: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Pause after a failed call to the store.
 const RETRY_PAUSE: Duration = Duration::from_millis(700);
 
 /// Time beyond an instance's boot time before its order is repeated.
-const ARRIVAL_MARGIN: Duration = Duration::from_secs(2);
+const START_MARGIN: Duration = Duration::from_secs(2);
 
 /// Orders capacity while this node holds the orders lease.
 pub struct CapacityDuty {
@@ -57,7 +57,7 @@
 }
 
 /// State of one holder.
-struct Holding {
+struct HolderState {
     /// Revision of the stored record; 0 if there is none.
     revision: u64,
     planner: CapacityPlanner,
@@ -65,34 +65,38 @@
     /// Orders of earlier holders have been queued again.
     has_resumed: bool,
     /// Earliest time of the next write to the store.
-    store_at: Instant,
+    next_write_at: Instant,
 }
 
 impl CapacityDuty {
     /// Orders capacity for as long as the future is polled.
     pub async fn run(&self, lease: &GiverLease, held: &Held) {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         self.wait_for_scaled_service().await;
-        let mut holding = self.begin().await;
+        let mut state = self.load_state().await;
         // The end that the previous holder announced lists weight orders only, so it does not
         // shorten this quiet period.
         let is_own = held.last.as_ref().is_none_or(|last| last.node == self.node);
-        let quiet_until = if is_own { begun } else { begun + self.quiet };
+        let quiet_until = if is_own {
+            started_at
+        } else {
+            started_at + self.quiet
+        };
         loop {
-            tokio::time::sleep(LOOK_PAUSE).await;
+            tokio::time::sleep(CHECK_INTERVAL).await;
             let Some(config) = self.config.current() else {
                 continue;
             };
             // Runs during the quiet period too, so that losses are persisted by the time orders may
             // be sent.
-            self.look(&config, &mut holding).await;
-            if Instant::now() >= quiet_until && self.may_send(lease, held).await {
-                self.send_due(&config, &mut holding, held).await;
+            self.check_fleet(&config, &mut state).await;
+            if Instant::now() >= quiet_until && self.may_send_orders(lease, held).await {
+                self.send_due(&config, &mut state, held).await;
             }
         }
     }
 
-    async fn may_send(&self, lease: &GiverLease, held: &Held) -> bool {
+    async fn may_send_orders(&self, lease: &GiverLease, held: &Held) -> bool {
         lease.may_order(held).await.unwrap_or_else(|error| {
             log::warn!("event=capacity_holder_not_named cause=\"{error}\"");
             false
@@ -113,30 +117,31 @@
     }
 
     /// Loads the state that earlier holders persisted.
-    async fn begin(&self) -> Holding {
-        let (revision, wanted) = self.read_wanted().await;
+    async fn load_state(&self) -> HolderState {
+        let (revision, desired_capacity) = self.read_desired().await;
         let now = Instant::now();
-        Holding {
+        HolderState {
             revision,
-            planner: CapacityPlanner::new(wanted, now),
+            planner: CapacityPlanner::new(desired_capacity, now),
             outbox: Outbox::default(),
             has_resumed: false,
-            store_at: now,
+            next_write_at: now,
         }
     }
 
     /// Reads the desired capacity with its revision. An unreadable record counts as empty: all
     /// running instances are then treated as found, and none is removed.
-    async fn read_wanted(&self) -> (u64, WantedCapacity) {
+    async fn read_desired(&self) -> (u64, DesiredCapacity) {
         loop {
-            match self.coordination.get(WANTED_KEY).await {
-                Ok(None) => return (0, WantedCapacity::default()),
+            match self.coordination.get(DESIRED_CAPACITY_KEY).await {
+                Ok(None) => return (0, DesiredCapacity::default()),
                 Ok(Some(record)) => {
-                    let wanted = serde_json::from_slice(&record.value).unwrap_or_else(|error| {
-                        log::error!("event=capacity_unreadable cause=\"{error}\"");
-                        WantedCapacity::default()
-                    });
-                    return (record.revision, wanted);
+                    let desired_capacity =
+                        serde_json::from_slice(&record.value).unwrap_or_else(|error| {
+                            log::error!("event=capacity_unreadable cause=\"{error}\"");
+                            DesiredCapacity::default()
+                        });
+                    return (record.revision, desired_capacity);
                 }
                 Err(error) => {
                     log::warn!("event=capacity_not_read cause=\"{error}\"");
@@ -148,72 +153,77 @@
 
     /// Queues the orders of earlier holders again, as their outcome is unknown. Skips counts below
     /// the number of serving instances, which others may have added since.
-    fn resume(&self, holding: &mut Holding, now: Instant) {
-        let there = count(&self.backends.discovered());
-        let wanted = holding.planner.wanted();
-        let ordered = wanted.subjects().filter(|(_, count)| count.is_ordered);
+    fn resume_orders(&self, state: &mut HolderState, now: Instant) {
+        let counts = count_instances(&self.backends.discovered());
+        let desired_capacity = state.planner.desired_capacity();
+        let ordered = desired_capacity
+            .subjects()
+            .filter(|(_, count)| count.is_ordered);
         for (subject, count) in ordered {
-            let serving = there.get(&subject).map_or(0, |present| present.serving);
+            let serving = counts.get(&subject).map_or(0, |present| present.serving);
             if serving <= count.desired() {
-                holding.outbox.resume(&subject, count.desired(), now);
+                state.outbox.resume(&subject, count.desired(), now);
             }
         }
     }
 
     /// Plans the desired capacity, if the fleet is known, and persists it.
-    async fn look(&self, config: &ServingConfig, holding: &mut Holding) {
+    async fn check_fleet(&self, config: &ServingConfig, state: &mut HolderState) {
         let now = Instant::now();
         if self.view.known_at().is_none() || !self.backends.gates().drained.is_known() {
-            holding.planner.note_unknown();
+            state.planner.discard_observations();
             return;
         }
-        if !std::mem::replace(&mut holding.has_resumed, true) {
-            self.resume(holding, now);
+        if !std::mem::replace(&mut state.has_resumed, true) {
+            self.resume_orders(state, now);
         }
         let drained = self.backends.gates().drained.current();
-        let plan = holding.planner.plan(
-            FleetNow {
+        let plan = state.planner.plan(
+            FleetState {
                 services: &config.services,
                 instances: &self.backends.discovered(),
                 drained: &drained,
             },
             now,
         );
-        plan.losses.iter().for_each(|news| self.note_loss(news));
-        if let Some(wanted) = plan.wanted.filter(|_| now >= holding.store_at) {
-            self.fix(wanted, holding).await;
+        plan.losses
+            .iter()
+            .for_each(|update| self.report_loss(update));
+        if let Some(desired_capacity) = plan.desired_capacity.filter(|_| now >= state.next_write_at)
+        {
+            self.persist(desired_capacity, state).await;
         }
-        self.order_again(&drained, holding);
+        self.reorder_lost(&drained, state);
     }
 
     /// Writes the desired capacity to the store; it may be sent only afterwards.
-    async fn fix(&self, wanted: WantedCapacity, holding: &mut Holding) {
-        let value = serde_json::to_vec(&wanted).unwrap_or_default();
+    async fn persist(&self, desired_capacity: DesiredCapacity, state: &mut HolderState) {
+        let value = serde_json::to_vec(&desired_capacity).unwrap_or_default();
         let swap = self
             .coordination
-            .swap(WANTED_KEY, holding.revision, value, None);
+            .swap(DESIRED_CAPACITY_KEY, state.revision, value, None);
         match swap.await {
             Ok(SwapResult::Won { revision }) => {
-                holding.revision = revision;
-                self.take_fixed(wanted, holding);
+                state.revision = revision;
+                self.apply_persisted(desired_capacity, state);
             }
             Ok(SwapResult::Lost(_)) | Err(CoordinationError::Unknown(_)) => {
-                let (revision, wanted) = self.read_wanted().await;
-                holding.revision = revision;
-                self.take_fixed(wanted, holding);
+                let (revision, desired_capacity) = self.read_desired().await;
+                state.revision = revision;
+                self.apply_persisted(desired_capacity, state);
             }
             Err(error) => {
-                holding.store_at = Instant::now() + RETRY_PAUSE;
+                state.next_write_at = Instant::now() + RETRY_PAUSE;
                 log::warn!("event=capacity_not_fixed cause=\"{error}\"");
             }
         }
     }
 
     /// Adopts the capacity that the store holds now.
-    fn take_fixed(&self, wanted: WantedCapacity, holding: &mut Holding) {
+    fn apply_persisted(&self, desired_capacity: DesiredCapacity, state: &mut HolderState) {
         let now = Instant::now();
-        for (subject, count) in wanted.subjects() {
-            let before = holding.planner.wanted().get(&subject);
+        for (subject, count) in desired_capacity.subjects() {
+            let before = state.planner.desired_capacity().get(&subject);
             if count != before {
                 log::info!(
                     "event=capacity_fixed service={} zone={} kind={} found={} extra={} found_before={} extra_before={} revision={}",
@@ -224,28 +234,28 @@
                     count.extra,
                     before.found,
                     before.extra,
-                    holding.revision
+                    state.revision
                 );
             }
             if count.is_ordered {
-                holding.outbox.want(&subject, count.desired(), now);
+                state.outbox.set_desired(&subject, count.desired(), now);
             }
         }
-        holding.planner.accept(wanted, now);
+        state.planner.accept(desired_capacity, now);
     }
 
     /// Repeats orders for pools that lack preemptible instances.
-    fn order_again(&self, drained: &BTreeSet<Arc<str>>, holding: &mut Holding) {
+    fn reorder_lost(&self, drained: &BTreeSet<Arc<str>>, state: &mut HolderState) {
         let now = Instant::now();
-        for subject in holding.planner.to_order_again(drained, now) {
-            let desired = holding.planner.wanted().get(&subject).desired();
-            holding.outbox.repeat(&subject, desired, now);
+        for subject in state.planner.pools_to_reorder(drained, now) {
+            let desired = state.planner.desired_capacity().get(&subject).desired();
+            state.outbox.repeat(&subject, desired, now);
         }
     }
 
     /// Sends the orders that are due while the lease is certain to be valid.
-    async fn send_due(&self, config: &ServingConfig, holding: &mut Holding, held: &Held) {
-        let due = holding.outbox.due(Instant::now());
+    async fn send_due(&self, config: &ServingConfig, state: &mut HolderState, held: &Held) {
+        let due = state.outbox.due(Instant::now());
         let calls = due.into_iter().map(|(subject, desired)| async move {
             let order = CapacityOrder {
                 subject,
@@ -263,33 +273,39 @@
         });
         for (order, outcome) in join_all(calls).await {
             if let Some(outcome) = outcome {
-                self.note(config, holding, &order, &outcome);
+                self.record_outcome(config, state, &order, &outcome);
             }
         }
     }
 
     /// Applies the outcome of an order to the planner and the outbox.
-    fn note(
+    fn record_outcome(
         &self,
         config: &ServingConfig,
-        holding: &mut Holding,
+        state: &mut HolderState,
         order: &CapacityOrder,
         outcome: &Result<(), CapacityOrderError>,
     ) {
         let now = Instant::now();
         let subject = &order.subject;
-        let is_refused = matches!(outcome, Err(CapacityOrderError::NoneToBeHad));
-        if is_refused {
-            holding.planner.note_refused(subject, now);
+        let is_unavailable = matches!(outcome, Err(CapacityOrderError::NoneToBeHad));
+        if is_unavailable {
+            state.planner.mark_unavailable(subject, now);
         }
-        let pause = if is_refused {
-            REFUSAL_TIME
+        let pause = if is_unavailable {
+            UNAVAILABLE_PAUSE
         } else {
-            arrival_time(config, subject)
+            max_start_time(config, subject)
         };
         let desired = order.desired;
-        holding.outbox.note(subject, desired, outcome, pause, now);
-        self.report(order, outcome, holding.planner.wanted().get(subject).extra);
+        state
+            .outbox
+            .record_outcome(subject, desired, outcome, pause, now);
+        self.report(
+            order,
+            outcome,
+            state.planner.desired_capacity().get(subject).extra,
+        );
     }
 
     /// Counts and logs an order; `extra` is the number of its instances beyond the found ones.
@@ -316,13 +332,13 @@
         );
     }
 
-    fn note_loss(&self, news: &LossNews) {
-        let LossNews {
+    fn report_loss(&self, update: &LossUpdate) {
+        let LossUpdate {
             subject,
             lost,
             before,
             reason,
-        } = news;
+        } = update;
         let labels = [subject.zone.as_ref(), reason.label()];
         let more = u64::from(lost.saturating_sub(*before));
         self.metrics
@@ -340,8 +356,8 @@
 }
 
 /// Returns the time within which an ordered instance starts to serve.
-fn arrival_time(config: &ServingConfig, subject: &Subject) -> Duration {
+fn max_start_time(config: &ServingConfig, subject: &Subject) -> Duration {
     let service = config.services.get(subject.service.as_ref());
     let scaling = service.and_then(|service| service.scaling.as_ref());
-    scaling.map_or(ARRIVAL_MARGIN, |scaling| scaling.boot + ARRIVAL_MARGIN)
+    scaling.map_or(START_MARGIN, |scaling| scaling.boot + START_MARGIN)
 }
--- a/crates/front/src/capacity/counts.rs
+++ b/crates/front/src/capacity/counts.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum InstanceKind {
     /// Runs until it is stopped.
-    Kept,
+    OnDemand,
     /// Costs less, but the provider may reclaim all of a zone at once.
     Preemptible,
 }
@@ -19,7 +19,7 @@
     /// Returns the name used in metric labels and logs.
     pub fn label(self) -> &'static str {
         match self {
-            Self::Kept => "kept",
+            Self::OnDemand => "kept",
             Self::Preemptible => "preemptible",
         }
     }
@@ -44,23 +44,23 @@
 
 /// Instances of one pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Present {
+pub struct PresentInstances {
     /// Ready instances that have not announced their departure.
     pub serving: u32,
     /// Instances that are still running but accept no new work.
     pub leaving: u32,
     /// The pool is preemptible and at least one instance announced that it will be reclaimed.
-    pub is_taken_back: bool,
+    pub is_being_reclaimed: bool,
 }
 
 /// Counts instances by pool.
-pub fn count(instances: &[Discovered]) -> BTreeMap<Subject, Present> {
-    let mut counts = BTreeMap::<Subject, Present>::new();
+pub fn count_instances(instances: &[Discovered]) -> BTreeMap<Subject, PresentInstances> {
+    let mut counts = BTreeMap::<Subject, PresentInstances>::new();
     for instance in instances {
         let kind = if instance.is_preemptible {
             InstanceKind::Preemptible
         } else {
-            InstanceKind::Kept
+            InstanceKind::OnDemand
         };
         let subject = Subject {
             service: instance.service.as_str().into(),
@@ -73,7 +73,7 @@
         } else {
             present.leaving += 1;
         }
-        present.is_taken_back |= instance.is_preemptible && instance.leaves_ms.is_some();
+        present.is_being_reclaimed |= instance.is_preemptible && instance.leaves_ms.is_some();
     }
     counts
 }
--- a/crates/front/src/capacity/wanted.rs
+++ b/crates/front/src/capacity/desired.rs
@@ -8,7 +8,7 @@
 
 /// Desired instances of one pool; an order names the sum of `found` and `extra`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct CountWanted {
+pub struct DesiredCount {
     /// Instances that exist without an order; orders never go below this count.
     pub found: u32,
     /// Instances ordered beyond the found ones.
@@ -19,7 +19,7 @@
     pub is_ordered: bool,
 }
 
-impl CountWanted {
+impl DesiredCount {
     /// Returns the total that an order names.
     pub fn desired(self) -> u32 {
         self.found + self.extra
@@ -28,26 +28,26 @@
 
 /// Desired instances in one zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct ZoneWanted {
+pub struct ZoneCounts {
     /// On-demand instances.
     #[serde(default)]
-    pub kept: CountWanted,
+    pub kept: DesiredCount,
     /// Preemptible instances.
     #[serde(default)]
-    pub preemptible: CountWanted,
+    pub preemptible: DesiredCount,
 }
 
-impl ZoneWanted {
-    fn of(&self, kind: InstanceKind) -> &CountWanted {
+impl ZoneCounts {
+    fn of(&self, kind: InstanceKind) -> &DesiredCount {
         match kind {
-            InstanceKind::Kept => &self.kept,
+            InstanceKind::OnDemand => &self.kept,
             InstanceKind::Preemptible => &self.preemptible,
         }
     }
 
-    fn of_mut(&mut self, kind: InstanceKind) -> &mut CountWanted {
+    fn of_mut(&mut self, kind: InstanceKind) -> &mut DesiredCount {
         match kind {
-            InstanceKind::Kept => &mut self.kept,
+            InstanceKind::OnDemand => &mut self.kept,
             InstanceKind::Preemptible => &mut self.preemptible,
         }
     }
@@ -55,21 +55,21 @@
 
 /// Desired capacity of all scaled services, by service and zone.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct WantedCapacity {
-    services: BTreeMap<String, BTreeMap<String, ZoneWanted>>,
+pub struct DesiredCapacity {
+    services: BTreeMap<String, BTreeMap<String, ZoneCounts>>,
 }
 
-impl WantedCapacity {
+impl DesiredCapacity {
     /// Returns the desired instances of a pool.
-    pub fn get(&self, subject: &Subject) -> CountWanted {
+    pub fn get(&self, subject: &Subject) -> DesiredCount {
         let zones = self.services.get(subject.service.as_ref());
         let zone = zones.and_then(|zones| zones.get(subject.zone.as_ref()));
-        zone.map_or_else(CountWanted::default, |zone| *zone.of(subject.kind))
+        zone.map_or_else(DesiredCount::default, |zone| *zone.of(subject.kind))
     }
 
     /// Sets the desired instances of a pool.
-    pub fn set(&mut self, subject: &Subject, count: CountWanted) {
-        if count == CountWanted::default() && !self.has_zone(subject) {
+    pub fn set(&mut self, subject: &Subject, count: DesiredCount) {
+        if count == DesiredCount::default() && !self.has_zone(subject) {
             return;
         }
         let zones = self.services.entry(subject.service.to_string());
@@ -83,17 +83,17 @@
     }
 
     /// Returns all pools in order.
-    pub fn subjects(&self) -> impl Iterator<Item = (Subject, CountWanted)> + '_ {
-        const KINDS: [InstanceKind; 2] = [InstanceKind::Kept, InstanceKind::Preemptible];
+    pub fn subjects(&self) -> impl Iterator<Item = (Subject, DesiredCount)> + '_ {
+        const KINDS: [InstanceKind; 2] = [InstanceKind::OnDemand, InstanceKind::Preemptible];
         self.services.iter().flat_map(|(service, zones)| {
-            zones.iter().flat_map(move |(zone, wanted)| {
+            zones.iter().flat_map(move |(zone, counts)| {
                 KINDS.into_iter().map(move |kind| {
                     let subject = Subject {
                         service: service.as_str().into(),
                         zone: zone.as_str().into(),
                         kind,
                     };
-                    (subject, *wanted.of(kind))
+                    (subject, *counts.of(kind))
                 })
             })
         })
--- a/crates/front/src/capacity/losses.rs
+++ b/crates/front/src/capacity/losses.rs
@@ -4,11 +4,11 @@
 
 use ladderstage_clock::Instant;
 
-use super::counts::Present;
+use super::counts::PresentInstances;
 
 /// Time for which an instance may be missing without notice before it counts as lost. Exceeds the
 /// usual restart time of a crashed instance.
-pub const CRASH_TIME: Duration = Duration::from_secs(4);
+pub const MISSING_GRACE_PERIOD: Duration = Duration::from_secs(4);
 
 /// Reason for which instances count as lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -20,7 +20,7 @@
     /// They were missing for longer than the grace period.
     Missing,
     /// They were preemptible and were reclaimed.
-    TakenAway,
+    Reclaimed,
 }
 
 impl LossReason {
@@ -30,7 +30,7 @@
             Self::Leaving => "leaving",
             Self::ZoneDrained => "zone_drained",
             Self::Missing => "missing",
-            Self::TakenAway => "taken_away",
+            Self::Reclaimed => "taken_away",
         }
     }
 }
@@ -40,7 +40,7 @@
 pub struct Losses {
     lost: u32,
     /// Time since which more instances are missing than count as lost.
-    short_since: Option<Instant>,
+    missing_since: Option<Instant>,
 }
 
 impl Losses {
@@ -51,17 +51,17 @@
 
     /// Compares the instances with the `found` count. Returns the reason if more are lost than
     /// before.
-    pub fn look(
+    pub fn update(
         &mut self,
         found: u32,
-        present: Present,
+        present: PresentInstances,
         is_drained: bool,
         now: Instant,
     ) -> Option<LossReason> {
         let before = self.lost;
         if is_drained {
             self.lost = found;
-            self.short_since = None;
+            self.missing_since = None;
             return (found > before).then_some(LossReason::ZoneDrained);
         }
         let missing = found.saturating_sub(present.serving);
@@ -69,20 +69,20 @@
         // An instance that announced its departure still counts as lost once it is gone.
         self.lost = before.min(missing).max(announced);
         if missing == self.lost {
-            self.short_since = None;
+            self.missing_since = None;
             return (self.lost > before).then_some(LossReason::Leaving);
         }
-        let short_since = *self.short_since.get_or_insert(now);
-        if now.saturating_duration_since(short_since) >= CRASH_TIME {
+        let missing_since = *self.missing_since.get_or_insert(now);
+        if now.saturating_duration_since(missing_since) >= MISSING_GRACE_PERIOD {
             self.lost = missing;
-            self.short_since = None;
+            self.missing_since = None;
             return Some(LossReason::Missing);
         }
         (self.lost > before).then_some(LossReason::Leaving)
     }
 
     /// Restarts the grace period, because the fleet is unknown for now.
-    pub fn note_unknown(&mut self) {
-        self.short_since = None;
+    pub fn discard_observations(&mut self) {
+        self.missing_since = None;
     }
 }
--- a/crates/front/src/capacity/mod.rs
+++ b/crates/front/src/capacity/mod.rs
@@ -5,20 +5,20 @@
 //! [`desired`] capacity. [`controller`] runs on the holder of the orders lease: it persists the
 //! desired capacity and then sends the orders that [`outbox`] has due to a [`sink`].
 
+pub mod controller;
 pub mod counts;
-pub mod duty;
+pub mod desired;
 pub mod losses;
 pub mod outbox;
 pub mod placement;
 pub mod planner;
 pub mod sink;
-pub mod wanted;
 
-pub use counts::{InstanceKind, Present, Subject, count};
-pub use duty::CapacityDuty;
+pub use controller::CapacityDuty;
+pub use counts::{InstanceKind, PresentInstances, Subject, count_instances};
+pub use desired::{DesiredCapacity, DesiredCount};
 pub use losses::{LossReason, Losses};
 pub use outbox::Outbox;
-pub use placement::{Offer, place};
-pub use planner::{CapacityPlanner, FleetNow, LossNews, Plan};
+pub use placement::{ZoneOffer, place};
+pub use planner::{CapacityPlanner, FleetState, LossUpdate, Plan};
 pub use sink::{CapacityOrder, CapacityOrderError, CapacitySink};
-pub use wanted::{CountWanted, WantedCapacity};
--- a/crates/front/src/capacity/planner.rs
+++ b/crates/front/src/capacity/planner.rs
@@ -7,28 +7,28 @@
 
 use ladderstage_clock::Instant;
 
-use super::counts::{InstanceKind, Present, Subject, count};
+use super::counts::{InstanceKind, PresentInstances, Subject, count_instances};
+use super::desired::{DesiredCapacity, DesiredCount};
 use super::losses::{LossReason, Losses};
-use super::outbox::LATE_TIME;
-use super::placement::{Offer, Placed, place};
-use super::wanted::{CountWanted, WantedCapacity};
+use super::outbox::LATE_EXECUTION_WINDOW;
+use super::placement::{Placement, ZoneOffer, place};
 use crate::backend::Discovered;
 use crate::config::{ScalingSpec, ServiceSpec};
 
 /// Time after which additional instances count as found. A rolling replacement runs one additional
 /// instance for less than this.
-pub const ADOPTION_TIME: Duration = Duration::from_secs(5);
+pub const ADOPTION_DELAY: Duration = Duration::from_secs(5);
 
 /// Time for which replacements stay after they are last needed. Returning instances are slow at
 /// first and may be lost again.
-pub const GIVE_BACK_TIME: Duration = Duration::from_secs(10);
+pub const RELEASE_DELAY: Duration = Duration::from_secs(10);
 
 /// Time for which a pool without available capacity, or with reclaimed instances, is skipped.
-pub const REFUSAL_TIME: Duration = Duration::from_secs(2);
+pub const UNAVAILABLE_PAUSE: Duration = Duration::from_secs(2);
 
 /// Input of one planning round.
 #[derive(Debug, Clone, Copy)]
-pub struct FleetNow<'a> {
+pub struct FleetState<'a> {
     /// Services by name.
     pub services: &'a BTreeMap<String, ServiceSpec>,
     /// All discovered instances.
@@ -39,7 +39,7 @@
 
 /// Increase in the number of lost instances of a pool.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct LossNews {
+pub struct LossUpdate {
     /// Pool that lost instances.
     pub subject: Subject,
     /// Instances lost now.
@@ -54,16 +54,16 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Plan {
     /// New desired capacity; `None` if it is unchanged.
-    pub wanted: Option<WantedCapacity>,
+    pub desired_capacity: Option<DesiredCapacity>,
     /// Losses since the last round.
-    pub losses: Vec<LossNews>,
+    pub losses: Vec<LossUpdate>,
 }
 
 /// Replacements that are not needed at present.
 #[derive(Debug, Clone, Copy)]
-struct Spare {
+struct ExcessReplacements {
     /// Maximum number of instances lost at any time since `since`.
-    most_lost: u32,
+    max_lost: u32,
     since: Instant,
 }
 
@@ -77,73 +77,83 @@
 /// Planner of one lease holder, with the state it keeps between rounds.
 #[derive(Debug)]
 pub struct CapacityPlanner {
-    wanted: WantedCapacity,
+    desired_capacity: DesiredCapacity,
     losses: BTreeMap<Subject, Losses>,
     surplus: BTreeMap<Subject, Surplus>,
     /// Maximum number of extra instances that recent orders may bring, and the time until which
     /// these orders may take effect.
-    ordered: BTreeMap<Subject, (u32, Instant)>,
-    refused_until: BTreeMap<Subject, Instant>,
+    max_ordered_until: BTreeMap<Subject, (u32, Instant)>,
+    unavailable_until: BTreeMap<Subject, Instant>,
     /// Preemptible instances that were serving in the last round.
-    served: BTreeMap<Subject, u32>,
-    spare: BTreeMap<Arc<str>, Spare>,
+    last_serving: BTreeMap<Subject, u32>,
+    excess: BTreeMap<Arc<str>, ExcessReplacements>,
 }
 
 impl CapacityPlanner {
     /// Creates a planner that continues from the capacity that earlier holders persisted.
-    pub fn new(wanted: WantedCapacity, now: Instant) -> Self {
+    pub fn new(desired_capacity: DesiredCapacity, now: Instant) -> Self {
         // Orders of an earlier holder may still take effect.
-        let ordered = wanted.subjects().filter(|(_, count)| count.is_ordered);
-        let ordered = ordered.map(|(subject, _)| (subject, (u32::MAX, now + LATE_TIME)));
+        let ordered = desired_capacity
+            .subjects()
+            .filter(|(_, count)| count.is_ordered);
+        let ordered =
+            ordered.map(|(subject, _)| (subject, (u32::MAX, now + LATE_EXECUTION_WINDOW)));
         Self {
-            ordered: ordered.collect(),
-            wanted,
+            max_ordered_until: ordered.collect(),
+            desired_capacity,
             losses: BTreeMap::new(),
             surplus: BTreeMap::new(),
-            refused_until: BTreeMap::new(),
-            served: BTreeMap::new(),
-            spare: BTreeMap::new(),
+            unavailable_until: BTreeMap::new(),
+            last_serving: BTreeMap::new(),
+            excess: BTreeMap::new(),
         }
     }
 
     /// Returns the desired capacity that was persisted last.
-    pub fn wanted(&self) -> &WantedCapacity {
-        &self.wanted
+    pub fn desired_capacity(&self) -> &DesiredCapacity {
+        &self.desired_capacity
     }
 
     /// Discards observations because the fleet is unknown. Restarts the grace periods of missing
     /// instances, so that records that expired during an outage of the store can return.
-    pub fn note_unknown(&mut self) {
+    pub fn discard_observations(&mut self) {
         self.surplus.clear();
-        self.served.clear();
-        self.losses.values_mut().for_each(Losses::note_unknown);
+        self.last_serving.clear();
+        self.losses
+            .values_mut()
+            .for_each(Losses::discard_observations);
     }
 
     /// Marks a pool as having no available capacity for now.
-    pub fn note_refused(&mut self, subject: &Subject, now: Instant) {
-        self.refused_until
-            .insert(subject.clone(), now + REFUSAL_TIME);
+    pub fn mark_unavailable(&mut self, subject: &Subject, now: Instant) {
+        self.unavailable_until
+            .insert(subject.clone(), now + UNAVAILABLE_PAUSE);
     }
 
     /// Applies a persisted capacity.
-    pub fn accept(&mut self, wanted: WantedCapacity, now: Instant) {
-        for (subject, count) in wanted.subjects() {
-            let before = self.wanted.get(&subject);
+    pub fn accept(&mut self, desired_capacity: DesiredCapacity, now: Instant) {
+        for (subject, count) in desired_capacity.subjects() {
+            let before = self.desired_capacity.get(&subject);
             if count.extra == before.extra {
                 continue;
             }
-            let most = before.extra.max(count.extra);
-            let (known, until) = self.ordered.get(&subject).copied().unwrap_or((0, now));
-            let most = if now < until { most.max(known) } else { most };
-            self.ordered.insert(subject, (most, now + LATE_TIME));
+            let max = before.extra.max(count.extra);
+            let (known, until) = self
+                .max_ordered_until
+                .get(&subject)
+                .copied()
+                .unwrap_or((0, now));
+            let max = if now < until { max.max(known) } else { max };
+            self.max_ordered_until
+                .insert(subject, (max, now + LATE_EXECUTION_WINDOW));
         }
-        self.wanted = wanted;
+        self.desired_capacity = desired_capacity;
     }
 
     /// Plans the desired capacity for the current fleet.
-    pub fn plan(&mut self, fleet: FleetNow, now: Instant) -> Plan {
-        let counts = count(fleet.instances);
-        let mut next = self.wanted.clone();
+    pub fn plan(&mut self, fleet: FleetState, now: Instant) -> Plan {
+        let counts = count_instances(fleet.instances);
+        let mut next = self.desired_capacity.clone();
         let mut losses = Vec::new();
         for (service, spec) in fleet.services {
             if let Some(scaling) = &spec.scaling {
@@ -154,87 +164,93 @@
                     drained: fleet.drained,
                 };
                 self.adopt(&service, &mut next, now);
-                self.look_at_losses(&service, &next, now, &mut losses);
+                self.update_losses(&service, &next, now, &mut losses);
                 self.replace(&service, &mut next, now);
             }
         }
         Plan {
-            wanted: (next != self.wanted).then_some(next),
+            desired_capacity: (next != self.desired_capacity).then_some(next),
             losses,
         }
     }
 
     /// Returns the pools that lack preemptible instances. Only an order in the same zone replaces
     /// these.
-    pub fn to_order_again(&self, drained: &BTreeSet<Arc<str>>, now: Instant) -> Vec<Subject> {
+    pub fn pools_to_reorder(&self, drained: &BTreeSet<Arc<str>>, now: Instant) -> Vec<Subject> {
         let is_short = |subject: &Subject, serving: u32| {
-            serving < self.wanted.get(subject).desired()
+            serving < self.desired_capacity.get(subject).desired()
                 && !drained.contains(&subject.zone)
-                && !self.is_refused(subject, now)
+                && !self.is_unavailable(subject, now)
         };
-        let short = self.served.iter();
+        let short = self.last_serving.iter();
         short
             .filter(|(subject, serving)| is_short(subject, **serving))
             .map(|(subject, _)| subject.clone())
             .collect()
     }
 
-    fn is_refused(&self, subject: &Subject, now: Instant) -> bool {
-        let until = self.refused_until.get(subject);
+    fn is_unavailable(&self, subject: &Subject, now: Instant) -> bool {
+        let until = self.unavailable_until.get(subject);
         until.is_some_and(|until| now < *until)
     }
 
     /// Counts instances that no order accounts for as found once they have stayed long enough.
-    fn adopt(&mut self, service: &Service, next: &mut WantedCapacity, now: Instant) {
-        let is_new = !self.wanted.has_service(&service.name);
+    fn adopt(&mut self, service: &Service, next: &mut DesiredCapacity, now: Instant) {
+        let is_new = !self.desired_capacity.has_service(&service.name);
         for subject in service.subjects(next) {
-            let wanted = next.get(&subject);
-            let most_ordered = self.most_ordered(&subject, wanted.extra, now);
-            let own = service.present(&subject).serving;
-            let own = own.saturating_sub(most_ordered);
-            if own <= wanted.found {
+            let desired_count = next.get(&subject);
+            let max_ordered = self.max_ordered(&subject, desired_count.extra, now);
+            let unordered = service.present(&subject).serving;
+            let unordered = unordered.saturating_sub(max_ordered);
+            if unordered <= desired_count.found {
                 self.surplus.remove(&subject);
                 continue;
             }
             let surplus = self.surplus.entry(subject.clone()).or_insert(Surplus {
-                count: own,
+                count: unordered,
                 since: now,
             });
-            surplus.count = surplus.count.min(own);
-            if is_new || now.saturating_duration_since(surplus.since) >= ADOPTION_TIME {
+            surplus.count = surplus.count.min(unordered);
+            if is_new || now.saturating_duration_since(surplus.since) >= ADOPTION_DELAY {
                 let found = surplus.count;
-                next.set(&subject, CountWanted { found, ..wanted });
+                next.set(
+                    &subject,
+                    DesiredCount {
+                        found,
+                        ..desired_count
+                    },
+                );
                 self.surplus.remove(&subject);
             }
         }
     }
 
     /// Returns the maximum number of extra instances that orders may have brought.
-    fn most_ordered(&self, subject: &Subject, extra: u32, now: Instant) -> u32 {
-        let ordered = self.ordered.get(subject);
+    fn max_ordered(&self, subject: &Subject, extra: u32, now: Instant) -> u32 {
+        let ordered = self.max_ordered_until.get(subject);
         let ordered = ordered.filter(|(_, until)| now < *until);
-        ordered.map_or(0, |(most, _)| *most).max(extra)
+        ordered.map_or(0, |(max, _)| *max).max(extra)
     }
 
-    fn look_at_losses(
+    fn update_losses(
         &mut self,
         service: &Service,
-        wanted: &WantedCapacity,
+        desired_capacity: &DesiredCapacity,
         now: Instant,
-        news: &mut Vec<LossNews>,
+        updates: &mut Vec<LossUpdate>,
     ) {
-        for subject in service.subjects(wanted) {
+        for subject in service.subjects(desired_capacity) {
             let present = service.present(&subject);
             if subject.kind == InstanceKind::Preemptible {
-                let desired = wanted.get(&subject).desired();
-                news.extend(self.look_for_taken_away(&subject, present, desired, now));
+                let desired = desired_capacity.get(&subject).desired();
+                updates.extend(self.detect_reclaimed(&subject, present, desired, now));
             }
-            let found = wanted.get(&subject).found;
+            let found = desired_capacity.get(&subject).found;
             let is_drained = service.drained.contains(&subject.zone);
             let losses = self.losses.entry(subject.clone()).or_default();
             let before = losses.lost();
             if let Some(reason) = losses.look(found, present, is_drained, now) {
-                news.push(LossNews {
+                updates.push(LossUpdate {
                     subject,
                     lost: losses.lost(),
                     before,
@@ -247,37 +263,40 @@
     /// Detects reclaimed preemptible instances: some announced it, or none is left. All missing
     /// ones then count as lost, including ordered ones that have not started. If some are left
     /// without an announcement, the missing ones crashed.
-    fn look_for_taken_away(
+    fn detect_reclaimed(
         &mut self,
         subject: &Subject,
-        present: Present,
+        present: PresentInstances,
         desired: u32,
         now: Instant,
-    ) -> Option<LossNews> {
+    ) -> Option<LossUpdate> {
         let serving = present.serving;
-        let before = self.served.insert(subject.clone(), serving).unwrap_or(0);
+        let before = self
+            .last_serving
+            .insert(subject.clone(), serving)
+            .unwrap_or(0);
         let is_none_left = serving == 0 && before > 0 && desired > 0;
-        if !is_none_left && !present.is_taken_back {
+        if !is_none_left && !present.is_being_reclaimed {
             return None;
         }
-        let is_news = !self.is_refused(subject, now) && serving < desired;
-        self.note_refused(subject, now);
-        is_news.then(|| LossNews {
+        let is_new_loss = !self.is_unavailable(subject, now) && serving < desired;
+        self.mark_unavailable(subject, now);
+        is_new_loss.then(|| LossUpdate {
             subject: subject.clone(),
             lost: desired - serving,
             before: 0,
-            reason: LossReason::TakenAway,
+            reason: LossReason::Reclaimed,
         })
     }
 
     /// Places as many replacements as there are lost instances.
-    fn replace(&mut self, service: &Service, next: &mut WantedCapacity, now: Instant) {
+    fn replace(&mut self, service: &Service, next: &mut DesiredCapacity, now: Instant) {
         let subjects = service.subjects(next);
         let lost: u32 = subjects.iter().map(|subject| self.lost(subject)).sum();
-        let placed = placed(&subjects, next);
+        let placement = placement(&subjects, next);
         let offers = self.offers(service, next, now);
-        let target = self.target(service, lost, placed.values().sum(), now);
-        set_placed(&subjects, next, &place(&offers, &placed, target));
+        let target = self.target(service, lost, placement.values().sum(), now);
+        set_placement(&subjects, next, &place(&offers, &placement, target));
     }
 
     fn lost(&self, subject: &Subject) -> u32 {
@@ -285,59 +304,68 @@
     }
 
     /// Returns the number of extra instances the service should have.
-    fn target(&mut self, service: &Service, lost: u32, placed: u32, now: Instant) -> u32 {
-        if lost >= placed {
-            self.spare.remove(&service.name);
+    fn target(&mut self, service: &Service, lost: u32, placed_count: u32, now: Instant) -> u32 {
+        if lost >= placed_count {
+            self.excess.remove(&service.name);
             return lost;
         }
         let name = Arc::clone(&service.name);
-        let spare = self.spare.entry(name).or_insert(Spare {
-            most_lost: lost,
+        let excess = self.excess.entry(name).or_insert(ExcessReplacements {
+            max_lost: lost,
             since: now,
         });
-        spare.most_lost = spare.most_lost.max(lost);
-        if now.saturating_duration_since(spare.since) < GIVE_BACK_TIME {
-            return placed;
+        excess.max_lost = excess.max_lost.max(lost);
+        if now.saturating_duration_since(excess.since) < RELEASE_DELAY {
+            return placed_count;
         }
-        let needed = spare.most_lost;
-        self.spare.remove(&service.name);
+        let needed = excess.max_lost;
+        self.excess.remove(&service.name);
         needed
     }
 
-    fn offers(&self, service: &Service, wanted: &WantedCapacity, now: Instant) -> Vec<Offer> {
-        let subjects = service.subjects(wanted);
+    fn offers(
+        &self,
+        service: &Service,
+        desired_capacity: &DesiredCapacity,
+        now: Instant,
+    ) -> Vec<ZoneOffer> {
+        let subjects = service.subjects(desired_capacity);
         let zones: BTreeSet<Arc<str>> = subjects
             .iter()
             .map(|subject| Arc::clone(&subject.zone))
             .collect();
-        let open = zones
+        let available = zones
             .into_iter()
             .filter(|zone| !service.drained.contains(zone));
-        open.map(|zone| self.offer(service, wanted, zone, now))
+        available
+            .map(|zone| self.offer(service, desired_capacity, zone, now))
             .collect()
     }
 
     fn offer(
         &self,
         service: &Service,
-        wanted: &WantedCapacity,
+        desired_capacity: &DesiredCapacity,
         zone: Arc<str>,
         now: Instant,
-    ) -> Offer {
-        let of_kind = |kind| service.subject(&zone, kind);
-        let kept = of_kind(InstanceKind::Kept);
-        let preemptible = of_kind(InstanceKind::Preemptible);
-        let found = |subject: &Subject| wanted.get(subject).found;
+    ) -> ZoneOffer {
+        let pool_of = |kind| service.subject(&zone, kind);
+        let on_demand = pool_of(InstanceKind::OnDemand);
+        let preemptible = pool_of(InstanceKind::Preemptible);
+        let found = |subject: &Subject| desired_capacity.get(subject).found;
         let mut kinds = Vec::new();
         if service.prefers_preemptible() {
-            let most = self.most(service, &preemptible, wanted, now);
-            kinds.push((InstanceKind::Preemptible, most));
+            let max = self.max_extra(service, &preemptible, desired_capacity, now);
+            kinds.push((InstanceKind::Preemptible, max));
         }
-        kinds.push((InstanceKind::Kept, self.most(service, &kept, wanted, now)));
-        let all_found = found(&kept) + found(&preemptible);
-        Offer {
-            serving: all_found.saturating_sub(self.lost(&kept) + self.lost(&preemptible)),
-            room: service.scaling.most.saturating_sub(all_found),
+        kinds.push((
+            InstanceKind::OnDemand,
+            self.max_extra(service, &on_demand, desired_capacity, now),
+        ));
+        let total_found = found(&on_demand) + found(&preemptible);
+        ZoneOffer {
+            serving: total_found.saturating_sub(self.lost(&on_demand) + self.lost(&preemptible)),
+            free_capacity: service.scaling.most.saturating_sub(total_found),
             price: service.price(&zone),
             kinds,
             zone,
@@ -345,28 +373,28 @@
     }
 
     /// Returns the maximum number of extra instances that may be ordered in a pool.
-    fn most(
+    fn max_extra(
         &self,
         service: &Service,
         subject: &Subject,
-        wanted: &WantedCapacity,
+        desired_capacity: &DesiredCapacity,
         now: Instant,
     ) -> u32 {
-        let count = wanted.get(subject);
+        let count = desired_capacity.get(subject);
         let present = service.present(subject);
         let arrived = present.serving.saturating_sub(count.found);
-        if self.is_refused(subject, now) {
+        if self.is_unavailable(subject, now) {
             return count.extra.min(arrived);
         }
         // An order names the total of its pool. While found instances are missing, that total could
         // be below the number running.
-        let is_whole = present.serving >= count.found;
+        let is_complete = present.serving >= count.found;
         // An order must not remove instances that somebody else has just added.
-        let has_others = arrived > self.most_ordered(subject, count.extra, now);
-        if has_others {
+        let has_foreign_instances = arrived > self.max_ordered(subject, count.extra, now);
+        if has_foreign_instances {
             return count.extra;
         }
-        if is_whole || subject.kind == InstanceKind::Preemptible {
+        if is_complete || subject.kind == InstanceKind::Preemptible {
             u32::MAX
         } else {
             count.extra
@@ -375,26 +403,30 @@
 }
 
 /// Returns the desired extra instances of the given pools.
-fn placed(subjects: &[Subject], wanted: &WantedCapacity) -> Placed {
+fn placement(subjects: &[Subject], desired_capacity: &DesiredCapacity) -> Placement {
     let counts = subjects.iter().map(|subject| {
-        let extra = wanted.get(subject).extra;
+        let extra = desired_capacity.get(subject).extra;
         ((Arc::clone(&subject.zone), subject.kind), extra)
     });
     counts.filter(|(_, extra)| *extra > 0).collect()
 }
 
 /// Sets the desired extra instances of the given pools.
-fn set_placed(subjects: &[Subject], wanted: &mut WantedCapacity, placed: &Placed) {
+fn set_placement(
+    subjects: &[Subject],
+    desired_capacity: &mut DesiredCapacity,
+    placement: &Placement,
+) {
     for subject in subjects {
-        let before = wanted.get(subject);
+        let before = desired_capacity.get(subject);
         let place = (Arc::clone(&subject.zone), subject.kind);
-        let extra = placed.get(&place).copied().unwrap_or(0);
-        let count = CountWanted {
+        let extra = placement.get(&place).copied().unwrap_or(0);
+        let count = DesiredCount {
             extra,
             is_ordered: before.is_ordered || extra > 0,
             ..before
         };
-        wanted.set(subject, count);
+        desired_capacity.set(subject, count);
     }
 }
 
@@ -402,7 +434,7 @@
 struct Service<'a> {
     name: Arc<str>,
     scaling: &'a ScalingSpec,
-    counts: &'a BTreeMap<Subject, Present>,
+    counts: &'a BTreeMap<Subject, PresentInstances>,
     drained: &'a BTreeSet<Arc<str>>,
 }
 
@@ -415,15 +447,15 @@
         }
     }
 
-    fn present(&self, subject: &Subject) -> Present {
+    fn present(&self, subject: &Subject) -> PresentInstances {
         self.counts.get(subject).copied().unwrap_or_default()
     }
 
     /// Returns both kinds of pool in every zone that has, or had, instances of the service.
-    fn subjects(&self, wanted: &WantedCapacity) -> Vec<Subject> {
-        let there = self.counts.keys().cloned();
-        let known = wanted.subjects().map(|(subject, _)| subject);
-        let zones: BTreeSet<Arc<str>> = there
+    fn subjects(&self, desired_capacity: &DesiredCapacity) -> Vec<Subject> {
+        let present = self.counts.keys().cloned();
+        let known = desired_capacity.subjects().map(|(subject, _)| subject);
+        let zones: BTreeSet<Arc<str>> = present
             .chain(known)
             .filter(|subject| subject.service == self.name)
             .map(|subject| subject.zone)
@@ -431,7 +463,8 @@
         zones
             .iter()
             .flat_map(|zone| {
-                [InstanceKind::Kept, InstanceKind::Preemptible].map(|kind| self.subject(zone, kind))
+                [InstanceKind::OnDemand, InstanceKind::Preemptible]
+                    .map(|kind| self.subject(zone, kind))
             })
             .collect()
     }
--- a/crates/front/tests/capacity_duty.rs
+++ b/crates/front/tests/capacity_duty.rs
@@ -20,13 +20,13 @@
 
 const SERVICE: &str = "model";
 const ZONES: [&str; 3] = ["a", "b", "c"];
-const WANTED: &str = "ladderstage/capacity/wanted";
+const DESIRED_CAPACITY_KEY: &str = "ladderstage/capacity/wanted";
 
 /// Timeout for events that must happen.
-const PATIENCE: Duration = Duration::from_secs(30);
+const EVENT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Duration of several checks of the fleet.
-const SOME_LOOKS: Duration = Duration::from_millis(1_200);
+const SEVERAL_CHECKS: Duration = Duration::from_millis(1_200);
 
 /// Accepts orders, or fails them as configured.
 #[derive(Default)]
@@ -35,9 +35,9 @@
     /// Outcomes of the next orders.
     failures: Mutex<VecDeque<CapacityOrderError>>,
     /// Zones without available capacity.
-    empty_zones: BTreeSet<&'static str>,
+    unavailable_zones: BTreeSet<&'static str>,
     /// Orders are recorded, but never answered.
-    is_silent: bool,
+    never_answers: bool,
 }
 
 impl Receiver {
@@ -65,7 +65,7 @@
         if let Some(failure) = self.failures.lock().unwrap().pop_front() {
             return Err(failure);
         }
-        if self.empty_zones.contains(order.subject.zone.as_ref()) {
+        if self.unavailable_zones.contains(order.subject.zone.as_ref()) {
             return Err(CapacityOrderError::NoneToBeHad);
         }
         Ok(())
@@ -83,7 +83,7 @@
                 .as_ref()
                 .map_or_else(|error| error.label(), |()| "taken");
             self.orders.lock().unwrap().push((order.clone(), label));
-            if self.is_silent {
+            if self.never_answers {
                 std::future::pending::<()>().await;
             }
             outcome
@@ -178,7 +178,7 @@
             tokio::time::sleep(Duration::from_millis(50)).await;
         };
         tokio::select! {
-            seen = tokio::time::timeout(PATIENCE, seen) => seen.expect("seen in time"),
+            seen = tokio::time::timeout(EVENT_TIMEOUT, seen) => seen.expect("seen in time"),
             loss = self.lease.keep(&held) => panic!("the lease is lost: {loss}"),
             () = self.duty.run(&self.lease, &held) => panic!("the duty ended"),
         }
@@ -190,17 +190,17 @@
     }
 }
 
-async fn eventually<T>(look: impl Fn() -> Option<T>) -> T {
+async fn eventually<T>(probe: impl Fn() -> Option<T>) -> T {
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = probe() {
             return found;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-fn fixed(store: &MemoryStore) -> Option<String> {
-    let value = store.read(WANTED)?;
+fn persisted(store: &MemoryStore) -> Option<String> {
+    let value = store.read(DESIRED_CAPACITY_KEY)?;
     Some(String::from_utf8(value).unwrap())
 }
 
@@ -222,7 +222,7 @@
 async fn what_one_holder_fixed_and_did_not_send_the_next_one_sends_under_a_higher_fence() {
     let store = MemoryStore::default();
     let silent = Receiver {
-        is_silent: true,
+        never_answers: true,
         ..Receiver::default()
     };
     let first = Node::new("one", &store, silent);
@@ -230,7 +230,7 @@
     first
         .hold_until(eventually(|| first.receiver.orders().pop()))
         .await;
-    let before = fixed(&store).unwrap();
+    let before = persisted(&store).unwrap();
     let second = Node::new("two", &store, Receiver::default());
     second.drain("b");
     let order = second
@@ -246,7 +246,7 @@
         earlier.subject == order.subject && earlier.desired == order.desired
     }));
     assert_eq!(
-        fixed(&store).unwrap(),
+        persisted(&store).unwrap(),
         before,
         "nothing was to be fixed anew"
     );
@@ -271,7 +271,7 @@
 async fn a_zone_with_none_to_be_had_is_passed_by() {
     let store = MemoryStore::default();
     let empty = Receiver {
-        empty_zones: BTreeSet::from(["a"]),
+        unavailable_zones: BTreeSet::from(["a"]),
         ..Receiver::default()
     };
     let node = Node::new("one", &store, empty);
@@ -286,25 +286,25 @@
     let store = MemoryStore::default();
     let node = Node::new("one", &store, Receiver::default());
     let receiver = Arc::clone(&node.receiver);
-    let is_found = || fixed(&store).filter(|text| text.contains("\"found\":2"));
+    let is_found = || persisted(&store).filter(|text| text.contains("\"found\":2"));
     node.hold_until(async {
         eventually(is_found).await;
         // The lease can be renewed; only this record cannot be written.
         store.set_faults(
             "one",
             NodeFaults {
-                refused_prefixes: BTreeSet::from([WANTED.to_owned()]),
+                refused_prefixes: BTreeSet::from([DESIRED_CAPACITY_KEY.to_owned()]),
                 ..NodeFaults::default()
             },
         );
         node.drain("b");
-        tokio::time::sleep(SOME_LOOKS).await;
+        tokio::time::sleep(SEVERAL_CHECKS).await;
         assert!(receiver.orders().is_empty());
         store.set_faults("one", NodeFaults::default());
         eventually(|| receiver.taken("a")).await;
     })
     .await;
-    assert!(fixed(&store).unwrap().contains("\"extra\":1"));
+    assert!(persisted(&store).unwrap().contains("\"extra\":1"));
 }
 
 #[tokio::test]
@@ -324,10 +324,10 @@
         eventually(|| receiver.taken("a")).await
     };
     let order = node.hold_until(seen).await;
-    let wanted = fixed(&store).unwrap();
-    assert!(wanted.contains("\"extra\":1"), "{wanted}");
+    let stored = persisted(&store).unwrap();
+    assert!(stored.contains("\"extra\":1"), "{stored}");
     assert_eq!(order.desired, 1);
-    assert!(store.calls("one", "get", WANTED) >= 2);
+    assert!(store.calls("one", "get", DESIRED_CAPACITY_KEY) >= 2);
 }
 
 #[tokio::test]
@@ -338,11 +338,11 @@
     node.drain("b");
     let receiver = Arc::clone(&node.receiver);
     node.hold_until(async {
-        eventually(|| (store.calls("one", "get", WANTED) > 0).then_some(())).await;
+        eventually(|| (store.calls("one", "get", DESIRED_CAPACITY_KEY) > 0).then_some(())).await;
         // Exceeds every grace period of the planner.
         tokio::time::sleep(Duration::from_secs(4)).await;
         assert!(receiver.orders().is_empty());
-        assert_eq!(fixed(&store), None);
+        assert_eq!(persisted(&store), None);
         node.duty.view.note(2);
         eventually(|| receiver.taken("a")).await;
     })
@@ -360,12 +360,12 @@
     let mut second = Node::new("two", &store, Receiver::default());
     second.duty.quiet = Duration::from_secs(3_600);
     second.drain("c");
-    let before = fixed(&store);
+    let before = persisted(&store);
     second
         .hold_until(async {
             // Losses are persisted during the quiet period.
-            eventually(|| (fixed(&store) != before).then_some(())).await;
-            tokio::time::sleep(SOME_LOOKS).await;
+            eventually(|| (persisted(&store) != before).then_some(())).await;
+            tokio::time::sleep(SEVERAL_CHECKS).await;
         })
         .await;
     assert!(second.receiver.orders().is_empty());
@@ -377,7 +377,7 @@
     let mut node = Node::new("one", &store, Receiver::default());
     node.duty.config = config(false);
     node.drain("b");
-    node.hold_until(tokio::time::sleep(SOME_LOOKS)).await;
-    assert_eq!(store.calls("one", "get", WANTED), 0);
+    node.hold_until(tokio::time::sleep(SEVERAL_CHECKS)).await;
+    assert_eq!(store.calls("one", "get", DESIRED_CAPACITY_KEY), 0);
     assert!(node.receiver.orders().is_empty());
 }
--- a/crates/front/tests/capacity_plan.rs
+++ b/crates/front/tests/capacity_plan.rs
@@ -8,28 +8,28 @@
 use ladderstage_clock::Instant;
 use ladderstage_front::backend::Discovered;
 use ladderstage_front::capacity::{
-    CapacityOrderError, CapacityPlanner, CountWanted, FleetNow, InstanceKind, LossReason, Outbox,
-    Subject, WantedCapacity,
+    CapacityOrderError, CapacityPlanner, DesiredCapacity, DesiredCount, FleetState, InstanceKind,
+    LossReason, Outbox, Subject,
 };
 use ladderstage_front::config::{ScalingSpec, ServiceSpec};
 use proptest::prelude::*;
 
 const SERVICE: &str = "model";
 const ZONES: [&str; 3] = ["a", "b", "c"];
-const MOST: u32 = 8;
+const MAX_INSTANCES: u32 = 8;
 
 /// Exceeds every delay of the planner.
-const LONG: Duration = Duration::from_secs(20);
+const LONGER_THAN_ANY_DELAY: Duration = Duration::from_secs(20);
 
 /// Interval between planning rounds.
-const LOOK: Duration = Duration::from_millis(250);
+const ROUND_INTERVAL: Duration = Duration::from_millis(250);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
     Serving,
     Draining,
     /// Announced that it will be reclaimed.
-    TakenAway,
+    Reclaimed,
 }
 
 /// Simulated fleet with its planner.
@@ -47,7 +47,7 @@
     ServiceSpec {
         scaling: Some(ScalingSpec {
             least: 1,
-            most: MOST,
+            most: MAX_INSTANCES,
             boot: Duration::from_secs(4),
             preemptible_price,
             zone_prices: prices.map(|(zone, price)| (zone.to_owned(), price)).into(),
@@ -66,16 +66,16 @@
 
 impl Fleet {
     /// Creates a fleet of on-demand instances that the planner has observed for a while.
-    fn settled(by_zone: [u32; 3]) -> Self {
+    fn observed(by_zone: [u32; 3]) -> Self {
         let mut fleet = Self::new(by_zone, Some(0.2));
-        fleet.wait(LONG);
+        fleet.wait(LONGER_THAN_ANY_DELAY);
         fleet
     }
 
     fn new(by_zone: [u32; 3], preemptible_price: Option<f64>) -> Self {
         let now = Instant::now();
         let mut fleet = Self {
-            planner: CapacityPlanner::new(WantedCapacity::default(), now),
+            planner: CapacityPlanner::new(DesiredCapacity::default(), now),
             now,
             services: BTreeMap::from([(SERVICE.to_owned(), spec(preemptible_price))]),
             instances: BTreeMap::new(),
@@ -83,7 +83,7 @@
             changes: 0,
         };
         for (zone, count) in ZONES.into_iter().zip(by_zone) {
-            fleet.add(zone, InstanceKind::Kept, count);
+            fleet.add(zone, InstanceKind::OnDemand, count);
         }
         fleet
     }
@@ -130,299 +130,336 @@
                 started_unix_ms: 0,
                 cold_ms: 0,
                 is_preemptible: *kind == InstanceKind::Preemptible,
-                leaves_ms: (*state == State::TakenAway).then_some(2_000),
+                leaves_ms: (*state == State::Reclaimed).then_some(2_000),
                 versions: BTreeMap::new(),
             })
             .collect()
     }
 
     /// Runs one planning round and applies its result at once. Returns the reasons of new losses.
-    fn look(&mut self) -> Vec<LossReason> {
-        self.now += LOOK;
+    fn run_round(&mut self) -> Vec<LossReason> {
+        self.now += ROUND_INTERVAL;
         let instances = self.discovered();
         let plan = self.planner.plan(
-            FleetNow {
+            FleetState {
                 services: &self.services,
                 instances: &instances,
                 drained: &self.drained,
             },
             self.now,
         );
-        if let Some(wanted) = plan.wanted {
+        if let Some(desired_capacity) = plan.desired_capacity {
             self.changes += 1;
-            self.planner.accept(wanted, self.now);
+            self.planner.accept(desired_capacity, self.now);
         }
-        plan.losses.iter().map(|news| news.reason).collect()
+        plan.losses.iter().map(|update| update.reason).collect()
     }
 
     fn wait(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
-            self.look();
+            self.run_round();
         }
     }
 
-    fn wanted(&self, zone: &str, kind: InstanceKind) -> CountWanted {
-        self.planner.wanted().get(&subject(zone, kind))
+    fn desired_count(&self, zone: &str, kind: InstanceKind) -> DesiredCount {
+        self.planner.desired_capacity().get(&subject(zone, kind))
     }
 
     /// Returns the extra preemptible instances by zone.
-    fn extra(&self) -> [u32; 3] {
-        ZONES.map(|zone| self.wanted(zone, InstanceKind::Preemptible).extra)
+    fn preemptible_extra(&self) -> [u32; 3] {
+        ZONES.map(|zone| self.desired_count(zone, InstanceKind::Preemptible).extra)
     }
 
-    fn kept_extra(&self) -> [u32; 3] {
-        ZONES.map(|zone| self.wanted(zone, InstanceKind::Kept).extra)
+    fn on_demand_extra(&self) -> [u32; 3] {
+        ZONES.map(|zone| self.desired_count(zone, InstanceKind::OnDemand).extra)
     }
 
     /// Starts and stops instances to match the orders.
     fn deliver(&mut self) {
         for zone in ZONES {
-            for kind in [InstanceKind::Kept, InstanceKind::Preemptible] {
-                let wanted = self.wanted(zone, kind).desired();
-                let there = self.ids(zone, kind).len() as u32;
-                self.add(zone, kind, wanted.saturating_sub(there));
-                self.remove(zone, kind, there.saturating_sub(wanted) as usize);
+            for kind in [InstanceKind::OnDemand, InstanceKind::Preemptible] {
+                let desired = self.desired_count(zone, kind).desired();
+                let running = self.ids(zone, kind).len() as u32;
+                self.add(zone, kind, desired.saturating_sub(running));
+                self.remove(zone, kind, running.saturating_sub(desired) as usize);
             }
         }
     }
 }
 
-const KEPT: InstanceKind = InstanceKind::Kept;
+const ON_DEMAND: InstanceKind = InstanceKind::OnDemand;
 const PREEMPTIBLE: InstanceKind = InstanceKind::Preemptible;
 
 #[test]
 fn a_fleet_that_lost_nothing_is_left_as_found() {
-    let mut fleet = Fleet::settled([5, 5, 5]);
+    let mut fleet = Fleet::observed([5, 5, 5]);
     assert_eq!(fleet.changes, 1, "what was found is written down once");
-    assert_eq!(fleet.wanted("a", KEPT).found, 5);
-    fleet.wait(LONG);
-    assert_eq!((fleet.extra(), fleet.kept_extra()), ([0; 3], [0; 3]));
+    assert_eq!(fleet.desired_count("a", ON_DEMAND).found, 5);
+    fleet.wait(LONGER_THAN_ANY_DELAY);
+    assert_eq!(
+        (fleet.preemptible_extra(), fleet.on_demand_extra()),
+        ([0; 3], [0; 3])
+    );
     assert_eq!(fleet.changes, 1);
 }
 
 #[test]
 fn instances_that_leave_are_replaced_at_once_where_the_fewest_are() {
-    let mut fleet = Fleet::settled([5, 3, 4]);
-    fleet.set("a", KEPT, 4, State::Draining);
-    assert_eq!(fleet.look(), [LossReason::Leaving]);
+    let mut fleet = Fleet::observed([5, 3, 4]);
+    fleet.set("a", ON_DEMAND, 4, State::Draining);
+    assert_eq!(fleet.run_round(), [LossReason::Leaving]);
     // One is left in the first zone, with three and four in the others; afterwards each has four.
-    assert_eq!((fleet.extra(), fleet.kept_extra()), ([3, 1, 0], [0; 3]));
+    assert_eq!(
+        (fleet.preemptible_extra(), fleet.on_demand_extra()),
+        ([3, 1, 0], [0; 3])
+    );
 }
 
 #[test]
 fn a_crashed_instance_is_left_to_the_platform_and_a_missing_one_replaced() {
-    let mut fleet = Fleet::settled([5, 5, 5]);
-    fleet.remove("b", KEPT, 1);
+    let mut fleet = Fleet::observed([5, 5, 5]);
+    fleet.remove("b", ON_DEMAND, 1);
     fleet.wait(Duration::from_secs(3));
-    assert_eq!(fleet.extra(), [0; 3]);
-    fleet.add("b", KEPT, 1);
-    fleet.wait(LONG);
-    assert_eq!((fleet.extra(), fleet.changes), ([0; 3], 1));
-    fleet.remove("b", KEPT, 1);
-    fleet.wait(LONG);
-    assert_eq!(fleet.extra(), [0, 1, 0]);
+    assert_eq!(fleet.preemptible_extra(), [0; 3]);
+    fleet.add("b", ON_DEMAND, 1);
+    fleet.wait(LONGER_THAN_ANY_DELAY);
+    assert_eq!((fleet.preemptible_extra(), fleet.changes), ([0; 3], 1));
+    fleet.remove("b", ON_DEMAND, 1);
+    fleet.wait(LONGER_THAN_ANY_DELAY);
+    assert_eq!(fleet.preemptible_extra(), [0, 1, 0]);
 }
 
 #[test]
 fn a_drained_zone_is_replaced_in_the_others_until_it_is_back() {
-    let mut fleet = Fleet::settled([2, 2, 2]);
+    let mut fleet = Fleet::observed([2, 2, 2]);
     fleet.drained.insert("b".into());
-    assert_eq!(fleet.look(), [LossReason::ZoneDrained]);
-    assert_eq!(fleet.extra(), [1, 0, 1]);
+    assert_eq!(fleet.run_round(), [LossReason::ZoneDrained]);
+    assert_eq!(fleet.preemptible_extra(), [1, 0, 1]);
     fleet.deliver();
-    fleet.wait(LONG);
-    assert_eq!(fleet.extra(), [1, 0, 1]);
+    fleet.wait(LONGER_THAN_ANY_DELAY);
+    assert_eq!(fleet.preemptible_extra(), [1, 0, 1]);
     fleet.drained.clear();
     fleet.wait(Duration::from_secs(5));
-    assert_eq!(fleet.extra(), [1, 0, 1], "its instances are slow at first");
-    fleet.wait(LONG);
-    assert_eq!(fleet.extra(), [0; 3]);
-    assert_eq!(ZONES.map(|zone| fleet.wanted(zone, KEPT).found), [2; 3]);
+    assert_eq!(
+        fleet.preemptible_extra(),
+        [1, 0, 1],
+        "its instances are slow at first"
+    );
+    fleet.wait(LONGER_THAN_ANY_DELAY);
+    assert_eq!(fleet.preemptible_extra(), [0; 3]);
+    assert_eq!(
+        ZONES.map(|zone| fleet.desired_count(zone, ON_DEMAND).found),
+        [2; 3]
+    );
 }
 
 #[test]
 fn replacements_that_are_taken_away_while_another_zone_is_drained_go_elsewhere() {
-    let mut fleet = Fleet::settled([2, 2, 2]);
+    let mut fleet = Fleet::observed([2, 2, 2]);
     fleet.drained.insert("b".into());
-    fleet.look();
+    fleet.run_round();
     fleet.deliver();
-    fleet.wait(LONG);
-    fleet.set("a", PREEMPTIBLE, 1, State::TakenAway);
-    fleet.look();
-    assert_eq!(fleet.extra(), [0, 0, 2]);
-    assert_eq!(fleet.kept_extra(), [0; 3]);
+    fleet.wait(LONGER_THAN_ANY_DELAY);
+    fleet.set("a", PREEMPTIBLE, 1, State::Reclaimed);
+    fleet.run_round();
+    assert_eq!(fleet.preemptible_extra(), [0, 0, 2]);
+    assert_eq!(fleet.on_demand_extra(), [0; 3]);
 }
 
 #[test]
 fn replacements_that_vanish_without_a_word_go_elsewhere_with_those_still_to_come() {
-    let mut fleet = Fleet::settled([6, 4, 4]);
-    fleet.set("a", KEPT, 4, State::Draining);
-    fleet.look();
-    assert_eq!(fleet.extra(), [2, 1, 1]);
+    let mut fleet = Fleet::observed([6, 4, 4]);
+    fleet.set("a", ON_DEMAND, 4, State::Draining);
+    fleet.run_round();
+    assert_eq!(fleet.preemptible_extra(), [2, 1, 1]);
     fleet.add("a", PREEMPTIBLE, 1);
     fleet.wait(Duration::from_secs(2));
     fleet.remove("a", PREEMPTIBLE, 1);
-    assert_eq!(fleet.look(), [LossReason::TakenAway]);
-    assert_eq!(fleet.extra(), [0, 2, 2]);
+    assert_eq!(fleet.run_round(), [LossReason::Reclaimed]);
+    assert_eq!(fleet.preemptible_extra(), [0, 2, 2]);
 }
 
 #[test]
 fn a_replacement_that_crashes_beside_others_is_ordered_again_where_it_was() {
-    let mut fleet = Fleet::settled([4, 4, 4]);
-    fleet.set("b", KEPT, 4, State::Draining);
-    fleet.look();
-    assert_eq!(fleet.extra(), [0, 4, 0]);
+    let mut fleet = Fleet::observed([4, 4, 4]);
+    fleet.set("b", ON_DEMAND, 4, State::Draining);
+    fleet.run_round();
+    assert_eq!(fleet.preemptible_extra(), [0, 4, 0]);
     fleet.add("b", PREEMPTIBLE, 2);
     fleet.wait(Duration::from_secs(2));
     fleet.remove("b", PREEMPTIBLE, 1);
-    assert_eq!(fleet.look(), []);
-    assert_eq!(fleet.extra(), [0, 4, 0], "those still to come stay as well");
-    let again = || fleet.planner.to_order_again(&fleet.drained, fleet.now);
+    assert_eq!(fleet.run_round(), []);
+    assert_eq!(
+        fleet.preemptible_extra(),
+        [0, 4, 0],
+        "those still to come stay as well"
+    );
+    let again = || fleet.planner.pools_to_reorder(&fleet.drained, fleet.now);
     assert_eq!(again(), [subject("b", PREEMPTIBLE)]);
     fleet.deliver();
-    fleet.look();
-    assert_eq!(fleet.planner.to_order_again(&fleet.drained, fleet.now), []);
+    fleet.run_round();
+    assert_eq!(
+        fleet.planner.pools_to_reorder(&fleet.drained, fleet.now),
+        []
+    );
 }
 
 #[test]
 fn a_zone_with_none_to_be_had_is_left_out_and_tried_again_later() {
-    let mut fleet = Fleet::settled([2, 2, 2]);
-    fleet.set("b", KEPT, 2, State::Draining);
-    fleet.look();
-    assert_eq!(fleet.extra(), [0, 2, 0]);
+    let mut fleet = Fleet::observed([2, 2, 2]);
+    fleet.set("b", ON_DEMAND, 2, State::Draining);
+    fleet.run_round();
+    assert_eq!(fleet.preemptible_extra(), [0, 2, 0]);
     let now = fleet.now;
-    fleet.planner.note_refused(&subject("b", PREEMPTIBLE), now);
-    fleet.look();
-    assert_eq!(fleet.extra(), [1, 0, 1]);
+    fleet
+        .planner
+        .mark_unavailable(&subject("b", PREEMPTIBLE), now);
+    fleet.run_round();
+    assert_eq!(fleet.preemptible_extra(), [1, 0, 1]);
 }
 
 #[test]
 fn kept_instances_are_ordered_where_no_preemptible_ones_can_be_had() {
-    let mut fleet = Fleet::settled([2, 2, 2]);
-    fleet.set("b", KEPT, 1, State::Draining);
-    fleet.look();
+    let mut fleet = Fleet::observed([2, 2, 2]);
+    fleet.set("b", ON_DEMAND, 1, State::Draining);
+    fleet.run_round();
     for zone in ZONES {
         let now = fleet.now;
-        fleet.planner.note_refused(&subject(zone, PREEMPTIBLE), now);
+        fleet
+            .planner
+            .mark_unavailable(&subject(zone, PREEMPTIBLE), now);
     }
-    fleet.look();
-    assert_eq!(fleet.extra(), [0; 3]);
+    fleet.run_round();
+    assert_eq!(fleet.preemptible_extra(), [0; 3]);
     // None in the zone with missing on-demand instances, where the order's total could be too low.
-    assert_eq!(fleet.kept_extra(), [1, 0, 0]);
-    assert_eq!(fleet.wanted("a", KEPT).desired(), 3);
+    assert_eq!(fleet.on_demand_extra(), [1, 0, 0]);
+    assert_eq!(fleet.desired_count("a", ON_DEMAND).desired(), 3);
 }
 
 #[test]
 fn where_nothing_is_cheaper_kept_instances_replace_kept_ones() {
     let mut fleet = Fleet::new([2, 2, 2], None);
-    fleet.wait(LONG);
+    fleet.wait(LONGER_THAN_ANY_DELAY);
     fleet.drained.insert("c".into());
-    fleet.look();
-    assert_eq!((fleet.extra(), fleet.kept_extra()), ([0; 3], [1, 1, 0]));
+    fleet.run_round();
+    assert_eq!(
+        (fleet.preemptible_extra(), fleet.on_demand_extra()),
+        ([0; 3], [1, 1, 0])
+    );
 }
 
 #[test]
 fn no_more_are_ordered_than_a_zone_may_hold() {
-    let mut fleet = Fleet::settled([MOST, MOST - 1, MOST - 2]);
+    let mut fleet = Fleet::observed([MAX_INSTANCES, MAX_INSTANCES - 1, MAX_INSTANCES - 2]);
     fleet.drained.insert("a".into());
-    fleet.look();
-    assert_eq!(fleet.extra(), [0, 1, 2]);
+    fleet.run_round();
+    assert_eq!(fleet.preemptible_extra(), [0, 1, 2]);
 }
 
 #[test]
 fn preemptible_instances_that_were_found_are_ordered_again_in_their_zone() {
     let mut fleet = Fleet::new([3, 3, 3], Some(0.2));
     fleet.add("b", PREEMPTIBLE, 2);
-    fleet.wait(LONG);
-    fleet.set("b", PREEMPTIBLE, 2, State::TakenAway);
-    fleet.look();
-    assert_eq!(fleet.extra(), [1, 0, 1]);
+    fleet.wait(LONGER_THAN_ANY_DELAY);
+    fleet.set("b", PREEMPTIBLE, 2, State::Reclaimed);
+    fleet.run_round();
+    assert_eq!(fleet.preemptible_extra(), [1, 0, 1]);
     fleet.remove("b", PREEMPTIBLE, 2);
-    fleet.wait(LONG);
-    let again = fleet.planner.to_order_again(&fleet.drained, fleet.now);
+    fleet.wait(LONGER_THAN_ANY_DELAY);
+    let again = fleet.planner.pools_to_reorder(&fleet.drained, fleet.now);
     assert!(again.contains(&subject("b", PREEMPTIBLE)));
-    assert_eq!(fleet.wanted("b", PREEMPTIBLE).found, 2);
+    assert_eq!(fleet.desired_count("b", PREEMPTIBLE).found, 2);
 }
 
 #[test]
 fn what_is_not_known_orders_nothing() {
-    let mut fleet = Fleet::settled([5, 5, 5]);
-    fleet.planner.note_unknown();
+    let mut fleet = Fleet::observed([5, 5, 5]);
+    fleet.planner.discard_observations();
     // Records expired during an outage of the store and return later.
-    fleet.remove("a", KEPT, 5);
+    fleet.remove("a", ON_DEMAND, 5);
     fleet.wait(Duration::from_secs(2));
-    fleet.add("a", KEPT, 5);
-    fleet.wait(LONG);
-    assert_eq!((fleet.extra(), fleet.changes), ([0; 3], 1));
+    fleet.add("a", ON_DEMAND, 5);
+    fleet.wait(LONGER_THAN_ANY_DELAY);
+    assert_eq!((fleet.preemptible_extra(), fleet.changes), ([0; 3], 1));
 }
 
 #[test]
 fn instances_that_are_replaced_one_by_one_are_not_taken_for_more() {
-    let mut fleet = Fleet::settled([5, 5, 5]);
+    let mut fleet = Fleet::observed([5, 5, 5]);
     for _ in 0..6 {
-        fleet.add("a", KEPT, 1);
+        fleet.add("a", ON_DEMAND, 1);
         fleet.wait(Duration::from_secs(2));
-        fleet.remove("a", KEPT, 1);
+        fleet.remove("a", ON_DEMAND, 1);
         fleet.wait(Duration::from_secs(1));
     }
-    assert_eq!((fleet.wanted("a", KEPT).found, fleet.changes), (5, 1));
-    fleet.add("a", KEPT, 2);
-    fleet.wait(LONG);
-    assert_eq!(fleet.wanted("a", KEPT).found, 7, "these stay");
+    assert_eq!(
+        (fleet.desired_count("a", ON_DEMAND).found, fleet.changes),
+        (5, 1)
+    );
+    fleet.add("a", ON_DEMAND, 2);
+    fleet.wait(LONGER_THAN_ANY_DELAY);
+    assert_eq!(fleet.desired_count("a", ON_DEMAND).found, 7, "these stay");
 }
 
 #[test]
 fn ordered_instances_are_never_taken_for_found_ones() {
     let mut fleet = Fleet::new([2, 2, 2], None);
-    fleet.wait(LONG);
+    fleet.wait(LONGER_THAN_ANY_DELAY);
     fleet.drained.insert("c".into());
-    fleet.look();
+    fleet.run_round();
     fleet.deliver();
-    fleet.wait(LONG);
+    fleet.wait(LONGER_THAN_ANY_DELAY);
     // A later holder knows which orders were sent, but not when.
-    let wanted = fleet.planner.wanted().clone();
-    fleet.planner = CapacityPlanner::new(wanted, fleet.now);
-    fleet.wait(LONG);
+    let desired_capacity = fleet.planner.desired_capacity().clone();
+    fleet.planner = CapacityPlanner::new(desired_capacity, fleet.now);
+    fleet.wait(LONGER_THAN_ANY_DELAY);
     fleet.drained.clear();
     // Released instances stop some seconds later.
-    fleet.wait(LONG);
-    assert_eq!(fleet.kept_extra(), [0; 3]);
+    fleet.wait(LONGER_THAN_ANY_DELAY);
+    assert_eq!(fleet.on_demand_extra(), [0; 3]);
     fleet.wait(Duration::from_secs(3));
     fleet.deliver();
-    fleet.wait(LONG);
-    assert_eq!(ZONES.map(|zone| fleet.wanted(zone, KEPT).found), [2; 3]);
-    assert_eq!(fleet.kept_extra(), [0; 3]);
+    fleet.wait(LONGER_THAN_ANY_DELAY);
+    assert_eq!(
+        ZONES.map(|zone| fleet.desired_count(zone, ON_DEMAND).found),
+        [2; 3]
+    );
+    assert_eq!(fleet.on_demand_extra(), [0; 3]);
 }
 
 /// Step of the property test.
 #[derive(Debug, Clone)]
 enum Step {
-    Leave(usize, bool, usize),
+    Reclaim(usize, bool, usize),
     Return(usize, u32),
     Vanish(usize, bool, usize),
     Drain(usize),
     Undrain(usize),
-    Refuse(usize, bool),
-    Forget,
+    MarkUnavailable(usize, bool),
+    DiscardObservations,
     Deliver,
     NewHolder,
     Wait(u64),
 }
 
 fn kind(is_preemptible: bool) -> InstanceKind {
-    if is_preemptible { PREEMPTIBLE } else { KEPT }
+    if is_preemptible {
+        PREEMPTIBLE
+    } else {
+        ON_DEMAND
+    }
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
-        (0..3_usize, any::<bool>(), 1..4_usize).prop_map(|(z, k, n)| Step::Leave(z, k, n)),
+        (0..3_usize, any::<bool>(), 1..4_usize).prop_map(|(z, k, n)| Step::Reclaim(z, k, n)),
         (0..3_usize, 1..4_u32).prop_map(|(z, n)| Step::Return(z, n)),
         (0..3_usize, any::<bool>(), 1..4_usize).prop_map(|(z, k, n)| Step::Vanish(z, k, n)),
         (0..3_usize).prop_map(Step::Drain),
         (0..3_usize).prop_map(Step::Undrain),
-        (0..3_usize, any::<bool>()).prop_map(|(z, k)| Step::Refuse(z, k)),
-        Just(Step::Forget),
+        (0..3_usize, any::<bool>()).prop_map(|(z, k)| Step::MarkUnavailable(z, k)),
+        Just(Step::DiscardObservations),
         Just(Step::Deliver),
         Just(Step::NewHolder),
         (1..24_u64).prop_map(Step::Wait),
@@ -431,15 +468,18 @@
 }
 
 impl Fleet {
-    fn play(&mut self, step: &Step) {
+    fn apply_step(&mut self, step: &Step) {
         match step {
-            Step::Leave(zone, preemptible, count) => {
-                self.set(ZONES[*zone], kind(*preemptible), *count, State::TakenAway);
+            Step::Reclaim(zone, preemptible, count) => {
+                self.set(ZONES[*zone], kind(*preemptible), *count, State::Reclaimed);
             }
             Step::Return(zone, count) => {
-                let there = self.ids(ZONES[*zone], KEPT).len() as u32;
-                let room = self.wanted(ZONES[*zone], KEPT).found.saturating_sub(there);
-                self.add(ZONES[*zone], KEPT, room.min(*count));
+                let running = self.ids(ZONES[*zone], ON_DEMAND).len() as u32;
+                let missing = self
+                    .desired_count(ZONES[*zone], ON_DEMAND)
+                    .found
+                    .saturating_sub(running);
+                self.add(ZONES[*zone], ON_DEMAND, missing.min(*count));
             }
             Step::Vanish(zone, preemptible, count) => {
                 self.remove(ZONES[*zone], kind(*preemptible), *count);
@@ -450,33 +490,39 @@
             Step::Undrain(zone) => {
                 self.drained.remove(ZONES[*zone]);
             }
-            Step::Refuse(zone, preemptible) => {
+            Step::MarkUnavailable(zone, preemptible) => {
                 let subject = subject(ZONES[*zone], kind(*preemptible));
-                self.planner.note_refused(&subject, self.now);
+                self.planner.mark_unavailable(&subject, self.now);
             }
-            Step::Forget => self.planner.note_unknown(),
+            Step::DiscardObservations => self.planner.discard_observations(),
             Step::Deliver => self.deliver(),
             Step::NewHolder => {
-                let wanted = self.planner.wanted().clone();
-                self.planner = CapacityPlanner::new(wanted, self.now);
+                let desired_capacity = self.planner.desired_capacity().clone();
+                self.planner = CapacityPlanner::new(desired_capacity, self.now);
             }
-            Step::Wait(looks) => (0..*looks).for_each(|_| {
-                self.look();
-                self.check();
+            Step::Wait(rounds) => (0..*rounds).for_each(|_| {
+                self.run_round();
+                self.assert_bounds();
             }),
         }
     }
 
-    fn check(&self) {
+    fn assert_bounds(&self) {
         let mut extra = 0;
         let mut found = 0;
         for zone in ZONES {
-            let (kept, preemptible) = (self.wanted(zone, KEPT), self.wanted(zone, PREEMPTIBLE));
-            let all = kept.desired() + preemptible.desired();
-            let all_found = kept.found + preemptible.found;
-            assert!(all <= MOST.max(all_found), "{zone} is to hold {all}");
+            let (on_demand, preemptible) = (
+                self.desired_count(zone, ON_DEMAND),
+                self.desired_count(zone, PREEMPTIBLE),
+            );
+            let all = on_demand.desired() + preemptible.desired();
+            let all_found = on_demand.found + preemptible.found;
+            assert!(
+                all <= MAX_INSTANCES.max(all_found),
+                "{zone} is to hold {all}"
+            );
             assert!(all >= all_found);
-            extra += kept.extra + preemptible.extra;
+            extra += on_demand.extra + preemptible.extra;
             found += all_found;
         }
         assert!(extra <= found, "{extra} ordered in place of {found}");
@@ -490,46 +536,46 @@
     /// ends without extra instances.
     #[test]
     fn bounds_hold_and_a_whole_fleet_is_left_as_found(steps in steps()) {
-        let mut fleet = Fleet::settled([5, 2, 4]);
+        let mut fleet = Fleet::observed([5, 2, 4]);
         for step in &steps {
-            fleet.play(step);
+            fleet.apply_step(step);
             if let Step::Drain(zone) = step {
-                fleet.look();
+                fleet.run_round();
                 let zone = ZONES[*zone];
-                let known = fleet.planner.wanted();
-                let is_settled = [KEPT, PREEMPTIBLE]
+                let known = fleet.planner.desired_capacity();
+                let has_no_extra = [ON_DEMAND, PREEMPTIBLE]
                     .iter()
                     .all(|kind| known.get(&subject(zone, *kind)).extra == 0);
                 // Nothing is ordered in a drained zone while the fleet is known.
-                if !steps.iter().any(|step| matches!(step, Step::Forget | Step::NewHolder)) {
-                    prop_assert!(is_settled);
+                if !steps.iter().any(|step| matches!(step, Step::DiscardObservations | Step::NewHolder)) {
+                    prop_assert!(has_no_extra);
                 }
             }
         }
         fleet.drained.clear();
         fleet.instances.clear();
         for zone in ZONES {
-            let found = fleet.wanted(zone, KEPT).found;
-            fleet.add(zone, KEPT, found);
-            let found = fleet.wanted(zone, PREEMPTIBLE).found;
+            let found = fleet.desired_count(zone, ON_DEMAND).found;
+            fleet.add(zone, ON_DEMAND, found);
+            let found = fleet.desired_count(zone, PREEMPTIBLE).found;
             fleet.add(zone, PREEMPTIBLE, found);
         }
-        fleet.wait(LONG * 2);
-        prop_assert_eq!((fleet.extra(), fleet.kept_extra()), ([0; 3], [0; 3]));
+        fleet.wait(LONGER_THAN_ANY_DELAY * 2);
+        prop_assert_eq!((fleet.preemptible_extra(), fleet.on_demand_extra()), ([0; 3], [0; 3]));
         let changes = fleet.changes;
-        fleet.wait(LONG * 2);
+        fleet.wait(LONGER_THAN_ANY_DELAY * 2);
         prop_assert_eq!(fleet.changes, changes);
     }
 
     /// Instances that return within the grace period cause no orders.
     #[test]
-    fn instances_that_go_down_and_up_order_nothing(looks in proptest::collection::vec((0..3_usize, 1..14_u32), 1..30)) {
-        let mut fleet = Fleet::settled([5, 5, 5]);
-        for (zone, looks) in looks {
-            fleet.remove(ZONES[zone], KEPT, 1);
-            fleet.wait(LOOK * looks);
-            fleet.add(ZONES[zone], KEPT, 1);
-            fleet.wait(LOOK);
+    fn instances_that_go_down_and_up_order_nothing(rounds in proptest::collection::vec((0..3_usize, 1..14_u32), 1..30)) {
+        let mut fleet = Fleet::observed([5, 5, 5]);
+        for (zone, rounds) in rounds {
+            fleet.remove(ZONES[zone], ON_DEMAND, 1);
+            fleet.wait(ROUND_INTERVAL * rounds);
+            fleet.add(ZONES[zone], ON_DEMAND, 1);
+            fleet.wait(ROUND_INTERVAL);
         }
         prop_assert_eq!(fleet.changes, 1);
     }
@@ -541,25 +587,25 @@
     let pause = Duration::from_secs(6);
     let lost = || Err(CapacityOrderError::Unknown("no answer".to_owned()));
     let mut outbox = Outbox::default();
-    outbox.want(&a, 6, start);
+    outbox.set_desired(&a, 6, start);
     assert_eq!(outbox.due(start), [(a.clone(), 6)]);
-    outbox.note(&a, 6, &lost(), pause, start);
-    outbox.want(&a, 3, start);
-    outbox.note(&a, 3, &Ok(()), pause, start);
+    outbox.record_outcome(&a, 6, &lost(), pause, start);
+    outbox.set_desired(&a, 3, start);
+    outbox.record_outcome(&a, 3, &Ok(()), pause, start);
     assert!(outbox.due(start + pause).is_empty());
     // The order for six may have taken effect in between.
-    assert_eq!(outbox.due(start + LONG), [(a.clone(), 3)]);
-    outbox.note(&a, 3, &Ok(()), pause, start + LONG);
-    assert!(outbox.due(start + LONG * 9).is_empty());
+    assert_eq!(outbox.due(start + LONGER_THAN_ANY_DELAY), [(a.clone(), 3)]);
+    outbox.record_outcome(&a, 3, &Ok(()), pause, start + LONGER_THAN_ANY_DELAY);
+    assert!(outbox.due(start + LONGER_THAN_ANY_DELAY * 9).is_empty());
 }
 
 #[test]
 fn an_order_that_was_overtaken_by_a_newer_count_is_not_taken() {
     let (a, start) = (subject("a", PREEMPTIBLE), Instant::now());
     let mut outbox = Outbox::default();
-    outbox.want(&a, 6, start);
-    outbox.want(&a, 2, start);
-    outbox.note(&a, 6, &Ok(()), LONG, start);
+    outbox.set_desired(&a, 6, start);
+    outbox.set_desired(&a, 2, start);
+    outbox.record_outcome(&a, 6, &Ok(()), LONGER_THAN_ANY_DELAY, start);
     assert_eq!(outbox.due(start), [(a, 2)]);
 }
 
@@ -567,12 +613,12 @@
 fn orders_that_are_refused_come_again_after_pauses_that_grow() {
     let (a, start) = (subject("a", PREEMPTIBLE), Instant::now());
     let mut outbox = Outbox::default();
-    outbox.want(&a, 6, start);
+    outbox.set_desired(&a, 6, start);
     let mut now = start;
     let mut pauses = Vec::new();
     for _ in 0..8 {
         let refused = Err(CapacityOrderError::Refused("429".to_owned()));
-        outbox.note(&a, 6, &refused, LONG, now);
+        outbox.record_outcome(&a, 6, &refused, LONGER_THAN_ANY_DELAY, now);
         let before = now;
         while outbox.due(now).is_empty() {
             now += Duration::from_millis(50);
@@ -585,19 +631,19 @@
 
 #[test]
 fn what_the_store_holds_is_read_by_builds_that_know_less_or_more_of_it() {
-    let mut wanted = WantedCapacity::default();
-    let count = CountWanted {
+    let mut desired_capacity = DesiredCapacity::default();
+    let count = DesiredCount {
         found: 5,
         extra: 2,
         is_ordered: true,
     };
-    wanted.set(&subject("a", PREEMPTIBLE), count);
-    let text = serde_json::to_string(&wanted).unwrap();
+    desired_capacity.set(&subject("a", PREEMPTIBLE), count);
+    let text = serde_json::to_string(&desired_capacity).unwrap();
     assert_eq!(
-        serde_json::from_str::<WantedCapacity>(&text).unwrap(),
-        wanted
+        serde_json::from_str::<DesiredCapacity>(&text).unwrap(),
+        desired_capacity
     );
     let later = r#"{"services":{"model":{"a":{"preemptible":{"found":5,"of_later":1},"of_later":{}}}},"of_later":[]}"#;
-    let read: WantedCapacity = serde_json::from_str(later).unwrap();
+    let read: DesiredCapacity = serde_json::from_str(later).unwrap();
     assert_eq!(read.get(&subject("a", PREEMPTIBLE)).desired(), 5);
 }
