--- a/crates/front/src/orders/named.rs
+++ b/crates/front/src/orders/announced_versions.rs
@@ -8,15 +8,15 @@
 
 /// Version and the time at which this process learned of it.
 #[derive(Debug, Clone, Copy)]
-struct Named {
+struct Announced {
     version: u64,
-    heard_at: Instant,
+    received_at: Instant,
 }
 
 /// Newest version announced for each model. Cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub struct VersionsNamed {
-    versions: Arc<Mutex<BTreeMap<String, Named>>>,
+    versions: Arc<Mutex<BTreeMap<String, Announced>>>,
 }
 
 impl VersionsNamed {
@@ -25,13 +25,19 @@
         let mut versions = lock(&self.versions);
         if versions
             .get(model)
-            .is_some_and(|named| named.version >= version)
+            .is_some_and(|announced| announced.version >= version)
         {
             return;
         }
         log::info!("event=version_named model={model} version={version}");
-        let heard_at = Instant::now();
-        versions.insert(model.to_owned(), Named { version, heard_at });
+        let received_at = Instant::now();
+        versions.insert(
+            model.to_owned(),
+            Announced {
+                version,
+                received_at,
+            },
+        );
     }
 
     /// Returns the demand for each model's newest version.
@@ -39,10 +45,10 @@
         let versions = lock(&self.versions);
         let demands = versions.iter();
         demands
-            .map(|(model, named)| ModelDemand {
+            .map(|(model, announced)| ModelDemand {
                 model: model.clone(),
-                newest: named.version,
-                named_for: named.heard_at.elapsed(),
+                newest: announced.version,
+                announced_for: announced.received_at.elapsed(),
                 weight: 1.0,
                 longest_events: 0,
             })
--- a/crates/front/src/orders/calls.rs
+++ b/crates/front/src/orders/calls.rs
@@ -11,10 +11,10 @@
 use crate::dialect::{InstanceCall, InstanceReport, SharedCodec};
 
 /// Timeout of one call.
-pub(super) const CALL_LIMIT: Duration = Duration::from_millis(600);
+pub(super) const CALL_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Maximum size of an answer in bytes.
-const ANSWER_LIMIT: usize = 1 << 20;
+const MAX_ANSWER_BYTES: usize = 1 << 20;
 
 /// Client for calls to instances.
 pub(super) struct InstanceCalls {
@@ -38,7 +38,7 @@
     ///
     /// # Errors
     /// When the request cannot be built or sent, or the answer exceeds its size limit or
-    /// [`CALL_LIMIT`].
+    /// [`CALL_TIMEOUT`].
     pub async fn call(
         &self,
         instance: &Arc<Instance>,
@@ -75,12 +75,12 @@
             )
             .await;
             let reply = sent.map_err(|error| error.to_string())?;
-            let whole = reply.read_whole(ANSWER_LIMIT).await;
-            whole
+            let answer = reply.read_whole(MAX_ANSWER_BYTES).await;
+            answer
                 .map(|(status, _, body)| (status, body))
                 .map_err(|error| error.to_string())
         };
-        tokio::time::timeout(CALL_LIMIT, exchange)
+        tokio::time::timeout(CALL_TIMEOUT, exchange)
             .await
             .map_err(|_| "no answer in time".to_owned())?
     }
--- a/crates/front/src/orders/candidates.rs
+++ b/crates/front/src/orders/candidates.rs
@@ -6,28 +6,28 @@
 use ladderstage::routing::rendezvous;
 
 /// Number of nodes that try to acquire the lease.
-const CANDIDATES: usize = 4;
+const MAX_CANDIDATES: usize = 4;
 
 /// Key of the rendezvous hash.
-const RANKING: &[u8] = b"orders/giver";
+const RANKING_KEY: &[u8] = b"orders/giver";
 
 /// Returns true if `own` is among the first present nodes, ranked by CPU (in millicores), then by
 /// rendezvous hash. Strong nodes come first because a weak one detects finished loads late.
 pub fn is_candidate<'a>(own: &str, present: impl IntoIterator<Item = (&'a str, u32)>) -> bool {
-    by_rank(present)
+    ranked_nodes(present)
         .iter()
-        .take(CANDIDATES)
+        .take(MAX_CANDIDATES)
         .any(|name| *name == own)
 }
 
 /// Returns the present nodes in order of rank.
-pub(super) fn by_rank<'a>(present: impl IntoIterator<Item = (&'a str, u32)>) -> Vec<&'a str> {
+pub(super) fn ranked_nodes<'a>(present: impl IntoIterator<Item = (&'a str, u32)>) -> Vec<&'a str> {
     let present: Vec<(&str, u32)> = present.into_iter().collect();
     let cpu_millis = |name: &str| {
         let found = present.iter().find(|(known, _)| *known == name);
         found.map_or(0, |(_, cpu_millis)| *cpu_millis)
     };
-    let mut ranked = rendezvous(RANKING, present.iter().map(|(name, _)| *name));
+    let mut ranked = rendezvous(RANKING_KEY, present.iter().map(|(name, _)| *name));
     ranked.sort_by_cached_key(|name| Reverse(cpu_millis(name)));
     ranked
 }
--- a/crates/front/src/orders/demand.rs
+++ b/crates/front/src/orders/demand.rs
@@ -10,7 +10,7 @@
 use ladderstage_wire::messages::mod_Response::OneOfkind as ResponseKind;
 use ladderstage_wire::messages::{Demand, ReadDemand, Request};
 
-use super::calls::CALL_LIMIT;
+use super::calls::CALL_TIMEOUT;
 use super::plan::ModelDemand;
 use crate::backend::median;
 use crate::job::JobRegistry;
@@ -18,11 +18,11 @@
 
 /// Interval between polls of all fronts. In between only the strongest and the busy ones are
 /// polled, to limit the CPU use of a weak leader in a deployment with hundreds of fronts.
-const ALL_INTERVAL: Duration = Duration::from_secs(12);
+const FULL_POLL_INTERVAL: Duration = Duration::from_secs(12);
 
 /// Maximum factor by which an event interval grows from one poll to the next, so that a load or a
 /// brief disturbance does not count as the instance's own speed.
-const PACE_RISE: f64 = 1.05;
+const MAX_PACE_INCREASE: f64 = 1.05;
 
 /// Combined reports of the fronts.
 #[derive(Debug, Default)]
@@ -31,29 +31,29 @@
     longest_events: BTreeMap<String, u64>,
     paces_ms: BTreeMap<String, f64>,
     /// Fronts that reported work.
-    workers: BTreeSet<String>,
+    busy_fronts: BTreeSet<String>,
     /// Time of the last poll of all fronts.
-    all_asked_at: Option<Instant>,
+    last_full_poll_at: Option<Instant>,
 }
 
 impl FleetDemand {
-    /// Polls the busy fronts, and all of them every [`ALL_INTERVAL`]. Fronts that do not answer in
+    /// Polls the busy fronts, and all of them every [`FULL_POLL_INTERVAL`]. Fronts that do not answer in
     /// time are left out. `last` holds the previous reports.
-    pub async fn gather(nodes: &Nodes, jobs: &JobRegistry, last: &Self) -> Self {
-        let asks_all = last
-            .all_asked_at
-            .is_none_or(|at| at.elapsed() >= ALL_INTERVAL);
-        let fronts = if asks_all {
+    pub async fn collect_reports(nodes: &Nodes, jobs: &JobRegistry, last: &Self) -> Self {
+        let polls_all = last
+            .last_full_poll_at
+            .is_none_or(|at| at.elapsed() >= FULL_POLL_INTERVAL);
+        let fronts = if polls_all {
             let fronts = nodes.successors().into_iter();
             fronts.map(|front| front.node).collect()
         } else {
-            last.audience(nodes)
+            last.recipients(nodes)
         };
         let own_node = nodes.own().node;
         let others = fronts.iter().filter(|front| **front != own_node);
         let calls = others.map(|front| async move {
             let kind = RequestKind::read_demand(ReadDemand {});
-            let call = nodes.call(front, Request { kind }, CALL_LIMIT / 4);
+            let call = nodes.call(front, Request { kind }, CALL_TIMEOUT / 4);
             match call.await.map(|response| response.kind) {
                 Ok(ResponseKind::demand(demand)) => Some((front.as_str(), demand)),
                 _ => None,
@@ -61,41 +61,44 @@
         });
         let answers = futures_util::future::join_all(calls).await;
         let own = (own_node.as_str(), jobs.demand());
-        let mut all = Self::of(answers.into_iter().flatten().chain([own]));
-        all.smooth(last);
-        all.all_asked_at = if asks_all {
+        let mut combined = Self::combine(answers.into_iter().flatten().chain([own]));
+        combined.limit_pace_increases(last);
+        combined.last_full_poll_at = if polls_all {
             Some(Instant::now())
         } else {
-            last.all_asked_at
+            last.last_full_poll_at
         };
-        all
+        combined
     }
 
     /// Returns the fronts that use instances' weights, and those first in line to receive such work
     /// or the orders lease.
-    pub fn audience(&self, nodes: &Nodes) -> BTreeSet<String> {
+    pub fn recipients(&self, nodes: &Nodes) -> BTreeSet<String> {
         let takers = nodes.takers().into_iter().map(|front| front.node);
-        takers.chain(self.workers.iter().cloned()).collect()
+        takers.chain(self.busy_fronts.iter().cloned()).collect()
     }
 
-    fn smooth(&mut self, last: &Self) {
+    fn limit_pace_increases(&mut self, last: &Self) {
         for (instance, known) in &last.paces_ms {
             let pace = self.paces_ms.entry(instance.clone()).or_insert(*known);
-            *pace = pace.min(known * PACE_RISE);
+            *pace = pace.min(known * MAX_PACE_INCREASE);
         }
     }
 
-    fn of<'a>(answers: impl Iterator<Item = (&'a str, Demand)>) -> Self {
-        let mut all = Self::default();
+    fn combine<'a>(answers: impl Iterator<Item = (&'a str, Demand)>) -> Self {
+        let mut combined = Self::default();
         let mut paces = BTreeMap::<String, Vec<f64>>::new();
         for (node, answer) in answers {
             if !answer.work.is_empty() {
-                all.workers.insert(node.to_owned());
+                combined.busy_fronts.insert(node.to_owned());
             }
             for work in answer.work {
-                let longest = all.longest_events.entry(work.model.clone()).or_insert(0);
+                let longest = combined
+                    .longest_events
+                    .entry(work.model.clone())
+                    .or_insert(0);
                 *longest = work.longest_events.max(*longest);
-                *all.tokens.entry(work.model).or_insert(0) += work.tokens;
+                *combined.tokens.entry(work.model).or_insert(0) += work.tokens;
             }
             for pace in answer.paces {
                 let known = paces.entry(pace.instance).or_default();
@@ -103,14 +106,14 @@
             }
         }
         let paces = paces.into_iter();
-        all.paces_ms = paces
+        combined.paces_ms = paces
             .filter_map(|(instance, paces)| Some((instance, median(paces)?)))
             .collect();
-        all
+        combined
     }
 
     /// Fills in the reported work of each model.
-    pub fn fill(&self, demands: &mut [ModelDemand]) {
+    pub fn fill_in(&self, demands: &mut [ModelDemand]) {
         for demand in demands {
             let tokens = self.tokens.get(&demand.model).copied();
             demand.weight = tokens.map_or(1.0, |tokens| tokens as f64);
--- a/crates/front/src/orders/ended.rs
+++ b/crates/front/src/orders/former_leaders.rs
@@ -18,12 +18,12 @@
 use crate::nodes::Nodes;
 
 /// Timeout of one announcement.
-const END_TIMEOUT: Duration = Duration::from_millis(500);
+const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Announcement of a former leader.
 #[derive(Debug, Clone)]
-struct EndedGiver {
-    giver: LastGiver,
+struct FormerLeader {
+    leader: LastGiver,
     /// Instances, each with a time before which its last order was sent.
     orders: Vec<(String, Instant)>,
 }
@@ -31,7 +31,7 @@
 /// Latest announcement of a former leader that this node received. Cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub struct EndedGivers {
-    newest: Arc<Mutex<Option<EndedGiver>>>,
+    newest: Arc<Mutex<Option<FormerLeader>>>,
 }
 
 impl EndedGivers {
@@ -40,7 +40,7 @@
         let mut newest = self.lock();
         if newest
             .as_ref()
-            .is_some_and(|known| known.giver.fence >= end.fence)
+            .is_some_and(|known| known.leader.fence >= end.fence)
         {
             return;
         }
@@ -49,8 +49,8 @@
             let sent_at = now.checked_sub(Duration::from_millis(order.age_ms))?;
             Some((order.instance.clone(), sent_at))
         });
-        *newest = Some(EndedGiver {
-            giver: LastGiver {
+        *newest = Some(FormerLeader {
+            leader: LastGiver {
                 node: end.node.clone(),
                 fence: end.fence,
             },
@@ -60,13 +60,15 @@
 
     /// Returns the recent orders of `giver`, each with a time before which it was sent; `None`
     /// without an announcement for that fence.
-    pub fn orders_of(&self, giver: &LastGiver) -> Option<Vec<(String, Instant)>> {
+    pub fn recent_orders_of(&self, leader: &LastGiver) -> Option<Vec<(String, Instant)>> {
         let newest = self.lock();
-        let ended = newest.as_ref().filter(|ended| ended.giver == *giver)?;
-        Some(ended.orders.clone())
+        let announced = newest
+            .as_ref()
+            .filter(|announced| announced.leader == *leader)?;
+        Some(announced.orders.clone())
     }
 
-    fn lock(&self) -> MutexGuard<'_, Option<EndedGiver>> {
+    fn lock(&self) -> MutexGuard<'_, Option<FormerLeader>> {
         self.newest
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
@@ -75,27 +77,27 @@
 
 /// Announces to all other fronts that `giver`, which is this node, issues no more orders, with its
 /// recent ones.
-pub(super) async fn tell_end(nodes: &Nodes, giver: LastGiver, orders: &[(String, Instant)]) {
+pub(super) async fn announce_stop(nodes: &Nodes, leader: LastGiver, orders: &[(String, Instant)]) {
     let orders = orders.iter().map(|(instance, sent_at)| RecentOrder {
         instance: instance.clone(),
         age_ms: sent_at.elapsed().as_millis() as u64,
     });
     let kind = RequestKind::giver_end(GiverEnd {
-        node: giver.node.clone(),
-        fence: giver.fence,
+        node: leader.node.clone(),
+        fence: leader.fence,
         orders: orders.collect(),
     });
     let fronts = nodes.successors();
-    let others = fronts.iter().filter(|front| front.node != giver.node);
+    let others = fronts.iter().filter(|front| front.node != leader.node);
     let calls = others.map(|front| {
         let request = Request { kind: kind.clone() };
-        nodes.call(&front.node, request, END_TIMEOUT)
+        nodes.call(&front.node, request, ANNOUNCEMENT_TIMEOUT)
     });
     let answers = join_all(calls).await;
-    let heard = answers.iter().filter(|answer| answer.is_ok()).count();
+    let received = answers.iter().filter(|answer| answer.is_ok()).count();
     log::info!(
-        "event=giver_end_told fence={} fronts={} heard={heard}",
-        giver.fence,
+        "event=giver_end_told fence={} fronts={} heard={received}",
+        leader.fence,
         answers.len()
     );
 }
--- a/crates/front/src/orders/giver.rs
+++ b/crates/front/src/orders/leader.rs
@@ -7,16 +7,16 @@
 use http::StatusCode;
 use ladderstage_clock::Instant;
 
-use super::calls::{CALL_LIMIT, InstanceCalls};
+use super::announced_versions::VersionsNamed;
+use super::calls::{CALL_TIMEOUT, InstanceCalls};
 use super::candidates::is_candidate;
 use super::demand::FleetDemand;
-use super::ended::tell_end;
-use super::given::{Given, LOOK_INTERVAL};
-use super::learnt::learnt_limit;
+use super::former_leaders::announce_stop;
+use super::leader_state::{LeaderState, PLANNING_INTERVAL};
 use super::lease::{GiverLease, Held, LastGiver};
-use super::named::VersionsNamed;
+use super::load_limit_store::learnt_limit;
 use super::permits::PermitDealer;
-use super::plan::{FleetInstance, Planned, plan};
+use super::plan::{FleetInstance, PlannedLoad, plan};
 use crate::backend::{BackendTable, HoldReason, Instance, LOADING_PAUSE};
 use crate::capacity::CapacityDuty;
 use crate::config::ConfigInForce;
@@ -30,30 +30,30 @@
 use crate::usage::UsageReporter;
 
 /// Pause between attempts to acquire the lease.
-const TAKE_PAUSE: Duration = Duration::from_millis(250);
+const ACQUIRE_PAUSE: Duration = Duration::from_millis(250);
 
 /// Interval between checks of whether this node is a candidate.
-const CANDIDATE_LOOK: Duration = Duration::from_millis(500);
+const CANDIDATE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Maximum age of the node list for an attempt to acquire the lease. Nodes that start together know
 /// only themselves at first.
-const NODES_AGE: Duration = Duration::from_secs(5);
+const MAX_NODES_AGE: Duration = Duration::from_secs(5);
 
 /// Interval between polls of the fronts for their demand.
 const DEMAND_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Maximum number of orders planned in one round.
-const ORDERS_AT_ONCE: usize = 16;
+const MAX_ORDERS_PER_ROUND: usize = 16;
 
 /// Time after which a load is abandoned.
-const LOAD_LIMIT: Duration = Duration::from_secs(5);
+const LOAD_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Time for which a leader without a learned limit ignores finished loads, so that loads of the
 /// previous leader do not distort the limit.
-const SETTLE_TIME: Duration = Duration::from_millis(3_000);
+const SETTLING_PERIOD: Duration = Duration::from_millis(3_000);
 
 /// Time for which an instance is excluded after a call without an answer.
-const DOUBT_TIME: Duration = Duration::from_millis(1_500);
+const UNKNOWN_OUTCOME_PAUSE: Duration = Duration::from_millis(1_500);
 
 /// Options of the order leader.
 #[derive(Debug, Clone, Copy)]
@@ -97,7 +97,7 @@
 /// Planned order and the instance that receives it.
 struct Order {
     instance: Arc<Instance>,
-    planned: Planned,
+    planned: PlannedLoad,
 }
 
 /// Consequence of an order for its instance.
@@ -105,7 +105,7 @@
     /// The instance accepted the order and loads the version.
     Loading,
     /// The outcome is unknown; the instance may be loading, or start to.
-    InDoubt,
+    Unknown,
     /// The instance is excluded for this time.
     Pause(Duration),
     /// The instance has seen an order of a later leader.
@@ -114,34 +114,34 @@
 
 /// Status of the leader after its orders were answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Standing {
+enum LeaderStatus {
     /// May issue further orders.
-    Holder,
+    Leading,
     /// A later leader exists.
     Fenced,
 }
 
 /// Processes the outcomes of orders until the pause is over.
-async fn take_answers(
-    given: &mut Given,
+async fn process_outcomes(
+    state: &mut LeaderState,
     answers: &mut FuturesUnordered<impl Future<Output = (Order, Outcome)>>,
     pause: tokio::time::Sleep,
-) -> Standing {
+) -> LeaderStatus {
     tokio::pin!(pause);
     loop {
         let (Order { instance, planned }, outcome) = tokio::select! {
-            () = &mut pause => return Standing::Holder,
+            () = &mut pause => return LeaderStatus::Leading,
             Some(answer) = answers.next() => answer,
         };
-        given.ordering.remove(&planned.instance);
+        state.orders_in_flight.remove(&planned.instance);
         match outcome {
-            Outcome::Loading => given.begin(&instance, planned, LOAD_LIMIT, true),
-            Outcome::InDoubt => given.begin(&instance, planned, DOUBT_TIME, false),
+            Outcome::Loading => state.start_load(&instance, planned, LOAD_TIMEOUT, true),
+            Outcome::Unknown => state.start_load(&instance, planned, UNKNOWN_OUTCOME_PAUSE, false),
             Outcome::Pause(pause) => {
                 let until = Instant::now() + pause;
-                given.pauses.insert(planned.instance, until);
+                state.excluded_until.insert(planned.instance, until);
             }
-            Outcome::Fenced => return Standing::Fenced,
+            Outcome::Fenced => return LeaderStatus::Fenced,
         }
     }
 }
@@ -155,14 +155,16 @@
             node: self.nodes.own().node,
             quiet: self.options.quiet,
         };
-        let mut respected = Vec::new();
+        let mut foreign_orders = Vec::new();
         loop {
             if !self.has_duties() || !self.is_candidate() {
-                tokio::time::sleep(CANDIDATE_LOOK).await;
+                tokio::time::sleep(CANDIDATE_CHECK_INTERVAL).await;
                 continue;
             }
             // The node list may be outdated, so refresh it before trying.
-            let refreshed = self.nodes.refresh(self.coordination.as_ref(), NODES_AGE);
+            let refreshed = self
+                .nodes
+                .refresh(self.coordination.as_ref(), MAX_NODES_AGE);
             if let Err(error) = refreshed.await {
                 log::warn!("event=giver_nodes_not_read cause=\"{error}\"");
             }
@@ -170,11 +172,11 @@
                 continue;
             }
             match lease.take().await {
-                Ok(Some(held)) => self.hold(&lease, held, &mut respected).await,
+                Ok(Some(held)) => self.lead(&lease, held, &mut foreign_orders).await,
                 Ok(None) => lease.wait_until_free().await,
                 Err(error) => log::warn!("event=giver_lease_not_taken cause=\"{error}\""),
             }
-            tokio::time::sleep(ladderstage_journal::jitter::jittered(TAKE_PAUSE)).await;
+            tokio::time::sleep(ladderstage_journal::jitter::jittered(ACQUIRE_PAUSE)).await;
         }
     }
 
@@ -203,7 +205,12 @@
 
     /// Issues orders until the lease is lost or released. `respected` carries orders of other
     /// leaders from one lease of this node to the next.
-    async fn hold(&self, lease: &GiverLease, held: Held, respected: &mut Vec<(String, Instant)>) {
+    async fn lead(
+        &self,
+        lease: &GiverLease,
+        held: Held,
+        foreign_orders: &mut Vec<(String, Instant)>,
+    ) {
         let _with_instances = self.activities.with_instances.begin();
         let _with_versions = self.activities.with_versions.begin();
         if self.roster.drains.is_some() {
@@ -211,15 +218,15 @@
             // would stay silent until its timeout.
             self.coordination.doubt_watches();
         }
-        let dealing = self.permits.begin(held.watch_proof());
-        let mut given = self.begin_given().await;
-        given.respect(std::mem::take(respected), self.options.quiet);
+        let issuing = self.permits.start(held.watch_validity());
+        let mut state = self.initial_state().await;
+        state.exclude_recently_ordered(std::mem::take(foreign_orders), self.options.quiet);
         let is_released = tokio::select! {
             loss = lease.keep(&held) => {
                 log::warn!("event=giver_lease_lost fence={} reason={loss}", held.fence);
                 false
             }
-            reason = self.give_while_held(lease, &held, &mut given) => {
+            reason = self.issue_orders_until_stopped(lease, &held, &mut state) => {
                 log::info!("event=giver_steps_down fence={} reason={reason}", held.fence);
                 true
             }
@@ -228,16 +235,16 @@
             () = self.order_capacity(lease, &held) => false,
         };
         // After the release another node may hold the lease before this one notices.
-        drop(dealing);
-        *respected = std::mem::take(&mut given.respected);
-        respected.retain(|(_, ordered_at)| ordered_at.elapsed() < self.options.quiet);
-        if held.is_named() {
+        drop(issuing);
+        *foreign_orders = std::mem::take(&mut state.foreign_orders);
+        foreign_orders.retain(|(_, ordered_at)| ordered_at.elapsed() < self.options.quiet);
+        if held.is_recorded() {
             let own = LastGiver {
                 node: self.nodes.own().node,
                 fence: held.fence,
             };
-            let orders = given.recent_orders(self.options.quiet);
-            tell_end(&self.nodes, own, &orders).await;
+            let orders = state.recent_orders(self.options.quiet);
+            announce_stop(&self.nodes, own, &orders).await;
         }
         if is_released {
             lease.release(&held).await;
@@ -261,89 +268,93 @@
     }
 
     /// Returns the initial state of a new leader.
-    async fn begin_given(&self) -> Given {
-        let mut given = Given::default();
-        let learnt = self.jobs.learnt_loads();
-        match learnt_limit(learnt, self.coordination.as_ref()).await {
-            Some(learnt) => given.load_limit = learnt,
-            None => given.learn_from = Some(Instant::now() + SETTLE_TIME),
+    async fn initial_state(&self) -> LeaderState {
+        let mut state = LeaderState::default();
+        let learned = self.jobs.learnt_loads();
+        match learnt_limit(learned, self.coordination.as_ref()).await {
+            Some(limit) => state.load_limit = limit,
+            None => state.learn_from = Some(Instant::now() + SETTLING_PERIOD),
         }
-        given
+        state
     }
 
     /// Ends the quiet period early if the previous leader announced its recent orders; only the
     /// instances of those stay excluded.
-    fn look_for_end_of_last(&self, held: &Held, given: &mut Given) {
-        if !held.is_quiet() {
+    fn end_quiet_period_if_announced(&self, held: &Held, state: &mut LeaderState) {
+        if !held.is_in_quiet_period() {
             return;
         }
         let last = held.last.as_ref();
-        let ended = last.and_then(|last| self.jobs.ended_givers().orders_of(last));
-        if let Some(orders) = ended {
+        let announced = last.and_then(|last| self.jobs.ended_givers().recent_orders_of(last));
+        if let Some(orders) = announced {
             log::info!(
                 "event=giver_quiet_over fence={} recent_orders={}",
                 held.fence,
                 orders.len()
             );
-            given.respect(orders, self.options.quiet);
-            held.end_quiet();
+            state.exclude_recently_ordered(orders, self.options.quiet);
+            held.end_quiet_period();
         }
     }
 
     /// Issues orders until this node must stop, and returns the reason. Does not wait for answers,
     /// so that an instance that hangs delays neither other orders nor the checks of loads.
-    async fn give_while_held(
+    async fn issue_orders_until_stopped(
         &self,
         lease: &GiverLease,
         held: &Held,
-        given: &mut Given,
+        state: &mut LeaderState,
     ) -> &'static str {
         let mut answers = FuturesUnordered::new();
         loop {
             if self.nodes.is_leaving() {
                 return "leaving";
             }
-            self.refresh_demand(given).await;
-            self.look_for_end_of_last(held, given);
+            self.refresh_demand(state).await;
+            self.end_quiet_period_if_announced(held, state);
             match lease.may_order(held).await {
                 Ok(true) => {
-                    self.look_at_loads(given).await;
-                    for order in self.next_orders(given) {
-                        given.note_order(order.instance.id(), CALL_LIMIT);
-                        answers.push(self.give(held, order));
+                    self.check_loads(state).await;
+                    for order in self.next_orders(state) {
+                        state.record_order(order.instance.id(), CALL_TIMEOUT);
+                        answers.push(self.send_order(held, order));
                     }
                 }
                 Ok(false) => {}
                 Err(error) => log::warn!("event=giver_not_named cause=\"{error}\""),
             }
-            self.jobs.learnt_loads().note(&given.load_limit);
-            given.learnt.save(&given.load_limit, &self.coordination);
-            let audience = given.demand.audience(&self.nodes);
-            given.news.send(&self.nodes, &audience, &given.load_limit);
-            let pause = tokio::time::sleep(given.next_look());
-            if let Standing::Fenced = take_answers(given, &mut answers, pause).await {
+            self.jobs.learnt_loads().note(&state.load_limit);
+            state
+                .limit_writer
+                .save(&state.load_limit, &self.coordination);
+            let recipients = state.demand.recipients(&self.nodes);
+            state
+                .weight_updates
+                .send(&self.nodes, &recipients, &state.load_limit);
+            let pause = tokio::time::sleep(state.next_check());
+            if let LeaderStatus::Fenced = process_outcomes(state, &mut answers, pause).await {
                 return "fenced";
             }
         }
     }
 
     /// Refreshes the demand of the fronts if it is outdated.
-    async fn refresh_demand(&self, given: &mut Given) {
+    async fn refresh_demand(&self, state: &mut LeaderState) {
         let is_known = |at: Instant| at.elapsed() < DEMAND_INTERVAL;
-        if given.demand_at.is_some_and(is_known) {
+        if state.demand_polled_at.is_some_and(is_known) {
             return;
         }
-        given.demand_at = Some(Instant::now());
-        given.demand = FleetDemand::gather(&self.nodes, &self.jobs, &given.demand).await;
-        given.may_trade = true;
+        state.demand_polled_at = Some(Instant::now());
+        state.demand = FleetDemand::collect_reports(&self.nodes, &self.jobs, &state.demand).await;
+        state.may_trade = true;
     }
 
     /// Plans the orders to send now.
-    fn next_orders(&self, given: &mut Given) -> Vec<Order> {
+    fn next_orders(&self, state: &mut LeaderState) -> Vec<Order> {
         let now = Instant::now();
-        given.pauses.retain(|_, until| *until > now);
+        state.excluded_until.retain(|_, until| *until > now);
         let mut demands = self.versions.demands();
-        given.demand.fill(&mut demands);
+        state.demand.fill_in(&mut demands);
         let mut instances = self.fleet();
         // Weights in drained zones are not used, so none are loaded there and models are assigned
         // to the remaining zones.
@@ -354,17 +365,17 @@
                 id: instance.id().to_owned(),
                 versions: instance.versions(),
                 load: instance.candidate("", now).load,
-                is_busy: given.is_left_alone(instance.id()),
-                pace_ms: given.demand.pace_ms(instance.id()),
+                is_busy: state.is_excluded(instance.id()),
+                pace_ms: state.demand.pace_ms(instance.id()),
             })
             .collect();
-        given.assignment.update(&demands, &fleet);
-        given.trade_once(&demands, &fleet);
-        let limit = given.load_limit.get();
+        state.assignment.update(&demands, &fleet);
+        state.trade_if_refreshed(&demands, &fleet);
+        let limit = state.load_limit.get();
         let mut orders = Vec::new();
-        while orders.len() < ORDERS_AT_ONCE {
-            let loading = given.loading() + orders.len();
-            let planned = plan(&demands, &given.assignment, &fleet, loading, limit);
+        while orders.len() < MAX_ORDERS_PER_ROUND {
+            let loading = state.pending_loads() + orders.len();
+            let planned = plan(&demands, &state.assignment, &fleet, loading, limit);
             let Some(planned) = planned else {
                 break;
             };
@@ -394,12 +405,19 @@
     }
 
     /// Sends one order; returns it with its outcome.
-    async fn give(&self, held: &Held, order: Order) -> (Order, Outcome) {
-        let outcome = self.give_to(held, &order.instance, &order.planned).await;
+    async fn send_order(&self, held: &Held, order: Order) -> (Order, Outcome) {
+        let outcome = self
+            .send_order_to(held, &order.instance, &order.planned)
+            .await;
         (order, outcome)
     }
 
-    async fn give_to(&self, held: &Held, instance: &Arc<Instance>, planned: &Planned) -> Outcome {
+    async fn send_order_to(
+        &self,
+        held: &Held,
+        instance: &Arc<Instance>,
+        planned: &PlannedLoad,
+    ) -> Outcome {
         let report = match self.calls().report(instance).await {
             Ok(report) => report,
             Err(cause) => {
@@ -407,21 +425,21 @@
                     "event=report_failed instance={} cause=\"{cause}\"",
                     instance.id()
                 );
-                return Outcome::Pause(DOUBT_TIME);
+                return Outcome::Pause(UNKNOWN_OUTCOME_PAUSE);
             }
         };
         if !instance.is_start(report.started_unix_ms) {
             self.backends.note_start(instance, report.started_unix_ms);
-            return Outcome::Pause(LOOK_INTERVAL);
+            return Outcome::Pause(PLANNING_INTERVAL);
         }
         for (model, version) in &report.versions {
             instance.note_version(model, *version);
         }
         if report.busy || instance.version(&planned.model) >= planned.version {
-            return Outcome::Pause(LOOK_INTERVAL * 4);
+            return Outcome::Pause(PLANNING_INTERVAL * 4);
         }
-        if Instant::now() + CALL_LIMIT >= held.proven_until() {
-            return Outcome::Pause(LOOK_INTERVAL);
+        if Instant::now() + CALL_TIMEOUT >= held.proven_until() {
+            return Outcome::Pause(PLANNING_INTERVAL);
         }
         let order = VersionOrder {
             model: planned.model.clone(),
@@ -438,8 +456,8 @@
         let (label, outcome) = match &answer {
             Ok((status, _)) if status.is_success() => ("taken", Outcome::Loading),
             Ok((StatusCode::PRECONDITION_FAILED, _)) => ("fenced", Outcome::Fenced),
-            Ok(_) => ("refused", Outcome::Pause(LOOK_INTERVAL * 10)),
-            Err(_) => ("in_doubt", Outcome::InDoubt),
+            Ok(_) => ("refused", Outcome::Pause(PLANNING_INTERVAL * 10)),
+            Err(_) => ("in_doubt", Outcome::Unknown),
         };
         if label == "taken" {
             instance.note_loading(&planned.model, Instant::now() + LOADING_PAUSE * 4);
--- a/crates/front/src/orders/given.rs
+++ b/crates/front/src/orders/leader_state.rs
@@ -5,37 +5,37 @@
 use std::time::Duration;
 
 use super::demand::FleetDemand;
-use super::learnt::LearntWriter;
 use super::link_use::LinkUse;
 use super::load_limit::{FinishedLoad, LoadLimit, LoadTiming};
-use super::news::NewsSender;
-use super::plan::{Assignment, FleetInstance, ModelDemand, Planned, most_trades};
+use super::load_limit_store::LearntWriter;
+use super::plan::{Assignment, FleetInstance, ModelDemand, PlannedLoad, max_trades};
+use super::weight_updates::WeightUpdateSender;
 use crate::backend::Instance;
 use ladderstage_clock::Instant;
 
 /// Fraction of the shortest load time after which a load is first checked.
-const LOOK_SHARE: f64 = 0.97;
+const FIRST_CHECK_SHARE: f64 = 0.97;
 
 /// Interval between checks of a load that is about to finish.
-const LOAD_LOOK_INTERVAL: Duration = Duration::from_millis(15);
+const LOAD_CHECK_INTERVAL: Duration = Duration::from_millis(15);
 
 /// Interval between checks of a load whose instance does not answer, as each one delays the checks
 /// of other loads.
-const SILENT_LOOK_INTERVAL: Duration = Duration::from_millis(300);
+const UNRESPONSIVE_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Maximum delay of a check for which the time at which the load finished still counts as exact.
-const LATE_LOOK: Duration = Duration::from_millis(60);
+const LATE_CHECK: Duration = Duration::from_millis(60);
 
 /// Maximum interval between planning rounds.
-pub(super) const LOOK_INTERVAL: Duration = Duration::from_millis(50);
+pub(super) const PLANNING_INTERVAL: Duration = Duration::from_millis(50);
 
 /// State of an order leader.
 #[derive(Default)]
-pub(super) struct Given {
+pub(super) struct LeaderState {
     /// Instances excluded from orders, and until when.
-    pub pauses: HashMap<String, Instant>,
+    pub excluded_until: HashMap<String, Instant>,
     /// Instances with an order in flight.
-    pub ordering: HashSet<String>,
+    pub orders_in_flight: HashSet<String>,
     /// Loads in progress by instance.
     pub loads: HashMap<String, Load>,
     /// Latest time at which the last order to each instance may have been sent, by this leader or
@@ -43,24 +43,24 @@
     ordered_at: HashMap<String, Instant>,
     /// Orders of other leaders that are still within the quiet period, also for a later lease of
     /// this node.
-    pub respected: Vec<(String, Instant)>,
+    pub foreign_orders: Vec<(String, Instant)>,
     /// Limit on concurrent loads.
     pub load_limit: LoadLimit,
     /// Loads that started earlier are not learned from, as loads of the previous leader may have
     /// run at the same time.
     pub learn_from: Option<Instant>,
-    link: LinkUse,
+    link_use: LinkUse,
     /// Latest demand that the fronts reported, and the time of that poll.
     pub demand: FleetDemand,
-    pub demand_at: Option<Instant>,
+    pub demand_polled_at: Option<Instant>,
     /// The demand was refreshed since the last trade of instances between models.
     pub may_trade: bool,
     /// Model that each instance serves.
     pub assignment: Assignment,
     /// Weight updates to send to the fronts.
-    pub news: NewsSender,
+    pub weight_updates: WeightUpdateSender,
     /// Persists the learned load limit.
-    pub learnt: LearntWriter,
+    pub limit_writer: LearntWriter,
 }
 
 /// Load in progress.
@@ -71,50 +71,51 @@
     /// Start time of the instance process that accepted the order; a restarted process has lost it.
     pub started_unix_ms: u64,
     pub since: Instant,
-    pub look_at: Instant,
-    pub give_up_at: Instant,
+    pub check_at: Instant,
+    pub abandon_at: Instant,
     /// Loads in progress when this one started, including it.
-    pub beside: usize,
+    pub concurrent: usize,
     /// Use of the link before this load started.
-    link_before: LinkUse,
+    link_use_before: LinkUse,
     /// Accuracy of the measured load time.
     timing: LoadTiming,
 }
 
 impl Load {
-    fn note_late_look(&mut self) {
+    fn mark_checked_late(&mut self) {
         if self.timing == LoadTiming::Exact {
             self.timing = LoadTiming::NoticedLate;
         }
     }
 }
 
-impl Given {
-    pub fn is_left_alone(&self, instance: &str) -> bool {
-        self.pauses.contains_key(instance)
-            || self.ordering.contains(instance)
+impl LeaderState {
+    pub fn is_excluded(&self, instance: &str) -> bool {
+        self.excluded_until.contains_key(instance)
+            || self.orders_in_flight.contains(instance)
             || self.loads.contains_key(instance)
     }
 
     /// Returns the number of loads in progress or about to start.
-    pub fn loading(&self) -> usize {
-        self.loads.len() + self.ordering.len()
+    pub fn pending_loads(&self) -> usize {
+        self.loads.len() + self.orders_in_flight.len()
     }
 
     /// Records an order that is sent to an instance within `limit`.
-    pub fn note_order(&mut self, instance: &str, limit: Duration) {
+    pub fn record_order(&mut self, instance: &str, limit: Duration) {
         let sent_until = Instant::now() + limit;
         self.ordered_at.insert(instance.to_owned(), sent_until);
-        self.ordering.insert(instance.to_owned());
+        self.orders_in_flight.insert(instance.to_owned());
     }
 
     /// Excludes the instances that received an order of another leader less than `quiet` ago.
-    pub fn respect(&mut self, orders: Vec<(String, Instant)>, quiet: Duration) {
+    pub fn exclude_recently_ordered(&mut self, orders: Vec<(String, Instant)>, quiet: Duration) {
         for (instance, ordered_at) in &orders {
-            self.pauses.insert(instance.clone(), *ordered_at + quiet);
+            self.excluded_until
+                .insert(instance.clone(), *ordered_at + quiet);
             self.ordered_at.insert(instance.clone(), *ordered_at);
         }
-        self.respected.extend(orders);
+        self.foreign_orders.extend(orders);
     }
 
     /// Returns the instances that received orders less than `quiet` ago.
@@ -128,27 +129,27 @@
 
     /// Records a load in progress and schedules its first check. `is_taken`: the instance accepted
     /// the order.
-    pub fn begin(
+    pub fn start_load(
         &mut self,
         instance: &Instance,
-        planned: Planned,
+        planned: PlannedLoad,
         limit: Duration,
         is_taken: bool,
     ) {
         let now = Instant::now();
-        let least = self.load_limit.least().unwrap_or(LOOK_INTERVAL * 4);
-        self.news
-            .loading(instance, &planned.model, planned.version, least);
-        self.link.set_loads(self.loads.len(), now);
+        let shortest = self.load_limit.shortest().unwrap_or(PLANNING_INTERVAL * 4);
+        self.weight_updates
+            .loading(instance, &planned.model, planned.version, shortest);
+        self.link_use.set_loads(self.loads.len(), now);
         let load = Load {
             model: planned.model,
             version: planned.version,
             started_unix_ms: instance.started_unix_ms(),
             since: now,
-            look_at: now + least.mul_f64(LOOK_SHARE),
-            give_up_at: now + limit,
-            beside: self.loads.len() + 1,
-            link_before: self.link.clone(),
+            check_at: now + shortest.mul_f64(FIRST_CHECK_SHARE),
+            abandon_at: now + limit,
+            concurrent: self.loads.len() + 1,
+            link_use_before: self.link_use.clone(),
             timing: if is_taken {
                 LoadTiming::Exact
             } else {
@@ -156,7 +157,7 @@
             },
         };
         self.loads.insert(planned.instance, load);
-        self.link.set_loads(self.loads.len(), now);
+        self.link_use.set_loads(self.loads.len(), now);
     }
 
     /// Returns the loads that are due for a check.
@@ -165,10 +166,10 @@
         let due = self
             .loads
             .iter_mut()
-            .filter(|(_, load)| load.look_at <= now);
+            .filter(|(_, load)| load.check_at <= now);
         due.map(|(id, load)| {
-            if now.saturating_duration_since(load.look_at) > LATE_LOOK {
-                load.note_late_look();
+            if now.saturating_duration_since(load.check_at) > LATE_CHECK {
+                load.mark_checked_late();
             }
             (id.clone(), load.clone())
         })
@@ -176,28 +177,28 @@
     }
 
     /// Removes a load that finished or was abandoned.
-    pub fn end(&mut self, instance: &str) {
+    pub fn remove_load(&mut self, instance: &str) {
         self.loads.remove(instance);
-        self.link.set_loads(self.loads.len(), Instant::now());
+        self.link_use.set_loads(self.loads.len(), Instant::now());
     }
 
     /// Learns from a finished load. `is_by_report`: the instance's own report showed it.
-    pub fn note_load(&mut self, instance: &str, load: &Load, is_by_report: bool) {
+    pub fn observe_load(&mut self, instance: &str, load: &Load, is_by_report: bool) {
         let now = Instant::now();
         let mut load = load.clone();
         if !is_by_report {
             // Reports describe an earlier state, so a load seen finished by other means appears
             // shorter than others.
             load.timing = LoadTiming::Unknown;
-        } else if now.saturating_duration_since(load.look_at) > LATE_LOOK {
-            load.note_late_look();
+        } else if now.saturating_duration_since(load.check_at) > LATE_CHECK {
+            load.mark_checked_late();
         }
         log::info!(
             "event=load_done instance={instance} model={} version={} taken_ms={} beside={} timing={:?} limit={}",
             load.model,
             load.version,
             now.saturating_duration_since(load.since).as_millis(),
-            load.beside,
+            load.concurrent,
             load.timing,
             self.load_limit.get()
         );
@@ -207,62 +208,62 @@
         let before = self.load_limit.get();
         let finished = FinishedLoad {
             taken: now.saturating_duration_since(load.since),
-            link: self.link.since(&load.link_before, now),
-            at_begin: load.beside,
+            link: self.link_use.since(&load.link_use_before, now),
+            concurrent_at_start: load.concurrent,
             timing: load.timing,
         };
-        self.load_limit.note(&finished, now);
+        self.load_limit.observe(&finished, now);
         if self.load_limit.get() != before {
             log::info!(
                 "event=load_limit_changed limit={} before={before} taken_ms={} usual_ms={} at_begin={} near={}",
                 self.load_limit.get(),
                 finished.taken.as_millis(),
                 self.load_limit.usual().unwrap_or_default().as_millis(),
-                finished.at_begin,
+                finished.concurrent_at_start,
                 self.load_limit.is_near()
             );
         }
     }
 
     /// Schedules the next check of a load, sooner once typical load times are known.
-    pub fn look_again(&mut self, instance: &str) {
-        let pause = match self.load_limit.least() {
-            Some(_) => LOAD_LOOK_INTERVAL,
-            None => LOOK_INTERVAL,
+    pub fn check_again(&mut self, instance: &str) {
+        let pause = match self.load_limit.shortest() {
+            Some(_) => LOAD_CHECK_INTERVAL,
+            None => PLANNING_INTERVAL,
         };
-        self.look_after(instance, pause);
+        self.check_after(instance, pause);
     }
 
     /// Schedules the next check of a load whose instance did not answer.
-    pub fn look_later(&mut self, instance: &str) {
+    pub fn check_later(&mut self, instance: &str) {
         if let Some(load) = self.loads.get_mut(instance) {
-            load.note_late_look();
+            load.mark_checked_late();
         }
-        self.look_after(instance, SILENT_LOOK_INTERVAL);
+        self.check_after(instance, UNRESPONSIVE_CHECK_INTERVAL);
     }
 
-    fn look_after(&mut self, instance: &str, pause: Duration) {
+    fn check_after(&mut self, instance: &str, pause: Duration) {
         if let Some(load) = self.loads.get_mut(instance) {
-            load.look_at = Instant::now() + pause;
+            load.check_at = Instant::now() + pause;
         }
     }
 
     /// Returns the time until the next load is due, limited to the planning interval.
-    pub fn next_look(&self) -> Duration {
+    pub fn next_check(&self) -> Duration {
         let now = Instant::now();
-        let due = self.loads.values().map(|load| load.look_at);
+        let due = self.loads.values().map(|load| load.check_at);
         let until = due.min().map(|at| at.saturating_duration_since(now));
-        until.map_or(LOOK_INTERVAL, |until| {
-            until.clamp(LOAD_LOOK_INTERVAL, LOOK_INTERVAL)
+        until.map_or(PLANNING_INTERVAL, |until| {
+            until.clamp(LOAD_CHECK_INTERVAL, PLANNING_INTERVAL)
         })
     }
 
     /// Trades instances between models if the demand was refreshed since the last trade.
-    pub fn trade_once(&mut self, demands: &[ModelDemand], fleet: &[FleetInstance]) {
+    pub fn trade_if_refreshed(&mut self, demands: &[ModelDemand], fleet: &[FleetInstance]) {
         if !std::mem::take(&mut self.may_trade) {
             return;
         }
-        for _ in 0..most_trades(demands, fleet) {
+        for _ in 0..max_trades(demands, fleet) {
             let Some(trade) = self.assignment.trade(demands, fleet) else {
                 return;
             };
--- a/crates/front/src/orders/lease.rs
+++ b/crates/front/src/orders/lease.rs
@@ -11,26 +11,26 @@
 use crate::coordination::{Coordination, CoordinationError, LeaseId, SwapResult};
 
 /// Key of the leased record.
-const GIVER_KEY: &str = "ladderstage/orders/giver";
+const LEASE_KEY: &str = "ladderstage/orders/giver";
 
 /// Key of the persistent record.
-const LAST_KEY: &str = "ladderstage/orders/last";
+const LAST_LEADER_KEY: &str = "ladderstage/orders/last";
 
 /// Lifetime of the lease after its last renewal. Shorter than the quiet period of a new holder.
-const GIVER_LEASE: Duration = Duration::from_millis(1_500);
+const LEASE_DURATION: Duration = Duration::from_millis(1_500);
 
 /// Timeout of one renewal; short enough to retry twice after a lost answer.
-const RENEWAL_LIMIT: Duration = Duration::from_millis(400);
+const RENEWAL_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Pause before a failed renewal is retried.
-const RENEWAL_RETRY: Duration = Duration::from_millis(80);
+const RENEWAL_RETRY_PAUSE: Duration = Duration::from_millis(80);
 
 /// Interval between renewals.
-const RENEWAL: Duration = Duration::from_millis(400);
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Delay by which other nodes let the last leader acquire the lease first, as it needs no quiet
 /// period.
-const PRECEDENCE: Duration = Duration::from_millis(700);
+const PRECEDENCE_DELAY: Duration = Duration::from_millis(700);
 
 /// Node that issued orders last, as stored in the persistent record.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -71,7 +71,7 @@
     /// End of the quiet period after the previous leader's orders.
     quiet_until: watch::Sender<Instant>,
     /// The persistent record names this holder.
-    is_named: AtomicBool,
+    is_recorded: AtomicBool,
 }
 
 impl Held {
@@ -81,22 +81,22 @@
     }
 
     /// Watches the time until which the lease is certain to be valid.
-    pub fn watch_proof(&self) -> watch::Receiver<Instant> {
+    pub fn watch_validity(&self) -> watch::Receiver<Instant> {
         self.proven_until.subscribe()
     }
 
     /// Returns true if this holder may have issued orders.
-    pub fn is_named(&self) -> bool {
-        self.is_named.load(Ordering::Relaxed)
+    pub fn is_recorded(&self) -> bool {
+        self.is_recorded.load(Ordering::Relaxed)
     }
 
     /// Returns true during the quiet period after the previous leader's orders.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_in_quiet_period(&self) -> bool {
         Instant::now() < *self.quiet_until.borrow()
     }
 
     /// Ends the quiet period, because the previous leader's recent orders are known.
-    pub fn end_quiet(&self) {
+    pub fn end_quiet_period(&self) {
         self.quiet_until.send_replace(Instant::now());
     }
 }
@@ -109,7 +109,7 @@
     Over,
     /// The lease could not be renewed in time.
     #[error("unproven")]
-    Unproven,
+    NotRenewed,
 }
 
 /// Acquires, renews and verifies the orders lease for one node.
@@ -128,7 +128,7 @@
     /// # Errors
     /// When the store does not answer. The lease may then be held, unused, until it expires.
     pub async fn take(&self) -> Result<Option<Held>, CoordinationError> {
-        let record = self.coordination.get(GIVER_KEY).await?;
+        let record = self.coordination.get(LEASE_KEY).await?;
         // A record that names this node belongs to an earlier process, which issues no more orders.
         let is_own = record
             .as_ref()
@@ -139,15 +139,15 @@
         let found_free_at = Instant::now();
         let last_before = self.last().await?;
         if !self.is_own(last_before.as_ref()) && !is_own {
-            tokio::time::sleep(PRECEDENCE).await;
+            tokio::time::sleep(PRECEDENCE_DELAY).await;
         }
         let expected = record.map_or(0, |record| record.revision);
-        let asked_at = Instant::now();
-        let lease = self.coordination.grant(GIVER_LEASE).await?;
+        let requested_at = Instant::now();
+        let lease = self.coordination.grant(LEASE_DURATION).await?;
         let value = self.node.clone().into_bytes();
         match self
             .coordination
-            .swap(GIVER_KEY, expected, value, Some(lease))
+            .swap(LEASE_KEY, expected, value, Some(lease))
             .await?
         {
             SwapResult::Won { revision } => {
@@ -174,9 +174,9 @@
                     lease,
                     fence: revision,
                     last,
-                    proven_until: watch::Sender::new(asked_at + GIVER_LEASE),
+                    proven_until: watch::Sender::new(requested_at + LEASE_DURATION),
                     quiet_until: watch::Sender::new(quiet_until),
-                    is_named: AtomicBool::new(false),
+                    is_recorded: AtomicBool::new(false),
                 }))
             }
             SwapResult::Lost(_) => {
@@ -188,41 +188,42 @@
 
     /// Waits with a watch until the holder's record is gone.
     pub async fn wait_until_free(&self) {
-        let Ok(listing) = self.coordination.list(GIVER_KEY).await else {
+        let Ok(listing) = self.coordination.list(LEASE_KEY).await else {
             return;
         };
         if !listing.records.is_empty() {
-            let _ = self.coordination.watch(GIVER_KEY, listing.at).await;
+            let _ = self.coordination.watch(LEASE_KEY, listing.at).await;
         }
     }
 
     /// Renews the lease until it is lost.
     pub async fn keep(&self, held: &Held) -> LeaseLoss {
-        tokio::time::sleep(RENEWAL).await;
+        tokio::time::sleep(RENEWAL_INTERVAL).await;
         loop {
             match self.renew(held).await {
-                Ok(()) => tokio::time::sleep(RENEWAL).await,
+                Ok(()) => tokio::time::sleep(RENEWAL_INTERVAL).await,
                 Err(CoordinationError::LeaseOver) => return LeaseLoss::Over,
                 Err(error) => {
                     log::warn!("event=giver_lease_not_renewed cause=\"{error}\"");
-                    tokio::time::sleep(RENEWAL_RETRY).await;
+                    tokio::time::sleep(RENEWAL_RETRY_PAUSE).await;
                 }
             }
             if Instant::now() >= held.proven_until() {
-                return LeaseLoss::Unproven;
+                return LeaseLoss::NotRenewed;
             }
         }
     }
 
     async fn renew(&self, held: &Held) -> Result<(), CoordinationError> {
-        let asked_at = Instant::now();
+        let requested_at = Instant::now();
         let renewal = self.coordination.renew(held.lease);
-        let renewed = tokio::time::timeout(RENEWAL_LIMIT, renewal).await;
+        let renewed = tokio::time::timeout(RENEWAL_TIMEOUT, renewal).await;
         renewed.unwrap_or_else(|_| {
             let cause = "no answer to a renewal in time".to_owned();
             Err(CoordinationError::Unknown(cause))
         })?;
-        held.proven_until.send_replace(asked_at + GIVER_LEASE);
+        held.proven_until
+            .send_replace(requested_at + LEASE_DURATION);
         Ok(())
     }
 
@@ -232,16 +233,18 @@
     /// # Errors
     /// When the store did not accept that record. No order may be issued then.
     pub async fn may_order(&self, held: &Held) -> Result<bool, CoordinationError> {
-        if held.is_quiet() {
+        if held.is_in_quiet_period() {
             return Ok(false);
         }
-        if !held.is_named() {
+        if !held.is_recorded() {
             let own = LastGiver {
                 node: self.node.clone(),
                 fence: held.fence,
             };
-            self.coordination.put(LAST_KEY, own.write(), None).await?;
-            held.is_named.store(true, Ordering::Relaxed);
+            self.coordination
+                .put(LAST_LEADER_KEY, own.write(), None)
+                .await?;
+            held.is_recorded.store(true, Ordering::Relaxed);
         }
         Ok(Instant::now() < held.proven_until())
     }
@@ -253,7 +256,7 @@
     }
 
     async fn last(&self) -> Result<Option<LastGiver>, CoordinationError> {
-        let record = self.coordination.get(LAST_KEY).await?;
+        let record = self.coordination.get(LAST_LEADER_KEY).await?;
         Ok(record.map(|record| LastGiver::read(&record.value)))
     }
 
--- a/crates/front/src/orders/link_use.rs
+++ b/crates/front/src/orders/link_use.rs
@@ -10,13 +10,13 @@
 
 impl LinkTimes {
     /// Returns the maximum number of concurrent loads.
-    pub fn most(&self) -> usize {
+    pub fn max_concurrent(&self) -> usize {
         let used = self.0.iter().rposition(|time| !time.is_zero());
         used.map_or(0, |index| index + 1)
     }
 
     /// Returns the average number of concurrent loads, weighted by time.
-    pub fn mean(&self) -> f64 {
+    pub fn mean_concurrent(&self) -> f64 {
         let times = || self.0.iter().map(Duration::as_secs_f64);
         let loads = times()
             .enumerate()
@@ -25,25 +25,25 @@
     }
 
     /// Estimates the link capacity, in concurrent loads, from a load that had these times and takes
-    /// `least` alone.
+    /// `time_alone` without concurrent loads.
     ///
     /// Assumes that each load proceeds at full speed up to the capacity and at an equal share of
     /// the link beyond it. Returns the capacity at which the load's work is just complete.
-    pub fn borne(&self, least: Duration) -> f64 {
-        let least = least.as_secs_f64();
+    pub fn capacity(&self, time_alone: Duration) -> f64 {
+        let time_alone = time_alone.as_secs_f64();
         let seconds = |index: usize| self.0[index].as_secs_f64();
         let share = |index: usize| seconds(index) / (index + 1) as f64;
         // Work in seconds that a link with a capacity of 0, 1, 2, ... loads completes.
         let mut done = 0.0;
         let mut shares: f64 = (0..self.0.len()).map(share).sum();
-        for borne in 0..self.0.len() {
+        for capacity in 0..self.0.len() {
             // Each unit of capacity adds the load's share of all times with at least that many
             // loads.
-            if done + shares >= least {
-                return borne as f64 + (least - done) / shares.max(f64::MIN_POSITIVE);
+            if done + shares >= time_alone {
+                return capacity as f64 + (time_alone - done) / shares.max(f64::MIN_POSITIVE);
             }
             done += shares;
-            shares -= share(borne);
+            shares -= share(capacity);
         }
         self.0.len() as f64
     }
--- /dev/null
+++ b/crates/front/src/orders/load_checks.rs
@@ -0,0 +1,90 @@
+//! Checks whether weight loads have finished.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use futures_util::stream::{FuturesUnordered, StreamExt};
+use ladderstage_clock::Instant;
+
+use super::leader::OrderGiver;
+use super::leader_state::{LeaderState, Load};
+use crate::backend::Instance;
+
+/// Timeout of a load's report. The checks of all other loads wait for it.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(100);
+
+/// Result of a check.
+enum LoadCheck {
+    /// The instance's report shows the version.
+    ReportedLoaded,
+    /// The version is already known by other means.
+    KnownByOtherMeans,
+    Loading,
+    /// The instance did not answer.
+    NoAnswer,
+    /// The instance is gone or restarted, or the load timed out.
+    Abandoned,
+}
+
+impl OrderGiver {
+    /// Checks all loads that are due, concurrently, so that an instance that hangs does not delay
+    /// the updates of others.
+    pub(super) async fn check_loads(&self, state: &mut LeaderState) {
+        let fleet = self.fleet();
+        let checks = state.due_loads().into_iter().map(|(id, load)| {
+            let instance = fleet.iter().find(|one| one.id() == id);
+            async move {
+                let check = self.check_load(instance, &load).await;
+                (id, load, instance, check)
+            }
+        });
+        let mut checks: FuturesUnordered<_> = checks.collect();
+        while let Some((id, load, instance, check)) = checks.next().await {
+            match check {
+                check @ (LoadCheck::ReportedLoaded | LoadCheck::KnownByOtherMeans) => {
+                    let is_by_report = matches!(check, LoadCheck::ReportedLoaded);
+                    state.observe_load(&id, &load, is_by_report);
+                    if let Some(instance) = instance {
+                        state
+                            .weight_updates
+                            .loaded(instance, &load.model, load.version);
+                    }
+                    state.remove_load(&id);
+                }
+                LoadCheck::Loading => state.check_again(&id),
+                LoadCheck::NoAnswer => state.check_later(&id),
+                LoadCheck::Abandoned => state.remove_load(&id),
+            }
+        }
+    }
+
+    /// Checks one load; `instance` is `None` if it is gone.
+    async fn check_load(&self, instance: Option<&Arc<Instance>>, load: &Load) -> LoadCheck {
+        let is_same_start = |one: &&Arc<Instance>| one.is_start(load.started_unix_ms);
+        let instance = instance.filter(is_same_start);
+        let Some(instance) = instance.filter(|_| Instant::now() < load.abandon_at) else {
+            return LoadCheck::Abandoned;
+        };
+        let is_loaded = || instance.version(&load.model) >= load.version;
+        if is_loaded() {
+            return LoadCheck::KnownByOtherMeans;
+        }
+        let calls = self.calls();
+        let request = tokio::time::timeout(REPORT_TIMEOUT, calls.report(instance));
+        let Ok(Ok(report)) = request.await else {
+            return LoadCheck::NoAnswer;
+        };
+        if !instance.is_start(report.started_unix_ms) {
+            self.backends.note_start(instance, report.started_unix_ms);
+            return LoadCheck::Abandoned;
+        }
+        for (model, version) in &report.versions {
+            instance.note_version(model, *version);
+        }
+        if !report.busy && is_loaded() {
+            LoadCheck::ReportedLoaded
+        } else {
+            LoadCheck::Loading
+        }
+    }
+}
--- a/crates/front/src/orders/load_limit.rs
+++ b/crates/front/src/orders/load_limit.rs
@@ -2,7 +2,7 @@
 //!
 //! All loads share one link. Up to the capacity of the link each load takes its typical time;
 //! beyond it, loads slow each other down. The capacity is not known, so it is estimated from
-//! finished loads: `proven` is the highest concurrency without slowdown, and `full` is the last
+//! finished loads: `proven` is the highest concurrency without slowdown, and `saturation` is the latest
 //! saturation. Before the first slowdown the limit is twice the proven concurrency, so it doubles
 //! with each wave of loads. After a slowdown it drops to the estimated capacity and then rises
 //! slowly, as links change.
@@ -22,74 +22,74 @@
 use ladderstage_clock::Instant;
 
 /// Initial and minimum limit.
-const LEAST_LIMIT: usize = 2;
+const MIN_LIMIT: usize = 2;
 
 /// Ratio of the limit to the proven concurrency before the first slowdown.
 const PROBE_FACTOR: f64 = 2.0;
 
 /// Number of unslowed loads above the proven concurrency that raise it.
-const LEAST_PROOF: usize = 3;
+const MIN_PROOF_LOADS: usize = 3;
 
 /// Maximum ratio to the typical time at which a load counts as unslowed.
-const EVEN_RATIO: f64 = 1.12;
+const MAX_UNSLOWED_RATIO: f64 = 1.12;
 
-/// Same as [`EVEN_RATIO`] close to the link's capacity, where one load too many must be detected.
-const NEAR_EVEN_RATIO: f64 = 1.08;
+/// Same as [`MAX_UNSLOWED_RATIO`] close to the link's capacity, where one load too many must be detected.
+const MAX_UNSLOWED_RATIO_NEAR_CAPACITY: f64 = 1.08;
 
 /// Minimum ratio to the typical time at which a load counts as slow.
-const SLOW_RATIO: f64 = 1.25;
+const MIN_SLOW_RATIO: f64 = 1.25;
 
 /// Fraction of the latest loads that must be slow for the link to count as saturated; high enough
 /// that some unhealthy instances do not suffice.
-const FULL_SHARE: f64 = 0.75;
+const SATURATED_SHARE: f64 = 0.75;
 
 /// Minimum number of recent loads to evaluate; half of a larger limit.
-const LEAST_LATEST: usize = 6;
+const MIN_SAMPLES: usize = 6;
 
 /// Maximum number of recent loads to evaluate.
-const MOST_LATEST: usize = 24;
+const MAX_SAMPLES: usize = 24;
 
 /// Number of loads whose median is the typical time.
-const USUAL_LOADS: usize = 15;
+const TYPICAL_TIME_SAMPLES: usize = 15;
 
 /// Maximum concurrency, relative to the proven one, at which a load contributes to the typical
 /// time.
-const FEW_SHARE: f64 = 0.8;
+const LOW_CONCURRENCY_RATIO: f64 = 0.8;
 
 /// Quantile of the slow loads' estimates that is used, as loads that are slow for another reason
 /// yield estimates that are too low.
-const SHOWN_QUANTILE: f64 = 0.75;
+const ESTIMATE_QUANTILE: f64 = 0.75;
 
 /// Initial time without increases after a saturation; doubles while the capacity stays about the
 /// same.
-const FIRST_HOLD: Duration = Duration::from_secs(10);
+const INITIAL_HOLD: Duration = Duration::from_secs(10);
 
 /// Maximum time without increases.
-const LONGEST_HOLD: Duration = Duration::from_secs(160);
+const MAX_HOLD: Duration = Duration::from_secs(160);
 
 /// Factor within which two capacity estimates count as the same.
-const SAME_FACTOR: f64 = 1.3;
+const SAME_CAPACITY_FACTOR: f64 = 1.3;
 
 /// Maximum ratio of concurrency to that before a decrease at which it counts as lower.
-const FEWER_SHARE: f64 = 0.85;
+const LOWER_CONCURRENCY_RATIO: f64 = 0.85;
 
 /// Ratio of slowness to that before a decrease from which on the decrease counts as ineffective.
-const VAIN_SHARE: f64 = 0.95;
+const INEFFECTIVE_RATIO: f64 = 0.95;
 
 /// Minimum ratio of concurrency to the limit at which a load counts as using the limit.
-const USED_SHARE: f64 = 0.5;
+const USED_LIMIT_RATIO: f64 = 0.5;
 
 /// Fraction by which the limit increases close to the link's capacity, at least one load.
-const RISE_SHARE: f64 = 0.1;
+const INCREASE_RATIO: f64 = 0.1;
 
 /// Latest saturation of the link.
 #[derive(Debug, Clone, PartialEq)]
-struct FullLink {
+struct Saturation {
     /// Estimated capacity in concurrent loads.
-    borne: f64,
+    capacity: f64,
     /// Median slowness and concurrency of the loads.
     ratio: f64,
-    beside: f64,
+    concurrent: f64,
     /// Limit before the decrease.
     limit_before: usize,
     at: Instant,
@@ -97,27 +97,29 @@
     hold: Duration,
 }
 
-impl FullLink {
+impl Saturation {
     /// Returns true if loads are as slow as before a recent decrease, despite lower concurrency:
     /// then the link is not the cause.
-    fn was_in_vain(&self, ratio: f64, beside: f64, now: Instant) -> bool {
-        let is_recent = now.saturating_duration_since(self.at) < FIRST_HOLD;
-        is_recent && beside <= self.beside * FEWER_SHARE && ratio >= self.ratio * VAIN_SHARE
+    fn was_ineffective(&self, ratio: f64, concurrent: f64, now: Instant) -> bool {
+        let is_recent = now.saturating_duration_since(self.at) < INITIAL_HOLD;
+        is_recent
+            && concurrent <= self.concurrent * LOWER_CONCURRENCY_RATIO
+            && ratio >= self.ratio * INEFFECTIVE_RATIO
     }
 }
 
 /// Sample from a recent load.
 #[derive(Debug, Clone, PartialEq)]
-struct LatestLoad {
+struct LoadSample {
     taken: Duration,
     /// Load time relative to the typical one.
     ratio: f64,
     /// Concurrency at the start or on average, whichever is lower.
-    beside: f64,
+    concurrent: f64,
     /// Estimated capacity if the concurrency at the start determined the speed.
-    borne_by_begin: f64,
+    capacity_by_start: f64,
     /// Estimated capacity if the concurrency at each moment determined the speed.
-    borne_by_share: f64,
+    capacity_by_share: f64,
 }
 
 /// Limit on concurrent loads, learned from finished loads.
@@ -125,19 +127,19 @@
 pub struct LoadLimit {
     limit: usize,
     /// Shortest load time so far.
-    least: Option<Duration>,
+    shortest: Option<Duration>,
     /// Recent load times at low concurrency, and their median.
-    usual_times: VecDeque<Duration>,
+    typical_times: VecDeque<Duration>,
     usual: Option<Duration>,
     /// Highest concurrency at which loads were not slowed down.
     proven: f64,
     /// `None` if no saturation was observed here.
-    full: Option<FullLink>,
+    saturation: Option<Saturation>,
     /// A slowdown was observed, here or by an earlier leader, so the limit no longer doubles.
     is_near: bool,
-    latest: VecDeque<LatestLoad>,
+    samples: VecDeque<LoadSample>,
     /// Unslowed loads since the last increase that used the limit.
-    even_loads: usize,
+    unslowed_loads: usize,
 }
 
 /// Measurements of a finished load.
@@ -148,7 +150,7 @@
     /// Time spent at each level of concurrency during the load.
     pub link: LinkTimes,
     /// Loads in progress at the start, including this one.
-    pub at_begin: usize,
+    pub concurrent_at_start: usize,
     /// Accuracy of `taken`.
     pub timing: LoadTiming,
 }
@@ -167,15 +169,15 @@
 impl Default for LoadLimit {
     fn default() -> Self {
         Self {
-            limit: LEAST_LIMIT,
-            least: None,
-            usual_times: VecDeque::new(),
+            limit: MIN_LIMIT,
+            shortest: None,
+            typical_times: VecDeque::new(),
             usual: None,
             proven: 0.0,
-            full: None,
+            saturation: None,
             is_near: false,
-            latest: VecDeque::new(),
-            even_loads: 0,
+            samples: VecDeque::new(),
+            unslowed_loads: 0,
         }
     }
 }
@@ -185,9 +187,9 @@
     /// time, and whether the limit is close to the capacity of the link.
     pub fn from_learnt(limit: usize, usual: Duration, is_near: bool) -> Self {
         Self {
-            limit: limit.max(LEAST_LIMIT),
-            least: Some(usual),
-            usual_times: VecDeque::from([usual]),
+            limit: limit.max(MIN_LIMIT),
+            shortest: Some(usual),
+            typical_times: VecDeque::from([usual]),
             usual: Some(usual),
             proven: limit as f64 / PROBE_FACTOR,
             is_near,
@@ -201,8 +203,8 @@
     }
 
     /// Returns the shortest load time so far; `None` before the first load.
-    pub fn least(&self) -> Option<Duration> {
-        self.least
+    pub fn shortest(&self) -> Option<Duration> {
+        self.shortest
     }
 
     /// Returns the typical load time at low concurrency; `None` before the first load.
@@ -210,11 +212,11 @@
         self.usual
     }
 
-    fn set_usual(&mut self, times: VecDeque<Duration>) {
+    fn set_typical_times(&mut self, times: VecDeque<Duration>) {
         let mut sorted: Vec<Duration> = times.iter().copied().collect();
         sorted.sort();
         self.usual = sorted.get(sorted.len().saturating_sub(1) / 2).copied();
-        self.usual_times = times;
+        self.typical_times = times;
     }
 
     /// Returns true once a slowdown was observed.
@@ -224,127 +226,133 @@
 
     /// Updates the limit from a finished load. A load that was noticed late can count as unslowed,
     /// but not as slow.
-    pub fn note(&mut self, load: &FinishedLoad, now: Instant) {
+    pub fn observe(&mut self, load: &FinishedLoad, now: Instant) {
         if load.timing == LoadTiming::Unknown {
             return;
         }
-        self.least = Some(self.least.map_or(load.taken, |least| least.min(load.taken)));
-        let beside = load.link.mean().min(load.at_begin as f64);
+        self.shortest = Some(
+            self.shortest
+                .map_or(load.taken, |shortest| shortest.min(load.taken)),
+        );
+        let concurrent = load
+            .link
+            .mean_concurrent()
+            .min(load.concurrent_at_start as f64);
         if load.timing == LoadTiming::Exact {
-            self.note_usual(load.taken, load.link.most());
+            self.observe_typical_time(load.taken, load.link.max_concurrent());
         }
         let Some(usual) = self.usual() else {
             return;
         };
         let ratio = load.taken.as_secs_f64() / usual.as_secs_f64().max(f64::MIN_POSITIVE);
-        if ratio > EVEN_RATIO && !self.is_telling(load, now) {
+        if ratio > MAX_UNSLOWED_RATIO && !self.is_conclusive(load, now) {
             return;
         }
-        self.note_latest(LatestLoad {
+        self.push_sample(LoadSample {
             taken: load.taken,
             ratio,
-            beside,
-            borne_by_begin: load.at_begin as f64 / ratio,
-            borne_by_share: load.link.borne(usual),
+            concurrent,
+            capacity_by_start: load.concurrent_at_start as f64 / ratio,
+            capacity_by_share: load.link.capacity(usual),
         });
-        self.is_near |= self.are_most(|load| load.ratio > EVEN_RATIO);
-        if self.are_most(|load| load.ratio >= SLOW_RATIO) {
-            self.take_full(now);
+        self.is_near |= self.holds_for_most(|load| load.ratio > MAX_UNSLOWED_RATIO);
+        if self.holds_for_most(|load| load.ratio >= MIN_SLOW_RATIO) {
+            self.handle_saturation(now);
             return;
         }
         self.prove();
-        if ratio <= NEAR_EVEN_RATIO {
-            self.rise_near(beside, now);
+        if ratio <= MAX_UNSLOWED_RATIO_NEAR_CAPACITY {
+            self.increase_near_capacity(concurrent, now);
         }
     }
 
     /// Updates the typical time from the first load, and from loads at low concurrency.
-    fn note_usual(&mut self, taken: Duration, most_beside: usize) {
-        let few = (self.proven * FEW_SHARE).max(LEAST_LIMIT as f64);
-        if most_beside as f64 > few && self.usual.is_some() {
+    fn observe_typical_time(&mut self, taken: Duration, max_concurrent: usize) {
+        let low_concurrency = (self.proven * LOW_CONCURRENCY_RATIO).max(MIN_LIMIT as f64);
+        if max_concurrent as f64 > low_concurrency && self.usual.is_some() {
             return;
         }
-        let mut times = std::mem::take(&mut self.usual_times);
+        let mut times = std::mem::take(&mut self.typical_times);
         times.push_back(taken);
-        if times.len() > USUAL_LOADS {
+        if times.len() > TYPICAL_TIME_SAMPLES {
             times.pop_front();
         }
-        self.set_usual(times);
+        self.set_typical_times(times);
     }
 
     /// Returns true if a slowed load says something about the link. A load at low concurrency is
     /// slow for another reason, and one that started before the latest decrease was part of the
     /// same burst, which must lower the limit only once.
-    fn is_telling(&self, load: &FinishedLoad, now: Instant) -> bool {
+    fn is_conclusive(&self, load: &FinishedLoad, now: Instant) -> bool {
         let began_before = |at: Instant| now.saturating_duration_since(at) < load.taken;
-        let lowered_at = self.full.as_ref().map(|full| full.at);
+        let lowered_at = self.saturation.as_ref().map(|last| last.at);
         load.timing == LoadTiming::Exact
-            && load.link.most() > LEAST_LIMIT
+            && load.link.max_concurrent() > MIN_LIMIT
             && !lowered_at.is_some_and(began_before)
     }
 
-    fn note_latest(&mut self, load: LatestLoad) {
-        self.latest.push_back(load);
-        let wanted = self.wanted_latest();
-        while self.latest.len() > wanted {
-            self.latest.pop_front();
+    fn push_sample(&mut self, load: LoadSample) {
+        self.samples.push_back(load);
+        let required = self.required_samples();
+        while self.samples.len() > required {
+            self.samples.pop_front();
         }
     }
 
     /// Returns the number of samples required to tell a saturated link from unhealthy instances.
-    fn wanted_latest(&self) -> usize {
-        (self.limit / 2).clamp(LEAST_LATEST, MOST_LATEST)
+    fn required_samples(&self) -> usize {
+        (self.limit / 2).clamp(MIN_SAMPLES, MAX_SAMPLES)
     }
 
     /// Returns true if a condition holds for enough samples to rule out a few unhealthy instances
     /// as the cause.
-    fn are_most(&self, holds: impl Fn(&LatestLoad) -> bool) -> bool {
-        let count = self.latest.iter().filter(|load| holds(load)).count();
-        self.latest.len() >= self.wanted_latest()
-            && count as f64 >= FULL_SHARE * self.latest.len() as f64
+    fn holds_for_most(&self, holds: impl Fn(&LoadSample) -> bool) -> bool {
+        let count = self.samples.iter().filter(|load| holds(load)).count();
+        self.samples.len() >= self.required_samples()
+            && count as f64 >= SATURATED_SHARE * self.samples.len() as f64
     }
 
     /// Handles a slowdown of most recent loads.
-    fn take_full(&mut self, now: Instant) {
-        let ratio = Estimate::of(self.latest.iter().map(|load| load.ratio)).median;
-        let beside = Estimate::of(self.latest.iter().map(|load| load.beside)).median;
-        match &self.full {
-            Some(full) if full.was_in_vain(ratio, beside, now) => self.take_back(),
-            _ => self.lower(ratio, beside, now),
+    fn handle_saturation(&mut self, now: Instant) {
+        let ratio = Estimate::of(self.samples.iter().map(|load| load.ratio)).median;
+        let concurrent = Estimate::of(self.samples.iter().map(|load| load.concurrent)).median;
+        match &self.saturation {
+            Some(last) if last.was_ineffective(ratio, concurrent, now) => self.undo_decrease(),
+            _ => self.decrease(ratio, concurrent, now),
         }
-        self.latest.clear();
-        self.even_loads = 0;
+        self.samples.clear();
+        self.unslowed_loads = 0;
     }
 
     /// Undoes the latest decrease and adopts the current load times as typical, because all loads
     /// are slower at any concurrency.
-    fn take_back(&mut self) {
-        self.set_usual(self.latest.iter().map(|load| load.taken).collect());
-        if let Some(full) = self.full.take() {
-            self.limit = full.limit_before;
+    fn undo_decrease(&mut self) {
+        self.set_typical_times(self.samples.iter().map(|load| load.taken).collect());
+        if let Some(last) = self.saturation.take() {
+            self.limit = last.limit_before;
         }
     }
 
     /// Lowers the limit to the capacity that the slow loads indicate.
-    fn lower(&mut self, ratio: f64, beside: f64, now: Instant) {
-        let by_begin = Estimate::of(self.latest.iter().map(|load| load.borne_by_begin));
-        let by_share = Estimate::of(self.latest.iter().map(|load| load.borne_by_share));
-        let borne = if by_begin.spread < by_share.spread {
-            by_begin.value
+    fn decrease(&mut self, ratio: f64, concurrent: f64, now: Instant) {
+        let by_start = Estimate::of(self.samples.iter().map(|load| load.capacity_by_start));
+        let by_share = Estimate::of(self.samples.iter().map(|load| load.capacity_by_share));
+        let capacity = if by_start.spread < by_share.spread {
+            by_start.value
         } else {
             by_share.value
         };
-        let hold = match &self.full {
-            Some(before) if is_same(before.borne, borne) => (before.hold * 2).min(LONGEST_HOLD),
-            _ => FIRST_HOLD,
+        let hold = match &self.saturation {
+            Some(last) if is_similar(last.capacity, capacity) => (last.hold * 2).min(MAX_HOLD),
+            _ => INITIAL_HOLD,
         };
         let limit_before = self.limit;
-        self.limit = (borne.round() as usize).clamp(LEAST_LIMIT, self.limit);
-        self.proven = self.proven.min(borne);
-        self.full = Some(FullLink {
-            borne,
+        self.limit = (capacity.round() as usize).clamp(MIN_LIMIT, self.limit);
+        self.proven = self.proven.min(capacity);
+        self.saturation = Some(Saturation {
+            capacity,
             ratio,
-            beside,
+            concurrent,
             limit_before,
             at: now,
             hold,
@@ -354,18 +362,18 @@
     /// Raises the proven concurrency if most loads above it were unslowed. The limit follows until
     /// the first slowdown.
     fn prove(&mut self) {
-        let beyond: Vec<&LatestLoad> = self
-            .latest
+        let above_proven: Vec<&LoadSample> = self
+            .samples
             .iter()
-            .filter(|load| load.beside > self.proven)
+            .filter(|load| load.concurrent > self.proven)
             .collect();
-        if beyond.len() < LEAST_PROOF.min(self.limit) {
+        if above_proven.len() < MIN_PROOF_LOADS.min(self.limit) {
             return;
         }
-        if Estimate::of(beyond.iter().map(|load| load.ratio)).median > EVEN_RATIO {
+        if Estimate::of(above_proven.iter().map(|load| load.ratio)).median > MAX_UNSLOWED_RATIO {
             return;
         }
-        self.proven = Estimate::of(beyond.iter().map(|load| load.beside)).value;
+        self.proven = Estimate::of(above_proven.iter().map(|load| load.concurrent)).value;
         if !self.is_near {
             let probe = (self.proven * PROBE_FACTOR).round() as usize;
             self.limit = self.limit.max(probe);
@@ -373,24 +381,24 @@
     }
 
     /// Raises the limit by a fraction after a complete wave of unslowed loads that used it.
-    fn rise_near(&mut self, beside: f64, now: Instant) {
-        let held = |full: &FullLink| now.saturating_duration_since(full.at) < full.hold;
-        let is_held = self.full.as_ref().is_some_and(held);
-        if !self.is_near || is_held || beside < self.limit as f64 * USED_SHARE {
+    fn increase_near_capacity(&mut self, concurrent: f64, now: Instant) {
+        let is_holding = |last: &Saturation| now.saturating_duration_since(last.at) < last.hold;
+        let is_on_hold = self.saturation.as_ref().is_some_and(is_holding);
+        if !self.is_near || is_on_hold || concurrent < self.limit as f64 * USED_LIMIT_RATIO {
             return;
         }
-        self.even_loads += 1;
-        if self.even_loads >= self.limit {
-            self.limit += ((self.limit as f64 * RISE_SHARE).round() as usize).max(1);
-            self.even_loads = 0;
+        self.unslowed_loads += 1;
+        if self.unslowed_loads >= self.limit {
+            self.limit += ((self.limit as f64 * INCREASE_RATIO).round() as usize).max(1);
+            self.unslowed_loads = 0;
         }
     }
 }
 
 /// Returns true if two capacity estimates are about the same.
-fn is_same(before: f64, now: f64) -> bool {
+fn is_similar(before: f64, now: f64) -> bool {
     let (low, high) = (before.min(now), before.max(now));
-    high <= low * SAME_FACTOR
+    high <= low * SAME_CAPACITY_FACTOR
 }
 
 /// Statistics of a set of values.
@@ -406,12 +414,12 @@
     fn of(values: impl Iterator<Item = f64>) -> Self {
         let mut sorted: Vec<f64> = values.collect();
         sorted.sort_by(f64::total_cmp);
-        let value = quantile(&sorted, SHOWN_QUANTILE);
-        let apart = quantile(&sorted, 0.75) - quantile(&sorted, 0.25);
+        let value = quantile(&sorted, ESTIMATE_QUANTILE);
+        let interquartile_range = quantile(&sorted, 0.75) - quantile(&sorted, 0.25);
         Self {
             value,
             median: quantile(&sorted, 0.5),
-            spread: apart / value.max(f64::MIN_POSITIVE),
+            spread: interquartile_range / value.max(f64::MIN_POSITIVE),
         }
     }
 }
--- a/crates/front/src/orders/learnt.rs
+++ b/crates/front/src/orders/load_limit_store.rs
@@ -9,20 +9,20 @@
 use tokio::task::JoinSet;
 
 use super::load_limit::LoadLimit;
-use super::news::LearntLoads;
+use super::weight_updates::LearntLoads;
 use crate::coordination::Coordination;
 
 /// Key of the stored limit.
-const LEARNT_KEY: &str = "ladderstage/orders/learnt";
+const LOAD_LIMIT_KEY: &str = "ladderstage/orders/learnt";
 
 /// Minimum interval between writes, as each is a charged call.
-const WRITE_PAUSE: Duration = Duration::from_secs(3);
+const MIN_WRITE_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Timeout of the read; without an answer a leader starts from the default limit.
-const READ_LIMIT: Duration = Duration::from_millis(500);
+const READ_TIMEOUT: Duration = Duration::from_millis(500);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-struct LearntRecord {
+struct LoadLimitRecord {
     /// Maximum number of concurrent loads.
     limit: usize,
     /// Typical load time in milliseconds with few other loads at the same time.
@@ -31,7 +31,7 @@
     is_near: bool,
 }
 
-impl LearntRecord {
+impl LoadLimitRecord {
     /// Returns `None` before the first load finished.
     fn of(limit: &LoadLimit) -> Option<Self> {
         Some(Self {
@@ -50,13 +50,13 @@
 /// Returns the load limit that a new leader starts from: the one known to this node, else the
 /// stored one; `None` if there is neither.
 pub async fn learnt_limit(
-    learnt: &LearntLoads,
+    known: &LearntLoads,
     coordination: &dyn Coordination,
 ) -> Option<LoadLimit> {
-    if let Some(limit) = learnt.get() {
+    if let Some(limit) = known.get() {
         return Some(limit);
     }
-    let reading = tokio::time::timeout(READ_LIMIT, coordination.get(LEARNT_KEY));
+    let reading = tokio::time::timeout(READ_TIMEOUT, coordination.get(LOAD_LIMIT_KEY));
     let record = match reading.await {
         Ok(Ok(record)) => record?,
         Ok(Err(error)) => {
@@ -68,7 +68,7 @@
             return None;
         }
     };
-    match serde_json::from_slice::<LearntRecord>(&record.value) {
+    match serde_json::from_slice::<LoadLimitRecord>(&record.value) {
         Ok(record) => {
             log::info!(
                 "event=learnt_loads_read limit={} usual_ms={} near={}",
@@ -88,7 +88,7 @@
 /// Writes the learned load limit to the store in the background.
 #[derive(Debug, Default)]
 pub struct LearntWriter {
-    written: Option<(LearntRecord, Instant)>,
+    written: Option<(LoadLimitRecord, Instant)>,
     writes: JoinSet<()>,
 }
 
@@ -96,12 +96,12 @@
     /// Writes the limit if it changed and the last write is long enough ago.
     pub fn save(&mut self, limit: &LoadLimit, coordination: &Arc<dyn Coordination>) {
         while self.writes.try_join_next().is_some() {}
-        let Some(record) = LearntRecord::of(limit) else {
+        let Some(record) = LoadLimitRecord::of(limit) else {
             return;
         };
-        let is_known = |(written, at): (LearntRecord, Instant)| {
+        let is_known = |(written, at): (LoadLimitRecord, Instant)| {
             (written.limit, written.is_near) == (record.limit, record.is_near)
-                || at.elapsed() < WRITE_PAUSE
+                || at.elapsed() < MIN_WRITE_INTERVAL
         };
         if self.written.is_some_and(is_known) {
             return;
@@ -110,7 +110,7 @@
         let value = serde_json::to_vec(&record).unwrap_or_default();
         let coordination = Arc::clone(coordination);
         self.writes.spawn(async move {
-            if let Err(error) = coordination.put(LEARNT_KEY, value, None).await {
+            if let Err(error) = coordination.put(LOAD_LIMIT_KEY, value, None).await {
                 log::warn!("event=learnt_loads_not_written cause=\"{error}\"");
             }
         });
--- a/crates/front/src/orders/permits/ledger.rs
+++ b/crates/front/src/orders/permits/ledger.rs
@@ -9,52 +9,52 @@
 
 /// Window in which the issued permits are limited. Permits issued this far apart cannot be used in
 /// the same [`SEND_WINDOW`].
-const DEAL_WINDOW: Duration = SEND_WINDOW
+const ISSUE_WINDOW: Duration = SEND_WINDOW
     .saturating_add(PERMIT_LIFETIME)
     .saturating_add(WRITE_MARGIN);
 
 /// Time for which a new holder issues no permits, so that its permits and those of an earlier
 /// holder are not used in the same window.
-pub const QUIET_TIME: Duration = DEAL_WINDOW;
+pub const QUIET_TIME: Duration = ISSUE_WINDOW;
 
 /// Permits issued by one holder.
 #[derive(Debug)]
 pub struct PermitLedger {
-    deals_from: Instant,
+    issues_from: Instant,
     /// Time and number of permits issued in the last window, by instance.
-    dealt: BTreeMap<String, VecDeque<(Instant, u32)>>,
+    issued: BTreeMap<String, VecDeque<(Instant, u32)>>,
 }
 
 impl PermitLedger {
     /// Creates the ledger of a holder whose lease started at `held_from` or earlier.
     pub fn new(held_from: Instant) -> Self {
         Self {
-            deals_from: held_from + QUIET_TIME,
-            dealt: BTreeMap::new(),
+            issues_from: held_from + QUIET_TIME,
+            issued: BTreeMap::new(),
         }
     }
 
-    /// Issues up to `wanted` permits for an instance, at most `most` in any window. Returns the
+    /// Issues up to `requested` permits for an instance, at most `max` in any window. Returns the
     /// number issued.
-    pub fn deal(&mut self, instance: &str, wanted: u32, most: u32, now: Instant) -> u32 {
-        if now < self.deals_from {
+    pub fn deal(&mut self, instance: &str, requested: u32, max: u32, now: Instant) -> u32 {
+        if now < self.issues_from {
             return 0;
         }
-        self.forget(now);
-        let recent = self.dealt.get(instance);
+        self.remove_expired(now);
+        let recent = self.issued.get(instance);
         let used: u32 = recent.map_or(0, |recent| recent.iter().map(|(_, count)| count).sum());
-        let count = wanted.min(most.saturating_sub(used));
+        let count = requested.min(max.saturating_sub(used));
         if count > 0 {
-            let recent = self.dealt.entry(instance.to_owned()).or_default();
+            let recent = self.issued.entry(instance.to_owned()).or_default();
             recent.push_back((now, count));
         }
         count
     }
 
     /// Removes permits issued before the last window.
-    fn forget(&mut self, now: Instant) {
-        let is_over = |at: Instant| now.saturating_duration_since(at) > DEAL_WINDOW;
-        self.dealt.retain(|_, recent| {
+    fn remove_expired(&mut self, now: Instant) {
+        let is_over = |at: Instant| now.saturating_duration_since(at) > ISSUE_WINDOW;
+        self.issued.retain(|_, recent| {
             while recent.front().is_some_and(|(at, _)| is_over(*at)) {
                 recent.pop_front();
             }
--- a/crates/front/src/orders/permits/dealer.rs
+++ b/crates/front/src/orders/permits/permit_issuer.rs
@@ -10,29 +10,29 @@
 use crate::backend::ColdLimits;
 
 /// Maximum number of instances per request.
-const MOST_INSTANCES: usize = 1_024;
+const MAX_INSTANCES: usize = 1_024;
 
 /// Answers permit requests. Cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub struct PermitDealer {
     limits: ColdLimits,
-    holding: Arc<Mutex<Option<Holding>>>,
+    held: Arc<Mutex<Option<HeldLedger>>>,
 }
 
 /// Lease under which this node issues permits.
 #[derive(Debug)]
-struct Holding {
+struct HeldLedger {
     proven_until: watch::Receiver<Instant>,
     ledger: PermitLedger,
 }
 
 /// Guard during whose lifetime this node issues permits.
 #[derive(Debug)]
-pub struct Dealing {
+pub struct IssuingGuard {
     dealer: PermitDealer,
 }
 
-impl Drop for Dealing {
+impl Drop for IssuingGuard {
     fn drop(&mut self) {
         *self.dealer.lock() = None;
     }
@@ -43,48 +43,48 @@
     pub fn new(limits: ColdLimits) -> Self {
         Self {
             limits,
-            holding: Arc::default(),
+            held: Arc::default(),
         }
     }
 
     /// Starts to issue permits under a newly acquired lease. `proven_until` is the time until which
     /// the lease is certain to be valid.
-    pub fn begin(&self, proven_until: watch::Receiver<Instant>) -> Dealing {
-        *self.lock() = Some(Holding {
+    pub fn start(&self, proven_until: watch::Receiver<Instant>) -> IssuingGuard {
+        *self.lock() = Some(HeldLedger {
             proven_until,
             ledger: PermitLedger::new(Instant::now()),
         });
-        Dealing {
+        IssuingGuard {
             dealer: self.clone(),
         }
     }
 
     /// Issues the requested permits within the limits; `None` unless this node is certain to hold
     /// the lease.
-    pub fn deal(&self, asked: &AskSendPermits) -> Option<SendPermits> {
+    pub fn deal(&self, request: &AskSendPermits) -> Option<SendPermits> {
         let now = Instant::now();
-        let mut holding = self.lock();
-        let holding = holding.as_mut()?;
-        if now >= *holding.proven_until.borrow() {
+        let mut held = self.lock();
+        let held = held.as_mut()?;
+        if now >= *held.proven_until.borrow() {
             return None;
         }
-        let wanted = asked.wanted.iter().take(MOST_INSTANCES);
-        let dealt = wanted.filter_map(|wanted| {
-            let limit = self.limits.get(&wanted.service)?;
-            let ledger = &mut holding.ledger;
-            let count = ledger.deal(&wanted.instance, wanted.count, limit.dealt, now);
+        let requested = request.wanted.iter().take(MAX_INSTANCES);
+        let issued = requested.filter_map(|requested| {
+            let limit = self.limits.get(&requested.service)?;
+            let ledger = &mut held.ledger;
+            let count = ledger.deal(&requested.instance, requested.count, limit.dealt, now);
             (count > 0).then(|| SendPermit {
                 count,
-                ..wanted.clone()
+                ..requested.clone()
             })
         });
         Some(SendPermits {
-            dealt: dealt.collect(),
+            dealt: issued.collect(),
         })
     }
 
-    fn lock(&self) -> MutexGuard<'_, Option<Holding>> {
-        self.holding
+    fn lock(&self) -> MutexGuard<'_, Option<HeldLedger>> {
+        self.held
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
--- a/crates/front/src/orders/permits/asking.rs
+++ b/crates/front/src/orders/permits/requester.rs
@@ -10,29 +10,29 @@
 use ladderstage_wire::messages::mod_Response::OneOfkind as ResponseKind;
 use ladderstage_wire::messages::{AskSendPermits, Request, SendPermit, SendPermits};
 
-use super::dealer::PermitDealer;
+use super::permit_issuer::PermitDealer;
 use crate::backend::{BackendTable, ColdAllowance, PERMIT_LIFETIME};
 use crate::config::ConfigInForce;
 use crate::metrics::Metrics;
 use crate::nodes::{NodeRole, Nodes};
-use crate::orders::candidates::by_rank;
+use crate::orders::candidates::ranked_nodes;
 
 /// Delay that batches the permit requests of all items of a starting job.
-const GATHER: Duration = Duration::from_millis(10);
+const BATCH_DELAY: Duration = Duration::from_millis(10);
 
 /// Pause between two requests.
-const ASK_PAUSE: Duration = Duration::from_millis(100);
+const REQUEST_PAUSE: Duration = Duration::from_millis(100);
 
 /// Divisor of an instance's permits that yields the amount of one request. A larger amount could
 /// expire unused at a node with little work.
-const ASKED_SHARE: u32 = 5;
+const REQUEST_DIVISOR: u32 = 5;
 
 /// Pause between two requests while no node issues permits, as during a change of the lease holder.
-const NO_DEALER_PAUSE: Duration = Duration::from_millis(400);
+const NO_ISSUER_PAUSE: Duration = Duration::from_millis(400);
 
 /// Number of nodes asked in turn, by their rank as lease candidates. Exceeds the number of
 /// candidates, as ranks may change while a node holds the lease.
-const NODES_ASKED: usize = 6;
+const MAX_NODES_ASKED: usize = 6;
 
 /// Applies the configured limits and requests permits for this node.
 pub struct PermitAsker {
@@ -57,7 +57,10 @@
         let Some(allowance) = self.allowance else {
             return std::future::pending().await;
         };
-        tokio::join!(self.follow_config(allowance), self.ask_while_work_waits());
+        tokio::join!(
+            self.follow_config(allowance),
+            self.request_while_work_waits()
+        );
     }
 
     async fn follow_config(&self, allowance: ColdAllowance) {
@@ -72,22 +75,24 @@
         }
     }
 
-    async fn ask_while_work_waits(&self) {
+    async fn request_while_work_waits(&self) {
         let wants = &self.backends.gates().wants;
-        let mut last_dealer = None;
+        let mut last_issuer = None;
         loop {
             let mut wanted = wants.take().await;
-            tokio::time::sleep(GATHER).await;
+            tokio::time::sleep(BATCH_DELAY).await;
             wanted.append(&mut wants.take_noted());
-            let asked = wanted.len();
-            let (dealt, until) = self.ask(wanted, &mut last_dealer).await;
-            if last_dealer.is_none() {
-                tokio::time::sleep(ladderstage_journal::jitter::jittered(NO_DEALER_PAUSE)).await;
+            let instances = wanted.len();
+            let (permits, until) = self.request(wanted, &mut last_issuer).await;
+            if last_issuer.is_none() {
+                tokio::time::sleep(ladderstage_journal::jitter::jittered(NO_ISSUER_PAUSE)).await;
             }
-            let count: u32 = dealt.dealt.iter().map(|one| one.count).sum();
-            log::info!("event=send_permits instances={asked} dealt={count} dealer={last_dealer:?}");
+            let count: u32 = permits.dealt.iter().map(|one| one.count).sum();
+            log::info!(
+                "event=send_permits instances={instances} dealt={count} dealer={last_issuer:?}"
+            );
             self.metrics.send_permits.inc_by(count.into());
-            for one in &dealt.dealt {
+            for one in &permits.dealt {
                 if let Some(instance) = self.backends.get(&one.instance) {
                     instance.add_permits(one.count, until);
                 }
@@ -95,41 +100,41 @@
             if count > 0 {
                 self.backends.notify();
             }
-            tokio::time::sleep(ASK_PAUSE).await;
+            tokio::time::sleep(REQUEST_PAUSE).await;
         }
     }
 
     /// Requests permits for instances, given with their services. Returns the permits and the time
     /// until which they are valid.
-    async fn ask(
+    async fn request(
         &self,
         wanted: BTreeMap<String, String>,
-        last_dealer: &mut Option<String>,
+        last_issuer: &mut Option<String>,
     ) -> (SendPermits, Instant) {
-        let question = self.question(wanted);
-        let asked_at = Instant::now();
-        if let Some(dealt) = self.dealer.deal(&question) {
-            *last_dealer = Some(self.nodes.own().node);
-            return (dealt, asked_at + PERMIT_LIFETIME);
+        let request = self.build_request(wanted);
+        let requested_at = Instant::now();
+        if let Some(permits) = self.dealer.deal(&request) {
+            *last_issuer = Some(self.nodes.own().node);
+            return (permits, requested_at + PERMIT_LIFETIME);
         }
-        for node in self.likely_dealers(last_dealer.take()) {
-            let kind = RequestKind::ask_send_permits(question.clone());
-            let asked_at = Instant::now();
+        for node in self.likely_issuers(last_issuer.take()) {
+            let kind = RequestKind::ask_send_permits(request.clone());
+            let requested_at = Instant::now();
             let call = self.nodes.call(&node, Request { kind }, PERMIT_LIFETIME);
-            if let Ok(ResponseKind::send_permits(dealt)) = call.await.map(|answer| answer.kind) {
-                *last_dealer = Some(node);
-                return (dealt, asked_at + PERMIT_LIFETIME);
+            if let Ok(ResponseKind::send_permits(permits)) = call.await.map(|answer| answer.kind) {
+                *last_issuer = Some(node);
+                return (permits, requested_at + PERMIT_LIFETIME);
             }
         }
-        (SendPermits::default(), asked_at)
+        (SendPermits::default(), requested_at)
     }
 
-    fn question(&self, wanted: BTreeMap<String, String>) -> AskSendPermits {
+    fn build_request(&self, wanted: BTreeMap<String, String>) -> AskSendPermits {
         let limits = &self.backends.gates().cold;
         let wanted = wanted.into_iter().filter_map(|(instance, service)| {
             let limit = limits.get(&service)?;
             Some(SendPermit {
-                count: (limit.dealt / ASKED_SHARE).max(1),
+                count: (limit.dealt / REQUEST_DIVISOR).max(1),
                 instance,
                 service,
             })
@@ -140,14 +145,16 @@
     }
 
     /// Returns the nodes that may hold the lease, starting with the last issuer.
-    fn likely_dealers(&self, last: Option<String>) -> Vec<String> {
+    fn likely_issuers(&self, last: Option<String>) -> Vec<String> {
         let own = self.nodes.own().node;
         let fronts = self.nodes.with_role(NodeRole::Front);
         let fronts = fronts.iter().filter(|front| !front.is_leaving);
-        let ranked = by_rank(fronts.map(|front| (front.node.as_str(), front.cpu_millis)));
-        let ranked = ranked.into_iter().take(NODES_ASKED).map(str::to_owned);
+        let ranked = ranked_nodes(fronts.map(|front| (front.node.as_str(), front.cpu_millis)));
+        let ranked = ranked.into_iter().take(MAX_NODES_ASKED).map(str::to_owned);
         let mut seen = BTreeSet::from([own]);
-        let in_turn = last.into_iter().chain(ranked);
-        in_turn.filter(|node| seen.insert(node.clone())).collect()
+        let candidates = last.into_iter().chain(ranked);
+        candidates
+            .filter(|node| seen.insert(node.clone()))
+            .collect()
     }
 }
--- a/crates/front/src/orders/plan.rs
+++ b/crates/front/src/orders/plan.rs
@@ -10,22 +10,22 @@
 
 /// Time after an announcement during which work that allows the previous version starts; those
 /// instances are not reloaded yet.
-const BURST_TIME: Duration = Duration::from_millis(400);
+const BURST_DURATION: Duration = Duration::from_millis(400);
 
 /// Number of versions behind the newest from which on no job may use an instance.
-const USELESS_LAG: u64 = 2;
+const UNUSABLE_LAG: u64 = 2;
 
 /// Maximum text time, relative to the longest one, at which a model's texts count as short.
-const SHORT_SHARE: f64 = 0.8;
+const SHORT_TEXT_RATIO: f64 = 0.8;
 
 /// Minimum event interval, relative to the fastest instance, at which an instance counts as slow.
-const SLOW_PACE: f64 = 1.15;
+const SLOW_PACE_RATIO: f64 = 1.15;
 
 /// Relative event interval from which on the slowness counts as temporary.
-const BROKEN_PACE: f64 = 2.0;
+const TEMPORARY_PACE_RATIO: f64 = 2.0;
 
 /// Maximum relative event interval at which an instance counts as fast.
-const FAST_PACE: f64 = 1.07;
+const FAST_PACE_RATIO: f64 = 1.07;
 
 /// Instance that holds models.
 #[derive(Debug, Clone, PartialEq)]
@@ -50,7 +50,7 @@
     /// Newest announced version.
     pub newest: u64,
     /// Time since its announcement.
-    pub named_for: Duration,
+    pub announced_for: Duration,
     /// Amount of work, relative to other models.
     pub weight: f64,
     /// Number of events in the longest recent text; 0 if unknown.
@@ -59,7 +59,7 @@
 
 /// Planned order to load a version.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Planned {
+pub struct PlannedLoad {
     /// Instance id.
     pub instance: String,
     /// Name of the model.
@@ -79,11 +79,11 @@
 
 /// Divisor of a model's instances that yields the maximum number of trades per round, as a traded
 /// instance is unavailable while it loads other weights.
-const TRADE_SHARE: usize = 5;
+const TRADE_DIVISOR: usize = 5;
 
 /// Returns the maximum number of trades per round.
-pub fn most_trades(demands: &[ModelDemand], fleet: &[FleetInstance]) -> usize {
-    (fleet.len() / demands.len().max(1) / TRADE_SHARE).max(1)
+pub fn max_trades(demands: &[ModelDemand], fleet: &[FleetInstance]) -> usize {
+    (fleet.len() / demands.len().max(1) / TRADE_DIVISOR).max(1)
 }
 
 /// Exchange of two instances between models.
@@ -97,8 +97,8 @@
     pub fast: String,
 }
 
-/// Instance with its event interval relative to the fastest instance of its model.
-struct Paced<'a> {
+/// Instance that may be traded, with its event interval relative to the fastest instance of its model.
+struct Tradable<'a> {
     id: &'a str,
     pace_ms: f64,
     relative_pace: f64,
@@ -137,11 +137,11 @@
         instance: &FleetInstance,
     ) -> String {
         let key = |demand: &&ModelDemand| {
-            let has_room = self.count(&demand.model) < quotas[&demand.model];
+            let lacks_instances = self.count(&demand.model) < quotas[&demand.model];
             let version = instance.versions.get(&demand.model).copied().unwrap_or(0);
             let lag = demand.newest.saturating_sub(version);
             let missing = quotas[&demand.model].saturating_sub(self.count(&demand.model));
-            (has_room, std::cmp::Reverse(lag), missing)
+            (lacks_instances, std::cmp::Reverse(lag), missing)
         };
         let best = demands.iter().max_by_key(key);
         best.map(|demand| demand.model.clone()).unwrap_or_default()
@@ -151,50 +151,50 @@
     /// or has none.
     fn balance(&mut self, quotas: &BTreeMap<String, usize>, fleet: &[FleetInstance]) {
         let surplus = |model: &String| self.count(model) as i64 - quotas[model] as i64;
-        let Some(most) = quotas.keys().max_by_key(|model| surplus(model)) else {
+        let Some(largest) = quotas.keys().max_by_key(|model| surplus(model)) else {
             return;
         };
-        let Some(least) = quotas.keys().min_by_key(|model| surplus(model)) else {
+        let Some(smallest) = quotas.keys().min_by_key(|model| surplus(model)) else {
             return;
         };
-        if surplus(most) < 1 || surplus(least) > -2 && self.count(least) > 0 {
+        if surplus(largest) < 1 || surplus(smallest) > -2 && self.count(smallest) > 0 {
             return;
         }
         let moved = fleet
             .iter()
-            .filter(|one| self.model(&one.id) == Some(most))
-            .min_by_key(|one| one.versions.get(most).copied().unwrap_or(0));
+            .filter(|one| self.model(&one.id) == Some(largest))
+            .min_by_key(|one| one.versions.get(largest).copied().unwrap_or(0));
         if let Some(moved) = moved {
-            self.model_of.insert(moved.id.clone(), least.clone());
+            self.model_of.insert(moved.id.clone(), smallest.clone());
         }
     }
 
     /// Trades a slow instance of a model with long texts for a fast one of the model with the
     /// shortest texts, because a step takes as long as its longest texts.
     pub fn trade(&mut self, demands: &[ModelDemand], fleet: &[FleetInstance]) -> Option<Trade> {
-        let time = |demand: &ModelDemand| {
+        let text_time = |demand: &ModelDemand| {
             let pace = self.best_pace(&demand.model, fleet)?;
             (demand.longest_events > 0).then_some(pace * demand.longest_events as f64)
         };
         let mut times: Vec<(f64, &str)> = demands
             .iter()
-            .filter_map(|demand| Some((time(demand)?, demand.model.as_str())))
+            .filter_map(|demand| Some((text_time(demand)?, demand.model.as_str())))
             .collect();
         times.sort_by(|left, right| left.0.total_cmp(&right.0));
         let (short_time, short_model) = *times.first()?;
         let long = times
             .iter()
-            .filter(|(long_time, _)| short_time <= long_time * SHORT_SHARE);
+            .filter(|(long_time, _)| short_time <= long_time * SHORT_TEXT_RATIO);
         let by_pace =
-            |one: &Paced, other: &Paced| one.relative_pace.total_cmp(&other.relative_pace);
+            |one: &Tradable, other: &Tradable| one.relative_pace.total_cmp(&other.relative_pace);
         let (slow, long_model) = long
-            .flat_map(|(_, model)| self.paced(model, fleet).map(move |one| (one, *model)))
-            .filter(|(one, _)| (SLOW_PACE..BROKEN_PACE).contains(&one.relative_pace))
+            .flat_map(|(_, model)| self.tradable(model, fleet).map(move |one| (one, *model)))
+            .filter(|(one, _)| (SLOW_PACE_RATIO..TEMPORARY_PACE_RATIO).contains(&one.relative_pace))
             .max_by(|(one, _), (other, _)| by_pace(one, other))?;
         let fast = self
-            .paced(short_model, fleet)
-            .filter(|one| one.relative_pace < FAST_PACE)
-            .filter(|one| one.pace_ms * SLOW_PACE <= slow.pace_ms)
+            .tradable(short_model, fleet)
+            .filter(|one| one.relative_pace < FAST_PACE_RATIO)
+            .filter(|one| one.pace_ms * SLOW_PACE_RATIO <= slow.pace_ms)
             .min_by(by_pace)?;
         let trade = Trade {
             model: long_model.to_owned(),
@@ -218,11 +218,11 @@
     }
 
     /// Returns the instances of a model that may be traded.
-    fn paced<'a>(
+    fn tradable<'a>(
         &'a self,
         model: &'a str,
         fleet: &'a [FleetInstance],
-    ) -> impl Iterator<Item = Paced<'a>> {
+    ) -> impl Iterator<Item = Tradable<'a>> {
         let best = self.best_pace(model, fleet);
         fleet
             .iter()
@@ -230,7 +230,7 @@
             .filter(|one| !one.is_busy && !self.traded.contains(&one.id))
             .filter_map(move |one| {
                 let pace_ms = one.pace_ms?;
-                Some(Paced {
+                Some(Tradable {
                     id: &one.id,
                     pace_ms,
                     relative_pace: pace_ms / best?,
@@ -257,8 +257,8 @@
         .iter()
         .map(|demand| {
             let exact = demand.weight.max(f64::MIN_POSITIVE) / total * instances as f64;
-            let whole = (exact as usize).max(usize::from(instances >= demands.len()));
-            (exact - whole as f64, whole, demand.model.as_str())
+            let rounded = (exact as usize).max(usize::from(instances >= demands.len()));
+            (exact - rounded as f64, rounded, demand.model.as_str())
         })
         .collect();
     while shares.iter().map(|share| share.1).sum::<usize>() < instances {
@@ -283,15 +283,15 @@
     demands: &[ModelDemand],
     assignment: &Assignment,
     fleet: &[FleetInstance],
-    loading: usize,
-    most_loading: usize,
-) -> Option<Planned> {
-    if loading >= most_loading {
+    loads_in_progress: usize,
+    max_loading: usize,
+) -> Option<PlannedLoad> {
+    if loads_in_progress >= max_loading {
         return None;
     }
     let candidates = demands
         .iter()
-        .filter_map(|demand| next_of(demand, assignment, fleet));
+        .filter_map(|demand| next_load(demand, assignment, fleet));
     candidates
         .max_by_key(|(urgency, _)| *urgency)
         .map(|(_, planned)| planned)
@@ -302,15 +302,15 @@
 type Urgency = (bool, u64, usize);
 
 /// Plans the next order for one model.
-fn next_of(
+fn next_load(
     demand: &ModelDemand,
     assignment: &Assignment,
     fleet: &[FleetInstance],
-) -> Option<(Urgency, Planned)> {
+) -> Option<(Urgency, PlannedLoad)> {
     let version = |one: &FleetInstance| one.versions.get(&demand.model).copied().unwrap_or(0);
     let lag = |one: &FleetInstance| demand.newest.saturating_sub(version(one));
-    let least_lag = if demand.named_for < BURST_TIME {
-        USELESS_LAG
+    let min_lag = if demand.announced_for < BURST_DURATION {
+        UNUSABLE_LAG
     } else {
         1
     };
@@ -320,15 +320,18 @@
         .collect();
     let next = served
         .iter()
-        .filter(|one| !one.is_busy && lag(one) >= least_lag)
+        .filter(|one| !one.is_busy && lag(one) >= min_lag)
         .min_by_key(|one| (version(one), one.load, &one.id))?;
-    let useless = served.iter().filter(|one| lag(one) >= USELESS_LAG).count();
-    let behind = served.iter().filter(|one| lag(one) >= 1).count();
-    let useless_share = (useless * 1_000 / served.len().max(1)) as u64;
-    let planned = Planned {
+    let unusable = served.iter().filter(|one| lag(one) >= UNUSABLE_LAG).count();
+    let outdated = served.iter().filter(|one| lag(one) >= 1).count();
+    let unusable_share = (unusable * 1_000 / served.len().max(1)) as u64;
+    let planned = PlannedLoad {
         instance: next.id.clone(),
         model: demand.model.clone(),
         version: demand.newest,
     };
-    Some(((lag(next) >= USELESS_LAG, useless_share, behind), planned))
+    Some((
+        (lag(next) >= UNUSABLE_LAG, unusable_share, outdated),
+        planned,
+    ))
 }
--- a/crates/front/src/orders/news.rs
+++ b/crates/front/src/orders/weight_updates.rs
@@ -17,7 +17,7 @@
 use crate::nodes::Nodes;
 
 /// Timeout of one update; a later one is of no use.
-const NEWS_TIMEOUT: Duration = Duration::from_millis(500);
+const UPDATE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Load limit learned by order leaders, from which a later leader on this node starts. Cheap to
 /// clone.
@@ -29,7 +29,7 @@
 impl LearntLoads {
     /// Records the limit that this node learned or received, once it is based on a finished load.
     pub fn note(&self, limit: &LoadLimit) {
-        if limit.least().is_some() {
+        if limit.shortest().is_some() {
             *self.lock() = Some(limit.clone());
         }
     }
@@ -48,12 +48,12 @@
 
 /// Collects updates and sends them to other fronts.
 #[derive(Default)]
-pub(super) struct NewsSender {
-    news: Vec<InstanceWeights>,
+pub(super) struct WeightUpdateSender {
+    updates: Vec<InstanceWeights>,
     calls: JoinSet<()>,
 }
 
-impl NewsSender {
+impl WeightUpdateSender {
     /// Adds that an instance started to load a version, for about `time`.
     pub fn loading(&mut self, instance: &Instance, model: &str, version: u64, time: Duration) {
         self.add(instance, model, version, time.as_millis() as u64);
@@ -65,7 +65,7 @@
     }
 
     fn add(&mut self, instance: &Instance, model: &str, version: u64, loading_ms: u64) {
-        self.news.push(InstanceWeights {
+        self.updates.push(InstanceWeights {
             instance: instance.id().to_owned(),
             started_unix_ms: instance.started_unix_ms(),
             model: model.to_owned(),
@@ -76,24 +76,24 @@
 
     /// Sends the collected updates to `audience`. Other fronts rely on discovery, because sending
     /// each load to hundreds of fronts would delay the load checks of a weak leader.
-    pub fn send(&mut self, nodes: &Nodes, audience: &BTreeSet<String>, limit: &LoadLimit) {
+    pub fn send(&mut self, nodes: &Nodes, recipients: &BTreeSet<String>, limit: &LoadLimit) {
         while self.calls.try_join_next().is_some() {}
-        if self.news.is_empty() {
+        if self.updates.is_empty() {
             return;
         }
         let kind = RequestKind::weight_news(WeightNews {
-            instances: std::mem::take(&mut self.news),
+            instances: std::mem::take(&mut self.updates),
             usual_load_ms: limit.usual().unwrap_or_default().as_millis() as u64,
             load_limit: limit.get() as u64,
             limit_is_near: limit.is_near(),
         });
         let own = nodes.own().node;
-        for front in audience.iter().filter(|front| **front != own) {
+        for front in recipients.iter().filter(|front| **front != own) {
             let nodes = nodes.clone();
             let front = front.clone();
             let request = Request { kind: kind.clone() };
             self.calls.spawn(async move {
-                if let Err(error) = nodes.call(&front, request, NEWS_TIMEOUT).await {
+                if let Err(error) = nodes.call(&front, request, UPDATE_TIMEOUT).await {
                     log::debug!("event=weight_news_lost node={front} cause=\"{error}\"");
                 }
             });
--- a/crates/front/tests/ended_givers.rs
+++ b/crates/front/tests/ended_givers.rs
@@ -29,19 +29,19 @@
 fn only_the_word_of_that_very_giver_counts() {
     let ended = EndedGivers::default();
     let now = Instant::now() + Duration::from_secs(60);
-    assert_eq!(ended.orders_of(&giver("front-1", 7)), None);
+    assert_eq!(ended.recent_orders_of(&giver("front-1", 7)), None);
     ended.note(&end("front-1", 7, &[("i-1", 400)]), now);
     let sent_at = now - Duration::from_millis(400);
     assert_eq!(
-        ended.orders_of(&giver("front-1", 7)),
+        ended.recent_orders_of(&giver("front-1", 7)),
         Some(vec![("i-1".to_owned(), sent_at)])
     );
     assert_eq!(
-        ended.orders_of(&giver("front-1", 9)),
+        ended.recent_orders_of(&giver("front-1", 9)),
         None,
         "it gave orders again since, under a later lease"
     );
-    assert_eq!(ended.orders_of(&giver("front-2", 7)), None);
+    assert_eq!(ended.recent_orders_of(&giver("front-2", 7)), None);
 }
 
 #[test]
@@ -50,6 +50,9 @@
     let now = Instant::now();
     ended.note(&end("front-2", 9, &[]), now);
     ended.note(&end("front-1", 7, &[]), now);
-    assert_eq!(ended.orders_of(&giver("front-1", 7)), None);
-    assert_eq!(ended.orders_of(&giver("front-2", 9)), Some(Vec::new()));
+    assert_eq!(ended.recent_orders_of(&giver("front-1", 7)), None);
+    assert_eq!(
+        ended.recent_orders_of(&giver("front-2", 9)),
+        Some(Vec::new())
+    );
 }
--- a/crates/front/tests/load_limit.rs
+++ b/crates/front/tests/load_limit.rs
@@ -27,10 +27,10 @@
             let load = FinishedLoad {
                 taken,
                 link: link.since(&LinkUse::default(), now),
-                at_begin: number,
+                concurrent_at_start: number,
                 timing: LoadTiming::Exact,
             };
-            limit.note(&load, now);
+            limit.observe(&load, now);
         }
         limits.push(limit.get());
     }
@@ -163,10 +163,10 @@
             let finished = FinishedLoad {
                 taken: self.now - load.since,
                 link: self.link.since(&load.before, self.now),
-                at_begin: load.beside,
+                concurrent_at_start: load.beside,
                 timing: LoadTiming::Exact,
             };
-            self.limit.note(&finished, self.now);
+            self.limit.observe(&finished, self.now);
         }
         self.link.set_loads(self.loads.len(), self.now);
     }
@@ -246,14 +246,14 @@
         FinishedLoad {
             taken: now - start,
             link: link.since(&LinkUse::default(), now),
-            at_begin: 6,
+            concurrent_at_start: 6,
             timing,
         }
     };
     let now = start + least.mul_f64(1.3);
-    (0..10).for_each(|_| limit.note(&slow(LoadTiming::NoticedLate), now));
+    (0..10).for_each(|_| limit.observe(&slow(LoadTiming::NoticedLate), now));
     assert_eq!(limit.get(), 6);
-    (0..6).for_each(|_| limit.note(&slow(LoadTiming::Exact), now));
+    (0..6).for_each(|_| limit.observe(&slow(LoadTiming::Exact), now));
     assert!(
         limit.get() < 6,
         "a wave of loads that are known exactly does"
@@ -273,7 +273,7 @@
         let load = FinishedLoad {
             taken: now - start,
             link: link.since(&LinkUse::default(), now),
-            at_begin: 25,
+            concurrent_at_start: 25,
             timing: LoadTiming::Exact,
         };
         (load, now)
@@ -281,7 +281,7 @@
     let limits: Vec<usize> = (0..25)
         .map(|number| {
             let (load, now) = burst(1_500 + 40 * number);
-            limit.note(&load, now);
+            limit.observe(&load, now);
             limit.get()
         })
         .collect();
--- a/crates/front/tests/order_plan.rs
+++ b/crates/front/tests/order_plan.rs
@@ -3,14 +3,14 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use ladderstage_front::orders::{Assignment, FleetInstance, ModelDemand, most_trades, plan};
+use ladderstage_front::orders::{Assignment, FleetInstance, ModelDemand, max_trades, plan};
 use proptest::prelude::*;
 
-fn demand(model: &str, newest: u64, named_for_ms: u64) -> ModelDemand {
+fn demand(model: &str, newest: u64, announced_for_ms: u64) -> ModelDemand {
     ModelDemand {
         model: model.to_owned(),
         newest,
-        named_for: Duration::from_millis(named_for_ms),
+        announced_for: Duration::from_millis(announced_for_ms),
         weight: 1.0,
         longest_events: 0,
     }
@@ -279,11 +279,11 @@
         ["a", "b", "c"].map(|model| slow_of(&assignment, model)),
         [5, 5, 5]
     );
-    assert_eq!(most_trades(&demands, &fleet), 3);
+    assert_eq!(max_trades(&demands, &fleet), 3);
     let mut rounds = 0;
     while slow_of(&assignment, "a") + slow_of(&assignment, "b") > 0 {
         rounds += 1;
-        for _ in 0..most_trades(&demands, &fleet) {
+        for _ in 0..max_trades(&demands, &fleet) {
             assignment.trade(&demands, &fleet);
         }
         assert!(rounds <= 4, "four rounds of three");
