--- a/crates/front/tests/capacity_duty.rs
+++ b/crates/front/tests/capacity_duty.rs
@@ -205,7 +205,7 @@
 }
 
 #[tokio::test]
-async fn what_a_drained_zone_had_is_ordered_in_the_others() {
+async fn instances_of_a_drained_zone_are_ordered_in_other_zones() {
     let store = MemoryStore::default();
     let node = Node::new("one", &store, Receiver::default());
     node.drain("b");
@@ -219,7 +219,7 @@
 }
 
 #[tokio::test]
-async fn what_one_holder_fixed_and_did_not_send_the_next_one_sends_under_a_higher_fence() {
+async fn a_new_holder_sends_persisted_orders_with_a_higher_fence() {
     let store = MemoryStore::default();
     let silent = Receiver {
         never_answers: true,
@@ -268,7 +268,7 @@
 }
 
 #[tokio::test]
-async fn a_zone_with_none_to_be_had_is_passed_by() {
+async fn a_zone_without_available_capacity_is_skipped() {
     let store = MemoryStore::default();
     let empty = Receiver {
         unavailable_zones: BTreeSet::from(["a"]),
@@ -282,7 +282,7 @@
 }
 
 #[tokio::test]
-async fn nothing_is_ordered_that_the_store_did_not_take() {
+async fn orders_are_sent_only_after_they_are_persisted() {
     let store = MemoryStore::default();
     let node = Node::new("one", &store, Receiver::default());
     let receiver = Arc::clone(&node.receiver);
@@ -308,7 +308,7 @@
 }
 
 #[tokio::test]
-async fn a_swap_without_an_answer_is_read_again_before_anything_is_sent() {
+async fn a_swap_with_unknown_outcome_is_read_back_before_orders_are_sent() {
     let store = MemoryStore::default();
     let node = Node::new("one", &store, Receiver::default());
     node.drain("b");
@@ -331,7 +331,7 @@
 }
 
 #[tokio::test]
-async fn an_old_listing_orders_nothing() {
+async fn no_orders_are_sent_while_the_instance_list_is_outdated() {
     let store = MemoryStore::default();
     let node = Node::new("one", &store, Receiver::default());
     node.duty.view.note_lost();
@@ -350,7 +350,7 @@
 }
 
 #[tokio::test]
-async fn a_new_holder_waits_for_its_turn_although_the_last_one_told_its_end() {
+async fn an_announced_end_does_not_shorten_the_quiet_period_of_capacity_orders() {
     let store = MemoryStore::default();
     let first = Node::new("one", &store, Receiver::default());
     first.drain("b");
@@ -372,7 +372,7 @@
 }
 
 #[tokio::test]
-async fn without_bounds_the_store_is_not_called() {
+async fn the_store_is_not_called_without_scaling_bounds() {
     let store = MemoryStore::default();
     let mut node = Node::new("one", &store, Receiver::default());
     node.duty.config = config(false);
--- a/crates/front/tests/capacity_plan.rs
+++ b/crates/front/tests/capacity_plan.rs
@@ -192,7 +192,7 @@
 const PREEMPTIBLE: InstanceKind = InstanceKind::Preemptible;
 
 #[test]
-fn a_fleet_that_lost_nothing_is_left_as_found() {
+fn a_fleet_without_losses_stays_unchanged() {
     let mut fleet = Fleet::observed([5, 5, 5]);
     assert_eq!(fleet.changes, 1, "what was found is written down once");
     assert_eq!(fleet.desired_count("a", ON_DEMAND).found, 5);
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn instances_that_leave_are_replaced_at_once_where_the_fewest_are() {
+fn leaving_instances_are_replaced_at_once_in_the_zones_with_the_fewest() {
     let mut fleet = Fleet::observed([5, 3, 4]);
     fleet.set("a", ON_DEMAND, 4, State::Draining);
     assert_eq!(fleet.run_round(), [LossReason::Leaving]);
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn a_crashed_instance_is_left_to_the_platform_and_a_missing_one_replaced() {
+fn missing_instances_are_replaced_after_the_grace_period() {
     let mut fleet = Fleet::observed([5, 5, 5]);
     fleet.remove("b", ON_DEMAND, 1);
     fleet.wait(Duration::from_secs(3));
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn a_drained_zone_is_replaced_in_the_others_until_it_is_back() {
+fn a_drained_zone_is_replaced_by_other_zones_until_it_returns() {
     let mut fleet = Fleet::observed([2, 2, 2]);
     fleet.drained.insert("b".into());
     assert_eq!(fleet.run_round(), [LossReason::ZoneDrained]);
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn replacements_that_are_taken_away_while_another_zone_is_drained_go_elsewhere() {
+fn reclaimed_replacements_move_to_another_zone() {
     let mut fleet = Fleet::observed([2, 2, 2]);
     fleet.drained.insert("b".into());
     fleet.run_round();
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn replacements_that_vanish_without_a_word_go_elsewhere_with_those_still_to_come() {
+fn replacements_that_vanish_without_notice_move_with_pending_ones() {
     let mut fleet = Fleet::observed([6, 4, 4]);
     fleet.set("a", ON_DEMAND, 4, State::Draining);
     fleet.run_round();
@@ -281,7 +281,7 @@
 }
 
 #[test]
-fn a_replacement_that_crashes_beside_others_is_ordered_again_where_it_was() {
+fn a_crashed_replacement_is_reordered_in_its_zone() {
     let mut fleet = Fleet::observed([4, 4, 4]);
     fleet.set("b", ON_DEMAND, 4, State::Draining);
     fleet.run_round();
@@ -306,7 +306,7 @@
 }
 
 #[test]
-fn a_zone_with_none_to_be_had_is_left_out_and_tried_again_later() {
+fn a_zone_without_available_capacity_is_excluded_from_placement() {
     let mut fleet = Fleet::observed([2, 2, 2]);
     fleet.set("b", ON_DEMAND, 2, State::Draining);
     fleet.run_round();
@@ -320,7 +320,7 @@
 }
 
 #[test]
-fn kept_instances_are_ordered_where_no_preemptible_ones_can_be_had() {
+fn on_demand_instances_are_ordered_if_no_preemptible_ones_are_available() {
     let mut fleet = Fleet::observed([2, 2, 2]);
     fleet.set("b", ON_DEMAND, 1, State::Draining);
     fleet.run_round();
@@ -338,7 +338,7 @@
 }
 
 #[test]
-fn where_nothing_is_cheaper_kept_instances_replace_kept_ones() {
+fn on_demand_instances_are_ordered_if_preemptible_ones_are_not_offered() {
     let mut fleet = Fleet::new([2, 2, 2], None);
     fleet.wait(LONGER_THAN_ANY_DELAY);
     fleet.drained.insert("c".into());
@@ -350,7 +350,7 @@
 }
 
 #[test]
-fn no_more_are_ordered_than_a_zone_may_hold() {
+fn orders_respect_the_maximum_per_zone() {
     let mut fleet = Fleet::observed([MAX_INSTANCES, MAX_INSTANCES - 1, MAX_INSTANCES - 2]);
     fleet.drained.insert("a".into());
     fleet.run_round();
@@ -358,7 +358,7 @@
 }
 
 #[test]
-fn preemptible_instances_that_were_found_are_ordered_again_in_their_zone() {
+fn found_preemptible_instances_are_reordered_in_their_zone() {
     let mut fleet = Fleet::new([3, 3, 3], Some(0.2));
     fleet.add("b", PREEMPTIBLE, 2);
     fleet.wait(LONGER_THAN_ANY_DELAY);
@@ -373,7 +373,7 @@
 }
 
 #[test]
-fn what_is_not_known_orders_nothing() {
+fn nothing_is_ordered_while_the_fleet_is_unknown() {
     let mut fleet = Fleet::observed([5, 5, 5]);
     fleet.planner.discard_observations();
     // Records expired during an outage of the store and return later.
@@ -385,7 +385,7 @@
 }
 
 #[test]
-fn instances_that_are_replaced_one_by_one_are_not_taken_for_more() {
+fn a_rolling_replacement_does_not_raise_the_found_count() {
     let mut fleet = Fleet::observed([5, 5, 5]);
     for _ in 0..6 {
         fleet.add("a", ON_DEMAND, 1);
@@ -403,7 +403,7 @@
 }
 
 #[test]
-fn ordered_instances_are_never_taken_for_found_ones() {
+fn ordered_instances_never_count_as_found() {
     let mut fleet = Fleet::new([2, 2, 2], None);
     fleet.wait(LONGER_THAN_ANY_DELAY);
     fleet.drained.insert("c".into());
@@ -535,7 +535,7 @@
     /// Bounds hold for any sequence of losses, refusals, drains and restarts, and a complete fleet
     /// ends without extra instances.
     #[test]
-    fn bounds_hold_and_a_whole_fleet_is_left_as_found(steps in steps()) {
+    fn bounds_hold_and_a_complete_fleet_stays_unchanged(steps in steps()) {
         let mut fleet = Fleet::observed([5, 2, 4]);
         for step in &steps {
             fleet.apply_step(step);
@@ -569,7 +569,7 @@
 
     /// Instances that return within the grace period cause no orders.
     #[test]
-    fn instances_that_go_down_and_up_order_nothing(rounds in proptest::collection::vec((0..3_usize, 1..14_u32), 1..30)) {
+    fn instances_that_return_in_time_cause_no_orders(rounds in proptest::collection::vec((0..3_usize, 1..14_u32), 1..30)) {
         let mut fleet = Fleet::observed([5, 5, 5]);
         for (zone, rounds) in rounds {
             fleet.remove(ZONES[zone], ON_DEMAND, 1);
@@ -582,7 +582,7 @@
 }
 
 #[test]
-fn an_order_is_sent_until_it_is_answered_and_once_more_after_one_that_may_come_late() {
+fn an_order_is_repeated_until_accepted_and_after_a_late_execution_window() {
     let (a, start) = (subject("a", PREEMPTIBLE), Instant::now());
     let pause = Duration::from_secs(6);
     let lost = || Err(CapacityOrderError::Unknown("no answer".to_owned()));
@@ -600,7 +600,7 @@
 }
 
 #[test]
-fn an_order_that_was_overtaken_by_a_newer_count_is_not_taken() {
+fn accepting_a_superseded_count_leaves_the_newer_order_due() {
     let (a, start) = (subject("a", PREEMPTIBLE), Instant::now());
     let mut outbox = Outbox::default();
     outbox.set_desired(&a, 6, start);
@@ -610,7 +610,7 @@
 }
 
 #[test]
-fn orders_that_are_refused_come_again_after_pauses_that_grow() {
+fn rejected_orders_are_retried_with_backoff() {
     let (a, start) = (subject("a", PREEMPTIBLE), Instant::now());
     let mut outbox = Outbox::default();
     outbox.set_desired(&a, 6, start);
@@ -630,7 +630,7 @@
 }
 
 #[test]
-fn what_the_store_holds_is_read_by_builds_that_know_less_or_more_of_it() {
+fn stored_capacity_is_readable_across_versions() {
     let mut desired_capacity = DesiredCapacity::default();
     let count = DesiredCount {
         found: 5,
--- a/crates/front/tests/ended_givers.rs
+++ b/crates/front/tests/ended_givers.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn only_the_word_of_that_very_giver_counts() {
+fn an_announcement_counts_only_for_its_leader_and_fence() {
     let ended = EndedGivers::default();
     let now = Instant::now() + Duration::from_secs(60);
     assert_eq!(ended.recent_orders_of(&giver("front-1", 7)), None);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_late_word_of_an_earlier_giver_does_not_replace_a_newer_one() {
+fn a_late_announcement_does_not_replace_a_newer_one() {
     let ended = EndedGivers::default();
     let now = Instant::now();
     ended.note(&end("front-2", 9, &[]), now);
--- a/crates/front/tests/learnt_loads.rs
+++ b/crates/front/tests/learnt_loads.rs
@@ -27,7 +27,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_giver_after_a_kill_of_all_goes_on_from_what_was_learnt() {
+async fn a_leader_restores_the_limit_after_a_restart_of_all_nodes() {
     let store = MemoryStore::default();
     let before: Arc<dyn Coordination> = Arc::new(store.of("front-1"));
     LearntWriter::default().save(&LoadLimit::default(), &before);
@@ -48,7 +48,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_a_giver_was_told_goes_before_the_record() {
+async fn a_received_limit_takes_precedence_over_the_stored_one() {
     let store = MemoryStore::default();
     store.write(
         KEY,
@@ -61,7 +61,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn without_a_usable_record_a_giver_begins_as_the_first_one() {
+async fn no_limit_is_restored_without_a_usable_record() {
     let store = MemoryStore::default();
     let nothing = LearntLoads::default();
     assert!(learnt_limit(&nothing, &store.of("front-1")).await.is_none());
@@ -76,7 +76,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_record_is_written_now_and_then_only() {
+async fn writes_of_the_limit_are_rate_limited() {
     let store = MemoryStore::default();
     let node: Arc<dyn Coordination> = Arc::new(store.of("front-1"));
     let mut writer = LearntWriter::default();
--- a/crates/front/tests/load_limit.rs
+++ b/crates/front/tests/load_limit.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_large_fleet_soon_loads_as_many_as_its_link_bears() {
+fn the_limit_quickly_reaches_the_link_capacity() {
     let limits = rounds(9, 40, &[0]);
     let learnt = &limits[6..];
     let near = learnt.iter().filter(|limit| (8..=10).contains(*limit));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn loads_that_slow_each_other_down_stay_rare() {
+fn the_limit_rarely_exceeds_the_link_capacity() {
     let limits = rounds(2, 100, &[0]);
     let above = limits.iter().filter(|limit| **limit > 2).count();
     assert!(above < 20, "{limits:?}");
@@ -57,7 +57,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn the_limit_stays_near_what_loads_bear(
+    fn the_limit_stays_close_to_the_link_capacity(
         free in 1usize..=400,
         off_by_ms in prop::collection::vec(0u64..60, 1..20),
     ) {
@@ -175,7 +175,7 @@
 /// Guards against taking the concurrency at a load's start for that of its whole duration, which
 /// allowed several times the link's capacity.
 #[test]
-fn loads_that_begin_at_different_moments_show_what_their_link_bears() {
+fn staggered_loads_reveal_the_link_capacity() {
     let mut shared = SharedLink::new(2);
     let mut above = 0;
     let mut next_start = shared.now;
@@ -214,7 +214,7 @@
 
 /// Guards against decreasing the limit again for each load that finishes after a burst.
 #[test]
-fn a_wave_of_too_many_loads_does_not_lower_the_limit_below_what_the_link_bears() {
+fn a_burst_does_not_lower_the_limit_below_the_link_capacity() {
     let mut shared = SharedLink::new(9);
     let limits = waves(&mut shared, 30, 40, 8_000);
     assert!(limits[4..].iter().all(|limit| *limit >= 8), "{limits:?}");
@@ -333,7 +333,7 @@
 
 /// Guards against mistaking several slow loads of unhealthy instances for a saturated link.
 #[test]
-fn sick_instances_are_not_taken_for_a_full_link() {
+fn unhealthy_instances_do_not_count_as_a_saturated_link() {
     let links = [2, 9, 24, 100].into_iter();
     for (free, pace) in links.flat_map(|free| PACES.map(|pace| (free, pace))) {
         let mut shared = SharedLink::with_pace(free, pace);
@@ -354,7 +354,7 @@
 
 /// If all loads slow down at any concurrency, a lower limit does not help.
 #[test]
-fn loads_that_are_all_slower_than_before_do_not_lower_the_limit_for_long() {
+fn a_general_slowdown_does_not_lower_the_limit_for_long() {
     let mut shared = SharedLink::new(24);
     let slower = |_, since| if since > 15.0 { 1.4 } else { 1.0 };
     let minute = busy_minute(&mut shared, slower);
@@ -365,7 +365,7 @@
 /// Guards against taking the limit of a previous leader, which was still increasing, for the link's
 /// capacity.
 #[test]
-fn a_new_giver_goes_on_with_the_rise_of_the_one_before() {
+fn a_new_leader_continues_to_increase_the_limit() {
     for pace in PACES {
         let mut shared = SharedLink::with_pace(24, pace);
         shared.limit = LoadLimit::from_learnt(4, ALONE, false);
@@ -376,7 +376,7 @@
 
 /// A leader that inherits a limit close to the link's capacity does not exceed it.
 #[test]
-fn a_new_giver_does_not_double_what_was_full() {
+fn a_new_leader_does_not_double_a_limit_close_to_capacity() {
     let mut shared = SharedLink::new(24);
     shared.limit = LoadLimit::from_learnt(24, ALONE, true);
     let minute = busy_minute(&mut shared, |_, _| 1.0);
@@ -390,7 +390,7 @@
 /// Guards against proving a concurrency with loads that were joined by others only after their
 /// start.
 #[test]
-fn loads_that_others_followed_do_not_prove_that_so_many_go_evenly() {
+fn loads_joined_by_others_later_do_not_prove_a_concurrency() {
     let mut shared = SharedLink::with_pace(26, Pace::SetAtBegin);
     // At most sixteen orders are issued per planning round of 50 ms.
     let mut limits = Vec::new();
--- a/crates/front/tests/order_candidates.rs
+++ b/crates/front/tests/order_candidates.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn of_many_nodes_a_few_are_candidates_and_the_next_follow_when_those_are_gone() {
+fn four_nodes_are_candidates_and_others_replace_those_that_leave() {
     let mut nodes: Vec<String> = (0..68).map(|index| format!("front-{index}")).collect();
     while !nodes.is_empty() {
         let before = candidates(&nodes);
@@ -29,7 +29,7 @@
 /// Guards against an order leader with little CPU, which detects finished loads late and takes them
 /// for slow ones.
 #[test]
-fn the_strongest_nodes_are_candidates_and_weaker_ones_only_where_those_are_too_few() {
+fn weak_nodes_are_candidates_only_without_enough_strong_ones() {
     let name = |index: usize| format!("front-{index}");
     let names: Vec<String> = (0..250).map(name).collect();
     for strong in [15, 3] {
--- a/crates/front/tests/order_plan.rs
+++ b/crates/front/tests/order_plan.rs
@@ -78,7 +78,7 @@
 
 /// A drained zone removes all instances of one model; afterwards they return with their weights.
 #[test]
-fn each_model_keeps_instances_while_a_zone_is_drained_and_gets_its_own_back() {
+fn each_model_keeps_instances_while_a_zone_is_drained() {
     let demands = ["a", "b", "c", "d"].map(|model| demand(model, 5, 1_000));
     let whole: Vec<FleetInstance> = (0..12)
         .map(|n| {
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_new_giver_assigns_by_the_weights_that_it_finds() {
+fn a_new_leader_assigns_models_by_loaded_weights() {
     let demands = [demand("a", 5, 0), demand("b", 5, 0)];
     let found = [("i-0", 5, 2), ("i-1", 4, 2), ("i-2", 2, 5), ("i-3", 1, 4)];
     let fleet: Vec<_> = found
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_version_waits_for_the_burst_unless_an_instance_is_of_no_use() {
+fn a_version_waits_for_the_burst_unless_an_instance_is_unusable() {
     let fleet = fleet(2, 4);
     let mut assignment = Assignment::default();
     assignment.update(&[demand("a", 5, 100)], &fleet);
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn busy_instances_and_a_full_wave_are_left_alone() {
+fn nothing_is_planned_for_busy_instances_or_above_the_limit() {
     let mut fleet = fleet(2, 1);
     let demands = [demand("a", 3, 900)];
     let mut assignment = Assignment::default();
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn nothing_is_traded_where_it_would_not_help_or_may_pass() {
+fn no_trade_without_benefit_or_for_temporary_slowness() {
     let fleet = paced_fleet();
     for demands in [with_lengths(115, 110), with_lengths(189, 0)] {
         let mut assignment = assigned(&demands, &fleet);
@@ -260,7 +260,7 @@
 /// Guards against one trade per round for the model with the longest texts only, which left another
 /// model with slow instances.
 #[test]
-fn all_models_with_long_texts_are_rid_of_slow_instances_in_a_few_rounds() {
+fn all_models_with_long_texts_trade_away_slow_instances() {
     let models = ["a", "b", "c"];
     let mut demands: Vec<ModelDemand> = models.iter().map(|model| demand(model, 2, 0)).collect();
     for (demand, longest) in demands.iter_mut().zip([145, 144, 76]) {
