--- a/crates/front/src/capacity/controller.rs
+++ b/crates/front/src/capacity/controller.rs
@@ -11,18 +11,18 @@
 use futures_util::future::join_all;
 use ladderstage_clock::Instant;
 
-use super::counts::Subject;
+use super::counts::InstancePool;
 use super::counts::count_instances;
 use super::desired::DesiredCapacity;
 use super::outbox::Outbox;
 use super::planner::{CapacityPlanner, FleetState, LossUpdate, UNAVAILABLE_PAUSE};
 use super::sink::{CapacityOrder, CapacityOrderError, CapacitySink};
 use crate::backend::BackendTable;
-use crate::config::{ConfigInForce, ServingConfig};
+use crate::config::{CurrentConfig, ServingConfig};
 use crate::coordination::{Coordination, CoordinationError, SwapResult};
 use crate::metrics::Metrics;
-use crate::orders::{GiverLease, Held};
-use crate::roster::DirectView;
+use crate::orders::{OrdersLease, HeldLease};
+use crate::roster::DiscoveryView;
 
 /// Key of the desired capacity.
 const DESIRED_CAPACITY_KEY: &str = "ladderstage/capacity/wanted";
@@ -37,7 +37,7 @@
 const START_MARGIN: Duration = Duration::from_secs(2);
 
 /// Orders capacity while this node holds the orders lease.
-pub struct CapacityDuty {
+pub struct CapacityController {
     /// Client of the coordination store.
     pub coordination: Arc<dyn Coordination>,
     /// Name of this node.
@@ -45,13 +45,13 @@
     /// Known instances and drained zones.
     pub backends: BackendTable,
     /// Tells whether the list of instances is complete.
-    pub view: DirectView,
+    pub view: DiscoveryView,
     /// Services and their scaling bounds.
-    pub config: ConfigInForce,
+    pub config: CurrentConfig,
     /// Receiver of the orders.
     pub sink: Arc<dyn CapacitySink>,
     /// Minimum time between orders of holders on two nodes.
-    pub quiet: Duration,
+    pub quiet_period: Duration,
     /// Metrics of this front.
     pub metrics: Arc<Metrics>,
 }
@@ -68,9 +68,9 @@
     next_write_at: Instant,
 }
 
-impl CapacityDuty {
+impl CapacityController {
     /// Orders capacity for as long as the future is polled.
-    pub async fn run(&self, lease: &GiverLease, held: &Held) {
+    pub async fn run(&self, lease: &OrdersLease, held: &HeldLease) {
         let started_at = Instant::now();
         self.wait_for_scaled_service().await;
         let mut state = self.load_state().await;
@@ -80,7 +80,7 @@
         let quiet_until = if is_own {
             started_at
         } else {
-            started_at + self.quiet
+            started_at + self.quiet_period
         };
         loop {
             tokio::time::sleep(CHECK_INTERVAL).await;
@@ -96,9 +96,9 @@
         }
     }
 
-    async fn may_send_orders(&self, lease: &GiverLease, held: &Held) -> bool {
-        lease.may_order(held).await.unwrap_or_else(|error| {
-            log::warn!("event=capacity_holder_not_named cause=\"{error}\"");
+    async fn may_send_orders(&self, lease: &OrdersLease, held: &HeldLease) -> bool {
+        lease.may_issue_orders(held).await.unwrap_or_else(|error| {
+            log::warn!("event=capacity_lease_check_failed cause=\"{error}\"");
             false
         })
     }
@@ -138,13 +138,13 @@
                 Ok(Some(record)) => {
                     let desired_capacity =
                         serde_json::from_slice(&record.value).unwrap_or_else(|error| {
-                            log::error!("event=capacity_unreadable cause=\"{error}\"");
+                            log::error!("event=capacity_record_invalid cause=\"{error}\"");
                             DesiredCapacity::default()
                         });
                     return (record.revision, desired_capacity);
                 }
                 Err(error) => {
-                    log::warn!("event=capacity_not_read cause=\"{error}\"");
+                    log::warn!("event=capacity_read_failed cause=\"{error}\"");
                     tokio::time::sleep(RETRY_PAUSE).await;
                 }
             }
@@ -159,10 +159,10 @@
         let ordered = desired_capacity
             .subjects()
             .filter(|(_, count)| count.is_ordered);
-        for (subject, count) in ordered {
-            let serving = counts.get(&subject).map_or(0, |present| present.serving);
+        for (pool, count) in ordered {
+            let serving = counts.get(&pool).map_or(0, |present| present.serving);
             if serving <= count.desired() {
-                state.outbox.resume(&subject, count.desired(), now);
+                state.outbox.resume(&pool, count.desired(), now);
             }
         }
     }
@@ -214,7 +214,7 @@
             }
             Err(error) => {
                 state.next_write_at = Instant::now() + RETRY_PAUSE;
-                log::warn!("event=capacity_not_fixed cause=\"{error}\"");
+                log::warn!("event=capacity_order_store_failed cause=\"{error}\"");
             }
         }
     }
@@ -222,14 +222,14 @@
     /// Adopts the capacity that the store holds now.
     fn apply_persisted(&self, desired_capacity: DesiredCapacity, state: &mut HolderState) {
         let now = Instant::now();
-        for (subject, count) in desired_capacity.subjects() {
-            let before = state.planner.desired_capacity().get(&subject);
+        for (pool, count) in desired_capacity.subjects() {
+            let before = state.planner.desired_capacity().get(&pool);
             if count != before {
                 log::info!(
-                    "event=capacity_fixed service={} zone={} kind={} found={} extra={} found_before={} extra_before={} revision={}",
-                    subject.service,
-                    subject.zone,
-                    subject.kind,
+                    "event=capacity_order_stored service={} zone={} kind={} found={} extra={} found_before={} extra_before={} revision={}",
+                    pool.service,
+                    pool.zone,
+                    pool.kind,
                     count.found,
                     count.extra,
                     before.found,
@@ -238,7 +238,7 @@
                 );
             }
             if count.is_ordered {
-                state.outbox.set_desired(&subject, count.desired(), now);
+                state.outbox.set_desired(&pool, count.desired(), now);
             }
         }
         state.planner.accept(desired_capacity, now);
@@ -247,23 +247,23 @@
     /// Repeats orders for pools that lack preemptible instances.
     fn reorder_lost(&self, drained: &BTreeSet<Arc<str>>, state: &mut HolderState) {
         let now = Instant::now();
-        for subject in state.planner.pools_to_reorder(drained, now) {
-            let desired = state.planner.desired_capacity().get(&subject).desired();
-            state.outbox.repeat(&subject, desired, now);
+        for pool in state.planner.pools_to_reorder(drained, now) {
+            let desired = state.planner.desired_capacity().get(&pool).desired();
+            state.outbox.repeat(&pool, desired, now);
         }
     }
 
     /// Sends the orders that are due while the lease is certain to be valid.
-    async fn send_due(&self, config: &ServingConfig, state: &mut HolderState, held: &Held) {
+    async fn send_due(&self, config: &ServingConfig, state: &mut HolderState, held: &HeldLease) {
         let due = state.outbox.due(Instant::now());
-        let calls = due.into_iter().map(|(subject, desired)| async move {
+        let calls = due.into_iter().map(|(pool, desired)| async move {
             let order = CapacityOrder {
-                subject,
+                pool,
                 desired,
                 holder: self.node.clone(),
                 fence: held.fence,
             };
-            let is_proven = Instant::now() < held.proven_until();
+            let is_proven = Instant::now() < held.valid_until();
             let outcome = if is_proven {
                 Some(self.sink.order(&order).await)
             } else {
@@ -287,36 +287,36 @@
         outcome: &Result<(), CapacityOrderError>,
     ) {
         let now = Instant::now();
-        let subject = &order.subject;
-        let is_unavailable = matches!(outcome, Err(CapacityOrderError::NoneToBeHad));
+        let pool = &order.pool;
+        let is_unavailable = matches!(outcome, Err(CapacityOrderError::Unavailable));
         if is_unavailable {
-            state.planner.mark_unavailable(subject, now);
+            state.planner.mark_unavailable(pool, now);
         }
         let pause = if is_unavailable {
             UNAVAILABLE_PAUSE
         } else {
-            max_start_time(config, subject)
+            max_start_time(config, pool)
         };
         let desired = order.desired;
         state
             .outbox
-            .record_outcome(subject, desired, outcome, pause, now);
+            .record_outcome(pool, desired, outcome, pause, now);
         self.report(
             order,
             outcome,
-            state.planner.desired_capacity().get(subject).extra,
+            state.planner.desired_capacity().get(pool).extra,
         );
     }
 
     /// Counts and logs an order; `extra` is the number of its instances beyond the found ones.
     fn report(&self, order: &CapacityOrder, outcome: &Result<(), CapacityOrderError>, extra: u32) {
         let CapacityOrder {
-            subject, desired, ..
+            pool, desired, ..
         } = order;
         let label = outcome
             .as_ref()
             .map_or_else(CapacityOrderError::label, |()| "taken");
-        let labels = [subject.zone.as_ref(), subject.kind.label(), label];
+        let labels = [pool.zone.as_ref(), pool.kind.label(), label];
         self.metrics
             .capacity_orders
             .with_label_values(&labels)
@@ -324,9 +324,9 @@
         let cause = outcome.as_ref().err().map(ToString::to_string);
         log::info!(
             "event=capacity_ordered service={} zone={} kind={} desired={desired} extra={extra} fence={} outcome={label} cause=\"{}\"",
-            subject.service,
-            subject.zone,
-            subject.kind,
+            pool.service,
+            pool.zone,
+            pool.kind,
             order.fence,
             cause.unwrap_or_default()
         );
@@ -334,12 +334,12 @@
 
     fn report_loss(&self, update: &LossUpdate) {
         let LossUpdate {
-            subject,
+            pool,
             lost,
             before,
             reason,
         } = update;
-        let labels = [subject.zone.as_ref(), reason.label()];
+        let labels = [pool.zone.as_ref(), reason.label()];
         let more = u64::from(lost.saturating_sub(*before));
         self.metrics
             .capacity_lost
@@ -347,17 +347,17 @@
             .inc_by(more);
         log::info!(
             "event=capacity_lost service={} zone={} kind={} lost={lost} before={before} reason={}",
-            subject.service,
-            subject.zone,
-            subject.kind,
+            pool.service,
+            pool.zone,
+            pool.kind,
             reason.label()
         );
     }
 }
 
 /// Returns the time within which an ordered instance starts to serve.
-fn max_start_time(config: &ServingConfig, subject: &Subject) -> Duration {
-    let service = config.services.get(subject.service.as_ref());
+fn max_start_time(config: &ServingConfig, pool: &InstancePool) -> Duration {
+    let service = config.services.get(pool.service.as_ref());
     let scaling = service.and_then(|service| service.scaling.as_ref());
     scaling.map_or(START_MARGIN, |scaling| scaling.boot + START_MARGIN)
 }
--- a/crates/front/src/capacity/counts.rs
+++ b/crates/front/src/capacity/counts.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::sync::Arc;
 
-use crate::backend::Discovered;
+use crate::backend::DiscoveredInstance;
 
 /// Billing class of an instance. Each class is ordered separately.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -33,7 +33,7 @@
 
 /// Instances of one service in one zone and of one kind; the unit that an order sizes.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Subject {
+pub struct InstancePool {
     /// Name of the service.
     pub service: Arc<str>,
     /// Name of the zone.
@@ -54,20 +54,20 @@
 }
 
 /// Counts instances by pool.
-pub fn count_instances(instances: &[Discovered]) -> BTreeMap<Subject, PresentInstances> {
-    let mut counts = BTreeMap::<Subject, PresentInstances>::new();
+pub fn count_instances(instances: &[DiscoveredInstance]) -> BTreeMap<InstancePool, PresentInstances> {
+    let mut counts = BTreeMap::<InstancePool, PresentInstances>::new();
     for instance in instances {
         let kind = if instance.is_preemptible {
             InstanceKind::Preemptible
         } else {
             InstanceKind::OnDemand
         };
-        let subject = Subject {
+        let pool = InstancePool {
             service: instance.service.as_str().into(),
             zone: instance.zone.as_str().into(),
             kind,
         };
-        let present = counts.entry(subject).or_default();
+        let present = counts.entry(pool).or_default();
         if instance.is_ready && instance.leaves_ms.is_none() {
             present.serving += 1;
         } else {
--- a/crates/front/src/capacity/desired.rs
+++ b/crates/front/src/capacity/desired.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::counts::{InstanceKind, Subject};
+use super::counts::{InstanceKind, InstancePool};
 
 /// Desired instances of one pool; an order names the sum of `found` and `extra`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
@@ -61,20 +61,20 @@
 
 impl DesiredCapacity {
     /// Returns the desired instances of a pool.
-    pub fn get(&self, subject: &Subject) -> DesiredCount {
-        let zones = self.services.get(subject.service.as_ref());
-        let zone = zones.and_then(|zones| zones.get(subject.zone.as_ref()));
-        zone.map_or_else(DesiredCount::default, |zone| *zone.of(subject.kind))
+    pub fn get(&self, pool: &InstancePool) -> DesiredCount {
+        let zones = self.services.get(pool.service.as_ref());
+        let zone = zones.and_then(|zones| zones.get(pool.zone.as_ref()));
+        zone.map_or_else(DesiredCount::default, |zone| *zone.of(pool.kind))
     }
 
     /// Sets the desired instances of a pool.
-    pub fn set(&mut self, subject: &Subject, count: DesiredCount) {
-        if count == DesiredCount::default() && !self.has_zone(subject) {
+    pub fn set(&mut self, pool: &InstancePool, count: DesiredCount) {
+        if count == DesiredCount::default() && !self.has_zone(pool) {
             return;
         }
-        let zones = self.services.entry(subject.service.to_string());
-        let zone = zones.or_default().entry(subject.zone.to_string());
-        *zone.or_default().of_mut(subject.kind) = count;
+        let zones = self.services.entry(pool.service.to_string());
+        let zone = zones.or_default().entry(pool.zone.to_string());
+        *zone.or_default().of_mut(pool.kind) = count;
     }
 
     /// Returns true if the service has any entry.
@@ -83,24 +83,24 @@
     }
 
     /// Returns all pools in order.
-    pub fn subjects(&self) -> impl Iterator<Item = (Subject, DesiredCount)> + '_ {
+    pub fn subjects(&self) -> impl Iterator<Item = (InstancePool, DesiredCount)> + '_ {
         const KINDS: [InstanceKind; 2] = [InstanceKind::OnDemand, InstanceKind::Preemptible];
         self.services.iter().flat_map(|(service, zones)| {
             zones.iter().flat_map(move |(zone, counts)| {
                 KINDS.into_iter().map(move |kind| {
-                    let subject = Subject {
+                    let pool = InstancePool {
                         service: service.as_str().into(),
                         zone: zone.as_str().into(),
                         kind,
                     };
-                    (subject, *counts.of(kind))
+                    (pool, *counts.of(kind))
                 })
             })
         })
     }
 
-    fn has_zone(&self, subject: &Subject) -> bool {
-        let zones = self.services.get(subject.service.as_ref());
-        zones.is_some_and(|zones| zones.contains_key(subject.zone.as_ref()))
+    fn has_zone(&self, pool: &InstancePool) -> bool {
+        let zones = self.services.get(pool.service.as_ref());
+        zones.is_some_and(|zones| zones.contains_key(pool.zone.as_ref()))
     }
 }
--- a/crates/front/src/capacity/mod.rs
+++ b/crates/front/src/capacity/mod.rs
@@ -14,8 +14,8 @@
 pub mod planner;
 pub mod sink;
 
-pub use controller::CapacityDuty;
-pub use counts::{InstanceKind, PresentInstances, Subject, count_instances};
+pub use controller::CapacityController;
+pub use counts::{InstanceKind, PresentInstances, InstancePool, count_instances};
 pub use desired::{DesiredCapacity, DesiredCount};
 pub use losses::{LossReason, Losses};
 pub use outbox::Outbox;
--- a/crates/front/src/capacity/outbox.rs
+++ b/crates/front/src/capacity/outbox.rs
@@ -5,7 +5,7 @@
 
 use ladderstage_clock::Instant;
 
-use super::counts::Subject;
+use super::counts::InstancePool;
 use super::sink::CapacityOrderError;
 
 /// Pause after the first order that failed; doubles with each further one.
@@ -31,13 +31,13 @@
 /// Latest order of each pool and the time of its next attempt.
 #[derive(Debug, Default)]
 pub struct Outbox {
-    entries: BTreeMap<Subject, OutboxEntry>,
+    entries: BTreeMap<InstancePool, OutboxEntry>,
 }
 
 impl Outbox {
     /// Sets the desired count of a pool. A count that was accepted already is not sent again.
-    pub fn set_desired(&mut self, subject: &Subject, desired: u32, now: Instant) {
-        let entry = self.entries.get_mut(subject);
+    pub fn set_desired(&mut self, pool: &InstancePool, desired: u32, now: Instant) {
+        let entry = self.entries.get_mut(pool);
         if let Some(entry) = entry {
             if entry.desired != desired {
                 entry.desired = desired;
@@ -53,22 +53,22 @@
             pause: INITIAL_PAUSE,
             late_until: None,
         };
-        self.entries.insert(subject.clone(), entry);
+        self.entries.insert(pool.clone(), entry);
     }
 
     /// Sets a count that an earlier holder ordered. It is sent once more after that holder's orders
     /// can no longer take effect.
-    pub fn resume(&mut self, subject: &Subject, desired: u32, now: Instant) {
-        self.set_desired(subject, desired, now);
-        if let Some(entry) = self.entries.get_mut(subject) {
+    pub fn resume(&mut self, pool: &InstancePool, desired: u32, now: Instant) {
+        self.set_desired(pool, desired, now);
+        if let Some(entry) = self.entries.get_mut(pool) {
             entry.late_until = Some(now + LATE_EXECUTION_WINDOW);
         }
     }
 
     /// Makes the count of a pool due again, after the pause that followed its last outcome.
-    pub fn repeat(&mut self, subject: &Subject, desired: u32, now: Instant) {
-        self.set_desired(subject, desired, now);
-        if let Some(entry) = self.entries.get_mut(subject)
+    pub fn repeat(&mut self, pool: &InstancePool, desired: u32, now: Instant) {
+        self.set_desired(pool, desired, now);
+        if let Some(entry) = self.entries.get_mut(pool)
             && now >= entry.next_attempt_at
         {
             entry.is_accepted = false;
@@ -76,13 +76,13 @@
     }
 
     /// Returns the orders that are due.
-    pub fn due(&self, now: Instant) -> Vec<(Subject, u32)> {
+    pub fn due(&self, now: Instant) -> Vec<(InstancePool, u32)> {
         let is_due = |entry: &OutboxEntry| {
             let has_late_window_passed = entry.late_until.is_some_and(|until| now >= until);
             now >= entry.next_attempt_at && (!entry.is_accepted || has_late_window_passed)
         };
         let due = self.entries.iter().filter(|(_, entry)| is_due(entry));
-        due.map(|(subject, entry)| (subject.clone(), entry.desired))
+        due.map(|(pool, entry)| (pool.clone(), entry.desired))
             .collect()
     }
 
@@ -90,13 +90,13 @@
     /// repeated after `pause` at the earliest.
     pub fn record_outcome(
         &mut self,
-        subject: &Subject,
+        pool: &InstancePool,
         desired: u32,
         outcome: &Result<(), CapacityOrderError>,
         pause: Duration,
         now: Instant,
     ) {
-        let Some(entry) = self.entries.get_mut(subject) else {
+        let Some(entry) = self.entries.get_mut(pool) else {
             return;
         };
         if entry.late_until.is_some_and(|until| now >= until) {
@@ -108,7 +108,7 @@
                 entry.pause = INITIAL_PAUSE;
                 entry.next_attempt_at = if entry.is_accepted { now + pause } else { now };
             }
-            Err(CapacityOrderError::NoneToBeHad) => {
+            Err(CapacityOrderError::Unavailable) => {
                 entry.is_accepted = false;
                 entry.pause = INITIAL_PAUSE;
                 entry.next_attempt_at = now + pause;
--- a/crates/front/src/capacity/planner.rs
+++ b/crates/front/src/capacity/planner.rs
@@ -7,12 +7,12 @@
 
 use ladderstage_clock::Instant;
 
-use super::counts::{InstanceKind, PresentInstances, Subject, count_instances};
+use super::counts::{InstanceKind, PresentInstances, InstancePool, count_instances};
 use super::desired::{DesiredCapacity, DesiredCount};
 use super::losses::{LossReason, Losses};
 use super::outbox::LATE_EXECUTION_WINDOW;
 use super::placement::{Placement, ZoneOffer, place};
-use crate::backend::Discovered;
+use crate::backend::DiscoveredInstance;
 use crate::config::{ScalingSpec, ServiceSpec};
 
 /// Time after which additional instances count as found. A rolling replacement runs one additional
@@ -32,7 +32,7 @@
     /// Services by name.
     pub services: &'a BTreeMap<String, ServiceSpec>,
     /// All discovered instances.
-    pub instances: &'a [Discovered],
+    pub instances: &'a [DiscoveredInstance],
     /// Zones that are being drained.
     pub drained: &'a BTreeSet<Arc<str>>,
 }
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LossUpdate {
     /// Pool that lost instances.
-    pub subject: Subject,
+    pub pool: InstancePool,
     /// Instances lost now.
     pub lost: u32,
     /// Instances lost before.
@@ -78,14 +78,14 @@
 #[derive(Debug)]
 pub struct CapacityPlanner {
     desired_capacity: DesiredCapacity,
-    losses: BTreeMap<Subject, Losses>,
-    surplus: BTreeMap<Subject, Surplus>,
+    losses: BTreeMap<InstancePool, Losses>,
+    surplus: BTreeMap<InstancePool, Surplus>,
     /// Maximum number of extra instances that recent orders may bring, and the time until which
     /// these orders may take effect.
-    max_ordered_until: BTreeMap<Subject, (u32, Instant)>,
-    unavailable_until: BTreeMap<Subject, Instant>,
+    max_ordered_until: BTreeMap<InstancePool, (u32, Instant)>,
+    unavailable_until: BTreeMap<InstancePool, Instant>,
     /// Preemptible instances that were serving in the last round.
-    last_serving: BTreeMap<Subject, u32>,
+    last_serving: BTreeMap<InstancePool, u32>,
     excess: BTreeMap<Arc<str>, ExcessReplacements>,
 }
 
@@ -97,7 +97,7 @@
             .subjects()
             .filter(|(_, count)| count.is_ordered);
         let ordered =
-            ordered.map(|(subject, _)| (subject, (u32::MAX, now + LATE_EXECUTION_WINDOW)));
+            ordered.map(|(pool, _)| (pool, (u32::MAX, now + LATE_EXECUTION_WINDOW)));
         Self {
             max_ordered_until: ordered.collect(),
             desired_capacity,
@@ -125,27 +125,27 @@
     }
 
     /// Marks a pool as having no available capacity for now.
-    pub fn mark_unavailable(&mut self, subject: &Subject, now: Instant) {
+    pub fn mark_unavailable(&mut self, pool: &InstancePool, now: Instant) {
         self.unavailable_until
-            .insert(subject.clone(), now + UNAVAILABLE_PAUSE);
+            .insert(pool.clone(), now + UNAVAILABLE_PAUSE);
     }
 
     /// Applies a persisted capacity.
     pub fn accept(&mut self, desired_capacity: DesiredCapacity, now: Instant) {
-        for (subject, count) in desired_capacity.subjects() {
-            let before = self.desired_capacity.get(&subject);
+        for (pool, count) in desired_capacity.subjects() {
+            let before = self.desired_capacity.get(&pool);
             if count.extra == before.extra {
                 continue;
             }
             let max = before.extra.max(count.extra);
             let (known, until) = self
                 .max_ordered_until
-                .get(&subject)
+                .get(&pool)
                 .copied()
                 .unwrap_or((0, now));
             let max = if now < until { max.max(known) } else { max };
             self.max_ordered_until
-                .insert(subject, (max, now + LATE_EXECUTION_WINDOW));
+                .insert(pool, (max, now + LATE_EXECUTION_WINDOW));
         }
         self.desired_capacity = desired_capacity;
     }
@@ -176,37 +176,37 @@
 
     /// Returns the pools that lack preemptible instances. Only an order in the same zone replaces
     /// these.
-    pub fn pools_to_reorder(&self, drained: &BTreeSet<Arc<str>>, now: Instant) -> Vec<Subject> {
-        let is_short = |subject: &Subject, serving: u32| {
-            serving < self.desired_capacity.get(subject).desired()
-                && !drained.contains(&subject.zone)
-                && !self.is_unavailable(subject, now)
+    pub fn pools_to_reorder(&self, drained: &BTreeSet<Arc<str>>, now: Instant) -> Vec<InstancePool> {
+        let is_short = |pool: &InstancePool, serving: u32| {
+            serving < self.desired_capacity.get(pool).desired()
+                && !drained.contains(&pool.zone)
+                && !self.is_unavailable(pool, now)
         };
         let short = self.last_serving.iter();
         short
-            .filter(|(subject, serving)| is_short(subject, **serving))
-            .map(|(subject, _)| subject.clone())
+            .filter(|(pool, serving)| is_short(pool, **serving))
+            .map(|(pool, _)| pool.clone())
             .collect()
     }
 
-    fn is_unavailable(&self, subject: &Subject, now: Instant) -> bool {
-        let until = self.unavailable_until.get(subject);
+    fn is_unavailable(&self, pool: &InstancePool, now: Instant) -> bool {
+        let until = self.unavailable_until.get(pool);
         until.is_some_and(|until| now < *until)
     }
 
     /// Counts instances that no order accounts for as found once they have stayed long enough.
     fn adopt(&mut self, service: &Service, next: &mut DesiredCapacity, now: Instant) {
         let is_new = !self.desired_capacity.has_service(&service.name);
-        for subject in service.subjects(next) {
-            let desired_count = next.get(&subject);
-            let max_ordered = self.max_ordered(&subject, desired_count.extra, now);
-            let unordered = service.present(&subject).serving;
+        for pool in service.subjects(next) {
+            let desired_count = next.get(&pool);
+            let max_ordered = self.max_ordered(&pool, desired_count.extra, now);
+            let unordered = service.present(&pool).serving;
             let unordered = unordered.saturating_sub(max_ordered);
             if unordered <= desired_count.found {
-                self.surplus.remove(&subject);
+                self.surplus.remove(&pool);
                 continue;
             }
-            let surplus = self.surplus.entry(subject.clone()).or_insert(Surplus {
+            let surplus = self.surplus.entry(pool.clone()).or_insert(Surplus {
                 count: unordered,
                 since: now,
             });
@@ -214,20 +214,20 @@
             if is_new || now.saturating_duration_since(surplus.since) >= ADOPTION_DELAY {
                 let found = surplus.count;
                 next.set(
-                    &subject,
+                    &pool,
                     DesiredCount {
                         found,
                         ..desired_count
                     },
                 );
-                self.surplus.remove(&subject);
+                self.surplus.remove(&pool);
             }
         }
     }
 
     /// Returns the maximum number of extra instances that orders may have brought.
-    fn max_ordered(&self, subject: &Subject, extra: u32, now: Instant) -> u32 {
-        let ordered = self.max_ordered_until.get(subject);
+    fn max_ordered(&self, pool: &InstancePool, extra: u32, now: Instant) -> u32 {
+        let ordered = self.max_ordered_until.get(pool);
         let ordered = ordered.filter(|(_, until)| now < *until);
         ordered.map_or(0, |(max, _)| *max).max(extra)
     }
@@ -239,19 +239,19 @@
         now: Instant,
         updates: &mut Vec<LossUpdate>,
     ) {
-        for subject in service.subjects(desired_capacity) {
-            let present = service.present(&subject);
-            if subject.kind == InstanceKind::Preemptible {
-                let desired = desired_capacity.get(&subject).desired();
-                updates.extend(self.detect_reclaimed(&subject, present, desired, now));
+        for pool in service.subjects(desired_capacity) {
+            let present = service.present(&pool);
+            if pool.kind == InstanceKind::Preemptible {
+                let desired = desired_capacity.get(&pool).desired();
+                updates.extend(self.detect_reclaimed(&pool, present, desired, now));
             }
-            let found = desired_capacity.get(&subject).found;
-            let is_drained = service.drained.contains(&subject.zone);
-            let losses = self.losses.entry(subject.clone()).or_default();
+            let found = desired_capacity.get(&pool).found;
+            let is_drained = service.drained.contains(&pool.zone);
+            let losses = self.losses.entry(pool.clone()).or_default();
             let before = losses.lost();
             if let Some(reason) = losses.look(found, present, is_drained, now) {
                 updates.push(LossUpdate {
-                    subject,
+                    pool,
                     lost: losses.lost(),
                     before,
                     reason,
@@ -265,7 +265,7 @@
     /// without an announcement, the missing ones crashed.
     fn detect_reclaimed(
         &mut self,
-        subject: &Subject,
+        pool: &InstancePool,
         present: PresentInstances,
         desired: u32,
         now: Instant,
@@ -273,16 +273,16 @@
         let serving = present.serving;
         let before = self
             .last_serving
-            .insert(subject.clone(), serving)
+            .insert(pool.clone(), serving)
             .unwrap_or(0);
         let is_none_left = serving == 0 && before > 0 && desired > 0;
         if !is_none_left && !present.is_being_reclaimed {
             return None;
         }
-        let is_new_loss = !self.is_unavailable(subject, now) && serving < desired;
-        self.mark_unavailable(subject, now);
+        let is_new_loss = !self.is_unavailable(pool, now) && serving < desired;
+        self.mark_unavailable(pool, now);
         is_new_loss.then(|| LossUpdate {
-            subject: subject.clone(),
+            pool: pool.clone(),
             lost: desired - serving,
             before: 0,
             reason: LossReason::Reclaimed,
@@ -292,15 +292,15 @@
     /// Places as many replacements as there are lost instances.
     fn replace(&mut self, service: &Service, next: &mut DesiredCapacity, now: Instant) {
         let subjects = service.subjects(next);
-        let lost: u32 = subjects.iter().map(|subject| self.lost(subject)).sum();
+        let lost: u32 = subjects.iter().map(|pool| self.lost(pool)).sum();
         let placement = placement(&subjects, next);
         let offers = self.offers(service, next, now);
         let target = self.target(service, lost, placement.values().sum(), now);
         set_placement(&subjects, next, &place(&offers, &placement, target));
     }
 
-    fn lost(&self, subject: &Subject) -> u32 {
-        self.losses.get(subject).map_or(0, Losses::lost)
+    fn lost(&self, pool: &InstancePool) -> u32 {
+        self.losses.get(pool).map_or(0, Losses::lost)
     }
 
     /// Returns the number of extra instances the service should have.
@@ -332,7 +332,7 @@
         let subjects = service.subjects(desired_capacity);
         let zones: BTreeSet<Arc<str>> = subjects
             .iter()
-            .map(|subject| Arc::clone(&subject.zone))
+            .map(|pool| Arc::clone(&pool.zone))
             .collect();
         let available = zones
             .into_iter()
@@ -349,10 +349,10 @@
         zone: Arc<str>,
         now: Instant,
     ) -> ZoneOffer {
-        let pool_of = |kind| service.subject(&zone, kind);
+        let pool_of = |kind| service.pool(&zone, kind);
         let on_demand = pool_of(InstanceKind::OnDemand);
         let preemptible = pool_of(InstanceKind::Preemptible);
-        let found = |subject: &Subject| desired_capacity.get(subject).found;
+        let found = |pool: &InstancePool| desired_capacity.get(pool).found;
         let mut kinds = Vec::new();
         if service.prefers_preemptible() {
             let max = self.max_extra(service, &preemptible, desired_capacity, now);
@@ -365,7 +365,7 @@
         let total_found = found(&on_demand) + found(&preemptible);
         ZoneOffer {
             serving: total_found.saturating_sub(self.lost(&on_demand) + self.lost(&preemptible)),
-            free_capacity: service.scaling.most.saturating_sub(total_found),
+            free_capacity: service.scaling.max_per_zone.saturating_sub(total_found),
             price: service.price(&zone),
             kinds,
             zone,
@@ -376,25 +376,25 @@
     fn max_extra(
         &self,
         service: &Service,
-        subject: &Subject,
+        pool: &InstancePool,
         desired_capacity: &DesiredCapacity,
         now: Instant,
     ) -> u32 {
-        let count = desired_capacity.get(subject);
-        let present = service.present(subject);
+        let count = desired_capacity.get(pool);
+        let present = service.present(pool);
         let arrived = present.serving.saturating_sub(count.found);
-        if self.is_unavailable(subject, now) {
+        if self.is_unavailable(pool, now) {
             return count.extra.min(arrived);
         }
         // An order names the total of its pool. While found instances are missing, that total could
         // be below the number running.
         let is_complete = present.serving >= count.found;
         // An order must not remove instances that somebody else has just added.
-        let has_foreign_instances = arrived > self.max_ordered(subject, count.extra, now);
+        let has_foreign_instances = arrived > self.max_ordered(pool, count.extra, now);
         if has_foreign_instances {
             return count.extra;
         }
-        if is_complete || subject.kind == InstanceKind::Preemptible {
+        if is_complete || pool.kind == InstanceKind::Preemptible {
             u32::MAX
         } else {
             count.extra
@@ -403,30 +403,30 @@
 }
 
 /// Returns the desired extra instances of the given pools.
-fn placement(subjects: &[Subject], desired_capacity: &DesiredCapacity) -> Placement {
-    let counts = subjects.iter().map(|subject| {
-        let extra = desired_capacity.get(subject).extra;
-        ((Arc::clone(&subject.zone), subject.kind), extra)
+fn placement(subjects: &[InstancePool], desired_capacity: &DesiredCapacity) -> Placement {
+    let counts = subjects.iter().map(|pool| {
+        let extra = desired_capacity.get(pool).extra;
+        ((Arc::clone(&pool.zone), pool.kind), extra)
     });
     counts.filter(|(_, extra)| *extra > 0).collect()
 }
 
 /// Sets the desired extra instances of the given pools.
 fn set_placement(
-    subjects: &[Subject],
+    subjects: &[InstancePool],
     desired_capacity: &mut DesiredCapacity,
     placement: &Placement,
 ) {
-    for subject in subjects {
-        let before = desired_capacity.get(subject);
-        let place = (Arc::clone(&subject.zone), subject.kind);
+    for pool in subjects {
+        let before = desired_capacity.get(pool);
+        let place = (Arc::clone(&pool.zone), pool.kind);
         let extra = placement.get(&place).copied().unwrap_or(0);
         let count = DesiredCount {
             extra,
             is_ordered: before.is_ordered || extra > 0,
             ..before
         };
-        desired_capacity.set(subject, count);
+        desired_capacity.set(pool, count);
     }
 }
 
@@ -434,37 +434,37 @@
 struct Service<'a> {
     name: Arc<str>,
     scaling: &'a ScalingSpec,
-    counts: &'a BTreeMap<Subject, PresentInstances>,
+    counts: &'a BTreeMap<InstancePool, PresentInstances>,
     drained: &'a BTreeSet<Arc<str>>,
 }
 
 impl Service<'_> {
-    fn subject(&self, zone: &Arc<str>, kind: InstanceKind) -> Subject {
-        Subject {
+    fn pool(&self, zone: &Arc<str>, kind: InstanceKind) -> InstancePool {
+        InstancePool {
             service: Arc::clone(&self.name),
             zone: Arc::clone(zone),
             kind,
         }
     }
 
-    fn present(&self, subject: &Subject) -> PresentInstances {
-        self.counts.get(subject).copied().unwrap_or_default()
+    fn present(&self, pool: &InstancePool) -> PresentInstances {
+        self.counts.get(pool).copied().unwrap_or_default()
     }
 
     /// Returns both kinds of pool in every zone that has, or had, instances of the service.
-    fn subjects(&self, desired_capacity: &DesiredCapacity) -> Vec<Subject> {
+    fn subjects(&self, desired_capacity: &DesiredCapacity) -> Vec<InstancePool> {
         let present = self.counts.keys().cloned();
-        let known = desired_capacity.subjects().map(|(subject, _)| subject);
+        let known = desired_capacity.subjects().map(|(pool, _)| pool);
         let zones: BTreeSet<Arc<str>> = present
             .chain(known)
-            .filter(|subject| subject.service == self.name)
-            .map(|subject| subject.zone)
+            .filter(|pool| pool.service == self.name)
+            .map(|pool| pool.zone)
             .collect();
         zones
             .iter()
             .flat_map(|zone| {
                 [InstanceKind::OnDemand, InstanceKind::Preemptible]
-                    .map(|kind| self.subject(zone, kind))
+                    .map(|kind| self.pool(zone, kind))
             })
             .collect()
     }
--- a/crates/front/src/capacity/sink.rs
+++ b/crates/front/src/capacity/sink.rs
@@ -2,13 +2,13 @@
 
 use futures_util::future::BoxFuture;
 
-use super::counts::Subject;
+use super::counts::InstancePool;
 
 /// Order for the total number of instances in a pool. Sending it again has no further effect.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CapacityOrder {
     /// Pool to resize.
-    pub subject: Subject,
+    pub pool: InstancePool,
     /// Total number of instances.
     pub desired: u32,
     /// Name of the lease holder.
@@ -22,7 +22,7 @@
 pub enum CapacityOrderError {
     /// No instance is available, or the receiver has seen a higher fencing token.
     #[error("none to be had")]
-    NoneToBeHad,
+    Unavailable,
     /// The order was rejected and has no effect.
     #[error("refused: {0}")]
     Refused(String),
@@ -35,7 +35,7 @@
     /// Returns the name used in metric labels and logs.
     pub fn label(&self) -> &'static str {
         match self {
-            Self::NoneToBeHad => "none_to_be_had",
+            Self::Unavailable => "none_to_be_had",
             Self::Refused(_) => "refused",
             Self::Unknown(_) => "unknown",
         }
--- a/crates/front/src/orders/announced_versions.rs
+++ b/crates/front/src/orders/announced_versions.rs
@@ -15,11 +15,11 @@
 
 /// Newest version announced for each model. Cheap to clone.
 #[derive(Debug, Clone, Default)]
-pub struct VersionsNamed {
+pub struct AnnouncedVersions {
     versions: Arc<Mutex<BTreeMap<String, Announced>>>,
 }
 
-impl VersionsNamed {
+impl AnnouncedVersions {
     /// Records a version; a lower one than the newest is ignored.
     pub fn note(&self, model: &str, version: u64) {
         let mut versions = lock(&self.versions);
@@ -29,7 +29,7 @@
         {
             return;
         }
-        log::info!("event=version_named model={model} version={version}");
+        log::info!("event=version_announced model={model} version={version}");
         let received_at = Instant::now();
         versions.insert(
             model.to_owned(),
--- a/crates/front/src/orders/calls.rs
+++ b/crates/front/src/orders/calls.rs
@@ -7,7 +7,7 @@
 use http::{HeaderMap, HeaderValue, StatusCode};
 use ladderstage::region::AllowedRegions;
 
-use crate::backend::{AnswerId, Instance, RequestHead, send};
+use crate::backend::{AnswerIdPolicy, Instance, RequestHead, send};
 use crate::dialect::{InstanceCall, InstanceReport, SharedCodec};
 
 /// Timeout of one call.
@@ -71,11 +71,11 @@
                 &head,
                 &call.body,
                 &attempt_id,
-                AnswerId::Optional,
+                AnswerIdPolicy::Optional,
             )
             .await;
             let reply = sent.map_err(|error| error.to_string())?;
-            let answer = reply.read_whole(MAX_ANSWER_BYTES).await;
+            let answer = reply.read_body(MAX_ANSWER_BYTES).await;
             answer
                 .map(|(status, _, body)| (status, body))
                 .map_err(|error| error.to_string())
--- a/crates/front/src/orders/former_leaders.rs
+++ b/crates/front/src/orders/former_leaders.rs
@@ -14,7 +14,7 @@
 use ladderstage_wire::messages::mod_Request::OneOfkind as RequestKind;
 use ladderstage_wire::messages::{GiverEnd, RecentOrder, Request};
 
-use super::lease::LastGiver;
+use super::lease::LastLeader;
 use crate::nodes::Nodes;
 
 /// Timeout of one announcement.
@@ -23,20 +23,20 @@
 /// Announcement of a former leader.
 #[derive(Debug, Clone)]
 struct FormerLeader {
-    leader: LastGiver,
+    leader: LastLeader,
     /// Instances, each with a time before which its last order was sent.
     orders: Vec<(String, Instant)>,
 }
 
 /// Latest announcement of a former leader that this node received. Cheap to clone.
 #[derive(Debug, Clone, Default)]
-pub struct EndedGivers {
+pub struct FormerLeaders {
     newest: Arc<Mutex<Option<FormerLeader>>>,
 }
 
-impl EndedGivers {
+impl FormerLeaders {
     /// Records an announcement that was received at `now`.
-    pub fn note(&self, end: &GiverEnd, now: Instant) {
+    pub fn record(&self, end: &GiverEnd, now: Instant) {
         let mut newest = self.lock();
         if newest
             .as_ref()
@@ -50,7 +50,7 @@
             Some((order.instance.clone(), sent_at))
         });
         *newest = Some(FormerLeader {
-            leader: LastGiver {
+            leader: LastLeader {
                 node: end.node.clone(),
                 fence: end.fence,
             },
@@ -60,7 +60,7 @@
 
     /// Returns the recent orders of `giver`, each with a time before which it was sent; `None`
     /// without an announcement for that fence.
-    pub fn recent_orders_of(&self, leader: &LastGiver) -> Option<Vec<(String, Instant)>> {
+    pub fn recent_orders_of(&self, leader: &LastLeader) -> Option<Vec<(String, Instant)>> {
         let newest = self.lock();
         let announced = newest
             .as_ref()
@@ -77,7 +77,7 @@
 
 /// Announces to all other fronts that `giver`, which is this node, issues no more orders, with its
 /// recent ones.
-pub(super) async fn announce_stop(nodes: &Nodes, leader: LastGiver, orders: &[(String, Instant)]) {
+pub(super) async fn announce_stop(nodes: &Nodes, leader: LastLeader, orders: &[(String, Instant)]) {
     let orders = orders.iter().map(|(instance, sent_at)| RecentOrder {
         instance: instance.clone(),
         age_ms: sent_at.elapsed().as_millis() as u64,
@@ -96,7 +96,7 @@
     let answers = join_all(calls).await;
     let received = answers.iter().filter(|answer| answer.is_ok()).count();
     log::info!(
-        "event=giver_end_told fence={} fronts={} heard={received}",
+        "event=order_leader_end_announced fence={} fronts={} heard={received}",
         leader.fence,
         answers.len()
     );
--- a/crates/front/src/orders/leader.rs
+++ b/crates/front/src/orders/leader.rs
@@ -7,19 +7,19 @@
 use http::StatusCode;
 use ladderstage_clock::Instant;
 
-use super::announced_versions::VersionsNamed;
+use super::announced_versions::AnnouncedVersions;
 use super::calls::{CALL_TIMEOUT, InstanceCalls};
 use super::candidates::is_candidate;
 use super::demand::FleetDemand;
 use super::former_leaders::announce_stop;
 use super::leader_state::{LeaderState, PLANNING_INTERVAL};
-use super::lease::{GiverLease, Held, LastGiver};
-use super::load_limit_store::learnt_limit;
-use super::permits::PermitDealer;
+use super::lease::{OrdersLease, HeldLease, LastLeader};
+use super::load_limit_store::restore_load_limit;
+use super::permits::PermitIssuer;
 use super::plan::{FleetInstance, PlannedLoad, plan};
 use crate::backend::{BackendTable, HoldReason, Instance, LOADING_PAUSE};
-use crate::capacity::CapacityDuty;
-use crate::config::ConfigInForce;
+use crate::capacity::CapacityController;
+use crate::config::CurrentConfig;
 use crate::coordination::Coordination;
 use crate::dialect::{SharedCodec, VersionOrder};
 use crate::front::Activities;
@@ -59,11 +59,11 @@
 #[derive(Debug, Clone, Copy)]
 pub struct OrderOptions {
     /// Minimum time between orders of leaders on two nodes.
-    pub quiet: Duration,
+    pub quiet_period: Duration,
 }
 
 /// Issues weight-load orders while this node holds the orders lease.
-pub struct OrderGiver {
+pub struct OrderLeader {
     /// Client of the coordination store.
     pub coordination: Arc<dyn Coordination>,
     /// Known nodes, including this one.
@@ -71,9 +71,9 @@
     /// Known instances.
     pub backends: BackendTable,
     /// Services and their models.
-    pub config: ConfigInForce,
+    pub config: CurrentConfig,
     /// Announced weight versions.
-    pub versions: VersionsNamed,
+    pub versions: AnnouncedVersions,
     /// Encoding of calls to instances.
     pub codec: SharedCodec,
     /// Metrics of this front.
@@ -89,9 +89,9 @@
     /// Reports usage under the same lease; `None` if reports are disabled.
     pub usage: Option<UsageReporter>,
     /// Issues permits for cold instances under the same lease.
-    pub permits: PermitDealer,
+    pub permits: PermitIssuer,
     /// Orders capacity under the same lease; `None` if capacity is managed elsewhere.
-    pub capacity: Option<CapacityDuty>,
+    pub capacity: Option<CapacityController>,
 }
 
 /// Planned order and the instance that receives it.
@@ -146,14 +146,14 @@
     }
 }
 
-impl OrderGiver {
+impl OrderLeader {
     /// Acquires the lease whenever it is free and this node is a candidate, and issues orders while
     /// the lease is valid. Runs for as long as the future is polled.
     pub async fn run(&self) {
-        let lease = GiverLease {
+        let lease = OrdersLease {
             coordination: Arc::clone(&self.coordination),
             node: self.nodes.own().node,
-            quiet: self.options.quiet,
+            quiet_period: self.options.quiet_period,
         };
         let mut foreign_orders = Vec::new();
         loop {
@@ -166,7 +166,7 @@
                 .nodes
                 .refresh(self.coordination.as_ref(), MAX_NODES_AGE);
             if let Err(error) = refreshed.await {
-                log::warn!("event=giver_nodes_not_read cause=\"{error}\"");
+                log::warn!("event=order_leader_nodes_read_failed cause=\"{error}\"");
             }
             if !self.is_candidate() {
                 continue;
@@ -174,7 +174,7 @@
             match lease.take().await {
                 Ok(Some(held)) => self.lead(&lease, held, &mut foreign_orders).await,
                 Ok(None) => lease.wait_until_free().await,
-                Err(error) => log::warn!("event=giver_lease_not_taken cause=\"{error}\""),
+                Err(error) => log::warn!("event=orders_lease_acquire_failed cause=\"{error}\""),
             }
             tokio::time::sleep(ladderstage_journal::jitter::jittered(ACQUIRE_PAUSE)).await;
         }
@@ -207,27 +207,27 @@
     /// leaders from one lease of this node to the next.
     async fn lead(
         &self,
-        lease: &GiverLease,
-        held: Held,
+        lease: &OrdersLease,
+        held: HeldLease,
         foreign_orders: &mut Vec<(String, Instant)>,
     ) {
-        let _with_instances = self.activities.with_instances.begin();
-        let _with_versions = self.activities.with_versions.begin();
+        let _with_instances = self.activities.instance_work.start();
+        let _with_versions = self.activities.version_work.start();
         if self.roster.drains.is_some() {
             // This node writes the roster from now on. A watch of drains whose answer was lost
             // would stay silent until its timeout.
-            self.coordination.doubt_watches();
+            self.coordination.cancel_watches();
         }
         let issuing = self.permits.start(held.watch_validity());
         let mut state = self.initial_state().await;
-        state.exclude_recently_ordered(std::mem::take(foreign_orders), self.options.quiet);
+        state.exclude_recently_ordered(std::mem::take(foreign_orders), self.options.quiet_period);
         let is_released = tokio::select! {
-            loss = lease.keep(&held) => {
-                log::warn!("event=giver_lease_lost fence={} reason={loss}", held.fence);
+            loss = lease.renew_until_lost(&held) => {
+                log::warn!("event=orders_lease_lost fence={} reason={loss}", held.fence);
                 false
             }
             reason = self.issue_orders_until_stopped(lease, &held, &mut state) => {
-                log::info!("event=giver_steps_down fence={} reason={reason}", held.fence);
+                log::info!("event=order_leader_steps_down fence={} reason={reason}", held.fence);
                 true
             }
             () = self.roster.run() => false,
@@ -237,13 +237,13 @@
         // After the release another node may hold the lease before this one notices.
         drop(issuing);
         *foreign_orders = std::mem::take(&mut state.foreign_orders);
-        foreign_orders.retain(|(_, ordered_at)| ordered_at.elapsed() < self.options.quiet);
+        foreign_orders.retain(|(_, ordered_at)| ordered_at.elapsed() < self.options.quiet_period);
         if held.is_recorded() {
-            let own = LastGiver {
+            let own = LastLeader {
                 node: self.nodes.own().node,
                 fence: held.fence,
             };
-            let orders = state.recent_orders(self.options.quiet);
+            let orders = state.recent_orders(self.options.quiet_period);
             announce_stop(&self.nodes, own, &orders).await;
         }
         if is_released {
@@ -252,7 +252,7 @@
     }
 
     /// Reports usage if configured; stops for good once a report is fenced.
-    async fn report_usage(&self, lease: &GiverLease, held: &Held) {
+    async fn report_usage(&self, lease: &OrdersLease, held: &HeldLease) {
         if let Some(usage) = &self.usage {
             usage.run(lease, held).await;
         }
@@ -260,7 +260,7 @@
     }
 
     /// Orders capacity if configured.
-    async fn order_capacity(&self, lease: &GiverLease, held: &Held) {
+    async fn order_capacity(&self, lease: &OrdersLease, held: &HeldLease) {
         if let Some(capacity) = &self.capacity {
             capacity.run(lease, held).await;
         }
@@ -270,8 +270,8 @@
     /// Returns the initial state of a new leader.
     async fn initial_state(&self) -> LeaderState {
         let mut state = LeaderState::default();
-        let learned = self.jobs.learnt_loads();
-        match learnt_limit(learned, self.coordination.as_ref()).await {
+        let learned = self.jobs.learned_load_limit();
+        match restore_load_limit(learned, self.coordination.as_ref()).await {
             Some(limit) => state.load_limit = limit,
             None => state.learn_from = Some(Instant::now() + SETTLING_PERIOD),
         }
@@ -280,7 +280,7 @@
 
     /// Ends the quiet period early if the previous leader announced its recent orders; only the
     /// instances of those stay excluded.
-    fn end_quiet_period_if_announced(&self, held: &Held, state: &mut LeaderState) {
+    fn end_quiet_period_if_announced(&self, held: &HeldLease, state: &mut LeaderState) {
         if !held.is_in_quiet_period() {
             return;
         }
@@ -288,11 +288,11 @@
         let announced = last.and_then(|last| self.jobs.ended_givers().recent_orders_of(last));
         if let Some(orders) = announced {
             log::info!(
-                "event=giver_quiet_over fence={} recent_orders={}",
+                "event=order_leader_quiet_period_ended fence={} recent_orders={}",
                 held.fence,
                 orders.len()
             );
-            state.exclude_recently_ordered(orders, self.options.quiet);
+            state.exclude_recently_ordered(orders, self.options.quiet_period);
             held.end_quiet_period();
         }
     }
@@ -301,8 +301,8 @@
     /// so that an instance that hangs delays neither other orders nor the checks of loads.
     async fn issue_orders_until_stopped(
         &self,
-        lease: &GiverLease,
-        held: &Held,
+        lease: &OrdersLease,
+        held: &HeldLease,
         state: &mut LeaderState,
     ) -> &'static str {
         let mut answers = FuturesUnordered::new();
@@ -312,7 +312,7 @@
             }
             self.refresh_demand(state).await;
             self.end_quiet_period_if_announced(held, state);
-            match lease.may_order(held).await {
+            match lease.may_issue_orders(held).await {
                 Ok(true) => {
                     self.check_loads(state).await;
                     for order in self.next_orders(state) {
@@ -321,9 +321,9 @@
                     }
                 }
                 Ok(false) => {}
-                Err(error) => log::warn!("event=giver_not_named cause=\"{error}\""),
+                Err(error) => log::warn!("event=orders_lease_check_failed cause=\"{error}\""),
             }
-            self.jobs.learnt_loads().note(&state.load_limit);
+            self.jobs.learned_load_limit().record(&state.load_limit);
             state
                 .limit_writer
                 .save(&state.load_limit, &self.coordination);
@@ -358,7 +358,7 @@
         let mut instances = self.fleet();
         // Weights in drained zones are not used, so none are loaded there and models are assigned
         // to the remaining zones.
-        instances.retain(|one| one.drain_gate() != Err(HoldReason::ZoneDrained));
+        instances.retain(|one| one.check_drain() != Err(HoldReason::ZoneDrained));
         let mut fleet: Vec<FleetInstance> = instances
             .iter()
             .map(|instance| FleetInstance {
@@ -399,13 +399,13 @@
         let services = config.services.iter();
         services
             .filter(|(_, service)| !service.models.is_empty())
-            .flat_map(|(name, _)| self.backends.of_service(name))
+            .flat_map(|(name, _)| self.backends.instances_of(name))
             .filter(|instance| instance.is_ready())
             .collect()
     }
 
     /// Sends one order; returns it with its outcome.
-    async fn send_order(&self, held: &Held, order: Order) -> (Order, Outcome) {
+    async fn send_order(&self, held: &HeldLease, order: Order) -> (Order, Outcome) {
         let outcome = self
             .send_order_to(held, &order.instance, &order.planned)
             .await;
@@ -414,7 +414,7 @@
 
     async fn send_order_to(
         &self,
-        held: &Held,
+        held: &HeldLease,
         instance: &Arc<Instance>,
         planned: &PlannedLoad,
     ) -> Outcome {
@@ -428,17 +428,17 @@
                 return Outcome::Pause(UNKNOWN_OUTCOME_PAUSE);
             }
         };
-        if !instance.is_start(report.started_unix_ms) {
-            self.backends.note_start(instance, report.started_unix_ms);
+        if !instance.matches_incarnation(report.started_unix_ms) {
+            self.backends.record_incarnation(instance, report.started_unix_ms);
             return Outcome::Pause(PLANNING_INTERVAL);
         }
         for (model, version) in &report.versions {
-            instance.note_version(model, *version);
+            instance.record_version(model, *version);
         }
         if report.busy || instance.version(&planned.model) >= planned.version {
             return Outcome::Pause(PLANNING_INTERVAL * 4);
         }
-        if Instant::now() + CALL_TIMEOUT >= held.proven_until() {
+        if Instant::now() + CALL_TIMEOUT >= held.valid_until() {
             return Outcome::Pause(PLANNING_INTERVAL);
         }
         let order = VersionOrder {
@@ -460,11 +460,11 @@
             Err(_) => ("in_doubt", Outcome::Unknown),
         };
         if label == "taken" {
-            instance.note_loading(&planned.model, Instant::now() + LOADING_PAUSE * 4);
+            instance.mark_loading(&planned.model, Instant::now() + LOADING_PAUSE * 4);
         }
         self.metrics.orders.with_label_values(&[label]).inc();
         log::info!(
-            "event=order_given instance={} model={} version={} had={} fence={} expected={} outcome={label} status={}",
+            "event=order_issued instance={} model={} version={} had={} fence={} expected={} outcome={label} status={}",
             instance.id(),
             planned.model,
             planned.version,
--- a/crates/front/src/orders/leader_state.rs
+++ b/crates/front/src/orders/leader_state.rs
@@ -7,7 +7,7 @@
 use super::demand::FleetDemand;
 use super::link_use::LinkUse;
 use super::load_limit::{FinishedLoad, LoadLimit, LoadTiming};
-use super::load_limit_store::LearntWriter;
+use super::load_limit_store::LoadLimitWriter;
 use super::plan::{Assignment, FleetInstance, ModelDemand, PlannedLoad, max_trades};
 use super::weight_updates::WeightUpdateSender;
 use crate::backend::Instance;
@@ -60,7 +60,7 @@
     /// Weight updates to send to the fronts.
     pub weight_updates: WeightUpdateSender,
     /// Persists the learned load limit.
-    pub limit_writer: LearntWriter,
+    pub limit_writer: LoadLimitWriter,
 }
 
 /// Load in progress.
@@ -109,21 +109,21 @@
     }
 
     /// Excludes the instances that received an order of another leader less than `quiet` ago.
-    pub fn exclude_recently_ordered(&mut self, orders: Vec<(String, Instant)>, quiet: Duration) {
+    pub fn exclude_recently_ordered(&mut self, orders: Vec<(String, Instant)>, quiet_period: Duration) {
         for (instance, ordered_at) in &orders {
             self.excluded_until
-                .insert(instance.clone(), *ordered_at + quiet);
+                .insert(instance.clone(), *ordered_at + quiet_period);
             self.ordered_at.insert(instance.clone(), *ordered_at);
         }
         self.foreign_orders.extend(orders);
     }
 
     /// Returns the instances that received orders less than `quiet` ago.
-    pub fn recent_orders(&self, quiet: Duration) -> Vec<(String, Instant)> {
+    pub fn recent_orders(&self, quiet_period: Duration) -> Vec<(String, Instant)> {
         let recent = self
             .ordered_at
             .iter()
-            .filter(|(_, at)| at.elapsed() < quiet);
+            .filter(|(_, at)| at.elapsed() < quiet_period);
         recent.map(|(id, at)| (id.clone(), *at)).collect()
     }
 
@@ -218,9 +218,9 @@
                 "event=load_limit_changed limit={} before={before} taken_ms={} usual_ms={} at_begin={} near={}",
                 self.load_limit.get(),
                 finished.taken.as_millis(),
-                self.load_limit.usual().unwrap_or_default().as_millis(),
+                self.load_limit.typical_load_time().unwrap_or_default().as_millis(),
                 finished.concurrent_at_start,
-                self.load_limit.is_near()
+                self.load_limit.is_near_capacity()
             );
         }
     }
--- a/crates/front/src/orders/lease.rs
+++ b/crates/front/src/orders/lease.rs
@@ -34,14 +34,14 @@
 
 /// Node that issued orders last, as stored in the persistent record.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct LastGiver {
+pub struct LastLeader {
     /// Name of the node.
     pub node: String,
     /// Fence of its lease.
     pub fence: u64,
 }
 
-impl LastGiver {
+impl LastLeader {
     fn write(&self) -> Vec<u8> {
         format!("{} {}", self.node, self.fence).into_bytes()
     }
@@ -59,30 +59,30 @@
 
 /// Orders lease that this node holds.
 #[derive(Debug)]
-pub struct Held {
+pub struct HeldLease {
     lease: LeaseId,
     /// Fencing token; increases with each holder.
     pub fence: u64,
     /// Node that issued orders last; `None` if no orders were ever issued.
-    pub last: Option<LastGiver>,
+    pub last: Option<LastLeader>,
     /// Time until which the lease is certain to be valid, counted on the monotonic clock from the
     /// start of the last renewal.
-    proven_until: watch::Sender<Instant>,
+    valid_until: watch::Sender<Instant>,
     /// End of the quiet period after the previous leader's orders.
     quiet_until: watch::Sender<Instant>,
     /// The persistent record names this holder.
     is_recorded: AtomicBool,
 }
 
-impl Held {
+impl HeldLease {
     /// Returns the time until which the lease is certain to be valid.
-    pub fn proven_until(&self) -> Instant {
-        *self.proven_until.borrow()
+    pub fn valid_until(&self) -> Instant {
+        *self.valid_until.borrow()
     }
 
     /// Watches the time until which the lease is certain to be valid.
     pub fn watch_validity(&self) -> watch::Receiver<Instant> {
-        self.proven_until.subscribe()
+        self.valid_until.subscribe()
     }
 
     /// Returns true if this holder may have issued orders.
@@ -106,28 +106,28 @@
 pub enum LeaseLoss {
     /// The store reports that the lease has expired.
     #[error("over")]
-    Over,
+    Expired,
     /// The lease could not be renewed in time.
     #[error("unproven")]
     NotRenewed,
 }
 
 /// Acquires, renews and verifies the orders lease for one node.
-pub struct GiverLease {
+pub struct OrdersLease {
     /// Client of the coordination store.
     pub coordination: Arc<dyn Coordination>,
     /// Name of this node; a restarted process counts as the same holder.
     pub node: String,
     /// Minimum time between orders of two holders.
-    pub quiet: Duration,
+    pub quiet_period: Duration,
 }
 
-impl GiverLease {
+impl OrdersLease {
     /// Acquires the lease if it is free.
     ///
     /// # Errors
     /// When the store does not answer. The lease may then be held, unused, until it expires.
-    pub async fn take(&self) -> Result<Option<Held>, CoordinationError> {
+    pub async fn acquire(&self) -> Result<Option<HeldLease>, CoordinationError> {
         let record = self.coordination.get(LEASE_KEY).await?;
         // A record that names this node belongs to an earlier process, which issues no more orders.
         let is_own = record
@@ -162,19 +162,19 @@
                 let quiet_until = if self.is_own(last.as_ref()) || last.is_none() {
                     Instant::now()
                 } else {
-                    last_order_before + self.quiet
+                    last_order_before + self.quiet_period
                 };
                 log::info!(
-                    "event=giver_lease_gained lease={lease} fence={revision} last={last:?} quiet_ms={}",
+                    "event=orders_lease_acquired lease={lease} fence={revision} last={last:?} quiet_ms={}",
                     quiet_until
                         .saturating_duration_since(Instant::now())
                         .as_millis()
                 );
-                Ok(Some(Held {
+                Ok(Some(HeldLease {
                     lease,
                     fence: revision,
                     last,
-                    proven_until: watch::Sender::new(requested_at + LEASE_DURATION),
+                    valid_until: watch::Sender::new(requested_at + LEASE_DURATION),
                     quiet_until: watch::Sender::new(quiet_until),
                     is_recorded: AtomicBool::new(false),
                 }))
@@ -197,24 +197,24 @@
     }
 
     /// Renews the lease until it is lost.
-    pub async fn keep(&self, held: &Held) -> LeaseLoss {
+    pub async fn renew_until_lost(&self, held: &HeldLease) -> LeaseLoss {
         tokio::time::sleep(RENEWAL_INTERVAL).await;
         loop {
             match self.renew(held).await {
                 Ok(()) => tokio::time::sleep(RENEWAL_INTERVAL).await,
-                Err(CoordinationError::LeaseOver) => return LeaseLoss::Over,
+                Err(CoordinationError::LeaseExpired) => return LeaseLoss::Expired,
                 Err(error) => {
-                    log::warn!("event=giver_lease_not_renewed cause=\"{error}\"");
+                    log::warn!("event=orders_lease_renewal_failed cause=\"{error}\"");
                     tokio::time::sleep(RENEWAL_RETRY_PAUSE).await;
                 }
             }
-            if Instant::now() >= held.proven_until() {
+            if Instant::now() >= held.valid_until() {
                 return LeaseLoss::NotRenewed;
             }
         }
     }
 
-    async fn renew(&self, held: &Held) -> Result<(), CoordinationError> {
+    async fn renew(&self, held: &HeldLease) -> Result<(), CoordinationError> {
         let requested_at = Instant::now();
         let renewal = self.coordination.renew(held.lease);
         let renewed = tokio::time::timeout(RENEWAL_TIMEOUT, renewal).await;
@@ -222,7 +222,7 @@
             let cause = "no answer to a renewal in time".to_owned();
             Err(CoordinationError::Unknown(cause))
         })?;
-        held.proven_until
+        held.valid_until
             .send_replace(requested_at + LEASE_DURATION);
         Ok(())
     }
@@ -232,12 +232,12 @@
     ///
     /// # Errors
     /// When the store did not accept that record. No order may be issued then.
-    pub async fn may_order(&self, held: &Held) -> Result<bool, CoordinationError> {
+    pub async fn may_issue_orders(&self, held: &HeldLease) -> Result<bool, CoordinationError> {
         if held.is_in_quiet_period() {
             return Ok(false);
         }
         if !held.is_recorded() {
-            let own = LastGiver {
+            let own = LastLeader {
                 node: self.node.clone(),
                 fence: held.fence,
             };
@@ -246,22 +246,22 @@
                 .await?;
             held.is_recorded.store(true, Ordering::Relaxed);
         }
-        Ok(Instant::now() < held.proven_until())
+        Ok(Instant::now() < held.valid_until())
     }
 
     /// Releases the lease.
-    pub async fn release(&self, held: &Held) {
+    pub async fn release(&self, held: &HeldLease) {
         let _ = self.coordination.revoke(held.lease).await;
-        log::info!("event=giver_lease_released fence={}", held.fence);
+        log::info!("event=orders_lease_released fence={}", held.fence);
     }
 
-    async fn last(&self) -> Result<Option<LastGiver>, CoordinationError> {
+    async fn last(&self) -> Result<Option<LastLeader>, CoordinationError> {
         let record = self.coordination.get(LAST_LEADER_KEY).await?;
-        Ok(record.map(|record| LastGiver::read(&record.value)))
+        Ok(record.map(|record| LastLeader::read(&record.value)))
     }
 
     /// Returns true if this node issued orders last.
-    fn is_own(&self, last: Option<&LastGiver>) -> bool {
+    fn is_own(&self, last: Option<&LastLeader>) -> bool {
         last.is_some_and(|last| last.node == self.node)
     }
 }
--- a/crates/front/src/orders/load_checks.rs
+++ b/crates/front/src/orders/load_checks.rs
@@ -6,7 +6,7 @@
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use ladderstage_clock::Instant;
 
-use super::leader::OrderGiver;
+use super::leader::OrderLeader;
 use super::leader_state::{LeaderState, Load};
 use crate::backend::Instance;
 
@@ -26,7 +26,7 @@
     Abandoned,
 }
 
-impl OrderGiver {
+impl OrderLeader {
     /// Checks all loads that are due, concurrently, so that an instance that hangs does not delay
     /// the updates of others.
     pub(super) async fn check_loads(&self, state: &mut LeaderState) {
@@ -60,7 +60,7 @@
 
     /// Checks one load; `instance` is `None` if it is gone.
     async fn check_load(&self, instance: Option<&Arc<Instance>>, load: &Load) -> LoadCheck {
-        let is_same_start = |one: &&Arc<Instance>| one.is_start(load.started_unix_ms);
+        let is_same_start = |one: &&Arc<Instance>| one.matches_incarnation(load.started_unix_ms);
         let instance = instance.filter(is_same_start);
         let Some(instance) = instance.filter(|_| Instant::now() < load.abandon_at) else {
             return LoadCheck::Abandoned;
@@ -74,12 +74,12 @@
         let Ok(Ok(report)) = request.await else {
             return LoadCheck::NoAnswer;
         };
-        if !instance.is_start(report.started_unix_ms) {
-            self.backends.note_start(instance, report.started_unix_ms);
+        if !instance.matches_incarnation(report.started_unix_ms) {
+            self.backends.record_incarnation(instance, report.started_unix_ms);
             return LoadCheck::Abandoned;
         }
         for (model, version) in &report.versions {
-            instance.note_version(model, *version);
+            instance.record_version(model, *version);
         }
         if !report.busy && is_loaded() {
             LoadCheck::ReportedLoaded
--- a/crates/front/src/orders/load_limit.rs
+++ b/crates/front/src/orders/load_limit.rs
@@ -130,13 +130,13 @@
     shortest: Option<Duration>,
     /// Recent load times at low concurrency, and their median.
     typical_times: VecDeque<Duration>,
-    usual: Option<Duration>,
+    typical_load_time: Option<Duration>,
     /// Highest concurrency at which loads were not slowed down.
     proven: f64,
     /// `None` if no saturation was observed here.
     saturation: Option<Saturation>,
     /// A slowdown was observed, here or by an earlier leader, so the limit no longer doubles.
-    is_near: bool,
+    is_near_capacity: bool,
     samples: VecDeque<LoadSample>,
     /// Unslowed loads since the last increase that used the limit.
     unslowed_loads: usize,
@@ -172,10 +172,10 @@
             limit: MIN_LIMIT,
             shortest: None,
             typical_times: VecDeque::new(),
-            usual: None,
+            typical_load_time: None,
             proven: 0.0,
             saturation: None,
-            is_near: false,
+            is_near_capacity: false,
             samples: VecDeque::new(),
             unslowed_loads: 0,
         }
@@ -185,14 +185,14 @@
 impl LoadLimit {
     /// Creates a limit from the values that another leader learned: the limit, the typical load
     /// time, and whether the limit is close to the capacity of the link.
-    pub fn from_learnt(limit: usize, usual: Duration, is_near: bool) -> Self {
+    pub fn from_learned(limit: usize, typical_load_time: Duration, is_near_capacity: bool) -> Self {
         Self {
             limit: limit.max(MIN_LIMIT),
-            shortest: Some(usual),
-            typical_times: VecDeque::from([usual]),
-            usual: Some(usual),
+            shortest: Some(typical_load_time),
+            typical_times: VecDeque::from([typical_load_time]),
+            typical_load_time: Some(typical_load_time),
             proven: limit as f64 / PROBE_FACTOR,
-            is_near,
+            is_near_capacity,
             ..Self::default()
         }
     }
@@ -208,20 +208,20 @@
     }
 
     /// Returns the typical load time at low concurrency; `None` before the first load.
-    pub fn usual(&self) -> Option<Duration> {
-        self.usual
+    pub fn typical_load_time(&self) -> Option<Duration> {
+        self.typical_load_time
     }
 
     fn set_typical_times(&mut self, times: VecDeque<Duration>) {
         let mut sorted: Vec<Duration> = times.iter().copied().collect();
         sorted.sort();
-        self.usual = sorted.get(sorted.len().saturating_sub(1) / 2).copied();
+        self.typical_load_time = sorted.get(sorted.len().saturating_sub(1) / 2).copied();
         self.typical_times = times;
     }
 
     /// Returns true once a slowdown was observed.
-    pub fn is_near(&self) -> bool {
-        self.is_near
+    pub fn is_near_capacity(&self) -> bool {
+        self.is_near_capacity
     }
 
     /// Updates the limit from a finished load. A load that was noticed late can count as unslowed,
@@ -241,10 +241,10 @@
         if load.timing == LoadTiming::Exact {
             self.observe_typical_time(load.taken, load.link.max_concurrent());
         }
-        let Some(usual) = self.usual() else {
+        let Some(typical_load_time) = self.typical_load_time() else {
             return;
         };
-        let ratio = load.taken.as_secs_f64() / usual.as_secs_f64().max(f64::MIN_POSITIVE);
+        let ratio = load.taken.as_secs_f64() / typical_load_time.as_secs_f64().max(f64::MIN_POSITIVE);
         if ratio > MAX_UNSLOWED_RATIO && !self.is_conclusive(load, now) {
             return;
         }
@@ -253,9 +253,9 @@
             ratio,
             concurrent,
             capacity_by_start: load.concurrent_at_start as f64 / ratio,
-            capacity_by_share: load.link.capacity(usual),
+            capacity_by_share: load.link.capacity(typical_load_time),
         });
-        self.is_near |= self.holds_for_most(|load| load.ratio > MAX_UNSLOWED_RATIO);
+        self.is_near_capacity |= self.holds_for_most(|load| load.ratio > MAX_UNSLOWED_RATIO);
         if self.holds_for_most(|load| load.ratio >= MIN_SLOW_RATIO) {
             self.handle_saturation(now);
             return;
@@ -269,7 +269,7 @@
     /// Updates the typical time from the first load, and from loads at low concurrency.
     fn observe_typical_time(&mut self, taken: Duration, max_concurrent: usize) {
         let low_concurrency = (self.proven * LOW_CONCURRENCY_RATIO).max(MIN_LIMIT as f64);
-        if max_concurrent as f64 > low_concurrency && self.usual.is_some() {
+        if max_concurrent as f64 > low_concurrency && self.typical_load_time.is_some() {
             return;
         }
         let mut times = std::mem::take(&mut self.typical_times);
@@ -374,7 +374,7 @@
             return;
         }
         self.proven = Estimate::of(above_proven.iter().map(|load| load.concurrent)).value;
-        if !self.is_near {
+        if !self.is_near_capacity {
             let probe = (self.proven * PROBE_FACTOR).round() as usize;
             self.limit = self.limit.max(probe);
         }
@@ -384,7 +384,7 @@
     fn increase_near_capacity(&mut self, concurrent: f64, now: Instant) {
         let is_holding = |last: &Saturation| now.saturating_duration_since(last.at) < last.hold;
         let is_on_hold = self.saturation.as_ref().is_some_and(is_holding);
-        if !self.is_near || is_on_hold || concurrent < self.limit as f64 * USED_LIMIT_RATIO {
+        if !self.is_near_capacity || is_on_hold || concurrent < self.limit as f64 * USED_LIMIT_RATIO {
             return;
         }
         self.unslowed_loads += 1;
--- a/crates/front/src/orders/permits/ledger.rs
+++ b/crates/front/src/orders/permits/ledger.rs
@@ -15,7 +15,7 @@
 
 /// Time for which a new holder issues no permits, so that its permits and those of an earlier
 /// holder are not used in the same window.
-pub const QUIET_TIME: Duration = ISSUE_WINDOW;
+pub const PERMIT_QUIET_PERIOD: Duration = ISSUE_WINDOW;
 
 /// Permits issued by one holder.
 #[derive(Debug)]
@@ -29,14 +29,14 @@
     /// Creates the ledger of a holder whose lease started at `held_from` or earlier.
     pub fn new(held_from: Instant) -> Self {
         Self {
-            issues_from: held_from + QUIET_TIME,
+            issues_from: held_from + PERMIT_QUIET_PERIOD,
             issued: BTreeMap::new(),
         }
     }
 
     /// Issues up to `requested` permits for an instance, at most `max` in any window. Returns the
     /// number issued.
-    pub fn deal(&mut self, instance: &str, requested: u32, max: u32, now: Instant) -> u32 {
+    pub fn issue(&mut self, instance: &str, requested: u32, max: u32, now: Instant) -> u32 {
         if now < self.issues_from {
             return 0;
         }
--- a/crates/front/src/orders/permits/permit_issuer.rs
+++ b/crates/front/src/orders/permits/permit_issuer.rs
@@ -14,7 +14,7 @@
 
 /// Answers permit requests. Cheap to clone.
 #[derive(Debug, Clone, Default)]
-pub struct PermitDealer {
+pub struct PermitIssuer {
     limits: ColdLimits,
     held: Arc<Mutex<Option<HeldLedger>>>,
 }
@@ -22,23 +22,23 @@
 /// Lease under which this node issues permits.
 #[derive(Debug)]
 struct HeldLedger {
-    proven_until: watch::Receiver<Instant>,
+    valid_until: watch::Receiver<Instant>,
     ledger: PermitLedger,
 }
 
 /// Guard during whose lifetime this node issues permits.
 #[derive(Debug)]
 pub struct IssuingGuard {
-    dealer: PermitDealer,
+    issuer: PermitIssuer,
 }
 
 impl Drop for IssuingGuard {
     fn drop(&mut self) {
-        *self.dealer.lock() = None;
+        *self.issuer.lock() = None;
     }
 }
 
-impl PermitDealer {
+impl PermitIssuer {
     /// Creates an issuer that applies the given limits.
     pub fn new(limits: ColdLimits) -> Self {
         Self {
@@ -49,30 +49,30 @@
 
     /// Starts to issue permits under a newly acquired lease. `proven_until` is the time until which
     /// the lease is certain to be valid.
-    pub fn start(&self, proven_until: watch::Receiver<Instant>) -> IssuingGuard {
+    pub fn start(&self, valid_until: watch::Receiver<Instant>) -> IssuingGuard {
         *self.lock() = Some(HeldLedger {
-            proven_until,
+            valid_until,
             ledger: PermitLedger::new(Instant::now()),
         });
         IssuingGuard {
-            dealer: self.clone(),
+            issuer: self.clone(),
         }
     }
 
     /// Issues the requested permits within the limits; `None` unless this node is certain to hold
     /// the lease.
-    pub fn deal(&self, request: &AskSendPermits) -> Option<SendPermits> {
+    pub fn issue(&self, request: &AskSendPermits) -> Option<SendPermits> {
         let now = Instant::now();
         let mut held = self.lock();
         let held = held.as_mut()?;
-        if now >= *held.proven_until.borrow() {
+        if now >= *held.valid_until.borrow() {
             return None;
         }
         let requested = request.wanted.iter().take(MAX_INSTANCES);
         let issued = requested.filter_map(|requested| {
             let limit = self.limits.get(&requested.service)?;
             let ledger = &mut held.ledger;
-            let count = ledger.deal(&requested.instance, requested.count, limit.dealt, now);
+            let count = ledger.issue(&requested.instance, requested.count, limit.dealt, now);
             (count > 0).then(|| SendPermit {
                 count,
                 ..requested.clone()
--- a/crates/front/src/orders/permits/requester.rs
+++ b/crates/front/src/orders/permits/requester.rs
@@ -10,9 +10,9 @@
 use ladderstage_wire::messages::mod_Response::OneOfkind as ResponseKind;
 use ladderstage_wire::messages::{AskSendPermits, Request, SendPermit, SendPermits};
 
-use super::permit_issuer::PermitDealer;
+use super::permit_issuer::PermitIssuer;
 use crate::backend::{BackendTable, ColdAllowance, PERMIT_LIFETIME};
-use crate::config::ConfigInForce;
+use crate::config::CurrentConfig;
 use crate::metrics::Metrics;
 use crate::nodes::{NodeRole, Nodes};
 use crate::orders::candidates::ranked_nodes;
@@ -35,23 +35,23 @@
 const MAX_NODES_ASKED: usize = 6;
 
 /// Applies the configured limits and requests permits for this node.
-pub struct PermitAsker {
+pub struct PermitRequester {
     /// Excess over the capacity of cold instances that callers are allowed; `None` disables the
     /// limits.
     pub allowance: Option<ColdAllowance>,
     /// Known instances.
     pub backends: BackendTable,
     /// Services and their limits.
-    pub config: ConfigInForce,
+    pub config: CurrentConfig,
     /// Other nodes.
     pub nodes: Nodes,
     /// Issuer on this node. It is asked first, as this node may hold the lease itself.
-    pub dealer: PermitDealer,
+    pub issuer: PermitIssuer,
     /// Metrics of this front.
     pub metrics: Arc<Metrics>,
 }
 
-impl PermitAsker {
+impl PermitRequester {
     /// Requests permits for as long as the future is polled.
     pub async fn run(&self) {
         let Some(allowance) = self.allowance else {
@@ -81,7 +81,7 @@
         loop {
             let mut wanted = wants.take().await;
             tokio::time::sleep(BATCH_DELAY).await;
-            wanted.append(&mut wants.take_noted());
+            wanted.append(&mut wants.drain_pending());
             let instances = wanted.len();
             let (permits, until) = self.request(wanted, &mut last_issuer).await;
             if last_issuer.is_none() {
@@ -113,7 +113,7 @@
     ) -> (SendPermits, Instant) {
         let request = self.build_request(wanted);
         let requested_at = Instant::now();
-        if let Some(permits) = self.dealer.deal(&request) {
+        if let Some(permits) = self.issuer.issue(&request) {
             *last_issuer = Some(self.nodes.own().node);
             return (permits, requested_at + PERMIT_LIFETIME);
         }
--- a/crates/front/src/orders/weight_updates.rs
+++ b/crates/front/src/orders/weight_updates.rs
@@ -22,13 +22,13 @@
 /// Load limit learned by order leaders, from which a later leader on this node starts. Cheap to
 /// clone.
 #[derive(Debug, Clone, Default)]
-pub struct LearntLoads {
+pub struct LearnedLoadLimit {
     limit: Arc<Mutex<Option<LoadLimit>>>,
 }
 
-impl LearntLoads {
+impl LearnedLoadLimit {
     /// Records the limit that this node learned or received, once it is based on a finished load.
-    pub fn note(&self, limit: &LoadLimit) {
+    pub fn record(&self, limit: &LoadLimit) {
         if limit.shortest().is_some() {
             *self.lock() = Some(limit.clone());
         }
@@ -83,9 +83,9 @@
         }
         let kind = RequestKind::weight_news(WeightNews {
             instances: std::mem::take(&mut self.updates),
-            usual_load_ms: limit.usual().unwrap_or_default().as_millis() as u64,
+            usual_load_ms: limit.typical_load_time().unwrap_or_default().as_millis() as u64,
             load_limit: limit.get() as u64,
-            limit_is_near: limit.is_near(),
+            limit_is_near: limit.is_near_capacity(),
         });
         let own = nodes.own().node;
         for front in recipients.iter().filter(|front| **front != own) {
@@ -94,7 +94,7 @@
             let request = Request { kind: kind.clone() };
             self.calls.spawn(async move {
                 if let Err(error) = nodes.call(&front, request, UPDATE_TIMEOUT).await {
-                    log::debug!("event=weight_news_lost node={front} cause=\"{error}\"");
+                    log::debug!("event=weight_update_not_sent node={front} cause=\"{error}\"");
                 }
             });
         }
--- a/crates/front/tests/capacity_plan.rs
+++ b/crates/front/tests/capacity_plan.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use ladderstage_clock::Instant;
-use ladderstage_front::backend::Discovered;
+use ladderstage_front::backend::DiscoveredInstance;
 use ladderstage_front::capacity::{
     CapacityOrderError, CapacityPlanner, DesiredCapacity, DesiredCount, FleetState, InstanceKind,
-    LossReason, Outbox, Subject,
+    LossReason, Outbox, InstancePool,
 };
 use ladderstage_front::config::{ScalingSpec, ServiceSpec};
 use proptest::prelude::*;
@@ -46,9 +46,9 @@
     let prices = [("a", 0.85), ("b", 1.2), ("c", 1.0)];
     ServiceSpec {
         scaling: Some(ScalingSpec {
-            least: 1,
-            most: MAX_INSTANCES,
-            boot: Duration::from_secs(4),
+            min_per_zone: 1,
+            max_per_zone: MAX_INSTANCES,
+            boot_time: Duration::from_secs(4),
             preemptible_price,
             zone_prices: prices.map(|(zone, price)| (zone.to_owned(), price)).into(),
         }),
@@ -56,8 +56,8 @@
     }
 }
 
-fn subject(zone: &str, kind: InstanceKind) -> Subject {
-    Subject {
+fn pool(zone: &str, kind: InstanceKind) -> InstancePool {
+    InstancePool {
         service: SERVICE.into(),
         zone: zone.into(),
         kind,
@@ -117,10 +117,10 @@
         }
     }
 
-    fn discovered(&self) -> Vec<Discovered> {
+    fn discovered(&self) -> Vec<DiscoveredInstance> {
         let instances = self.instances.iter();
         instances
-            .map(|(id, (zone, kind, state))| Discovered {
+            .map(|(id, (zone, kind, state))| DiscoveredInstance {
                 id: id.clone(),
                 service: SERVICE.to_owned(),
                 address: "127.0.0.1:9".parse().unwrap(),
@@ -163,7 +163,7 @@
     }
 
     fn desired_count(&self, zone: &str, kind: InstanceKind) -> DesiredCount {
-        self.planner.desired_capacity().get(&subject(zone, kind))
+        self.planner.desired_capacity().get(&pool(zone, kind))
     }
 
     /// Returns the extra preemptible instances by zone.
@@ -296,7 +296,7 @@
         "those still to come stay as well"
     );
     let again = || fleet.planner.pools_to_reorder(&fleet.drained, fleet.now);
-    assert_eq!(again(), [subject("b", PREEMPTIBLE)]);
+    assert_eq!(again(), [pool("b", PREEMPTIBLE)]);
     fleet.deliver();
     fleet.run_round();
     assert_eq!(
@@ -314,7 +314,7 @@
     let now = fleet.now;
     fleet
         .planner
-        .mark_unavailable(&subject("b", PREEMPTIBLE), now);
+        .mark_unavailable(&pool("b", PREEMPTIBLE), now);
     fleet.run_round();
     assert_eq!(fleet.preemptible_extra(), [1, 0, 1]);
 }
@@ -328,7 +328,7 @@
         let now = fleet.now;
         fleet
             .planner
-            .mark_unavailable(&subject(zone, PREEMPTIBLE), now);
+            .mark_unavailable(&pool(zone, PREEMPTIBLE), now);
     }
     fleet.run_round();
     assert_eq!(fleet.preemptible_extra(), [0; 3]);
@@ -368,7 +368,7 @@
     fleet.remove("b", PREEMPTIBLE, 2);
     fleet.wait(LONGER_THAN_ANY_DELAY);
     let again = fleet.planner.pools_to_reorder(&fleet.drained, fleet.now);
-    assert!(again.contains(&subject("b", PREEMPTIBLE)));
+    assert!(again.contains(&pool("b", PREEMPTIBLE)));
     assert_eq!(fleet.desired_count("b", PREEMPTIBLE).found, 2);
 }
 
@@ -491,8 +491,8 @@
                 self.drained.remove(ZONES[*zone]);
             }
             Step::MarkUnavailable(zone, preemptible) => {
-                let subject = subject(ZONES[*zone], kind(*preemptible));
-                self.planner.mark_unavailable(&subject, self.now);
+                let pool = pool(ZONES[*zone], kind(*preemptible));
+                self.planner.mark_unavailable(&pool, self.now);
             }
             Step::DiscardObservations => self.planner.discard_observations(),
             Step::Deliver => self.deliver(),
@@ -545,7 +545,7 @@
                 let known = fleet.planner.desired_capacity();
                 let has_no_extra = [ON_DEMAND, PREEMPTIBLE]
                     .iter()
-                    .all(|kind| known.get(&subject(zone, *kind)).extra == 0);
+                    .all(|kind| known.get(&pool(zone, *kind)).extra == 0);
                 // Nothing is ordered in a drained zone while the fleet is known.
                 if !steps.iter().any(|step| matches!(step, Step::DiscardObservations | Step::NewHolder)) {
                     prop_assert!(has_no_extra);
@@ -583,7 +583,7 @@
 
 #[test]
 fn an_order_is_repeated_until_accepted_and_after_a_late_execution_window() {
-    let (a, start) = (subject("a", PREEMPTIBLE), Instant::now());
+    let (a, start) = (pool("a", PREEMPTIBLE), Instant::now());
     let pause = Duration::from_secs(6);
     let lost = || Err(CapacityOrderError::Unknown("no answer".to_owned()));
     let mut outbox = Outbox::default();
@@ -601,7 +601,7 @@
 
 #[test]
 fn accepting_a_superseded_count_leaves_the_newer_order_due() {
-    let (a, start) = (subject("a", PREEMPTIBLE), Instant::now());
+    let (a, start) = (pool("a", PREEMPTIBLE), Instant::now());
     let mut outbox = Outbox::default();
     outbox.set_desired(&a, 6, start);
     outbox.set_desired(&a, 2, start);
@@ -611,7 +611,7 @@
 
 #[test]
 fn rejected_orders_are_retried_with_backoff() {
-    let (a, start) = (subject("a", PREEMPTIBLE), Instant::now());
+    let (a, start) = (pool("a", PREEMPTIBLE), Instant::now());
     let mut outbox = Outbox::default();
     outbox.set_desired(&a, 6, start);
     let mut now = start;
@@ -637,7 +637,7 @@
         extra: 2,
         is_ordered: true,
     };
-    desired_capacity.set(&subject("a", PREEMPTIBLE), count);
+    desired_capacity.set(&pool("a", PREEMPTIBLE), count);
     let text = serde_json::to_string(&desired_capacity).unwrap();
     assert_eq!(
         serde_json::from_str::<DesiredCapacity>(&text).unwrap(),
@@ -645,5 +645,5 @@
     );
     let later = r#"{"services":{"model":{"a":{"preemptible":{"found":5,"of_later":1},"of_later":{}}}},"of_later":[]}"#;
     let read: DesiredCapacity = serde_json::from_str(later).unwrap();
-    assert_eq!(read.get(&subject("a", PREEMPTIBLE)).desired(), 5);
+    assert_eq!(read.get(&pool("a", PREEMPTIBLE)).desired(), 5);
 }
