--- a/crates/front/src/capacity/controller.rs
+++ b/crates/front/src/capacity/controller.rs
@@ -21,7 +21,7 @@
 use crate::config::{CurrentConfig, ServingConfig};
 use crate::coordination::{Coordination, CoordinationError, SwapResult};
 use crate::metrics::Metrics;
-use crate::orders::{OrdersLease, HeldLease};
+use crate::orders::{HeldLease, OrdersLease};
 use crate::roster::DiscoveryView;
 
 /// Key of the desired capacity.
@@ -310,9 +310,7 @@
 
     /// Counts and logs an order; `extra` is the number of its instances beyond the found ones.
     fn report(&self, order: &CapacityOrder, outcome: &Result<(), CapacityOrderError>, extra: u32) {
-        let CapacityOrder {
-            pool, desired, ..
-        } = order;
+        let CapacityOrder { pool, desired, .. } = order;
         let label = outcome
             .as_ref()
             .map_or_else(CapacityOrderError::label, |()| "taken");
@@ -359,5 +357,5 @@
 fn max_start_time(config: &ServingConfig, pool: &InstancePool) -> Duration {
     let service = config.services.get(pool.service.as_ref());
     let scaling = service.and_then(|service| service.scaling.as_ref());
-    scaling.map_or(START_MARGIN, |scaling| scaling.boot + START_MARGIN)
+    scaling.map_or(START_MARGIN, |scaling| scaling.boot_time + START_MARGIN)
 }
--- a/crates/front/src/capacity/counts.rs
+++ b/crates/front/src/capacity/counts.rs
@@ -54,7 +54,9 @@
 }
 
 /// Counts instances by pool.
-pub fn count_instances(instances: &[DiscoveredInstance]) -> BTreeMap<InstancePool, PresentInstances> {
+pub fn count_instances(
+    instances: &[DiscoveredInstance],
+) -> BTreeMap<InstancePool, PresentInstances> {
     let mut counts = BTreeMap::<InstancePool, PresentInstances>::new();
     for instance in instances {
         let kind = if instance.is_preemptible {
--- a/crates/front/src/capacity/mod.rs
+++ b/crates/front/src/capacity/mod.rs
@@ -15,7 +15,7 @@
 pub mod sink;
 
 pub use controller::CapacityController;
-pub use counts::{InstanceKind, PresentInstances, InstancePool, count_instances};
+pub use counts::{InstanceKind, InstancePool, PresentInstances, count_instances};
 pub use desired::{DesiredCapacity, DesiredCount};
 pub use losses::{LossReason, Losses};
 pub use outbox::Outbox;
--- a/crates/front/src/capacity/planner.rs
+++ b/crates/front/src/capacity/planner.rs
@@ -7,7 +7,7 @@
 
 use ladderstage_clock::Instant;
 
-use super::counts::{InstanceKind, PresentInstances, InstancePool, count_instances};
+use super::counts::{InstanceKind, InstancePool, PresentInstances, count_instances};
 use super::desired::{DesiredCapacity, DesiredCount};
 use super::losses::{LossReason, Losses};
 use super::outbox::LATE_EXECUTION_WINDOW;
@@ -96,8 +96,7 @@
         let ordered = desired_capacity
             .subjects()
             .filter(|(_, count)| count.is_ordered);
-        let ordered =
-            ordered.map(|(pool, _)| (pool, (u32::MAX, now + LATE_EXECUTION_WINDOW)));
+        let ordered = ordered.map(|(pool, _)| (pool, (u32::MAX, now + LATE_EXECUTION_WINDOW)));
         Self {
             max_ordered_until: ordered.collect(),
             desired_capacity,
@@ -176,7 +175,11 @@
 
     /// Returns the pools that lack preemptible instances. Only an order in the same zone replaces
     /// these.
-    pub fn pools_to_reorder(&self, drained: &BTreeSet<Arc<str>>, now: Instant) -> Vec<InstancePool> {
+    pub fn pools_to_reorder(
+        &self,
+        drained: &BTreeSet<Arc<str>>,
+        now: Instant,
+    ) -> Vec<InstancePool> {
         let is_short = |pool: &InstancePool, serving: u32| {
             serving < self.desired_capacity.get(pool).desired()
                 && !drained.contains(&pool.zone)
@@ -271,10 +274,7 @@
         now: Instant,
     ) -> Option<LossUpdate> {
         let serving = present.serving;
-        let before = self
-            .last_serving
-            .insert(pool.clone(), serving)
-            .unwrap_or(0);
+        let before = self.last_serving.insert(pool.clone(), serving).unwrap_or(0);
         let is_none_left = serving == 0 && before > 0 && desired > 0;
         if !is_none_left && !present.is_being_reclaimed {
             return None;
@@ -330,10 +330,8 @@
         now: Instant,
     ) -> Vec<ZoneOffer> {
         let subjects = service.subjects(desired_capacity);
-        let zones: BTreeSet<Arc<str>> = subjects
-            .iter()
-            .map(|pool| Arc::clone(&pool.zone))
-            .collect();
+        let zones: BTreeSet<Arc<str>> =
+            subjects.iter().map(|pool| Arc::clone(&pool.zone)).collect();
         let available = zones
             .into_iter()
             .filter(|zone| !service.drained.contains(zone));
--- a/crates/front/src/orders/demand.rs
+++ b/crates/front/src/orders/demand.rs
@@ -74,8 +74,13 @@
     /// Returns the fronts that use instances' weights, and those first in line to receive such work
     /// or the orders lease.
     pub fn recipients(&self, nodes: &Nodes) -> BTreeSet<String> {
-        let takeover_candidates = nodes.takeover_candidates().into_iter().map(|front| front.node);
-        takeover_candidates.chain(self.busy_fronts.iter().cloned()).collect()
+        let takeover_candidates = nodes
+            .takeover_candidates()
+            .into_iter()
+            .map(|front| front.node);
+        takeover_candidates
+            .chain(self.busy_fronts.iter().cloned())
+            .collect()
     }
 
     fn limit_pace_increases(&mut self, last: &Self) {
--- a/crates/front/src/orders/former_leaders.rs
+++ b/crates/front/src/orders/former_leaders.rs
@@ -58,7 +58,7 @@
         });
     }
 
-    /// Returns the recent orders of `giver`, each with a time before which it was sent; `None`
+    /// Returns the recent orders of `leader`, each with a time before which it was sent; `None`
     /// without an announcement for that fence.
     pub fn recent_orders_of(&self, leader: &LastLeader) -> Option<Vec<(String, Instant)>> {
         let newest = self.lock();
@@ -75,7 +75,7 @@
     }
 }
 
-/// Announces to all other fronts that `giver`, which is this node, issues no more orders, with its
+/// Announces to all other fronts that `leader`, which is this node, issues no more orders, with its
 /// recent ones.
 pub(super) async fn announce_stop(nodes: &Nodes, leader: LastLeader, orders: &[(String, Instant)]) {
     let orders = orders.iter().map(|(instance, sent_at)| RecentOrder {
--- a/crates/front/src/orders/leader.rs
+++ b/crates/front/src/orders/leader.rs
@@ -13,7 +13,7 @@
 use super::demand::FleetDemand;
 use super::former_leaders::announce_stop;
 use super::leader_state::{LeaderState, PLANNING_INTERVAL};
-use super::lease::{OrdersLease, HeldLease, LastLeader};
+use super::lease::{HeldLease, LastLeader, OrdersLease};
 use super::load_limit_store::restore_load_limit;
 use super::permits::PermitIssuer;
 use super::plan::{FleetInstance, PlannedLoad, plan};
@@ -48,8 +48,8 @@
 /// Time after which a load is abandoned.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time for which a leader without a learned limit ignores finished loads, so that loads of the
-/// previous leader do not distort the limit.
+/// Time for which a leader without a learned limit ignores the loads it starts, as loads of
+/// the previous leader may slow them down.
 const SETTLING_PERIOD: Duration = Duration::from_millis(3_000);
 
 /// Time for which an instance is excluded after a call without an answer.
@@ -171,7 +171,7 @@
             if !self.is_candidate() {
                 continue;
             }
-            match lease.take().await {
+            match lease.acquire().await {
                 Ok(Some(held)) => self.lead(&lease, held, &mut foreign_orders).await,
                 Ok(None) => lease.wait_until_free().await,
                 Err(error) => log::warn!("event=orders_lease_acquire_failed cause=\"{error}\""),
@@ -203,7 +203,7 @@
             })
     }
 
-    /// Issues orders until the lease is lost or released. `respected` carries orders of other
+    /// Issues orders until the lease is lost or released. `foreign_orders` carries orders of other
     /// leaders from one lease of this node to the next.
     async fn lead(
         &self,
@@ -429,7 +429,8 @@
             }
         };
         if !instance.matches_incarnation(report.started_unix_ms) {
-            self.backends.record_incarnation(instance, report.started_unix_ms);
+            self.backends
+                .record_incarnation(instance, report.started_unix_ms);
             return Outcome::Pause(PLANNING_INTERVAL);
         }
         for (model, version) in &report.versions {
--- a/crates/front/src/orders/leader_state.rs
+++ b/crates/front/src/orders/leader_state.rs
@@ -108,8 +108,12 @@
         self.orders_in_flight.insert(instance.to_owned());
     }
 
-    /// Excludes the instances that received an order of another leader less than `quiet` ago.
-    pub fn exclude_recently_ordered(&mut self, orders: Vec<(String, Instant)>, quiet_period: Duration) {
+    /// Excludes the instances that received an order of another leader less than `quiet_period` ago.
+    pub fn exclude_recently_ordered(
+        &mut self,
+        orders: Vec<(String, Instant)>,
+        quiet_period: Duration,
+    ) {
         for (instance, ordered_at) in &orders {
             self.excluded_until
                 .insert(instance.clone(), *ordered_at + quiet_period);
@@ -118,7 +122,7 @@
         self.foreign_orders.extend(orders);
     }
 
-    /// Returns the instances that received orders less than `quiet` ago.
+    /// Returns the instances that received orders less than `quiet_period` ago.
     pub fn recent_orders(&self, quiet_period: Duration) -> Vec<(String, Instant)> {
         let recent = self
             .ordered_at
@@ -127,14 +131,14 @@
         recent.map(|(id, at)| (id.clone(), *at)).collect()
     }
 
-    /// Records a load in progress and schedules its first check. `is_taken`: the instance accepted
+    /// Records a load in progress and schedules its first check. `is_accepted`: the instance accepted
     /// the order.
     pub fn start_load(
         &mut self,
         instance: &Instance,
         planned: PlannedLoad,
         limit: Duration,
-        is_taken: bool,
+        is_accepted: bool,
     ) {
         let now = Instant::now();
         let shortest = self.load_limit.shortest().unwrap_or(PLANNING_INTERVAL * 4);
@@ -150,7 +154,7 @@
             abandon_at: now + limit,
             concurrent: self.loads.len() + 1,
             link_use_before: self.link_use.clone(),
-            timing: if is_taken {
+            timing: if is_accepted {
                 LoadTiming::Exact
             } else {
                 LoadTiming::Unknown
@@ -218,7 +222,10 @@
                 "event=load_limit_changed limit={} before={before} taken_ms={} usual_ms={} at_begin={} near={}",
                 self.load_limit.get(),
                 finished.taken.as_millis(),
-                self.load_limit.typical_load_time().unwrap_or_default().as_millis(),
+                self.load_limit
+                    .typical_load_time()
+                    .unwrap_or_default()
+                    .as_millis(),
                 finished.concurrent_at_start,
                 self.load_limit.is_near_capacity()
             );
--- a/crates/front/src/orders/lease.rs
+++ b/crates/front/src/orders/lease.rs
@@ -222,8 +222,7 @@
             let cause = "no answer to a renewal in time".to_owned();
             Err(CoordinationError::Unknown(cause))
         })?;
-        held.valid_until
-            .send_replace(requested_at + LEASE_DURATION);
+        held.valid_until.send_replace(requested_at + LEASE_DURATION);
         Ok(())
     }
 
--- a/crates/front/src/orders/load_checks.rs
+++ b/crates/front/src/orders/load_checks.rs
@@ -75,7 +75,8 @@
             return LoadCheck::NoAnswer;
         };
         if !instance.matches_incarnation(report.started_unix_ms) {
-            self.backends.record_incarnation(instance, report.started_unix_ms);
+            self.backends
+                .record_incarnation(instance, report.started_unix_ms);
             return LoadCheck::Abandoned;
         }
         for (model, version) in &report.versions {
--- a/crates/front/src/orders/load_limit.rs
+++ b/crates/front/src/orders/load_limit.rs
@@ -244,7 +244,8 @@
         let Some(typical_load_time) = self.typical_load_time() else {
             return;
         };
-        let ratio = load.taken.as_secs_f64() / typical_load_time.as_secs_f64().max(f64::MIN_POSITIVE);
+        let ratio =
+            load.taken.as_secs_f64() / typical_load_time.as_secs_f64().max(f64::MIN_POSITIVE);
         if ratio > MAX_UNSLOWED_RATIO && !self.is_conclusive(load, now) {
             return;
         }
@@ -384,7 +385,8 @@
     fn increase_near_capacity(&mut self, concurrent: f64, now: Instant) {
         let is_holding = |last: &Saturation| now.saturating_duration_since(last.at) < last.hold;
         let is_on_hold = self.saturation.as_ref().is_some_and(is_holding);
-        if !self.is_near_capacity || is_on_hold || concurrent < self.limit as f64 * USED_LIMIT_RATIO {
+        if !self.is_near_capacity || is_on_hold || concurrent < self.limit as f64 * USED_LIMIT_RATIO
+        {
             return;
         }
         self.unslowed_loads += 1;
--- a/crates/front/src/orders/load_limit_store.rs
+++ b/crates/front/src/orders/load_limit_store.rs
@@ -37,7 +37,7 @@
         Some(Self {
             limit: limit.get(),
             usual_ms: limit.typical_load_time()?.as_millis() as u64,
-            is_near: limit.is_near(),
+            is_near: limit.is_near_capacity(),
         })
     }
 
--- a/crates/front/src/orders/permits/mod.rs
+++ b/crates/front/src/orders/permits/mod.rs
@@ -5,6 +5,6 @@
 mod permit_issuer;
 mod requester;
 
-pub use ledger::{PermitLedger, PERMIT_QUIET_PERIOD};
+pub use ledger::{PERMIT_QUIET_PERIOD, PermitLedger};
 pub use permit_issuer::PermitIssuer;
 pub use requester::PermitRequester;
--- a/crates/front/src/orders/permits/permit_issuer.rs
+++ b/crates/front/src/orders/permits/permit_issuer.rs
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Starts to issue permits under a newly acquired lease. `proven_until` is the time until which
+    /// Starts to issue permits under a newly acquired lease. `valid_until` is the time until which
     /// the lease is certain to be valid.
     pub fn start(&self, valid_until: watch::Receiver<Instant>) -> IssuingGuard {
         *self.lock() = Some(HeldLedger {
--- a/crates/front/src/orders/permits/requester.rs
+++ b/crates/front/src/orders/permits/requester.rs
@@ -76,12 +76,12 @@
     }
 
     async fn request_while_work_waits(&self) {
-        let wants = &self.backends.gates().wants;
+        let permit_requests = &self.backends.gates().permit_requests;
         let mut last_issuer = None;
         loop {
-            let mut wanted = wants.take().await;
+            let mut wanted = permit_requests.take().await;
             tokio::time::sleep(BATCH_DELAY).await;
-            wanted.append(&mut wants.drain_pending());
+            wanted.append(&mut permit_requests.drain_pending());
             let instances = wanted.len();
             let (permits, until) = self.request(wanted, &mut last_issuer).await;
             if last_issuer.is_none() {
--- a/crates/front/src/orders/weight_updates.rs
+++ b/crates/front/src/orders/weight_updates.rs
@@ -74,7 +74,7 @@
         });
     }
 
-    /// Sends the collected updates to `audience`. Other fronts rely on discovery, because sending
+    /// Sends the collected updates to `recipients`. Other fronts rely on discovery, because sending
     /// each load to hundreds of fronts would delay the load checks of a weak leader.
     pub fn send(&mut self, nodes: &Nodes, recipients: &BTreeSet<String>, limit: &LoadLimit) {
         while self.calls.try_join_next().is_some() {}
--- a/crates/front/tests/capacity_duty.rs
+++ b/crates/front/tests/capacity_duty.rs
@@ -242,9 +242,11 @@
             .iter()
             .all(|(earlier, _)| earlier.fence < order.fence)
     );
-    assert!(earlier.iter().any(|(earlier, _)| {
-        earlier.pool == order.pool && earlier.desired == order.desired
-    }));
+    assert!(
+        earlier
+            .iter()
+            .any(|(earlier, _)| { earlier.pool == order.pool && earlier.desired == order.desired })
+    );
     assert_eq!(
         persisted(&store).unwrap(),
         before,
--- a/crates/front/tests/capacity_plan.rs
+++ b/crates/front/tests/capacity_plan.rs
@@ -9,7 +9,7 @@
 use ladderstage_front::backend::DiscoveredInstance;
 use ladderstage_front::capacity::{
     CapacityOrderError, CapacityPlanner, DesiredCapacity, DesiredCount, FleetState, InstanceKind,
-    LossReason, Outbox, InstancePool,
+    InstancePool, LossReason, Outbox,
 };
 use ladderstage_front::config::{ScalingSpec, ServiceSpec};
 use proptest::prelude::*;
@@ -312,9 +312,7 @@
     fleet.run_round();
     assert_eq!(fleet.preemptible_extra(), [0, 2, 0]);
     let now = fleet.now;
-    fleet
-        .planner
-        .mark_unavailable(&pool("b", PREEMPTIBLE), now);
+    fleet.planner.mark_unavailable(&pool("b", PREEMPTIBLE), now);
     fleet.run_round();
     assert_eq!(fleet.preemptible_extra(), [1, 0, 1]);
 }
--- a/crates/front/tests/learnt_loads.rs
+++ b/crates/front/tests/learnt_loads.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use ladderstage_front::coordination::Coordination;
-use ladderstage_front::orders::{LearnedLoadLimit, LoadLimitWriter, LoadLimit, restore_load_limit};
+use ladderstage_front::orders::{LearnedLoadLimit, LoadLimit, LoadLimitWriter, restore_load_limit};
 use support::memory_store::{MemoryStore, NodeFaults};
 
 const KEY: &str = "ladderstage/orders/learnt";
@@ -41,9 +41,14 @@
     writer.save(&learnt(11), &before);
     written(&store).await;
     let after = store.of("front-2");
-    let limit = restore_load_limit(&LearnedLoadLimit::default(), &after).await.unwrap();
+    let limit = restore_load_limit(&LearnedLoadLimit::default(), &after)
+        .await
+        .unwrap();
     assert_eq!(limit.get(), 11);
-    assert_eq!(limit.typical_load_time(), Some(Duration::from_millis(1_020)));
+    assert_eq!(
+        limit.typical_load_time(),
+        Some(Duration::from_millis(1_020))
+    );
     assert!(limit.is_near_capacity());
 }
 
@@ -56,7 +61,9 @@
     );
     let told = LearnedLoadLimit::default();
     told.record(&learnt(9));
-    let limit = restore_load_limit(&told, &store.of("front-1")).await.unwrap();
+    let limit = restore_load_limit(&told, &store.of("front-1"))
+        .await
+        .unwrap();
     assert_eq!(limit.get(), 9);
 }
 
@@ -64,15 +71,27 @@
 async fn no_limit_is_restored_without_a_usable_record() {
     let store = MemoryStore::default();
     let nothing = LearnedLoadLimit::default();
-    assert!(restore_load_limit(&nothing, &store.of("front-1")).await.is_none());
+    assert!(
+        restore_load_limit(&nothing, &store.of("front-1"))
+            .await
+            .is_none()
+    );
     store.write(KEY, b"damaged".to_vec());
-    assert!(restore_load_limit(&nothing, &store.of("front-1")).await.is_none());
+    assert!(
+        restore_load_limit(&nothing, &store.of("front-1"))
+            .await
+            .is_none()
+    );
     let is_partitioned = NodeFaults {
         is_partitioned: true,
         ..NodeFaults::default()
     };
     store.set_faults("front-1", is_partitioned);
-    assert!(restore_load_limit(&nothing, &store.of("front-1")).await.is_none());
+    assert!(
+        restore_load_limit(&nothing, &store.of("front-1"))
+            .await
+            .is_none()
+    );
 }
 
 #[tokio::test(start_paused = true)]
