--- a/crates/front/src/capacity/sink.rs
+++ b/crates/front/src/capacity/sink.rs
@@ -21,13 +21,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum CapacityOrderError {
     /// No instance is available, or the receiver has seen a higher fencing token.
-    #[error("none to be had")]
+    #[error("no instance available")]
     Unavailable,
     /// The order was rejected and has no effect.
-    #[error("refused: {0}")]
+    #[error("order rejected: {0}")]
     Refused(String),
     /// The outcome is unknown; the order may take effect now or later.
-    #[error("outcome unknown: {0}")]
+    #[error("order outcome unknown: {0}")]
     Unknown(String),
 }
 
--- a/crates/front/src/orders/calls.rs
+++ b/crates/front/src/orders/calls.rs
@@ -60,7 +60,10 @@
         }
         let head = RequestHead {
             method: call.method,
-            uri: call.path.parse().map_err(|_| "path".to_owned())?,
+            uri: call
+                .path
+                .parse()
+                .map_err(|_| "invalid request path".to_owned())?,
             headers,
             allowed: AllowedRegions::default(),
         };
@@ -82,6 +85,6 @@
         };
         tokio::time::timeout(CALL_TIMEOUT, exchange)
             .await
-            .map_err(|_| "no answer in time".to_owned())?
+            .map_err(|_| "call timed out".to_owned())?
     }
 }
--- a/crates/front/src/orders/leader.rs
+++ b/crates/front/src/orders/leader.rs
@@ -237,7 +237,8 @@
         // After the release another node may hold the lease before this one notices.
         drop(issuing);
         *foreign_orders = std::mem::take(&mut state.foreign_orders);
-        foreign_orders.retain(|(_, ordered_at)| ordered_at.elapsed() < self.options.quiet_period);
+        foreign_orders
+            .retain(|(_, last_ordered_at)| last_ordered_at.elapsed() < self.options.quiet_period);
         if held.is_recorded() {
             let own = LastLeader {
                 node: self.nodes.own().node,
--- a/crates/front/src/orders/leader_state.rs
+++ b/crates/front/src/orders/leader_state.rs
@@ -40,7 +40,7 @@
     pub loads: HashMap<String, Load>,
     /// Latest time at which the last order to each instance may have been sent, by this leader or
     /// the previous one.
-    ordered_at: HashMap<String, Instant>,
+    last_ordered_at: HashMap<String, Instant>,
     /// Orders of other leaders that are still within the quiet period, also for a later lease of
     /// this node.
     pub foreign_orders: Vec<(String, Instant)>,
@@ -104,7 +104,7 @@
     /// Records an order that is sent to an instance within `limit`.
     pub fn record_order(&mut self, instance: &str, limit: Duration) {
         let sent_until = Instant::now() + limit;
-        self.ordered_at.insert(instance.to_owned(), sent_until);
+        self.last_ordered_at.insert(instance.to_owned(), sent_until);
         self.orders_in_flight.insert(instance.to_owned());
     }
 
@@ -114,10 +114,11 @@
         orders: Vec<(String, Instant)>,
         quiet_period: Duration,
     ) {
-        for (instance, ordered_at) in &orders {
+        for (instance, last_ordered_at) in &orders {
             self.excluded_until
-                .insert(instance.clone(), *ordered_at + quiet_period);
-            self.ordered_at.insert(instance.clone(), *ordered_at);
+                .insert(instance.clone(), *last_ordered_at + quiet_period);
+            self.last_ordered_at
+                .insert(instance.clone(), *last_ordered_at);
         }
         self.foreign_orders.extend(orders);
     }
@@ -125,7 +126,7 @@
     /// Returns the instances that received orders less than `quiet_period` ago.
     pub fn recent_orders(&self, quiet_period: Duration) -> Vec<(String, Instant)> {
         let recent = self
-            .ordered_at
+            .last_ordered_at
             .iter()
             .filter(|(_, at)| at.elapsed() < quiet_period);
         recent.map(|(id, at)| (id.clone(), *at)).collect()
--- a/crates/front/src/orders/lease.rs
+++ b/crates/front/src/orders/lease.rs
@@ -105,10 +105,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum LeaseLoss {
     /// The store reports that the lease has expired.
-    #[error("over")]
+    #[error("expired")]
     Expired,
     /// The lease could not be renewed in time.
-    #[error("unproven")]
+    #[error("not_renewed")]
     NotRenewed,
 }
 
@@ -219,7 +219,7 @@
         let renewal = self.coordination.renew(held.lease);
         let renewed = tokio::time::timeout(RENEWAL_TIMEOUT, renewal).await;
         renewed.unwrap_or_else(|_| {
-            let cause = "no answer to a renewal in time".to_owned();
+            let cause = "lease renewal timed out".to_owned();
             Err(CoordinationError::Unknown(cause))
         })?;
         held.valid_until.send_replace(requested_at + LEASE_DURATION);
--- a/crates/front/src/orders/load_limit_store.rs
+++ b/crates/front/src/orders/load_limit_store.rs
@@ -64,7 +64,7 @@
             return None;
         }
         Err(_) => {
-            log::warn!("event=learned_load_limit_read_failed cause=\"no answer in time\"");
+            log::warn!("event=learned_load_limit_read_failed cause=\"read timed out\"");
             return None;
         }
     };
--- a/crates/front/tests/capacity_duty.rs
+++ b/crates/front/tests/capacity_duty.rs
@@ -53,10 +53,10 @@
     }
 
     /// Returns the latest accepted order for a zone.
-    fn taken(&self, zone: &str) -> Option<CapacityOrder> {
+    fn accepted(&self, zone: &str) -> Option<CapacityOrder> {
         let orders = self.orders().into_iter().rev();
-        let mut taken = orders.filter(|(_, outcome)| *outcome == "taken");
-        taken
+        let mut accepted = orders.filter(|(_, outcome)| *outcome == "taken");
+        accepted
             .find(|(order, _)| order.pool.zone.as_ref() == zone)
             .map(|(order, _)| order)
     }
@@ -131,7 +131,7 @@
 /// Node with a fleet of two instances in each of three zones, its view of the store, and a
 /// receiver.
 struct Node {
-    duty: CapacityController,
+    controller: CapacityController,
     lease: OrdersLease,
     receiver: Arc<Receiver>,
 }
@@ -146,7 +146,7 @@
         }
         let view = DiscoveryView::default();
         view.set_known(1);
-        let duty = CapacityController {
+        let controller = CapacityController {
             coordination: coordination.clone(),
             node: name.to_owned(),
             backends,
@@ -162,7 +162,7 @@
             quiet_period: Duration::ZERO,
         };
         Self {
-            duty,
+            controller,
             lease,
             receiver,
         }
@@ -178,14 +178,14 @@
             tokio::time::sleep(Duration::from_millis(50)).await;
         };
         tokio::select! {
-            seen = tokio::time::timeout(EVENT_TIMEOUT, seen) => seen.expect("seen in time"),
-            loss = self.lease.renew_until_lost(&held) => panic!("the lease is lost: {loss}"),
-            () = self.duty.run(&self.lease, &held) => panic!("the duty ended"),
+            seen = tokio::time::timeout(EVENT_TIMEOUT, seen) => seen.expect("the expected event within the timeout"),
+            loss = self.lease.renew_until_lost(&held) => panic!("lease lost: {loss}"),
+            () = self.controller.run(&self.lease, &held) => panic!("the controller stopped"),
         }
     }
 
     fn drain(&self, zone: &str) {
-        let gates = self.duty.backends.gates();
+        let gates = self.controller.backends.gates();
         gates.drained.set(BTreeSet::from([zone.into()]));
     }
 }
@@ -210,12 +210,12 @@
     let node = Node::new("one", &store, Receiver::default());
     node.drain("b");
     let receiver = Arc::clone(&node.receiver);
-    let order = node.hold_until(eventually(|| receiver.taken("a"))).await;
+    let order = node.hold_until(eventually(|| receiver.accepted("a"))).await;
     assert_eq!(order.pool.kind, InstanceKind::Preemptible);
     assert_eq!((order.desired, order.holder.as_str()), (1, "one"));
-    let other = node.hold_until(eventually(|| receiver.taken("c"))).await;
+    let other = node.hold_until(eventually(|| receiver.accepted("c"))).await;
     assert_eq!(other.desired, 1);
-    assert!(receiver.taken("b").is_none());
+    assert!(receiver.accepted("b").is_none());
 }
 
 #[tokio::test]
@@ -234,7 +234,7 @@
     let second = Node::new("two", &store, Receiver::default());
     second.drain("b");
     let order = second
-        .hold_until(eventually(|| second.receiver.taken("a")))
+        .hold_until(eventually(|| second.receiver.accepted("a")))
         .await;
     let earlier = first.receiver.orders();
     assert!(
@@ -250,7 +250,7 @@
     assert_eq!(
         persisted(&store).unwrap(),
         before,
-        "nothing was to be fixed anew"
+        "the persisted capacity is unchanged"
     );
 }
 
@@ -262,8 +262,10 @@
     let node = Node::new("one", &store, Receiver::of([lost(), lost(), refused]));
     node.drain("b");
     let receiver = Arc::clone(&node.receiver);
-    node.hold_until(eventually(|| receiver.taken("a").zip(receiver.taken("c"))))
-        .await;
+    node.hold_until(eventually(|| {
+        receiver.accepted("a").zip(receiver.accepted("c"))
+    }))
+    .await;
     let orders = receiver.orders();
     assert!(orders.len() >= 5, "{orders:?}");
     assert!(orders.iter().all(|(order, _)| order.desired == 1));
@@ -279,7 +281,7 @@
     let node = Node::new("one", &store, empty);
     node.drain("b");
     let receiver = Arc::clone(&node.receiver);
-    let moved = || receiver.taken("c").filter(|order| order.desired == 2);
+    let moved = || receiver.accepted("c").filter(|order| order.desired == 2);
     node.hold_until(eventually(moved)).await;
 }
 
@@ -303,7 +305,7 @@
         tokio::time::sleep(SEVERAL_CHECKS).await;
         assert!(receiver.orders().is_empty());
         store.set_faults("one", NodeFaults::default());
-        eventually(|| receiver.taken("a")).await;
+        eventually(|| receiver.accepted("a")).await;
     })
     .await;
     assert!(persisted(&store).unwrap().contains("\"extra\":1"));
@@ -323,7 +325,7 @@
                 ..NodeFaults::default()
             },
         );
-        eventually(|| receiver.taken("a")).await
+        eventually(|| receiver.accepted("a")).await
     };
     let order = node.hold_until(seen).await;
     let stored = persisted(&store).unwrap();
@@ -336,7 +338,7 @@
 async fn no_orders_are_sent_while_the_instance_list_is_outdated() {
     let store = MemoryStore::default();
     let node = Node::new("one", &store, Receiver::default());
-    node.duty.view.mark_unavailable();
+    node.controller.view.mark_unavailable();
     node.drain("b");
     let receiver = Arc::clone(&node.receiver);
     node.hold_until(async {
@@ -345,8 +347,8 @@
         tokio::time::sleep(Duration::from_secs(4)).await;
         assert!(receiver.orders().is_empty());
         assert_eq!(persisted(&store), None);
-        node.duty.view.set_known(2);
-        eventually(|| receiver.taken("a")).await;
+        node.controller.view.set_known(2);
+        eventually(|| receiver.accepted("a")).await;
     })
     .await;
 }
@@ -357,10 +359,10 @@
     let first = Node::new("one", &store, Receiver::default());
     first.drain("b");
     first
-        .hold_until(eventually(|| first.receiver.taken("a")))
+        .hold_until(eventually(|| first.receiver.accepted("a")))
         .await;
     let mut second = Node::new("two", &store, Receiver::default());
-    second.duty.quiet_period = Duration::from_secs(3_600);
+    second.controller.quiet_period = Duration::from_secs(3_600);
     second.drain("c");
     let before = persisted(&store);
     second
@@ -377,7 +379,7 @@
 async fn the_store_is_not_called_without_scaling_bounds() {
     let store = MemoryStore::default();
     let mut node = Node::new("one", &store, Receiver::default());
-    node.duty.config = config(false);
+    node.controller.config = config(false);
     node.drain("b");
     node.hold_until(tokio::time::sleep(SEVERAL_CHECKS)).await;
     assert_eq!(store.calls("one", "get", DESIRED_CAPACITY_KEY), 0);
--- a/crates/front/tests/capacity_plan.rs
+++ b/crates/front/tests/capacity_plan.rs
@@ -194,7 +194,7 @@
 #[test]
 fn a_fleet_without_losses_stays_unchanged() {
     let mut fleet = Fleet::observed([5, 5, 5]);
-    assert_eq!(fleet.changes, 1, "what was found is written down once");
+    assert_eq!(fleet.changes, 1, "the found instances are persisted once");
     assert_eq!(fleet.desired_count("a", ON_DEMAND).found, 5);
     fleet.wait(LONGER_THAN_ANY_DELAY);
     assert_eq!(
@@ -244,7 +244,7 @@
     assert_eq!(
         fleet.preemptible_extra(),
         [1, 0, 1],
-        "its instances are slow at first"
+        "replacements stay for the release delay"
     );
     fleet.wait(LONGER_THAN_ANY_DELAY);
     assert_eq!(fleet.preemptible_extra(), [0; 3]);
@@ -293,7 +293,7 @@
     assert_eq!(
         fleet.preemptible_extra(),
         [0, 4, 0],
-        "those still to come stay as well"
+        "pending replacements stay as well"
     );
     let again = || fleet.planner.pools_to_reorder(&fleet.drained, fleet.now);
     assert_eq!(again(), [pool("b", PREEMPTIBLE)]);
@@ -397,7 +397,11 @@
     );
     fleet.add("a", ON_DEMAND, 2);
     fleet.wait(LONGER_THAN_ANY_DELAY);
-    assert_eq!(fleet.desired_count("a", ON_DEMAND).found, 7, "these stay");
+    assert_eq!(
+        fleet.desired_count("a", ON_DEMAND).found,
+        7,
+        "instances that stay count as found"
+    );
 }
 
 #[test]
@@ -517,13 +521,16 @@
             let all_found = on_demand.found + preemptible.found;
             assert!(
                 all <= MAX_INSTANCES.max(all_found),
-                "{zone} is to hold {all}"
+                "zone {zone} has {all} desired instances"
             );
             assert!(all >= all_found);
             extra += on_demand.extra + preemptible.extra;
             found += all_found;
         }
-        assert!(extra <= found, "{extra} ordered in place of {found}");
+        assert!(
+            extra <= found,
+            "{extra} extra instances for {found} found ones"
+        );
     }
 }
 
--- a/crates/front/tests/ended_givers.rs
+++ b/crates/front/tests/ended_givers.rs
@@ -6,7 +6,7 @@
 use ladderstage_front::orders::{FormerLeaders, LastLeader};
 use ladderstage_wire::messages::{GiverEnd, RecentOrder};
 
-fn end(node: &str, fence: u64, ages_ms: &[(&str, u64)]) -> GiverEnd {
+fn announcement(node: &str, fence: u64, ages_ms: &[(&str, u64)]) -> GiverEnd {
     let orders = ages_ms.iter().map(|(instance, age_ms)| RecentOrder {
         instance: (*instance).to_owned(),
         age_ms: *age_ms,
@@ -18,7 +18,7 @@
     }
 }
 
-fn giver(node: &str, fence: u64) -> LastLeader {
+fn leader(node: &str, fence: u64) -> LastLeader {
     LastLeader {
         node: node.to_owned(),
         fence,
@@ -27,32 +27,32 @@
 
 #[test]
 fn an_announcement_counts_only_for_its_leader_and_fence() {
-    let ended = FormerLeaders::default();
+    let former_leaders = FormerLeaders::default();
     let now = Instant::now() + Duration::from_secs(60);
-    assert_eq!(ended.recent_orders_of(&giver("front-1", 7)), None);
-    ended.record(&end("front-1", 7, &[("i-1", 400)]), now);
+    assert_eq!(former_leaders.recent_orders_of(&leader("front-1", 7)), None);
+    former_leaders.record(&announcement("front-1", 7, &[("i-1", 400)]), now);
     let sent_at = now - Duration::from_millis(400);
     assert_eq!(
-        ended.recent_orders_of(&giver("front-1", 7)),
+        former_leaders.recent_orders_of(&leader("front-1", 7)),
         Some(vec![("i-1".to_owned(), sent_at)])
     );
     assert_eq!(
-        ended.recent_orders_of(&giver("front-1", 9)),
+        former_leaders.recent_orders_of(&leader("front-1", 9)),
         None,
-        "it gave orders again since, under a later lease"
+        "the node issued orders again under a later lease"
     );
-    assert_eq!(ended.recent_orders_of(&giver("front-2", 7)), None);
+    assert_eq!(former_leaders.recent_orders_of(&leader("front-2", 7)), None);
 }
 
 #[test]
 fn a_late_announcement_does_not_replace_a_newer_one() {
-    let ended = FormerLeaders::default();
+    let former_leaders = FormerLeaders::default();
     let now = Instant::now();
-    ended.record(&end("front-2", 9, &[]), now);
-    ended.record(&end("front-1", 7, &[]), now);
-    assert_eq!(ended.recent_orders_of(&giver("front-1", 7)), None);
+    former_leaders.record(&announcement("front-2", 9, &[]), now);
+    former_leaders.record(&announcement("front-1", 7, &[]), now);
+    assert_eq!(former_leaders.recent_orders_of(&leader("front-1", 7)), None);
     assert_eq!(
-        ended.recent_orders_of(&giver("front-2", 9)),
+        former_leaders.recent_orders_of(&leader("front-2", 9)),
         Some(Vec::new())
     );
 }
--- a/crates/front/tests/learnt_loads.rs
+++ b/crates/front/tests/learnt_loads.rs
@@ -11,19 +11,19 @@
 
 const KEY: &str = "ladderstage/orders/learnt";
 
-fn learnt(limit: usize) -> LoadLimit {
+fn learned(limit: usize) -> LoadLimit {
     LoadLimit::from_learned(limit, Duration::from_millis(1_020), true)
 }
 
 /// Waits for the store's answer, which arrives on another task.
-async fn written(store: &MemoryStore) {
+async fn wait_for_record(store: &MemoryStore) {
     for _ in 0..100 {
         if store.read(KEY).is_some() {
             return;
         }
         tokio::task::yield_now().await;
     }
-    panic!("nothing was written");
+    panic!("no record was written");
 }
 
 #[tokio::test(start_paused = true)]
@@ -35,11 +35,11 @@
     assert_eq!(
         store.read(KEY),
         None,
-        "nothing is learnt before the first load"
+        "no record is written before the first load"
     );
     let mut writer = LoadLimitWriter::default();
-    writer.save(&learnt(11), &before);
-    written(&store).await;
+    writer.save(&learned(11), &before);
+    wait_for_record(&store).await;
     let after = store.of("front-2");
     let limit = restore_load_limit(&LearnedLoadLimit::default(), &after)
         .await
@@ -59,9 +59,9 @@
         KEY,
         br#"{"limit":30,"usual_ms":900,"is_near":false}"#.to_vec(),
     );
-    let told = LearnedLoadLimit::default();
-    told.record(&learnt(9));
-    let limit = restore_load_limit(&told, &store.of("front-1"))
+    let received = LearnedLoadLimit::default();
+    received.record(&learned(9));
+    let limit = restore_load_limit(&received, &store.of("front-1"))
         .await
         .unwrap();
     assert_eq!(limit.get(), 9);
@@ -70,15 +70,15 @@
 #[tokio::test(start_paused = true)]
 async fn no_limit_is_restored_without_a_usable_record() {
     let store = MemoryStore::default();
-    let nothing = LearnedLoadLimit::default();
+    let unknown = LearnedLoadLimit::default();
     assert!(
-        restore_load_limit(&nothing, &store.of("front-1"))
+        restore_load_limit(&unknown, &store.of("front-1"))
             .await
             .is_none()
     );
     store.write(KEY, b"damaged".to_vec());
     assert!(
-        restore_load_limit(&nothing, &store.of("front-1"))
+        restore_load_limit(&unknown, &store.of("front-1"))
             .await
             .is_none()
     );
@@ -88,7 +88,7 @@
     };
     store.set_faults("front-1", is_partitioned);
     assert!(
-        restore_load_limit(&nothing, &store.of("front-1"))
+        restore_load_limit(&unknown, &store.of("front-1"))
             .await
             .is_none()
     );
@@ -100,8 +100,8 @@
     let node: Arc<dyn Coordination> = Arc::new(store.of("front-1"));
     let mut writer = LoadLimitWriter::default();
     for limit in [4, 8, 8, 14] {
-        writer.save(&learnt(limit), &node);
-        written(&store).await;
+        writer.save(&learned(limit), &node);
+        wait_for_record(&store).await;
     }
     assert_eq!(store.calls("front-1", "put", KEY), 1);
 }
--- a/crates/front/tests/load_limit.rs
+++ b/crates/front/tests/load_limit.rs
@@ -7,23 +7,23 @@
 use proptest::prelude::*;
 
 /// Load time without concurrent loads.
-const ALONE: Duration = Duration::from_millis(900);
+const TIME_ALONE: Duration = Duration::from_millis(900);
 
 /// Simulates rounds in which all allowed loads start at the same moment. Returns the limit after
 /// each round.
-fn rounds(free: usize, count: usize, off_by_ms: &[u64]) -> Vec<usize> {
+fn rounds(capacity: usize, count: usize, delays_ms: &[u64]) -> Vec<usize> {
     let mut limit = LoadLimit::default();
     let mut now = Instant::now();
     let mut limits = Vec::new();
     for round in 0..count {
-        let beside = limit.get();
-        let slowness = (beside as f64 / free as f64).max(1.0);
-        let off = Duration::from_millis(off_by_ms[round % off_by_ms.len()]);
-        let taken = ALONE.mul_f64(slowness) + off;
+        let concurrent_at_start = limit.get();
+        let slowness = (concurrent_at_start as f64 / capacity as f64).max(1.0);
+        let delay = Duration::from_millis(delays_ms[round % delays_ms.len()]);
+        let taken = TIME_ALONE.mul_f64(slowness) + delay;
         now += taken;
-        for number in 1..=beside {
+        for number in 1..=concurrent_at_start {
             let mut link = LinkUse::default();
-            link.set_loads(beside, now - taken);
+            link.set_loads(concurrent_at_start, now - taken);
             let load = FinishedLoad {
                 taken,
                 link: link.since(&LinkUse::default(), now),
@@ -40,17 +40,17 @@
 #[test]
 fn the_limit_quickly_reaches_the_link_capacity() {
     let limits = rounds(9, 40, &[0]);
-    let learnt = &limits[6..];
-    let near = learnt.iter().filter(|limit| (8..=10).contains(*limit));
-    assert!(near.count() * 10 >= learnt.len() * 9, "{limits:?}");
-    assert!(learnt.iter().all(|limit| *limit <= 18), "{limits:?}");
+    let settled = &limits[6..];
+    let within_range = settled.iter().filter(|limit| (8..=10).contains(*limit));
+    assert!(within_range.count() * 10 >= settled.len() * 9, "{limits:?}");
+    assert!(settled.iter().all(|limit| *limit <= 18), "{limits:?}");
 }
 
 #[test]
 fn the_limit_rarely_exceeds_the_link_capacity() {
     let limits = rounds(2, 100, &[0]);
-    let above = limits.iter().filter(|limit| **limit > 2).count();
-    assert!(above < 20, "{limits:?}");
+    let exceeded = limits.iter().filter(|limit| **limit > 2).count();
+    assert!(exceeded < 20, "{limits:?}");
 }
 
 proptest! {
@@ -58,61 +58,61 @@
 
     #[test]
     fn the_limit_stays_close_to_the_link_capacity(
-        free in 1usize..=400,
-        off_by_ms in prop::collection::vec(0u64..60, 1..20),
+        capacity in 1usize..=400,
+        delays_ms in prop::collection::vec(0u64..60, 1..20),
     ) {
-        let limits = rounds(free, 60, &off_by_ms);
-        let most = limits[20..].iter().max().unwrap();
-        let least = limits[20..].iter().min().unwrap();
-        prop_assert!(*most <= (free * 2).max(4), "{:?}", limits);
-        prop_assert!(*least * 2 >= free, "{:?}", limits);
+        let limits = rounds(capacity, 60, &delays_ms);
+        let largest = limits[20..].iter().max().unwrap();
+        let smallest = limits[20..].iter().min().unwrap();
+        prop_assert!(*largest <= (capacity * 2).max(4), "{:?}", limits);
+        prop_assert!(*smallest * 2 >= capacity, "{:?}", limits);
     }
 }
 
 /// Factor that determines the speed of a load on a saturated link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Pace {
+enum SpeedModel {
     /// The concurrency at each moment.
     Shared,
     /// The concurrency at the start of the load.
-    SetAtBegin,
+    FixedAtStart,
 }
 
-const PACES: [Pace; 2] = [Pace::Shared, Pace::SetAtBegin];
+const SPEED_MODELS: [SpeedModel; 2] = [SpeedModel::Shared, SpeedModel::FixedAtStart];
 
-/// Simulated link with a capacity of `free` concurrent loads, on which each load starts as soon as
+/// Simulated link with a capacity of `capacity` concurrent loads, on which each load starts as soon as
 /// the limit allows.
 struct SharedLink {
-    free: f64,
-    pace: Pace,
+    capacity: f64,
+    speed_model: SpeedModel,
     limit: LoadLimit,
     link: LinkUse,
     now: Instant,
-    loads: Vec<OpenLoad>,
+    loads: Vec<RunningLoad>,
 }
 
-struct OpenLoad {
+struct RunningLoad {
     since: Instant,
     before: LinkUse,
     /// Work done, in seconds.
-    done: f64,
-    beside: usize,
+    work_done: f64,
+    concurrent_at_start: usize,
     /// Remaining time, in seconds, for which the load makes no progress, as at an unhealthy
     /// instance.
-    stall: f64,
+    stall_seconds: f64,
     /// Total work, in seconds.
-    work: f64,
+    work_seconds: f64,
 }
 
 impl SharedLink {
-    fn new(free: usize) -> Self {
-        Self::with_pace(free, Pace::Shared)
+    fn new(capacity: usize) -> Self {
+        Self::with_speed_model(capacity, SpeedModel::Shared)
     }
 
-    fn with_pace(free: usize, pace: Pace) -> Self {
+    fn with_speed_model(capacity: usize, speed_model: SpeedModel) -> Self {
         Self {
-            free: free as f64,
-            pace,
+            capacity: capacity as f64,
+            speed_model,
             limit: LoadLimit::default(),
             link: LinkUse::default(),
             now: Instant::now(),
@@ -120,50 +120,50 @@
         }
     }
 
-    fn begin(&mut self, stall: f64) {
-        self.begin_slow(stall, 1.0);
+    fn start_load(&mut self, stall_seconds: f64) {
+        self.start_slow_load(stall_seconds, 1.0);
     }
 
     /// Starts a load with `slowness` times the usual work.
-    fn begin_slow(&mut self, stall: f64, slowness: f64) {
+    fn start_slow_load(&mut self, stall_seconds: f64, slowness: f64) {
         let before = self.link.clone();
-        self.loads.push(OpenLoad {
+        self.loads.push(RunningLoad {
             since: self.now,
             before,
-            done: 0.0,
-            beside: self.loads.len() + 1,
-            stall,
-            work: ALONE.as_secs_f64() * slowness,
+            work_done: 0.0,
+            concurrent_at_start: self.loads.len() + 1,
+            stall_seconds,
+            work_seconds: TIME_ALONE.as_secs_f64() * slowness,
         });
         self.link.set_loads(self.loads.len(), self.now);
     }
 
     /// Advances the simulation by one millisecond.
-    fn step(&mut self) {
+    fn advance(&mut self) {
         const STEP: Duration = Duration::from_millis(1);
-        let speed = |beside: usize| (self.free / beside.max(1) as f64).min(1.0);
+        let speed = |concurrent: usize| (self.capacity / concurrent.max(1) as f64).min(1.0);
         let shared_speed = speed(self.loads.len());
         self.now += STEP;
         for load in &mut self.loads {
-            if load.stall > 0.0 {
-                load.stall -= STEP.as_secs_f64();
+            if load.stall_seconds > 0.0 {
+                load.stall_seconds -= STEP.as_secs_f64();
             } else {
-                let speed = match self.pace {
-                    Pace::Shared => shared_speed,
-                    Pace::SetAtBegin => speed(load.beside),
+                let speed = match self.speed_model {
+                    SpeedModel::Shared => shared_speed,
+                    SpeedModel::FixedAtStart => speed(load.concurrent_at_start),
                 };
-                load.done += speed * STEP.as_secs_f64();
+                load.work_done += speed * STEP.as_secs_f64();
             }
         }
-        let (done, open): (Vec<_>, Vec<_>) = std::mem::take(&mut self.loads)
+        let (completed, running): (Vec<_>, Vec<_>) = std::mem::take(&mut self.loads)
             .into_iter()
-            .partition(|load| load.done >= load.work);
-        self.loads = open;
-        for load in done {
+            .partition(|load| load.work_done >= load.work_seconds);
+        self.loads = running;
+        for load in completed {
             let finished = FinishedLoad {
                 taken: self.now - load.since,
                 link: self.link.since(&load.before, self.now),
-                concurrent_at_start: load.beside,
+                concurrent_at_start: load.concurrent_at_start,
                 timing: LoadTiming::Exact,
             };
             self.limit.observe(&finished, self.now);
@@ -177,20 +177,20 @@
 #[test]
 fn staggered_loads_reveal_the_link_capacity() {
     let mut shared = SharedLink::new(2);
-    let mut above = 0;
+    let mut exceeded = 0;
     let mut next_start = shared.now;
     for _ in 0..120_000 {
-        above += u32::from(shared.loads.len() > 3);
-        shared.step();
+        exceeded += u32::from(shared.loads.len() > 3);
+        shared.advance();
         if shared.loads.len() < shared.limit.get() && shared.now >= next_start {
-            shared.begin(0.0);
+            shared.start_load(0.0);
             next_start = shared.now + Duration::from_millis(170);
         }
     }
     assert!(shared.limit.get() <= 3, "{:?}", shared.limit);
     assert!(
-        above < 12_000,
-        "more than three loads at once for {above} ms of 120 s"
+        exceeded < 12_000,
+        "more than three concurrent loads for {exceeded} ms of 120 s"
     );
 }
 
@@ -199,13 +199,13 @@
 fn waves(shared: &mut SharedLink, count: usize, wave: usize, pause: usize) -> Vec<usize> {
     let mut limits = Vec::new();
     for _ in 0..count {
-        let mut left = wave;
+        let mut remaining = wave;
         for _ in 0..pause {
-            while left > 0 && shared.loads.len() < shared.limit.get() {
-                shared.begin(0.0);
-                left -= 1;
+            while remaining > 0 && shared.loads.len() < shared.limit.get() {
+                shared.start_load(0.0);
+                remaining -= 1;
             }
-            shared.step();
+            shared.advance();
         }
         limits.push(shared.limit.get());
     }
@@ -227,7 +227,7 @@
     waves(&mut shared, 3, 8, 2_000);
     let before = shared.limit.get();
     assert!(before >= 8, "{before}");
-    shared.begin(0.6);
+    shared.start_load(0.6);
     let limits = waves(&mut shared, 3, 7, 3_000);
     assert!(limits.iter().all(|limit| *limit >= before), "{limits:?}");
 }
@@ -256,7 +256,7 @@
     (0..6).for_each(|_| limit.observe(&slow(LoadTiming::Exact), now));
     assert!(
         limit.get() < 6,
-        "a wave of loads that are known exactly does"
+        "a wave of slow loads with exact timing lowers the limit"
     );
 }
 
@@ -301,53 +301,57 @@
 /// Simulates a minute in which loads are always waiting. `slowness` maps a load's number and start
 /// time in seconds to its relative work.
 fn busy_minute(shared: &mut SharedLink, slowness: impl Fn(usize, f64) -> f64) -> Minute {
-    let begun_at = shared.now;
-    let mut begun = 0;
-    let mut done_early = 0;
+    let started_at = shared.now;
+    let mut started = 0;
+    let mut finished_early = 0;
     let mut limits = Vec::new();
     for millisecond in 0..60_000 {
-        let since = (shared.now - begun_at).as_secs_f64();
+        let since = (shared.now - started_at).as_secs_f64();
         while shared.loads.len() < shared.limit.get() {
-            shared.begin_slow(0.0, slowness(begun, since));
-            begun += 1;
+            shared.start_slow_load(0.0, slowness(started, since));
+            started += 1;
         }
-        shared.step();
+        shared.advance();
         if millisecond == 10_000 {
-            done_early = begun - shared.loads.len();
+            finished_early = started - shared.loads.len();
         }
         if millisecond % 1_000 == 999 {
             limits.push(shared.limit.get());
         }
     }
     Minute {
-        loads: begun - shared.loads.len() - done_early,
+        loads: started - shared.loads.len() - finished_early,
         limits,
     }
 }
 
 /// Slows down every fifth load, chosen pseudo-randomly, during the first half of a minute.
-fn sick_fifth(number: usize, since: f64) -> f64 {
-    let is_sick = (number * 2_654_435_761) >> 8 & 0xff < 51;
-    if is_sick && since < 30.0 { 1.28 } else { 1.0 }
+fn slow_fifth(number: usize, since: f64) -> f64 {
+    let is_slow = (number * 2_654_435_761) >> 8 & 0xff < 51;
+    if is_slow && since < 30.0 { 1.28 } else { 1.0 }
 }
 
 /// Guards against mistaking several slow loads of unhealthy instances for a saturated link.
 #[test]
 fn unhealthy_instances_do_not_count_as_a_saturated_link() {
     let links = [2, 9, 24, 100].into_iter();
-    for (free, pace) in links.flat_map(|free| PACES.map(|pace| (free, pace))) {
-        let mut shared = SharedLink::with_pace(free, pace);
-        let minute = busy_minute(&mut shared, sick_fifth);
-        let most = free as f64 * 50.0 / ALONE.as_secs_f64();
-        let share = minute.loads as f64 / most;
+    for (capacity, speed_model) in
+        links.flat_map(|capacity| SPEED_MODELS.map(|speed_model| (capacity, speed_model)))
+    {
+        let mut shared = SharedLink::with_speed_model(capacity, speed_model);
+        let minute = busy_minute(&mut shared, slow_fifth);
+        let max_loads = capacity as f64 * 50.0 / TIME_ALONE.as_secs_f64();
+        let share = minute.loads as f64 / max_loads;
         let limits = &minute.limits;
         assert!(
             share > 0.88,
-            "{share} of a link of {free}, {pace:?}: {limits:?}"
+            "utilization {share} of a link with capacity {capacity}, {speed_model:?}: {limits:?}"
         );
         assert!(
-            limits[13..].iter().all(|limit| *limit <= free * 3 / 2 + 1),
-            "link of {free}, {pace:?}: {limits:?}"
+            limits[13..]
+                .iter()
+                .all(|limit| *limit <= capacity * 3 / 2 + 1),
+            "link with capacity {capacity}, {speed_model:?}: {limits:?}"
         );
     }
 }
@@ -358,19 +362,27 @@
     let mut shared = SharedLink::new(24);
     let slower = |_, since| if since > 15.0 { 1.4 } else { 1.0 };
     let minute = busy_minute(&mut shared, slower);
-    let late = &minute.limits[30..];
-    assert!(late.iter().all(|limit| *limit >= 20), "{:?}", minute.limits);
+    let late_limits = &minute.limits[30..];
+    assert!(
+        late_limits.iter().all(|limit| *limit >= 20),
+        "{:?}",
+        minute.limits
+    );
 }
 
 /// Guards against taking the limit of a previous leader, which was still increasing, for the link's
 /// capacity.
 #[test]
 fn a_new_leader_continues_to_increase_the_limit() {
-    for pace in PACES {
-        let mut shared = SharedLink::with_pace(24, pace);
-        shared.limit = LoadLimit::from_learned(4, ALONE, false);
+    for speed_model in SPEED_MODELS {
+        let mut shared = SharedLink::with_speed_model(24, speed_model);
+        shared.limit = LoadLimit::from_learned(4, TIME_ALONE, false);
         let minute = busy_minute(&mut shared, |_, _| 1.0);
-        assert!(minute.limits[5] >= 20, "{pace:?}: {:?}", minute.limits);
+        assert!(
+            minute.limits[5] >= 20,
+            "{speed_model:?}: {:?}",
+            minute.limits
+        );
     }
 }
 
@@ -378,7 +390,7 @@
 #[test]
 fn a_new_leader_does_not_double_a_limit_close_to_capacity() {
     let mut shared = SharedLink::new(24);
-    shared.limit = LoadLimit::from_learned(24, ALONE, true);
+    shared.limit = LoadLimit::from_learned(24, TIME_ALONE, true);
     let minute = busy_minute(&mut shared, |_, _| 1.0);
     assert!(
         minute.limits.iter().all(|limit| *limit <= 30),
@@ -391,15 +403,15 @@
 /// start.
 #[test]
 fn loads_joined_by_others_later_do_not_prove_a_concurrency() {
-    let mut shared = SharedLink::with_pace(26, Pace::SetAtBegin);
+    let mut shared = SharedLink::with_speed_model(26, SpeedModel::FixedAtStart);
     // At most sixteen orders are issued per planning round of 50 ms.
     let mut limits = Vec::new();
     for millisecond in 0..40_000 {
         if millisecond % 50 == 0 {
-            let room = shared.limit.get().saturating_sub(shared.loads.len());
-            (0..room.min(16)).for_each(|_| shared.begin(0.0));
+            let free_slots = shared.limit.get().saturating_sub(shared.loads.len());
+            (0..free_slots.min(16)).for_each(|_| shared.start_load(0.0));
         }
-        shared.step();
+        shared.advance();
         limits.push(shared.limit.get());
     }
     assert!(
@@ -407,10 +419,10 @@
         "{:?}",
         limits.iter().max()
     );
-    let late = &limits[10_000..];
+    let late_limits = &limits[10_000..];
     assert!(
-        late.iter().all(|limit| (22..=34).contains(limit)),
+        late_limits.iter().all(|limit| (22..=34).contains(limit)),
         "{:?}",
-        &late[..40]
+        &late_limits[..40]
     );
 }
--- a/crates/front/tests/order_plan.rs
+++ b/crates/front/tests/order_plan.rs
@@ -49,10 +49,10 @@
 #[test]
 fn instances_are_shared_by_weight() {
     let fleet = fleet(9, 1);
-    let mut heavy = demand("b", 1, 0);
-    heavy.weight = 2.0;
+    let mut larger = demand("b", 1, 0);
+    larger.weight = 2.0;
     let mut assignment = Assignment::default();
-    assignment.update(&[demand("a", 1, 0), heavy], &fleet);
+    assignment.update(&[demand("a", 1, 0), larger], &fleet);
     let counts = counts(&assignment, &fleet);
     assert_eq!(counts["a"], 3);
     assert_eq!(counts["b"], 6);
@@ -80,29 +80,29 @@
 #[test]
 fn each_model_keeps_instances_while_a_zone_is_drained() {
     let demands = ["a", "b", "c", "d"].map(|model| demand(model, 5, 1_000));
-    let whole: Vec<FleetInstance> = (0..12)
+    let full_fleet: Vec<FleetInstance> = (0..12)
         .map(|n| {
             let model = ["a", "b", "c", "d"][n / 3];
             instance(&format!("i-{n:02}"), &[(model, 5)])
         })
         .collect();
     let mut assignment = Assignment::default();
-    assignment.update(&demands, &whole);
+    assignment.update(&demands, &full_fleet);
     let before = assignment.clone();
-    let left = &whole[4..];
-    for _ in 0..left.len() {
-        assignment.update(&demands, left);
+    let remaining = &full_fleet[4..];
+    for _ in 0..remaining.len() {
+        assignment.update(&demands, remaining);
     }
-    let counted = counts(&assignment, left);
-    assert_eq!(counted.len(), 4, "{counted:?}");
+    let model_counts = counts(&assignment, remaining);
+    assert_eq!(model_counts.len(), 4, "{model_counts:?}");
     assert!(assignment.model("i-00").is_none());
-    for _ in 0..whole.len() {
-        assignment.update(&demands, &whole);
+    for _ in 0..full_fleet.len() {
+        assignment.update(&demands, &full_fleet);
     }
-    let counted = counts(&assignment, &whole);
+    let model_counts = counts(&assignment, &full_fleet);
     assert!(
-        counted.values().all(|count| (2..=4).contains(count)),
-        "{counted:?}"
+        model_counts.values().all(|count| (2..=4).contains(count)),
+        "{model_counts:?}"
     );
     assert_eq!(assignment.model("i-00"), before.model("i-00"));
 }
@@ -168,7 +168,7 @@
         let mut assignment = Assignment::default();
         assignment.update(&demands, &fleet);
         for _ in 0..count {
-            let planned = plan(&demands, &assignment, &fleet, 0, 2).expect("some instance lags");
+            let planned = plan(&demands, &assignment, &fleet, 0, 2).expect("some instance is outdated");
             prop_assert_eq!(assignment.model(&planned.instance), Some(planned.model.as_str()));
             let loaded = fleet.iter_mut().find(|one| one.id == planned.instance).unwrap();
             prop_assert!(loaded.versions[&planned.model] < planned.version);
@@ -193,7 +193,7 @@
     fleet
 }
 
-fn assigned(demands: &[ModelDemand], fleet: &[FleetInstance]) -> Assignment {
+fn assign(demands: &[ModelDemand], fleet: &[FleetInstance]) -> Assignment {
     let mut assignment = Assignment::default();
     assignment.update(demands, fleet);
     assert_eq!(assignment.model("a-slow"), Some("a"));
@@ -201,7 +201,7 @@
     assignment
 }
 
-fn with_lengths(a: u64, b: u64) -> Vec<ModelDemand> {
+fn demands_with_lengths(a: u64, b: u64) -> Vec<ModelDemand> {
     let mut demands = vec![demand("a", 2, 0), demand("b", 2, 0)];
     demands[0].longest_events = a;
     demands[1].longest_events = b;
@@ -210,8 +210,8 @@
 
 #[test]
 fn the_model_with_the_longest_texts_gets_the_fast_instances() {
-    let (demands, fleet) = (with_lengths(189, 115), paced_fleet());
-    let mut assignment = assigned(&demands, &fleet);
+    let (demands, fleet) = (demands_with_lengths(189, 115), paced_fleet());
+    let mut assignment = assign(&demands, &fleet);
     let trade = assignment.trade(&demands, &fleet).expect("a trade");
     assert_eq!(
         (
@@ -224,24 +224,28 @@
     assert_eq!(assignment.model("b-fast"), Some("a"));
     assert_eq!(assignment.model("a-slow"), Some("b"));
     assignment.update(&demands, &fleet);
-    assert_eq!(assignment.model("b-fast"), Some("a"), "it stays");
-    assert_eq!(assignment.trade(&demands, &fleet), None, "each once");
+    assert_eq!(assignment.model("b-fast"), Some("a"), "the trade persists");
+    assert_eq!(
+        assignment.trade(&demands, &fleet),
+        None,
+        "each instance is traded once"
+    );
 }
 
 #[test]
 fn no_trade_without_benefit_or_for_temporary_slowness() {
     let fleet = paced_fleet();
-    for demands in [with_lengths(115, 110), with_lengths(189, 0)] {
-        let mut assignment = assigned(&demands, &fleet);
+    for demands in [demands_with_lengths(115, 110), demands_with_lengths(189, 0)] {
+        let mut assignment = assign(&demands, &fleet);
         assert_eq!(assignment.trade(&demands, &fleet), None);
     }
-    let demands = with_lengths(189, 115);
+    let demands = demands_with_lengths(189, 115);
     let mut broken = fleet.clone();
     broken[1].pace_ms = Some(160.0);
-    assert_eq!(assigned(&demands, &broken).trade(&demands, &broken), None);
+    assert_eq!(assign(&demands, &broken).trade(&demands, &broken), None);
     let mut unknown = fleet;
     unknown[2].pace_ms = None;
-    assert_eq!(assigned(&demands, &unknown).trade(&demands, &unknown), None);
+    assert_eq!(assign(&demands, &unknown).trade(&demands, &unknown), None);
 }
 
 /// Builds fifteen instances for each model, every third of which is slow.
@@ -286,7 +290,7 @@
         for _ in 0..max_trades(&demands, &fleet) {
             assignment.trade(&demands, &fleet);
         }
-        assert!(rounds <= 4, "four rounds of three");
+        assert!(rounds <= 4, "more than four rounds");
     }
     assert_eq!(slow_of(&assignment, "c"), 15);
 }
