--- a/crates/front/src/capacity/planner.rs
+++ b/crates/front/src/capacity/planner.rs
@@ -252,7 +252,7 @@
             let is_drained = service.drained.contains(&pool.zone);
             let losses = self.losses.entry(pool.clone()).or_default();
             let before = losses.lost();
-            if let Some(reason) = losses.look(found, present, is_drained, now) {
+            if let Some(reason) = losses.update(found, present, is_drained, now) {
                 updates.push(LossUpdate {
                     pool,
                     lost: losses.lost(),
--- a/crates/front/src/orders/demand.rs
+++ b/crates/front/src/orders/demand.rs
@@ -22,14 +22,14 @@
 
 /// Maximum factor by which an event interval grows from one poll to the next, so that a load or a
 /// brief disturbance does not count as the instance's own speed.
-const MAX_PACE_INCREASE: f64 = 1.05;
+const MAX_INTERVAL_INCREASE: f64 = 1.05;
 
 /// Combined reports of the fronts.
 #[derive(Debug, Default)]
 pub(super) struct FleetDemand {
     tokens: BTreeMap<String, u64>,
     longest_events: BTreeMap<String, u64>,
-    paces_ms: BTreeMap<String, f64>,
+    event_intervals_ms: BTreeMap<String, f64>,
     /// Fronts that reported work.
     busy_fronts: BTreeSet<String>,
     /// Time of the last poll of all fronts.
@@ -62,7 +62,7 @@
         let answers = futures_util::future::join_all(calls).await;
         let own = (own_node.as_str(), jobs.demand());
         let mut combined = Self::combine(answers.into_iter().flatten().chain([own]));
-        combined.limit_pace_increases(last);
+        combined.limit_interval_increases(last);
         combined.last_full_poll_at = if polls_all {
             Some(Instant::now())
         } else {
@@ -83,16 +83,19 @@
             .collect()
     }
 
-    fn limit_pace_increases(&mut self, last: &Self) {
-        for (instance, known) in &last.paces_ms {
-            let pace = self.paces_ms.entry(instance.clone()).or_insert(*known);
-            *pace = pace.min(known * MAX_PACE_INCREASE);
+    fn limit_interval_increases(&mut self, last: &Self) {
+        for (instance, known) in &last.event_intervals_ms {
+            let interval = self
+                .event_intervals_ms
+                .entry(instance.clone())
+                .or_insert(*known);
+            *interval = interval.min(known * MAX_INTERVAL_INCREASE);
         }
     }
 
     fn combine<'a>(answers: impl Iterator<Item = (&'a str, Demand)>) -> Self {
         let mut combined = Self::default();
-        let mut paces = BTreeMap::<String, Vec<f64>>::new();
+        let mut intervals_ms = BTreeMap::<String, Vec<f64>>::new();
         for (node, answer) in answers {
             if !answer.work.is_empty() {
                 combined.busy_fronts.insert(node.to_owned());
@@ -105,14 +108,14 @@
                 *longest = work.longest_events.max(*longest);
                 *combined.tokens.entry(work.model).or_insert(0) += work.tokens;
             }
-            for pace in answer.paces {
-                let known = paces.entry(pace.instance).or_default();
-                known.push(pace.event_micros as f64 / 1e3);
+            for interval in answer.paces {
+                let known = intervals_ms.entry(interval.instance).or_default();
+                known.push(interval.event_micros as f64 / 1e3);
             }
         }
-        let paces = paces.into_iter();
-        combined.paces_ms = paces
-            .filter_map(|(instance, paces)| Some((instance, median(paces)?)))
+        let intervals_ms = intervals_ms.into_iter();
+        combined.event_intervals_ms = intervals_ms
+            .filter_map(|(instance, intervals_ms)| Some((instance, median(intervals_ms)?)))
             .collect();
         combined
     }
@@ -128,7 +131,7 @@
     }
 
     /// Returns the milliseconds between two events at an instance; `None` while unknown.
-    pub fn pace_ms(&self, instance: &str) -> Option<f64> {
-        self.paces_ms.get(instance).copied()
+    pub fn event_interval_ms(&self, instance: &str) -> Option<f64> {
+        self.event_intervals_ms.get(instance).copied()
     }
 }
--- a/crates/front/src/orders/leader.rs
+++ b/crates/front/src/orders/leader.rs
@@ -367,7 +367,7 @@
                 versions: instance.versions(),
                 load: instance.candidate("", now).load,
                 is_busy: state.is_excluded(instance.id()),
-                pace_ms: state.demand.pace_ms(instance.id()),
+                event_interval_ms: state.demand.event_interval_ms(instance.id()),
             })
             .collect();
         state.assignment.update(&demands, &fleet);
--- a/crates/front/src/orders/leader_state.rs
+++ b/crates/front/src/orders/leader_state.rs
@@ -212,7 +212,7 @@
         }
         let before = self.load_limit.get();
         let finished = FinishedLoad {
-            taken: now.saturating_duration_since(load.since),
+            duration: now.saturating_duration_since(load.since),
             link: self.link_use.since(&load.link_use_before, now),
             concurrent_at_start: load.concurrent,
             timing: load.timing,
@@ -222,7 +222,7 @@
             log::info!(
                 "event=load_limit_changed limit={} before={before} taken_ms={} usual_ms={} at_begin={} near={}",
                 self.load_limit.get(),
-                finished.taken.as_millis(),
+                finished.duration.as_millis(),
                 self.load_limit
                     .typical_load_time()
                     .unwrap_or_default()
@@ -280,8 +280,8 @@
                 trade.slow,
                 trade.fast,
                 trade.model,
-                self.demand.pace_ms(&trade.slow),
-                self.demand.pace_ms(&trade.fast)
+                self.demand.event_interval_ms(&trade.slow),
+                self.demand.event_interval_ms(&trade.fast)
             );
         }
     }
--- a/crates/front/src/orders/load_limit.rs
+++ b/crates/front/src/orders/load_limit.rs
@@ -111,7 +111,7 @@
 /// Sample from a recent load.
 #[derive(Debug, Clone, PartialEq)]
 struct LoadSample {
-    taken: Duration,
+    duration: Duration,
     /// Load time relative to the typical one.
     ratio: f64,
     /// Concurrency at the start or on average, whichever is lower.
@@ -146,7 +146,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct FinishedLoad {
     /// Load time.
-    pub taken: Duration,
+    pub duration: Duration,
     /// Time spent at each level of concurrency during the load.
     pub link: LinkTimes,
     /// Loads in progress at the start, including this one.
@@ -232,25 +232,25 @@
         }
         self.shortest = Some(
             self.shortest
-                .map_or(load.taken, |shortest| shortest.min(load.taken)),
+                .map_or(load.duration, |shortest| shortest.min(load.duration)),
         );
         let concurrent = load
             .link
             .mean_concurrent()
             .min(load.concurrent_at_start as f64);
         if load.timing == LoadTiming::Exact {
-            self.observe_typical_time(load.taken, load.link.max_concurrent());
+            self.observe_typical_time(load.duration, load.link.max_concurrent());
         }
         let Some(typical_load_time) = self.typical_load_time() else {
             return;
         };
         let ratio =
-            load.taken.as_secs_f64() / typical_load_time.as_secs_f64().max(f64::MIN_POSITIVE);
+            load.duration.as_secs_f64() / typical_load_time.as_secs_f64().max(f64::MIN_POSITIVE);
         if ratio > MAX_UNSLOWED_RATIO && !self.is_conclusive(load, now) {
             return;
         }
         self.push_sample(LoadSample {
-            taken: load.taken,
+            duration: load.duration,
             ratio,
             concurrent,
             capacity_by_start: load.concurrent_at_start as f64 / ratio,
@@ -268,13 +268,13 @@
     }
 
     /// Updates the typical time from the first load, and from loads at low concurrency.
-    fn observe_typical_time(&mut self, taken: Duration, max_concurrent: usize) {
+    fn observe_typical_time(&mut self, duration: Duration, max_concurrent: usize) {
         let low_concurrency = (self.proven * LOW_CONCURRENCY_RATIO).max(MIN_LIMIT as f64);
         if max_concurrent as f64 > low_concurrency && self.typical_load_time.is_some() {
             return;
         }
         let mut times = std::mem::take(&mut self.typical_times);
-        times.push_back(taken);
+        times.push_back(duration);
         if times.len() > TYPICAL_TIME_SAMPLES {
             times.pop_front();
         }
@@ -285,11 +285,11 @@
     /// slow for another reason, and one that started before the latest decrease was part of the
     /// same burst, which must lower the limit only once.
     fn is_conclusive(&self, load: &FinishedLoad, now: Instant) -> bool {
-        let began_before = |at: Instant| now.saturating_duration_since(at) < load.taken;
+        let started_before = |at: Instant| now.saturating_duration_since(at) < load.duration;
         let lowered_at = self.saturation.as_ref().map(|last| last.at);
         load.timing == LoadTiming::Exact
             && load.link.max_concurrent() > MIN_LIMIT
-            && !lowered_at.is_some_and(began_before)
+            && !lowered_at.is_some_and(started_before)
     }
 
     fn push_sample(&mut self, load: LoadSample) {
@@ -328,7 +328,7 @@
     /// Undoes the latest decrease and adopts the current load times as typical, because all loads
     /// are slower at any concurrency.
     fn undo_decrease(&mut self) {
-        self.set_typical_times(self.samples.iter().map(|load| load.taken).collect());
+        self.set_typical_times(self.samples.iter().map(|load| load.duration).collect());
         if let Some(last) = self.saturation.take() {
             self.limit = last.limit_before;
         }
--- a/crates/front/src/orders/permits/requester.rs
+++ b/crates/front/src/orders/permits/requester.rs
@@ -79,11 +79,11 @@
         let permit_requests = &self.backends.gates().permit_requests;
         let mut last_issuer = None;
         loop {
-            let mut wanted = permit_requests.take().await;
+            let mut needed = permit_requests.take().await;
             tokio::time::sleep(BATCH_DELAY).await;
-            wanted.append(&mut permit_requests.drain_pending());
-            let instances = wanted.len();
-            let (permits, until) = self.request(wanted, &mut last_issuer).await;
+            needed.append(&mut permit_requests.drain_pending());
+            let instances = needed.len();
+            let (permits, until) = self.request(needed, &mut last_issuer).await;
             if last_issuer.is_none() {
                 tokio::time::sleep(ladderstage_journal::jitter::jittered(NO_ISSUER_PAUSE)).await;
             }
@@ -108,10 +108,10 @@
     /// until which they are valid.
     async fn request(
         &self,
-        wanted: BTreeMap<String, String>,
+        needed: BTreeMap<String, String>,
         last_issuer: &mut Option<String>,
     ) -> (SendPermits, Instant) {
-        let request = self.build_request(wanted);
+        let request = self.build_request(needed);
         let requested_at = Instant::now();
         if let Some(permits) = self.issuer.issue(&request) {
             *last_issuer = Some(self.nodes.own().node);
@@ -129,9 +129,9 @@
         (SendPermits::default(), requested_at)
     }
 
-    fn build_request(&self, wanted: BTreeMap<String, String>) -> AskSendPermits {
+    fn build_request(&self, needed: BTreeMap<String, String>) -> AskSendPermits {
         let limits = &self.backends.gates().cold;
-        let wanted = wanted.into_iter().filter_map(|(instance, service)| {
+        let needed = needed.into_iter().filter_map(|(instance, service)| {
             let limit = limits.get(&service)?;
             Some(SendPermit {
                 count: (limit.dealt / REQUEST_DIVISOR).max(1),
@@ -140,7 +140,7 @@
             })
         });
         AskSendPermits {
-            wanted: wanted.collect(),
+            wanted: needed.collect(),
         }
     }
 
--- a/crates/front/src/orders/plan.rs
+++ b/crates/front/src/orders/plan.rs
@@ -19,13 +19,13 @@
 const SHORT_TEXT_RATIO: f64 = 0.8;
 
 /// Minimum event interval, relative to the fastest instance, at which an instance counts as slow.
-const SLOW_PACE_RATIO: f64 = 1.15;
+const SLOW_INTERVAL_RATIO: f64 = 1.15;
 
 /// Relative event interval from which on the slowness counts as temporary.
-const TEMPORARY_PACE_RATIO: f64 = 2.0;
+const TEMPORARY_INTERVAL_RATIO: f64 = 2.0;
 
 /// Maximum relative event interval at which an instance counts as fast.
-const FAST_PACE_RATIO: f64 = 1.07;
+const FAST_INTERVAL_RATIO: f64 = 1.07;
 
 /// Instance that holds models.
 #[derive(Debug, Clone, PartialEq)]
@@ -39,7 +39,7 @@
     /// Excluded from orders, because one is in progress or was issued recently.
     pub is_busy: bool,
     /// Milliseconds between two events of a run; `None` while unknown.
-    pub pace_ms: Option<f64>,
+    pub event_interval_ms: Option<f64>,
 }
 
 /// Demand for one model.
@@ -100,8 +100,8 @@
 /// Instance that may be traded, with its event interval relative to the fastest instance of its model.
 struct Tradable<'a> {
     id: &'a str,
-    pace_ms: f64,
-    relative_pace: f64,
+    event_interval_ms: f64,
+    slowness: f64,
 }
 
 impl Assignment {
@@ -173,8 +173,8 @@
     /// shortest texts, because a step takes as long as its longest texts.
     pub fn trade(&mut self, demands: &[ModelDemand], fleet: &[FleetInstance]) -> Option<Trade> {
         let text_time = |demand: &ModelDemand| {
-            let pace = self.best_pace(&demand.model, fleet)?;
-            (demand.longest_events > 0).then_some(pace * demand.longest_events as f64)
+            let interval = self.shortest_interval(&demand.model, fleet)?;
+            (demand.longest_events > 0).then_some(interval * demand.longest_events as f64)
         };
         let mut times: Vec<(f64, &str)> = demands
             .iter()
@@ -185,17 +185,19 @@
         let long = times
             .iter()
             .filter(|(long_time, _)| short_time <= long_time * SHORT_TEXT_RATIO);
-        let by_pace =
-            |one: &Tradable, other: &Tradable| one.relative_pace.total_cmp(&other.relative_pace);
+        let by_slowness =
+            |one: &Tradable, other: &Tradable| one.slowness.total_cmp(&other.slowness);
         let (slow, long_model) = long
             .flat_map(|(_, model)| self.tradable(model, fleet).map(move |one| (one, *model)))
-            .filter(|(one, _)| (SLOW_PACE_RATIO..TEMPORARY_PACE_RATIO).contains(&one.relative_pace))
-            .max_by(|(one, _), (other, _)| by_pace(one, other))?;
+            .filter(|(one, _)| {
+                (SLOW_INTERVAL_RATIO..TEMPORARY_INTERVAL_RATIO).contains(&one.slowness)
+            })
+            .max_by(|(one, _), (other, _)| by_slowness(one, other))?;
         let fast = self
             .tradable(short_model, fleet)
-            .filter(|one| one.relative_pace < FAST_PACE_RATIO)
-            .filter(|one| one.pace_ms * SLOW_PACE_RATIO <= slow.pace_ms)
-            .min_by(by_pace)?;
+            .filter(|one| one.slowness < FAST_INTERVAL_RATIO)
+            .filter(|one| one.event_interval_ms * SLOW_INTERVAL_RATIO <= slow.event_interval_ms)
+            .min_by(by_slowness)?;
         let trade = Trade {
             model: long_model.to_owned(),
             slow: slow.id.to_owned(),
@@ -209,11 +211,11 @@
     }
 
     /// Returns the event interval of a model's fastest instance.
-    fn best_pace(&self, model: &str, fleet: &[FleetInstance]) -> Option<f64> {
+    fn shortest_interval(&self, model: &str, fleet: &[FleetInstance]) -> Option<f64> {
         let paces = fleet
             .iter()
             .filter(|one| self.model(&one.id) == Some(model))
-            .filter_map(|one| one.pace_ms);
+            .filter_map(|one| one.event_interval_ms);
         paces.min_by(f64::total_cmp)
     }
 
@@ -223,17 +225,17 @@
         model: &'a str,
         fleet: &'a [FleetInstance],
     ) -> impl Iterator<Item = Tradable<'a>> {
-        let best = self.best_pace(model, fleet);
+        let best = self.shortest_interval(model, fleet);
         fleet
             .iter()
             .filter(move |one| self.model(&one.id) == Some(model))
             .filter(|one| !one.is_busy && !self.traded.contains(&one.id))
             .filter_map(move |one| {
-                let pace_ms = one.pace_ms?;
+                let event_interval_ms = one.event_interval_ms?;
                 Some(Tradable {
                     id: &one.id,
-                    pace_ms,
-                    relative_pace: pace_ms / best?,
+                    event_interval_ms,
+                    slowness: event_interval_ms / best?,
                 })
             })
     }
--- a/crates/front/tests/load_limit.rs
+++ b/crates/front/tests/load_limit.rs
@@ -19,13 +19,13 @@
         let concurrent_at_start = limit.get();
         let slowness = (concurrent_at_start as f64 / capacity as f64).max(1.0);
         let delay = Duration::from_millis(delays_ms[round % delays_ms.len()]);
-        let taken = TIME_ALONE.mul_f64(slowness) + delay;
-        now += taken;
+        let duration = TIME_ALONE.mul_f64(slowness) + delay;
+        now += duration;
         for number in 1..=concurrent_at_start {
             let mut link = LinkUse::default();
-            link.set_loads(concurrent_at_start, now - taken);
+            link.set_loads(concurrent_at_start, now - duration);
             let load = FinishedLoad {
-                taken,
+                duration,
                 link: link.since(&LinkUse::default(), now),
                 concurrent_at_start: number,
                 timing: LoadTiming::Exact,
@@ -161,7 +161,7 @@
         self.loads = running;
         for load in completed {
             let finished = FinishedLoad {
-                taken: self.now - load.since,
+                duration: self.now - load.since,
                 link: self.link.since(&load.before, self.now),
                 concurrent_at_start: load.concurrent_at_start,
                 timing: LoadTiming::Exact,
@@ -237,20 +237,20 @@
 #[test]
 fn loads_that_were_noticed_late_do_not_lower_the_limit() {
     let start = Instant::now();
-    let least = Duration::from_millis(900);
-    let mut limit = LoadLimit::from_learned(6, least, true);
+    let typical_time = Duration::from_millis(900);
+    let mut limit = LoadLimit::from_learned(6, typical_time, true);
     let mut link = LinkUse::default();
     link.set_loads(6, start);
     let slow = |timing| {
-        let now = start + least.mul_f64(1.3);
+        let now = start + typical_time.mul_f64(1.3);
         FinishedLoad {
-            taken: now - start,
+            duration: now - start,
             link: link.since(&LinkUse::default(), now),
             concurrent_at_start: 6,
             timing,
         }
     };
-    let now = start + least.mul_f64(1.3);
+    let now = start + typical_time.mul_f64(1.3);
     (0..10).for_each(|_| limit.observe(&slow(LoadTiming::NoticedLate), now));
     assert_eq!(limit.get(), 6);
     (0..6).for_each(|_| limit.observe(&slow(LoadTiming::Exact), now));
@@ -264,14 +264,14 @@
 #[test]
 fn a_burst_of_too_many_loads_lowers_the_limit_once() {
     let start = Instant::now();
-    let least = Duration::from_millis(900);
-    let mut limit = LoadLimit::from_learned(25, least, true);
+    let typical_time = Duration::from_millis(900);
+    let mut limit = LoadLimit::from_learned(25, typical_time, true);
     let mut link = LinkUse::default();
     link.set_loads(25, start);
     let burst = |taken_ms| {
         let now = start + Duration::from_millis(taken_ms);
         let load = FinishedLoad {
-            taken: now - start,
+            duration: now - start,
             link: link.since(&LinkUse::default(), now),
             concurrent_at_start: 25,
             timing: LoadTiming::Exact,
--- a/crates/front/tests/order_candidates.rs
+++ b/crates/front/tests/order_candidates.rs
@@ -14,8 +14,8 @@
     while !nodes.is_empty() {
         let before = candidates(&nodes);
         assert_eq!(before.len(), nodes.len().min(4));
-        let gone = before[0].clone();
-        nodes.retain(|node| *node != gone);
+        let departed = before[0].clone();
+        nodes.retain(|node| *node != departed);
         let after = candidates(&nodes);
         assert!(before[1..].iter().all(|node| after.contains(node)));
     }
--- a/crates/front/tests/order_plan.rs
+++ b/crates/front/tests/order_plan.rs
@@ -25,7 +25,7 @@
         versions: versions.collect(),
         load: 0,
         is_busy: false,
-        pace_ms: None,
+        event_interval_ms: None,
     }
 }
 
@@ -179,7 +179,7 @@
 }
 
 /// Builds two models with two instances each; the second instance of each is slow.
-fn paced_fleet() -> Vec<FleetInstance> {
+fn fleet_with_slow_instances() -> Vec<FleetInstance> {
     let mut fleet = vec![
         instance("a-fast", &[("a", 2), ("b", 1)]),
         instance("a-slow", &[("a", 2), ("b", 1)]),
@@ -188,7 +188,7 @@
     ];
     for one in &mut fleet {
         let is_slow = one.id.ends_with("slow");
-        one.pace_ms = Some(if is_slow { 51.0 } else { 39.0 });
+        one.event_interval_ms = Some(if is_slow { 51.0 } else { 39.0 });
     }
     fleet
 }
@@ -210,7 +210,7 @@
 
 #[test]
 fn the_model_with_the_longest_texts_gets_the_fast_instances() {
-    let (demands, fleet) = (demands_with_lengths(189, 115), paced_fleet());
+    let (demands, fleet) = (demands_with_lengths(189, 115), fleet_with_slow_instances());
     let mut assignment = assign(&demands, &fleet);
     let trade = assignment.trade(&demands, &fleet).expect("a trade");
     assert_eq!(
@@ -234,17 +234,17 @@
 
 #[test]
 fn no_trade_without_benefit_or_for_temporary_slowness() {
-    let fleet = paced_fleet();
+    let fleet = fleet_with_slow_instances();
     for demands in [demands_with_lengths(115, 110), demands_with_lengths(189, 0)] {
         let mut assignment = assign(&demands, &fleet);
         assert_eq!(assignment.trade(&demands, &fleet), None);
     }
     let demands = demands_with_lengths(189, 115);
     let mut broken = fleet.clone();
-    broken[1].pace_ms = Some(160.0);
+    broken[1].event_interval_ms = Some(160.0);
     assert_eq!(assign(&demands, &broken).trade(&demands, &broken), None);
     let mut unknown = fleet;
-    unknown[2].pace_ms = None;
+    unknown[2].event_interval_ms = None;
     assert_eq!(assign(&demands, &unknown).trade(&demands, &unknown), None);
 }
 
@@ -254,7 +254,7 @@
     for model in models {
         for index in 0..15 {
             let mut one = instance(&format!("{model}-{index:02}"), &[(model, 2)]);
-            one.pace_ms = Some(if index % 3 == 0 { 64.0 } else { 49.5 });
+            one.event_interval_ms = Some(if index % 3 == 0 { 64.0 } else { 49.5 });
             fleet.push(one);
         }
     }
@@ -277,7 +277,9 @@
         let of_model = fleet
             .iter()
             .filter(|one| assignment.model(&one.id) == Some(model));
-        of_model.filter(|one| one.pace_ms == Some(64.0)).count()
+        of_model
+            .filter(|one| one.event_interval_ms == Some(64.0))
+            .count()
     };
     assert_eq!(
         ["a", "b", "c"].map(|model| slow_of(&assignment, model)),
