--- a/crates/front/src/orders/plan.rs
+++ b/crates/front/src/orders/plan.rs
@@ -19,13 +19,13 @@
 const SHORT_TEXT_RATIO: f64 = 0.8;
 
 /// Minimum event interval, relative to the fastest instance, at which an instance counts as slow.
-const SLOW_INTERVAL_RATIO: f64 = 1.15;
+const SLOW_RATIO: f64 = 1.15;
 
 /// Relative event interval from which on the slowness counts as temporary.
-const TEMPORARY_INTERVAL_RATIO: f64 = 2.0;
+const TEMPORARY_RATIO: f64 = 2.0;
 
 /// Maximum relative event interval at which an instance counts as fast.
-const FAST_INTERVAL_RATIO: f64 = 1.07;
+const FAST_RATIO: f64 = 1.07;
 
 /// Instance that holds models.
 #[derive(Debug, Clone, PartialEq)]
@@ -189,14 +189,12 @@
             |one: &Tradable, other: &Tradable| one.slowness.total_cmp(&other.slowness);
         let (slow, long_model) = long
             .flat_map(|(_, model)| self.tradable(model, fleet).map(move |one| (one, *model)))
-            .filter(|(one, _)| {
-                (SLOW_INTERVAL_RATIO..TEMPORARY_INTERVAL_RATIO).contains(&one.slowness)
-            })
+            .filter(|(one, _)| (SLOW_RATIO..TEMPORARY_RATIO).contains(&one.slowness))
             .max_by(|(one, _), (other, _)| by_slowness(one, other))?;
         let fast = self
             .tradable(short_model, fleet)
-            .filter(|one| one.slowness < FAST_INTERVAL_RATIO)
-            .filter(|one| one.event_interval_ms * SLOW_INTERVAL_RATIO <= slow.event_interval_ms)
+            .filter(|one| one.slowness < FAST_RATIO)
+            .filter(|one| one.event_interval_ms * SLOW_RATIO <= slow.event_interval_ms)
             .min_by(by_slowness)?;
         let trade = Trade {
             model: long_model.to_owned(),
