--- a/crates/front/src/capacity/controller.rs
+++ b/crates/front/src/capacity/controller.rs
@@ -74,7 +74,7 @@
         let started_at = Instant::now();
         self.wait_for_scaled_service().await;
         let mut state = self.load_state().await;
-        // The end that the previous holder announced lists weight orders only, so it does not
+        // The end that the previous holder announced lists weight-load orders only, so it does not
         // shorten this quiet period.
         let is_own = held.last.as_ref().is_none_or(|last| last.node == self.node);
         let quiet_until = if is_own {
@@ -157,7 +157,7 @@
         let counts = count_instances(&self.backends.discovered());
         let desired_capacity = state.planner.desired_capacity();
         let ordered = desired_capacity
-            .subjects()
+            .pools()
             .filter(|(_, count)| count.is_ordered);
         for (pool, count) in ordered {
             let serving = counts.get(&pool).map_or(0, |present| present.serving);
@@ -222,7 +222,7 @@
     /// Adopts the capacity that the store holds now.
     fn apply_persisted(&self, desired_capacity: DesiredCapacity, state: &mut HolderState) {
         let now = Instant::now();
-        for (pool, count) in desired_capacity.subjects() {
+        for (pool, count) in desired_capacity.pools() {
             let before = state.planner.desired_capacity().get(&pool);
             if count != before {
                 log::info!(
@@ -241,7 +241,7 @@
                 state.outbox.set_desired(&pool, count.desired(), now);
             }
         }
-        state.planner.accept(desired_capacity, now);
+        state.planner.apply(desired_capacity, now);
     }
 
     /// Repeats orders for pools that lack preemptible instances.
@@ -263,8 +263,8 @@
                 holder: self.node.clone(),
                 fence: held.fence,
             };
-            let is_proven = Instant::now() < held.valid_until();
-            let outcome = if is_proven {
+            let is_lease_valid = Instant::now() < held.valid_until();
+            let outcome = if is_lease_valid {
                 Some(self.sink.order(&order).await)
             } else {
                 None
--- a/crates/front/src/capacity/desired.rs
+++ b/crates/front/src/capacity/desired.rs
@@ -83,7 +83,7 @@
     }
 
     /// Returns all pools in order.
-    pub fn subjects(&self) -> impl Iterator<Item = (InstancePool, DesiredCount)> + '_ {
+    pub fn pools(&self) -> impl Iterator<Item = (InstancePool, DesiredCount)> + '_ {
         const KINDS: [InstanceKind; 2] = [InstanceKind::OnDemand, InstanceKind::Preemptible];
         self.services.iter().flat_map(|(service, zones)| {
             zones.iter().flat_map(move |(zone, counts)| {
--- a/crates/front/src/capacity/planner.rs
+++ b/crates/front/src/capacity/planner.rs
@@ -94,7 +94,7 @@
     pub fn new(desired_capacity: DesiredCapacity, now: Instant) -> Self {
         // Orders of an earlier holder may still take effect.
         let ordered = desired_capacity
-            .subjects()
+            .pools()
             .filter(|(_, count)| count.is_ordered);
         let ordered = ordered.map(|(pool, _)| (pool, (u32::MAX, now + LATE_EXECUTION_WINDOW)));
         Self {
@@ -130,8 +130,8 @@
     }
 
     /// Applies a persisted capacity.
-    pub fn accept(&mut self, desired_capacity: DesiredCapacity, now: Instant) {
-        for (pool, count) in desired_capacity.subjects() {
+    pub fn apply(&mut self, desired_capacity: DesiredCapacity, now: Instant) {
+        for (pool, count) in desired_capacity.pools() {
             let before = self.desired_capacity.get(&pool);
             if count.extra == before.extra {
                 continue;
@@ -180,14 +180,14 @@
         drained: &BTreeSet<Arc<str>>,
         now: Instant,
     ) -> Vec<InstancePool> {
-        let is_short = |pool: &InstancePool, serving: u32| {
+        let is_lacking = |pool: &InstancePool, serving: u32| {
             serving < self.desired_capacity.get(pool).desired()
                 && !drained.contains(&pool.zone)
                 && !self.is_unavailable(pool, now)
         };
-        let short = self.last_serving.iter();
-        short
-            .filter(|(pool, serving)| is_short(pool, **serving))
+        let lacking = self.last_serving.iter();
+        lacking
+            .filter(|(pool, serving)| is_lacking(pool, **serving))
             .map(|(pool, _)| pool.clone())
             .collect()
     }
@@ -200,7 +200,7 @@
     /// Counts instances that no order accounts for as found once they have stayed long enough.
     fn adopt(&mut self, service: &Service, next: &mut DesiredCapacity, now: Instant) {
         let is_new = !self.desired_capacity.has_service(&service.name);
-        for pool in service.subjects(next) {
+        for pool in service.pools(next) {
             let desired_count = next.get(&pool);
             let max_ordered = self.max_ordered(&pool, desired_count.extra, now);
             let unordered = service.present(&pool).serving;
@@ -242,7 +242,7 @@
         now: Instant,
         updates: &mut Vec<LossUpdate>,
     ) {
-        for pool in service.subjects(desired_capacity) {
+        for pool in service.pools(desired_capacity) {
             let present = service.present(&pool);
             if pool.kind == InstanceKind::Preemptible {
                 let desired = desired_capacity.get(&pool).desired();
@@ -291,12 +291,12 @@
 
     /// Places as many replacements as there are lost instances.
     fn replace(&mut self, service: &Service, next: &mut DesiredCapacity, now: Instant) {
-        let subjects = service.subjects(next);
-        let lost: u32 = subjects.iter().map(|pool| self.lost(pool)).sum();
-        let placement = placement(&subjects, next);
+        let pools = service.pools(next);
+        let lost: u32 = pools.iter().map(|pool| self.lost(pool)).sum();
+        let placement = placement(&pools, next);
         let offers = self.offers(service, next, now);
         let target = self.target(service, lost, placement.values().sum(), now);
-        set_placement(&subjects, next, &place(&offers, &placement, target));
+        set_placement(&pools, next, &place(&offers, &placement, target));
     }
 
     fn lost(&self, pool: &InstancePool) -> u32 {
@@ -329,9 +329,8 @@
         desired_capacity: &DesiredCapacity,
         now: Instant,
     ) -> Vec<ZoneOffer> {
-        let subjects = service.subjects(desired_capacity);
-        let zones: BTreeSet<Arc<str>> =
-            subjects.iter().map(|pool| Arc::clone(&pool.zone)).collect();
+        let pools = service.pools(desired_capacity);
+        let zones: BTreeSet<Arc<str>> = pools.iter().map(|pool| Arc::clone(&pool.zone)).collect();
         let available = zones
             .into_iter()
             .filter(|zone| !service.drained.contains(zone));
@@ -401,8 +400,8 @@
 }
 
 /// Returns the desired extra instances of the given pools.
-fn placement(subjects: &[InstancePool], desired_capacity: &DesiredCapacity) -> Placement {
-    let counts = subjects.iter().map(|pool| {
+fn placement(pools: &[InstancePool], desired_capacity: &DesiredCapacity) -> Placement {
+    let counts = pools.iter().map(|pool| {
         let extra = desired_capacity.get(pool).extra;
         ((Arc::clone(&pool.zone), pool.kind), extra)
     });
@@ -411,11 +410,11 @@
 
 /// Sets the desired extra instances of the given pools.
 fn set_placement(
-    subjects: &[InstancePool],
+    pools: &[InstancePool],
     desired_capacity: &mut DesiredCapacity,
     placement: &Placement,
 ) {
-    for pool in subjects {
+    for pool in pools {
         let before = desired_capacity.get(pool);
         let place = (Arc::clone(&pool.zone), pool.kind);
         let extra = placement.get(&place).copied().unwrap_or(0);
@@ -450,9 +449,9 @@
     }
 
     /// Returns both kinds of pool in every zone that has, or had, instances of the service.
-    fn subjects(&self, desired_capacity: &DesiredCapacity) -> Vec<InstancePool> {
+    fn pools(&self, desired_capacity: &DesiredCapacity) -> Vec<InstancePool> {
         let present = self.counts.keys().cloned();
-        let known = desired_capacity.subjects().map(|(pool, _)| pool);
+        let known = desired_capacity.pools().map(|(pool, _)| pool);
         let zones: BTreeSet<Arc<str>> = present
             .chain(known)
             .filter(|pool| pool.service == self.name)
--- a/crates/front/src/orders/plan.rs
+++ b/crates/front/src/orders/plan.rs
@@ -210,11 +210,11 @@
 
     /// Returns the event interval of a model's fastest instance.
     fn shortest_interval(&self, model: &str, fleet: &[FleetInstance]) -> Option<f64> {
-        let paces = fleet
+        let intervals_ms = fleet
             .iter()
             .filter(|one| self.model(&one.id) == Some(model))
             .filter_map(|one| one.event_interval_ms);
-        paces.min_by(f64::total_cmp)
+        intervals_ms.min_by(f64::total_cmp)
     }
 
     /// Returns the instances of a model that may be traded.
--- a/crates/front/tests/capacity_plan.rs
+++ b/crates/front/tests/capacity_plan.rs
@@ -150,7 +150,7 @@
         );
         if let Some(desired_capacity) = plan.desired_capacity {
             self.changes += 1;
-            self.planner.accept(desired_capacity, self.now);
+            self.planner.apply(desired_capacity, self.now);
         }
         plan.losses.iter().map(|update| update.reason).collect()
     }
