--- a/crates/front/src/orders/demand.rs
+++ b/crates/front/src/orders/demand.rs
@@ -37,8 +37,8 @@
 }
 
 impl FleetDemand {
-    /// Polls the busy fronts, and all of them every [`FULL_POLL_INTERVAL`]. Fronts that do not answer in
-    /// time are left out. `last` holds the previous reports.
+    /// Polls the busy fronts, and all of them every [`FULL_POLL_INTERVAL`]. Fronts that do not
+    /// answer in time are left out. `last` holds the previous reports.
     pub async fn collect_reports(nodes: &Nodes, jobs: &JobRegistry, last: &Self) -> Self {
         let polls_all = last
             .last_full_poll_at
--- a/crates/front/src/orders/leader_state.rs
+++ b/crates/front/src/orders/leader_state.rs
@@ -108,7 +108,8 @@
         self.orders_in_flight.insert(instance.to_owned());
     }
 
-    /// Excludes the instances that received an order of another leader less than `quiet_period` ago.
+    /// Excludes the instances that received an order of another leader less than `quiet_period`
+    /// ago.
     pub fn exclude_recently_ordered(
         &mut self,
         orders: Vec<(String, Instant)>,
@@ -132,8 +133,8 @@
         recent.map(|(id, at)| (id.clone(), *at)).collect()
     }
 
-    /// Records a load in progress and schedules its first check. `is_accepted`: the instance accepted
-    /// the order.
+    /// Records a load in progress and schedules its first check. `is_accepted`: the instance
+    /// accepted the order.
     pub fn start_load(
         &mut self,
         instance: &Instance,
--- a/crates/front/src/orders/load_limit.rs
+++ b/crates/front/src/orders/load_limit.rs
@@ -2,10 +2,10 @@
 //!
 //! All loads share one link. Up to the capacity of the link each load takes its typical time;
 //! beyond it, loads slow each other down. The capacity is not known, so it is estimated from
-//! finished loads: `proven` is the highest concurrency without slowdown, and `saturation` is the latest
-//! saturation. Before the first slowdown the limit is twice the proven concurrency, so it doubles
-//! with each wave of loads. After a slowdown it drops to the estimated capacity and then rises
-//! slowly, as links change.
+//! finished loads: `proven` is the highest concurrency without slowdown, and `saturation` is the
+//! latest saturation. Before the first slowdown the limit is twice the proven concurrency, so it
+//! doubles with each wave of loads. After a slowdown it drops to the estimated capacity and then
+//! rises slowly, as links change.
 //!
 //! A saturated link slows all loads, an unhealthy instance only its own, and finish times are
 //! noticed with a delay. Decisions therefore use the latest loads together, relative to the median
@@ -33,7 +33,8 @@
 /// Maximum ratio to the typical time at which a load counts as unslowed.
 const MAX_UNSLOWED_RATIO: f64 = 1.12;
 
-/// Same as [`MAX_UNSLOWED_RATIO`] close to the link's capacity, where one load too many must be detected.
+/// Same as [`MAX_UNSLOWED_RATIO`] close to the link's capacity, where one load too many must be
+/// detected.
 const MAX_UNSLOWED_RATIO_NEAR_CAPACITY: f64 = 1.08;
 
 /// Minimum ratio to the typical time at which a load counts as slow.
--- a/crates/front/src/orders/plan.rs
+++ b/crates/front/src/orders/plan.rs
@@ -97,7 +97,8 @@
     pub fast: String,
 }
 
-/// Instance that may be traded, with its event interval relative to the fastest instance of its model.
+/// Instance that may be traded, with its event interval relative to the fastest instance of its
+/// model.
 struct Tradable<'a> {
     id: &'a str,
     event_interval_ms: f64,
--- a/crates/front/tests/load_limit.rs
+++ b/crates/front/tests/load_limit.rs
@@ -80,8 +80,8 @@
 
 const SPEED_MODELS: [SpeedModel; 2] = [SpeedModel::Shared, SpeedModel::FixedAtStart];
 
-/// Simulated link with a capacity of `capacity` concurrent loads, on which each load starts as soon as
-/// the limit allows.
+/// Simulated link with a capacity of `capacity` concurrent loads, on which each load starts as soon
+/// as the limit allows.
 struct SharedLink {
     capacity: f64,
     speed_model: SpeedModel,
