--- a/crates/front/src/orders/load_limit.rs
+++ b/crates/front/src/orders/load_limit.rs
@@ -1,19 +1,19 @@
-//! How many instances may load weights at once.
+//! Adaptive limit on concurrent weight loads.
 //!
-//! Loads share the link that brings weights: up to some number each takes the time that it takes alone, beyond it each goes on at its
-//! share of the link. That number is told nowhere. It is estimated from finished loads, between two bounds: the most loads that are
-//! *proven* to go on beside each other without slowing down, and the number that the link was seen to be *full* with. Until loads
-//! slow each other down the limit is twice what is proven, so that it doubles with each wave of them. Then it is what the slow loads
-//! showed, and rises slowly above it, as links change.
+//! All loads share one link. Up to the capacity of the link each load takes its typical time;
+//! beyond it, loads slow each other down. The capacity is not known, so it is estimated from
+//! finished loads: `proven` is the highest concurrency without slowdown, and `saturation` is the
+//! latest saturation. Before the first slowdown the limit is twice the proven concurrency, so it
+//! doubles with each wave of loads. After a slowdown it drops to the estimated capacity and then
+//! rises slowly, as links change.
 //!
-//! A full link slows all loads that share it; a sick instance only its own. And the end of a load is noticed late, as instances tell
-//! their state of some time ago. So no single load shows anything: the latest ones are looked at together, against the median time of
-//! loads with few others beside them that were noticed in the same way.
+//! A saturated link slows all loads, an unhealthy instance only its own, and finish times are
+//! noticed with a delay. Decisions therefore use the latest loads together, relative to the median
+//! time of loads with few others at the same time.
 //!
-//! What slows a load down differs by link: the loads that were under way when it began set its pace once, or those that are under way
-//! at each moment share the link anew. Each slow load is looked at both ways; the way on which the latest loads agree better counts.
-//!
-//! Too many loads at once bring no weights sooner and keep instances from work for longer; too few leave the link unused.
+//! On some links a load's speed depends on the concurrency when it started, on others on the
+//! concurrency at each moment. Both estimates are kept, and the one with the smaller spread is
+//! used.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -21,169 +21,176 @@
 use super::link_use::LinkTimes;
 use ladderstage_clock::Instant;
 
-/// Loads that are always tried at once.
-const LEAST_LIMIT: usize = 2;
+/// Initial and minimum limit.
+const MIN_LIMIT: usize = 2;
 
-/// Loads that may be under way at once against those that are proven to go on evenly, until loads slow each other down.
+/// Ratio of the limit to the proven concurrency before the first slowdown.
 const PROBE_FACTOR: f64 = 2.0;
 
-/// Loads with more beside them than is proven that must go on evenly to prove more.
-const LEAST_PROOF: usize = 3;
+/// Number of unslowed loads above the proven concurrency that raise it.
+const MIN_PROOF_LOADS: usize = 3;
 
-/// Time against the usual one up to which loads do not slow each other down; what is measured is some tens of milliseconds off.
-const EVEN_RATIO: f64 = 1.12;
+/// Maximum ratio to the typical time at which a load counts as unslowed.
+const MAX_UNSLOWED_RATIO: f64 = 1.12;
 
-/// The same near what the link bears: one load of ten too many shows.
-const NEAR_EVEN_RATIO: f64 = 1.08;
+/// Same as [`MAX_UNSLOWED_RATIO`] close to the link's capacity, where one load too many must be
+/// detected.
+const MAX_UNSLOWED_RATIO_NEAR_CAPACITY: f64 = 1.08;
 
-/// Time against the usual one from which on loads slow each other down.
-const SLOW_RATIO: f64 = 1.25;
+/// Minimum ratio to the typical time at which a load counts as slow.
+const MIN_SLOW_RATIO: f64 = 1.25;
 
-/// Share of the latest loads that must be slow for the link to count as full. Where a fifth of the instances are sick, as on the days
-/// on which a link was taken for full that was not, five of six loads are of sick ones once in 600 times.
-const FULL_SHARE: f64 = 0.75;
+/// Fraction of the latest loads that must be slow for the link to count as saturated; high enough
+/// that some unhealthy instances do not suffice.
+const SATURATED_SHARE: f64 = 0.75;
 
-/// Latest loads that are looked at, at least; of a larger limit half as many as it allows at once.
-const LEAST_LATEST: usize = 6;
+/// Minimum number of recent loads to evaluate; half of a larger limit.
+const MIN_SAMPLES: usize = 6;
 
-/// The same at most: more show nothing else.
-const MOST_LATEST: usize = 24;
+/// Maximum number of recent loads to evaluate.
+const MAX_SAMPLES: usize = 24;
 
-/// Loads with few others beside them whose median time is the usual one.
-const USUAL_LOADS: usize = 15;
+/// Number of loads whose median is the typical time.
+const TYPICAL_TIME_SAMPLES: usize = 15;
 
-/// A load has few others beside it up to this share of what is proven.
-const FEW_SHARE: f64 = 0.8;
+/// Maximum concurrency, relative to the proven one, at which a load contributes to the typical
+/// time.
+const LOW_CONCURRENCY_RATIO: f64 = 0.8;
 
-/// Of what the slow loads show, the estimate is what this share of them stays below: a load that is slow by itself shows too little.
-const SHOWN_QUANTILE: f64 = 0.75;
+/// Quantile of the slow loads' estimates that is used, as loads that are slow for another reason
+/// yield estimates that are too low.
+const ESTIMATE_QUANTILE: f64 = 0.75;
 
-/// First time without rises after the link was full; doubles each time it shows about the same again.
-const FIRST_HOLD: Duration = Duration::from_secs(10);
+/// Initial time without increases after a saturation; doubles while the capacity stays about the
+/// same.
+const INITIAL_HOLD: Duration = Duration::from_secs(10);
 
-/// Longest time without rises.
-const LONGEST_HOLD: Duration = Duration::from_secs(160);
+/// Maximum time without increases.
+const MAX_HOLD: Duration = Duration::from_secs(160);
 
-/// The link shows about the same as before if it lies within this factor of it.
-const SAME_FACTOR: f64 = 1.3;
+/// Factor within which two capacity estimates count as the same.
+const SAME_CAPACITY_FACTOR: f64 = 1.3;
 
-/// Loads with at most this share of the others beside them that were there before are fewer.
-const FEWER_SHARE: f64 = 0.85;
+/// Maximum ratio of concurrency to that before a decrease at which it counts as lower.
+const LOWER_CONCURRENCY_RATIO: f64 = 0.85;
 
-/// A lower limit that leaves so large a share of the slowness, with fewer loads beside each, was lowered in vain.
-const VAIN_SHARE: f64 = 0.95;
+/// Ratio of slowness to that before a decrease from which on the decrease counts as ineffective.
+const INEFFECTIVE_RATIO: f64 = 0.95;
 
-/// A load used the limit up if so large a share of it was under way beside it.
-const USED_SHARE: f64 = 0.5;
+/// Minimum ratio of concurrency to the limit at which a load counts as using the limit.
+const USED_LIMIT_RATIO: f64 = 0.5;
 
-/// Part of the limit by which it rises after a wave of even loads near what the link bears, one load at least.
-const RISE_SHARE: f64 = 0.1;
+/// Fraction by which the limit increases close to the link's capacity, at least one load.
+const INCREASE_RATIO: f64 = 0.1;
 
-/// When the link was last seen to be full.
+/// Latest saturation of the link.
 #[derive(Debug, Clone, PartialEq)]
-struct FullLink {
-    /// Loads that it bears, as it showed then.
-    borne: f64,
-    /// How slow the loads were, and how many were beside each.
+struct Saturation {
+    /// Estimated capacity in concurrent loads.
+    capacity: f64,
+    /// Median slowness and concurrency of the loads.
     ratio: f64,
-    beside: f64,
-    /// Limit before.
+    concurrent: f64,
+    /// Limit before the decrease.
     limit_before: usize,
     at: Instant,
-    /// For so long the limit does not rise.
+    /// Time after `at` without increases.
     hold: Duration,
 }
 
-impl FullLink {
-    /// Whether loads with fewer others beside them are as slow as a moment ago: then it is not the link that slows them.
-    fn was_in_vain(&self, ratio: f64, beside: f64, now: Instant) -> bool {
-        let is_recent = now.saturating_duration_since(self.at) < FIRST_HOLD;
-        is_recent && beside <= self.beside * FEWER_SHARE && ratio >= self.ratio * VAIN_SHARE
+impl Saturation {
+    /// Returns true if loads are as slow as before a recent decrease, despite lower concurrency:
+    /// then the link is not the cause.
+    fn was_ineffective(&self, ratio: f64, concurrent: f64, now: Instant) -> bool {
+        let is_recent = now.saturating_duration_since(self.at) < INITIAL_HOLD;
+        is_recent
+            && concurrent <= self.concurrent * LOWER_CONCURRENCY_RATIO
+            && ratio >= self.ratio * INEFFECTIVE_RATIO
     }
 }
 
-/// One of the latest loads.
+/// Sample from a recent load.
 #[derive(Debug, Clone, PartialEq)]
-struct LatestLoad {
-    taken: Duration,
-    /// Time against the usual one.
+struct LoadSample {
+    duration: Duration,
+    /// Load time relative to the typical one.
     ratio: f64,
-    /// Loads under way when it began, or on average, whichever are fewer.
-    beside: f64,
-    /// Loads that the link bears if its pace was set as it began.
-    borne_by_begin: f64,
-    /// The same if its pace was its share of the link at each moment.
-    borne_by_share: f64,
+    /// Concurrency at the start or on average, whichever is lower.
+    concurrent: f64,
+    /// Estimated capacity if the concurrency at the start determined the speed.
+    capacity_by_start: f64,
+    /// Estimated capacity if the concurrency at each moment determined the speed.
+    capacity_by_share: f64,
 }
 
-/// The limit, learnt from finished loads.
+/// Limit on concurrent loads, learned from finished loads.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadLimit {
     limit: usize,
-    /// Shortest load so far.
-    least: Option<Duration>,
-    /// Times of the latest loads with few others beside them, and their median.
-    usual_times: VecDeque<Duration>,
+    /// Shortest load time so far.
+    shortest: Option<Duration>,
+    /// Recent load times at low concurrency, and their median.
+    typical_times: VecDeque<Duration>,
     typical_load_time: Option<Duration>,
-    /// Most loads that went on beside each other evenly.
+    /// Highest concurrency at which loads were not slowed down.
     proven: f64,
-    /// `None`: the link was not seen to be full here.
-    full: Option<FullLink>,
-    /// Loads were seen to slow each other down, or nearly so, here or by an earlier giver of orders: the limit doubles no more.
+    /// `None` if no saturation was observed here.
+    saturation: Option<Saturation>,
+    /// A slowdown was observed, here or by an earlier leader, so the limit no longer doubles.
     is_near_capacity: bool,
-    latest: VecDeque<LatestLoad>,
-    /// Loads since the last rise that used the limit up and were even.
-    even_loads: usize,
+    samples: VecDeque<LoadSample>,
+    /// Unslowed loads since the last increase that used the limit.
+    unslowed_loads: usize,
 }
 
-/// What is known of one load that is done.
+/// Measurements of a finished load.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FinishedLoad {
-    /// How long it took.
-    pub taken: Duration,
-    /// For how long how many loads shared the link while it was under way.
+    /// Load time.
+    pub duration: Duration,
+    /// Time spent at each level of concurrency during the load.
     pub link: LinkTimes,
-    /// Loads under way when it began, this one included.
-    pub at_begin: usize,
-    /// Whether `taken` is what it took.
+    /// Loads in progress at the start, including this one.
+    pub concurrent_at_start: usize,
+    /// Accuracy of `taken`.
     pub timing: LoadTiming,
 }
 
-/// How well the time of a load is known.
+/// Accuracy of a load's measured time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadTiming {
-    /// It is known when it began and when it ended.
+    /// Start and finish are known.
     Exact,
-    /// It was looked at late: it may have taken less time.
+    /// The finish was noticed late, so the load may have taken less time.
     NoticedLate,
-    /// It is not known when it began, or its end was heard of in another way than those of others.
+    /// The start is unknown, or the finish was observed by other means than for other loads.
     Unknown,
 }
 
 impl Default for LoadLimit {
     fn default() -> Self {
         Self {
-            limit: LEAST_LIMIT,
-            least: None,
-            usual_times: VecDeque::new(),
+            limit: MIN_LIMIT,
+            shortest: None,
+            typical_times: VecDeque::new(),
             typical_load_time: None,
             proven: 0.0,
-            full: None,
+            saturation: None,
             is_near_capacity: false,
-            latest: VecDeque::new(),
-            even_loads: 0,
+            samples: VecDeque::new(),
+            unslowed_loads: 0,
         }
     }
 }
 
 impl LoadLimit {
-    /// What another giver of orders has learnt: its limit, the usual time of a load, and whether the limit is near what the link
-    /// bears.
+    /// Creates a limit from the values that another leader learned: the limit, the typical load
+    /// time, and whether the limit is close to the capacity of the link.
     pub fn from_learned(limit: usize, typical_load_time: Duration, is_near_capacity: bool) -> Self {
         Self {
-            limit: limit.max(LEAST_LIMIT),
-            least: Some(typical_load_time),
-            usual_times: VecDeque::from([typical_load_time]),
+            limit: limit.max(MIN_LIMIT),
+            shortest: Some(typical_load_time),
+            typical_times: VecDeque::from([typical_load_time]),
             typical_load_time: Some(typical_load_time),
             proven: limit as f64 / PROBE_FACTOR,
             is_near_capacity,
@@ -191,206 +198,218 @@
         }
     }
 
-    /// Loads that may be under way at once.
+    /// Returns the maximum number of concurrent loads.
     pub fn get(&self) -> usize {
         self.limit
     }
 
-    /// Shortest load so far; `None` before the first one.
-    pub fn least(&self) -> Option<Duration> {
-        self.least
+    /// Returns the shortest load time so far; `None` before the first load.
+    pub fn shortest(&self) -> Option<Duration> {
+        self.shortest
     }
 
-    /// What a load takes with few others beside it; `None` before the first one.
+    /// Returns the typical load time at low concurrency; `None` before the first load.
     pub fn typical_load_time(&self) -> Option<Duration> {
         self.typical_load_time
     }
 
-    fn set_usual(&mut self, times: VecDeque<Duration>) {
+    fn set_typical_times(&mut self, times: VecDeque<Duration>) {
         let mut sorted: Vec<Duration> = times.iter().copied().collect();
         sorted.sort();
         self.typical_load_time = sorted.get(sorted.len().saturating_sub(1) / 2).copied();
-        self.usual_times = times;
+        self.typical_times = times;
     }
 
-    /// Whether loads were seen to slow each other down, or nearly so.
+    /// Returns true once a slowdown was observed.
     pub fn is_near_capacity(&self) -> bool {
         self.is_near_capacity
     }
 
-    /// Takes in a finished load. One that was noticed late may have been even, and is not known to have been slow.
-    pub fn note(&mut self, load: &FinishedLoad, now: Instant) {
+    /// Updates the limit from a finished load. A load that was noticed late can count as unslowed,
+    /// but not as slow.
+    pub fn observe(&mut self, load: &FinishedLoad, now: Instant) {
         if load.timing == LoadTiming::Unknown {
             return;
         }
-        self.least = Some(self.least.map_or(load.taken, |least| least.min(load.taken)));
-        let beside = load.link.mean().min(load.at_begin as f64);
+        self.shortest = Some(
+            self.shortest
+                .map_or(load.duration, |shortest| shortest.min(load.duration)),
+        );
+        let concurrent = load
+            .link
+            .mean_concurrent()
+            .min(load.concurrent_at_start as f64);
         if load.timing == LoadTiming::Exact {
-            self.note_usual(load.taken, load.link.most());
+            self.observe_typical_time(load.duration, load.link.max_concurrent());
         }
         let Some(typical_load_time) = self.typical_load_time() else {
             return;
         };
-        let ratio = load.taken.as_secs_f64() / typical_load_time.as_secs_f64().max(f64::MIN_POSITIVE);
-        if ratio > EVEN_RATIO && !self.is_telling(load, now) {
+        let ratio =
+            load.duration.as_secs_f64() / typical_load_time.as_secs_f64().max(f64::MIN_POSITIVE);
+        if ratio > MAX_UNSLOWED_RATIO && !self.is_conclusive(load, now) {
             return;
         }
-        self.note_latest(LatestLoad {
-            taken: load.taken,
+        self.push_sample(LoadSample {
+            duration: load.duration,
             ratio,
-            beside,
-            borne_by_begin: load.at_begin as f64 / ratio,
-            borne_by_share: load.link.borne(typical_load_time),
+            concurrent,
+            capacity_by_start: load.concurrent_at_start as f64 / ratio,
+            capacity_by_share: load.link.capacity(typical_load_time),
         });
-        self.is_near_capacity |= self.are_most(|load| load.ratio > EVEN_RATIO);
-        if self.are_most(|load| load.ratio >= SLOW_RATIO) {
-            self.take_full(now);
+        self.is_near_capacity |= self.holds_for_most(|load| load.ratio > MAX_UNSLOWED_RATIO);
+        if self.holds_for_most(|load| load.ratio >= MIN_SLOW_RATIO) {
+            self.handle_saturation(now);
             return;
         }
         self.prove();
-        if ratio <= NEAR_EVEN_RATIO {
-            self.rise_near(beside, now);
+        if ratio <= MAX_UNSLOWED_RATIO_NEAR_CAPACITY {
+            self.increase_near_capacity(concurrent, now);
         }
     }
 
-    /// The first load tells the usual time, and then those with few others beside them at any moment.
-    fn note_usual(&mut self, taken: Duration, most_beside: usize) {
-        let few = (self.proven * FEW_SHARE).max(LEAST_LIMIT as f64);
-        if most_beside as f64 > few && self.typical_load_time.is_some() {
+    /// Updates the typical time from the first load, and from loads at low concurrency.
+    fn observe_typical_time(&mut self, duration: Duration, max_concurrent: usize) {
+        let low_concurrency = (self.proven * LOW_CONCURRENCY_RATIO).max(MIN_LIMIT as f64);
+        if max_concurrent as f64 > low_concurrency && self.typical_load_time.is_some() {
             return;
         }
-        let mut times = std::mem::take(&mut self.usual_times);
-        times.push_back(taken);
-        if times.len() > USUAL_LOADS {
+        let mut times = std::mem::take(&mut self.typical_times);
+        times.push_back(duration);
+        if times.len() > TYPICAL_TIME_SAMPLES {
             times.pop_front();
         }
-        self.set_usual(times);
+        self.set_typical_times(times);
     }
 
-    /// Whether a load that was not even tells of the link. One with few others beside it is slow by itself. One that began before the
-    /// limit was lowered last had those beside it that the limit was lowered for: each burst of too many lowers it once.
-    fn is_telling(&self, load: &FinishedLoad, now: Instant) -> bool {
-        let began_before = |at: Instant| now.saturating_duration_since(at) < load.taken;
-        let lowered_at = self.full.as_ref().map(|full| full.at);
+    /// Returns true if a slowed load says something about the link. A load at low concurrency is
+    /// slow for another reason, and one that started before the latest decrease was part of the
+    /// same burst, which must lower the limit only once.
+    fn is_conclusive(&self, load: &FinishedLoad, now: Instant) -> bool {
+        let started_before = |at: Instant| now.saturating_duration_since(at) < load.duration;
+        let lowered_at = self.saturation.as_ref().map(|last| last.at);
         load.timing == LoadTiming::Exact
-            && load.link.most() > LEAST_LIMIT
-            && !lowered_at.is_some_and(began_before)
+            && load.link.max_concurrent() > MIN_LIMIT
+            && !lowered_at.is_some_and(started_before)
     }
 
-    fn note_latest(&mut self, load: LatestLoad) {
-        self.latest.push_back(load);
-        let wanted = self.wanted_latest();
-        while self.latest.len() > wanted {
-            self.latest.pop_front();
+    fn push_sample(&mut self, load: LoadSample) {
+        self.samples.push_back(load);
+        let required = self.required_samples();
+        while self.samples.len() > required {
+            self.samples.pop_front();
         }
     }
 
-    /// Loads that must be known to tell a full link from sick instances.
-    fn wanted_latest(&self) -> usize {
-        (self.limit / 2).clamp(LEAST_LATEST, MOST_LATEST)
+    /// Returns the number of samples required to tell a saturated link from unhealthy instances.
+    fn required_samples(&self) -> usize {
+        (self.limit / 2).clamp(MIN_SAMPLES, MAX_SAMPLES)
     }
 
-    /// Whether something holds for so many of the latest loads that a few sick instances cannot be the cause.
-    fn are_most(&self, holds: impl Fn(&LatestLoad) -> bool) -> bool {
-        let count = self.latest.iter().filter(|load| holds(load)).count();
-        self.latest.len() >= self.wanted_latest()
-            && count as f64 >= FULL_SHARE * self.latest.len() as f64
+    /// Returns true if a condition holds for enough samples to rule out a few unhealthy instances
+    /// as the cause.
+    fn holds_for_most(&self, holds: impl Fn(&LoadSample) -> bool) -> bool {
+        let count = self.samples.iter().filter(|load| holds(load)).count();
+        self.samples.len() >= self.required_samples()
+            && count as f64 >= SATURATED_SHARE * self.samples.len() as f64
     }
 
-    /// The latest loads slowed each other down, or something slows all of them.
-    fn take_full(&mut self, now: Instant) {
-        let ratio = Estimate::of(self.latest.iter().map(|load| load.ratio)).median;
-        let beside = Estimate::of(self.latest.iter().map(|load| load.beside)).median;
-        match &self.full {
-            Some(full) if full.was_in_vain(ratio, beside, now) => self.take_back(),
-            _ => self.lower(ratio, beside, now),
+    /// Handles a slowdown of most recent loads.
+    fn handle_saturation(&mut self, now: Instant) {
+        let ratio = Estimate::of(self.samples.iter().map(|load| load.ratio)).median;
+        let concurrent = Estimate::of(self.samples.iter().map(|load| load.concurrent)).median;
+        match &self.saturation {
+            Some(last) if last.was_ineffective(ratio, concurrent, now) => self.undo_decrease(),
+            _ => self.decrease(ratio, concurrent, now),
         }
-        self.latest.clear();
-        self.even_loads = 0;
+        self.samples.clear();
+        self.unslowed_loads = 0;
     }
 
-    /// All loads take longer than they did, however many are under way: what they take now is the usual time.
-    fn take_back(&mut self) {
-        self.set_usual(self.latest.iter().map(|load| load.taken).collect());
-        if let Some(full) = self.full.take() {
-            self.limit = full.limit_before;
+    /// Undoes the latest decrease and adopts the current load times as typical, because all loads
+    /// are slower at any concurrency.
+    fn undo_decrease(&mut self) {
+        self.set_typical_times(self.samples.iter().map(|load| load.duration).collect());
+        if let Some(last) = self.saturation.take() {
+            self.limit = last.limit_before;
         }
     }
 
-    /// Lowers the limit to what the slow loads show.
-    fn lower(&mut self, ratio: f64, beside: f64, now: Instant) {
-        let by_begin = Estimate::of(self.latest.iter().map(|load| load.borne_by_begin));
-        let by_share = Estimate::of(self.latest.iter().map(|load| load.borne_by_share));
-        let borne = if by_begin.spread < by_share.spread {
-            by_begin.value
+    /// Lowers the limit to the capacity that the slow loads indicate.
+    fn decrease(&mut self, ratio: f64, concurrent: f64, now: Instant) {
+        let by_start = Estimate::of(self.samples.iter().map(|load| load.capacity_by_start));
+        let by_share = Estimate::of(self.samples.iter().map(|load| load.capacity_by_share));
+        let capacity = if by_start.spread < by_share.spread {
+            by_start.value
         } else {
             by_share.value
         };
-        let hold = match &self.full {
-            Some(before) if is_same(before.borne, borne) => (before.hold * 2).min(LONGEST_HOLD),
-            _ => FIRST_HOLD,
+        let hold = match &self.saturation {
+            Some(last) if is_similar(last.capacity, capacity) => (last.hold * 2).min(MAX_HOLD),
+            _ => INITIAL_HOLD,
         };
         let limit_before = self.limit;
-        self.limit = (borne.round() as usize).clamp(LEAST_LIMIT, self.limit);
-        self.proven = self.proven.min(borne);
-        self.full = Some(FullLink {
-            borne,
+        self.limit = (capacity.round() as usize).clamp(MIN_LIMIT, self.limit);
+        self.proven = self.proven.min(capacity);
+        self.saturation = Some(Saturation {
+            capacity,
             ratio,
-            beside,
+            concurrent,
             limit_before,
             at: now,
             hold,
         });
     }
 
-    /// Loads with more beside them than is proven prove more if most of them were even. Until loads slow each other down the limit
-    /// follows.
+    /// Raises the proven concurrency if most loads above it were unslowed. The limit follows until
+    /// the first slowdown.
     fn prove(&mut self) {
-        let beyond: Vec<&LatestLoad> = self
-            .latest
+        let above_proven: Vec<&LoadSample> = self
+            .samples
             .iter()
-            .filter(|load| load.beside > self.proven)
+            .filter(|load| load.concurrent > self.proven)
             .collect();
-        if beyond.len() < LEAST_PROOF.min(self.limit) {
+        if above_proven.len() < MIN_PROOF_LOADS.min(self.limit) {
             return;
         }
-        if Estimate::of(beyond.iter().map(|load| load.ratio)).median > EVEN_RATIO {
+        if Estimate::of(above_proven.iter().map(|load| load.ratio)).median > MAX_UNSLOWED_RATIO {
             return;
         }
-        self.proven = Estimate::of(beyond.iter().map(|load| load.beside)).value;
+        self.proven = Estimate::of(above_proven.iter().map(|load| load.concurrent)).value;
         if !self.is_near_capacity {
             let probe = (self.proven * PROBE_FACTOR).round() as usize;
             self.limit = self.limit.max(probe);
         }
     }
 
-    /// Near what the link bears a whole wave of even loads that use the limit raises it by a part of it.
-    fn rise_near(&mut self, beside: f64, now: Instant) {
-        let held = |full: &FullLink| now.saturating_duration_since(full.at) < full.hold;
-        let is_held = self.full.as_ref().is_some_and(held);
-        if !self.is_near_capacity || is_held || beside < self.limit as f64 * USED_SHARE {
+    /// Raises the limit by a fraction after a complete wave of unslowed loads that used it.
+    fn increase_near_capacity(&mut self, concurrent: f64, now: Instant) {
+        let is_holding = |last: &Saturation| now.saturating_duration_since(last.at) < last.hold;
+        let is_on_hold = self.saturation.as_ref().is_some_and(is_holding);
+        if !self.is_near_capacity || is_on_hold || concurrent < self.limit as f64 * USED_LIMIT_RATIO
+        {
             return;
         }
-        self.even_loads += 1;
-        if self.even_loads >= self.limit {
-            self.limit += ((self.limit as f64 * RISE_SHARE).round() as usize).max(1);
-            self.even_loads = 0;
+        self.unslowed_loads += 1;
+        if self.unslowed_loads >= self.limit {
+            self.limit += ((self.limit as f64 * INCREASE_RATIO).round() as usize).max(1);
+            self.unslowed_loads = 0;
         }
     }
 }
 
-/// Whether two estimates of the link are about the same.
-fn is_same(before: f64, now: f64) -> bool {
+/// Returns true if two capacity estimates are about the same.
+fn is_similar(before: f64, now: f64) -> bool {
     let (low, high) = (before.min(now), before.max(now));
-    high <= low * SAME_FACTOR
+    high <= low * SAME_CAPACITY_FACTOR
 }
 
-/// What several loads show together.
+/// Statistics of a set of values.
 #[derive(Debug, Clone, Copy)]
 struct Estimate {
     value: f64,
     median: f64,
-    /// How far they are apart, against the value.
+    /// Interquartile range relative to `value`.
     spread: f64,
 }
 
@@ -398,17 +417,17 @@
     fn of(values: impl Iterator<Item = f64>) -> Self {
         let mut sorted: Vec<f64> = values.collect();
         sorted.sort_by(f64::total_cmp);
-        let value = quantile(&sorted, SHOWN_QUANTILE);
-        let apart = quantile(&sorted, 0.75) - quantile(&sorted, 0.25);
+        let value = quantile(&sorted, ESTIMATE_QUANTILE);
+        let interquartile_range = quantile(&sorted, 0.75) - quantile(&sorted, 0.25);
         Self {
             value,
             median: quantile(&sorted, 0.5),
-            spread: apart / value.max(f64::MIN_POSITIVE),
+            spread: interquartile_range / value.max(f64::MIN_POSITIVE),
         }
     }
 }
 
-/// The value that `share` of the sorted values stay below; 0 without any.
+/// Returns the value that a `share` of the sorted values does not exceed; 0 if there are none.
 fn quantile(sorted: &[f64], share: f64) -> f64 {
     let last = sorted.len().saturating_sub(1);
     let index = (last as f64 * share).round() as usize;
--- a/crates/front/src/orders/mod.rs
+++ b/crates/front/src/orders/mod.rs
@@ -1,29 +1,30 @@
-//! Orders to change weight versions: planned purely, given by the one node that holds the lease.
+//! Weight-load orders: planned without side effects and issued by the one node that holds the
+//! orders lease.
 
+mod announced_versions;
 mod calls;
 mod candidates;
 mod demand;
-mod ended;
-mod given;
-mod giver;
-mod learnt;
+mod former_leaders;
+mod leader;
+mod leader_state;
 mod lease;
 mod link_use;
+mod load_checks;
 mod load_limit;
-mod looking;
-mod named;
-mod news;
+mod load_limit_store;
 mod permits;
 mod plan;
+mod weight_updates;
 
+pub use announced_versions::AnnouncedVersions;
 pub use candidates::is_candidate;
-pub use ended::FormerLeaders;
-pub use giver::{OrderLeader, OrderOptions};
-pub use learnt::{LoadLimitWriter, restore_load_limit};
-pub use lease::{OrdersLease, HeldLease, LastLeader, LeaseLoss};
+pub use former_leaders::FormerLeaders;
+pub use leader::{OrderLeader, OrderOptions};
+pub use lease::{HeldLease, LastLeader, LeaseLoss, OrdersLease};
 pub use link_use::{LinkTimes, LinkUse};
 pub use load_limit::{FinishedLoad, LoadLimit, LoadTiming};
-pub use named::AnnouncedVersions;
-pub use news::LearnedLoadLimit;
-pub use permits::{PermitRequester, PermitIssuer, PermitLedger, PERMIT_QUIET_PERIOD};
-pub use plan::{Assignment, FleetInstance, ModelDemand, Planned, Trade, most_trades, plan};
+pub use load_limit_store::{LoadLimitWriter, restore_load_limit};
+pub use permits::{PERMIT_QUIET_PERIOD, PermitIssuer, PermitLedger, PermitRequester};
+pub use plan::{Assignment, FleetInstance, ModelDemand, PlannedLoad, Trade, max_trades, plan};
+pub use weight_updates::LearnedLoadLimit;
