--- a/crates/front/src/orders/leader.rs
+++ b/crates/front/src/orders/leader.rs
@@ -286,7 +286,7 @@
             return;
         }
         let last = held.last.as_ref();
-        let announced = last.and_then(|last| self.jobs.ended_givers().recent_orders_of(last));
+        let announced = last.and_then(|last| self.jobs.former_leaders().recent_orders_of(last));
         if let Some(orders) = announced {
             log::info!(
                 "event=order_leader_quiet_period_ended fence={} recent_orders={}",
