--- a/crates/front/src/backend/choice.rs
+++ b/crates/front/src/backend/choice.rs
@@ -1,54 +1,58 @@
-//! Which instance a request goes to: one cost function over what is known of each.
+//! Chooses the instance for a request by a cost function.
 //!
-//! The cost is the expected time of one more request against that of an idle typical instance. For an
-//! instance in another region the round trip is added in the same unit, so that it is chosen once the wait at nearer ones is longer.
+//! The cost is the expected time of one more request, relative to an idle typical instance. An
+//! instance in another region also costs its round trip in the same unit, so it is chosen once the
+//! wait at closer ones is longer.
 
 use ladderstage::region::Distance;
 
-/// Added to the cost of an instance in another zone, in shares of its capacity.
+/// Cost of an instance in another zone, as a share of its capacity.
 const OTHER_ZONE: f64 = 0.02;
 
-/// Round trip to an instance in another region, in milliseconds, until one is measured: that of regions some 1,500 km apart.
+/// Assumed round trip to another region until one is measured, in milliseconds.
 const ASSUMED_ROUND_TRIP_MS: f64 = 20.0;
 
-/// Time of a request at an idle instance, in milliseconds, until one is measured.
+/// Assumed time of a request at an idle instance until one is measured, in milliseconds.
 const ASSUMED_WORK_MS: f64 = 100.0;
 
-/// Events of a typical text. Paces of streams are known per event.
+/// Number of events in a typical text, as streams are timed per event.
 const USUAL_EVENTS: f64 = 16.0;
 
-/// Cost of an idle instance against that of its occupancy: what part of a request's time does not depend on others.
+/// Part of a request's time that does not depend on the instance's load, relative to the part at
+/// full load.
 const IDLE_SHARE: f64 = 0.5;
 
-/// The same for a long request: its time depends on the pace most of all.
+/// The same for a long request, whose time depends mostly on the instance's speed.
 const LONG_IDLE_SHARE: f64 = 4.0;
 
-/// Cost of waiting for a slot: more than that of the slowest instance with a free one.
+/// Cost of waiting for a slot; exceeds that of the slowest instance with a free one.
 const QUEUE_COST: f64 = 100.0;
 
-/// Least share of the fleet's pace that counts, so that one quick answer does not draw everything.
+/// Lower bound of an instance's relative time, so that one quick response does not attract all
+/// requests.
 const LEAST_RELATIVE_PACE: f64 = 0.6;
 
-/// Least share of a measured pace that is the instance's own work: the round trip may have been overestimated.
+/// Minimum share of a measured time that counts as work, as the round trip may be overestimated.
 const LEAST_OWN_SHARE: f64 = 0.25;
 
-/// What is known of an instance that may be given work.
+/// State of an instance that may be chosen.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Candidate {
-    /// Requests there as best known, own ones included.
+    /// Estimated number of requests at the instance, own ones included.
     pub load: u32,
-    /// Requests that it runs side by side.
+    /// Number of requests that run concurrently.
     pub slots: u32,
-    /// How far it is from the chooser.
+    /// Distance from the node that chooses.
     pub distance: Distance,
-    /// Shortest time in which it took a connection, in milliseconds; `None` before the first one.
+    /// Shortest connect time in milliseconds; `None` before the first connection.
     pub round_trip_ms: Option<f64>,
-    /// Recent milliseconds per unit of work: per whole answer, round trip included, or per event; `None` while unknown.
+    /// Recent milliseconds per unit of work: per complete answer including the round trip, or per
+    /// event. `None` if unknown.
     pub pace_ms: Option<f64>,
 }
 
 impl Candidate {
-    /// The round trip in milliseconds; zero within the region, where it does not matter.
+    /// Returns the round trip in milliseconds that the cost includes; zero within the region.
     fn counted_round_trip_ms(&self) -> f64 {
         match self.distance {
             Distance::Elsewhere => self.round_trip_ms.unwrap_or(ASSUMED_ROUND_TRIP_MS),
@@ -56,7 +60,7 @@
         }
     }
 
-    /// Recent milliseconds per unit of work, without the round trip.
+    /// Returns the recent milliseconds per unit of work without the round trip.
     fn work_ms(&self, demand: Demand) -> Option<f64> {
         let pace = self.pace_ms?;
         if demand.has_whole_answers() {
@@ -66,24 +70,24 @@
     }
 }
 
-/// What the choice is made for.
+/// Kind of work that an instance is chosen for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Demand {
-    /// A client waits: any instance will do, a full one last.
+    /// A client is waiting: any instance, full ones last.
     Live,
-    /// An item of a batch job: only an instance with a free slot.
+    /// An item of a batch job: only instances with a free slot.
     Batch,
-    /// A long item of a batch job: only an instance with a free slot, the fastest.
+    /// A long item of a batch job: the fastest instance with a free slot.
     LongBatch,
-    /// The rest of a text whose run was cut or moved, the fastest instance: it has lost time already, and is let in behind others
-    /// rather than wait here until a slot is free that new items are started on.
+    /// The rest of a text whose run was interrupted or moved: the fastest instance. It may queue
+    /// there, as new items would otherwise take each slot that becomes free.
     CutBatch,
-    /// A reward call: only an instance with slots to spare for clients who wait.
+    /// A reward call: only instances that keep slots free for live requests.
     Scoring,
 }
 
 impl Demand {
-    /// Whether paces are those of whole answers, and not of events.
+    /// Returns whether times are measured per complete answer rather than per event.
     fn has_whole_answers(self) -> bool {
         match self {
             Self::Live | Self::Scoring => true,
@@ -92,14 +96,15 @@
     }
 }
 
-/// Reward calls leave one of so many slots to live requests: they come in bursts as texts end, and each client would otherwise wait for a
-/// whole burst.
+/// Reward calls leave one in this many slots to live requests, as they arrive in bursts when texts
+/// end.
 const LIVE_SLOT_SHARE: u32 = 6;
 
-/// One cut text may wait at an instance for so many slots there.
+/// One interrupted text may queue at an instance for each this many slots.
 const CUT_QUEUE_SHARE: u32 = 8;
 
-/// Index of the instance to use; `None` if none fits. `random` decides among equal ones.
+/// Returns the index of the cheapest instance that accepts the demand, `None` if there is none.
+/// `random` breaks ties.
 pub fn choose(candidates: &[Candidate], demand: Demand, random: u64) -> Option<usize> {
     let typical = typical_pace(candidates, demand);
     let fitting = candidates
@@ -118,7 +123,7 @@
         .map(|(index, _)| index)
 }
 
-/// Load from which on an instance gets no more work of a kind.
+/// Returns the load from which the instance accepts no more work of this kind.
 fn most_load(candidate: &Candidate, demand: Demand) -> u32 {
     match demand {
         Demand::Live => u32::MAX,
@@ -128,7 +133,7 @@
     }
 }
 
-/// Expected time of one more request against an idle typical instance.
+/// Returns the expected time of one more request relative to an idle typical instance.
 fn cost(candidate: &Candidate, typical: Option<f64>, demand: Demand) -> f64 {
     let occupancy = f64::from(candidate.load + 1) / f64::from(candidate.slots.max(1));
     let relative_pace = match (candidate.work_ms(demand), typical) {
@@ -149,7 +154,7 @@
     (idle_share + occupancy) * relative_pace + zone_surcharge(candidate) + round_trip + queueing
 }
 
-/// Added to the cost of an instance that is not in the chooser's zone.
+/// Returns the cost of an instance outside the chooser's zone.
 fn zone_surcharge(candidate: &Candidate) -> f64 {
     match candidate.distance {
         Distance::SameMachine | Distance::SameZone => 0.0,
@@ -157,7 +162,7 @@
     }
 }
 
-/// The round trip to an instance as a share of the time of a request at an idle typical one.
+/// Returns the round trip relative to the time of a request at an idle typical instance.
 fn round_trip_cost(candidate: &Candidate, typical: Option<f64>, demand: Demand) -> f64 {
     let units = if demand.has_whole_answers() {
         1.0
@@ -168,7 +173,7 @@
     candidate.counted_round_trip_ms() / work_ms.max(f64::MIN_POSITIVE)
 }
 
-/// Median of the known paces.
+/// Returns the median of the known times.
 fn typical_pace(candidates: &[Candidate], demand: Demand) -> Option<f64> {
     median(
         candidates
@@ -178,7 +183,7 @@
     )
 }
 
-/// Median; `None` of nothing.
+/// Returns the median, `None` if `values` is empty.
 pub(crate) fn median(mut values: Vec<f64>) -> Option<f64> {
     values.sort_by(f64::total_cmp);
     values.get(values.len() / 2).copied()
--- a/crates/front/src/backend/cold/limits.rs
+++ b/crates/front/src/backend/cold/limits.rs
@@ -1,4 +1,4 @@
-//! How many requests an instance may get while it is cold, by service.
+//! Request limits of cold instances, by service.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -8,38 +8,40 @@
 
 use crate::config::{ColdSpec, ServingConfig};
 
-/// One of so many parts of the bound is dealt as permits; the rest covers fronts that do not know yet that the instance is cold.
+/// One in this many parts of the bound is issued as permits; the rest covers fronts that do not
+/// know yet that the instance is cold.
 const PERMIT_SHARE: u32 = 2;
 
-/// Without permits a front sends one of so many parts of the bound to an instance that it takes for warm. Jobs start dozens of items at once, and few
-/// fronts own jobs whose model an instance holds.
+/// A front may send one in this many parts of the bound without permits to an instance that it
+/// considers warm. Few fronts own jobs that use the same instance.
 const UNAWARE_SHARE: u32 = 4;
 
-/// By how much all callers together may exceed what cold instances bear.
+/// Excess over the configured rate that all callers together may cause.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdAllowance {
-    /// Factor on the requests a second that an instance bears.
+    /// Factor on the rate that an instance can handle.
     pub overage: f64,
-    /// Requests a second on top.
+    /// Additional requests per second.
     pub slack: f64,
 }
 
-/// What may be sent to one instance of a service.
+/// Request limits of one instance of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ColdLimit {
-    /// How long an instance stays cold after its start.
+    /// Time for which an instance stays cold after its start.
     pub time: Duration,
-    /// Permits that may be used within a second, of all nodes together.
+    /// Permits that all nodes together may use within a second.
     pub dealt: u32,
-    /// Requests that one node sends within a second without permits while it takes the instance for warm.
+    /// Requests per second that one node may send without permits to an instance that it considers
+    /// warm.
     pub unaware: u32,
 }
 
 impl ColdLimit {
-    /// The limit of a service under an allowance.
+    /// Computes the limit of a service under an allowance.
     pub fn new(spec: &ColdSpec, allowance: ColdAllowance) -> Self {
         let bound = spec.requests_per_second * allowance.overage + allowance.slack;
-        // A bound that is no number allows nothing but the least.
+        // NaN becomes 0.
         let bound = bound.clamp(0.0, f64::from(u32::MAX)).floor() as u32;
         Self {
             time: spec.time,
@@ -49,7 +51,7 @@
     }
 }
 
-/// Limits by service; empty: none is in force. Cheap to clone.
+/// Limits by service; empty if none applies. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct ColdLimits {
     by_service: watch::Sender<Arc<BTreeMap<String, ColdLimit>>>,
@@ -64,7 +66,7 @@
 }
 
 impl ColdLimits {
-    /// Takes the limits of a configuration.
+    /// Replaces the limits by those of a configuration.
     pub fn set(&self, config: &ServingConfig, allowance: ColdAllowance) {
         let limited = config.services.iter().filter_map(|(name, service)| {
             let spec = service.cold.as_ref()?;
@@ -73,18 +75,18 @@
         self.by_service.send_replace(Arc::new(limited.collect()));
     }
 
-    /// Whether no service has a limit.
+    /// Returns whether no service has a limit.
     pub fn is_empty(&self) -> bool {
         self.by_service.borrow().is_empty()
     }
 
-    /// The limit of a service; `None`: its instances may get any number of requests at any time.
+    /// Returns the limit of a service; `None` if its instances are not limited.
     pub fn get(&self, service: &str) -> Option<ColdLimit> {
         self.by_service.borrow().get(service).copied()
     }
 }
 
-/// Cold instances that this node needs permits for, as work waits that they could take. Cheap to clone.
+/// Cold instances that this node needs permits for, as work is waiting for them. Cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub struct PermitWants {
     services: Arc<Mutex<BTreeMap<String, String>>>,
@@ -92,7 +94,7 @@
 }
 
 impl PermitWants {
-    /// Notes that work waits for a permit at an instance of a service.
+    /// Requests permits for waiting work at an instance of a service.
     pub fn note(&self, instance: &str, service: &str) {
         let mut services = self.lock();
         if !services.contains_key(instance) {
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Waits for wants, and returns all that were noted, services by instance.
+    /// Waits for requests and drains them as services by instance.
     pub async fn take(&self) -> BTreeMap<String, String> {
         loop {
             let wants = self.take_noted();
@@ -112,7 +114,7 @@
         }
     }
 
-    /// All that were noted so far, services by instance.
+    /// Drains all pending requests as services by instance.
     pub fn take_noted(&self) -> BTreeMap<String, String> {
         std::mem::take(&mut *self.lock())
     }
--- a/crates/front/src/backend/cold/mod.rs
+++ b/crates/front/src/backend/cold/mod.rs
@@ -1,4 +1,4 @@
-//! Cold instances, which bear few requests for some time after their start: which ones are cold, and what this node may send them.
+//! Cold instances, which can handle only few requests for some time after their start.
 
 mod limits;
 mod share;
--- a/crates/front/src/backend/cold/share.rs
+++ b/crates/front/src/backend/cold/share.rs
@@ -1,4 +1,4 @@
-//! What this node may send to one instance: the permits that it was dealt, and a few requests without.
+//! Requests that this node may send to one instance: with permits, and a few without.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,44 +8,45 @@
 use super::limits::ColdLimit;
 use super::state::Warmth;
 
-/// A permit lapses this long after it was asked for: long enough for the answer and the next request that waits, short enough that the
-/// holder of the orders lease deals a steady rate.
+/// Lifetime of a permit after it was requested: long enough for the response and the next waiting
+/// request, short enough that the order leader can issue permits at a steady rate.
 pub const PERMIT_LIFETIME: Duration = Duration::from_millis(300);
 
-/// The limits hold within any time of this length.
+/// Length of the sliding window in which the limits hold.
 pub const SEND_WINDOW: Duration = Duration::from_secs(1);
 
-/// Longest time that a busy node needs to write a request to the socket once it may be sent.
+/// Maximum time that a busy node needs to write a request to the socket after it may be sent.
 pub const WRITE_MARGIN: Duration = Duration::from_millis(200);
 
-/// Requests a second without a permit to a doubtful instance: one is enough to find out whether it runs.
+/// Requests per second without a permit to an instance in uncertain state; one shows whether it is
+/// running.
 const DOUBTFUL_SENDS: u32 = 1;
 
-/// How long an instance that was chosen counts as about to get the request.
+/// Time for which a chosen instance counts as about to get the request.
 const RESERVATION_LIFETIME: Duration = Duration::from_millis(50);
 
-/// The right to send one request; given back if the request was not sent.
+/// The right to send one request; released if the request was not sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SendTicket {
     sent_at: Instant,
     permit_until: Option<Instant>,
 }
 
-/// What one node may send to one start of an instance.
+/// Requests that one node may send to one incarnation of an instance.
 #[derive(Debug, Clone, Default)]
 pub struct SendShare {
-    /// Ends of unused permits, in order.
+    /// Expiry of the unused permits, in order.
     permits: VecDeque<Instant>,
-    /// When requests were sent that may still be written within the last window, in order.
+    /// Times of the requests that may have been written within the window, in order.
     sent: VecDeque<Instant>,
-    /// When a request was last sent while the instance counted as warm.
+    /// Last request that was sent while the instance was considered warm.
     sent_warm: Option<Instant>,
-    /// Ends of reservations, in order.
+    /// Expiry of the reservations, in order.
     reserved: VecDeque<Instant>,
 }
 
 impl SendShare {
-    /// Adds permits that are good until `until`.
+    /// Adds permits that are valid until `until`.
     pub fn add_permits(&mut self, count: u32, until: Instant) {
         let place = self.permits.partition_point(|known| *known <= until);
         for _ in 0..count {
@@ -53,18 +54,18 @@
         }
     }
 
-    /// Whether the instance may be chosen for one more request; requests that it was chosen for and that were not sent yet count.
+    /// Returns whether the instance may be chosen for one more request, reservations counted.
     pub fn has_room(&mut self, warmth: Warmth, limit: &ColdLimit, now: Instant) -> bool {
         self.forget(now);
         self.room(warmth, limit, now) > self.reserved.len()
     }
 
-    /// Notes that the instance was chosen for a request.
+    /// Reserves capacity for a request that is about to be sent.
     pub fn reserve(&mut self, now: Instant) {
         self.reserved.push_back(now + RESERVATION_LIFETIME);
     }
 
-    /// Takes the right to send one request now; `None`: there is none.
+    /// Acquires the right to send one request now, `None` if the limit is reached.
     pub fn take(&mut self, warmth: Warmth, limit: &ColdLimit, now: Instant) -> Option<SendTicket> {
         self.forget(now);
         self.reserved.pop_front();
@@ -85,7 +86,7 @@
         })
     }
 
-    /// Takes back the ticket of a request that was not sent.
+    /// Releases the ticket of a request that was not sent.
     pub fn give_back(&mut self, ticket: SendTicket) {
         if let Some(place) = self.sent.iter().rposition(|at| *at == ticket.sent_at) {
             self.sent.remove(place);
@@ -95,7 +96,7 @@
         }
     }
 
-    /// How many requests may be sent now.
+    /// Returns the number of requests that may be sent now.
     fn room(&self, warmth: Warmth, limit: &ColdLimit, now: Instant) -> usize {
         let without_permits = |most: u32| (most as usize).saturating_sub(self.sent.len());
         match warmth {
@@ -105,9 +106,9 @@
         }
     }
 
-    /// Drops what is over by `now`.
-    /// Permits that may be used. None is used in one window with what was sent before the instance was known to be cold: all nodes may have
-    /// sent their shares without permits, and with permits on top these would be too many.
+    /// Returns the number of usable permits. There are none within a window of a request sent while
+    /// the instance was considered warm: all nodes may have sent their share without permits, and
+    /// permits on top would exceed the bound.
     fn usable(&self, now: Instant) -> usize {
         let was_warm =
             |at: Instant| now.saturating_duration_since(at) <= SEND_WINDOW + WRITE_MARGIN;
@@ -117,6 +118,7 @@
         self.permits.len()
     }
 
+    /// Drops what has expired by `now`.
     fn forget(&mut self, now: Instant) {
         while self.permits.front().is_some_and(|until| *until <= now) {
             self.permits.pop_front();
--- a/crates/front/src/backend/cold/state.rs
+++ b/crates/front/src/backend/cold/state.rs
@@ -1,42 +1,42 @@
-//! Whether an instance is cold, by its records and by how connections to it fare.
+//! Cold status of an instance, from its records and its connections.
 
 use std::time::Duration;
 
 use ladderstage_clock::Instant;
 
-/// How an instance is to be treated.
+/// How many requests an instance can handle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Warmth {
-    /// It bears all that it has slots for.
+    /// It can use all its slots.
     Warm,
-    /// It may have been restarted, or have turned cold, and no record says so yet.
+    /// It may have restarted or become cold, and no record confirms it yet.
     Doubtful,
-    /// It said that it is cold.
+    /// Its record says that it is cold.
     Cold,
 }
 
-/// What keeps an instance from counting as warm although no word says that it is cold.
+/// Reason to consider an instance possibly cold without a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 enum Doubt {
     #[default]
     None,
-    /// A connection failed or broke: lasts until an answer, and for the cold time after it.
+    /// A connection failed or broke. Lasts until a response, and then for the cold time.
     Unanswered,
-    /// Lasts until then.
+    /// Ends at this time.
     Until(Instant),
 }
 
-/// What is known of one start of an instance.
+/// Cold status of one incarnation of an instance.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ColdState {
-    /// Until when it is cold, as its record said.
+    /// End of the cold time by its record.
     told_until: Option<Instant>,
     doubt: Doubt,
 }
 
 impl ColdState {
-    /// Takes from a record of discovery received at `now` how much longer the instance is cold. The record does not end doubt, as it may be
-    /// older than the cause of the doubt.
+    /// Applies the remaining cold time of a discovery record received at `now`. The record does not
+    /// end the uncertainty, as it may be older than its cause.
     pub fn told(&mut self, remaining: Duration, now: Instant) {
         if remaining.is_zero() {
             self.told_until = None;
@@ -45,12 +45,12 @@
         self.told_until = now.checked_add(remaining);
     }
 
-    /// Notes that a connection to it failed or broke; returns whether doubt of this kind is new.
+    /// Records that a connection failed or broke; returns whether this is new.
     pub fn disconnected(&mut self) -> bool {
         std::mem::replace(&mut self.doubt, Doubt::Unanswered) != Doubt::Unanswered
     }
 
-    /// Notes that it may have turned cold at `now`, for `time` at most.
+    /// Records that the instance may have become cold at `now`, for at most `time`.
     pub fn suspected(&mut self, now: Instant, time: Duration) {
         let until = now + time;
         self.doubt = match self.doubt {
@@ -60,14 +60,14 @@
         };
     }
 
-    /// Notes that it answered at `now`: it runs, and is cold for `time` longer at most.
+    /// Records a response at `now`: the instance is running, and cold for at most `time` longer.
     pub fn answered(&mut self, now: Instant, time: Duration) {
         if self.doubt == Doubt::Unanswered {
             self.doubt = Doubt::Until(now + time);
         }
     }
 
-    /// How it is to be treated now.
+    /// Returns the status at `now`.
     pub fn warmth(&self, now: Instant) -> Warmth {
         if !self.remaining(now).is_zero() {
             return Warmth::Cold;
@@ -79,7 +79,7 @@
         }
     }
 
-    /// How much longer it is cold, as it said itself.
+    /// Returns the remaining cold time by its record.
     pub fn remaining(&self, now: Instant) -> Duration {
         self.told_until
             .map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
--- a/crates/front/src/backend/connection.rs
+++ b/crates/front/src/backend/connection.rs
@@ -1,4 +1,4 @@
-//! Connections to one instance: one request at a time on each, kept while the instance keeps them.
+//! Connection pool of one instance, with one request at a time per connection.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -14,16 +14,15 @@
 
 use crate::socket;
 
-/// Longest attempt to connect.
 const CONNECT_LIMIT: Duration = Duration::from_millis(400);
 
-/// How long a connection rests before it is closed, unless the instance told less.
+/// Idle time after which a connection is closed if the instance sent no shorter one.
 const DEFAULT_REST: Duration = Duration::from_secs(4);
 
-/// Why there is no connection; nothing was sent.
+/// Reason why no connection could be made; nothing was sent.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ConnectError {
-    /// The instance did not accept in time, or refused.
+    /// The connection was refused or timed out.
     #[error("connect: {0}")]
     Failed(String),
 }
@@ -40,7 +39,7 @@
 struct Shared {
     resting: Mutex<Vec<Resting>>,
     open: AtomicU32,
-    /// Shortest time in which a connection was made, in microseconds; 0: none was made yet.
+    /// Shortest connect time in microseconds; 0 before the first connection.
     round_trip_us: AtomicU32,
 }
 
@@ -48,32 +47,33 @@
     fn note_round_trip(&self, taken: Duration) {
         let taken = u32::try_from(taken.as_micros()).unwrap_or(u32::MAX).max(1);
         let shorter = |known| (known == 0 || taken < known).then_some(taken);
-        // It fails if the known one is as short.
+        // Fails if the stored time is already as short.
         let _ = self
             .round_trip_us
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, shorter);
     }
 }
 
-/// Connections to one address.
+/// Pool of connections to one address.
 #[derive(Debug)]
 pub struct Connections {
     address: SocketAddr,
     shared: Arc<Shared>,
 }
 
-/// A connection in use. Give it back with [`Lease::give_back`] once a whole answer was read; dropped, it is closed.
+/// A connection in use. [`Lease::give_back`] returns it to the pool after a complete response;
+/// dropping it closes the connection.
 #[derive(Debug)]
 pub struct Lease {
-    /// Sends the one request.
+    /// Sends the request.
     pub sender: Sender,
-    /// Whether requests were sent on it before.
+    /// Whether the connection carried requests before.
     pub is_reused: bool,
     shared: Arc<Shared>,
 }
 
 impl Connections {
-    /// No connections yet.
+    /// Creates an empty pool.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
@@ -81,10 +81,10 @@
         }
     }
 
-    /// A connection that no request is on: a resting one, or a new one.
+    /// Returns an idle connection or opens a new one.
     ///
     /// # Errors
-    /// If no connection can be made in time.
+    /// Fails if no connection can be made in time.
     pub async fn acquire(&self) -> Result<Lease, ConnectError> {
         if let Some(sender) = self.take_resting() {
             return Ok(self.lease(sender, true));
@@ -92,16 +92,16 @@
         let connecting = tokio::time::timeout(CONNECT_LIMIT, self.connect());
         let sender = connecting
             .await
-            .map_err(|_| ConnectError::Failed("timed out".to_owned()))??;
+            .map_err(|_| ConnectError::Failed("connect timed out".to_owned()))??;
         Ok(self.lease(sender, false))
     }
 
-    /// Closes connections that no request is on.
+    /// Closes all idle connections.
     pub fn close_idle(&self) {
         lock(&self.shared).clear();
     }
 
-    /// Round trip in milliseconds: the shortest time in which a connection was made. `None` before the first one.
+    /// Returns the shortest connect time in milliseconds; `None` before the first connection.
     pub fn round_trip_ms(&self) -> Option<f64> {
         let micros = self.shared.round_trip_us.load(Ordering::Relaxed);
         (micros > 0).then(|| f64::from(micros) / 1e3)
@@ -149,7 +149,7 @@
 }
 
 impl Lease {
-    /// Keeps the connection for another request, for `rest` or the default.
+    /// Returns the connection to the pool for `rest` or the default idle time.
     pub fn give_back(self, rest: Option<Duration>) {
         if self.sender.is_closed() {
             return;
--- a/crates/front/src/backend/counters.rs
+++ b/crates/front/src/backend/counters.rs
@@ -1,17 +1,17 @@
-//! What is counted of discovery.
+//! Metrics of instance discovery.
 
 use prometheus::{IntCounter, IntCounterVec, IntGauge, Opts};
 
-/// Counters of one table of instances. Cheap to clone.
+/// Counters of one instance table. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct DiscoveryCounters {
-    /// Later starts of instances, or other addresses, under known ids.
+    /// Restarts and address changes of known instances.
     pub restarts: IntCounter,
-    /// Records that name no instance, by reason.
+    /// Records that could not be read, by reason.
     pub unreadable_records: IntCounterVec,
-    /// Zones that are drained.
+    /// Number of drained zones.
     pub drained_zones: IntGauge,
-    /// Choices that passed over a usable instance, by reason and zone.
+    /// Usable instances that were skipped by a choice, by reason and zone.
     pub passed_over: IntCounterVec,
 }
 
--- a/crates/front/src/backend/exchange.rs
+++ b/crates/front/src/backend/exchange.rs
@@ -1,4 +1,5 @@
-//! One request to one instance, and whether it may have run.
+//! Sends one request to one instance and tells errors after which it may have run from those after
+//! which it has not.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,72 +18,68 @@
 use super::instance::{Instance, Load};
 use crate::dialect::HeaderNames;
 
-/// Times a request moves to another connection because a resting one had just closed before it was sent.
+/// Maximum number of connections tried when idle ones turn out to be closed.
 const CONNECTIONS_TRIED: u32 = 4;
 
-/// Largest body of a refusal that is read so that its connection can be kept.
+/// Maximum size of a refusal's body that is read to reuse the connection, in bytes.
 const REFUSAL_BODY_LIMIT: usize = 16 * 1024;
 
-/// What is sent.
+/// Head of a request to an instance.
 #[derive(Debug, Clone)]
 pub struct RequestHead {
-    /// Method.
     pub method: Method,
-    /// Path and query.
     pub uri: Uri,
-    /// Headers, complete.
+    /// All headers, hop-by-hop headers excluded.
     pub headers: HeaderMap,
-    /// Regions whose instances may get it.
+    /// Regions whose instances may receive the request.
     pub allowed: AllowedRegions,
 }
 
-/// Why no answer of the instance can be passed on.
+/// Failure of an exchange that has no response to pass on.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ExchangeError {
-    /// No byte was sent.
+    /// Nothing was sent.
     #[error("not sent: {0}")]
     NotSent(String),
-    /// No byte was sent, as the instance may get nothing now; this does not count as its failure.
+    /// Nothing was sent, as the instance must not receive requests now; not a failure of the
+    /// instance.
     #[error("held back: {0}")]
     HeldBack(HoldReason),
-    /// The instance says that it did not run the request.
+    /// The instance reported that it did not run the request.
     #[error("not run: {0}")]
     NotRun(StatusCode),
-    /// The address belongs to another instance, or the instance has other weights; not run.
+    /// The instance at the address has another id or other weights; the request was not run.
     #[error("misdirected")]
     Misdirected {
-        /// The instance at the address is another one.
+        /// The instance at the address has another id.
         is_other_instance: bool,
     },
-    /// There is no answer, a broken one, or one to another request; the request may have run.
+    /// The response is missing, incomplete or for another request; the request may have run.
     #[error("broken: {0}")]
     Broken(String),
 }
 
 impl ExchangeError {
-    /// Whether the request has certainly not run there.
+    /// Returns whether the request has certainly not run.
     pub fn is_not_run(&self) -> bool {
         !matches!(self, Self::Broken(_))
     }
 }
 
-/// Head of an answer to our request, with its body still to come.
+/// Head of a response whose body is still to be read.
 #[derive(Debug)]
 pub struct Reply {
-    /// Status.
     pub status: StatusCode,
-    /// Headers.
     pub headers: HeaderMap,
-    /// Body.
     pub body: Incoming,
     lease: Lease,
 }
 
 impl Reply {
-    /// Reads the whole body of at most `limit` bytes and keeps the connection.
+    /// Reads the complete body of at most `limit` bytes and returns the connection to the pool.
     ///
     /// # Errors
-    /// `Broken` if the body does not end as it should.
+    /// `Broken` if the body is longer or ends early.
     pub async fn read_whole(
         self,
         limit: usize,
@@ -96,25 +93,28 @@
         Ok((self.status, self.headers, body))
     }
 
-    /// Splits off the connection, to be given back once the body was read to its end.
+    /// Separates the connection, which the caller returns to the pool after reading the complete
+    /// body.
     pub fn into_parts(self) -> (HeaderMap, Incoming, Lease) {
         (self.headers, self.body, self.lease)
     }
 }
 
-/// Whether an answer must carry the id of its request.
+/// Whether a response must echo the id of its request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerId {
-    /// An answer without the id belongs to another request.
+    /// A response without the id belongs to another request.
     Required,
-    /// Calls to the instance itself are answered without an id; one with another id belongs to another request.
+    /// The instance's own endpoints respond without an id; a different id belongs to another
+    /// request.
     Optional,
 }
 
-/// Sends a request and waits for the head of its answer.
+/// Sends a request and waits for the head of its response.
 ///
 /// # Errors
-/// See [`ExchangeError`]; refusals of the instance are errors, other statuses are replies.
+/// Returns an [`ExchangeError`] also if the instance refuses the request; any other status is a
+/// reply.
 pub async fn send(
     instance: &Arc<Instance>,
     names: &HeaderNames,
@@ -129,7 +129,7 @@
     let may_lack = answer_id == AnswerId::Optional && found.is_none();
     if found != Some(attempt_id) && !may_lack {
         return Err(ExchangeError::Broken(
-            "answer to another request".to_owned(),
+            "response to another request".to_owned(),
         ));
     }
     let now = Instant::now();
@@ -146,7 +146,7 @@
     refusal(instance, names, reply).await
 }
 
-/// Turns an instance's own refusal into an error.
+/// Returns an error if the instance itself refused the request.
 async fn refusal(
     instance: &Instance,
     names: &HeaderNames,
@@ -167,7 +167,8 @@
     Ok(reply)
 }
 
-/// Asks all gates right before the first byte. Calls to the instance itself, as for reports and orders, are not work: no limit holds for them.
+/// Checks all limits right before the first byte is sent. Calls to the instance's own endpoints,
+/// such as reports and orders, are not limited.
 fn take_ticket(
     instance: &Instance,
     head: &RequestHead,
@@ -192,7 +193,7 @@
         let ticket = match take_ticket(instance, head, answer_id) {
             Ok(ticket) => ticket,
             Err(reason) => {
-                // Unused: the next request may have it.
+                // The connection is unused, so the next request may have it.
                 lease.give_back(None);
                 return Err(ExchangeError::HeldBack(reason));
             }
@@ -209,7 +210,7 @@
         }
     }
     Err(ExchangeError::NotSent(
-        "connections close at once".to_owned(),
+        "idle connections closed before the request was sent".to_owned(),
     ))
 }
 
@@ -233,7 +234,7 @@
     })
 }
 
-/// How long the instance keeps a resting connection, less a margin.
+/// Returns the instance's keep-alive timeout less a margin.
 pub(crate) fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let seconds = text
@@ -245,7 +246,7 @@
     ))
 }
 
-/// Whether a header concerns one connection only.
+/// Returns whether a header is hop-by-hop.
 pub fn is_hop_by_hop(name: &http::HeaderName) -> bool {
     const NAMES: [&str; 8] = [
         "connection",
@@ -260,7 +261,7 @@
     NAMES.contains(&name.as_str())
 }
 
-/// Copies headers, but those that concern one connection only and those that `Connection` names.
+/// Copies all headers except hop-by-hop ones and those that `Connection` names.
 pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let named: Vec<String> = headers
         .get_all(CONNECTION)
--- a/crates/front/src/backend/gate.rs
+++ b/crates/front/src/backend/gate.rs
@@ -1,5 +1,5 @@
-//! What keeps requests from instances that discovery calls ready. Checked when an instance is chosen, and again right before the first
-//! byte of a request is sent, as time may pass in between.
+//! Conditions under which a ready instance gets no requests. They are checked when an instance is
+//! chosen and again right before the first byte is sent, as they may change in between.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -11,23 +11,24 @@
 
 use super::cold::{ColdLimits, PermitWants};
 
-/// Why an instance gets no request now, although it is there and ready.
+/// Reason why a ready instance gets no requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum HoldReason {
-    /// Its zone is to be drained.
+    /// Its zone is drained.
     ZoneDrained,
-    /// Zones may be drained here, and nothing is known of that yet.
+    /// The drained zones are not known yet.
     DrainsUnknown,
-    /// It is cold or may be, and this node has no permit to send it a request.
+    /// It is cold or may be cold, and this node has no permit.
     Cold,
-    /// This node has sent it as many requests within a second as it may without permits; it may have turned cold unnoticed.
+    /// This node has reached its rate without permits, which bounds the load if the instance has
+    /// become cold unnoticed.
     SendRate,
-    /// It is not in a region in which the request may be served.
+    /// It is outside the regions in which the request may be served.
     OtherRegion,
 }
 
 impl HoldReason {
-    /// Label of metrics and word in logs.
+    /// Returns the label in metrics and logs.
     pub fn label(self) -> &'static str {
         match self {
             Self::ZoneDrained => "zone_drained",
@@ -45,13 +46,13 @@
     }
 }
 
-/// Zones whose instances are to get nothing until the operator takes that back. Cheap to clone.
+/// Zones whose instances get no requests until the operator ends the drain. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct DrainedZones {
     zones: watch::Sender<Arc<BTreeSet<Arc<str>>>>,
-    /// Whether drains are followed and the first word of them has not come.
+    /// Whether the first update is still to come.
     is_awaited: watch::Sender<bool>,
-    /// When the last drain of each zone ended, for zones that were drained since the start.
+    /// End of each zone's last drain since this process started.
     ended: watch::Sender<Arc<BTreeMap<Arc<str>, Instant>>>,
 }
 
@@ -66,27 +67,27 @@
 }
 
 impl DrainedZones {
-    /// Notes that drains are followed here: until the first word of them, any zone may be one that is drained.
+    /// Treats every zone as possibly drained until the first update arrives.
     pub fn await_first(&self) {
         self.is_awaited.send_replace(true);
     }
 
-    /// Returns once it is known which zones are drained.
+    /// Waits until the drained zones are known.
     pub async fn known(&self) {
         let mut is_awaited = self.is_awaited.subscribe();
-        // The sender lives as long as this set.
+        // The sender lives as long as `self`.
         let _ = is_awaited.wait_for(|is_awaited| !is_awaited).await;
     }
 
-    /// Whether it is known which zones are drained.
+    /// Returns whether the drained zones are known.
     pub fn is_known(&self) -> bool {
         !*self.is_awaited.borrow()
     }
 
-    /// Whether the instances of a zone may get requests.
+    /// Checks whether the instances of a zone may get requests.
     ///
     /// # Errors
-    /// Why they are to get none.
+    /// Returns the reason if they may not.
     pub fn may_send_to(&self, zone: &str) -> Result<(), HoldReason> {
         if !self.is_known() {
             return Err(HoldReason::DrainsUnknown);
@@ -97,9 +98,9 @@
         Ok(())
     }
 
-    /// Takes the zones that are to be drained now; returns whether they differ from those before.
+    /// Replaces the drained zones; returns whether they changed.
     pub fn set(&self, zones: BTreeSet<Arc<str>>) -> bool {
-        // Noted first: whoever sees that a zone is back sees since when.
+        // The ends come first, so that a zone that is no longer drained always has one.
         self.note_ends(&zones);
         self.is_awaited.send_if_modified(std::mem::take);
         self.zones.send_if_modified(|known| {
@@ -123,45 +124,45 @@
         });
     }
 
-    /// When the last drain of a zone ended; `None`: it was never drained, or still is.
+    /// Returns when the last drain of a zone ended; `None` if it was never drained or still is.
     pub fn ended_at(&self, zone: &str) -> Option<Instant> {
         let ended = self.ended.borrow().get(zone).copied();
         ended.filter(|_| !self.contains(zone))
     }
 
-    /// Whether a zone is to be drained.
+    /// Returns whether a zone is drained.
     pub fn contains(&self, zone: &str) -> bool {
         self.zones.borrow().contains(zone)
     }
 
-    /// The zones that are to be drained.
+    /// Returns the drained zones.
     pub fn current(&self) -> Arc<BTreeSet<Arc<str>>> {
         self.zones.borrow().clone()
     }
 
-    /// Changes whenever other zones are to be drained.
+    /// Returns a receiver that changes with the set of drained zones.
     pub fn watch(&self) -> watch::Receiver<Arc<BTreeSet<Arc<str>>>> {
         self.zones.subscribe()
     }
 }
 
-/// All that may keep requests from instances, shared by the table of instances and each of them. Cheap to clone.
+/// Conditions for sending that the instance table and its instances share. Cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub struct SendGates {
-    /// Zones that are to be drained.
+    /// Drained zones.
     pub drained: DrainedZones,
-    /// How many requests instances may get while they are cold.
+    /// Request limits of cold instances.
     pub cold: ColdLimits,
-    /// Cold instances for which work waits here.
+    /// Cold instances for which this node needs permits.
     pub wants: PermitWants,
-    /// Where this node and the instances are.
+    /// Zones and regions of this node and the instances.
     pub locality: Locality,
 }
 
-/// Zone of a node, and the regions by which it tells how far others are. Cheap to clone.
+/// Zone of this node and the regions of all zones. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Locality {
-    /// Zone of the node.
+    /// Zone of this node.
     pub zone: Arc<str>,
     /// Regions of all zones.
     pub regions: RegionMap,
@@ -177,12 +178,12 @@
 }
 
 impl Locality {
-    /// How far a zone is.
+    /// Returns the distance to a zone.
     pub fn distance_to(&self, zone: &str) -> Distance {
         self.regions.between_zones(&self.zone, zone)
     }
 
-    /// Whether a zone lies in an allowed region.
+    /// Returns whether a zone is in an allowed region.
     pub fn is_within(&self, zone: &str, allowed: &AllowedRegions) -> bool {
         allowed.is_all() || allowed.permits(self.regions.region_of(zone))
     }
--- a/crates/front/src/backend/instance.rs
+++ b/crates/front/src/backend/instance.rs
@@ -1,4 +1,4 @@
-//! One instance of a service.
+//! State of one instance of a service and the connections to it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,49 +16,51 @@
 use super::connection::Connections;
 use super::gate::{HoldReason, SendGates};
 
-/// How long a load that the instance told counts.
+/// Maximum age of a reported load.
 const LOAD_TRUST: Duration = Duration::from_millis(500);
 
-/// Weight of a new pace against the known one.
+/// Weight of a new measurement in the moving average of the unit time.
 const PACE_WEIGHT: f64 = 0.25;
 
-/// How long a pace counts without a newer one.
+/// Maximum age of a measured unit time.
 const PACE_TRUST: Duration = Duration::from_secs(10);
 
-/// First pause after a failure; doubles with each further one.
+/// Pause after the first failure; doubles with each further one.
 const FIRST_PAUSE: Duration = Duration::from_millis(250);
 
-/// Longest pause after failures.
+/// Maximum pause after failures.
 const LONGEST_PAUSE: Duration = Duration::from_secs(2);
 
-/// Pause for a model whose weights are being loaded, unless the instance is heard to have them earlier.
+/// Pause for a model whose weights are being loaded, unless the instance reports them earlier.
 pub const LOADING_PAUSE: Duration = Duration::from_millis(150);
 
-/// An instance as discovery tells of it.
+/// An instance as described by its discovery record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Discovered {
-    /// Its id.
+    /// Id of the instance, which a later incarnation may reuse.
     pub id: String,
-    /// Service that it belongs to.
+    /// Name of its service.
     pub service: String,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Zone it runs in.
+    /// Zone that it runs in.
     pub zone: String,
-    /// It takes new work.
+    /// Whether it accepts new work.
     pub is_ready: bool,
-    /// Requests that it runs side by side.
+    /// Number of requests that run concurrently.
     pub slots: u32,
-    /// When this start of it began, in milliseconds since the epoch by its own clock; 0: unknown. The id may come back with a later one.
+    /// Start of this incarnation in milliseconds since the epoch by the instance's clock; 0 if
+    /// unknown.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub started_unix_ms: u64,
-    /// How much longer it bears few requests after its start, in milliseconds as of the record; 0: it bears all that it has slots for.
+    /// Remaining time in milliseconds, as of the record, in which it handles few requests; 0 if it
+    /// is not cold.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub cold_ms: u64,
-    /// It may be taken away at short notice, with all such instances of its zone.
+    /// Whether it may be withdrawn at short notice, with all such instances of its zone.
     #[serde(default, skip_serializing_if = "is_false")]
     pub is_preemptible: bool,
-    /// Milliseconds until it is taken away as of the record; `None`: not announced.
+    /// Milliseconds until it is withdrawn, as of the record; `None` if not announced.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub leaves_ms: Option<u64>,
     /// Weight versions by model.
@@ -75,7 +77,7 @@
 }
 
 impl Discovered {
-    /// Whether another word about the instance tells the same, weights left out.
+    /// Compares two records without weights and without the exact remaining times.
     pub fn is_same_without_weights(&self, other: &Self) -> bool {
         let Self {
             id,
@@ -97,28 +99,29 @@
             && *is_ready == other.is_ready
             && *slots == other.slots
             && *started_unix_ms == other.started_unix_ms
-            // How much longer differs with each word.
+            // The remaining time differs in each record.
             && (*cold_ms == 0) == (other.cold_ms == 0)
             && *is_preemptible == other.is_preemptible
             && leaves_ms.is_none() == other.leaves_ms.is_none()
     }
 }
 
-/// Load that an instance told with an answer.
+/// Load that an instance reported with a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Load {
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// Requests that it runs side by side.
+    /// Number of requests that run concurrently.
     pub slots: u32,
 }
 
 #[derive(Debug)]
 struct Known {
     discovered: Discovered,
-    /// Load of others: what was told less own requests then, and when.
+    /// Load from other nodes, which is the reported load less own requests, and when it was
+    /// reported.
     others: Option<(u32, Instant)>,
     pace: Option<(f64, Instant)>,
     failures: u32,
@@ -128,7 +131,7 @@
     share: SendShare,
 }
 
-/// One instance: what is known of it, and the connections to it.
+/// One incarnation of an instance: its state and its connections.
 #[derive(Debug)]
 pub struct Instance {
     id: String,
@@ -138,7 +141,7 @@
     in_flight: AtomicU32,
     gates: SendGates,
     known: Mutex<Known>,
-    /// A later start of it is known.
+    /// Whether a later incarnation is known.
     has_ended: watch::Sender<bool>,
 }
 
@@ -149,7 +152,7 @@
     }
 }
 
-/// Why an instance whose limit is reached gets no request.
+/// Returns the reason to hold requests back from an instance whose limit is reached.
 fn hold_reason(warmth: Warmth) -> HoldReason {
     match warmth {
         Warmth::Warm => HoldReason::SendRate,
@@ -157,7 +160,7 @@
     }
 }
 
-/// Counts a request at the instance until it is dropped.
+/// Counts a request as in flight until dropped.
 #[derive(Debug)]
 pub struct RunGuard {
     instance: Arc<Instance>,
@@ -170,7 +173,7 @@
 }
 
 impl Instance {
-    /// A newly discovered instance that gets requests as the gates allow.
+    /// Creates an instance from its discovery record.
     pub fn new(discovered: Discovered, gates: SendGates) -> Self {
         let mut cold = ColdState::default();
         cold.told(Duration::from_millis(discovered.cold_ms), Instant::now());
@@ -195,55 +198,56 @@
         }
     }
 
-    /// Its id.
+    /// Returns its id.
     pub fn id(&self) -> &str {
         &self.id
     }
 
-    /// Name of this start of the instance, the same at all nodes: an id may come back with a later start.
+    /// Returns the name of this incarnation, which is the same at all nodes.
     pub fn start_name(&self) -> String {
         format!("{}@{}", self.id, self.started_unix_ms)
     }
 
-    /// When it started, in milliseconds since the epoch by its own clock; 0: unknown.
+    /// Returns its start in milliseconds since the epoch by its own clock; 0 if unknown.
     pub fn started_unix_ms(&self) -> u64 {
         self.started_unix_ms
     }
 
-    /// Whether a word about the start at `started_unix_ms` is about this one; 0: unknown, as from instances that do not tell.
+    /// Returns whether a report about the incarnation started at `started_unix_ms` is about this
+    /// one. A start of 0 is unknown and matches any.
     pub fn is_start(&self, started_unix_ms: u64) -> bool {
         started_unix_ms == 0 || self.started_unix_ms == 0 || started_unix_ms == self.started_unix_ms
     }
 
-    /// Notes that a later start of it is known: whatever runs here has ended.
+    /// Records that a later incarnation is known, so that the runs here have ended.
     pub fn note_ended(&self) {
         self.connections.close_idle();
         self.has_ended.send_replace(true);
     }
 
-    /// Whether a later start of it is known.
+    /// Returns whether a later incarnation is known.
     pub fn has_ended(&self) -> bool {
         *self.has_ended.borrow()
     }
 
-    /// Returns once a later start of it is known.
+    /// Waits until a later incarnation is known.
     pub async fn ended(&self) {
         let mut has_ended = self.has_ended.subscribe();
-        // The sender lives as long as this instance.
+        // The sender lives as long as `self`.
         let _ = has_ended.wait_for(|has_ended| *has_ended).await;
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Connections to it.
+    /// Returns its connection pool.
     pub fn connections(&self) -> &Connections {
         &self.connections
     }
 
-    /// What discovery told last; how much longer it is cold is as of now.
+    /// Returns the last discovery record with the remaining cold time as of now.
     pub fn discovered(&self) -> Discovered {
         let known = self.lock();
         let cold = known.cold.remaining(Instant::now());
@@ -253,27 +257,27 @@
         }
     }
 
-    /// Whether it belongs to a service.
+    /// Returns whether it belongs to a service.
     pub fn is_of(&self, service: &str) -> bool {
         self.lock().discovered.service == service
     }
 
-    /// Zone it runs in.
+    /// Returns the zone that it runs in.
     pub fn zone(&self) -> String {
         self.lock().discovered.zone.clone()
     }
 
-    /// Whether it takes new work, as discovery told last.
+    /// Returns whether it accepts new work by its last discovery record.
     pub fn is_ready(&self) -> bool {
         self.lock().discovered.is_ready
     }
 
-    /// Weight versions that it has, by model.
+    /// Returns its weight versions by model.
     pub fn versions(&self) -> BTreeMap<String, u64> {
         self.lock().discovered.versions.clone()
     }
 
-    /// Takes what discovery tells now. Weight versions only rise within one start.
+    /// Applies a discovery record. Weight versions never decrease within an incarnation.
     pub fn update(&self, mut discovered: Discovered) {
         let mut known = self.lock();
         for (model, version) in &known.discovered.versions {
@@ -292,13 +296,13 @@
         known.discovered = discovered;
     }
 
-    /// Weight version of a model as last heard; 0: none.
+    /// Returns the last reported weight version of a model, 0 if none.
     pub fn version(&self, model: &str) -> u64 {
         let known = self.lock();
         known.discovered.versions.get(model).copied().unwrap_or(0)
     }
 
-    /// Notes a weight version that the instance told.
+    /// Records a weight version that the instance reported.
     pub fn note_version(&self, model: &str, version: u64) {
         let mut known = self.lock();
         let versions = &mut known.discovered.versions;
@@ -309,7 +313,7 @@
         }
     }
 
-    /// Counts one more request until the guard is dropped.
+    /// Counts a request as in flight until the guard is dropped.
     pub fn begin(self: &Arc<Self>) -> RunGuard {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         RunGuard {
@@ -317,19 +321,19 @@
         }
     }
 
-    /// Own requests there now.
+    /// Returns the number of own requests in flight.
     pub fn in_flight(&self) -> u32 {
         self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Notes the load that came with an answer.
+    /// Records the load that came with a response.
     pub fn note_load(&self, load: Load, now: Instant) {
         let own = self.in_flight();
         let others = (load.running + load.waiting).saturating_sub(own);
         self.lock().others = Some((others, now));
     }
 
-    /// Notes the time that one unit of work took, in milliseconds.
+    /// Records the time that one unit of work took, in milliseconds.
     pub fn note_pace(&self, pace_ms: f64, now: Instant) {
         let mut known = self.lock();
         let pace = match known.pace {
@@ -341,28 +345,28 @@
         known.pace = Some((pace, now));
     }
 
-    /// Notes a whole answer.
+    /// Records a complete response, which ends the pause after failures.
     pub fn note_success(&self) {
         let mut known = self.lock();
         known.failures = 0;
         known.paused_until = None;
     }
 
-    /// Notes that no answer came, or a broken one: the instance gets a pause that grows.
+    /// Records a missing or broken response and pauses the instance, for longer with each failure.
     pub fn note_failure(&self, now: Instant) {
         let mut known = self.lock();
         let factor = 1u32 << known.failures.min(8);
         known.failures += 1;
         let pause = (FIRST_PAUSE * factor).min(LONGEST_PAUSE);
         known.paused_until = Some(now + pause);
-        // It may have ended, and come back before discovery tells.
+        // It may have restarted before discovery reports it.
         let is_news = known.cold.disconnected();
         if is_news && self.gates.cold.get(&known.discovered.service).is_some() {
             log::info!("event=instance_doubtful instance={}", self.id);
         }
     }
 
-    /// Notes that it answers: it runs, also if it failed before.
+    /// Records that the instance responds, also after a failure.
     pub fn note_answer(&self, now: Instant) {
         let mut known = self.lock();
         let limit = self.gates.cold.get(&known.discovered.service);
@@ -370,7 +374,7 @@
         known.cold.answered(now, time);
     }
 
-    /// Notes that it may have turned cold just now without a word of it.
+    /// Records that it may have just become cold without reporting it.
     pub fn suspect_cold(&self, now: Instant) {
         let mut known = self.lock();
         if let Some(limit) = self.gates.cold.get(&known.discovered.service) {
@@ -378,20 +382,20 @@
         }
     }
 
-    /// Takes permits to send requests to it while it is cold, good until `until`.
+    /// Adds permits, valid until `until`, to send requests while it is cold.
     pub fn add_permits(&self, count: u32, until: Instant) {
         self.lock().share.add_permits(count, until);
     }
 
-    /// Notes that a model cannot be used there for a moment.
+    /// Marks a model as unavailable until `until`.
     pub fn note_loading(&self, model: &str, until: Instant) {
         self.lock().loading_until.insert(model.to_owned(), until);
     }
 
-    /// Whether it may be chosen for a request now.
+    /// Checks whether it may be chosen for a request now.
     ///
     /// # Errors
-    /// Why it is to get none.
+    /// Returns the reason if it may not.
     pub fn may_send(&self, now: Instant) -> Result<(), HoldReason> {
         let mut known = self.lock();
         let Some(limit) = self.send_limit(&known)? else {
@@ -405,16 +409,16 @@
         }
     }
 
-    /// Whether drains let a request be sent to its zone.
+    /// Checks whether its zone is drained.
     ///
     /// # Errors
-    /// Why it is to get none.
+    /// Returns the reason if requests must not be sent there.
     pub fn drain_gate(&self) -> Result<(), HoldReason> {
         let known = self.lock();
         self.gates.drained.may_send_to(&known.discovered.zone)
     }
 
-    /// Notes that it was chosen for a request, which is sent soon or not at all.
+    /// Reserves capacity for a request that is about to be sent.
     pub fn reserve_send(&self, now: Instant) {
         let mut known = self.lock();
         if let Ok(Some(_)) = self.send_limit(&known) {
@@ -422,10 +426,11 @@
         }
     }
 
-    /// Takes the right to send one request now, which uses up a permit if one is needed; `None` where no limit is in force.
+    /// Acquires the right to send one request now, which consumes a permit if one is needed. `None`
+    /// if no limit applies.
     ///
     /// # Errors
-    /// Why it is to get none.
+    /// Returns the reason if no request may be sent.
     pub fn take_send(&self, now: Instant) -> Result<Option<SendTicket>, HoldReason> {
         let mut known = self.lock();
         let Some(limit) = self.send_limit(&known)? else {
@@ -436,14 +441,15 @@
         ticket.map(Some).ok_or(hold_reason(warmth))
     }
 
-    /// Takes back the right to send a request that was not sent.
+    /// Releases the right to send a request that was not sent.
     pub fn give_back_send(&self, ticket: Option<SendTicket>) {
         if let Some(ticket) = ticket {
             self.lock().share.give_back(ticket);
         }
     }
 
-    /// How it is to be treated. It may have turned cold while its zone was drained, and its record may say so only later.
+    /// Returns its cold status. It counts as uncertain for a while after a drain, as it may have
+    /// become cold meanwhile and its record may be late.
     fn warmth(&self, known: &Known, limit: &ColdLimit, now: Instant) -> Warmth {
         let drain_ended = self.gates.drained.ended_at(&known.discovered.zone);
         let is_just_back =
@@ -454,16 +460,16 @@
         }
     }
 
-    /// The limit of the requests to it; `None`: there is none.
+    /// Returns the limit for its requests, `None` if there is none.
     fn send_limit(&self, known: &Known) -> Result<Option<ColdLimit>, HoldReason> {
         self.gates.drained.may_send_to(&known.discovered.zone)?;
         Ok(self.gates.cold.get(&known.discovered.service))
     }
 
-    /// Whether a request that may be served in these regions may be sent to it.
+    /// Checks whether it is in an allowed region.
     ///
     /// # Errors
-    /// It lies in another one.
+    /// `OtherRegion` if it is not.
     pub fn check_region(&self, allowed: &AllowedRegions) -> Result<(), HoldReason> {
         if self.is_within(allowed) {
             Ok(())
@@ -472,20 +478,20 @@
         }
     }
 
-    /// Whether it lies in an allowed region.
+    /// Returns whether it is in an allowed region.
     pub fn is_within(&self, allowed: &AllowedRegions) -> bool {
         let locality = &self.gates.locality;
         allowed.is_all() || locality.is_within(&self.lock().discovered.zone, allowed)
     }
 
-    /// How far it is from this node.
+    /// Returns its distance from this node.
     pub fn distance(&self) -> Distance {
         self.gates
             .locality
             .distance_to(&self.lock().discovered.zone)
     }
 
-    /// Whether the instance takes new work for `model` (empty: any) now.
+    /// Returns whether it accepts new work for `model` (empty for any) now.
     pub fn is_usable(&self, model: &str, now: Instant) -> bool {
         let known = self.lock();
         let is_loading = known
@@ -496,7 +502,7 @@
         known.discovered.is_ready && !is_loading && !is_paused
     }
 
-    /// What the choice is made from.
+    /// Returns the state that a choice is based on.
     pub fn candidate(&self, zone: &str, now: Instant) -> Candidate {
         let known = self.lock();
         let fresh = |at: Instant| now.saturating_duration_since(at) < LOAD_TRUST;
@@ -517,13 +523,13 @@
         }
     }
 
-    /// Whether, by what is known, one more request would run at once, the one that asks left out.
+    /// Returns whether the caller's request, which is already counted, has a slot.
     pub fn has_free_slot(&self) -> bool {
         let candidate = self.candidate("", Instant::now());
         candidate.load <= candidate.slots
     }
 
-    /// Recent milliseconds per unit of work; `None` while unknown.
+    /// Returns the recent milliseconds per unit of work, `None` if unknown.
     pub fn recent_pace_ms(&self) -> Option<f64> {
         self.lock().recent_pace_ms(Instant::now())
     }
--- a/crates/front/src/backend/mod.rs
+++ b/crates/front/src/backend/mod.rs
@@ -1,4 +1,4 @@
-//! Instances of services: what is known of each, which one a request goes to, and connections to them.
+//! Instances of services: their state, the choice of one for a request, and connections to them.
 
 mod choice;
 mod cold;
--- a/crates/front/src/backend/table.rs
+++ b/crates/front/src/backend/table.rs
@@ -1,4 +1,4 @@
-//! All instances that discovery knows.
+//! Table of all discovered instances.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -13,24 +13,24 @@
 use super::gate::{HoldReason, Locality, SendGates};
 use super::instance::{Discovered, Instance};
 
-/// The instances by id. Cheap to clone.
+/// Instances by id. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct BackendTable {
     zone: Arc<str>,
     instances: Arc<Mutex<BTreeMap<String, Arc<Instance>>>>,
     changed: watch::Sender<u64>,
-    /// Changes when an instance comes or goes, or anything but its weights changes.
+    /// Changes when an instance is added, removed or changed in anything but its weights.
     membership: watch::Sender<u64>,
-    /// Whether any instance was ever told of.
+    /// Whether any instance was ever added.
     is_fed: watch::Sender<bool>,
-    /// Whether a request came before that.
+    /// Whether a request came before the first instance.
     is_wanted: watch::Sender<bool>,
     counters: DiscoveryCounters,
     gates: SendGates,
 }
 
 impl BackendTable {
-    /// A table for a chooser in `zone`.
+    /// Creates a table for a node in `zone`.
     pub fn new(zone: &str) -> Self {
         Self {
             zone: zone.into(),
@@ -50,18 +50,18 @@
         }
     }
 
-    /// The same for a deployment with these regions; to be set before instances are added, as each keeps a copy.
+    /// Sets the regions of the zones. Must precede the first instance, as each keeps a copy.
     pub fn with_regions(mut self, regions: RegionMap) -> Self {
         self.gates.locality.regions = regions;
         self
     }
 
-    /// What keeps requests from instances that discovery calls ready.
+    /// Returns the conditions for sending requests to ready instances.
     pub fn gates(&self) -> &SendGates {
         &self.gates
     }
 
-    /// Takes the zones that are to be drained now.
+    /// Replaces the set of drained zones.
     pub fn set_drained(&self, zones: BTreeSet<Arc<str>>) {
         let drained = &self.gates.drained;
         let before = drained.current();
@@ -73,7 +73,7 @@
         let now = drained.current();
         self.log_drains(&before, &now);
         self.counters.drained_zones.set(now.len() as i64);
-        // Work that waits may find room in a zone whose drain ended.
+        // A zone whose drain ended may have free slots for waiting work.
         self.notify();
     }
 
@@ -96,7 +96,8 @@
         zones.filter(|other| other == zone).count()
     }
 
-    /// Why drains leave no instance of a service that may get a request; `None`: one may, or there is no instance.
+    /// Returns the reason if drains leave no instance of a service; `None` if one may get requests
+    /// or there is none.
     pub fn drained_out(&self, service: &str) -> Option<HoldReason> {
         let instances = self.of_service(service);
         let is_open =
@@ -108,20 +109,21 @@
         reasons.flatten().next()
     }
 
-    /// What was counted of discovery.
+    /// Returns the counters of discovery.
     pub fn counters(&self) -> &DiscoveryCounters {
         &self.counters
     }
 
-    /// Forgets an instance whose record names none any more; `reason` is a label of metrics.
+    /// Removes an instance whose record cannot be read and counts it under the metric label
+    /// `reason`.
     pub fn forget_unreadable(&self, id: &str, reason: &str) {
         let unreadable = &self.counters.unreadable_records;
         unreadable.with_label_values(&[reason]).inc();
         self.remove(id);
     }
 
-    /// Takes what discovery tells of one instance. Nothing that is believed of one start outlives it, and a word about an earlier start
-    /// than the known one, which may come late, changes nothing.
+    /// Applies a discovery record. A later incarnation replaces the earlier one with all its state;
+    /// a late record about an earlier incarnation is ignored.
     pub fn upsert(&self, mut discovered: Discovered) {
         let mut instances = self.lock();
         let known = instances.get(&discovered.id);
@@ -187,8 +189,8 @@
         self.notify();
     }
 
-    /// An instance says itself when it started. If that is later than what discovery told, it has been started again, and nothing
-    /// that was believed of it holds but where it is.
+    /// Records the start that an instance reported itself. A start later than the known one is a
+    /// new incarnation, of which only the discovery record is kept, without weights.
     pub fn note_start(&self, instance: &Instance, started_unix_ms: u64) {
         if started_unix_ms > instance.started_unix_ms() {
             self.upsert(Discovered {
@@ -196,14 +198,15 @@
                 versions: BTreeMap::new(),
                 ..instance.discovered()
             });
-            // Whether it is cold its record tells later.
+            // The next discovery record shows whether it is cold.
             if let Some(started_again) = self.get(instance.id()) {
                 started_again.suspect_cold(Instant::now());
             }
         }
     }
 
-    /// Asks for instances if none was ever told of, and waits for the first one and for word of drained zones, `longest` at most.
+    /// Requests instances if none was ever added, and waits at most `longest` for the first one and
+    /// for the drained zones.
     pub async fn first_fed(&self, longest: Duration) {
         let drained = &self.gates.drained;
         if *self.is_fed.borrow() && drained.is_known() {
@@ -212,22 +215,22 @@
         self.is_wanted.send_replace(true);
         let mut is_fed = self.is_fed.subscribe();
         let first = async {
-            // The sender lives as long as this table.
+            // The sender lives as long as `self`.
             let _ = is_fed.wait_for(|is_fed| *is_fed).await;
             drained.known().await;
         };
-        // Whether it came in time shows when an instance is chosen.
+        // After a timeout, the choice of an instance fails.
         let _ = tokio::time::timeout(longest, first).await;
     }
 
-    /// Returns once somebody asked for instances before the first one was told of.
+    /// Waits until a request came before the first instance was known.
     pub async fn wanted(&self) {
         let mut is_wanted = self.is_wanted.subscribe();
-        // The sender lives as long as this table.
+        // The sender lives as long as `self`.
         let _ = is_wanted.wait_for(|is_wanted| *is_wanted).await;
     }
 
-    /// Forgets an instance that is gone; requests under way there go on.
+    /// Removes an instance; its requests in flight continue.
     pub fn remove(&self, id: &str) {
         if let Some(instance) = self.lock().remove(id) {
             instance.connections().close_idle();
@@ -237,7 +240,7 @@
         self.notify();
     }
 
-    /// Forgets all instances among those that `is_meant` accepts whose ids are not among `kept`.
+    /// Removes all instances that `is_meant` accepts and whose ids are not in `kept`.
     pub fn retain(&self, kept: &[String], is_meant: impl Fn(&Discovered) -> bool) {
         let gone: Vec<String> = {
             let instances = self.lock();
@@ -251,27 +254,28 @@
         gone.iter().for_each(|id| self.remove(id));
     }
 
-    /// An instance by its id.
+    /// Returns an instance by its id.
     pub fn get(&self, id: &str) -> Option<Arc<Instance>> {
         self.lock().get(id).cloned()
     }
 
-    /// Tells those who wait for room that there may be some.
+    /// Notifies waiting work that there may be free slots.
     pub fn notify(&self) {
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Changes with every change of the table.
+    /// Returns a receiver that changes with every change of the table.
     pub fn watch(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// Changes when an instance comes or goes, or anything but its weights changes.
+    /// Returns a receiver that changes when an instance is added, removed or changed in anything
+    /// but its weights.
     pub fn watch_membership(&self) -> watch::Receiver<u64> {
         self.membership.subscribe()
     }
 
-    /// What discovery told last of all instances, sorted by id.
+    /// Returns the last discovery records of all instances, sorted by id.
     pub fn discovered(&self) -> Vec<Discovered> {
         let instances = self.lock();
         instances
@@ -280,7 +284,7 @@
             .collect()
     }
 
-    /// Instances of a service, sorted by id.
+    /// Returns the instances of a service, sorted by id.
     pub fn of_service(&self, service: &str) -> Vec<Arc<Instance>> {
         let instances = self.lock();
         let found = instances.values();
@@ -290,7 +294,7 @@
             .collect()
     }
 
-    /// Median of the recent paces of a service's instances, in milliseconds per unit of work.
+    /// Returns the median of the recent unit times of a service's instances, in milliseconds.
     pub fn typical_pace(&self, service: &str) -> Option<f64> {
         let now = Instant::now();
         let instances = self.of_service(service);
@@ -300,7 +304,8 @@
         median(paces.collect())
     }
 
-    /// The instance for one more request among those of `service` that are usable and that `fits` accepts.
+    /// Chooses among the usable instances of `service` that `fits` accepts, and reserves capacity
+    /// for the request.
     pub fn choose(
         &self,
         service: &str,
@@ -313,7 +318,7 @@
         match &chosen {
             Some(instance) => instance.reserve_send(now),
             None => {
-                // Work waits that these could take.
+                // Permits for these cold instances would let the work start.
                 let idle = cold.iter().filter(|instance| instance.has_free_slot());
                 idle.for_each(|instance| self.gates.wants.note(instance.id(), service));
             }
@@ -321,7 +326,8 @@
         chosen
     }
 
-    /// The instance that [`BackendTable::choose_within`] would choose, for work that goes on where it is unless another place pays.
+    /// Returns the instance that [`BackendTable::choose_within`] would choose, without reserving
+    /// it.
     pub fn best_within(
         &self,
         service: &str,
@@ -335,7 +341,7 @@
         best
     }
 
-    /// The instance for one more request, and the cold ones that a permit would open.
+    /// Selects the best instance; also returns the cold ones that lack only a permit.
     fn look(
         &self,
         service: &str,
@@ -355,7 +361,7 @@
         (index.map(|index| Arc::clone(&usable[index])), cold)
     }
 
-    /// Removes instances that may get nothing now; returns those of them for which only a permit is missing.
+    /// Removes the instances that may get no request now; returns those that lack only a permit.
     fn pass_over_held(&self, usable: &mut Vec<Arc<Instance>>, now: Instant) -> Vec<Arc<Instance>> {
         let mut cold = Vec::new();
         usable.retain(|instance| {
@@ -372,13 +378,13 @@
         cold
     }
 
-    /// Whether work that waits here for instances of a service may soon get permits for cold ones.
+    /// Returns whether a cold instance of the service may soon get permits.
     pub fn awaits_permits(&self, service: &str) -> bool {
         let held_back = self.held_back(service);
         held_back.contains_key(&HoldReason::Cold)
     }
 
-    /// How many ready instances of a service are held back now, by reason.
+    /// Returns the number of ready instances of a service that are held back now, by reason.
     pub fn held_back(&self, service: &str) -> BTreeMap<HoldReason, usize> {
         let now = Instant::now();
         let mut counts = BTreeMap::new();
@@ -391,7 +397,7 @@
         counts
     }
 
-    /// As [`BackendTable::choose`], among those in allowed regions.
+    /// Like [`BackendTable::choose`], among instances in allowed regions.
     pub fn choose_within(
         &self,
         service: &str,
@@ -405,13 +411,13 @@
         })
     }
 
-    /// Whether a service has an instance in an allowed region, ready or not.
+    /// Returns whether a service has an instance in an allowed region, ready or not.
     pub fn has_any_within(&self, service: &str, allowed: &AllowedRegions) -> bool {
         let instances = self.of_service(service);
         instances.iter().any(|instance| instance.is_within(allowed))
     }
 
-    /// A ready instance of a service in an allowed region, also one that gets a pause after a failure.
+    /// Returns a random ready instance of a service in an allowed region, paused ones included.
     pub fn choose_again(&self, service: &str, allowed: &AllowedRegions) -> Option<Arc<Instance>> {
         let now = Instant::now();
         let instances = self.of_service(service);
--- a/crates/front/src/dialect.rs
+++ b/crates/front/src/dialect.rs
@@ -1,6 +1,6 @@
-//! The names under which clients and instances exchange what the programs decide on.
+//! Names and encodings of the messages exchanged with clients and instances.
 //!
-//! The decisions are the same whatever the names are; an adapter of an outside system supplies its own.
+//! The behaviour does not depend on them; the adapter of each platform supplies its own.
 
 use std::sync::Arc;
 
@@ -8,63 +8,63 @@
 use http::{HeaderName, Method};
 use ladderstage_wire::messages::{JobResults, JobSpec};
 
-/// Header names.
+/// Names of the HTTP headers.
 #[derive(Debug, Clone)]
 pub struct HeaderNames {
     /// Id of one client attempt.
     pub attempt_id: HeaderName,
-    /// Milliseconds that the sender will wait.
+    /// Remaining time of the sender in milliseconds.
     pub deadline_ms: HeaderName,
-    /// Signature of the instance that answered.
+    /// Signature of the responding instance.
     pub response_stamp: HeaderName,
     /// Id of the only instance that may run the request.
     pub expect_instance: HeaderName,
-    /// Name of the tenant that a request is for.
+    /// Name of the request's tenant.
     pub tenant: HeaderName,
-    /// Id of the answering instance.
+    /// Id of the responding instance.
     pub instance_id: HeaderName,
-    /// Rank at the instance, 0 first.
+    /// Rank of the request at the instance, 0 first.
     pub request_priority: HeaderName,
     /// Weight version that the instance must have.
     pub expect_version: HeaderName,
-    /// Requests running, waiting, and slots.
+    /// Numbers of running requests, waiting requests and slots.
     pub instance_load: HeaderName,
-    /// Says that the instance did not run the request.
+    /// Present if the instance did not run the request.
     pub not_executed: HeaderName,
-    /// Weight version of what follows.
+    /// Weight version of the following events.
     pub weight_version: HeaderName,
-    /// Id of the last event that was received.
+    /// Id of the last event that the client received.
     pub last_event_id: HeaderName,
-    /// How long a read may be held.
+    /// Maximum time that a read may wait for results, in milliseconds.
     pub wait_ms: HeaderName,
 }
 
-/// A call that concerns one batch job.
+/// A call about one batch job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum JobCall {
-    /// Results from a position on.
+    /// Reads results from a position on.
     Read {
-        /// The job.
+        /// Id of the job.
         job: String,
         /// First position.
         after: u64,
     },
-    /// Body of one item.
+    /// Reads the body of an item.
     Body {
-        /// The job.
+        /// Id of the job.
         job: String,
-        /// The item.
+        /// Id of the item.
         item: String,
     },
-    /// End of the job.
+    /// Ends the job.
     End {
-        /// The job.
+        /// Id of the job.
         job: String,
     },
 }
 
 impl JobCall {
-    /// The call with another name of its job.
+    /// Returns the call with the job id replaced by `name`.
     #[must_use]
     pub fn map_job(mut self, name: impl FnOnce(String) -> String) -> Self {
         match &mut self {
@@ -76,16 +76,16 @@
     }
 }
 
-/// What an instance tells of itself.
+/// Report of an instance about itself.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct InstanceReport {
     /// Weight versions by model.
     pub versions: Vec<(String, u64)>,
-    /// An order is under way.
+    /// Whether an order is being executed.
     pub busy: bool,
-    /// Orders taken since its start.
+    /// Number of orders accepted since its start.
     pub order_sequence: u64,
-    /// When it started, in milliseconds since the epoch by its own clock; 0: it does not tell.
+    /// Start in milliseconds since the epoch by its own clock; 0 if not reported.
     pub started_unix_ms: u64,
 }
 
@@ -96,56 +96,52 @@
     pub model: String,
     /// Version to load.
     pub version: u64,
-    /// Runs go on under the new version; else they end first.
+    /// Whether runs continue with the new version; otherwise they finish first.
     pub keeps_runs: bool,
-    /// Name of the giver.
+    /// Name of the order leader.
     pub holder: String,
-    /// Fencing token of the giver.
+    /// Fencing token of the order leader.
     pub fence: u64,
-    /// Orders that the instance has taken so far.
+    /// Number of orders that the instance must have accepted before.
     pub expected_sequence: u64,
 }
 
-/// A call to an instance, ready to be sent.
+/// A call to one of an instance's own endpoints.
 #[derive(Debug, Clone)]
 pub struct InstanceCall {
-    /// Method.
     pub method: Method,
-    /// Path.
     pub path: &'static str,
-    /// Body.
     pub body: Bytes,
 }
 
-/// Translates calls and bodies.
+/// Encodes and decodes calls and bodies.
 pub trait Codec: Send + Sync + 'static {
-    /// Header names.
+    /// Returns the header names.
     fn headers(&self) -> &HeaderNames;
 
-    /// The batch-job call that method, path and query name; `None` if they name none.
+    /// Parses a batch-job call; `None` if method, path and query do not form one.
     fn job_call(&self, method: &Method, path: &str, query: Option<&str>) -> Option<JobCall>;
 
-    /// Reads a batch job that is handed in.
+    /// Parses the body of a submitted batch job.
     ///
     /// # Errors
-    /// What is wrong with the body.
+    /// Returns the reason if the body is malformed.
     fn read_job(&self, job: &str, host: &str, path: &str, body: &[u8]) -> Result<JobSpec, String>;
 
-    /// Writes results; `after` is the position of the first.
+    /// Encodes results; `after` is the position of the first.
     fn write_results(&self, results: &JobResults, after: u64) -> Bytes;
 
-    /// The call that asks an instance for its report.
+    /// Returns the call that requests an instance's report.
     fn report_call(&self) -> InstanceCall;
 
-    /// Reads such a report.
+    /// Parses the body of a report.
     ///
     /// # Errors
-    /// What is wrong with the body.
+    /// Returns the reason if the body is malformed.
     fn read_report(&self, body: &[u8]) -> Result<InstanceReport, String>;
 
-    /// The call that gives an order.
+    /// Returns the call that sends an order.
     fn order_call(&self, order: &VersionOrder) -> InstanceCall;
 }
 
-/// A shared codec.
 pub type SharedCodec = Arc<dyn Codec>;
--- a/crates/front/src/ingress/answers.rs
+++ b/crates/front/src/ingress/answers.rs
@@ -1,4 +1,4 @@
-//! Answers to clients, and bodies that are passed on as they come.
+//! Responses to clients, and bodies that are passed on as streams.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -14,13 +14,13 @@
 use crate::backend::{HoldReason, Lease, end_to_end, keep_alive};
 use crate::live::{DRAINED_RETRY_AFTER, LiveAnswer, RETRY_AFTER, StreamRun};
 
-/// Error of a body that is aborted.
+/// Error of an aborted body.
 pub(super) type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Body of an answer.
+/// Body of a response.
 pub(super) type AnswerBody = BoxBody<Bytes, BodyError>;
 
-/// What a client is answered to a live request.
+/// Converts the result of a live request to a response.
 pub(super) fn to_response(answer: LiveAnswer) -> Response<AnswerBody> {
     match answer {
         LiveAnswer::Whole {
@@ -55,7 +55,7 @@
     }
 }
 
-/// A stream passed on as it comes. If its source fails, the client's connection is aborted.
+/// Body that passes on a stream. If its source fails, the client's connection is aborted.
 struct StreamedBody {
     body: Incoming,
     lease: Option<Lease>,
@@ -84,7 +84,7 @@
         if let Some(Err(_)) = frame
             && let Some(run) = self.run.take()
         {
-            // The client's connection is aborted meanwhile.
+            // The check runs while the client's connection is aborted.
             tokio::spawn(run.look());
         }
         Poll::Ready(frame.map(|frame| frame.map_err(Into::into)))
@@ -99,7 +99,7 @@
     }
 }
 
-/// Counts the request until its answer's body was taken to its end or dropped.
+/// Wraps a body so that the request counts as in progress until the body is read or dropped.
 pub(super) fn counted(body: AnswerBody, guard: RequestGuard) -> AnswerBody {
     CountedBody {
         body,
@@ -133,7 +133,7 @@
     }
 }
 
-/// An answer with a whole body.
+/// Builds a response with a complete body.
 pub(super) fn whole(status: StatusCode, body: Bytes) -> Response<AnswerBody> {
     let body = Full::new(body).map_err(|never| match never {}).boxed();
     let mut response = Response::new(body);
@@ -141,7 +141,7 @@
     response
 }
 
-/// An answer with a JSON body.
+/// Builds a response with a JSON body.
 pub(super) fn json(body: Bytes) -> Response<AnswerBody> {
     let mut response = whole(StatusCode::OK, body);
     let value = HeaderValue::from_static("application/json");
@@ -149,12 +149,12 @@
     response
 }
 
-/// An answer without a body.
+/// Builds a response without a body.
 pub(super) fn empty(status: StatusCode) -> Response<AnswerBody> {
     whole(status, Bytes::new())
 }
 
-/// The request carries no key that allows it.
+/// Builds the response to a request without a valid API key.
 pub(super) fn no_key() -> Response<AnswerBody> {
     let mut response = empty(StatusCode::UNAUTHORIZED);
     let scheme = HeaderValue::from_static("Bearer");
@@ -162,12 +162,12 @@
     response
 }
 
-/// The request has not run and will not; says when to come back.
+/// Builds the response to a request that was not run, with the default retry delay.
 pub(super) fn not_run() -> Response<AnswerBody> {
     not_run_before(RETRY_AFTER)
 }
 
-/// As [`not_run`]; another try before `retry_after` would be refused as well.
+/// The same with another retry delay.
 fn not_run_before(retry_after: Duration) -> Response<AnswerBody> {
     let mut response = empty(StatusCode::SERVICE_UNAVAILABLE);
     let seconds = format!("{:.1}", retry_after.as_secs_f64());
--- a/crates/front/src/ingress/caller.rs
+++ b/crates/front/src/ingress/caller.rs
@@ -1,4 +1,4 @@
-//! Whose a request is, by the key that it carries.
+//! Identification of a request's sender by its API key.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use crate::config::{Route, ServingConfig};
 use crate::tenant::{Caller, KeyRefusal, bearer_key};
 
-/// Whose request it is. Calls about jobs go to no route, and are nobody's without a key.
+/// Identifies the sender of a request. `route` is `None` for job calls, which need a key if there are tenants.
 pub(super) fn caller(
     config: &ServingConfig,
     route: Option<&Route>,
--- a/crates/front/src/ingress/listeners.rs
+++ b/crates/front/src/ingress/listeners.rs
@@ -1,4 +1,4 @@
-//! Small listeners beside the clients': readiness and figures.
+//! Listeners for readiness checks and metrics.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use super::answers::whole;
 use crate::metrics::Metrics;
 
-/// Answers whether this process takes new connections: 200 while `is_ready`, else 503.
+/// Serves the readiness check: 200 while `is_ready`, else 503.
 pub async fn serve_readiness(
     listener: TcpListener,
     is_ready: impl Fn() -> bool + Send + Sync + 'static,
@@ -31,12 +31,12 @@
     .await;
 }
 
-/// Answers with all counters as text.
+/// Serves all metrics as text.
 pub async fn serve_metrics(listener: TcpListener, metrics: Arc<Metrics>) {
     serve_small(listener, move |_| (StatusCode::OK, metrics.render())).await;
 }
 
-/// Answers every request with status and text; for small listeners beside the clients'.
+/// Responds to every request with the status and text that `answer` returns for its path.
 async fn serve_small(
     listener: TcpListener,
     answer: impl Fn(&str) -> (StatusCode, String) + Send + Sync + 'static,
--- a/crates/front/src/ingress/mod.rs
+++ b/crates/front/src/ingress/mod.rs
@@ -1,7 +1,7 @@
-//! Clients' connections: reads requests, hands each to its part, writes answers, and drains.
+//! Client connections: reads requests, dispatches them, writes responses and drains.
 //!
-//! Built on `hyper`: dropping a handler when its client leaves, aborting an answer whose source fails, and control of each
-//! connection's close are needed here, and Rocket offers none of them.
+//! Built on `hyper`, as Rocket neither drops a handler when its client disconnects nor aborts a
+//! response whose source fails, and gives no control over closing connections.
 
 mod answers;
 mod caller;
@@ -41,20 +41,19 @@
 use crate::socket;
 use crate::tenant::{Caller, KeyRefusal};
 
-/// Pause after a failed accept, such as when no descriptor is free.
+/// Pause after a failed accept, for example without a free file descriptor.
 const ACCEPT_RETRY: Duration = Duration::from_millis(50);
 
-/// Longest that a read of results is held.
+/// Maximum time that a read of results waits for new ones.
 const LONGEST_WAIT: Duration = Duration::from_secs(1);
 
-/// Longest time that the body of a refused request is read; a body as large as is allowed takes a tenth of that on a link of 60 Mbit/s
-/// for each megabyte.
+/// Maximum time for reading the body of a refused request.
 const DISCARD_LIMIT: Duration = Duration::from_millis(1_400);
 
-/// A configuration counts as the newest while the store answered within this time.
+/// Time since the last contact with the store in which a configuration counts as the newest.
 const CONTACT_TRUST: Duration = Duration::from_millis(2_500);
 
-/// What ingress works with.
+/// State shared by all client connections.
 pub struct Ingress {
     /// Routes and limits.
     pub config: ConfigInForce,
@@ -62,28 +61,28 @@
     pub live: LiveService,
     /// Batch jobs.
     pub jobs: JobRegistry,
-    /// Names.
+    /// Header names and encodings.
     pub codec: SharedCodec,
     /// Contact with the store.
     pub nodes: Nodes,
-    /// Counters.
     pub metrics: Arc<Metrics>,
-    /// Draining and load.
+    /// Drain state and number of requests.
     pub state: Arc<IngressState>,
 }
 
-/// What became of a request, for its answer and its line in the log.
+/// Response to a request, and what the log says about it.
 struct Answered {
-    /// Name of the route, or what stands for one.
+    /// Name of the route, `jobs` for job calls, or `-`.
     route: String,
     /// Name of the tenant.
     tenant: Option<Arc<str>>,
-    /// Version of the configuration that decided; 0: none.
+    /// Version of the configuration that was used; 0 if there was none.
     version: u64,
     response: Response<AnswerBody>,
 }
 
-/// Accepts connections until idle ones are to be closed: a request that came later could not be answered before the end.
+/// Accepts connections until idle ones are to be closed, as later requests could not be served
+/// before the process exits.
 pub async fn serve(listener: TcpListener, ingress: Arc<Ingress>) {
     let mut closing = ingress.state.closing.subscribe();
     loop {
@@ -177,7 +176,7 @@
         let id = response.headers().get(&self.codec.headers().attempt_id);
         let id = id.and_then(|id| id.to_str().ok()).unwrap_or("-");
         let status = response.status().as_u16();
-        // Failures are warnings, which are not left out when many lines are written.
+        // Failures are warnings, as info lines may be dropped under load.
         let level = if status < 400 {
             log::Level::Info
         } else {
@@ -250,7 +249,8 @@
         answered
     }
 
-    /// 401 is said only while the configuration in force is known to be the newest: a newer one may hold the key.
+    /// Responds with 401 only while the configuration in force is known to be the newest, as a
+    /// newer one may contain the key.
     fn refuse_key(
         &self,
         config: &ServingConfig,
@@ -350,7 +350,7 @@
         }
     }
 
-    /// A job is found by its own tenant's keys only.
+    /// Serves a job call. A job is visible to its own tenant only.
     async fn job_call(
         &self,
         call: JobCall,
@@ -393,7 +393,7 @@
         })
     }
 
-    /// 404 is said only while the configuration in force is known to be the newest.
+    /// Responds with 404 only while the configuration in force is known to be the newest.
     fn no_route(&self) -> Response<AnswerBody> {
         if self.has_newest_config() {
             empty(StatusCode::NOT_FOUND)
@@ -413,8 +413,8 @@
     }
 }
 
-/// Reads the body of a request that is refused, so that its client gets the answer: a connection that is closed with unread bytes is
-/// reset, and the answer may be lost with it.
+/// Reads the body of a refused request, as closing a connection with unread data resets it, which
+/// may lose the response.
 async fn discard(mut body: Incoming, most_bytes: usize) {
     let reading = async {
         let mut bytes = 0;
@@ -425,11 +425,11 @@
             }
         }
     };
-    // A client that sends slowly is not waited for.
+    // A slow client is not waited for.
     let _ = tokio::time::timeout(DISCARD_LIMIT, reading).await;
 }
 
-/// Host of a request, without its port.
+/// Returns the host of a request without its port.
 fn host(request: &Request<Incoming>) -> Option<String> {
     let host = request.headers().get(HOST)?.to_str().ok()?;
     let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
--- a/crates/front/src/ingress/state.rs
+++ b/crates/front/src/ingress/state.rs
@@ -1,11 +1,11 @@
-//! What a stop needs to know of clients' connections and requests.
+//! Drain state of client connections and requests.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
 use tokio::sync::watch;
 
-/// What a stop needs to know of the connections.
+/// Drain state and number of requests, shared by all connections.
 #[derive(Debug)]
 pub struct IngressState {
     is_draining: AtomicBool,
@@ -24,28 +24,28 @@
 }
 
 impl IngressState {
-    /// Says from now on with each answer that its connection ends.
+    /// Starts the drain: each response closes its connection.
     pub fn drain(&self) {
         self.is_draining.store(true, Ordering::Relaxed);
     }
 
-    /// Whether a stop has begun.
+    /// Returns whether the drain has started.
     pub fn is_draining(&self) -> bool {
         self.is_draining.load(Ordering::Relaxed)
     }
 
-    /// Closes each connection once no request is on it.
+    /// Closes each connection once it is idle.
     pub fn close_idle(&self) {
         self.closing.send_replace(true);
     }
 
-    /// Requests that are being answered.
+    /// Returns the number of requests in progress.
     pub fn requests(&self) -> u64 {
         self.requests.load(Ordering::Relaxed)
     }
 }
 
-/// Counts a request until its answer was written or given up.
+/// Counts a request until its response was written or aborted.
 pub(super) struct RequestGuard(pub(super) Arc<IngressState>);
 
 impl Drop for RequestGuard {
--- a/crates/front/src/live.rs
+++ b/crates/front/src/live.rs
@@ -1,4 +1,4 @@
-//! Live requests: attempts within the route's budget and the client's deadline, and what the client is told.
+//! Live requests: attempts within the route's limits and the client's deadline, and the response.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,55 +25,57 @@
 use crate::tenant::Caller;
 use crate::usage::UsageMeter;
 
-/// Largest answer that is held whole before it is passed on.
+/// Maximum size of a response that is read completely before it is passed on, in bytes.
 const WHOLE_ANSWER_LIMIT: usize = 32 * 1024 * 1024;
 
-/// When a client should come back after a refusal.
+/// Retry delay sent to a client whose request was not run.
 pub const RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// The same where all instances are in drained zones: an operator has to end a drain, and fronts learn of that within seconds.
+/// The same while all instances are in drained zones, as fronts learn within seconds that a drain
+/// ended.
 pub const DRAINED_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// A second instance is asked after this share of the target latency, where requests may run twice.
+/// Share of the target latency after which a second instance is tried, on routes that may run
+/// requests twice.
 const HEDGE_SHARE: f64 = 0.6;
 
-/// How long a request waits for the first instances at a node that has just started: a listing takes some tens of milliseconds.
+/// Maximum wait for the first instances at a node that has just started.
 const FIRST_INSTANCES_WAIT: Duration = Duration::from_millis(300);
 
-/// Longest wait for permits while all instances that could serve a request are cold: time for one call to the node that deals them.
+/// Maximum wait for permits while all suitable instances are cold, which covers one call to the
+/// order leader.
 const PERMIT_WAIT: Duration = Duration::from_millis(150);
 
-/// Time that the client's own path takes, kept back from what instances are told.
+/// Part of the client's remaining time that is reserved for the response's way back.
 const RETURN_MARGIN: Duration = Duration::from_millis(10);
 
-/// A request as read from its client.
+/// A request as received from its client.
 #[derive(Debug, Clone)]
 pub struct LiveRequest {
-    /// Id of the client attempt.
+    /// Id of the client's attempt.
     pub attempt_id: HeaderValue,
-    /// Method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
     /// Headers as received.
     pub headers: HeaderMap,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
-    /// Whose it is.
+    /// Sender of the request.
     pub caller: Caller,
     /// When its head was read.
     pub received: Instant,
-    /// When the client stops waiting; `None`: it did not say.
+    /// When the client stops waiting; `None` if it did not say.
     pub deadline: Option<Instant>,
 }
 
 impl LiveRequest {
-    /// Id of the client attempt, for the log.
+    /// Returns the id of the client's attempt for the log.
     pub fn id(&self) -> &str {
         self.attempt_id.to_str().unwrap_or("?")
     }
 
-    /// What its repeats share with it.
+    /// Returns the digest by which repetitions of the request are recognized.
     fn content(&self, route: &Route) -> ContentDigest {
         let path = self.uri.path_and_query();
         let tenant = self.caller.tenant();
@@ -87,36 +89,34 @@
     }
 }
 
-/// What a client is answered.
+/// Result of a live request.
 #[derive(Debug)]
 pub enum LiveAnswer {
-    /// A whole answer of an instance.
+    /// A complete response of an instance.
     Whole {
-        /// Status.
         status: StatusCode,
-        /// Headers, connection headers left out.
+        /// Headers without hop-by-hop ones.
         headers: HeaderMap,
-        /// Body.
         body: Bytes,
     },
-    /// The begin of a stream; the run is there until its end.
+    /// The start of a streamed response, whose run lasts until the stream ends.
     Stream {
-        /// The answer.
+        /// Head of the response and the connection.
         reply: Reply,
-        /// The run that makes it.
+        /// Run that produces the stream.
         run: Box<StreamRun>,
     },
     /// The request has not run and will not.
     NotRun,
-    /// The same, as instances have ended under others of its content.
+    /// The request has not run, as requests with its content have crashed instances.
     HeldBack(HeldBack),
-    /// The same, as drains leave no instance that may get a request.
+    /// The request has not run, as drains leave no instance that may get it.
     NoneMayServe(HoldReason),
-    /// Nothing is promised.
+    /// The request failed and may have run.
     Failed(StatusCode),
 }
 
-/// The run of a stream that is passed on.
+/// Run of a stream that is being passed on.
 #[derive(Debug)]
 pub struct StreamRun {
     /// Counts the request at its instance.
@@ -131,12 +131,12 @@
 }
 
 impl StreamRun {
-    /// The stream was passed on to its end.
+    /// Records that the stream was passed on completely.
     pub fn note_whole(&self) {
         self.suspects.note_borne(|| self.content);
     }
 
-    /// Finds out what became of the instance, as its connection broke.
+    /// Checks the instance after its connection broke, and announces the content if suspected.
     pub async fn look(self) {
         let run = BrokenRun {
             subject: RunSubject::Request {
@@ -154,17 +154,16 @@
 
 /// Serves live requests.
 pub struct LiveService {
-    /// Routes, whose bounds may change while a request is under way.
+    /// Routes, whose limits may change while a request is in progress.
     pub config: ConfigInForce,
     /// Instances.
     pub backends: BackendTable,
-    /// Names.
+    /// Header names.
     pub codec: SharedCodec,
-    /// Counters.
     pub metrics: Arc<Metrics>,
-    /// Counts what began to run.
+    /// Counts requests that started to run.
     pub usage: UsageMeter,
-    /// Requests under which instances end.
+    /// Contents that crashed instances.
     pub suspects: Suspects,
 }
 
@@ -172,7 +171,7 @@
     instance: Arc<Instance>,
     result: Result<AttemptAnswer, ExchangeError>,
     started: Instant,
-    /// Counts it at the instance.
+    /// Counts the attempt at the instance.
     guard: RunGuard,
     permit: RunPermit,
 }
@@ -182,22 +181,22 @@
     Stream(Reply),
 }
 
-/// Progress of one request over its attempts.
+/// State of one request over its attempts.
 #[derive(Default)]
 struct Progress {
     tried: Vec<String>,
-    /// Attempts that ran or may have run, those under way included.
+    /// Attempts that ran or may have run, including those in progress.
     possible_runs: u32,
-    /// An instance's own failure, passed on if nothing better comes.
+    /// Error response of an instance, passed on if no attempt succeeds.
     failure: Option<(StatusCode, HeaderMap, Bytes)>,
-    /// The request was counted for its tenant.
+    /// Whether the request was counted for its tenant.
     is_counted: bool,
-    /// An instance may have ended under an attempt.
+    /// Set if an instance may have crashed during an attempt.
     untold: Option<UntoldSuspect>,
 }
 
 impl LiveService {
-    /// Serves a request on `route`. Dropping the future ends the work.
+    /// Serves a request on `route`. Dropping the future cancels it.
     pub async fn serve(&self, route: &Route, request: &LiveRequest) -> LiveAnswer {
         let limit = self.limit(route, request);
         let mut progress = Progress::default();
@@ -227,7 +226,7 @@
         let mut table_changed = self.backends.watch();
         let permit_wait_until = Instant::now() + PERMIT_WAIT;
         loop {
-            // The timer that ends this work stood still if the machine was suspended.
+            // The timer that ends this future stops while the machine is suspended.
             if Instant::now() >= limit {
                 return out_of_time(progress);
             }
@@ -275,7 +274,8 @@
         }
     }
 
-    /// Waits, until `until` at most, for a change of the instances of a service that lack permits; returns whether there was reason to wait.
+    /// Waits until `until` for a change of the instances if they lack permits; returns whether it
+    /// waited.
     async fn wait_for_permits(
         &self,
         service: &str,
@@ -289,7 +289,8 @@
         true
     }
 
-    /// An instance that was not tried, else, where requests may run twice, one whose answer was broken.
+    /// Returns an instance that was not tried yet, or, if the request may run twice, any ready one
+    /// for a retry.
     fn next_instance(
         &self,
         route: &Route,
@@ -311,7 +312,8 @@
         })
     }
 
-    /// Logs why a request was not run, and answers so where drains are the cause: then the client need not come back soon.
+    /// Logs why a request was not run, and replaces the result if drains are the cause, for a
+    /// longer retry delay.
     fn name_cause(
         &self,
         route: &Route,
@@ -361,7 +363,7 @@
         self.metrics.note_held_back(reason);
     }
 
-    /// Logs what held ready instances back from a request for which none was tried.
+    /// Logs why ready instances were held back from a request that was sent to none.
     fn log_held_back(&self, request: &LiveRequest, service: &str, progress: &Progress) {
         let held_back = self.backends.held_back(service);
         if progress.tried.is_empty() && !held_back.is_empty() {
@@ -376,7 +378,8 @@
         }
     }
 
-    /// Where the request may be served by the configuration in force; if that has no route for it, by the one in force when it arrived.
+    /// Returns the regions that the configuration in force allows for the request; if it no longer
+    /// has the route, those allowed when the request arrived.
     fn allowed_regions(&self, route: &Route, request: &LiveRequest) -> AllowedRegions {
         let tenant = request.caller.tenant();
         let name = tenant.map_or("", |tenant| &tenant.name);
@@ -408,7 +411,7 @@
             let result = tokio::select! {
                 result = self.exchange(route, request, &instance, &head) => result,
                 () = instance.ended() => {
-                    Err(ExchangeError::Broken("the instance was started again".to_owned()))
+                    Err(ExchangeError::Broken("the instance restarted".to_owned()))
                 }
             };
             if let Err(ExchangeError::Broken(_)) = &result {
@@ -424,7 +427,7 @@
         })
     }
 
-    /// Sends the request to one instance and reads the answer, of a stream its head.
+    /// Sends the request to one instance and reads the response, for a stream only its head.
     async fn exchange(
         &self,
         route: &Route,
@@ -442,7 +445,7 @@
         Ok(AttemptAnswer::Whole(status, headers, body))
     }
 
-    /// Finds out what became of an instance under a request whose connection broke.
+    /// Checks the instance of an attempt whose connection broke.
     async fn look(
         &self,
         route: &Route,
@@ -462,7 +465,8 @@
         self.suspects.look(&run).await;
     }
 
-    /// Headers for the instance: the client's, with the time that is left, the route's rank and the instance that is meant.
+    /// Builds the head for the instance: the client's headers with the remaining time, the rank,
+    /// the tenant and the instance id.
     fn head(
         &self,
         route: &Route,
@@ -492,7 +496,7 @@
         }
     }
 
-    /// Takes in an attempt that ended; `Some` is the client's answer.
+    /// Applies the result of an attempt; returns the client's result if it is final.
     fn take(
         &self,
         route: &Route,
@@ -545,7 +549,7 @@
                 progress.possible_runs -= 1;
                 if let ExchangeError::HeldBack(reason) = error {
                     self.metrics.note_held_back(reason);
-                    // It was not tried, and may take the request once it may be sent.
+                    // The instance may be chosen again once it may get requests.
                     progress.tried.retain(|id| id != ended.instance.id());
                 }
                 if matches!(error, ExchangeError::NotSent(_)) {
@@ -562,14 +566,14 @@
         }
     }
 
-    /// Counts a request that began to run; instances of these services begin when a request arrives.
+    /// Counts a request for its tenant from the start of its first successful attempt.
     fn count(&self, request: &LiveRequest, started: Instant) {
         if let Some(tenant) = request.caller.tenant() {
             self.usage.note_begun(&tenant.name, started);
         }
     }
 
-    /// A request that may have run is sent again only where that is allowed.
+    /// Returns the failure unless the route allows to run a request twice.
     fn after_broken(&self, route: &Route) -> Option<LiveAnswer> {
         match route.kind {
             RouteKind::Safe => None,
@@ -600,7 +604,7 @@
     }
 }
 
-/// The answer when the time of the client or the route is over.
+/// Returns the result after the deadline of the client or the route.
 fn out_of_time(progress: &Progress) -> LiveAnswer {
     if progress.possible_runs == 0 {
         LiveAnswer::NotRun
@@ -609,7 +613,7 @@
     }
 }
 
-/// The answer when no attempt is under way and none may begin.
+/// Returns the result when no attempt is in progress and none may start.
 fn give_up(progress: &mut Progress, held: Option<HeldBack>) -> LiveAnswer {
     match progress.failure.take() {
         Some((status, headers, body)) => LiveAnswer::Whole {
--- a/crates/front/src/region_findings.rs
+++ b/crates/front/src/region_findings.rs
@@ -1,5 +1,5 @@
-//! What is wrong with the regions that a configuration names. Such a configuration is in force all the same, as its other changes have to be:
-//! what it leaves nowhere is refused.
+//! Checks the regions named in a configuration. A configuration with findings still comes into
+//! force, as its other changes must; requests that it allows in no region are refused.
 
 use std::sync::Arc;
 
@@ -7,36 +7,36 @@
 
 use crate::config::ServingConfig;
 
-/// One finding, with its place.
+/// A problem with a region and where it was found.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum RegionFinding {
-    /// A route names a region in which no zone lies.
+    /// A route names a region without zones.
     #[error("route {route}: no zone is in region {region}")]
     UnknownOfRoute {
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// The region.
+        /// Name of the region.
         region: String,
     },
-    /// A tenant does.
+    /// A tenant names a region without zones.
     #[error("tenant {tenant}: no zone is in region {region}")]
     UnknownOfTenant {
-        /// The tenant.
+        /// Name of the tenant.
         tenant: Arc<str>,
-        /// The region.
+        /// Name of the region.
         region: String,
     },
-    /// A tenant's requests on a route may be served nowhere.
+    /// A tenant's requests on a route are allowed in no region.
     #[error("route {route} and tenant {tenant}: no region in common")]
     NothingInCommon {
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// The tenant.
+        /// Name of the tenant.
         tenant: Arc<str>,
     },
 }
 
-/// All findings in a deployment with these regions.
+/// Checks the regions of all routes and tenants against those of the deployment.
 pub fn region_findings(config: &ServingConfig, regions: &RegionMap) -> Vec<RegionFinding> {
     let mut findings = Vec::new();
     for route in &config.routes {
--- a/crates/front/src/socket.rs
+++ b/crates/front/src/socket.rs
@@ -1,20 +1,20 @@
-//! Socket options that make silent peers known soon.
+//! Socket options for the early detection of silent peers.
 
 use std::time::Duration;
 
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 
-/// How long a silent connection rests before it is probed, and between probes.
+/// Idle time before the first keep-alive probe, and interval between probes.
 const KEEPALIVE: Duration = Duration::from_secs(1);
 
-/// Probes without an answer until the connection is given up.
+/// Unanswered probes after which the connection is closed.
 const KEEPALIVE_PROBES: u32 = 2;
 
-/// How long sent bytes may stay unacknowledged.
+/// Maximum time that sent data may stay unacknowledged.
 const USER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Sets the options; a socket that refuses one works without it.
+/// Sets the options. Failures are ignored, as the socket also works without them.
 pub fn set_up(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let socket = SockRef::from(stream);
--- a/crates/front/src/suspects/content.rs
+++ b/crates/front/src/suspects/content.rs
@@ -1,39 +1,39 @@
-//! What makes two requests the same: host, method, path, whose they are, and the body.
+//! Identity of a request's content: host, method, path, tenant and body.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Bytes of a digest that are kept: two different contents share one in 2^64 only.
+/// Bytes kept of the digest; two different contents collide with probability 2^-64.
 const DIGEST_BYTES: usize = 8;
 
-/// The parts of a request that its repeats share, whatever their ids, headers and the node that they come to.
+/// The parts of a request that its repetitions share, whatever their ids, headers and receiving
+/// node.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestContent<'a> {
-    /// Host that it names, without a port.
+    /// Host without port.
     pub host: &'a str,
-    /// Method.
     pub method: &'a str,
-    /// Path and query.
     pub path: &'a str,
-    /// Name of the tenant; empty: nobody's.
+    /// Name of the tenant, empty if there is none.
     pub tenant: &'a str,
-    /// Whole body.
+    /// Complete body.
     pub body: &'a [u8],
 }
 
-/// Digest of a [`RequestContent`]. Keys are no part of it.
+/// Digest of a [`RequestContent`], the fingerprint by which repeated requests are recognized. API
+/// keys are not included.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ContentDigest(u64);
 
 impl ContentDigest {
-    /// The digest of a content.
+    /// Computes the digest of a content.
     pub fn of(content: &RequestContent<'_>) -> Self {
         let mut hasher = Sha256::new();
         let names = [content.host, content.method, content.path, content.tenant];
         for name in names {
-            // Lengths keep parts apart: "a" + "bc" is another content than "ab" + "c".
+            // Length prefixes separate the parts: "a" + "bc" differs from "ab" + "c".
             hasher.update((name.len() as u64).to_be_bytes());
             hasher.update(name.as_bytes());
         }
@@ -44,12 +44,12 @@
         Self(u64::from_be_bytes(kept))
     }
 
-    /// As a number, for messages between nodes.
+    /// Returns the digest as a number for messages between nodes.
     pub fn to_bits(self) -> u64 {
         self.0
     }
 
-    /// From [`ContentDigest::to_bits`].
+    /// Inverse of [`ContentDigest::to_bits`].
     pub fn from_bits(bits: u64) -> Self {
         Self(bits)
     }
--- a/crates/front/src/suspects/ledger.rs
+++ b/crates/front/src/suspects/ledger.rs
@@ -1,8 +1,10 @@
-//! Which contents are suspected of ending instances, and which are held back: a state machine without clocks or sockets.
+//! State machine, without clocks or sockets, that holds back contents suspected of crashing
+//! instances.
 //!
-//! A content is suspected once an instance has ended under a run of it. A suspect may still be one of those that ran beside the cause, or
-//! beside an end of another reason, so it goes on, but no more runs of it begin at once than ends are left until it is held back. An instance
-//! that bears it to the end of its answer clears it.
+//! A content becomes suspected when an instance crashes during a run of it. The cause may also be
+//! another run on the same instance or no request at all, so a suspect may still run, but no more
+//! runs of it start at once than crashes are left until it is held back. A run that completes
+//! clears its content.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -11,64 +13,62 @@
 use super::content::ContentDigest;
 use ladderstage_clock::Instant;
 
-/// Ends after which a live request's content is held back. Before a service of three instances that one request ends twice a second, others
-/// were served 27,779 of 27,780 times with two, 27,146 with three, 9,140 without a bound; one was held back for ends that others caused
-/// (plays of 100 s, twenty seeds: crates/front/tests/suspect_load.rs).
+/// Crashes after which a live request's content is held back. See `tests/suspect_load.rs` for the
+/// effect of other limits.
 pub const LIVE_MOST_ENDS: usize = 2;
 
-/// The same for items of batch jobs, which run for seconds and meet ends that others caused more often: on 45 instances of which one ends each
-/// two seconds, 12 tries of 27,780 were held back with three, 288 with two (same plays, runs of 7 s).
+/// Crashes after which an item's content is held back. Items run longer than live requests and meet
+/// more crashes with other causes.
 pub const ITEM_MOST_ENDS: usize = 3;
 
-/// How long a content is held back after the last end that made or kept it so; doubles with each further end. One trial then shows whether
-/// instances bear it by now, as after a new release.
+/// Time that a content is held back after its last crash; doubles with each further one. One trial
+/// run afterwards shows whether instances survive it by now.
 pub const FIRST_HOLD: Duration = Duration::from_secs(600);
 
-/// Longest time that a content is held back without a trial.
+/// Maximum time that a content is held back without a trial run.
 pub const LONGEST_HOLD: Duration = Duration::from_secs(3_600);
 
-/// A suspect that is not held back is forgotten after this long without a further end.
+/// Time without a further crash after which a suspect that is not held back is removed.
 pub const SUSPICION: Duration = Duration::from_secs(600);
 
-/// Contents that are remembered; the one whose last end is the longest ago is forgotten first. With eight requests beside each cause that is
-/// a hundred ends of instances a minute for five minutes, in less than 1 MB.
+/// Maximum number of suspects; the one with the oldest last crash is removed first. They take less
+/// than 1 MB.
 pub const MOST_CONTENTS: usize = 4_096;
 
-/// Whether a run of a content may begin.
+/// Decision whether a run of a content may start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// Nothing is known against it.
+    /// The content is not suspected.
     Free,
-    /// It is suspected: it may run, and [`SuspectLedger::run_over`] must follow.
+    /// The content is suspected: it may run, and [`SuspectLedger::run_over`] must follow.
     Watched,
-    /// It may not run now.
+    /// The content must not run now.
     Held {
-        /// When another try may be let through.
+        /// Time until another attempt may be admitted.
         retry_after: Duration,
     },
 }
 
 #[derive(Debug)]
 struct Suspect {
-    /// Starts of instances that ended under it.
+    /// Names of the incarnations that crashed during runs of it.
     ends: BTreeSet<Arc<str>>,
     last_end: Instant,
-    /// Runs under way here that began after the first end.
+    /// Runs in progress at this node that started after the first crash.
     under_way: usize,
-    /// When the end of each start was noticed here, for runs that broke by the same end.
+    /// When each crash was detected here, to recognize other runs broken by the same crash.
     noticed: HashMap<Arc<str>, Instant>,
-    /// Other nodes know of it.
+    /// Whether other nodes know of it.
     is_told: bool,
 }
 
-/// What was known of a content that an instance bore.
+/// State of a content before it was cleared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cleared {
-    /// It was not suspected.
     Unsuspected,
-    /// It was suspected at this node only.
+    /// Suspected at this node only.
     Untold,
-    /// Other nodes suspect it as well.
+    /// Known to other nodes as suspected.
     Told,
 }
 
@@ -83,20 +83,21 @@
         }
     }
 
-    /// How long it is held back after its last end; `None` if it is not.
+    /// Returns how long it is held back after its last crash; `None` if it is not.
     fn hold(&self, most_ends: usize) -> Option<Duration> {
         let further = self.ends.len().checked_sub(most_ends)?;
         let doubled = FIRST_HOLD * (1 << further.min(8));
         Some(doubled.min(LONGEST_HOLD))
     }
 
-    /// Whether the suspicion is over without a hold.
+    /// Returns whether the suspicion has expired without a hold.
     fn is_forgotten(&self, most_ends: usize, now: Instant) -> bool {
         self.hold(most_ends).is_none() && now >= self.last_end + SUSPICION
     }
 
-    /// The name of an end of `start` under a run that began at `began`; `None` if that end is known. An instance that ended, and
-    /// took a run after that under the same name, has been started again since.
+    /// Names a crash of `start` during a run that started at `began`; `None` if that crash is
+    /// known. An instance that accepted a run after its known crash has restarted, even under the
+    /// same name.
     fn name_end(&self, start: &str, began: Instant) -> Option<Arc<str>> {
         let mut name: Arc<str> = start.into();
         let mut further = 1;
@@ -115,13 +116,13 @@
 /// All suspected contents.
 #[derive(Debug)]
 pub struct SuspectLedger {
-    /// When a run may be tried again that is refused because others of its content are under way, which may clear it or not.
+    /// Retry delay of a run that is refused while others of its content are in progress.
     busy_retry: Duration,
     suspects: BTreeMap<ContentDigest, Suspect>,
 }
 
 impl SuspectLedger {
-    /// Suspects none.
+    /// Creates an empty ledger.
     pub fn new(busy_retry: Duration) -> Self {
         Self {
             busy_retry,
@@ -129,17 +130,17 @@
         }
     }
 
-    /// How many contents are suspected.
+    /// Returns the number of suspects.
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Whether none is.
+    /// Returns whether there are no suspects.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// How many ends of instances are known of them all.
+    /// Returns the number of known crashes of all suspects.
     pub fn known_ends(&self) -> usize {
         self.suspects
             .values()
@@ -147,7 +148,7 @@
             .sum()
     }
 
-    /// Whether a run may begin now of a content that is held back after `most_ends`.
+    /// Decides whether a run of a content that is held back after `most_ends` crashes may start.
     pub fn admit(&mut self, content: ContentDigest, most_ends: usize, now: Instant) -> Admission {
         if let Some(retry_after) = self.holds(content, most_ends, now) {
             return Admission::Held { retry_after };
@@ -163,7 +164,7 @@
         Admission::Watched
     }
 
-    /// For how long such a run would be held back; `None` if it would not.
+    /// Returns how long such a run would be held back; `None` if it would not.
     pub fn holds(
         &self,
         content: ContentDigest,
@@ -175,21 +176,22 @@
             Some(hold) if now < suspect.last_end + hold => {
                 return Some(suspect.last_end + hold - now);
             }
-            // One trial after the hold.
+            // Only one trial run after the hold.
             Some(_) => 1,
             None => most_ends - suspect.ends.len(),
         };
         (suspect.under_way >= runs_left).then_some(self.busy_retry)
     }
 
-    /// A run that was [`Admission::Watched`] is over, however it ended.
+    /// Records that a run admitted as [`Admission::Watched`] is over, whatever its result.
     pub fn run_over(&mut self, content: ContentDigest) {
         if let Some(suspect) = self.suspects.get_mut(&content) {
             suspect.under_way = suspect.under_way.saturating_sub(1);
         }
     }
 
-    /// An instance has ended under a run that began at `began`; `start` names the start of the instance. Returns whether that end is new.
+    /// Records a crash of the incarnation `start` during a run that started at `began`. Returns
+    /// whether the crash is new.
     pub fn note_end(
         &mut self,
         content: ContentDigest,
@@ -207,7 +209,7 @@
         true
     }
 
-    /// Other nodes know of these ends; returns whether any is new here.
+    /// Merges crashes known to other nodes; returns whether any is new here.
     pub fn merge<'a>(
         &mut self,
         content: ContentDigest,
@@ -227,7 +229,7 @@
         has_news
     }
 
-    /// An instance bore the content.
+    /// Removes a content, as an instance completed a run of it.
     pub fn clear(&mut self, content: ContentDigest) -> Cleared {
         match self.suspects.remove(&content) {
             None => Cleared::Unsuspected,
@@ -236,7 +238,7 @@
         }
     }
 
-    /// Other nodes are told of a content; returns whether it is suspected at all.
+    /// Marks a content as known to other nodes; returns whether it is suspected.
     pub fn note_told(&mut self, content: ContentDigest) -> bool {
         let suspect = self.suspects.get_mut(&content);
         suspect.is_some_and(|suspect| {
@@ -245,7 +247,7 @@
         })
     }
 
-    /// Starts of instances that ended under a content.
+    /// Returns the names of the incarnations that crashed during runs of a content.
     pub fn ends(&self, content: ContentDigest) -> Vec<Arc<str>> {
         let suspect = self.suspects.get(&content);
         suspect.map_or_else(Vec::new, |suspect| suspect.ends.iter().cloned().collect())
--- a/crates/front/src/suspects/mod.rs
+++ b/crates/front/src/suspects/mod.rs
@@ -1,7 +1,5 @@
-//! Requests under which instances end: told by their content, whatever id they come under and at which front, and held back.
-//!
-//! Without it each try of such a request ended as many instances as its route allows attempts: all ten in five tries of
-//! platform/tests/crashing_requests.rs, where two end with it, three by an item.
+//! Requests that crash instances. They are recognized by their content at any front and held back
+//! after a few crashes.
 
 mod content;
 mod ledger;
@@ -30,27 +28,25 @@
 use crate::backend::Instance;
 use crate::metrics::Metrics;
 
-/// What ran, by the ids that the log names it by.
+/// A live request or an item, by the ids in the log.
 #[derive(Debug, Clone, Copy)]
 pub enum RunSubject<'a> {
-    /// A live request.
     Request {
-        /// Id of the client attempt.
+        /// Id of the client's attempt.
         id: &'a str,
-        /// Its route.
+        /// Name of its route.
         route: &'a str,
     },
-    /// An item of a batch job.
     Item {
         /// Id of the item.
         id: &'a str,
-        /// Its job.
+        /// Id of its job.
         job: &'a str,
     },
 }
 
 impl RunSubject<'_> {
-    /// Ends of instances after which its content is held back.
+    /// Returns the crashes after which its content is held back.
     fn most_ends(&self) -> usize {
         match self {
             Self::Request { .. } => LIVE_MOST_ENDS,
@@ -58,7 +54,7 @@
         }
     }
 
-    /// Label of metrics.
+    /// Returns the label in metrics.
     fn label(&self) -> &'static str {
         match self {
             Self::Request { .. } => "request",
@@ -76,40 +72,41 @@
     }
 }
 
-/// A run whose connection broke while the instance may have been at work on it.
+/// A run whose connection broke, possibly while the instance was executing it.
 #[derive(Debug, Clone, Copy)]
 pub struct BrokenRun<'a> {
-    /// What ran.
+    /// Request or item that ran.
     pub subject: RunSubject<'a>,
-    /// Where.
+    /// Instance that ran it.
     pub instance: &'a Arc<Instance>,
-    /// What it is told by.
+    /// Content of its request.
     pub content: ContentDigest,
     /// When it was sent.
     pub began: Instant,
 }
 
-/// Contents of which something new is known and not yet shared, at most; more are dropped with a line.
+/// Maximum number of changed contents waiting to be shared; more are dropped with a log line.
 const MOST_UNSHARED: usize = 256;
 
-/// Ends from which on fronts are told of an item: one in some thousand items meets two ends that others caused.
+/// Crashes from which on an item is announced to all fronts; few items meet two crashes with other
+/// causes.
 const ITEM_TOLD_FROM: usize = 2;
 
-/// A caller whose request is not let through, as runs of the same content are under way, may come back after this: by then most have
-/// ended one way or the other.
+/// Retry delay of a request that is refused while runs of the same content are in progress, most of
+/// which have ended by then.
 const BUSY_RETRY: Duration = Duration::from_millis(500);
 
-/// Watches for requests under which instances end, and holds them back. Cheap to clone.
+/// Detects requests that crash instances and holds them back. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Suspects {
     ledger: Arc<Mutex<SuspectLedger>>,
-    /// Contents that are suspected; with none, as mostly, no content is digested.
+    /// Number of suspects; while it is zero, no content digests are computed.
     count: Arc<AtomicUsize>,
     news: mpsc::Sender<ContentDigest>,
     metrics: Arc<Metrics>,
 }
 
-/// A run that may begin. It counts among the runs of its content until it is dropped.
+/// Admission of a run, which counts among the runs of its content until dropped.
 #[derive(Debug, Default)]
 pub struct RunPermit {
     watched: Option<(Suspects, ContentDigest)>,
@@ -123,7 +120,8 @@
     }
 }
 
-/// A content that ended an instance in a try that is not over yet: fronts are told when this is dropped, unless an instance bears it before.
+/// A content that crashed an instance during an attempt still in progress. It is announced on drop
+/// unless cleared before.
 #[derive(Debug)]
 pub struct UntoldSuspect {
     suspects: Suspects,
@@ -131,7 +129,7 @@
 }
 
 impl UntoldSuspect {
-    /// To be told of by `suspects`.
+    /// Creates a guard that announces `content` through `suspects`.
     pub fn new(suspects: &Suspects, content: ContentDigest) -> Self {
         Self {
             suspects: suspects.clone(),
@@ -146,22 +144,22 @@
     }
 }
 
-/// A run that may not begin.
+/// Refusal of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeldBack {
-    /// When another try may be let through.
+    /// Time until another attempt may be admitted.
     pub retry_after: Duration,
 }
 
 impl HeldBack {
-    /// Whether only runs under way are waited for.
+    /// Returns whether the run waits only for runs in progress.
     pub fn is_short(self) -> bool {
         self.retry_after <= BUSY_RETRY
     }
 }
 
 impl Suspects {
-    /// Knows of none; what becomes known is to be shared by the receiver.
+    /// Creates an empty set; the receiver gets the contents whose changes are to be shared.
     pub fn new(metrics: Arc<Metrics>) -> (Self, mpsc::Receiver<ContentDigest>) {
         let (news, unshared) = mpsc::channel(MOST_UNSHARED);
         let suspects = Self {
@@ -173,10 +171,10 @@
         (suspects, unshared)
     }
 
-    /// Whether a run may begin. `content` is asked for only while any content is suspected.
+    /// Admits a run. `content` is computed only while there are suspects.
     ///
     /// # Errors
-    /// [`HeldBack`] if it may not.
+    /// [`HeldBack`] if the run must not start now.
     pub fn admit(
         &self,
         subject: RunSubject<'_>,
@@ -206,7 +204,8 @@
         }
     }
 
-    /// Whether a run would be held back now. `content` is asked for only while any content is suspected.
+    /// Returns the hold that a run would meet now. `content` is computed only while there are
+    /// suspects.
     pub fn holds(
         &self,
         subject: RunSubject<'_>,
@@ -222,7 +221,8 @@
         held.map(|retry_after| HeldBack { retry_after })
     }
 
-    /// Finds out what became of the instance under a run that broke, and suspects its content at this node if the instance ended.
+    /// Checks the instance of a broken run, and suspects the run's content at this node if the
+    /// instance crashed.
     pub async fn look(&self, run: &BrokenRun<'_>) -> InstanceFate {
         let run_ms = run.began.elapsed().as_millis();
         let fate = if run.instance.has_ended() {
@@ -247,23 +247,25 @@
         fate
     }
 
-    /// Tells all fronts what is known of a content, if it is suspected. Each end of an instance makes suspects of all that ran there: telling
-    /// hundreds of fronts of each of them, and again as they are cleared, would cost more than the end. So a live request is told of once its
-    /// try is over without success, an item once a second instance has ended under it.
+    /// Announces a content to all fronts if it is suspected. A crash makes every run on the
+    /// instance a suspect, most of which are soon cleared, so announcing all of them would cost
+    /// more than the crash: a live request is announced when its attempts have failed, an item
+    /// after its second crash.
     pub fn tell(&self, content: ContentDigest) {
         if self.update(|ledger| ledger.note_told(content)) {
             self.share(content);
         }
     }
 
-    /// As [`Suspects::tell`], for an item, which only its owner runs again and again.
+    /// Announces an item, which only its owner repeats, after its second crash.
     pub fn tell_of_item(&self, content: ContentDigest) {
         if self.lock().ends(content).len() >= ITEM_TOLD_FROM {
             self.tell(content);
         }
     }
 
-    /// An instance bore a run to the end of its answer. `content` is asked for only while any content is suspected.
+    /// Clears the content of a run that an instance completed. `content` is computed only while
+    /// there are suspects.
     pub fn note_borne(&self, content: impl FnOnce() -> ContentDigest) {
         if self.count.load(Ordering::Relaxed) == 0 {
             return;
@@ -278,7 +280,7 @@
         }
     }
 
-    /// Takes what another front tells.
+    /// Applies updates received from another front.
     pub fn take_news(&self, news: &SuspectNews) {
         news.contents.iter().for_each(|told| self.take(told));
     }
@@ -292,7 +294,7 @@
         }
     }
 
-    /// Takes ends that others know of.
+    /// Merges crashes that other nodes know of.
     fn take_ends(&self, content: ContentDigest, ends: &[String]) {
         let ends = ends.iter().map(String::as_str);
         if self.update(|ledger| ledger.merge(content, ends, Instant::now())) {
@@ -303,7 +305,7 @@
         }
     }
 
-    /// Starts of instances that ended under a content, as far as is known here.
+    /// Returns the names of the incarnations known to have crashed during runs of a content.
     fn ends(&self, content: ContentDigest) -> Vec<String> {
         let ends = self.lock().ends(content);
         ends.iter().map(ToString::to_string).collect()
--- a/crates/front/src/suspects/probe.rs
+++ b/crates/front/src/suspects/probe.rs
@@ -1,4 +1,4 @@
-//! Whether an instance ended under a request whose connection broke.
+//! Detection of crashed instances after a connection broke.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -6,23 +6,23 @@
 
 use tokio::net::TcpStream;
 
-/// Time for the answer to a connection attempt. A machine whose process has ended refuses within a round trip; one that is silent may
-/// be cut off, which says nothing of the process, and a request that may run elsewhere is not held up for longer.
+/// Timeout of a connection attempt. The machine of a crashed process refuses within a round trip. A
+/// silent one may be partitioned, and the request should not wait longer before it runs elsewhere.
 const PROBE_LIMIT: Duration = Duration::from_millis(100);
 
-/// What became of an instance whose connection broke.
+/// State of an instance whose connection broke.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InstanceFate {
-    /// Its process has ended: nobody listens at its address.
+    /// Its process has exited: connections to its address are refused.
     Ended,
-    /// Its process is there: only the connection was lost.
+    /// Its process is listening: only the connection was lost.
     Listening,
-    /// Its machine does not answer.
+    /// Its machine does not respond.
     Unknown,
 }
 
 impl InstanceFate {
-    /// Word for logs and metrics.
+    /// Returns the label in logs and metrics.
     pub fn label(self) -> &'static str {
         match self {
             Self::Ended => "ended",
@@ -32,7 +32,7 @@
     }
 }
 
-/// Looks whether somebody listens at an instance's address.
+/// Probes whether a process listens at an instance's address.
 pub async fn probe(address: SocketAddr) -> InstanceFate {
     match tokio::time::timeout(PROBE_LIMIT, TcpStream::connect(address)).await {
         Ok(Ok(_)) => InstanceFate::Listening,
--- a/crates/front/src/suspects/record.rs
+++ b/crates/front/src/suspects/record.rs
@@ -1,35 +1,35 @@
-//! Suspected contents in the coordination store: for nodes that start, and for those that other nodes' news did not reach.
+//! Records of suspects in the coordination store, for nodes that start or missed updates.
 
 use serde::{Deserialize, Serialize};
 
 use super::content::ContentDigest;
 use crate::coordination::{LeaseId, Record};
 
-/// Where the records are; the digest follows.
+/// Key prefix, followed by the content digest.
 pub const PREFIX: &str = "ladderstage/suspect/";
 
-/// Ends that one record names at most; as many hold a content back for the longest time.
+/// Maximum number of crashes in a record; as many already cause the longest hold.
 const MOST_NAMED_ENDS: usize = 64;
 
-/// What is kept of one content.
+/// Record of one suspected content.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectRecord {
-    /// Starts of instances that ended under it.
+    /// Names of the incarnations that crashed during runs of it.
     pub ends: Vec<String>,
-    /// The record goes with this lease.
+    /// Lease that the record is attached to.
     pub lease: LeaseId,
 }
 
 impl SuspectRecord {
-    /// Key of a content's record.
+    /// Returns the key of a content's record.
     pub fn key(content: ContentDigest) -> String {
         format!("{PREFIX}{content}")
     }
 
-    /// Reads a record.
+    /// Parses a record.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// Returns the reason if the key or the value is malformed.
     pub fn read(record: &Record) -> Result<(ContentDigest, Self), String> {
         let digits = record.key.strip_prefix(PREFIX).unwrap_or(&record.key);
         let bits = u64::from_str_radix(digits, 16).map_err(|error| format!("key: {error}"))?;
@@ -38,7 +38,7 @@
         Ok((ContentDigest::from_bits(bits), body))
     }
 
-    /// Adds ends; returns whether any is new.
+    /// Adds crashes; returns whether any is new.
     pub fn add(&mut self, ends: impl IntoIterator<Item = String>) -> bool {
         let mut has_news = false;
         for end in ends {
--- a/crates/front/src/suspects/sharing.rs
+++ b/crates/front/src/suspects/sharing.rs
@@ -1,7 +1,8 @@
-//! News of suspected contents: told to all fronts at once, and kept in the coordination store.
+//! Shares suspects with other fronts, directly and through the coordination store.
 //!
-//! A caller comes back at any front, within a fraction of a second. Fronts are told directly, as a watch of the store at each of hundreds of
-//! fronts has its price all day; the store's records are read at the start, and when this node was out of touch and may have missed news.
+//! A client may retry at any front within a fraction of a second, so fronts are notified directly;
+//! a permanent watch of the store at each of hundreds of fronts would cost more. The store's
+//! records are read at the start and when this node may have missed updates.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -21,64 +22,68 @@
 use crate::coordination::{Coordination, CoordinationError, Record, SwapResult};
 use crate::nodes::{NodeRole, Nodes};
 
-/// Time for a front to answer news. One that is silent for longer is out of touch, and reads the records when it is back.
+/// Timeout of an update to a front. A front that is silent for longer reads the records once it is
+/// connected again.
 const TELL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Which fronts there are is read again before news are told, unless it was read within this time: one content makes a few news in a second.
+/// Maximum age of the list of fronts when an update is sent, as one content changes several times a
+/// second.
 const FRONTS_AGE: Duration = Duration::from_secs(1);
 
-/// Longest wait for that: news matter within a caller's pause before it comes back.
+/// Timeout for reading that list, so that the update arrives before the client retries.
 const FRONTS_LIMIT: Duration = Duration::from_millis(300);
 
-/// News within this time share one message: an instance ends under all that ran there at once.
+/// Updates within this time share one message, as a crash affects all runs of an instance at once.
 const GATHER: Duration = Duration::from_millis(10);
 
-/// Fronts that are told at once: a weak front connects to some hundred others in less than a second so.
+/// Maximum number of fronts notified concurrently, which lets a slow front reach some hundred
+/// others within a second.
 const TOLD_AT_ONCE: usize = 32;
 
-/// Lease of a record: as long as a first hold, so that the record goes when the content may be tried again.
+/// Lease of a record, which ends when the content may be tried again.
 const RECORD_LEASE: Duration = super::ledger::FIRST_HOLD;
 
-/// Tries to write one record against writes of other nodes.
+/// Maximum number of attempts to write a record while other nodes write it too.
 const WRITE_TRIES: u32 = 5;
 
-/// Between looks whether this node was out of touch, and tries to write what could not be written.
+/// Interval between checks for lost contact, and between retries of failed writes.
 const LOOK_PAUSE: Duration = Duration::from_secs(1);
 
-/// Without an answer of the store for so long this node may have been frozen or cut off, and missed news.
+/// Time without a response of the store after which this node may have been frozen or partitioned
+/// and missed updates.
 const OUT_OF_TOUCH: Duration = Duration::from_millis(2_500);
 
-/// A node that has just started is not known to all others yet: it reads the records once more after this time, in which others
-/// read which nodes there are.
+/// Delay of the second read after the start: by then all other nodes know of this one and notify
+/// it.
 const SECOND_READ: Duration = Duration::from_secs(5);
 
-/// How new a reading of the store must be.
+/// Required freshness of a read of the store.
 #[derive(Debug, Clone, Copy)]
 enum Reading {
-    /// It may be seconds old, for a tenth of the price: nothing was missed but what came before the start.
+    /// May be seconds old and costs a tenth: nothing but updates before the start was missed.
     Stale,
-    /// News may have been missed until just now.
+    /// Updates may have been missed until just now.
     Newest,
 }
 
-/// Shares what this node knows of suspected contents.
+/// Shares this node's knowledge of suspects.
 pub struct SuspectSharing {
-    /// What is known here.
+    /// Suspects known here.
     pub suspects: Suspects,
-    /// The other fronts.
+    /// All nodes, among them the other fronts.
     pub nodes: Nodes,
-    /// The store.
+    /// Coordination store.
     pub coordination: Arc<dyn Coordination>,
 }
 
 impl SuspectSharing {
-    /// Shares for as long as the future is polled; `news` are contents of which something new is known here.
+    /// Shares until the future is dropped; `news` delivers the contents that changed here.
     pub async fn run(self, news: mpsc::Receiver<ContentDigest>) {
         let (told, kept) = mpsc::unbounded_channel();
         tokio::join!(self.tell_all(news, told), self.keep_all(kept));
     }
 
-    /// Tells all fronts each news. A front that is silent holds up neither the others nor later news.
+    /// Sends each change to all fronts. A silent front delays neither the others nor later changes.
     async fn tell_all(
         &self,
         mut news: mpsc::Receiver<ContentDigest>,
@@ -97,7 +102,7 @@
                         contents.insert(content);
                     }
                     for content in &contents {
-                        // The keeper is there as long as this loop.
+                        // The receiver lives as long as this loop.
                         let _ = told.send(*content);
                     }
                     telling.push(self.tell(contents));
@@ -107,7 +112,7 @@
         }
     }
 
-    /// Tells all other fronts what is known of some contents.
+    /// Sends the crashes known for some contents to all other fronts.
     async fn tell(&self, contents: BTreeSet<ContentDigest>) {
         let known = contents.iter().map(|content| SuspectedContent {
             content: content.to_bits(),
@@ -151,8 +156,8 @@
         );
     }
 
-    /// Reads which fronts there are: a front without work with others hears of new ones up to 12 s late. Without an answer those that are known
-    /// are told.
+    /// Refreshes the list of fronts, which may be 12 s old at an idle front. Without a response of
+    /// the store the known fronts are used.
     async fn learn_fronts(&self) {
         let reading = self.nodes.refresh(self.coordination.as_ref(), FRONTS_AGE);
         match tokio::time::timeout(FRONTS_LIMIT, reading).await {
@@ -162,7 +167,8 @@
         }
     }
 
-    /// Writes all news into the store, and reads what it holds when this node may have missed news.
+    /// Writes all changes to the store, and reads its records when this node may have missed
+    /// updates.
     async fn keep_all(&self, mut news: mpsc::UnboundedReceiver<ContentDigest>) {
         let started = Instant::now();
         let mut unwritten = BTreeSet::new();
@@ -194,13 +200,14 @@
         }
     }
 
-    /// Whether the store answered this node lately. Reading it before it does would cost a call a second at each node that is cut off.
+    /// Returns whether the store responded recently. Reading it before would cost one call per
+    /// second at each partitioned node.
     fn is_in_touch(&self) -> bool {
         let contact = self.nodes.last_contact();
         contact.is_none_or(|at| at.elapsed() < OUT_OF_TOUCH)
     }
 
-    /// Takes what the store holds.
+    /// Merges the records of the store.
     async fn read_all(&self, reading: Reading) -> Result<(), CoordinationError> {
         let listing = match reading {
             Reading::Stale => self.coordination.list_stale(PREFIX).await,
@@ -216,7 +223,7 @@
         Ok(())
     }
 
-    /// Writes what is known of contents; those that could not be written stay for the next time.
+    /// Writes the state of contents; those that could not be written are kept for the next time.
     async fn write_all(&self, unwritten: &mut BTreeSet<ContentDigest>) {
         let contents: Vec<ContentDigest> = unwritten.iter().copied().collect();
         for content in contents {
@@ -262,11 +269,11 @@
             }
         }
         Err(CoordinationError::Refused(
-            "other nodes write it too".to_owned(),
+            "record is being written by other nodes".to_owned(),
         ))
     }
 
-    /// Ends the record of a content that an instance bore.
+    /// Deletes the record of a content that was cleared.
     async fn erase(&self, content: ContentDigest) -> Result<(), CoordinationError> {
         let key = SuspectRecord::key(content);
         let found = self.coordination.get(&key).await?;
--- a/crates/front/src/tenant.rs
+++ b/crates/front/src/tenant.rs
@@ -1,6 +1,6 @@
-//! Tenants: who may send requests, by which keys, and how urgent their requests are.
+//! Tenants: their API keys, and the priority and regions of their requests.
 //!
-//! Keys are never kept: what is known of one is its SHA-256 digest, and a digest is never printed.
+//! Keys are stored only as SHA-256 digests, which are never printed.
 
 use std::fmt;
 use std::sync::Arc;
@@ -11,15 +11,14 @@
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
 
-/// Bytes of a digest.
 const DIGEST_BYTES: usize = 32;
 
-/// The digest of an API key.
+/// SHA-256 digest of an API key.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct KeyDigest([u8; DIGEST_BYTES]);
 
 impl KeyDigest {
-    /// Digest of a key as a client sends it.
+    /// Computes the digest of a key as sent by a client.
     pub fn of(key: &[u8]) -> Self {
         Self(Sha256::digest(key).into())
     }
@@ -31,38 +30,38 @@
     }
 }
 
-/// One tenant.
+/// A tenant of the configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Tenant {
-    /// Its name, which instances are told.
+    /// Name, which is also sent to instances.
     pub name: Arc<str>,
-    /// Digests of its keys; any of them names the tenant.
+    /// Digests of its keys, any of which identifies the tenant.
     pub keys: Vec<KeyDigest>,
-    /// Rank of its requests, 0 highest, in place of their routes'; `None`: the routes decide.
+    /// Rank of its requests, 0 highest, which overrides that of their routes.
     pub priority: Option<u8>,
-    /// Where its requests may be served and kept, within the bounds of their routes.
+    /// Regions in which its requests may be served and stored, further restricted by their routes.
     pub allowed_regions: AllowedRegions,
 }
 
-/// Why a request is not taken for one of a tenant.
+/// Reason why a request's key identifies no tenant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum KeyRefusal {
-    /// It carries no key.
+    /// The request carries no key.
     #[error("no_key")]
     Missing,
-    /// No version of the configuration that this process has seen held the key.
+    /// No configuration version seen by this process contains the key.
     #[error("unknown_key")]
     Unknown,
-    /// A version took the key away.
+    /// A configuration version revoked the key.
     #[error("key_taken_away_in_version_{version}")]
     TakenAway {
-        /// That version.
+        /// Version that revoked it.
         version: u64,
     },
 }
 
 impl KeyRefusal {
-    /// Label of metrics.
+    /// Returns the label in metrics.
     pub fn label(self) -> &'static str {
         match self {
             Self::Missing => "no_key",
@@ -72,19 +71,18 @@
     }
 }
 
-/// Whose request it is.
+/// Sender of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Caller {
     /// The configuration has no tenants.
     Unchecked,
-    /// Nobody's: its route needs no key.
+    /// No tenant, on a route that needs no key.
     Anonymous,
-    /// A tenant's.
     Tenant(Arc<Tenant>),
 }
 
 impl Caller {
-    /// The tenant, if there is one.
+    /// Returns the tenant, if there is one.
     pub fn tenant(&self) -> Option<&Arc<Tenant>> {
         match self {
             Self::Tenant(tenant) => Some(tenant),
@@ -92,7 +90,7 @@
         }
     }
 
-    /// Makes the headers of a request say whose it is, whatever its client wrote there. Instances never see a key.
+    /// Sets the tenant header to the caller, whatever the client sent, and removes the API key.
     pub fn set_headers(&self, headers: &mut HeaderMap, tenant_header: &HeaderName) {
         headers.remove(tenant_header);
         match self {
@@ -105,18 +103,18 @@
     }
 }
 
-/// Names a tenant in the headers of a request, and takes any key out of them.
+/// Sets the tenant header of a request and removes any API key.
 pub fn set_tenant(headers: &mut HeaderMap, tenant_header: &HeaderName, tenant: &str) {
     headers.remove(AUTHORIZATION);
     headers.remove(tenant_header);
-    // Names that are no header values are refused with the configuration.
+    // Names that are not valid header values are refused with the configuration.
     if let Ok(value) = HeaderValue::from_str(tenant) {
         headers.insert(tenant_header.clone(), value);
     }
 }
 
-/// The tenant that holds a key. All keys are compared, each in full, so that the time taken tells nothing of them: some two
-/// hundred keys take a few microseconds.
+/// Returns the tenant that owns a key. All keys are compared in full, so that the time taken
+/// reveals nothing about them.
 pub fn holder<'a>(tenants: &'a [Arc<Tenant>], key: &KeyDigest) -> Option<&'a Arc<Tenant>> {
     let mut found = None;
     for tenant in tenants {
@@ -129,7 +127,7 @@
     found
 }
 
-/// The key in the value of an `Authorization` header: what follows the scheme `Bearer`.
+/// Returns the digest of the key after the scheme `Bearer` in an `Authorization` header.
 pub fn bearer_key(authorization: &[u8]) -> Option<KeyDigest> {
     const SCHEME: &[u8] = b"bearer ";
     let (scheme, key) = authorization.split_at_checked(SCHEME.len())?;
--- a/crates/front/tests/cold_instances.rs
+++ b/crates/front/tests/cold_instances.rs
@@ -1,4 +1,5 @@
-//! Which instances count as cold, what one node sends them, and that the sum of all nodes stays within the bound.
+//! Cold status of instances, and the bound on the requests that all nodes together send to a cold
+//! one.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -25,7 +26,7 @@
     slack: 5.0,
 };
 
-/// Requests that an instance may get in any second: 12 x 1.5 + 5.
+/// Maximum number of requests to one instance in any second: 12 x 1.5 + 5.
 const BOUND: u32 = 23;
 
 fn limit() -> ColdLimit {
@@ -52,7 +53,7 @@
     }
 }
 
-/// A table whose service says what its cold instances bear.
+/// Returns a table whose service limits the requests to its cold instances.
 fn limited_table() -> BackendTable {
     let table = BackendTable::new("a");
     let mut config = ServingConfig::default();
@@ -66,14 +67,14 @@
 }
 
 #[test]
-fn permits_and_two_unaware_nodes_fit_into_the_bound() {
+fn permits_and_the_shares_of_two_nodes_without_permits_fit_into_the_bound() {
     let limit = limit();
     assert!(limit.dealt > 0 && limit.unaware > 0);
     assert!(limit.dealt + 2 * limit.unaware <= BOUND);
 }
 
 #[test]
-fn a_cold_instance_is_cold_for_as_long_as_it_told() {
+fn an_instance_is_cold_for_the_time_in_its_record() {
     let now = Instant::now();
     let mut state = ColdState::default();
     assert_eq!(state.warmth(now), Warmth::Warm);
@@ -81,17 +82,17 @@
     assert_eq!(state.warmth(now + ms(1_999)), Warmth::Cold);
     assert_eq!(state.warmth(now + ms(2_000)), Warmth::Warm);
     state.told(ms(0), now + ms(500));
-    assert_eq!(state.warmth(now + ms(500)), Warmth::Warm, "a later word");
+    assert_eq!(state.warmth(now + ms(500)), Warmth::Warm, "a later record");
     state.told(ms(3_000), now + ms(600));
     assert_eq!(
         state.warmth(now + ms(3_000)),
         Warmth::Cold,
-        "it may turn cold again"
+        "it may become cold again"
     );
 }
 
 #[test]
-fn an_instance_that_failed_is_doubtful_until_its_cold_time_after_it_answers() {
+fn after_a_failure_the_status_is_uncertain_until_the_cold_time_after_a_response() {
     let now = Instant::now();
     let mut state = ColdState::default();
     state.disconnected();
@@ -112,7 +113,7 @@
     assert_eq!(
         state.warmth(now + ms(5_500)),
         Warmth::Doubtful,
-        "the word may be of the start before the failure"
+        "the record may describe the incarnation before the failure"
     );
     state.answered(now + ms(6_000), COLD_TIME);
     assert_eq!(state.warmth(now + ms(8_999)), Warmth::Doubtful);
@@ -120,7 +121,7 @@
 }
 
 #[test]
-fn a_zone_that_is_given_back_is_doubtful() {
+fn instances_are_uncertain_after_a_drain_of_their_zone() {
     let table = limited_table();
     table.upsert(word("i-1", 0));
     let instance = table.get("i-1").unwrap();
@@ -136,18 +137,18 @@
     let apart = now + SEND_WINDOW + WRITE_MARGIN + ms(1);
     assert!(
         instance.take_send(apart).is_ok(),
-        "one shows whether it runs"
+        "one request shows whether it is running"
     );
     assert_eq!(instance.take_send(apart), Err(HoldReason::Cold));
     instance.add_permits(1, apart + PERMIT_LIFETIME);
-    assert!(instance.take_send(apart).is_ok(), "by a permit");
+    assert!(instance.take_send(apart).is_ok(), "with a permit");
     let later = Instant::now() + COLD_TIME;
     assert!(instance.take_send(later).is_ok());
     assert!(instance.take_send(later).is_ok(), "it is warm again");
 }
 
 #[test]
-fn a_start_that_an_instance_tells_of_itself_is_doubtful() {
+fn an_incarnation_that_an_instance_reported_itself_is_uncertain() {
     let table = limited_table();
     let mut first = word("i-1", 0);
     first.started_unix_ms = 100;
@@ -155,12 +156,15 @@
     let now = Instant::now();
     table.note_start(&table.get("i-1").unwrap(), 200);
     let again = table.get("i-1").unwrap();
-    assert!(again.take_send(now).is_ok(), "one shows whether it runs");
+    assert!(
+        again.take_send(now).is_ok(),
+        "one request shows whether it is running"
+    );
     assert_eq!(again.take_send(now), Err(HoldReason::Cold));
 }
 
 #[test]
-fn a_cold_instance_gets_a_request_for_each_permit_only() {
+fn a_cold_instance_gets_one_request_per_permit() {
     let table = limited_table();
     table.upsert(word("i-1", 3_000));
     let instance = table.get("i-1").unwrap();
@@ -173,18 +177,18 @@
     instance.give_back_send(ticket);
     assert!(
         instance.take_send(now).is_ok(),
-        "the one that did not leave"
+        "the permit of the unsent request"
     );
     instance.add_permits(1, now + PERMIT_LIFETIME);
     assert_eq!(
         instance.take_send(now + PERMIT_LIFETIME),
         Err(HoldReason::Cold),
-        "lapsed"
+        "expired permit"
     );
 }
 
 #[test]
-fn a_choice_counts_what_it_chose_before() {
+fn a_choice_counts_earlier_reservations() {
     let table = limited_table();
     table.upsert(word("i-1", 3_000));
     let choose = || table.choose("service", "", Demand::Batch, |_| true);
@@ -194,11 +198,11 @@
     let instance = table.get("i-1").unwrap();
     instance.add_permits(2, Instant::now() + Duration::from_secs(60));
     assert!(choose().is_some() && choose().is_some());
-    assert!(choose().is_none(), "two are on their way");
+    assert!(choose().is_none(), "two reservations use up the permits");
 }
 
 #[test]
-fn a_warm_instance_gets_so_many_of_one_node_in_a_second() {
+fn requests_of_one_node_to_a_warm_instance_are_limited_per_second() {
     let table = limited_table();
     table.upsert(word("i-1", 0));
     let instance = table.get("i-1").unwrap();
@@ -212,9 +216,10 @@
     assert!(instance.take_send(late_write + ms(1)).is_ok());
 }
 
-/// Three nodes that took it for warm send their shares; with permits on top in the same second it would get more than it bears.
+/// All nodes may have sent their shares without permits, and permits in the same window would
+/// exceed the bound.
 #[test]
-fn permits_are_not_used_in_one_window_with_requests_sent_before_coldness_was_known() {
+fn permits_are_unusable_within_a_window_of_requests_sent_while_considered_warm() {
     let mut share = SendShare::default();
     let now = Instant::now();
     for _ in 0..limit().unaware {
@@ -232,7 +237,7 @@
 }
 
 #[test]
-fn without_a_limit_cold_instances_get_any_number() {
+fn without_a_limit_cold_instances_get_any_number_of_requests() {
     let table = BackendTable::new("a");
     table.upsert(word("i-1", 3_000));
     let instance = table.get("i-1").unwrap();
@@ -242,7 +247,7 @@
 }
 
 #[test]
-fn a_roster_is_written_anew_only_when_an_instance_turns_cold_or_warm() {
+fn a_roster_changes_only_when_an_instance_becomes_cold_or_warm() {
     let table = limited_table();
     let services = || BTreeSet::from(["service".to_owned()]);
     let roster = |cold_ms| {
@@ -257,26 +262,26 @@
     assert_eq!(
         instance.take_send(Instant::now()),
         Err(HoldReason::Cold),
-        "who goes by the roster knows it"
+        "a reader of the roster knows the cold status"
     );
 }
 
-/// One step of a schedule, at a node where that matters.
+/// A step of a random schedule.
 #[derive(Debug, Clone)]
 enum Step {
-    /// Time passes.
+    /// Time in milliseconds passes.
     Pass(u64),
-    /// A node asks; the answer takes so long, or is lost.
+    /// A node requests permits; the response takes this many milliseconds, or is lost.
     Ask {
         node: usize,
         wanted: u32,
         answer_after: Option<u64>,
     },
-    /// A node sends all that it may, up to so many.
+    /// A node sends as many requests as it may, up to `most`.
     Send { node: usize, most: u32 },
-    /// A node is started again: what it was dealt is gone.
+    /// A node restarts and loses its permits.
     Restart(usize),
-    /// Another node holds the lease from now on.
+    /// Another node becomes the order leader.
     NextHolder,
 }
 
@@ -284,7 +289,7 @@
 
 fn step() -> impl Strategy<Value = Step> {
     let node = 0..NODES;
-    // Delays beyond a permit's life stand for nodes and links that are frozen.
+    // Delays beyond a permit's lifetime stand for frozen nodes and links.
     let answer_after = prop_oneof![
         6 => (0..20u64).prop_map(Some),
         2 => (0..400u64).prop_map(Some),
@@ -303,7 +308,7 @@
     ]
 }
 
-/// Most of some moments within any second.
+/// Returns the maximum number of requests in any second.
 fn most_in_a_second(sent: &[Instant]) -> usize {
     let counts = sent.iter().enumerate().map(|(index, first)| {
         let within = |at: &&Instant| at.saturating_duration_since(*first) <= SEND_WINDOW;
@@ -313,7 +318,7 @@
 }
 
 #[test]
-fn permits_that_are_used_late_leave_none_to_those_that_are_used_at_once() {
+fn permits_that_may_be_used_late_delay_further_permits() {
     let limit = limit();
     let held_from = Instant::now();
     let mut ledger = PermitLedger::new(held_from);
@@ -323,15 +328,16 @@
     let within_a_second = used_late + SEND_WINDOW;
     assert_eq!(ledger.deal("i-1", 100, limit.dealt, within_a_second), 0);
     let another = ledger.deal("i-2", 100, limit.dealt, within_a_second);
-    assert_eq!(another, limit.dealt, "each instance has its own");
+    assert_eq!(another, limit.dealt, "limits are per instance");
     let later = first + QUIET_TIME + ms(1);
     assert_eq!(ledger.deal("i-1", 100, limit.dealt, later), limit.dealt);
 }
 
 proptest! {
-    /// Whatever is late or lost, whoever restarts or freezes, and whoever holds the lease: a cold instance gets no more than is dealt.
+    /// A cold instance gets no more requests than permits are issued, with delays, losses, restarts
+    /// and changes of the order leader.
     #[test]
-    fn no_schedule_sends_a_cold_instance_more_than_is_dealt(steps in prop::collection::vec(step(), 1..300)) {
+    fn no_schedule_sends_a_cold_instance_more_requests_than_permits(steps in prop::collection::vec(step(), 1..300)) {
         let limit = limit();
         let mut now = Instant::now();
         let mut ledger = PermitLedger::new(now);
@@ -371,8 +377,8 @@
         prop_assert!(most_in_a_second(&sent) <= limit.dealt as usize);
     }
 
-    /// Without permits one node sends no more than its own share in any second, and to a doubtful instance one request; what did not
-    /// leave is not counted.
+    /// Without permits one node sends at most its own share in any second, and one request to an
+    /// instance in uncertain state. Requests that were not sent do not count.
     #[test]
     fn one_node_sends_its_own_share_without_permits(
         is_doubtful in any::<bool>(),
--- a/crates/front/tests/events.rs
+++ b/crates/front/tests/events.rs
@@ -1,4 +1,4 @@
-//! Events are found whatever the pieces are in which their bytes arrive.
+//! The event parser finds the same events however the bytes are split.
 
 use ladderstage_front::job::{Event, EventParser};
 use proptest::prelude::*;
@@ -18,7 +18,7 @@
 
 proptest! {
     #[test]
-    fn pieces_of_any_size_give_the_same_events(
+    fn chunks_of_any_size_yield_the_same_events(
         count in 1u64..12,
         cuts in prop::collection::vec(1usize..9, 1..40),
     ) {
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_part_of_an_event_is_no_event() {
+fn an_incomplete_event_is_not_returned() {
     let mut parser = EventParser::new(FIELD);
     let events = parser.push(b"id: 1\ndata: a\n\nid: 2\nda").unwrap();
     assert_eq!(events.len(), 1);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_events_are_refused() {
+fn malformed_events_are_rejected() {
     for bytes in [
         "HTTP/1.1 200 OK\n\n",
         "data: no id\n\n",
--- a/crates/front/tests/instance_starts.rs
+++ b/crates/front/tests/instance_starts.rs
@@ -1,4 +1,4 @@
-//! An instance may start again under its id: nothing that is believed of one start outlives it.
+//! A new incarnation of an instance inherits no state from an earlier one with the same id.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_later_start_is_believed_nothing_of_the_earlier_one() {
+fn a_later_incarnation_inherits_no_state() {
     let table = BackendTable::new("a");
     table.upsert(word(100, 7));
     let earlier = known(&table);
@@ -53,18 +53,18 @@
     assert_eq!(
         later.version(MODEL),
         6,
-        "weights of the earlier start are gone"
+        "weights of the earlier incarnation are gone"
     );
     let candidate = later.candidate("a", now);
     assert_eq!((candidate.load, candidate.pace_ms), (0, None));
     assert!(later.is_usable(MODEL, now));
-    // What still comes of the earlier start is noted there only.
+    // Late reports of the earlier incarnation do not reach the later one.
     earlier.note_version(MODEL, 9);
     assert_eq!(later.version(MODEL), 6);
 }
 
 #[test]
-fn a_late_word_of_an_earlier_start_changes_nothing() {
+fn a_late_record_of_an_earlier_incarnation_is_ignored() {
     let table = BackendTable::new("a");
     table.upsert(word(200, 6));
     let mut late = word(100, 9);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn what_an_instance_says_itself_goes_before_what_discovery_told() {
+fn the_start_that_an_instance_reports_overrides_discovery() {
     let table = BackendTable::new("a");
     table.upsert(word(100, 7));
     let earlier = known(&table);
@@ -89,7 +89,7 @@
         0,
         "its weights are not known yet"
     );
-    // Discovery tells of the earlier start until its next answer.
+    // Discovery reports the earlier incarnation until its next update.
     table.upsert(word(100, 7));
     assert_eq!(known(&table).version(MODEL), 0);
     table.upsert(word(200, 5));
@@ -99,21 +99,22 @@
 }
 
 #[test]
-fn an_instance_that_does_not_tell_its_start_goes_by_its_id() {
+fn an_instance_without_a_start_time_is_identified_by_its_id() {
     let table = BackendTable::new("a");
     table.upsert(word(0, 7));
     table.upsert(word(0, 6));
     assert_eq!(known(&table).version(MODEL), 7);
     assert!(
         known(&table).is_start(100),
-        "a word about any start is about it"
+        "a report about any start matches"
     );
 }
 
 proptest! {
-    /// Words about several starts in any order, some of them twice: the latest start is believed, with the newest weights that were told of it.
+    /// The latest incarnation wins with its newest weights, whatever the order and repetition of
+    /// the records.
     #[test]
-    fn the_order_of_words_does_not_matter(words in prop::collection::vec((1_u64..5, 1_u64..20), 1..30)) {
+    fn the_order_of_records_does_not_matter(words in prop::collection::vec((1_u64..5, 1_u64..20), 1..30)) {
         let table = BackendTable::new("a");
         for (start, version) in &words {
             table.upsert(word(*start, *version));
--- a/crates/front/tests/region_choice.rs
+++ b/crates/front/tests/region_choice.rs
@@ -1,4 +1,4 @@
-//! Work stays in its region, and moves to another when that serves it better.
+//! Work stays in its region until another region is expected to be faster.
 
 use std::collections::BTreeMap;
 
@@ -6,16 +6,16 @@
 use ladderstage_front::region::{AllowedRegions, Distance, RegionMap};
 use proptest::prelude::*;
 
-/// Round trip to another region.
+/// Round trip to another region, in milliseconds.
 const ROUND_TRIP_MS: f64 = 24.0;
 
-/// Time of a live request at an instance.
+/// Time of a live request at an instance, in milliseconds.
 const LIVE_MS: f64 = 25.0;
 
-/// Time of a reward call at an instance.
+/// Time of a reward call at an instance, in milliseconds.
 const REWARD_MS: f64 = 200.0;
 
-/// Time between two events of a text.
+/// Time between two events of a text, in milliseconds.
 const EVENT_MS: f64 = 45.0;
 
 const SLOTS: u32 = 6;
@@ -30,7 +30,8 @@
     }
 }
 
-/// As measured: for whole answers, round trip included.
+/// Returns a candidate with its typical measured time, which includes the round trip for complete
+/// answers.
 fn measured(distance: Distance, load: u32, demand: Demand) -> Candidate {
     let way = if distance == Distance::Elsewhere {
         ROUND_TRIP_MS
@@ -54,7 +55,7 @@
 ];
 
 #[test]
-fn an_instance_of_this_region_goes_before_an_equal_one_elsewhere() {
+fn an_instance_of_the_own_region_is_preferred_to_an_equal_one_elsewhere() {
     for demand in DEMANDS {
         for random in 0..8 {
             let known = [Distance::Elsewhere, Distance::SameRegion]
@@ -67,7 +68,8 @@
     }
 }
 
-/// Instances `near` and `far`, one in each region, known to a chooser in the region `east`.
+/// Returns a table in region `east` with the instances `near` in `east`, `far` in `west`, and
+/// `lost` in an unknown zone.
 fn table_of_two_regions() -> BackendTable {
     let zones = [("e1", "east"), ("w1", "west")];
     let zones = zones.map(|(zone, region)| (zone.into(), region.into()));
@@ -116,9 +118,9 @@
     assert!(!table.has_any_within("service", &only("north")));
 }
 
-/// A live request takes about as long as the round trip: it goes elsewhere once it would wait here for as long.
+/// Leaving the region pays later for a short request, as the round trip is as long as the request.
 #[test]
-fn short_requests_stay_here_for_longer_than_long_ones() {
+fn short_requests_leave_the_region_at_higher_loads_than_long_ones() {
     let least_load_to_leave = |demand| {
         let near = 0..=SLOTS * 2;
         let leaves = near.into_iter().find(|load| {
@@ -137,7 +139,7 @@
 }
 
 #[test]
-fn a_full_region_sends_its_items_elsewhere_at_once() {
+fn items_leave_a_full_region_at_once() {
     for demand in [Demand::Batch, Demand::LongBatch, Demand::Scoring] {
         let near = measured(Distance::SameZone, SLOTS, demand);
         let far = measured(Distance::Elsewhere, 2, demand);
@@ -145,7 +147,8 @@
     }
 }
 
-/// Regions whose instances each finish one request at a time unit and slot; each region chooses by what it knows of all.
+/// Regions whose instances finish one request per slot and round; each region knows the loads of
+/// all.
 struct Regions {
     /// Loads of the instances of each region.
     loads: Vec<Vec<u32>>,
@@ -159,7 +162,7 @@
         }
     }
 
-    /// Gives one request of region `from` an instance; returns the region of it.
+    /// Sends one request of region `from`; returns the region that serves it.
     fn send(&mut self, from: usize, demand: Demand, random: u64) -> Option<usize> {
         let places: Vec<(usize, usize)> = self
             .loads
@@ -183,14 +186,15 @@
         Some(region)
     }
 
-    /// All instances finish what runs in their slots.
+    /// Finishes the requests running in all slots.
     fn finish(&mut self) {
         for load in self.loads.iter_mut().flatten() {
             *load = load.saturating_sub(SLOTS);
         }
     }
 
-    /// Shares of the requests of each region that were served there, over some rounds with `demand[region]` requests a round.
+    /// Plays 20 rounds with `requests[region]` requests each; returns how many of each region's
+    /// requests were served there, per round.
     fn play(&mut self, requests: &[u32], demand: Demand) -> Vec<Vec<u32>> {
         (0..20u64)
             .map(|round| {
@@ -212,9 +216,10 @@
     }
 }
 
-/// A region at twice its load keeps what it can serve and sends the rest elsewhere, in each round the same; the others keep theirs.
+/// A region at twice its capacity keeps what it can serve and sends the rest elsewhere, without
+/// oscillation between rounds.
 #[test]
-fn a_region_at_twice_its_load_sends_the_rest_elsewhere_and_nothing_swings() {
+fn a_region_at_twice_its_capacity_sends_the_rest_elsewhere_without_oscillation() {
     for demand in [Demand::Live, Demand::Batch, Demand::Scoring] {
         let mut regions = Regions::new(&[4, 4, 4]);
         let slots = 4 * SLOTS;
@@ -232,11 +237,11 @@
 }
 
 #[test]
-fn a_region_that_loses_half_of_its_instances_goes_on_with_the_rest_and_the_others() {
+fn a_region_that_loses_half_of_its_instances_uses_the_rest_and_other_regions() {
     let mut regions = Regions::new(&[4, 4, 4]);
     let requests = [2 * SLOTS, 2 * SLOTS, 2 * SLOTS];
     for stayed in regions.play(&requests, Demand::Live) {
-        assert_eq!(stayed, requests, "each region serves its own");
+        assert_eq!(stayed, requests, "each region serves its own requests");
     }
     regions.loads[0].truncate(2);
     let played = regions.play(&requests, Demand::Live);
@@ -247,9 +252,9 @@
 }
 
 proptest! {
-    /// Without another region the round trip is no part of the cost: its measured values change no choice.
+    /// Within one region the measured round trips affect no choice.
     #[test]
-    fn in_one_region_the_way_changes_nothing(
+    fn within_one_region_the_round_trip_changes_no_choice(
         loads in prop::collection::vec((0u32..10, any::<bool>(), prop::option::of(1.0..200.0f64)), 1..8),
         ways in prop::collection::vec(0.1..300.0f64, 8),
         random: u64,
--- a/crates/front/tests/suspect_load.rs
+++ b/crates/front/tests/suspect_load.rs
@@ -1,9 +1,9 @@
-//! Plays the load of a day on which one request ends each instance that begins to run it, and counts what other callers get: which number
-//! of ends a content should be held back after.
-//!
-//! 13.8 requests a second of 25 ms, as a small pricing service has them; the deadly request comes twice a second, and ends its instance 7 to
-//! 126 ms after it began; an instance is back after 3 s. Requests are sent to two instances at most and come back once after a refusal or failure.
-//! Instances also end by themselves now and then.
+//! Simulates a service under load with one request that crashes each instance running it, to
+//! compare the number of crashes after which a content is held back.
+//! 13.8 requests per second of 25 ms each; the crashing request arrives twice a second and crashes
+//! its instance 7 to 126 ms after it started; an instance restarts within 3 s. A request is sent to
+//! at most two instances and retried once after a refusal or failure. Instances sometimes crash
+//! without a cause.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -24,7 +24,7 @@
 const COME_BACK_MS: u64 = 300;
 const SEEDS: u64 = 20;
 
-/// What happens next; times are milliseconds.
+/// Next event of the simulation; times are in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrives {
@@ -32,11 +32,12 @@
         tries: u32,
         sent: u32,
     },
-    /// A run ends, if its instance still has the same start.
+    /// A run ends if its instance has not restarted since.
     RunEnds {
         run: u64,
     },
-    /// The instance ends under a deadly run, or by itself (no run).
+    /// The instance crashes under the crashing request, or without a cause if `start` is
+    /// `u64::MAX`.
     InstanceEnds {
         instance: usize,
         start: u64,
@@ -56,31 +57,31 @@
     is_watched: bool,
 }
 
-/// What callers and operators saw; the deadly request's own tries are left out.
+/// Results of all requests except the crashing one.
 #[derive(Debug, Default, Clone, Copy)]
 struct Outcome {
     sent: u32,
     served: u32,
-    /// Held back though they would have been served.
+    /// Attempts that were held back although they would have been served.
     held: u32,
     ends: u32,
 }
 
-/// What is played.
+/// Parameters of a simulation.
 #[derive(Debug, Clone, Copy)]
 struct Load {
     instances: usize,
-    /// Ends after which a content is held back.
+    /// Crashes after which a content is held back.
     most_ends: usize,
-    /// Between ends that no request causes.
+    /// Milliseconds between crashes that no request causes.
     own_ends_gap_ms: u64,
     run_ms: u64,
-    /// Instances that one try is sent to at most.
+    /// Maximum number of instances that one attempt is sent to.
     attempts: u32,
 }
 
 impl Load {
-    /// Quotes before a service of so many instances.
+    /// Live requests to a service with this many instances.
     fn quotes(instances: usize, most_ends: usize, own_ends_gap_ms: u64) -> Self {
         Self {
             instances,
@@ -110,7 +111,7 @@
     random: StdRng,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     number: u64,
-    /// Start of each instance; `None` while it is down.
+    /// Start time of each instance; `None` while it is down.
     instances: Vec<Option<u64>>,
     runs: BTreeMap<u64, Run>,
     outcome: Outcome,
@@ -263,7 +264,7 @@
     }
 }
 
-/// Sums over all seeds.
+/// Returns the sum of the outcomes over all seeds.
 fn play(load: Load) -> Outcome {
     let plays = (0..SEEDS).map(|seed| Play::new(load, seed).run());
     let sum = plays.fold(Outcome::default(), |sum, one| Outcome {
@@ -276,17 +277,17 @@
     sum
 }
 
-/// No bound: what was known of a try was forgotten with it.
+/// No content is ever held back.
 const NEVER: usize = usize::MAX;
 
-/// One end in ten seconds that no request causes: a bad day.
+/// One crash in ten seconds without a cause.
 const BAD_DAY_MS: u64 = 10_000;
 
-/// One each half second: a fleet that falls over.
+/// One crash in half a second without a cause.
 const FALLING_FLEET_MS: u64 = 500;
 
 #[test]
-fn other_callers_are_served_far_better_than_without_a_bound() {
+fn holding_back_the_crashing_request_lets_other_requests_succeed() {
     let [before, after] =
         [NEVER, LIVE_MOST_ENDS].map(|most| play(Load::quotes(3, most, BAD_DAY_MS)));
     assert!(before.served * 2 < before.sent, "{before:?}");
@@ -300,7 +301,7 @@
 }
 
 #[test]
-fn few_live_requests_are_held_back_for_what_others_caused() {
+fn few_live_requests_are_held_back_for_crashes_with_other_causes() {
     for instances in [3, 45] {
         for gap in [BAD_DAY_MS, FALLING_FLEET_MS] {
             let [_, three, four] =
@@ -313,7 +314,7 @@
 }
 
 #[test]
-fn few_items_are_held_back_for_what_others_caused() {
+fn few_items_are_held_back_for_crashes_with_other_causes() {
     for gap in [BAD_DAY_MS, 2_000, FALLING_FLEET_MS] {
         let [two, chosen] = [2, ITEM_MOST_ENDS].map(|most| play(Load::items(most, gap)));
         assert!(chosen.held <= two.held, "{two:?} {chosen:?}");
--- a/crates/front/tests/suspects.rs
+++ b/crates/front/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! Contents under which instances end: what is suspected, held back and cleared.
+//! Contents that crash instances are suspected, held back and cleared.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 };
 use proptest::prelude::*;
 
-/// Ends after which the contents of these tests are held back.
+/// Crashes after which the contents of these tests are held back.
 const MOST_ENDS: usize = 3;
 
 const BUSY_RETRY: Duration = Duration::from_millis(500);
@@ -22,7 +22,8 @@
     ContentDigest::from_bits(number)
 }
 
-/// Ends `count` instances under a content, one second after the other; returns when the last one ended.
+/// Crashes `count` instances under one content at intervals of a second; returns the time of the
+/// last crash.
 fn end_instances(ledger: &mut SuspectLedger, count: usize, begin: Instant) -> Instant {
     let mut now = begin;
     for instance in 0..count {
@@ -33,7 +34,7 @@
 }
 
 #[test]
-fn repeats_share_a_content_whatever_is_not_part_of_it() {
+fn each_part_of_a_request_changes_its_content_digest() {
     let one = RequestContent {
         host: "host",
         method: "POST",
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn a_content_is_held_back_after_its_last_end_and_tried_once_after_the_hold() {
+fn a_content_is_held_back_after_its_last_crash_and_tried_once_after_the_hold() {
     let (mut ledger, begin) = (ledger(), Instant::now());
     assert_eq!(ledger.admit(content(1), MOST_ENDS, begin), Admission::Free);
     let last = end_instances(&mut ledger, MOST_ENDS, begin);
@@ -94,9 +95,9 @@
         Admission::Held {
             retry_after: BUSY_RETRY
         },
-        "one trial at a time"
+        "one trial run at a time"
     );
-    // The trial ends one more instance: held back for twice as long.
+    // The trial run crashes one more instance, which doubles the hold.
     assert!(ledger.note_end(content(1), "i-9@1", after, after));
     ledger.run_over(content(1));
     assert_eq!(
@@ -108,7 +109,7 @@
 }
 
 #[test]
-fn no_more_runs_of_a_suspect_begin_than_ends_are_left() {
+fn concurrent_runs_of_a_suspect_are_limited_to_the_crashes_left() {
     let (mut ledger, begin) = (ledger(), Instant::now());
     let now = end_instances(&mut ledger, 1, begin);
     for _ in 1..MOST_ENDS {
@@ -123,7 +124,7 @@
 }
 
 #[test]
-fn an_instance_that_bears_a_content_clears_it() {
+fn a_completed_run_clears_its_content() {
     let (mut ledger, begin) = (ledger(), Instant::now());
     let now = end_instances(&mut ledger, MOST_ENDS, begin);
     assert_eq!(ledger.clear(content(1)), Cleared::Untold);
@@ -132,7 +133,7 @@
 }
 
 #[test]
-fn others_hear_of_a_clearing_only_if_they_heard_of_the_suspicion() {
+fn a_clearing_is_shared_only_if_the_suspicion_was() {
     let (mut ledger, begin) = (ledger(), Instant::now());
     assert!(!ledger.note_told(content(1)));
     end_instances(&mut ledger, 1, begin);
@@ -143,7 +144,7 @@
 }
 
 #[test]
-fn a_suspect_that_is_not_held_back_is_forgotten() {
+fn a_suspect_that_is_not_held_back_expires() {
     let (mut ledger, begin) = (ledger(), Instant::now());
     let now = end_instances(&mut ledger, MOST_ENDS - 1, begin);
     assert_eq!(
@@ -154,13 +155,14 @@
 }
 
 #[test]
-fn runs_that_break_by_one_end_count_once_and_a_start_after_it_counts_again() {
+fn runs_broken_by_one_crash_count_once_and_a_later_incarnation_counts_again() {
     let (mut ledger, begin) = (ledger(), Instant::now());
     let first = begin + Duration::from_secs(1);
     assert!(ledger.note_end(content(1), "i-1@7", begin, first));
-    // A second run that was there when the instance ended.
+    // A second run on the instance when it crashed.
     assert!(!ledger.note_end(content(1), "i-1@7", begin, first));
-    // The instance took another run after that, and ended; discovery has not told of its later start yet.
+    // The instance restarted, accepted another run and crashed, before discovery reported its new
+    // incarnation.
     let again = first + Duration::from_secs(3);
     assert!(ledger.note_end(content(1), "i-1@7", again, again));
     assert!(!ledger.note_end(content(1), "i-1@7", again, again));
@@ -170,7 +172,7 @@
 }
 
 #[test]
-fn what_is_remembered_is_bounded_and_the_oldest_goes_first() {
+fn the_number_of_suspects_is_bounded_and_the_oldest_is_removed_first() {
     let (mut ledger, begin) = (ledger(), Instant::now());
     for number in 0..MOST_CONTENTS as u64 + 1 {
         let now = begin + Duration::from_millis(number);
@@ -182,10 +184,10 @@
 }
 
 proptest! {
-    /// Whatever ends are told by whom, in whatever order and how often: all fronts come to the same, and a content with enough ends is held
-    /// back for no longer than the longest hold.
+    /// All fronts reach the same state whatever the order and repetition of updates, and no hold
+    /// exceeds the maximum.
     #[test]
-    fn the_order_and_the_number_of_tellings_do_not_matter(
+    fn the_order_and_repetition_of_updates_do_not_matter(
         told in prop::collection::vec(0_u8..6, 0..20),
         seed in any::<u64>(),
     ) {
