--- a/crates/front/src/backend/choice.rs
+++ b/crates/front/src/backend/choice.rs
@@ -7,7 +7,7 @@
 use ladderstage::region::Distance;
 
 /// Cost of an instance in another zone, as a share of its capacity.
-const OTHER_ZONE: f64 = 0.02;
+const OTHER_ZONE_COST: f64 = 0.02;
 
 /// Assumed round trip to another region until one is measured, in milliseconds.
 const ASSUMED_ROUND_TRIP_MS: f64 = 20.0;
@@ -16,24 +16,24 @@
 const ASSUMED_WORK_MS: f64 = 100.0;
 
 /// Number of events in a typical text, as streams are timed per event.
-const USUAL_EVENTS: f64 = 16.0;
+const TYPICAL_EVENTS: f64 = 16.0;
 
 /// Part of a request's time that does not depend on the instance's load, relative to the part at
 /// full load.
-const IDLE_SHARE: f64 = 0.5;
+const FIXED_TIME_SHARE: f64 = 0.5;
 
 /// The same for a long request, whose time depends mostly on the instance's speed.
-const LONG_IDLE_SHARE: f64 = 4.0;
+const LONG_FIXED_TIME_SHARE: f64 = 4.0;
 
 /// Cost of waiting for a slot; exceeds that of the slowest instance with a free one.
 const QUEUE_COST: f64 = 100.0;
 
 /// Lower bound of an instance's relative time, so that one quick response does not attract all
 /// requests.
-const LEAST_RELATIVE_PACE: f64 = 0.6;
+const MIN_RELATIVE_TIME: f64 = 0.6;
 
 /// Minimum share of a measured time that counts as work, as the round trip may be overestimated.
-const LEAST_OWN_SHARE: f64 = 0.25;
+const MIN_WORK_SHARE: f64 = 0.25;
 
 /// State of an instance that may be chosen.
 #[derive(Debug, Clone, PartialEq)]
@@ -53,7 +53,7 @@
 
 impl Candidate {
     /// Returns the round trip in milliseconds that the cost includes; zero within the region.
-    fn counted_round_trip_ms(&self) -> f64 {
+    fn included_round_trip_ms(&self) -> f64 {
         match self.distance {
             Distance::Elsewhere => self.round_trip_ms.unwrap_or(ASSUMED_ROUND_TRIP_MS),
             Distance::SameMachine | Distance::SameZone | Distance::SameRegion => 0.0,
@@ -62,11 +62,11 @@
 
     /// Returns the recent milliseconds per unit of work without the round trip.
     fn work_ms(&self, demand: Demand) -> Option<f64> {
-        let pace = self.pace_ms?;
-        if demand.has_whole_answers() {
-            return Some((pace - self.counted_round_trip_ms()).max(pace * LEAST_OWN_SHARE));
+        let time_ms = self.pace_ms?;
+        if demand.is_timed_per_answer() {
+            return Some((time_ms - self.included_round_trip_ms()).max(time_ms * MIN_WORK_SHARE));
         }
-        Some(pace)
+        Some(time_ms)
     }
 }
 
@@ -88,7 +88,7 @@
 
 impl Demand {
     /// Returns whether times are measured per complete answer rather than per event.
-    fn has_whole_answers(self) -> bool {
+    fn is_timed_per_answer(self) -> bool {
         match self {
             Self::Live | Self::Scoring => true,
             Self::Batch | Self::LongBatch | Self::CutBatch => false,
@@ -98,22 +98,22 @@
 
 /// Reward calls leave one in this many slots to live requests, as they arrive in bursts when texts
 /// end.
-const LIVE_SLOT_SHARE: u32 = 6;
+const LIVE_SLOT_DIVISOR: u32 = 6;
 
 /// One interrupted text may queue at an instance for each this many slots.
-const CUT_QUEUE_SHARE: u32 = 8;
+const INTERRUPTED_QUEUE_DIVISOR: u32 = 8;
 
 /// Returns the index of the cheapest instance that accepts the demand, `None` if there is none.
 /// `random` breaks ties.
 pub fn choose(candidates: &[Candidate], demand: Demand, random: u64) -> Option<usize> {
     let typical = typical_pace(candidates, demand);
-    let fitting = candidates
+    let eligible = candidates
         .iter()
         .enumerate()
-        .filter(|(_, candidate)| candidate.load < most_load(candidate, demand));
+        .filter(|(_, candidate)| candidate.load < max_load(candidate, demand));
     let count = candidates.len().max(1);
     let offset = (random % count as u64) as usize;
-    fitting
+    eligible
         .min_by(|(left_index, left), (right_index, right)| {
             let rotate = |index: usize| (index + offset) % count;
             cost(left, typical, demand)
@@ -124,53 +124,55 @@
 }
 
 /// Returns the load from which the instance accepts no more work of this kind.
-fn most_load(candidate: &Candidate, demand: Demand) -> u32 {
+fn max_load(candidate: &Candidate, demand: Demand) -> u32 {
     match demand {
         Demand::Live => u32::MAX,
         Demand::Batch | Demand::LongBatch => candidate.slots,
-        Demand::CutBatch => candidate.slots + candidate.slots.div_ceil(CUT_QUEUE_SHARE),
-        Demand::Scoring => candidate.slots - candidate.slots / LIVE_SLOT_SHARE,
+        Demand::CutBatch => candidate.slots + candidate.slots.div_ceil(INTERRUPTED_QUEUE_DIVISOR),
+        Demand::Scoring => candidate.slots - candidate.slots / LIVE_SLOT_DIVISOR,
     }
 }
 
 /// Returns the expected time of one more request relative to an idle typical instance.
 fn cost(candidate: &Candidate, typical: Option<f64>, demand: Demand) -> f64 {
     let occupancy = f64::from(candidate.load + 1) / f64::from(candidate.slots.max(1));
-    let relative_pace = match (candidate.work_ms(demand), typical) {
-        (Some(pace), Some(typical)) if typical > 0.0 => (pace / typical).max(LEAST_RELATIVE_PACE),
+    let relative_time = match (candidate.work_ms(demand), typical) {
+        (Some(time_ms), Some(typical)) if typical > 0.0 => {
+            (time_ms / typical).max(MIN_RELATIVE_TIME)
+        }
         _ => 1.0,
     };
-    let idle_share = match demand {
-        Demand::LongBatch | Demand::CutBatch => LONG_IDLE_SHARE,
-        Demand::Live | Demand::Batch | Demand::Scoring => IDLE_SHARE,
+    let fixed_share = match demand {
+        Demand::LongBatch | Demand::CutBatch => LONG_FIXED_TIME_SHARE,
+        Demand::Live | Demand::Batch | Demand::Scoring => FIXED_TIME_SHARE,
     };
-    let queueing = if demand == Demand::CutBatch && candidate.load >= candidate.slots {
+    let queue_cost = if demand == Demand::CutBatch && candidate.load >= candidate.slots {
         QUEUE_COST
     } else {
         0.0
     };
-    let idle = idle_share + 1.0 / f64::from(candidate.slots.max(1));
+    let idle = fixed_share + 1.0 / f64::from(candidate.slots.max(1));
     let round_trip = round_trip_cost(candidate, typical, demand) * idle;
-    (idle_share + occupancy) * relative_pace + zone_surcharge(candidate) + round_trip + queueing
+    (fixed_share + occupancy) * relative_time + zone_cost(candidate) + round_trip + queue_cost
 }
 
 /// Returns the cost of an instance outside the chooser's zone.
-fn zone_surcharge(candidate: &Candidate) -> f64 {
+fn zone_cost(candidate: &Candidate) -> f64 {
     match candidate.distance {
         Distance::SameMachine | Distance::SameZone => 0.0,
-        Distance::SameRegion | Distance::Elsewhere => OTHER_ZONE,
+        Distance::SameRegion | Distance::Elsewhere => OTHER_ZONE_COST,
     }
 }
 
 /// Returns the round trip relative to the time of a request at an idle typical instance.
 fn round_trip_cost(candidate: &Candidate, typical: Option<f64>, demand: Demand) -> f64 {
-    let units = if demand.has_whole_answers() {
+    let events_per_request = if demand.is_timed_per_answer() {
         1.0
     } else {
-        USUAL_EVENTS
+        TYPICAL_EVENTS
     };
-    let work_ms = typical.map_or(ASSUMED_WORK_MS, |pace| pace * units);
-    candidate.counted_round_trip_ms() / work_ms.max(f64::MIN_POSITIVE)
+    let work_ms = typical.map_or(ASSUMED_WORK_MS, |time_ms| time_ms * events_per_request);
+    candidate.included_round_trip_ms() / work_ms.max(f64::MIN_POSITIVE)
 }
 
 /// Returns the median of the known times.
--- a/crates/front/src/backend/cold/limits.rs
+++ b/crates/front/src/backend/cold/limits.rs
@@ -10,11 +10,11 @@
 
 /// One in this many parts of the bound is issued as permits; the rest covers fronts that do not
 /// know yet that the instance is cold.
-const PERMIT_SHARE: u32 = 2;
+const PERMIT_DIVISOR: u32 = 2;
 
 /// A front may send one in this many parts of the bound without permits to an instance that it
 /// considers warm. Few fronts own jobs that use the same instance.
-const UNAWARE_SHARE: u32 = 4;
+const WITHOUT_PERMIT_DIVISOR: u32 = 4;
 
 /// Excess over the configured rate that all callers together may cause.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -34,7 +34,7 @@
     pub dealt: u32,
     /// Requests per second that one node may send without permits to an instance that it considers
     /// warm.
-    pub unaware: u32,
+    pub rate_without_permits: u32,
 }
 
 impl ColdLimit {
@@ -45,8 +45,8 @@
         let bound = bound.clamp(0.0, f64::from(u32::MAX)).floor() as u32;
         Self {
             time: spec.time,
-            dealt: bound / PERMIT_SHARE,
-            unaware: (bound / UNAWARE_SHARE).max(1),
+            dealt: bound / PERMIT_DIVISOR,
+            rate_without_permits: (bound / WITHOUT_PERMIT_DIVISOR).max(1),
         }
     }
 }
@@ -68,11 +68,11 @@
 impl ColdLimits {
     /// Replaces the limits by those of a configuration.
     pub fn set(&self, config: &ServingConfig, allowance: ColdAllowance) {
-        let limited = config.services.iter().filter_map(|(name, service)| {
+        let limits = config.services.iter().filter_map(|(name, service)| {
             let spec = service.cold.as_ref()?;
             Some((name.clone(), ColdLimit::new(spec, allowance)))
         });
-        self.by_service.send_replace(Arc::new(limited.collect()));
+        self.by_service.send_replace(Arc::new(limits.collect()));
     }
 
     /// Returns whether no service has a limit.
@@ -88,14 +88,14 @@
 
 /// Cold instances that this node needs permits for, as work is waiting for them. Cheap to clone.
 #[derive(Debug, Clone, Default)]
-pub struct PermitWants {
+pub struct PermitRequests {
     services: Arc<Mutex<BTreeMap<String, String>>>,
     changed: Arc<Notify>,
 }
 
-impl PermitWants {
+impl PermitRequests {
     /// Requests permits for waiting work at an instance of a service.
-    pub fn note(&self, instance: &str, service: &str) {
+    pub fn add(&self, instance: &str, service: &str) {
         let mut services = self.lock();
         if !services.contains_key(instance) {
             services.insert(instance.to_owned(), service.to_owned());
--- a/crates/front/src/backend/cold/mod.rs
+++ b/crates/front/src/backend/cold/mod.rs
@@ -4,6 +4,6 @@
 mod share;
 mod state;
 
-pub use limits::{ColdAllowance, ColdLimit, ColdLimits, PermitWants};
-pub use share::{PERMIT_LIFETIME, SEND_WINDOW, SendShare, SendTicket, WRITE_MARGIN};
-pub use state::{ColdState, Warmth};
+pub use limits::{ColdAllowance, ColdLimit, ColdLimits, PermitRequests};
+pub use share::{PERMIT_LIFETIME, SEND_WINDOW, SendBudget, SendTicket, WRITE_MARGIN};
+pub use state::{ColdState, ColdStatus};
--- a/crates/front/src/backend/cold/share.rs
+++ b/crates/front/src/backend/cold/share.rs
@@ -6,7 +6,7 @@
 use ladderstage_clock::Instant;
 
 use super::limits::ColdLimit;
-use super::state::Warmth;
+use super::state::ColdStatus;
 
 /// Lifetime of a permit after it was requested: long enough for the response and the next waiting
 /// request, short enough that the order leader can issue permits at a steady rate.
@@ -20,7 +20,7 @@
 
 /// Requests per second without a permit to an instance in uncertain state; one shows whether it is
 /// running.
-const DOUBTFUL_SENDS: u32 = 1;
+const UNCERTAIN_SENDS: u32 = 1;
 
 /// Time for which a chosen instance counts as about to get the request.
 const RESERVATION_LIFETIME: Duration = Duration::from_millis(50);
@@ -34,50 +34,60 @@
 
 /// Requests that one node may send to one incarnation of an instance.
 #[derive(Debug, Clone, Default)]
-pub struct SendShare {
+pub struct SendBudget {
     /// Expiry of the unused permits, in order.
     permits: VecDeque<Instant>,
     /// Times of the requests that may have been written within the window, in order.
     sent: VecDeque<Instant>,
     /// Last request that was sent while the instance was considered warm.
-    sent_warm: Option<Instant>,
+    last_sent_warm: Option<Instant>,
     /// Expiry of the reservations, in order.
-    reserved: VecDeque<Instant>,
+    reservations: VecDeque<Instant>,
 }
 
-impl SendShare {
+impl SendBudget {
     /// Adds permits that are valid until `until`.
     pub fn add_permits(&mut self, count: u32, until: Instant) {
-        let place = self.permits.partition_point(|known| *known <= until);
+        let index = self.permits.partition_point(|known| *known <= until);
         for _ in 0..count {
-            self.permits.insert(place, until);
+            self.permits.insert(index, until);
         }
     }
 
     /// Returns whether the instance may be chosen for one more request, reservations counted.
-    pub fn has_room(&mut self, warmth: Warmth, limit: &ColdLimit, now: Instant) -> bool {
-        self.forget(now);
-        self.room(warmth, limit, now) > self.reserved.len()
+    pub fn has_capacity(
+        &mut self,
+        cold_status: ColdStatus,
+        limit: &ColdLimit,
+        now: Instant,
+    ) -> bool {
+        self.drop_expired(now);
+        self.capacity(cold_status, limit, now) > self.reservations.len()
     }
 
     /// Reserves capacity for a request that is about to be sent.
     pub fn reserve(&mut self, now: Instant) {
-        self.reserved.push_back(now + RESERVATION_LIFETIME);
+        self.reservations.push_back(now + RESERVATION_LIFETIME);
     }
 
     /// Acquires the right to send one request now, `None` if the limit is reached.
-    pub fn take(&mut self, warmth: Warmth, limit: &ColdLimit, now: Instant) -> Option<SendTicket> {
-        self.forget(now);
-        self.reserved.pop_front();
-        if self.room(warmth, limit, now) == 0 {
+    pub fn acquire(
+        &mut self,
+        cold_status: ColdStatus,
+        limit: &ColdLimit,
+        now: Instant,
+    ) -> Option<SendTicket> {
+        self.drop_expired(now);
+        self.reservations.pop_front();
+        if self.capacity(cold_status, limit, now) == 0 {
             return None;
         }
-        if warmth == Warmth::Warm {
-            self.sent_warm = Some(now);
+        if cold_status == ColdStatus::Warm {
+            self.last_sent_warm = Some(now);
         }
-        let permit_until = match warmth {
-            Warmth::Warm => None,
-            Warmth::Doubtful | Warmth::Cold => self.permits.pop_front(),
+        let permit_until = match cold_status {
+            ColdStatus::Warm => None,
+            ColdStatus::Uncertain | ColdStatus::Cold => self.permits.pop_front(),
         };
         self.sent.push_back(now);
         Some(SendTicket {
@@ -87,9 +97,9 @@
     }
 
     /// Releases the ticket of a request that was not sent.
-    pub fn give_back(&mut self, ticket: SendTicket) {
-        if let Some(place) = self.sent.iter().rposition(|at| *at == ticket.sent_at) {
-            self.sent.remove(place);
+    pub fn release(&mut self, ticket: SendTicket) {
+        if let Some(index) = self.sent.iter().rposition(|at| *at == ticket.sent_at) {
+            self.sent.remove(index);
         }
         if let Some(until) = ticket.permit_until {
             self.add_permits(1, until);
@@ -97,34 +107,34 @@
     }
 
     /// Returns the number of requests that may be sent now.
-    fn room(&self, warmth: Warmth, limit: &ColdLimit, now: Instant) -> usize {
-        let without_permits = |most: u32| (most as usize).saturating_sub(self.sent.len());
-        match warmth {
-            Warmth::Warm => without_permits(limit.unaware),
-            Warmth::Doubtful => self.usable(now).max(without_permits(DOUBTFUL_SENDS)),
-            Warmth::Cold => self.usable(now),
+    fn capacity(&self, cold_status: ColdStatus, limit: &ColdLimit, now: Instant) -> usize {
+        let capacity_left = |max_sent: u32| (max_sent as usize).saturating_sub(self.sent.len());
+        match cold_status {
+            ColdStatus::Warm => capacity_left(limit.rate_without_permits),
+            ColdStatus::Uncertain => self.usable_permits(now).max(capacity_left(UNCERTAIN_SENDS)),
+            ColdStatus::Cold => self.usable_permits(now),
         }
     }
 
     /// Returns the number of usable permits. There are none within a window of a request sent while
     /// the instance was considered warm: all nodes may have sent their share without permits, and
     /// permits on top would exceed the bound.
-    fn usable(&self, now: Instant) -> usize {
+    fn usable_permits(&self, now: Instant) -> usize {
         let was_warm =
             |at: Instant| now.saturating_duration_since(at) <= SEND_WINDOW + WRITE_MARGIN;
-        if self.sent_warm.is_some_and(was_warm) {
+        if self.last_sent_warm.is_some_and(was_warm) {
             return 0;
         }
         self.permits.len()
     }
 
     /// Drops what has expired by `now`.
-    fn forget(&mut self, now: Instant) {
+    fn drop_expired(&mut self, now: Instant) {
         while self.permits.front().is_some_and(|until| *until <= now) {
             self.permits.pop_front();
         }
-        while self.reserved.front().is_some_and(|until| *until <= now) {
-            self.reserved.pop_front();
+        while self.reservations.front().is_some_and(|until| *until <= now) {
+            self.reservations.pop_front();
         }
         while self
             .sent
--- a/crates/front/src/backend/cold/state.rs
+++ b/crates/front/src/backend/cold/state.rs
@@ -6,22 +6,22 @@
 
 /// How many requests an instance can handle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Warmth {
+pub enum ColdStatus {
     /// It can use all its slots.
     Warm,
     /// It may have restarted or become cold, and no record confirms it yet.
-    Doubtful,
+    Uncertain,
     /// Its record says that it is cold.
     Cold,
 }
 
 /// Reason to consider an instance possibly cold without a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-enum Doubt {
+enum Uncertainty {
     #[default]
     None,
     /// A connection failed or broke. Lasts until a response, and then for the cold time.
-    Unanswered,
+    Disconnected,
     /// Ends at this time.
     Until(Instant),
 }
@@ -30,58 +30,59 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ColdState {
     /// End of the cold time by its record.
-    told_until: Option<Instant>,
-    doubt: Doubt,
+    cold_until: Option<Instant>,
+    uncertainty: Uncertainty,
 }
 
 impl ColdState {
     /// Applies the remaining cold time of a discovery record received at `now`. The record does not
     /// end the uncertainty, as it may be older than its cause.
-    pub fn told(&mut self, remaining: Duration, now: Instant) {
+    pub fn record_cold_time(&mut self, remaining: Duration, now: Instant) {
         if remaining.is_zero() {
-            self.told_until = None;
+            self.cold_until = None;
             return;
         }
-        self.told_until = now.checked_add(remaining);
+        self.cold_until = now.checked_add(remaining);
     }
 
     /// Records that a connection failed or broke; returns whether this is new.
-    pub fn disconnected(&mut self) -> bool {
-        std::mem::replace(&mut self.doubt, Doubt::Unanswered) != Doubt::Unanswered
+    pub fn record_disconnect(&mut self) -> bool {
+        std::mem::replace(&mut self.uncertainty, Uncertainty::Disconnected)
+            != Uncertainty::Disconnected
     }
 
     /// Records that the instance may have become cold at `now`, for at most `time`.
-    pub fn suspected(&mut self, now: Instant, time: Duration) {
+    pub fn mark_uncertain(&mut self, now: Instant, time: Duration) {
         let until = now + time;
-        self.doubt = match self.doubt {
-            Doubt::Unanswered => Doubt::Unanswered,
-            Doubt::Until(known) => Doubt::Until(known.max(until)),
-            Doubt::None => Doubt::Until(until),
+        self.uncertainty = match self.uncertainty {
+            Uncertainty::Disconnected => Uncertainty::Disconnected,
+            Uncertainty::Until(known) => Uncertainty::Until(known.max(until)),
+            Uncertainty::None => Uncertainty::Until(until),
         };
     }
 
     /// Records a response at `now`: the instance is running, and cold for at most `time` longer.
-    pub fn answered(&mut self, now: Instant, time: Duration) {
-        if self.doubt == Doubt::Unanswered {
-            self.doubt = Doubt::Until(now + time);
+    pub fn record_reconnect(&mut self, now: Instant, time: Duration) {
+        if self.uncertainty == Uncertainty::Disconnected {
+            self.uncertainty = Uncertainty::Until(now + time);
         }
     }
 
     /// Returns the status at `now`.
-    pub fn warmth(&self, now: Instant) -> Warmth {
+    pub fn cold_status(&self, now: Instant) -> ColdStatus {
         if !self.remaining(now).is_zero() {
-            return Warmth::Cold;
+            return ColdStatus::Cold;
         }
-        match self.doubt {
-            Doubt::Unanswered => Warmth::Doubtful,
-            Doubt::Until(until) if now < until => Warmth::Doubtful,
-            Doubt::Until(_) | Doubt::None => Warmth::Warm,
+        match self.uncertainty {
+            Uncertainty::Disconnected => ColdStatus::Uncertain,
+            Uncertainty::Until(until) if now < until => ColdStatus::Uncertain,
+            Uncertainty::Until(_) | Uncertainty::None => ColdStatus::Warm,
         }
     }
 
     /// Returns the remaining cold time by its record.
     pub fn remaining(&self, now: Instant) -> Duration {
-        self.told_until
+        self.cold_until
             .map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
 }
--- a/crates/front/src/backend/connection.rs
+++ b/crates/front/src/backend/connection.rs
@@ -14,10 +14,10 @@
 
 use crate::socket;
 
-const CONNECT_LIMIT: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Idle time after which a connection is closed if the instance sent no shorter one.
-const DEFAULT_REST: Duration = Duration::from_secs(4);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Reason why no connection could be made; nothing was sent.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -30,23 +30,25 @@
 type Sender = SendRequest<Full<Bytes>>;
 
 #[derive(Debug)]
-struct Resting {
+struct IdleConnection {
     sender: Sender,
-    until: Instant,
+    expires_at: Instant,
 }
 
 #[derive(Debug, Default)]
 struct Shared {
-    resting: Mutex<Vec<Resting>>,
+    idle: Mutex<Vec<IdleConnection>>,
     open: AtomicU32,
     /// Shortest connect time in microseconds; 0 before the first connection.
     round_trip_us: AtomicU32,
 }
 
 impl Shared {
-    fn note_round_trip(&self, taken: Duration) {
-        let taken = u32::try_from(taken.as_micros()).unwrap_or(u32::MAX).max(1);
-        let shorter = |known| (known == 0 || taken < known).then_some(taken);
+    fn record_round_trip(&self, elapsed_time: Duration) {
+        let elapsed_time = u32::try_from(elapsed_time.as_micros())
+            .unwrap_or(u32::MAX)
+            .max(1);
+        let shorter = |known| (known == 0 || elapsed_time < known).then_some(elapsed_time);
         // Fails if the stored time is already as short.
         let _ = self
             .round_trip_us
@@ -56,15 +58,15 @@
 
 /// Pool of connections to one address.
 #[derive(Debug)]
-pub struct Connections {
+pub struct ConnectionPool {
     address: SocketAddr,
     shared: Arc<Shared>,
 }
 
-/// A connection in use. [`Lease::give_back`] returns it to the pool after a complete response;
+/// A connection in use. [`PooledConnection::give_back`] returns it to the pool after a complete response;
 /// dropping it closes the connection.
 #[derive(Debug)]
-pub struct Lease {
+pub struct PooledConnection {
     /// Sends the request.
     pub sender: Sender,
     /// Whether the connection carried requests before.
@@ -72,7 +74,7 @@
     shared: Arc<Shared>,
 }
 
-impl Connections {
+impl ConnectionPool {
     /// Creates an empty pool.
     pub fn new(address: SocketAddr) -> Self {
         Self {
@@ -85,15 +87,15 @@
     ///
     /// # Errors
     /// Fails if no connection can be made in time.
-    pub async fn acquire(&self) -> Result<Lease, ConnectError> {
-        if let Some(sender) = self.take_resting() {
-            return Ok(self.lease(sender, true));
+    pub async fn acquire(&self) -> Result<PooledConnection, ConnectError> {
+        if let Some(sender) = self.pop_idle() {
+            return Ok(self.checked_out(sender, true));
         }
-        let connecting = tokio::time::timeout(CONNECT_LIMIT, self.connect());
+        let connecting = tokio::time::timeout(CONNECT_TIMEOUT, self.connect());
         let sender = connecting
             .await
             .map_err(|_| ConnectError::Failed("connect timed out".to_owned()))??;
-        Ok(self.lease(sender, false))
+        Ok(self.checked_out(sender, false))
     }
 
     /// Closes all idle connections.
@@ -107,32 +109,32 @@
         (micros > 0).then(|| f64::from(micros) / 1e3)
     }
 
-    fn lease(&self, sender: Sender, is_reused: bool) -> Lease {
-        Lease {
+    fn checked_out(&self, sender: Sender, is_reused: bool) -> PooledConnection {
+        PooledConnection {
             sender,
             is_reused,
             shared: Arc::clone(&self.shared),
         }
     }
 
-    fn take_resting(&self) -> Option<Sender> {
-        let mut resting = lock(&self.shared);
+    fn pop_idle(&self) -> Option<Sender> {
+        let mut idle = lock(&self.shared);
         let now = Instant::now();
-        resting.retain(|connection| connection.until > now && !connection.sender.is_closed());
-        let index = resting
+        idle.retain(|connection| connection.expires_at > now && !connection.sender.is_closed());
+        let index = idle
             .iter()
             .rposition(|connection| connection.sender.is_ready())?;
-        Some(resting.remove(index).sender)
+        Some(idle.remove(index).sender)
     }
 
     async fn connect(&self) -> Result<Sender, ConnectError> {
         let failed = |error: &dyn std::fmt::Display| ConnectError::Failed(error.to_string());
-        let begun = Instant::now();
+        let started = Instant::now();
         let stream = TcpStream::connect(self.address)
             .await
             .map_err(|e| failed(&e))?;
-        self.shared.note_round_trip(begun.elapsed());
-        socket::set_up(&stream);
+        self.shared.record_round_trip(started.elapsed());
+        socket::configure(&stream);
         let (sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
             .map_err(|e| failed(&e))?;
@@ -148,23 +150,23 @@
     }
 }
 
-impl Lease {
+impl PooledConnection {
     /// Returns the connection to the pool for `rest` or the default idle time.
-    pub fn give_back(self, rest: Option<Duration>) {
+    pub fn give_back(self, idle_timeout: Option<Duration>) {
         if self.sender.is_closed() {
             return;
         }
-        let until = Instant::now() + rest.unwrap_or(DEFAULT_REST);
-        lock(&self.shared).push(Resting {
+        let expires_at = Instant::now() + idle_timeout.unwrap_or(DEFAULT_IDLE_TIMEOUT);
+        lock(&self.shared).push(IdleConnection {
             sender: self.sender,
-            until,
+            expires_at,
         });
     }
 }
 
-fn lock(shared: &Shared) -> MutexGuard<'_, Vec<Resting>> {
+fn lock(shared: &Shared) -> MutexGuard<'_, Vec<IdleConnection>> {
     shared
-        .resting
+        .idle
         .lock()
         .unwrap_or_else(|poisoned| poisoned.into_inner())
 }
--- a/crates/front/src/backend/exchange.rs
+++ b/crates/front/src/backend/exchange.rs
@@ -13,16 +13,16 @@
 use ladderstage_clock::Instant;
 
 use super::cold::SendTicket;
-use super::connection::Lease;
+use super::connection::PooledConnection;
 use super::gate::HoldReason;
 use super::instance::{Instance, Load};
 use crate::dialect::HeaderNames;
 
 /// Maximum number of connections tried when idle ones turn out to be closed.
-const CONNECTIONS_TRIED: u32 = 4;
+const MAX_CONNECTION_ATTEMPTS: u32 = 4;
 
 /// Maximum size of a refusal's body that is read to reuse the connection, in bytes.
-const REFUSAL_BODY_LIMIT: usize = 16 * 1024;
+const MAX_REFUSAL_BODY_BYTES: usize = 16 * 1024;
 
 /// Head of a request to an instance.
 #[derive(Debug, Clone)]
@@ -72,7 +72,7 @@
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: Incoming,
-    lease: Lease,
+    pooled: PooledConnection,
 }
 
 impl Reply {
@@ -84,19 +84,19 @@
         self,
         limit: usize,
     ) -> Result<(StatusCode, HeaderMap, Bytes), ExchangeError> {
-        let rest = keep_alive(&self.headers);
+        let idle_timeout = keep_alive(&self.headers);
         let collected = Limited::new(self.body, limit).collect().await;
         let body = collected
             .map_err(|error| ExchangeError::Broken(format!("body: {error}")))?
             .to_bytes();
-        self.lease.give_back(rest);
+        self.pooled.give_back(idle_timeout);
         Ok((self.status, self.headers, body))
     }
 
     /// Separates the connection, which the caller returns to the pool after reading the complete
     /// body.
-    pub fn into_parts(self) -> (HeaderMap, Incoming, Lease) {
-        (self.headers, self.body, self.lease)
+    pub fn into_parts(self) -> (HeaderMap, Incoming, PooledConnection) {
+        (self.headers, self.body, self.pooled)
     }
 }
 
@@ -123,31 +123,31 @@
     attempt_id: &HeaderValue,
     answer_id: AnswerId,
 ) -> Result<Reply, ExchangeError> {
-    let (response, lease) = send_on_some_connection(instance, head, body, answer_id).await?;
+    let (response, pooled) = send_on_pooled_connection(instance, head, body, answer_id).await?;
     let (parts, body) = response.into_parts();
-    let found = parts.headers.get(&names.attempt_id);
-    let may_lack = answer_id == AnswerId::Optional && found.is_none();
-    if found != Some(attempt_id) && !may_lack {
+    let echoed_id = parts.headers.get(&names.attempt_id);
+    let may_be_missing = answer_id == AnswerId::Optional && echoed_id.is_none();
+    if echoed_id != Some(attempt_id) && !may_be_missing {
         return Err(ExchangeError::Broken(
             "response to another request".to_owned(),
         ));
     }
     let now = Instant::now();
-    instance.note_answer(now);
+    instance.record_response(now);
     if let Some(load) = read_load(&parts.headers, names) {
-        instance.note_load(load, now);
+        instance.record_load(load, now);
     }
     let reply = Reply {
         status: parts.status,
         headers: parts.headers,
         body,
-        lease,
+        pooled,
     };
-    refusal(instance, names, reply).await
+    check_refusal(instance, names, reply).await
 }
 
 /// Returns an error if the instance itself refused the request.
-async fn refusal(
+async fn check_refusal(
     instance: &Instance,
     names: &HeaderNames,
     reply: Reply,
@@ -157,11 +157,11 @@
         let at_address = reply.headers.get(&names.instance_id);
         let is_other_instance =
             at_address.is_some_and(|id| id.as_bytes() != instance.id().as_bytes());
-        let _ = reply.read_whole(REFUSAL_BODY_LIMIT).await;
+        let _ = reply.read_whole(MAX_REFUSAL_BODY_BYTES).await;
         return Err(ExchangeError::Misdirected { is_other_instance });
     }
     if reply.headers.contains_key(&names.not_executed) {
-        let _ = reply.read_whole(REFUSAL_BODY_LIMIT).await;
+        let _ = reply.read_whole(MAX_REFUSAL_BODY_BYTES).await;
         return Err(ExchangeError::NotRun(status));
     }
     Ok(reply)
@@ -169,43 +169,43 @@
 
 /// Checks all limits right before the first byte is sent. Calls to the instance's own endpoints,
 /// such as reports and orders, are not limited.
-fn take_ticket(
+fn acquire_ticket(
     instance: &Instance,
     head: &RequestHead,
     answer_id: AnswerId,
 ) -> Result<Option<SendTicket>, HoldReason> {
     instance.check_region(&head.allowed)?;
     match answer_id {
-        AnswerId::Required => instance.take_send(Instant::now()),
+        AnswerId::Required => instance.acquire_send(Instant::now()),
         AnswerId::Optional => Ok(None),
     }
 }
 
-async fn send_on_some_connection(
+async fn send_on_pooled_connection(
     instance: &Arc<Instance>,
     head: &RequestHead,
     body: &Bytes,
     answer_id: AnswerId,
-) -> Result<(http::Response<Incoming>, Lease), ExchangeError> {
-    for _ in 0..CONNECTIONS_TRIED {
+) -> Result<(http::Response<Incoming>, PooledConnection), ExchangeError> {
+    for _ in 0..MAX_CONNECTION_ATTEMPTS {
         let acquired = instance.connections().acquire().await;
-        let mut lease = acquired.map_err(|error| ExchangeError::NotSent(error.to_string()))?;
-        let ticket = match take_ticket(instance, head, answer_id) {
+        let mut pooled = acquired.map_err(|error| ExchangeError::NotSent(error.to_string()))?;
+        let ticket = match acquire_ticket(instance, head, answer_id) {
             Ok(ticket) => ticket,
             Err(reason) => {
                 // The connection is unused, so the next request may have it.
-                lease.give_back(None);
+                pooled.give_back(None);
                 return Err(ExchangeError::HeldBack(reason));
             }
         };
-        let request = build(head, body.clone());
-        match lease.sender.try_send_request(request).await {
-            Ok(response) => return Ok((response, lease)),
+        let request = build_request(head, body.clone());
+        match pooled.sender.try_send_request(request).await {
+            Ok(response) => return Ok((response, pooled)),
             Err(mut failed) => {
                 if failed.take_message().is_none() {
                     return Err(ExchangeError::Broken(failed.error().to_string()));
                 }
-                instance.give_back_send(ticket);
+                instance.release_send(ticket);
             }
         }
     }
@@ -214,7 +214,7 @@
     ))
 }
 
-fn build(head: &RequestHead, body: Bytes) -> Request<Full<Bytes>> {
+fn build_request(head: &RequestHead, body: Bytes) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(body));
     *request.method_mut() = head.method.clone();
     *request.uri_mut() = head.uri.clone();
@@ -263,7 +263,7 @@
 
 /// Copies all headers except hop-by-hop ones and those that `Connection` names.
 pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
-    let named: Vec<String> = headers
+    let connection_options: Vec<String> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
@@ -273,7 +273,11 @@
         .collect();
     let mut kept = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
-        if !is_hop_by_hop(name) && !named.iter().any(|other| other == name.as_str()) {
+        if !is_hop_by_hop(name)
+            && !connection_options
+                .iter()
+                .any(|other| other == name.as_str())
+        {
             kept.append(name, value.clone());
         }
     }
--- a/crates/front/src/backend/gate.rs
+++ b/crates/front/src/backend/gate.rs
@@ -9,7 +9,7 @@
 use ladderstage_clock::Instant;
 use tokio::sync::watch;
 
-use super::cold::{ColdLimits, PermitWants};
+use super::cold::{ColdLimits, PermitRequests};
 
 /// Reason why a ready instance gets no requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -51,7 +51,7 @@
 pub struct DrainedZones {
     zones: watch::Sender<Arc<BTreeSet<Arc<str>>>>,
     /// Whether the first update is still to come.
-    is_awaited: watch::Sender<bool>,
+    is_unknown: watch::Sender<bool>,
     /// End of each zone's last drain since this process started.
     ended: watch::Sender<Arc<BTreeMap<Arc<str>, Instant>>>,
 }
@@ -60,7 +60,7 @@
     fn default() -> Self {
         Self {
             zones: watch::Sender::new(Arc::default()),
-            is_awaited: watch::Sender::new(false),
+            is_unknown: watch::Sender::new(false),
             ended: watch::Sender::new(Arc::default()),
         }
     }
@@ -69,19 +69,19 @@
 impl DrainedZones {
     /// Treats every zone as possibly drained until the first update arrives.
     pub fn await_first(&self) {
-        self.is_awaited.send_replace(true);
+        self.is_unknown.send_replace(true);
     }
 
     /// Waits until the drained zones are known.
     pub async fn known(&self) {
-        let mut is_awaited = self.is_awaited.subscribe();
+        let mut is_unknown = self.is_unknown.subscribe();
         // The sender lives as long as `self`.
-        let _ = is_awaited.wait_for(|is_awaited| !is_awaited).await;
+        let _ = is_unknown.wait_for(|is_unknown| !is_unknown).await;
     }
 
     /// Returns whether the drained zones are known.
     pub fn is_known(&self) -> bool {
-        !*self.is_awaited.borrow()
+        !*self.is_unknown.borrow()
     }
 
     /// Checks whether the instances of a zone may get requests.
@@ -101,18 +101,18 @@
     /// Replaces the drained zones; returns whether they changed.
     pub fn set(&self, zones: BTreeSet<Arc<str>>) -> bool {
         // The ends come first, so that a zone that is no longer drained always has one.
-        self.note_ends(&zones);
-        self.is_awaited.send_if_modified(std::mem::take);
+        self.record_drain_ends(&zones);
+        self.is_unknown.send_if_modified(std::mem::take);
         self.zones.send_if_modified(|known| {
-            let is_news = **known != zones;
-            if is_news {
+            let is_changed = **known != zones;
+            if is_changed {
                 *known = Arc::new(zones);
             }
-            is_news
+            is_changed
         })
     }
 
-    fn note_ends(&self, zones: &BTreeSet<Arc<str>>) {
+    fn record_drain_ends(&self, zones: &BTreeSet<Arc<str>>) {
         let before = self.current();
         if before.is_subset(zones) {
             return;
@@ -154,7 +154,7 @@
     /// Request limits of cold instances.
     pub cold: ColdLimits,
     /// Cold instances for which this node needs permits.
-    pub wants: PermitWants,
+    pub wants: PermitRequests,
     /// Zones and regions of this node and the instances.
     pub locality: Locality,
 }
--- a/crates/front/src/backend/instance.rs
+++ b/crates/front/src/backend/instance.rs
@@ -12,24 +12,24 @@
 use tokio::sync::watch;
 
 use super::choice::Candidate;
-use super::cold::{ColdLimit, ColdState, SendShare, SendTicket, Warmth};
-use super::connection::Connections;
+use super::cold::{ColdLimit, ColdState, ColdStatus, SendBudget, SendTicket};
+use super::connection::ConnectionPool;
 use super::gate::{HoldReason, SendGates};
 
 /// Maximum age of a reported load.
-const LOAD_TRUST: Duration = Duration::from_millis(500);
+const LOAD_MAX_AGE: Duration = Duration::from_millis(500);
 
 /// Weight of a new measurement in the moving average of the unit time.
-const PACE_WEIGHT: f64 = 0.25;
+const UNIT_TIME_WEIGHT: f64 = 0.25;
 
 /// Maximum age of a measured unit time.
-const PACE_TRUST: Duration = Duration::from_secs(10);
+const UNIT_TIME_MAX_AGE: Duration = Duration::from_secs(10);
 
 /// Pause after the first failure; doubles with each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
+const INITIAL_PAUSE: Duration = Duration::from_millis(250);
 
 /// Maximum pause after failures.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+const MAX_PAUSE: Duration = Duration::from_secs(2);
 
 /// Pause for a model whose weights are being loaded, unless the instance reports them earlier.
 pub const LOADING_PAUSE: Duration = Duration::from_millis(150);
@@ -78,7 +78,7 @@
 
 impl Discovered {
     /// Compares two records without weights and without the exact remaining times.
-    pub fn is_same_without_weights(&self, other: &Self) -> bool {
+    pub fn equals_ignoring_weights(&self, other: &Self) -> bool {
         let Self {
             id,
             service,
@@ -118,17 +118,17 @@
 }
 
 #[derive(Debug)]
-struct Known {
+struct InstanceState {
     discovered: Discovered,
     /// Load from other nodes, which is the reported load less own requests, and when it was
     /// reported.
-    others: Option<(u32, Instant)>,
-    pace: Option<(f64, Instant)>,
+    other_load: Option<(u32, Instant)>,
+    unit_time: Option<(f64, Instant)>,
     failures: u32,
     paused_until: Option<Instant>,
     loading_until: BTreeMap<String, Instant>,
     cold: ColdState,
-    share: SendShare,
+    budget: SendBudget,
 }
 
 /// One incarnation of an instance: its state and its connections.
@@ -137,36 +137,36 @@
     id: String,
     started_unix_ms: u64,
     address: SocketAddr,
-    connections: Connections,
+    connections: ConnectionPool,
     in_flight: AtomicU32,
     gates: SendGates,
-    known: Mutex<Known>,
+    state: Mutex<InstanceState>,
     /// Whether a later incarnation is known.
     has_ended: watch::Sender<bool>,
 }
 
-impl Known {
+impl InstanceState {
     fn recent_pace_ms(&self, now: Instant) -> Option<f64> {
-        let (pace, at) = self.pace?;
-        (now.saturating_duration_since(at) < PACE_TRUST).then_some(pace)
+        let (unit_time, at) = self.unit_time?;
+        (now.saturating_duration_since(at) < UNIT_TIME_MAX_AGE).then_some(unit_time)
     }
 }
 
 /// Returns the reason to hold requests back from an instance whose limit is reached.
-fn hold_reason(warmth: Warmth) -> HoldReason {
-    match warmth {
-        Warmth::Warm => HoldReason::SendRate,
-        Warmth::Doubtful | Warmth::Cold => HoldReason::Cold,
+fn hold_reason(cold_status: ColdStatus) -> HoldReason {
+    match cold_status {
+        ColdStatus::Warm => HoldReason::SendRate,
+        ColdStatus::Uncertain | ColdStatus::Cold => HoldReason::Cold,
     }
 }
 
 /// Counts a request as in flight until dropped.
 #[derive(Debug)]
-pub struct RunGuard {
+pub struct InFlightGuard {
     instance: Arc<Instance>,
 }
 
-impl Drop for RunGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.instance.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
@@ -176,24 +176,24 @@
     /// Creates an instance from its discovery record.
     pub fn new(discovered: Discovered, gates: SendGates) -> Self {
         let mut cold = ColdState::default();
-        cold.told(Duration::from_millis(discovered.cold_ms), Instant::now());
+        cold.record_cold_time(Duration::from_millis(discovered.cold_ms), Instant::now());
         Self {
             id: discovered.id.clone(),
             started_unix_ms: discovered.started_unix_ms,
             address: discovered.address,
             has_ended: watch::Sender::new(false),
-            connections: Connections::new(discovered.address),
+            connections: ConnectionPool::new(discovered.address),
             in_flight: AtomicU32::new(0),
             gates,
-            known: Mutex::new(Known {
+            state: Mutex::new(InstanceState {
                 discovered,
-                others: None,
-                pace: None,
+                other_load: None,
+                unit_time: None,
                 failures: 0,
                 paused_until: None,
                 loading_until: BTreeMap::new(),
                 cold,
-                share: SendShare::default(),
+                budget: SendBudget::default(),
             }),
         }
     }
@@ -204,7 +204,7 @@
     }
 
     /// Returns the name of this incarnation, which is the same at all nodes.
-    pub fn start_name(&self) -> String {
+    pub fn incarnation_name(&self) -> String {
         format!("{}@{}", self.id, self.started_unix_ms)
     }
 
@@ -220,7 +220,7 @@
     }
 
     /// Records that a later incarnation is known, so that the runs here have ended.
-    pub fn note_ended(&self) {
+    pub fn mark_ended(&self) {
         self.connections.close_idle();
         self.has_ended.send_replace(true);
     }
@@ -243,22 +243,22 @@
     }
 
     /// Returns its connection pool.
-    pub fn connections(&self) -> &Connections {
+    pub fn connections(&self) -> &ConnectionPool {
         &self.connections
     }
 
     /// Returns the last discovery record with the remaining cold time as of now.
     pub fn discovered(&self) -> Discovered {
-        let known = self.lock();
-        let cold = known.cold.remaining(Instant::now());
+        let state = self.lock();
+        let cold = state.cold.remaining(Instant::now());
         Discovered {
             cold_ms: cold.as_millis() as u64,
-            ..known.discovered.clone()
+            ..state.discovered.clone()
         }
     }
 
     /// Returns whether it belongs to a service.
-    pub fn is_of(&self, service: &str) -> bool {
+    pub fn belongs_to(&self, service: &str) -> bool {
         self.lock().discovered.service == service
     }
 
@@ -279,44 +279,44 @@
 
     /// Applies a discovery record. Weight versions never decrease within an incarnation.
     pub fn update(&self, mut discovered: Discovered) {
-        let mut known = self.lock();
-        for (model, version) in &known.discovered.versions {
+        let mut state = self.lock();
+        for (model, version) in &state.discovered.versions {
             let newer = discovered.versions.entry(model.clone()).or_insert(0);
             *newer = (*newer).max(*version);
         }
         let (cold, now) = (Duration::from_millis(discovered.cold_ms), Instant::now());
-        if !cold.is_zero() && known.cold.remaining(now).is_zero() {
+        if !cold.is_zero() && state.cold.remaining(now).is_zero() {
             log::info!(
                 "event=instance_cold instance={} remaining_ms={}",
                 self.id,
                 cold.as_millis()
             );
         }
-        known.cold.told(cold, now);
-        known.discovered = discovered;
+        state.cold.record_cold_time(cold, now);
+        state.discovered = discovered;
     }
 
     /// Returns the last reported weight version of a model, 0 if none.
     pub fn version(&self, model: &str) -> u64 {
-        let known = self.lock();
-        known.discovered.versions.get(model).copied().unwrap_or(0)
+        let state = self.lock();
+        state.discovered.versions.get(model).copied().unwrap_or(0)
     }
 
     /// Records a weight version that the instance reported.
     pub fn note_version(&self, model: &str, version: u64) {
-        let mut known = self.lock();
-        let versions = &mut known.discovered.versions;
+        let mut state = self.lock();
+        let versions = &mut state.discovered.versions;
         let entry = versions.entry(model.to_owned()).or_insert(0);
         if version > *entry {
             *entry = version;
-            known.loading_until.remove(model);
+            state.loading_until.remove(model);
         }
     }
 
     /// Counts a request as in flight until the guard is dropped.
-    pub fn begin(self: &Arc<Self>) -> RunGuard {
+    pub fn begin(self: &Arc<Self>) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
-        RunGuard {
+        InFlightGuard {
             instance: Arc::clone(self),
         }
     }
@@ -327,64 +327,64 @@
     }
 
     /// Records the load that came with a response.
-    pub fn note_load(&self, load: Load, now: Instant) {
+    pub fn record_load(&self, load: Load, now: Instant) {
         let own = self.in_flight();
-        let others = (load.running + load.waiting).saturating_sub(own);
-        self.lock().others = Some((others, now));
+        let other_load = (load.running + load.waiting).saturating_sub(own);
+        self.lock().other_load = Some((other_load, now));
     }
 
     /// Records the time that one unit of work took, in milliseconds.
     pub fn note_pace(&self, pace_ms: f64, now: Instant) {
-        let mut known = self.lock();
-        let pace = match known.pace {
-            Some((pace, at)) if now.saturating_duration_since(at) < PACE_TRUST => {
-                pace + (pace_ms - pace) * PACE_WEIGHT
+        let mut state = self.lock();
+        let unit_time = match state.unit_time {
+            Some((unit_time, at)) if now.saturating_duration_since(at) < UNIT_TIME_MAX_AGE => {
+                unit_time + (pace_ms - unit_time) * UNIT_TIME_WEIGHT
             }
             _ => pace_ms,
         };
-        known.pace = Some((pace, now));
+        state.unit_time = Some((unit_time, now));
     }
 
     /// Records a complete response, which ends the pause after failures.
     pub fn note_success(&self) {
-        let mut known = self.lock();
-        known.failures = 0;
-        known.paused_until = None;
+        let mut state = self.lock();
+        state.failures = 0;
+        state.paused_until = None;
     }
 
     /// Records a missing or broken response and pauses the instance, for longer with each failure.
     pub fn note_failure(&self, now: Instant) {
-        let mut known = self.lock();
-        let factor = 1u32 << known.failures.min(8);
-        known.failures += 1;
-        let pause = (FIRST_PAUSE * factor).min(LONGEST_PAUSE);
-        known.paused_until = Some(now + pause);
+        let mut state = self.lock();
+        let factor = 1u32 << state.failures.min(8);
+        state.failures += 1;
+        let pause = (INITIAL_PAUSE * factor).min(MAX_PAUSE);
+        state.paused_until = Some(now + pause);
         // It may have restarted before discovery reports it.
-        let is_news = known.cold.disconnected();
-        if is_news && self.gates.cold.get(&known.discovered.service).is_some() {
+        let is_changed = state.cold.record_disconnect();
+        if is_changed && self.gates.cold.get(&state.discovered.service).is_some() {
             log::info!("event=instance_doubtful instance={}", self.id);
         }
     }
 
     /// Records that the instance responds, also after a failure.
-    pub fn note_answer(&self, now: Instant) {
-        let mut known = self.lock();
-        let limit = self.gates.cold.get(&known.discovered.service);
+    pub fn record_response(&self, now: Instant) {
+        let mut state = self.lock();
+        let limit = self.gates.cold.get(&state.discovered.service);
         let time = limit.map_or(Duration::ZERO, |limit| limit.time);
-        known.cold.answered(now, time);
+        state.cold.record_reconnect(now, time);
     }
 
     /// Records that it may have just become cold without reporting it.
-    pub fn suspect_cold(&self, now: Instant) {
-        let mut known = self.lock();
-        if let Some(limit) = self.gates.cold.get(&known.discovered.service) {
-            known.cold.suspected(now, limit.time);
+    pub fn mark_possibly_cold(&self, now: Instant) {
+        let mut state = self.lock();
+        if let Some(limit) = self.gates.cold.get(&state.discovered.service) {
+            state.cold.mark_uncertain(now, limit.time);
         }
     }
 
     /// Adds permits, valid until `until`, to send requests while it is cold.
     pub fn add_permits(&self, count: u32, until: Instant) {
-        self.lock().share.add_permits(count, until);
+        self.lock().budget.add_permits(count, until);
     }
 
     /// Marks a model as unavailable until `until`.
@@ -397,15 +397,15 @@
     /// # Errors
     /// Returns the reason if it may not.
     pub fn may_send(&self, now: Instant) -> Result<(), HoldReason> {
-        let mut known = self.lock();
-        let Some(limit) = self.send_limit(&known)? else {
+        let mut state = self.lock();
+        let Some(limit) = self.cold_limit(&state)? else {
             return Ok(());
         };
-        let warmth = self.warmth(&known, &limit, now);
-        if known.share.has_room(warmth, &limit, now) {
+        let cold_status = self.cold_status(&state, &limit, now);
+        if state.budget.has_capacity(cold_status, &limit, now) {
             Ok(())
         } else {
-            Err(hold_reason(warmth))
+            Err(hold_reason(cold_status))
         }
     }
 
@@ -414,15 +414,15 @@
     /// # Errors
     /// Returns the reason if requests must not be sent there.
     pub fn drain_gate(&self) -> Result<(), HoldReason> {
-        let known = self.lock();
-        self.gates.drained.may_send_to(&known.discovered.zone)
+        let state = self.lock();
+        self.gates.drained.may_send_to(&state.discovered.zone)
     }
 
     /// Reserves capacity for a request that is about to be sent.
     pub fn reserve_send(&self, now: Instant) {
-        let mut known = self.lock();
-        if let Ok(Some(_)) = self.send_limit(&known) {
-            known.share.reserve(now);
+        let mut state = self.lock();
+        if let Ok(Some(_)) = self.cold_limit(&state) {
+            state.budget.reserve(now);
         }
     }
 
@@ -431,39 +431,39 @@
     ///
     /// # Errors
     /// Returns the reason if no request may be sent.
-    pub fn take_send(&self, now: Instant) -> Result<Option<SendTicket>, HoldReason> {
-        let mut known = self.lock();
-        let Some(limit) = self.send_limit(&known)? else {
+    pub fn acquire_send(&self, now: Instant) -> Result<Option<SendTicket>, HoldReason> {
+        let mut state = self.lock();
+        let Some(limit) = self.cold_limit(&state)? else {
             return Ok(None);
         };
-        let warmth = self.warmth(&known, &limit, now);
-        let ticket = known.share.take(warmth, &limit, now);
-        ticket.map(Some).ok_or(hold_reason(warmth))
+        let cold_status = self.cold_status(&state, &limit, now);
+        let ticket = state.budget.acquire(cold_status, &limit, now);
+        ticket.map(Some).ok_or(hold_reason(cold_status))
     }
 
     /// Releases the right to send a request that was not sent.
-    pub fn give_back_send(&self, ticket: Option<SendTicket>) {
+    pub fn release_send(&self, ticket: Option<SendTicket>) {
         if let Some(ticket) = ticket {
-            self.lock().share.give_back(ticket);
+            self.lock().budget.release(ticket);
         }
     }
 
     /// Returns its cold status. It counts as uncertain for a while after a drain, as it may have
     /// become cold meanwhile and its record may be late.
-    fn warmth(&self, known: &Known, limit: &ColdLimit, now: Instant) -> Warmth {
-        let drain_ended = self.gates.drained.ended_at(&known.discovered.zone);
-        let is_just_back =
+    fn cold_status(&self, state: &InstanceState, limit: &ColdLimit, now: Instant) -> ColdStatus {
+        let drain_ended = self.gates.drained.ended_at(&state.discovered.zone);
+        let is_recently_undrained =
             drain_ended.is_some_and(|at| now.saturating_duration_since(at) < limit.time);
-        match known.cold.warmth(now) {
-            Warmth::Warm if is_just_back => Warmth::Doubtful,
-            warmth => warmth,
+        match state.cold.cold_status(now) {
+            ColdStatus::Warm if is_recently_undrained => ColdStatus::Uncertain,
+            cold_status => cold_status,
         }
     }
 
     /// Returns the limit for its requests, `None` if there is none.
-    fn send_limit(&self, known: &Known) -> Result<Option<ColdLimit>, HoldReason> {
-        self.gates.drained.may_send_to(&known.discovered.zone)?;
-        Ok(self.gates.cold.get(&known.discovered.service))
+    fn cold_limit(&self, state: &InstanceState) -> Result<Option<ColdLimit>, HoldReason> {
+        self.gates.drained.may_send_to(&state.discovered.zone)?;
+        Ok(self.gates.cold.get(&state.discovered.service))
     }
 
     /// Checks whether it is in an allowed region.
@@ -493,33 +493,33 @@
 
     /// Returns whether it accepts new work for `model` (empty for any) now.
     pub fn is_usable(&self, model: &str, now: Instant) -> bool {
-        let known = self.lock();
-        let is_loading = known
+        let state = self.lock();
+        let is_loading = state
             .loading_until
             .get(model)
             .is_some_and(|until| *until > now);
-        let is_paused = known.paused_until.is_some_and(|until| until > now);
-        known.discovered.is_ready && !is_loading && !is_paused
+        let is_paused = state.paused_until.is_some_and(|until| until > now);
+        state.discovered.is_ready && !is_loading && !is_paused
     }
 
     /// Returns the state that a choice is based on.
     pub fn candidate(&self, zone: &str, now: Instant) -> Candidate {
-        let known = self.lock();
-        let fresh = |at: Instant| now.saturating_duration_since(at) < LOAD_TRUST;
-        let others = known
-            .others
-            .filter(|(_, at)| fresh(*at))
+        let state = self.lock();
+        let is_fresh = |at: Instant| now.saturating_duration_since(at) < LOAD_MAX_AGE;
+        let other_load = state
+            .other_load
+            .filter(|(_, at)| is_fresh(*at))
             .map_or(0, |(load, _)| load);
         Candidate {
-            load: self.in_flight() + others,
-            slots: known.discovered.slots,
+            load: self.in_flight() + other_load,
+            slots: state.discovered.slots,
             distance: self
                 .gates
                 .locality
                 .regions
-                .between_zones(zone, &known.discovered.zone),
+                .between_zones(zone, &state.discovered.zone),
             round_trip_ms: self.connections.round_trip_ms(),
-            pace_ms: known.recent_pace_ms(now),
+            pace_ms: state.recent_pace_ms(now),
         }
     }
 
@@ -534,8 +534,8 @@
         self.lock().recent_pace_ms(Instant::now())
     }
 
-    fn lock(&self) -> MutexGuard<'_, Known> {
-        self.known
+    fn lock(&self) -> MutexGuard<'_, InstanceState> {
+        self.state
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
--- a/crates/front/src/backend/mod.rs
+++ b/crates/front/src/backend/mod.rs
@@ -12,13 +12,13 @@
 pub(crate) use choice::median;
 pub use choice::{Candidate, Demand, choose};
 pub use cold::{
-    ColdAllowance, ColdLimit, ColdLimits, ColdState, PERMIT_LIFETIME, PermitWants, SEND_WINDOW,
-    SendShare, SendTicket, WRITE_MARGIN, Warmth,
+    ColdAllowance, ColdLimit, ColdLimits, ColdState, ColdStatus, PERMIT_LIFETIME, PermitRequests,
+    SEND_WINDOW, SendBudget, SendTicket, WRITE_MARGIN,
 };
-pub use connection::{ConnectError, Connections, Lease};
+pub use connection::{ConnectError, ConnectionPool, PooledConnection};
 pub use counters::DiscoveryCounters;
 pub(crate) use exchange::keep_alive;
 pub use exchange::{AnswerId, ExchangeError, Reply, RequestHead, end_to_end, send};
 pub use gate::{DrainedZones, HoldReason, Locality, SendGates};
-pub use instance::{Discovered, Instance, LOADING_PAUSE, Load, RunGuard};
+pub use instance::{Discovered, InFlightGuard, Instance, LOADING_PAUSE, Load};
 pub use table::BackendTable;
--- a/crates/front/src/backend/table.rs
+++ b/crates/front/src/backend/table.rs
@@ -22,9 +22,9 @@
     /// Changes when an instance is added, removed or changed in anything but its weights.
     membership: watch::Sender<u64>,
     /// Whether any instance was ever added.
-    is_fed: watch::Sender<bool>,
+    is_populated: watch::Sender<bool>,
     /// Whether a request came before the first instance.
-    is_wanted: watch::Sender<bool>,
+    is_requested: watch::Sender<bool>,
     counters: DiscoveryCounters,
     gates: SendGates,
 }
@@ -37,8 +37,8 @@
             instances: Arc::default(),
             changed: watch::Sender::new(0),
             membership: watch::Sender::new(0),
-            is_fed: watch::Sender::new(false),
-            is_wanted: watch::Sender::new(false),
+            is_populated: watch::Sender::new(false),
+            is_requested: watch::Sender::new(false),
             counters: DiscoveryCounters::default(),
             gates: SendGates {
                 locality: Locality {
@@ -65,9 +65,9 @@
     pub fn set_drained(&self, zones: BTreeSet<Arc<str>>) {
         let drained = &self.gates.drained;
         let before = drained.current();
-        let is_news = !drained.is_known() || *before != zones;
+        let is_changed = !drained.is_known() || *before != zones;
         drained.set(zones);
-        if !is_news {
+        if !is_changed {
             return;
         }
         let now = drained.current();
@@ -79,16 +79,16 @@
 
     fn log_drains(&self, before: &BTreeSet<Arc<str>>, now: &BTreeSet<Arc<str>>) {
         for zone in now.difference(before) {
-            let instances = self.count_in(zone);
+            let instances = self.count_in_zone(zone);
             log::info!("event=zone_drain_began zone={zone} instances={instances}");
         }
         for zone in before.difference(now) {
-            let instances = self.count_in(zone);
+            let instances = self.count_in_zone(zone);
             log::info!("event=zone_drain_ended zone={zone} instances={instances}");
         }
     }
 
-    fn count_in(&self, zone: &str) -> usize {
+    fn count_in_zone(&self, zone: &str) -> usize {
         let instances = self.lock();
         let zones = instances
             .values()
@@ -142,8 +142,8 @@
             }
         }
         let regions = &self.gates.locality.regions;
-        let is_same =
-            known.is_some_and(|known| known.discovered().is_same_without_weights(&discovered));
+        let is_unchanged =
+            known.is_some_and(|known| known.discovered().equals_ignoring_weights(&discovered));
         match known {
             Some(known)
                 if known.address() == discovered.address
@@ -175,15 +175,15 @@
                 let id = discovered.id.clone();
                 let instance = Arc::new(Instance::new(discovered, self.gates.clone()));
                 if let Some(earlier) = instances.insert(id, instance) {
-                    earlier.note_ended();
+                    earlier.mark_ended();
                     self.counters.restarts.inc();
                 }
             }
         }
         drop(instances);
-        self.is_fed
-            .send_if_modified(|is_fed| !std::mem::replace(is_fed, true));
-        if !is_same {
+        self.is_populated
+            .send_if_modified(|is_populated| !std::mem::replace(is_populated, true));
+        if !is_unchanged {
             self.membership.send_modify(|count| *count += 1);
         }
         self.notify();
@@ -200,34 +200,34 @@
             });
             // The next discovery record shows whether it is cold.
             if let Some(started_again) = self.get(instance.id()) {
-                started_again.suspect_cold(Instant::now());
+                started_again.mark_possibly_cold(Instant::now());
             }
         }
     }
 
     /// Requests instances if none was ever added, and waits at most `longest` for the first one and
     /// for the drained zones.
-    pub async fn first_fed(&self, longest: Duration) {
+    pub async fn first_fed(&self, max_wait: Duration) {
         let drained = &self.gates.drained;
-        if *self.is_fed.borrow() && drained.is_known() {
+        if *self.is_populated.borrow() && drained.is_known() {
             return;
         }
-        self.is_wanted.send_replace(true);
-        let mut is_fed = self.is_fed.subscribe();
-        let first = async {
+        self.is_requested.send_replace(true);
+        let mut is_populated = self.is_populated.subscribe();
+        let first_update = async {
             // The sender lives as long as `self`.
-            let _ = is_fed.wait_for(|is_fed| *is_fed).await;
+            let _ = is_populated.wait_for(|is_populated| *is_populated).await;
             drained.known().await;
         };
         // After a timeout, the choice of an instance fails.
-        let _ = tokio::time::timeout(longest, first).await;
+        let _ = tokio::time::timeout(max_wait, first_update).await;
     }
 
     /// Waits until a request came before the first instance was known.
     pub async fn wanted(&self) {
-        let mut is_wanted = self.is_wanted.subscribe();
+        let mut is_requested = self.is_requested.subscribe();
         // The sender lives as long as `self`.
-        let _ = is_wanted.wait_for(|is_wanted| *is_wanted).await;
+        let _ = is_requested.wait_for(|is_requested| *is_requested).await;
     }
 
     /// Removes an instance; its requests in flight continue.
@@ -241,13 +241,13 @@
     }
 
     /// Removes all instances that `is_meant` accepts and whose ids are not in `kept`.
-    pub fn retain(&self, kept: &[String], is_meant: impl Fn(&Discovered) -> bool) {
+    pub fn retain(&self, kept: &[String], is_in_scope: impl Fn(&Discovered) -> bool) {
         let gone: Vec<String> = {
             let instances = self.lock();
             let instances = instances.values();
             instances
                 .filter(|instance| !kept.iter().any(|id| id == instance.id()))
-                .filter(|instance| is_meant(&instance.discovered()))
+                .filter(|instance| is_in_scope(&instance.discovered()))
                 .map(|instance| instance.id().to_owned())
                 .collect()
         };
@@ -289,7 +289,7 @@
         let instances = self.lock();
         let found = instances.values();
         found
-            .filter(|instance| instance.is_of(service))
+            .filter(|instance| instance.belongs_to(service))
             .cloned()
             .collect()
     }
@@ -314,13 +314,13 @@
         fits: impl Fn(&Instance) -> bool,
     ) -> Option<Arc<Instance>> {
         let now = Instant::now();
-        let (chosen, cold) = self.look(service, model, demand, now, fits);
+        let (chosen, cold) = self.select(service, model, demand, now, fits);
         match &chosen {
             Some(instance) => instance.reserve_send(now),
             None => {
                 // Permits for these cold instances would let the work start.
                 let idle = cold.iter().filter(|instance| instance.has_free_slot());
-                idle.for_each(|instance| self.gates.wants.note(instance.id(), service));
+                idle.for_each(|instance| self.gates.wants.add(instance.id(), service));
             }
         }
         chosen
@@ -337,12 +337,12 @@
         fits: impl Fn(&Instance) -> bool,
     ) -> Option<Arc<Instance>> {
         let fits = |instance: &Instance| instance.is_within(allowed) && fits(instance);
-        let (best, _) = self.look(service, model, demand, Instant::now(), fits);
+        let (best, _) = self.select(service, model, demand, Instant::now(), fits);
         best
     }
 
     /// Selects the best instance; also returns the cold ones that lack only a permit.
-    fn look(
+    fn select(
         &self,
         service: &str,
         model: &str,
@@ -352,7 +352,7 @@
     ) -> (Option<Arc<Instance>>, Vec<Arc<Instance>>) {
         let mut usable = self.of_service(service);
         usable.retain(|instance| instance.is_usable(model, now) && fits(instance));
-        let cold = self.pass_over_held(&mut usable, now);
+        let cold = self.remove_held(&mut usable, now);
         let candidates: Vec<Candidate> = usable
             .iter()
             .map(|instance| instance.candidate(&self.zone, now))
@@ -362,7 +362,7 @@
     }
 
     /// Removes the instances that may get no request now; returns those that lack only a permit.
-    fn pass_over_held(&self, usable: &mut Vec<Arc<Instance>>, now: Instant) -> Vec<Arc<Instance>> {
+    fn remove_held(&self, usable: &mut Vec<Arc<Instance>>, now: Instant) -> Vec<Arc<Instance>> {
         let mut cold = Vec::new();
         usable.retain(|instance| {
             let Err(reason) = instance.may_send(now) else {
@@ -379,13 +379,13 @@
     }
 
     /// Returns whether a cold instance of the service may soon get permits.
-    pub fn awaits_permits(&self, service: &str) -> bool {
-        let held_back = self.held_back(service);
-        held_back.contains_key(&HoldReason::Cold)
+    pub fn may_get_permits(&self, service: &str) -> bool {
+        let held_counts = self.held_counts(service);
+        held_counts.contains_key(&HoldReason::Cold)
     }
 
     /// Returns the number of ready instances of a service that are held back now, by reason.
-    pub fn held_back(&self, service: &str) -> BTreeMap<HoldReason, usize> {
+    pub fn held_counts(&self, service: &str) -> BTreeMap<HoldReason, usize> {
         let now = Instant::now();
         let mut counts = BTreeMap::new();
         let ready = self.of_service(service).into_iter();
--- a/crates/front/src/ingress/answers.rs
+++ b/crates/front/src/ingress/answers.rs
@@ -11,7 +11,7 @@
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 
 use super::state::RequestGuard;
-use crate::backend::{HoldReason, Lease, end_to_end, keep_alive};
+use crate::backend::{HoldReason, PooledConnection, end_to_end, keep_alive};
 use crate::live::{DRAINED_RETRY_AFTER, LiveAnswer, RETRY_AFTER, StreamRun};
 
 /// Error of an aborted body.
@@ -23,23 +23,23 @@
 /// Converts the result of a live request to a response.
 pub(super) fn to_response(answer: LiveAnswer) -> Response<AnswerBody> {
     match answer {
-        LiveAnswer::Whole {
+        LiveAnswer::Complete {
             status,
             headers,
             body,
         } => {
-            let mut response = whole(status, body);
+            let mut response = complete(status, body);
             *response.headers_mut() = headers;
             response
         }
         LiveAnswer::Stream { reply, run } => {
             let status = reply.status;
-            let (headers, body, lease) = reply.into_parts();
-            let rest = keep_alive(&headers);
+            let (headers, body, pooled) = reply.into_parts();
+            let idle_timeout = keep_alive(&headers);
             let body = StreamedBody {
                 body,
-                lease: Some(lease),
-                rest,
+                pooled: Some(pooled),
+                idle_timeout,
                 run: Some(run),
             };
             let mut response = Response::new(BodyExt::boxed(body));
@@ -48,9 +48,9 @@
             response
         }
         LiveAnswer::NotRun => not_run(),
-        LiveAnswer::HeldBack(held) => not_run_before(held.retry_after),
-        LiveAnswer::NoneMayServe(HoldReason::ZoneDrained) => not_run_before(DRAINED_RETRY_AFTER),
-        LiveAnswer::NoneMayServe(_) => not_run(),
+        LiveAnswer::HeldBack(held) => not_run_until(held.retry_after),
+        LiveAnswer::Drained(HoldReason::ZoneDrained) => not_run_until(DRAINED_RETRY_AFTER),
+        LiveAnswer::Drained(_) => not_run(),
         LiveAnswer::Failed(status) => empty(status),
     }
 }
@@ -58,8 +58,8 @@
 /// Body that passes on a stream. If its source fails, the client's connection is aborted.
 struct StreamedBody {
     body: Incoming,
-    lease: Option<Lease>,
-    rest: Option<Duration>,
+    pooled: Option<PooledConnection>,
+    idle_timeout: Option<Duration>,
     run: Option<Box<StreamRun>>,
 }
 
@@ -73,12 +73,12 @@
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let frame = std::task::ready!(Pin::new(&mut self.body).poll_frame(context));
         if frame.is_none() {
-            let rest = self.rest;
-            if let Some(lease) = self.lease.take() {
-                lease.give_back(rest);
+            let idle_timeout = self.idle_timeout;
+            if let Some(pooled) = self.pooled.take() {
+                pooled.give_back(idle_timeout);
             }
             if let Some(run) = &self.run {
-                run.note_whole();
+                run.record_complete();
             }
         }
         if let Some(Err(_)) = frame
@@ -100,7 +100,7 @@
 }
 
 /// Wraps a body so that the request counts as in progress until the body is read or dropped.
-pub(super) fn counted(body: AnswerBody, guard: RequestGuard) -> AnswerBody {
+pub(super) fn count_until_read(body: AnswerBody, guard: RequestGuard) -> AnswerBody {
     CountedBody {
         body,
         _guard: guard,
@@ -134,7 +134,7 @@
 }
 
 /// Builds a response with a complete body.
-pub(super) fn whole(status: StatusCode, body: Bytes) -> Response<AnswerBody> {
+pub(super) fn complete(status: StatusCode, body: Bytes) -> Response<AnswerBody> {
     let body = Full::new(body).map_err(|never| match never {}).boxed();
     let mut response = Response::new(body);
     *response.status_mut() = status;
@@ -143,7 +143,7 @@
 
 /// Builds a response with a JSON body.
 pub(super) fn json(body: Bytes) -> Response<AnswerBody> {
-    let mut response = whole(StatusCode::OK, body);
+    let mut response = complete(StatusCode::OK, body);
     let value = HeaderValue::from_static("application/json");
     response.headers_mut().insert(CONTENT_TYPE, value);
     response
@@ -151,11 +151,11 @@
 
 /// Builds a response without a body.
 pub(super) fn empty(status: StatusCode) -> Response<AnswerBody> {
-    whole(status, Bytes::new())
+    complete(status, Bytes::new())
 }
 
 /// Builds the response to a request without a valid API key.
-pub(super) fn no_key() -> Response<AnswerBody> {
+pub(super) fn unauthorized() -> Response<AnswerBody> {
     let mut response = empty(StatusCode::UNAUTHORIZED);
     let scheme = HeaderValue::from_static("Bearer");
     response.headers_mut().insert(WWW_AUTHENTICATE, scheme);
@@ -164,11 +164,11 @@
 
 /// Builds the response to a request that was not run, with the default retry delay.
 pub(super) fn not_run() -> Response<AnswerBody> {
-    not_run_before(RETRY_AFTER)
+    not_run_until(RETRY_AFTER)
 }
 
 /// The same with another retry delay.
-fn not_run_before(retry_after: Duration) -> Response<AnswerBody> {
+fn not_run_until(retry_after: Duration) -> Response<AnswerBody> {
     let mut response = empty(StatusCode::SERVICE_UNAVAILABLE);
     let seconds = format!("{:.1}", retry_after.as_secs_f64());
     if let Ok(value) = HeaderValue::from_str(&seconds) {
--- a/crates/front/src/ingress/caller.rs
+++ b/crates/front/src/ingress/caller.rs
@@ -15,7 +15,7 @@
     headers: &HeaderMap,
 ) -> Result<Caller, KeyRefusal> {
     if config.tenants.is_empty() {
-        return Ok(Caller::Unchecked);
+        return Ok(Caller::NoTenants);
     }
     let authorization = headers.get(AUTHORIZATION);
     let key = authorization.and_then(|value| bearer_key(value.as_bytes()));
--- a/crates/front/src/ingress/listeners.rs
+++ b/crates/front/src/ingress/listeners.rs
@@ -12,7 +12,7 @@
 use tokio::net::TcpListener;
 
 use super::ACCEPT_RETRY;
-use super::answers::whole;
+use super::answers::complete;
 use crate::metrics::Metrics;
 
 /// Serves the readiness check: 200 while `is_ready`, else 503.
@@ -21,7 +21,7 @@
     is_ready: impl Fn() -> bool + Send + Sync + 'static,
 ) {
     let is_ready = Arc::new(is_ready);
-    serve_small(listener, move |_| {
+    serve_text(listener, move |_| {
         if is_ready() {
             (StatusCode::OK, String::new())
         } else {
@@ -33,11 +33,11 @@
 
 /// Serves all metrics as text.
 pub async fn serve_metrics(listener: TcpListener, metrics: Arc<Metrics>) {
-    serve_small(listener, move |_| (StatusCode::OK, metrics.render())).await;
+    serve_text(listener, move |_| (StatusCode::OK, metrics.render())).await;
 }
 
 /// Responds to every request with the status and text that `answer` returns for its path.
-async fn serve_small(
+async fn serve_text(
     listener: TcpListener,
     answer: impl Fn(&str) -> (StatusCode, String) + Send + Sync + 'static,
 ) {
@@ -51,7 +51,7 @@
         tokio::spawn(async move {
             let service = service_fn(move |request: Request<Incoming>| {
                 let (status, text) = answer(request.uri().path());
-                async move { Ok::<_, Infallible>(whole(status, Bytes::from(text))) }
+                async move { Ok::<_, Infallible>(complete(status, Bytes::from(text))) }
             });
             let connection = http1::Builder::new()
                 .timer(TokioTimer::new())
--- a/crates/front/src/ingress/mod.rs
+++ b/crates/front/src/ingress/mod.rs
@@ -29,7 +29,9 @@
 use ladderstage_wire::messages::JobSpec;
 use tokio::net::{TcpListener, TcpStream};
 
-use self::answers::{AnswerBody, counted, empty, json, no_key, not_run, to_response, whole};
+use self::answers::{
+    AnswerBody, complete, count_until_read, empty, json, not_run, to_response, unauthorized,
+};
 use self::caller::caller;
 use self::state::RequestGuard;
 use crate::config::{ConfigInForce, Route, RouteKind, ServingConfig};
@@ -45,13 +47,13 @@
 const ACCEPT_RETRY: Duration = Duration::from_millis(50);
 
 /// Maximum time that a read of results waits for new ones.
-const LONGEST_WAIT: Duration = Duration::from_secs(1);
+const MAX_READ_WAIT: Duration = Duration::from_secs(1);
 
 /// Maximum time for reading the body of a refused request.
-const DISCARD_LIMIT: Duration = Duration::from_millis(1_400);
+const DISCARD_TIMEOUT: Duration = Duration::from_millis(1_400);
 
 /// Time since the last contact with the store in which a configuration counts as the newest.
-const CONTACT_TRUST: Duration = Duration::from_millis(2_500);
+const CONTACT_MAX_AGE: Duration = Duration::from_millis(2_500);
 
 /// State shared by all client connections.
 pub struct Ingress {
@@ -71,7 +73,7 @@
 }
 
 /// Response to a request, and what the log says about it.
-struct Answered {
+struct Outcome {
     /// Name of the route, `jobs` for job calls, or `-`.
     route: String,
     /// Name of the tenant.
@@ -106,7 +108,7 @@
 }
 
 async fn connection(stream: TcpStream, peer: SocketAddr, ingress: Arc<Ingress>) {
-    socket::set_up(&stream);
+    socket::configure(&stream);
     let limits = ingress
         .config
         .current()
@@ -150,8 +152,8 @@
             .headers()
             .get(&self.codec.headers().attempt_id)
             .cloned();
-        let mut answered = self.respond(request, received).await;
-        let response = &mut answered.response;
+        let mut outcome = self.respond(request, received).await;
+        let response = &mut outcome.response;
         if let Some(id) = attempt_id {
             let name = self.codec.headers().attempt_id.clone();
             response.headers_mut().entry(name).or_insert(id);
@@ -161,17 +163,17 @@
                 .headers_mut()
                 .insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        self.log(&answered, received);
-        answered.response.map(|body| counted(body, guard))
+        self.log(&outcome, received);
+        outcome.response.map(|body| count_until_read(body, guard))
     }
 
-    fn log(&self, answered: &Answered, received: Instant) {
-        let Answered {
+    fn log(&self, outcome: &Outcome, received: Instant) {
+        let Outcome {
             route,
             tenant,
             version,
             response,
-        } = answered;
+        } = outcome;
         let tenant = tenant.as_deref().unwrap_or("-");
         let id = response.headers().get(&self.codec.headers().attempt_id);
         let id = id.and_then(|id| id.to_str().ok()).unwrap_or("-");
@@ -197,61 +199,61 @@
             .observe(received.elapsed().as_secs_f64());
     }
 
-    async fn respond(&self, request: Request<Incoming>, received: Instant) -> Answered {
-        let mut answered = Answered {
+    async fn respond(&self, request: Request<Incoming>, received: Instant) -> Outcome {
+        let mut outcome = Outcome {
             route: "-".to_owned(),
             tenant: None,
             version: 0,
             response: not_run(),
         };
         let Some(config) = self.config.current() else {
-            return answered;
+            return outcome;
         };
-        answered.version = config.version;
+        outcome.version = config.version;
         let path = request.uri().path().to_owned();
         let Some(host) = host(&request) else {
-            answered.response = empty(StatusCode::BAD_REQUEST);
-            return answered;
+            outcome.response = empty(StatusCode::BAD_REQUEST);
+            return outcome;
         };
         let route = config.route(&host, &path);
         let call = self
             .codec
             .job_call(request.method(), &path, request.uri().query());
-        answered.route = match (route, &call) {
+        outcome.route = match (route, &call) {
             (Some(route), _) => route.name.clone(),
             (None, Some(_)) => "jobs".to_owned(),
             (None, None) => {
-                answered.response = self.no_route();
+                outcome.response = self.no_route();
                 discard(request.into_body(), config.limits.max_body_bytes).await;
-                return answered;
+                return outcome;
             }
         };
         let caller = match caller(&config, route, request.headers()) {
             Ok(caller) => caller,
             Err(refusal) => {
-                answered.response = self.refuse_key(&config, &request, refusal);
+                outcome.response = self.reject_key(&config, &request, refusal);
                 discard(request.into_body(), config.limits.max_body_bytes).await;
-                return answered;
+                return outcome;
             }
         };
-        answered.tenant = caller.tenant().map(|tenant| Arc::clone(&tenant.name));
-        answered.response = match (route, call) {
+        outcome.tenant = caller.tenant().map(|tenant| Arc::clone(&tenant.name));
+        outcome.response = match (route, call) {
             (Some(route), _) => {
-                let asked = self.route_request(route, caller, &host, request, received);
-                asked.await
+                let serving = self.serve_route(route, caller, &host, request, received);
+                serving.await
             }
             (None, Some(call)) => {
-                let wait = self.wait(request.headers());
-                self.job_call(call, &caller, wait).await
+                let read_wait = self.read_wait(request.headers());
+                self.job_call(call, &caller, read_wait).await
             }
             (None, None) => self.no_route(),
         };
-        answered
+        outcome
     }
 
     /// Responds with 401 only while the configuration in force is known to be the newest, as a
     /// newer one may contain the key.
-    fn refuse_key(
+    fn reject_key(
         &self,
         config: &ServingConfig,
         request: &Request<Incoming>,
@@ -267,10 +269,10 @@
         );
         let refused = &self.metrics.refused_keys;
         refused.with_label_values(&[refusal.label()]).inc();
-        if is_newest { no_key() } else { not_run() }
+        if is_newest { unauthorized() } else { not_run() }
     }
 
-    async fn route_request(
+    async fn serve_route(
         &self,
         route: &Route,
         caller: Caller,
@@ -298,7 +300,7 @@
         };
         if route.kind == RouteKind::Batch && parts.method == Method::POST {
             return self
-                .hand_in(&attempt_id, &caller, host, parts.uri.path(), &body)
+                .submit_job(&attempt_id, &caller, host, parts.uri.path(), &body)
                 .await;
         }
         let deadline = read_number(&parts.headers, &names.deadline_ms)
@@ -317,7 +319,7 @@
         to_response(answer)
     }
 
-    async fn hand_in(
+    async fn submit_job(
         &self,
         attempt_id: &HeaderValue,
         caller: &Caller,
@@ -355,13 +357,13 @@
         &self,
         call: JobCall,
         caller: &Caller,
-        wait: Duration,
+        read_wait: Duration,
     ) -> Response<AnswerBody> {
         let tenant = caller.tenant().map(|tenant| tenant.name.as_ref());
         let call = call.map_job(|id| job_key(tenant, &id));
         let (job, result) = match &call {
             JobCall::Read { job, after } => {
-                let read = self.jobs.read(job, *after, wait).await;
+                let read = self.jobs.read(job, *after, read_wait).await;
                 let answer = read.map(|results| {
                     log::info!(
                         "event=job_read job={job} after={after} results={} of={}",
@@ -376,7 +378,7 @@
                 let body = self.jobs.body(job, item).await;
                 (
                     job,
-                    body.map(|body| whole(StatusCode::OK, Bytes::from(body))),
+                    body.map(|body| complete(StatusCode::OK, Bytes::from(body))),
                 )
             }
             JobCall::End { job } => (
@@ -404,29 +406,29 @@
 
     fn has_newest_config(&self) -> bool {
         let contact = self.nodes.last_contact();
-        contact.is_some_and(|at| at.elapsed() < CONTACT_TRUST)
+        contact.is_some_and(|at| at.elapsed() < CONTACT_MAX_AGE)
     }
 
-    fn wait(&self, headers: &HeaderMap) -> Duration {
-        let asked = read_number(headers, &self.codec.headers().wait_ms).unwrap_or(0);
-        Duration::from_millis(asked).min(LONGEST_WAIT)
+    fn read_wait(&self, headers: &HeaderMap) -> Duration {
+        let requested = read_number(headers, &self.codec.headers().wait_ms).unwrap_or(0);
+        Duration::from_millis(requested).min(MAX_READ_WAIT)
     }
 }
 
 /// Reads the body of a refused request, as closing a connection with unread data resets it, which
 /// may lose the response.
-async fn discard(mut body: Incoming, most_bytes: usize) {
+async fn discard(mut body: Incoming, max_bytes: usize) {
     let reading = async {
         let mut bytes = 0;
         while let Some(Ok(frame)) = body.frame().await {
             bytes += frame.data_ref().map_or(0, Bytes::len);
-            if bytes > most_bytes {
+            if bytes > max_bytes {
                 return;
             }
         }
     };
     // A slow client is not waited for.
-    let _ = tokio::time::timeout(DISCARD_LIMIT, reading).await;
+    let _ = tokio::time::timeout(DISCARD_TIMEOUT, reading).await;
 }
 
 /// Returns the host of a request without its port.
--- a/crates/front/src/live.rs
+++ b/crates/front/src/live.rs
@@ -12,21 +12,21 @@
 use tokio::sync::watch;
 
 use crate::backend::{
-    AnswerId, BackendTable, Demand, ExchangeError, HoldReason, Instance, Reply, RequestHead,
-    RunGuard, end_to_end, send,
+    AnswerId, BackendTable, Demand, ExchangeError, HoldReason, InFlightGuard, Instance, Reply,
+    RequestHead, end_to_end, send,
 };
 use crate::config::{ConfigInForce, Route, RouteKind};
 use crate::dialect::SharedCodec;
 use crate::metrics::Metrics;
 use crate::suspects::{
     BrokenRun, ContentDigest, HeldBack, RequestContent, RunPermit, RunSubject, Suspects,
-    UntoldSuspect,
+    UnannouncedSuspect,
 };
 use crate::tenant::Caller;
 use crate::usage::UsageMeter;
 
 /// Maximum size of a response that is read completely before it is passed on, in bytes.
-const WHOLE_ANSWER_LIMIT: usize = 32 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 32 * 1024 * 1024;
 
 /// Retry delay sent to a client whose request was not run.
 pub const RETRY_AFTER: Duration = Duration::from_millis(200);
@@ -37,14 +37,14 @@
 
 /// Share of the target latency after which a second instance is tried, on routes that may run
 /// requests twice.
-const HEDGE_SHARE: f64 = 0.6;
+const HEDGE_DELAY_SHARE: f64 = 0.6;
 
 /// Maximum wait for the first instances at a node that has just started.
-const FIRST_INSTANCES_WAIT: Duration = Duration::from_millis(300);
+const FIRST_INSTANCE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Maximum wait for permits while all suitable instances are cold, which covers one call to the
 /// order leader.
-const PERMIT_WAIT: Duration = Duration::from_millis(150);
+const PERMIT_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Part of the client's remaining time that is reserved for the response's way back.
 const RETURN_MARGIN: Duration = Duration::from_millis(10);
@@ -93,7 +93,7 @@
 #[derive(Debug)]
 pub enum LiveAnswer {
     /// A complete response of an instance.
-    Whole {
+    Complete {
         status: StatusCode,
         /// Headers without hop-by-hop ones.
         headers: HeaderMap,
@@ -111,7 +111,7 @@
     /// The request has not run, as requests with its content have crashed instances.
     HeldBack(HeldBack),
     /// The request has not run, as drains leave no instance that may get it.
-    NoneMayServe(HoldReason),
+    Drained(HoldReason),
     /// The request failed and may have run.
     Failed(StatusCode),
 }
@@ -120,7 +120,7 @@
 #[derive(Debug)]
 pub struct StreamRun {
     /// Counts the request at its instance.
-    _guard: RunGuard,
+    _guard: InFlightGuard,
     _permit: RunPermit,
     instance: Arc<Instance>,
     id: HeaderValue,
@@ -132,7 +132,7 @@
 
 impl StreamRun {
     /// Records that the stream was passed on completely.
-    pub fn note_whole(&self) {
+    pub fn record_complete(&self) {
         self.suspects.note_borne(|| self.content);
     }
 
@@ -148,7 +148,7 @@
             began: self.began,
         };
         self.suspects.look(&run).await;
-        self.suspects.tell(self.content);
+        self.suspects.announce(self.content);
     }
 }
 
@@ -172,12 +172,12 @@
     result: Result<AttemptAnswer, ExchangeError>,
     started: Instant,
     /// Counts the attempt at the instance.
-    guard: RunGuard,
+    guard: InFlightGuard,
     permit: RunPermit,
 }
 
 enum AttemptAnswer {
-    Whole(StatusCode, HeaderMap, Bytes),
+    Complete(StatusCode, HeaderMap, Bytes),
     Stream(Reply),
 }
 
@@ -192,57 +192,63 @@
     /// Whether the request was counted for its tenant.
     is_counted: bool,
     /// Set if an instance may have crashed during an attempt.
-    untold: Option<UntoldSuspect>,
+    unannounced: Option<UnannouncedSuspect>,
 }
 
 impl LiveService {
     /// Serves a request on `route`. Dropping the future cancels it.
     pub async fn serve(&self, route: &Route, request: &LiveRequest) -> LiveAnswer {
-        let limit = self.limit(route, request);
+        let overall_deadline = self.overall_deadline(route, request);
         let mut progress = Progress::default();
-        let work = self.work(route, request, limit, &mut progress);
-        let ended = tokio::time::timeout_at(limit.into(), work).await;
-        ended.unwrap_or_else(|_| out_of_time(&progress))
+        let run_attempts = self.run_attempts(route, request, overall_deadline, &mut progress);
+        let ended = tokio::time::timeout_at(overall_deadline.into(), run_attempts).await;
+        ended.unwrap_or_else(|_| result_after_timeout(&progress))
     }
 
-    fn limit(&self, route: &Route, request: &LiveRequest) -> Instant {
+    fn overall_deadline(&self, route: &Route, request: &LiveRequest) -> Instant {
         let by_route = request.received + route.timeout;
         request
             .deadline
             .map_or(by_route, |deadline| deadline.min(by_route))
     }
 
-    async fn work(
+    async fn run_attempts(
         &self,
         route: &Route,
         request: &LiveRequest,
-        limit: Instant,
+        overall_deadline: Instant,
         progress: &mut Progress,
     ) -> LiveAnswer {
-        self.backends.first_fed(FIRST_INSTANCES_WAIT).await;
+        self.backends.first_fed(FIRST_INSTANCE_TIMEOUT).await;
         let service = route.pick_service(rand::random());
         let mut under_way = FuturesUnordered::new();
         let mut hedge_at = Instant::now();
         let mut table_changed = self.backends.watch();
-        let permit_wait_until = Instant::now() + PERMIT_WAIT;
+        let permit_wait_until = Instant::now() + PERMIT_TIMEOUT;
         loop {
             // The timer that ends this future stops while the machine is suspended.
-            if Instant::now() >= limit {
-                return out_of_time(progress);
+            if Instant::now() >= overall_deadline {
+                return result_after_timeout(progress);
             }
             let may_start = progress.possible_runs < route.max_attempts.max(1);
-            let is_due = under_way.is_empty() || Instant::now() >= hedge_at;
+            let is_attempt_due = under_way.is_empty() || Instant::now() >= hedge_at;
             let mut held = None;
             if may_start
-                && is_due
+                && is_attempt_due
                 && let Some(instance) = self.next_instance(route, request, service, progress)
             {
-                hedge_at = Instant::now() + route.target_latency.mul_f64(HEDGE_SHARE);
+                hedge_at = Instant::now() + route.target_latency.mul_f64(HEDGE_DELAY_SHARE);
                 match self.admit(route, request) {
                     Ok(permit) => {
                         progress.tried.push(instance.id().to_owned());
                         progress.possible_runs += 1;
-                        under_way.push(self.attempt(route, request, instance, permit, limit));
+                        under_way.push(self.attempt(
+                            route,
+                            request,
+                            instance,
+                            permit,
+                            overall_deadline,
+                        ));
                         continue;
                     }
                     Err(refusal) => held = Some(refusal),
@@ -257,14 +263,14 @@
                 {
                     continue;
                 }
-                let answer = give_up(progress, held);
-                return self.name_cause(route, service, request, progress, answer);
+                let answer = result_without_attempts(progress, held);
+                return self.classify_not_run(route, service, request, progress, answer);
             }
-            let may_hedge = route.kind == RouteKind::Safe && may_start && !is_due;
+            let may_hedge = route.kind == RouteKind::Safe && may_start && !is_attempt_due;
             tokio::select! {
                 ended = under_way.next() => {
                     if let Some(ended) = ended
-                        && let Some(answer) = self.take(route, request, ended, progress)
+                        && let Some(answer) = self.apply(route, request, ended, progress)
                     {
                         return answer;
                     }
@@ -282,7 +288,7 @@
         until: Instant,
         table_changed: &mut watch::Receiver<u64>,
     ) -> bool {
-        if Instant::now() >= until || !self.backends.awaits_permits(service) {
+        if Instant::now() >= until || !self.backends.may_get_permits(service) {
             return false;
         }
         let _ = tokio::time::timeout_at(until.into(), table_changed.changed()).await;
@@ -307,14 +313,14 @@
         let may_repeat = route.kind == RouteKind::Safe && progress.possible_runs > 0;
         chosen.or_else(|| {
             let tries = progress.tried.len() as u32;
-            let is_left = may_repeat && tries < route.max_attempts * 2;
-            is_left.then(|| self.backends.choose_again(service, &allowed))?
+            let may_retry = may_repeat && tries < route.max_attempts * 2;
+            may_retry.then(|| self.backends.choose_again(service, &allowed))?
         })
     }
 
     /// Logs why a request was not run, and replaces the result if drains are the cause, for a
     /// longer retry delay.
-    fn name_cause(
+    fn classify_not_run(
         &self,
         route: &Route,
         service: &str,
@@ -327,18 +333,23 @@
         };
         let allowed = self.allowed_regions(route, request);
         if !allowed.is_all() && !self.backends.has_any_within(service, &allowed) {
-            self.note_none_within(route, request, &allowed);
+            self.log_no_allowed_instance(route, request, &allowed);
             return answer;
         }
         if let Some(reason) = self.backends.drained_out(service) {
-            self.note_drained_out(route, request, service, reason);
-            return LiveAnswer::NoneMayServe(reason);
+            self.log_drained(route, request, service, reason);
+            return LiveAnswer::Drained(reason);
         }
         self.log_held_back(request, service, progress);
         answer
     }
 
-    fn note_none_within(&self, route: &Route, request: &LiveRequest, allowed: &AllowedRegions) {
+    fn log_no_allowed_instance(
+        &self,
+        route: &Route,
+        request: &LiveRequest,
+        allowed: &AllowedRegions,
+    ) {
         log::warn!(
             "event=request_not_run request={} route={} reason=no_instance_in_allowed_regions allowed={allowed}",
             request.id(),
@@ -348,13 +359,7 @@
         refused.with_label_values(&["live"]).inc();
     }
 
-    fn note_drained_out(
-        &self,
-        route: &Route,
-        request: &LiveRequest,
-        service: &str,
-        reason: HoldReason,
-    ) {
+    fn log_drained(&self, route: &Route, request: &LiveRequest, service: &str, reason: HoldReason) {
         log::info!(
             "event=request_held_back request={} route={} service={service} reason={reason}",
             request.id(),
@@ -365,9 +370,9 @@
 
     /// Logs why ready instances were held back from a request that was sent to none.
     fn log_held_back(&self, request: &LiveRequest, service: &str, progress: &Progress) {
-        let held_back = self.backends.held_back(service);
-        if progress.tried.is_empty() && !held_back.is_empty() {
-            let reasons = held_back
+        let held_counts = self.backends.held_counts(service);
+        if progress.tried.is_empty() && !held_counts.is_empty() {
+            let reasons = held_counts
                 .iter()
                 .map(|(reason, count)| format!("{reason}:{count}"));
             log::info!(
@@ -402,11 +407,11 @@
         request: &'a LiveRequest,
         instance: Arc<Instance>,
         permit: RunPermit,
-        limit: Instant,
+        overall_deadline: Instant,
     ) -> BoxFuture<'a, Attempt> {
         Box::pin(async move {
             let started = Instant::now();
-            let head = self.head(route, request, &instance, limit);
+            let head = self.build_head(route, request, &instance, overall_deadline);
             let guard = instance.begin();
             let result = tokio::select! {
                 result = self.exchange(route, request, &instance, &head) => result,
@@ -441,8 +446,8 @@
         if route.kind == RouteKind::Streaming {
             return Ok(AttemptAnswer::Stream(reply));
         }
-        let (status, headers, body) = reply.read_whole(WHOLE_ANSWER_LIMIT).await?;
-        Ok(AttemptAnswer::Whole(status, headers, body))
+        let (status, headers, body) = reply.read_whole(MAX_RESPONSE_BYTES).await?;
+        Ok(AttemptAnswer::Complete(status, headers, body))
     }
 
     /// Checks the instance of an attempt whose connection broke.
@@ -467,18 +472,18 @@
 
     /// Builds the head for the instance: the client's headers with the remaining time, the rank,
     /// the tenant and the instance id.
-    fn head(
+    fn build_head(
         &self,
         route: &Route,
         request: &LiveRequest,
         instance: &Instance,
-        limit: Instant,
+        overall_deadline: Instant,
     ) -> RequestHead {
         let names = self.codec.headers();
         let mut headers = end_to_end(&request.headers);
-        let left = limit.saturating_duration_since(Instant::now());
-        let left = left.saturating_sub(RETURN_MARGIN).as_millis().max(1) as u64;
-        headers.insert(names.deadline_ms.clone(), HeaderValue::from(left));
+        let remaining = overall_deadline.saturating_duration_since(Instant::now());
+        let remaining = remaining.saturating_sub(RETURN_MARGIN).as_millis().max(1) as u64;
+        headers.insert(names.deadline_ms.clone(), HeaderValue::from(remaining));
         let tenant = request.caller.tenant();
         headers.insert(
             names.request_priority.clone(),
@@ -497,7 +502,7 @@
     }
 
     /// Applies the result of an attempt; returns the client's result if it is final.
-    fn take(
+    fn apply(
         &self,
         route: &Route,
         request: &LiveRequest,
@@ -507,7 +512,7 @@
         self.log(route, request, &ended);
         let now = Instant::now();
         if ended.result.is_ok() && !std::mem::replace(&mut progress.is_counted, true) {
-            self.count(request, ended.started);
+            self.count_usage(request, ended.started);
         }
         match ended.result {
             Ok(AttemptAnswer::Stream(reply)) => {
@@ -525,21 +530,23 @@
                 let run = Box::new(run);
                 Some(LiveAnswer::Stream { reply, run })
             }
-            Ok(AttemptAnswer::Whole(status, headers, body)) => {
+            Ok(AttemptAnswer::Complete(status, headers, body)) => {
                 self.suspects.note_borne(|| request.content(route));
                 let is_signed = headers.contains_key(&self.codec.headers().response_stamp);
                 if status.is_success() && !is_signed {
                     ended.instance.note_failure(now);
-                    return self.after_broken(route);
+                    return self.result_after_failure(route);
                 }
                 if status.is_server_error() && route.kind == RouteKind::Safe {
                     progress.failure = Some((status, headers, body));
                     return None;
                 }
                 ended.instance.note_success();
-                let taken = now.saturating_duration_since(ended.started);
-                ended.instance.note_pace(taken.as_secs_f64() * 1e3, now);
-                Some(LiveAnswer::Whole {
+                let response_time = now.saturating_duration_since(ended.started);
+                ended
+                    .instance
+                    .note_pace(response_time.as_secs_f64() * 1e3, now);
+                Some(LiveAnswer::Complete {
                     status,
                     headers: end_to_end(&headers),
                     body,
@@ -559,22 +566,23 @@
             }
             Err(_) => {
                 ended.instance.note_failure(now);
-                let untold = || UntoldSuspect::new(&self.suspects, request.content(route));
-                progress.untold.get_or_insert_with(untold);
-                self.after_broken(route)
+                let unannounced =
+                    || UnannouncedSuspect::new(&self.suspects, request.content(route));
+                progress.unannounced.get_or_insert_with(unannounced);
+                self.result_after_failure(route)
             }
         }
     }
 
     /// Counts a request for its tenant from the start of its first successful attempt.
-    fn count(&self, request: &LiveRequest, started: Instant) {
+    fn count_usage(&self, request: &LiveRequest, started: Instant) {
         if let Some(tenant) = request.caller.tenant() {
             self.usage.note_begun(&tenant.name, started);
         }
     }
 
     /// Returns the failure unless the route allows to run a request twice.
-    fn after_broken(&self, route: &Route) -> Option<LiveAnswer> {
+    fn result_after_failure(&self, route: &Route) -> Option<LiveAnswer> {
         match route.kind {
             RouteKind::Safe => None,
             _ => Some(LiveAnswer::Failed(StatusCode::BAD_GATEWAY)),
@@ -583,7 +591,9 @@
 
     fn log(&self, route: &Route, request: &LiveRequest, ended: &Attempt) {
         let outcome = match &ended.result {
-            Ok(AttemptAnswer::Whole(status, ..)) => format!("answered status={}", status.as_u16()),
+            Ok(AttemptAnswer::Complete(status, ..)) => {
+                format!("answered status={}", status.as_u16())
+            }
             Ok(AttemptAnswer::Stream(reply)) => {
                 format!("streaming status={}", reply.status.as_u16())
             }
@@ -605,7 +615,7 @@
 }
 
 /// Returns the result after the deadline of the client or the route.
-fn out_of_time(progress: &Progress) -> LiveAnswer {
+fn result_after_timeout(progress: &Progress) -> LiveAnswer {
     if progress.possible_runs == 0 {
         LiveAnswer::NotRun
     } else {
@@ -614,9 +624,9 @@
 }
 
 /// Returns the result when no attempt is in progress and none may start.
-fn give_up(progress: &mut Progress, held: Option<HeldBack>) -> LiveAnswer {
+fn result_without_attempts(progress: &mut Progress, held: Option<HeldBack>) -> LiveAnswer {
     match progress.failure.take() {
-        Some((status, headers, body)) => LiveAnswer::Whole {
+        Some((status, headers, body)) => LiveAnswer::Complete {
             status,
             headers: end_to_end(&headers),
             body,
--- a/crates/front/src/region_findings.rs
+++ b/crates/front/src/region_findings.rs
@@ -12,7 +12,7 @@
 pub enum RegionFinding {
     /// A route names a region without zones.
     #[error("route {route}: no zone is in region {region}")]
-    UnknownOfRoute {
+    UnknownRouteRegion {
         /// Name of the route.
         route: String,
         /// Name of the region.
@@ -20,7 +20,7 @@
     },
     /// A tenant names a region without zones.
     #[error("tenant {tenant}: no zone is in region {region}")]
-    UnknownOfTenant {
+    UnknownTenantRegion {
         /// Name of the tenant.
         tenant: Arc<str>,
         /// Name of the region.
@@ -28,7 +28,7 @@
     },
     /// A tenant's requests on a route are allowed in no region.
     #[error("route {route} and tenant {tenant}: no region in common")]
-    NothingInCommon {
+    NoCommonRegion {
         /// Name of the route.
         route: String,
         /// Name of the tenant.
@@ -40,21 +40,21 @@
 pub fn region_findings(config: &ServingConfig, regions: &RegionMap) -> Vec<RegionFinding> {
     let mut findings = Vec::new();
     for route in &config.routes {
-        for region in unknown(&route.allowed_regions, regions) {
+        for region in unknown_regions(&route.allowed_regions, regions) {
             let route = route.name.clone();
-            findings.push(RegionFinding::UnknownOfRoute { route, region });
+            findings.push(RegionFinding::UnknownRouteRegion { route, region });
         }
     }
     for tenant in &config.tenants {
-        for region in unknown(&tenant.allowed_regions, regions) {
+        for region in unknown_regions(&tenant.allowed_regions, regions) {
             let tenant = Arc::clone(&tenant.name);
-            findings.push(RegionFinding::UnknownOfTenant { tenant, region });
+            findings.push(RegionFinding::UnknownTenantRegion { tenant, region });
         }
-        let bounded = config
+        let excluded_routes = config
             .routes
             .iter()
             .filter(|route| route.allowed_regions_for(Some(tenant)).is_nowhere());
-        findings.extend(bounded.map(|route| RegionFinding::NothingInCommon {
+        findings.extend(excluded_routes.map(|route| RegionFinding::NoCommonRegion {
             route: route.name.clone(),
             tenant: Arc::clone(&tenant.name),
         }));
@@ -62,7 +62,7 @@
     findings
 }
 
-fn unknown(allowed: &AllowedRegions, regions: &RegionMap) -> Vec<String> {
+fn unknown_regions(allowed: &AllowedRegions, regions: &RegionMap) -> Vec<String> {
     let names = allowed.names().filter(|name| !regions.has_region(name));
     names.map(str::to_owned).collect()
 }
--- a/crates/front/src/suspects/ledger.rs
+++ b/crates/front/src/suspects/ledger.rs
@@ -26,21 +26,21 @@
 pub const FIRST_HOLD: Duration = Duration::from_secs(600);
 
 /// Maximum time that a content is held back without a trial run.
-pub const LONGEST_HOLD: Duration = Duration::from_secs(3_600);
+pub const MAX_HOLD: Duration = Duration::from_secs(3_600);
 
 /// Time without a further crash after which a suspect that is not held back is removed.
-pub const SUSPICION: Duration = Duration::from_secs(600);
+pub const SUSPICION_LIFETIME: Duration = Duration::from_secs(600);
 
 /// Maximum number of suspects; the one with the oldest last crash is removed first. They take less
 /// than 1 MB.
-pub const MOST_CONTENTS: usize = 4_096;
+pub const MAX_SUSPECTS: usize = 4_096;
 
 /// Decision whether a run of a content may start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
     /// The content is not suspected.
     Free,
-    /// The content is suspected: it may run, and [`SuspectLedger::run_over`] must follow.
+    /// The content is suspected: it may run, and [`SuspectLedger::finish_run`] must follow.
     Watched,
     /// The content must not run now.
     Held {
@@ -52,62 +52,62 @@
 #[derive(Debug)]
 struct Suspect {
     /// Names of the incarnations that crashed during runs of it.
-    ends: BTreeSet<Arc<str>>,
-    last_end: Instant,
+    crashes: BTreeSet<Arc<str>>,
+    last_crash: Instant,
     /// Runs in progress at this node that started after the first crash.
-    under_way: usize,
+    running: usize,
     /// When each crash was detected here, to recognize other runs broken by the same crash.
-    noticed: HashMap<Arc<str>, Instant>,
+    detected_at: HashMap<Arc<str>, Instant>,
     /// Whether other nodes know of it.
-    is_told: bool,
+    is_shared: bool,
 }
 
 /// State of a content before it was cleared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cleared {
-    Unsuspected,
+    NotSuspected,
     /// Suspected at this node only.
-    Untold,
+    Local,
     /// Known to other nodes as suspected.
-    Told,
+    Shared,
 }
 
 impl Suspect {
     fn new(now: Instant) -> Self {
         Self {
-            ends: BTreeSet::new(),
-            last_end: now,
-            under_way: 0,
-            noticed: HashMap::new(),
-            is_told: false,
+            crashes: BTreeSet::new(),
+            last_crash: now,
+            running: 0,
+            detected_at: HashMap::new(),
+            is_shared: false,
         }
     }
 
     /// Returns how long it is held back after its last crash; `None` if it is not.
-    fn hold(&self, most_ends: usize) -> Option<Duration> {
-        let further = self.ends.len().checked_sub(most_ends)?;
+    fn hold(&self, max_crashes: usize) -> Option<Duration> {
+        let further = self.crashes.len().checked_sub(max_crashes)?;
         let doubled = FIRST_HOLD * (1 << further.min(8));
-        Some(doubled.min(LONGEST_HOLD))
+        Some(doubled.min(MAX_HOLD))
     }
 
     /// Returns whether the suspicion has expired without a hold.
-    fn is_forgotten(&self, most_ends: usize, now: Instant) -> bool {
-        self.hold(most_ends).is_none() && now >= self.last_end + SUSPICION
+    fn is_expired(&self, max_crashes: usize, now: Instant) -> bool {
+        self.hold(max_crashes).is_none() && now >= self.last_crash + SUSPICION_LIFETIME
     }
 
     /// Names a crash of `start` during a run that started at `began`; `None` if that crash is
     /// known. An instance that accepted a run after its known crash has restarted, even under the
     /// same name.
-    fn name_end(&self, start: &str, began: Instant) -> Option<Arc<str>> {
-        let mut name: Arc<str> = start.into();
+    fn name_crash(&self, incarnation: &str, began: Instant) -> Option<Arc<str>> {
+        let mut name: Arc<str> = incarnation.into();
         let mut further = 1;
-        while self.ends.contains(&name) {
-            let noticed = self.noticed.get(&name);
-            if noticed.is_none_or(|noticed| began <= *noticed) {
+        while self.crashes.contains(&name) {
+            let detected_at = self.detected_at.get(&name);
+            if detected_at.is_none_or(|detected_at| began <= *detected_at) {
                 return None;
             }
             further += 1;
-            name = format!("{start}#{further}").into();
+            name = format!("{incarnation}#{further}").into();
         }
         Some(name)
     }
@@ -141,26 +141,26 @@
     }
 
     /// Returns the number of known crashes of all suspects.
-    pub fn known_ends(&self) -> usize {
+    pub fn known_crashes(&self) -> usize {
         self.suspects
             .values()
-            .map(|suspect| suspect.ends.len())
+            .map(|suspect| suspect.crashes.len())
             .sum()
     }
 
     /// Decides whether a run of a content that is held back after `most_ends` crashes may start.
-    pub fn admit(&mut self, content: ContentDigest, most_ends: usize, now: Instant) -> Admission {
-        if let Some(retry_after) = self.holds(content, most_ends, now) {
+    pub fn admit(&mut self, content: ContentDigest, max_crashes: usize, now: Instant) -> Admission {
+        if let Some(retry_after) = self.holds(content, max_crashes, now) {
             return Admission::Held { retry_after };
         }
         let Some(suspect) = self.suspects.get_mut(&content) else {
             return Admission::Free;
         };
-        if suspect.is_forgotten(most_ends, now) {
+        if suspect.is_expired(max_crashes, now) {
             self.suspects.remove(&content);
             return Admission::Free;
         }
-        suspect.under_way += 1;
+        suspect.running += 1;
         Admission::Watched
     }
 
@@ -168,44 +168,44 @@
     pub fn holds(
         &self,
         content: ContentDigest,
-        most_ends: usize,
+        max_crashes: usize,
         now: Instant,
     ) -> Option<Duration> {
         let suspect = self.suspects.get(&content)?;
-        let runs_left = match suspect.hold(most_ends) {
-            Some(hold) if now < suspect.last_end + hold => {
-                return Some(suspect.last_end + hold - now);
+        let runs_left = match suspect.hold(max_crashes) {
+            Some(hold) if now < suspect.last_crash + hold => {
+                return Some(suspect.last_crash + hold - now);
             }
             // Only one trial run after the hold.
             Some(_) => 1,
-            None => most_ends - suspect.ends.len(),
+            None => max_crashes - suspect.crashes.len(),
         };
-        (suspect.under_way >= runs_left).then_some(self.busy_retry)
+        (suspect.running >= runs_left).then_some(self.busy_retry)
     }
 
     /// Records that a run admitted as [`Admission::Watched`] is over, whatever its result.
-    pub fn run_over(&mut self, content: ContentDigest) {
+    pub fn finish_run(&mut self, content: ContentDigest) {
         if let Some(suspect) = self.suspects.get_mut(&content) {
-            suspect.under_way = suspect.under_way.saturating_sub(1);
+            suspect.running = suspect.running.saturating_sub(1);
         }
     }
 
     /// Records a crash of the incarnation `start` during a run that started at `began`. Returns
     /// whether the crash is new.
-    pub fn note_end(
+    pub fn record_crash(
         &mut self,
         content: ContentDigest,
-        start: &str,
+        incarnation: &str,
         began: Instant,
         now: Instant,
     ) -> bool {
-        let suspect = self.entry(content, now);
-        let Some(name) = suspect.name_end(start, began) else {
+        let suspect = self.suspect_mut(content, now);
+        let Some(name) = suspect.name_crash(incarnation, began) else {
             return false;
         };
-        suspect.noticed.insert(Arc::clone(&name), now);
-        suspect.ends.insert(name);
-        suspect.last_end = now;
+        suspect.detected_at.insert(Arc::clone(&name), now);
+        suspect.crashes.insert(name);
+        suspect.last_crash = now;
         true
     }
 
@@ -213,59 +213,61 @@
     pub fn merge<'a>(
         &mut self,
         content: ContentDigest,
-        ends: impl IntoIterator<Item = &'a str>,
+        crashes: impl IntoIterator<Item = &'a str>,
         now: Instant,
     ) -> bool {
-        let suspect = self.entry(content, now);
-        let mut has_news = false;
-        for end in ends {
-            if !suspect.ends.contains(end) {
-                suspect.ends.insert(end.into());
-                suspect.last_end = now;
-                has_news = true;
+        let suspect = self.suspect_mut(content, now);
+        let mut is_changed = false;
+        for crash in crashes {
+            if !suspect.crashes.contains(crash) {
+                suspect.crashes.insert(crash.into());
+                suspect.last_crash = now;
+                is_changed = true;
             }
         }
-        suspect.is_told = true;
-        has_news
+        suspect.is_shared = true;
+        is_changed
     }
 
     /// Removes a content, as an instance completed a run of it.
     pub fn clear(&mut self, content: ContentDigest) -> Cleared {
         match self.suspects.remove(&content) {
-            None => Cleared::Unsuspected,
-            Some(suspect) if suspect.is_told => Cleared::Told,
-            Some(_) => Cleared::Untold,
+            None => Cleared::NotSuspected,
+            Some(suspect) if suspect.is_shared => Cleared::Shared,
+            Some(_) => Cleared::Local,
         }
     }
 
     /// Marks a content as known to other nodes; returns whether it is suspected.
-    pub fn note_told(&mut self, content: ContentDigest) -> bool {
+    pub fn mark_shared(&mut self, content: ContentDigest) -> bool {
         let suspect = self.suspects.get_mut(&content);
         suspect.is_some_and(|suspect| {
-            suspect.is_told = true;
+            suspect.is_shared = true;
             true
         })
     }
 
     /// Returns the names of the incarnations that crashed during runs of a content.
-    pub fn ends(&self, content: ContentDigest) -> Vec<Arc<str>> {
+    pub fn crashes(&self, content: ContentDigest) -> Vec<Arc<str>> {
         let suspect = self.suspects.get(&content);
-        suspect.map_or_else(Vec::new, |suspect| suspect.ends.iter().cloned().collect())
+        suspect.map_or_else(Vec::new, |suspect| {
+            suspect.crashes.iter().cloned().collect()
+        })
     }
 
-    fn entry(&mut self, content: ContentDigest, now: Instant) -> &mut Suspect {
-        if !self.suspects.contains_key(&content) && self.suspects.len() >= MOST_CONTENTS {
-            self.forget_oldest();
+    fn suspect_mut(&mut self, content: ContentDigest, now: Instant) -> &mut Suspect {
+        if !self.suspects.contains_key(&content) && self.suspects.len() >= MAX_SUSPECTS {
+            self.remove_oldest();
         }
         let suspects = &mut self.suspects;
         suspects.entry(content).or_insert_with(|| Suspect::new(now))
     }
 
-    fn forget_oldest(&mut self) {
+    fn remove_oldest(&mut self) {
         let oldest = self
             .suspects
             .iter()
-            .min_by_key(|(_, suspect)| suspect.last_end)
+            .min_by_key(|(_, suspect)| suspect.last_crash)
             .map(|(content, _)| *content);
         if let Some(oldest) = oldest {
             self.suspects.remove(&oldest);
--- a/crates/front/src/suspects/mod.rs
+++ b/crates/front/src/suspects/mod.rs
@@ -18,10 +18,10 @@
 
 pub use content::{ContentDigest, RequestContent};
 pub use ledger::{
-    Admission, Cleared, FIRST_HOLD, ITEM_MOST_ENDS, LIVE_MOST_ENDS, LONGEST_HOLD, MOST_CONTENTS,
-    SUSPICION, SuspectLedger,
+    Admission, Cleared, FIRST_HOLD, ITEM_MOST_ENDS, LIVE_MOST_ENDS, MAX_HOLD, MAX_SUSPECTS,
+    SUSPICION_LIFETIME, SuspectLedger,
 };
-pub use probe::{InstanceFate, probe};
+pub use probe::{InstanceStatus, probe};
 pub use record::SuspectRecord;
 pub use sharing::SuspectSharing;
 
@@ -47,7 +47,7 @@
 
 impl RunSubject<'_> {
     /// Returns the crashes after which its content is held back.
-    fn most_ends(&self) -> usize {
+    fn max_crashes(&self) -> usize {
         match self {
             Self::Request { .. } => LIVE_MOST_ENDS,
             Self::Item { .. } => ITEM_MOST_ENDS,
@@ -86,11 +86,11 @@
 }
 
 /// Maximum number of changed contents waiting to be shared; more are dropped with a log line.
-const MOST_UNSHARED: usize = 256;
+const MAX_UNSHARED: usize = 256;
 
 /// Crashes from which on an item is announced to all fronts; few items meet two crashes with other
 /// causes.
-const ITEM_TOLD_FROM: usize = 2;
+const ITEM_MIN_CRASHES_TO_ANNOUNCE: usize = 2;
 
 /// Retry delay of a request that is refused while runs of the same content are in progress, most of
 /// which have ended by then.
@@ -115,7 +115,7 @@
 impl Drop for RunPermit {
     fn drop(&mut self) {
         if let Some((suspects, content)) = self.watched.take() {
-            suspects.lock().run_over(content);
+            suspects.lock().finish_run(content);
         }
     }
 }
@@ -123,12 +123,12 @@
 /// A content that crashed an instance during an attempt still in progress. It is announced on drop
 /// unless cleared before.
 #[derive(Debug)]
-pub struct UntoldSuspect {
+pub struct UnannouncedSuspect {
     suspects: Suspects,
     content: ContentDigest,
 }
 
-impl UntoldSuspect {
+impl UnannouncedSuspect {
     /// Creates a guard that announces `content` through `suspects`.
     pub fn new(suspects: &Suspects, content: ContentDigest) -> Self {
         Self {
@@ -138,9 +138,9 @@
     }
 }
 
-impl Drop for UntoldSuspect {
+impl Drop for UnannouncedSuspect {
     fn drop(&mut self) {
-        self.suspects.tell(self.content);
+        self.suspects.announce(self.content);
     }
 }
 
@@ -161,7 +161,7 @@
 impl Suspects {
     /// Creates an empty set; the receiver gets the contents whose changes are to be shared.
     pub fn new(metrics: Arc<Metrics>) -> (Self, mpsc::Receiver<ContentDigest>) {
-        let (news, unshared) = mpsc::channel(MOST_UNSHARED);
+        let (news, unshared) = mpsc::channel(MAX_UNSHARED);
         let suspects = Self {
             ledger: Arc::new(Mutex::new(SuspectLedger::new(BUSY_RETRY))),
             count: Arc::default(),
@@ -185,7 +185,7 @@
         }
         let content = content();
         let admission =
-            self.update(|ledger| ledger.admit(content, subject.most_ends(), Instant::now()));
+            self.update(|ledger| ledger.admit(content, subject.max_crashes(), Instant::now()));
         match admission {
             Admission::Free => Ok(RunPermit::default()),
             Admission::Watched => Ok(RunPermit {
@@ -194,7 +194,7 @@
             Admission::Held { retry_after } => {
                 log::info!(
                     "event=run_held_back {subject} content={content} ends={:?} retry_after_ms={}",
-                    self.ends(content),
+                    self.crashes(content),
                     retry_after.as_millis()
                 );
                 let held = &self.metrics.held_back_runs;
@@ -217,50 +217,52 @@
         let content = content();
         let held = self
             .lock()
-            .holds(content, subject.most_ends(), Instant::now());
+            .holds(content, subject.max_crashes(), Instant::now());
         held.map(|retry_after| HeldBack { retry_after })
     }
 
     /// Checks the instance of a broken run, and suspects the run's content at this node if the
     /// instance crashed.
-    pub async fn look(&self, run: &BrokenRun<'_>) -> InstanceFate {
+    pub async fn look(&self, run: &BrokenRun<'_>) -> InstanceStatus {
         let run_ms = run.began.elapsed().as_millis();
-        let fate = if run.instance.has_ended() {
-            InstanceFate::Ended
+        let status = if run.instance.has_ended() {
+            InstanceStatus::Exited
         } else {
             probe(run.instance.address()).await
         };
         let content = run.content;
-        let start = run.instance.start_name();
-        if fate == InstanceFate::Ended {
-            self.update(|ledger| ledger.note_end(content, &start, run.began, Instant::now()));
+        let incarnation = run.instance.incarnation_name();
+        if status == InstanceStatus::Exited {
+            self.update(|ledger| {
+                ledger.record_crash(content, &incarnation, run.began, Instant::now())
+            });
         }
         log::warn!(
             "event=run_broken {} instance={} content={content} run_ms={run_ms} instance_now={} ends={:?}",
             run.subject,
             run.instance.id(),
-            fate.label(),
-            self.ends(content)
+            status.label(),
+            self.crashes(content)
         );
         let counter = &self.metrics.broken_runs;
-        counter.with_label_values(&[fate.label()]).inc();
-        fate
+        counter.with_label_values(&[status.label()]).inc();
+        status
     }
 
     /// Announces a content to all fronts if it is suspected. A crash makes every run on the
     /// instance a suspect, most of which are soon cleared, so announcing all of them would cost
     /// more than the crash: a live request is announced when its attempts have failed, an item
     /// after its second crash.
-    pub fn tell(&self, content: ContentDigest) {
-        if self.update(|ledger| ledger.note_told(content)) {
+    pub fn announce(&self, content: ContentDigest) {
+        if self.update(|ledger| ledger.mark_shared(content)) {
             self.share(content);
         }
     }
 
     /// Announces an item, which only its owner repeats, after its second crash.
     pub fn tell_of_item(&self, content: ContentDigest) {
-        if self.lock().ends(content).len() >= ITEM_TOLD_FROM {
-            self.tell(content);
+        if self.lock().crashes(content).len() >= ITEM_MIN_CRASHES_TO_ANNOUNCE {
+            self.announce(content);
         }
     }
 
@@ -272,43 +274,45 @@
         }
         let content = content();
         let cleared = self.update(|ledger| ledger.clear(content));
-        if cleared != Cleared::Unsuspected {
+        if cleared != Cleared::NotSuspected {
             log::info!("event=suspect_cleared content={content} by=own_run");
         }
-        if cleared == Cleared::Told {
+        if cleared == Cleared::Shared {
             self.share(content);
         }
     }
 
     /// Applies updates received from another front.
     pub fn take_news(&self, news: &SuspectNews) {
-        news.contents.iter().for_each(|told| self.take(told));
+        news.contents
+            .iter()
+            .for_each(|content_update| self.apply(content_update));
     }
 
-    fn take(&self, told: &SuspectedContent) {
-        let content = ContentDigest::from_bits(told.content);
-        if !told.ends.is_empty() {
-            self.take_ends(content, &told.ends);
-        } else if self.update(|ledger| ledger.clear(content)) != Cleared::Unsuspected {
+    fn apply(&self, content_update: &SuspectedContent) {
+        let content = ContentDigest::from_bits(content_update.content);
+        if !content_update.ends.is_empty() {
+            self.merge_crashes(content, &content_update.ends);
+        } else if self.update(|ledger| ledger.clear(content)) != Cleared::NotSuspected {
             log::info!("event=suspect_cleared content={content} by=news");
         }
     }
 
     /// Merges crashes that other nodes know of.
-    fn take_ends(&self, content: ContentDigest, ends: &[String]) {
+    fn merge_crashes(&self, content: ContentDigest, ends: &[String]) {
         let ends = ends.iter().map(String::as_str);
         if self.update(|ledger| ledger.merge(content, ends, Instant::now())) {
             log::info!(
                 "event=suspect_heard content={content} ends={:?}",
-                self.ends(content)
+                self.crashes(content)
             );
         }
     }
 
     /// Returns the names of the incarnations known to have crashed during runs of a content.
-    fn ends(&self, content: ContentDigest) -> Vec<String> {
-        let ends = self.lock().ends(content);
-        ends.iter().map(ToString::to_string).collect()
+    fn crashes(&self, content: ContentDigest) -> Vec<String> {
+        let crashes = self.lock().crashes(content);
+        crashes.iter().map(ToString::to_string).collect()
     }
 
     fn share(&self, content: ContentDigest) {
@@ -322,7 +326,7 @@
         let result = change(&mut ledger);
         self.count.store(ledger.len(), Ordering::Relaxed);
         self.metrics.suspected_contents.set(ledger.len() as i64);
-        self.metrics.suspect_ends.set(ledger.known_ends() as i64);
+        self.metrics.suspect_ends.set(ledger.known_crashes() as i64);
         result
     }
 
--- a/crates/front/src/suspects/record.rs
+++ b/crates/front/src/suspects/record.rs
@@ -9,7 +9,7 @@
 pub const PREFIX: &str = "ladderstage/suspect/";
 
 /// Maximum number of crashes in a record; as many already cause the longest hold.
-const MOST_NAMED_ENDS: usize = 64;
+const MAX_RECORDED_CRASHES: usize = 64;
 
 /// Record of one suspected content.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -40,13 +40,13 @@
 
     /// Adds crashes; returns whether any is new.
     pub fn add(&mut self, ends: impl IntoIterator<Item = String>) -> bool {
-        let mut has_news = false;
+        let mut is_changed = false;
         for end in ends {
-            if !self.ends.contains(&end) && self.ends.len() < MOST_NAMED_ENDS {
+            if !self.ends.contains(&end) && self.ends.len() < MAX_RECORDED_CRASHES {
                 self.ends.push(end);
-                has_news = true;
+                is_changed = true;
             }
         }
-        has_news
+        is_changed
     }
 }
--- a/crates/front/src/suspects/sharing.rs
+++ b/crates/front/src/suspects/sharing.rs
@@ -24,42 +24,42 @@
 
 /// Timeout of an update to a front. A front that is silent for longer reads the records once it is
 /// connected again.
-const TELL_TIMEOUT: Duration = Duration::from_millis(500);
+const UPDATE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Maximum age of the list of fronts when an update is sent, as one content changes several times a
 /// second.
-const FRONTS_AGE: Duration = Duration::from_secs(1);
+const FRONTS_MAX_AGE: Duration = Duration::from_secs(1);
 
 /// Timeout for reading that list, so that the update arrives before the client retries.
-const FRONTS_LIMIT: Duration = Duration::from_millis(300);
+const FRONTS_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Updates within this time share one message, as a crash affects all runs of an instance at once.
-const GATHER: Duration = Duration::from_millis(10);
+const BATCH_DELAY: Duration = Duration::from_millis(10);
 
 /// Maximum number of fronts notified concurrently, which lets a slow front reach some hundred
 /// others within a second.
-const TOLD_AT_ONCE: usize = 32;
+const MAX_CONCURRENT_UPDATES: usize = 32;
 
 /// Lease of a record, which ends when the content may be tried again.
-const RECORD_LEASE: Duration = super::ledger::FIRST_HOLD;
+const RECORD_LEASE_TIME: Duration = super::ledger::FIRST_HOLD;
 
 /// Maximum number of attempts to write a record while other nodes write it too.
-const WRITE_TRIES: u32 = 5;
+const MAX_WRITE_ATTEMPTS: u32 = 5;
 
 /// Interval between checks for lost contact, and between retries of failed writes.
-const LOOK_PAUSE: Duration = Duration::from_secs(1);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Time without a response of the store after which this node may have been frozen or partitioned
 /// and missed updates.
-const OUT_OF_TOUCH: Duration = Duration::from_millis(2_500);
+const CONTACT_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Delay of the second read after the start: by then all other nodes know of this one and notify
 /// it.
-const SECOND_READ: Duration = Duration::from_secs(5);
+const SECOND_READ_DELAY: Duration = Duration::from_secs(5);
 
 /// Required freshness of a read of the store.
 #[derive(Debug, Clone, Copy)]
-enum Reading {
+enum Freshness {
     /// May be seconds old and costs a tenth: nothing but updates before the start was missed.
     Stale,
     /// Updates may have been missed until just now.
@@ -78,51 +78,54 @@
 
 impl SuspectSharing {
     /// Shares until the future is dropped; `news` delivers the contents that changed here.
-    pub async fn run(self, news: mpsc::Receiver<ContentDigest>) {
-        let (told, kept) = mpsc::unbounded_channel();
-        tokio::join!(self.tell_all(news, told), self.keep_all(kept));
+    pub async fn run(self, updates: mpsc::Receiver<ContentDigest>) {
+        let (announced, to_store) = mpsc::unbounded_channel();
+        tokio::join!(
+            self.announce_all(updates, announced),
+            self.store_all(to_store)
+        );
     }
 
     /// Sends each change to all fronts. A silent front delays neither the others nor later changes.
-    async fn tell_all(
+    async fn announce_all(
         &self,
-        mut news: mpsc::Receiver<ContentDigest>,
-        told: mpsc::UnboundedSender<ContentDigest>,
+        mut updates: mpsc::Receiver<ContentDigest>,
+        announced: mpsc::UnboundedSender<ContentDigest>,
     ) {
-        let mut telling: FuturesUnordered<_> = FuturesUnordered::new();
+        let mut announcements: FuturesUnordered<_> = FuturesUnordered::new();
         loop {
             tokio::select! {
-                content = news.recv() => {
+                content = updates.recv() => {
                     let Some(content) = content else {
                         return;
                     };
-                    tokio::time::sleep(GATHER).await;
+                    tokio::time::sleep(BATCH_DELAY).await;
                     let mut contents = BTreeSet::from([content]);
-                    while let Ok(content) = news.try_recv() {
+                    while let Ok(content) = updates.try_recv() {
                         contents.insert(content);
                     }
                     for content in &contents {
                         // The receiver lives as long as this loop.
-                        let _ = told.send(*content);
+                        let _ = announced.send(*content);
                     }
-                    telling.push(self.tell(contents));
+                    announcements.push(self.announce(contents));
                 }
-                Some(()) = telling.next() => {}
+                Some(()) = announcements.next() => {}
             }
         }
     }
 
     /// Sends the crashes known for some contents to all other fronts.
-    async fn tell(&self, contents: BTreeSet<ContentDigest>) {
+    async fn announce(&self, contents: BTreeSet<ContentDigest>) {
         let known = contents.iter().map(|content| SuspectedContent {
             content: content.to_bits(),
-            ends: self.suspects.ends(*content),
+            ends: self.suspects.crashes(*content),
         });
         let kind = RequestKind::suspect_news(SuspectNews {
             contents: known.collect(),
         });
-        let (begun, mut told) = (Instant::now(), 0);
-        self.learn_fronts().await;
+        let (started_at, mut notified) = (Instant::now(), 0);
+        self.refresh_fronts().await;
         let own = self.nodes.own().node;
         let mut fronts = self.nodes.with_role(NodeRole::Front);
         fronts.retain(|front| front.node != own);
@@ -131,36 +134,39 @@
         let call = |node: String| {
             let request = Request { kind: kind.clone() };
             async move {
-                let told = self.nodes.call(&node, request, TELL_TIMEOUT).await;
-                told.inspect_err(|error| {
-                    log::info!("event=suspects_not_told front={node} cause=\"{error}\"");
-                })
-                .is_ok()
+                let notified = self.nodes.call(&node, request, UPDATE_TIMEOUT).await;
+                notified
+                    .inspect_err(|error| {
+                        log::info!("event=suspects_not_told front={node} cause=\"{error}\"");
+                    })
+                    .is_ok()
             }
         };
         let mut calls: FuturesUnordered<_> = FuturesUnordered::new();
         loop {
-            while calls.len() < TOLD_AT_ONCE
+            while calls.len() < MAX_CONCURRENT_UPDATES
                 && let Some(front) = others.next()
             {
                 calls.push(call(front.node));
             }
             match calls.next().await {
-                Some(was_told) => told += usize::from(was_told),
+                Some(was_notified) => notified += usize::from(was_notified),
                 None => break,
             }
         }
         log::info!(
-            "event=suspects_told contents={contents:?} fronts={told} of={count} elapsed_ms={}",
-            begun.elapsed().as_millis()
+            "event=suspects_told contents={contents:?} fronts={notified} of={count} elapsed_ms={}",
+            started_at.elapsed().as_millis()
         );
     }
 
     /// Refreshes the list of fronts, which may be 12 s old at an idle front. Without a response of
     /// the store the known fronts are used.
-    async fn learn_fronts(&self) {
-        let reading = self.nodes.refresh(self.coordination.as_ref(), FRONTS_AGE);
-        match tokio::time::timeout(FRONTS_LIMIT, reading).await {
+    async fn refresh_fronts(&self) {
+        let refresh = self
+            .nodes
+            .refresh(self.coordination.as_ref(), FRONTS_MAX_AGE);
+        match tokio::time::timeout(FRONTS_TIMEOUT, refresh).await {
             Ok(Ok(())) => {}
             Ok(Err(error)) => log::info!("event=fronts_not_read cause=\"{error}\""),
             Err(_) => log::info!("event=fronts_not_read cause=\"no answer in time\""),
@@ -169,19 +175,19 @@
 
     /// Writes all changes to the store, and reads its records when this node may have missed
     /// updates.
-    async fn keep_all(&self, mut news: mpsc::UnboundedReceiver<ContentDigest>) {
+    async fn store_all(&self, mut updates: mpsc::UnboundedReceiver<ContentDigest>) {
         let started = Instant::now();
         let mut unwritten = BTreeSet::new();
         let mut has_second_read = false;
-        let mut wanted = Some(Reading::Stale);
+        let mut pending_read = Some(Freshness::Stale);
         loop {
-            if let Some(reading) = wanted
-                && self.is_in_touch()
-                && self.read_all(reading).await.is_ok()
+            if let Some(freshness) = pending_read
+                && self.has_contact()
+                && self.read_all(freshness).await.is_ok()
             {
-                wanted = None;
+                pending_read = None;
             }
-            let received = tokio::time::timeout(LOOK_PAUSE, news.recv()).await;
+            let received = tokio::time::timeout(CHECK_INTERVAL, updates.recv()).await;
             match received {
                 Ok(Some(content)) => {
                     unwritten.insert(content);
@@ -190,35 +196,35 @@
                 Err(_) => {}
             }
             self.write_all(&mut unwritten).await;
-            if !has_second_read && started.elapsed() > SECOND_READ {
+            if !has_second_read && started.elapsed() > SECOND_READ_DELAY {
                 has_second_read = true;
-                wanted.get_or_insert(Reading::Stale);
+                pending_read.get_or_insert(Freshness::Stale);
             }
-            if !self.is_in_touch() {
-                wanted = Some(Reading::Newest);
+            if !self.has_contact() {
+                pending_read = Some(Freshness::Newest);
             }
         }
     }
 
     /// Returns whether the store responded recently. Reading it before would cost one call per
     /// second at each partitioned node.
-    fn is_in_touch(&self) -> bool {
+    fn has_contact(&self) -> bool {
         let contact = self.nodes.last_contact();
-        contact.is_none_or(|at| at.elapsed() < OUT_OF_TOUCH)
+        contact.is_none_or(|at| at.elapsed() < CONTACT_TIMEOUT)
     }
 
     /// Merges the records of the store.
-    async fn read_all(&self, reading: Reading) -> Result<(), CoordinationError> {
-        let listing = match reading {
-            Reading::Stale => self.coordination.list_stale(PREFIX).await,
-            Reading::Newest => self.coordination.list(PREFIX).await,
+    async fn read_all(&self, freshness: Freshness) -> Result<(), CoordinationError> {
+        let listing = match freshness {
+            Freshness::Stale => self.coordination.list_stale(PREFIX).await,
+            Freshness::Newest => self.coordination.list(PREFIX).await,
         };
         let records = listing
             .inspect_err(|error| log::warn!("event=suspects_not_read cause=\"{error}\""))?
             .records;
         let known = records.iter().filter_map(read_or_log);
         for (content, record) in known {
-            self.suspects.take_ends(content, &record.ends);
+            self.suspects.merge_crashes(content, &record.ends);
         }
         Ok(())
     }
@@ -240,23 +246,23 @@
     }
 
     async fn write(&self, content: ContentDigest) -> Result<(), CoordinationError> {
-        let ends = self.suspects.ends(content);
+        let ends = self.suspects.crashes(content);
         if ends.is_empty() {
-            return self.erase(content).await;
+            return self.delete_record(content).await;
         }
         let key = SuspectRecord::key(content);
         let mut found = self.coordination.get(&key).await?;
-        let lease = self.coordination.grant(RECORD_LEASE).await?;
-        for _ in 0..WRITE_TRIES {
+        let lease = self.coordination.grant(RECORD_LEASE_TIME).await?;
+        for _ in 0..MAX_WRITE_ATTEMPTS {
             let mut record = SuspectRecord {
                 ends: Vec::new(),
                 lease,
             };
             if let Some((_, known)) = found.as_ref().and_then(read_or_log) {
-                self.suspects.take_ends(content, &known.ends);
+                self.suspects.merge_crashes(content, &known.ends);
                 record.add(known.ends);
             }
-            record.add(self.suspects.ends(content));
+            record.add(self.suspects.crashes(content));
             let revision = found.as_ref().map_or(0, |record| record.revision);
             let value = serde_json::to_vec(&record).unwrap_or_default();
             match self
@@ -274,7 +280,7 @@
     }
 
     /// Deletes the record of a content that was cleared.
-    async fn erase(&self, content: ContentDigest) -> Result<(), CoordinationError> {
+    async fn delete_record(&self, content: ContentDigest) -> Result<(), CoordinationError> {
         let key = SuspectRecord::key(content);
         let found = self.coordination.get(&key).await?;
         match found.as_ref().and_then(read_or_log) {
--- a/crates/front/src/tenant.rs
+++ b/crates/front/src/tenant.rs
@@ -75,7 +75,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Caller {
     /// The configuration has no tenants.
-    Unchecked,
+    NoTenants,
     /// No tenant, on a route that needs no key.
     Anonymous,
     Tenant(Arc<Tenant>),
@@ -86,7 +86,7 @@
     pub fn tenant(&self) -> Option<&Arc<Tenant>> {
         match self {
             Self::Tenant(tenant) => Some(tenant),
-            Self::Unchecked | Self::Anonymous => None,
+            Self::NoTenants | Self::Anonymous => None,
         }
     }
 
@@ -94,7 +94,7 @@
     pub fn set_headers(&self, headers: &mut HeaderMap, tenant_header: &HeaderName) {
         headers.remove(tenant_header);
         match self {
-            Self::Unchecked => {}
+            Self::NoTenants => {}
             Self::Anonymous => {
                 headers.remove(AUTHORIZATION);
             }
--- a/crates/front/tests/cold_instances.rs
+++ b/crates/front/tests/cold_instances.rs
@@ -6,8 +6,8 @@
 
 use ladderstage_clock::Instant;
 use ladderstage_front::backend::{
-    BackendTable, ColdAllowance, ColdLimit, ColdState, Demand, Discovered, HoldReason,
-    PERMIT_LIFETIME, SEND_WINDOW, SendShare, WRITE_MARGIN, Warmth,
+    BackendTable, ColdAllowance, ColdLimit, ColdState, ColdStatus, Demand, Discovered, HoldReason,
+    PERMIT_LIFETIME, SEND_WINDOW, SendBudget, WRITE_MARGIN,
 };
 use ladderstage_front::config::{ColdSpec, ServiceSpec, ServingConfig};
 use ladderstage_front::orders::{PermitLedger, QUIET_TIME};
@@ -37,7 +37,7 @@
     Duration::from_millis(milliseconds)
 }
 
-fn word(id: &str, cold_ms: u64) -> Discovered {
+fn record(id: &str, cold_ms: u64) -> Discovered {
     Discovered {
         id: id.to_owned(),
         service: "service".to_owned(),
@@ -69,24 +69,28 @@
 #[test]
 fn permits_and_the_shares_of_two_nodes_without_permits_fit_into_the_bound() {
     let limit = limit();
-    assert!(limit.dealt > 0 && limit.unaware > 0);
-    assert!(limit.dealt + 2 * limit.unaware <= BOUND);
+    assert!(limit.dealt > 0 && limit.rate_without_permits > 0);
+    assert!(limit.dealt + 2 * limit.rate_without_permits <= BOUND);
 }
 
 #[test]
 fn an_instance_is_cold_for_the_time_in_its_record() {
     let now = Instant::now();
     let mut state = ColdState::default();
-    assert_eq!(state.warmth(now), Warmth::Warm);
-    state.told(ms(2_000), now);
-    assert_eq!(state.warmth(now + ms(1_999)), Warmth::Cold);
-    assert_eq!(state.warmth(now + ms(2_000)), Warmth::Warm);
-    state.told(ms(0), now + ms(500));
-    assert_eq!(state.warmth(now + ms(500)), Warmth::Warm, "a later record");
-    state.told(ms(3_000), now + ms(600));
+    assert_eq!(state.cold_status(now), ColdStatus::Warm);
+    state.record_cold_time(ms(2_000), now);
+    assert_eq!(state.cold_status(now + ms(1_999)), ColdStatus::Cold);
+    assert_eq!(state.cold_status(now + ms(2_000)), ColdStatus::Warm);
+    state.record_cold_time(ms(0), now + ms(500));
     assert_eq!(
-        state.warmth(now + ms(3_000)),
-        Warmth::Cold,
+        state.cold_status(now + ms(500)),
+        ColdStatus::Warm,
+        "a later record"
+    );
+    state.record_cold_time(ms(3_000), now + ms(600));
+    assert_eq!(
+        state.cold_status(now + ms(3_000)),
+        ColdStatus::Cold,
         "it may become cold again"
     );
 }
@@ -95,93 +99,93 @@
 fn after_a_failure_the_status_is_uncertain_until_the_cold_time_after_a_response() {
     let now = Instant::now();
     let mut state = ColdState::default();
-    state.disconnected();
-    assert_eq!(state.warmth(now + ms(60_000)), Warmth::Doubtful);
-    state.told(ms(0), now);
+    state.record_disconnect();
+    assert_eq!(state.cold_status(now + ms(60_000)), ColdStatus::Uncertain);
+    state.record_cold_time(ms(0), now);
     assert_eq!(
-        state.warmth(now),
-        Warmth::Doubtful,
+        state.cold_status(now),
+        ColdStatus::Uncertain,
         "the record may be older than the failure"
     );
-    state.answered(now + ms(1_000), COLD_TIME);
-    state.answered(now + ms(2_000), COLD_TIME);
-    assert_eq!(state.warmth(now + ms(3_999)), Warmth::Doubtful);
-    assert_eq!(state.warmth(now + ms(4_000)), Warmth::Warm);
-    state.disconnected();
-    state.told(ms(500), now + ms(5_000));
-    assert_eq!(state.warmth(now + ms(5_499)), Warmth::Cold);
+    state.record_reconnect(now + ms(1_000), COLD_TIME);
+    state.record_reconnect(now + ms(2_000), COLD_TIME);
+    assert_eq!(state.cold_status(now + ms(3_999)), ColdStatus::Uncertain);
+    assert_eq!(state.cold_status(now + ms(4_000)), ColdStatus::Warm);
+    state.record_disconnect();
+    state.record_cold_time(ms(500), now + ms(5_000));
+    assert_eq!(state.cold_status(now + ms(5_499)), ColdStatus::Cold);
     assert_eq!(
-        state.warmth(now + ms(5_500)),
-        Warmth::Doubtful,
+        state.cold_status(now + ms(5_500)),
+        ColdStatus::Uncertain,
         "the record may describe the incarnation before the failure"
     );
-    state.answered(now + ms(6_000), COLD_TIME);
-    assert_eq!(state.warmth(now + ms(8_999)), Warmth::Doubtful);
-    assert_eq!(state.warmth(now + ms(9_000)), Warmth::Warm);
+    state.record_reconnect(now + ms(6_000), COLD_TIME);
+    assert_eq!(state.cold_status(now + ms(8_999)), ColdStatus::Uncertain);
+    assert_eq!(state.cold_status(now + ms(9_000)), ColdStatus::Warm);
 }
 
 #[test]
 fn instances_are_uncertain_after_a_drain_of_their_zone() {
     let table = limited_table();
-    table.upsert(word("i-1", 0));
+    table.upsert(record("i-1", 0));
     let instance = table.get("i-1").unwrap();
     let now = Instant::now();
-    assert!(instance.take_send(now).is_ok());
+    assert!(instance.acquire_send(now).is_ok());
     let drained = &table.gates().drained;
     drained.set(BTreeSet::from(["a".into(), "b".into()]));
-    assert_eq!(instance.take_send(now), Err(HoldReason::ZoneDrained));
+    assert_eq!(instance.acquire_send(now), Err(HoldReason::ZoneDrained));
     drained.set(BTreeSet::from(["a".into()]));
-    assert_eq!(instance.take_send(now), Err(HoldReason::ZoneDrained));
+    assert_eq!(instance.acquire_send(now), Err(HoldReason::ZoneDrained));
     drained.set(BTreeSet::new());
-    assert_eq!(instance.take_send(now), Err(HoldReason::Cold));
-    let apart = now + SEND_WINDOW + WRITE_MARGIN + ms(1);
+    assert_eq!(instance.acquire_send(now), Err(HoldReason::Cold));
+    let after_window = now + SEND_WINDOW + WRITE_MARGIN + ms(1);
     assert!(
-        instance.take_send(apart).is_ok(),
+        instance.acquire_send(after_window).is_ok(),
         "one request shows whether it is running"
     );
-    assert_eq!(instance.take_send(apart), Err(HoldReason::Cold));
-    instance.add_permits(1, apart + PERMIT_LIFETIME);
-    assert!(instance.take_send(apart).is_ok(), "with a permit");
+    assert_eq!(instance.acquire_send(after_window), Err(HoldReason::Cold));
+    instance.add_permits(1, after_window + PERMIT_LIFETIME);
+    assert!(instance.acquire_send(after_window).is_ok(), "with a permit");
     let later = Instant::now() + COLD_TIME;
-    assert!(instance.take_send(later).is_ok());
-    assert!(instance.take_send(later).is_ok(), "it is warm again");
+    assert!(instance.acquire_send(later).is_ok());
+    assert!(instance.acquire_send(later).is_ok(), "it is warm again");
 }
 
 #[test]
 fn an_incarnation_that_an_instance_reported_itself_is_uncertain() {
     let table = limited_table();
-    let mut first = word("i-1", 0);
+    let mut first = record("i-1", 0);
     first.started_unix_ms = 100;
     table.upsert(first);
     let now = Instant::now();
     table.note_start(&table.get("i-1").unwrap(), 200);
-    let again = table.get("i-1").unwrap();
+    let restarted = table.get("i-1").unwrap();
     assert!(
-        again.take_send(now).is_ok(),
+        restarted.acquire_send(now).is_ok(),
         "one request shows whether it is running"
     );
-    assert_eq!(again.take_send(now), Err(HoldReason::Cold));
+    assert_eq!(restarted.acquire_send(now), Err(HoldReason::Cold));
 }
 
 #[test]
 fn a_cold_instance_gets_one_request_per_permit() {
     let table = limited_table();
-    table.upsert(word("i-1", 3_000));
+    table.upsert(record("i-1", 3_000));
     let instance = table.get("i-1").unwrap();
     let now = Instant::now();
-    assert_eq!(instance.take_send(now), Err(HoldReason::Cold));
+    assert_eq!(instance.acquire_send(now), Err(HoldReason::Cold));
     instance.add_permits(2, now + PERMIT_LIFETIME);
-    let ticket = instance.take_send(now).unwrap();
-    assert!(instance.take_send(now).is_ok());
-    assert_eq!(instance.take_send(now), Err(HoldReason::Cold));
-    instance.give_back_send(ticket);
+    let ticket = instance.acquire_send(now).unwrap();
+    assert!(instance.acquire_send(now).is_ok());
+    assert_eq!(instance.acquire_send(now), Err(HoldReason::Cold));
+    instance.release_send(ticket);
     assert!(
-        instance.take_send(now).is_ok(),
+        instance.acquire_send(now).is_ok(),
         "the permit of the unsent request"
     );
     instance.add_permits(1, now + PERMIT_LIFETIME);
     assert_eq!(
-        instance.take_send(now + PERMIT_LIFETIME),
+        instance.acquire_send(now + PERMIT_LIFETIME),
         Err(HoldReason::Cold),
         "expired permit"
     );
@@ -190,7 +194,7 @@
 #[test]
 fn a_choice_counts_earlier_reservations() {
     let table = limited_table();
-    table.upsert(word("i-1", 3_000));
+    table.upsert(record("i-1", 3_000));
     let choose = || table.choose("service", "", Demand::Batch, |_| true);
     assert!(choose().is_none());
     let wants = table.gates().wants.take_noted();
@@ -204,34 +208,42 @@
 #[test]
 fn requests_of_one_node_to_a_warm_instance_are_limited_per_second() {
     let table = limited_table();
-    table.upsert(word("i-1", 0));
+    table.upsert(record("i-1", 0));
     let instance = table.get("i-1").unwrap();
     let now = Instant::now();
-    for _ in 0..limit().unaware {
-        assert!(instance.take_send(now).is_ok());
+    for _ in 0..limit().rate_without_permits {
+        assert!(instance.acquire_send(now).is_ok());
     }
-    assert_eq!(instance.take_send(now), Err(HoldReason::SendRate));
+    assert_eq!(instance.acquire_send(now), Err(HoldReason::SendRate));
     let late_write = now + SEND_WINDOW + WRITE_MARGIN;
-    assert_eq!(instance.take_send(late_write), Err(HoldReason::SendRate));
-    assert!(instance.take_send(late_write + ms(1)).is_ok());
+    assert_eq!(instance.acquire_send(late_write), Err(HoldReason::SendRate));
+    assert!(instance.acquire_send(late_write + ms(1)).is_ok());
 }
 
 /// All nodes may have sent their shares without permits, and permits in the same window would
 /// exceed the bound.
 #[test]
 fn permits_are_unusable_within_a_window_of_requests_sent_while_considered_warm() {
-    let mut share = SendShare::default();
+    let mut budget = SendBudget::default();
     let now = Instant::now();
-    for _ in 0..limit().unaware {
-        assert!(share.take(Warmth::Warm, &limit(), now).is_some());
+    for _ in 0..limit().rate_without_permits {
+        assert!(budget.acquire(ColdStatus::Warm, &limit(), now).is_some());
     }
     let late_write = now + SEND_WINDOW + WRITE_MARGIN;
-    share.add_permits(2, late_write + ms(300));
-    assert!(share.take(Warmth::Cold, &limit(), now + ms(10)).is_none());
-    assert!(share.take(Warmth::Cold, &limit(), late_write).is_none());
+    budget.add_permits(2, late_write + ms(300));
+    assert!(
+        budget
+            .acquire(ColdStatus::Cold, &limit(), now + ms(10))
+            .is_none()
+    );
+    assert!(
+        budget
+            .acquire(ColdStatus::Cold, &limit(), late_write)
+            .is_none()
+    );
     assert!(
-        share
-            .take(Warmth::Cold, &limit(), late_write + ms(1))
+        budget
+            .acquire(ColdStatus::Cold, &limit(), late_write + ms(1))
             .is_some()
     );
 }
@@ -239,10 +251,10 @@
 #[test]
 fn without_a_limit_cold_instances_get_any_number_of_requests() {
     let table = BackendTable::new("a");
-    table.upsert(word("i-1", 3_000));
+    table.upsert(record("i-1", 3_000));
     let instance = table.get("i-1").unwrap();
     for _ in 0..100 {
-        assert_eq!(instance.take_send(Instant::now()), Ok(None));
+        assert_eq!(instance.acquire_send(Instant::now()), Ok(None));
     }
 }
 
@@ -251,16 +263,16 @@
     let table = limited_table();
     let services = || BTreeSet::from(["service".to_owned()]);
     let roster = |cold_ms| {
-        table.upsert(word("i-1", cold_ms));
+        table.upsert(record("i-1", cold_ms));
         Roster::of(&table, services(), 1, None)
     };
-    let (cold, less, warm) = (roster(3_000), roster(1_800), roster(0));
-    assert!(cold.is_same(&less) && !less.is_same(&warm));
+    let (cold, still_cold, warm) = (roster(3_000), roster(1_800), roster(0));
+    assert!(cold.is_same(&still_cold) && !still_cold.is_same(&warm));
     let reader = limited_table();
     cold.apply(&reader);
     let instance = reader.get("i-1").unwrap();
     assert_eq!(
-        instance.take_send(Instant::now()),
+        instance.acquire_send(Instant::now()),
         Err(HoldReason::Cold),
         "a reader of the roster knows the cold status"
     );
@@ -270,19 +282,19 @@
 #[derive(Debug, Clone)]
 enum Step {
     /// Time in milliseconds passes.
-    Pass(u64),
+    Elapse(u64),
     /// A node requests permits; the response takes this many milliseconds, or is lost.
-    Ask {
+    RequestPermits {
         node: usize,
         wanted: u32,
         answer_after: Option<u64>,
     },
     /// A node sends as many requests as it may, up to `most`.
-    Send { node: usize, most: u32 },
+    Send { node: usize, max_sent: u32 },
     /// A node restarts and loses its permits.
     Restart(usize),
     /// Another node becomes the order leader.
-    NextHolder,
+    ChangeLeader,
 }
 
 const NODES: usize = 4;
@@ -297,19 +309,19 @@
         1 => Just(None),
     ];
     prop_oneof![
-        6 => (0..120u64).prop_map(Step::Pass),
-        3 => (200..400u64).prop_map(Step::Pass),
-        3 => (500..1_700u64).prop_map(Step::Pass),
+        6 => (0..120u64).prop_map(Step::Elapse),
+        3 => (200..400u64).prop_map(Step::Elapse),
+        3 => (500..1_700u64).prop_map(Step::Elapse),
         8 => (node.clone(), 4..30u32, answer_after)
-            .prop_map(|(node, wanted, answer_after)| Step::Ask { node, wanted, answer_after }),
-        8 => (node.clone(), 4..30u32).prop_map(|(node, most)| Step::Send { node, most }),
+            .prop_map(|(node, wanted, answer_after)| Step::RequestPermits { node, wanted, answer_after }),
+        8 => (node.clone(), 4..30u32).prop_map(|(node, max_sent)| Step::Send { node, max_sent }),
         1 => node.prop_map(Step::Restart),
-        1 => Just(Step::NextHolder),
+        1 => Just(Step::ChangeLeader),
     ]
 }
 
 /// Returns the maximum number of requests in any second.
-fn most_in_a_second(sent: &[Instant]) -> usize {
+fn max_in_a_second(sent: &[Instant]) -> usize {
     let counts = sent.iter().enumerate().map(|(index, first)| {
         let within = |at: &&Instant| at.saturating_duration_since(*first) <= SEND_WINDOW;
         sent[index..].iter().take_while(within).count()
@@ -320,15 +332,15 @@
 #[test]
 fn permits_that_may_be_used_late_delay_further_permits() {
     let limit = limit();
-    let held_from = Instant::now();
-    let mut ledger = PermitLedger::new(held_from);
-    let first = held_from + QUIET_TIME;
+    let held_since = Instant::now();
+    let mut ledger = PermitLedger::new(held_since);
+    let first = held_since + QUIET_TIME;
     assert_eq!(ledger.deal("i-1", 100, limit.dealt, first), limit.dealt);
     let used_late = first + PERMIT_LIFETIME - ms(1);
     let within_a_second = used_late + SEND_WINDOW;
     assert_eq!(ledger.deal("i-1", 100, limit.dealt, within_a_second), 0);
-    let another = ledger.deal("i-2", 100, limit.dealt, within_a_second);
-    assert_eq!(another, limit.dealt, "limits are per instance");
+    let other_instance = ledger.deal("i-2", 100, limit.dealt, within_a_second);
+    assert_eq!(other_instance, limit.dealt, "limits are per instance");
     let later = first + QUIET_TIME + ms(1);
     assert_eq!(ledger.deal("i-1", 100, limit.dealt, later), limit.dealt);
 }
@@ -342,68 +354,68 @@
         let mut now = Instant::now();
         let mut ledger = PermitLedger::new(now);
         now += QUIET_TIME;
-        let mut shares = vec![SendShare::default(); NODES];
-        let mut on_the_way = Vec::new();
+        let mut budgets = vec![SendBudget::default(); NODES];
+        let mut in_transit = Vec::new();
         let mut sent = Vec::new();
         for step in steps {
             match step {
-                Step::Pass(time) => now += ms(time),
-                Step::Ask { node, wanted, answer_after } => {
+                Step::Elapse(time) => now += ms(time),
+                Step::RequestPermits { node, wanted, answer_after } => {
                     let count = ledger.deal("i-1", wanted, limit.dealt, now);
                     if let Some(after) = answer_after {
-                        on_the_way.push((now + ms(after), node, count, now + PERMIT_LIFETIME));
+                        in_transit.push((now + ms(after), node, count, now + PERMIT_LIFETIME));
                     }
                 }
-                Step::Send { node, most } => {
-                    for _ in 0..most {
-                        if shares[node].take(Warmth::Cold, &limit, now).is_some() {
+                Step::Send { node, max_sent } => {
+                    for _ in 0..max_sent {
+                        if budgets[node].acquire(ColdStatus::Cold, &limit, now).is_some() {
                             sent.push(now);
                         }
                     }
                 }
                 Step::Restart(node) => {
-                    shares[node] = SendShare::default();
-                    on_the_way.retain(|(_, asker, ..)| *asker != node);
+                    budgets[node] = SendBudget::default();
+                    in_transit.retain(|(_, requester, ..)| *requester != node);
                 }
-                Step::NextHolder => ledger = PermitLedger::new(now),
+                Step::ChangeLeader => ledger = PermitLedger::new(now),
             }
-            on_the_way.retain(|(at, node, count, until)| {
+            in_transit.retain(|(at, node, count, until)| {
                 if *at <= now {
-                    shares[*node].add_permits(*count, *until);
+                    budgets[*node].add_permits(*count, *until);
                 }
                 *at > now
             });
         }
-        prop_assert!(most_in_a_second(&sent) <= limit.dealt as usize);
+        prop_assert!(max_in_a_second(&sent) <= limit.dealt as usize);
     }
 
     /// Without permits one node sends at most its own share in any second, and one request to an
     /// instance in uncertain state. Requests that were not sent do not count.
     #[test]
     fn one_node_sends_its_own_share_without_permits(
-        is_doubtful in any::<bool>(),
+        is_uncertain in any::<bool>(),
         steps in prop::collection::vec((0..400u64, any::<bool>(), any::<bool>()), 1..200),
     ) {
         let limit = limit();
-        let (warmth, most) = if is_doubtful {
-            (Warmth::Doubtful, 1)
+        let (cold_status, max_sent) = if is_uncertain {
+            (ColdStatus::Uncertain, 1)
         } else {
-            (Warmth::Warm, limit.unaware as usize)
+            (ColdStatus::Warm, limit.rate_without_permits as usize)
         };
-        let mut share = SendShare::default();
+        let mut budget = SendBudget::default();
         let mut now = Instant::now();
         let mut sent = Vec::new();
-        for (pause, is_chosen_first, has_left) in steps {
+        for (pause, is_chosen_first, is_sent) in steps {
             now += ms(pause);
-            if is_chosen_first && share.has_room(warmth, &limit, now) {
-                share.reserve(now);
+            if is_chosen_first && budget.has_capacity(cold_status, &limit, now) {
+                budget.reserve(now);
             }
-            match share.take(warmth, &limit, now) {
-                Some(_) if has_left => sent.push(now),
-                Some(ticket) => share.give_back(ticket),
+            match budget.acquire(cold_status, &limit, now) {
+                Some(_) if is_sent => sent.push(now),
+                Some(ticket) => budget.release(ticket),
                 None => {}
             }
         }
-        prop_assert!(most_in_a_second(&sent) <= most);
+        prop_assert!(max_in_a_second(&sent) <= max_sent);
     }
 }
--- a/crates/front/tests/instance_starts.rs
+++ b/crates/front/tests/instance_starts.rs
@@ -10,7 +10,7 @@
 
 const MODEL: &str = "model";
 
-fn word(started_unix_ms: u64, version: u64) -> Discovered {
+fn record(started_unix_ms: u64, version: u64) -> Discovered {
     Discovered {
         id: "i-1".to_owned(),
         service: "service".to_owned(),
@@ -26,29 +26,29 @@
     }
 }
 
-fn known(table: &BackendTable) -> Arc<Instance> {
+fn current(table: &BackendTable) -> Arc<Instance> {
     table.get("i-1").unwrap()
 }
 
 #[test]
 fn a_later_incarnation_inherits_no_state() {
     let table = BackendTable::new("a");
-    table.upsert(word(100, 7));
-    let earlier = known(&table);
+    table.upsert(record(100, 7));
+    let earlier = current(&table);
     let now = Instant::now();
     let load = Load {
         running: 8,
         waiting: 3,
         slots: 8,
     };
-    earlier.note_load(load, now);
+    earlier.record_load(load, now);
     earlier.note_pace(900.0, now);
     earlier.note_failure(now);
     earlier.note_loading(MODEL, now + Duration::from_secs(9));
     let _run = earlier.begin();
     assert!(!earlier.is_usable(MODEL, now));
-    table.upsert(word(200, 6));
-    let later = known(&table);
+    table.upsert(record(200, 6));
+    let later = current(&table);
     assert!(earlier.has_ended() && !later.has_ended());
     assert_eq!(
         later.version(MODEL),
@@ -66,11 +66,11 @@
 #[test]
 fn a_late_record_of_an_earlier_incarnation_is_ignored() {
     let table = BackendTable::new("a");
-    table.upsert(word(200, 6));
-    let mut late = word(100, 9);
+    table.upsert(record(200, 6));
+    let mut late = record(100, 9);
     late.is_ready = false;
     table.upsert(late);
-    let instance = known(&table);
+    let instance = current(&table);
     assert!(instance.is_ready() && !instance.has_ended());
     assert_eq!(instance.version(MODEL), 6);
     assert_eq!(instance.started_unix_ms(), 200);
@@ -79,33 +79,33 @@
 #[test]
 fn the_start_that_an_instance_reports_overrides_discovery() {
     let table = BackendTable::new("a");
-    table.upsert(word(100, 7));
-    let earlier = known(&table);
+    table.upsert(record(100, 7));
+    let earlier = current(&table);
     table.note_start(&earlier, 200);
     assert!(earlier.has_ended());
-    assert_eq!(known(&table).started_unix_ms(), 200);
+    assert_eq!(current(&table).started_unix_ms(), 200);
     assert_eq!(
-        known(&table).version(MODEL),
+        current(&table).version(MODEL),
         0,
         "its weights are not known yet"
     );
     // Discovery reports the earlier incarnation until its next update.
-    table.upsert(word(100, 7));
-    assert_eq!(known(&table).version(MODEL), 0);
-    table.upsert(word(200, 5));
-    assert_eq!(known(&table).version(MODEL), 5);
-    table.note_start(&known(&table), 100);
-    assert_eq!(known(&table).started_unix_ms(), 200);
+    table.upsert(record(100, 7));
+    assert_eq!(current(&table).version(MODEL), 0);
+    table.upsert(record(200, 5));
+    assert_eq!(current(&table).version(MODEL), 5);
+    table.note_start(&current(&table), 100);
+    assert_eq!(current(&table).started_unix_ms(), 200);
 }
 
 #[test]
 fn an_instance_without_a_start_time_is_identified_by_its_id() {
     let table = BackendTable::new("a");
-    table.upsert(word(0, 7));
-    table.upsert(word(0, 6));
-    assert_eq!(known(&table).version(MODEL), 7);
+    table.upsert(record(0, 7));
+    table.upsert(record(0, 6));
+    assert_eq!(current(&table).version(MODEL), 7);
     assert!(
-        known(&table).is_start(100),
+        current(&table).is_start(100),
         "a report about any start matches"
     );
 }
@@ -117,12 +117,12 @@
     fn the_order_of_records_does_not_matter(words in prop::collection::vec((1_u64..5, 1_u64..20), 1..30)) {
         let table = BackendTable::new("a");
         for (start, version) in &words {
-            table.upsert(word(*start, *version));
+            table.upsert(record(*start, *version));
         }
         let latest = words.iter().map(|(start, _)| *start).max().unwrap();
         let of_latest = words.iter().filter(|(start, _)| *start == latest);
         let newest = of_latest.map(|(_, version)| *version).max().unwrap();
-        prop_assert_eq!(known(&table).started_unix_ms(), latest);
-        prop_assert_eq!(known(&table).version(MODEL), newest);
+        prop_assert_eq!(current(&table).started_unix_ms(), latest);
+        prop_assert_eq!(current(&table).version(MODEL), newest);
     }
 }
--- a/crates/front/tests/region_choice.rs
+++ b/crates/front/tests/region_choice.rs
@@ -33,14 +33,14 @@
 /// Returns a candidate with its typical measured time, which includes the round trip for complete
 /// answers.
 fn measured(distance: Distance, load: u32, demand: Demand) -> Candidate {
-    let way = if distance == Distance::Elsewhere {
+    let round_trip = if distance == Distance::Elsewhere {
         ROUND_TRIP_MS
     } else {
         0.0
     };
     let pace = match demand {
-        Demand::Live => LIVE_MS + way,
-        Demand::Scoring => REWARD_MS + way,
+        Demand::Live => LIVE_MS + round_trip,
+        Demand::Scoring => REWARD_MS + round_trip,
         Demand::Batch | Demand::LongBatch | Demand::CutBatch => EVENT_MS,
     };
     candidate(distance, load, Some(pace))
@@ -99,7 +99,7 @@
     let chosen = |allowed: &AllowedRegions| {
         let first = table.choose_within("service", "", Demand::Live, allowed, |_| true);
         let again = table.choose_again("service", allowed);
-        [first, again].map(|one| one.map(|instance| instance.id().to_owned()))
+        [first, again].map(|choice| choice.map(|instance| instance.id().to_owned()))
     };
     for _ in 0..32 {
         assert_eq!(
@@ -121,18 +121,18 @@
 /// Leaving the region pays later for a short request, as the round trip is as long as the request.
 #[test]
 fn short_requests_leave_the_region_at_higher_loads_than_long_ones() {
-    let least_load_to_leave = |demand| {
-        let near = 0..=SLOTS * 2;
-        let leaves = near.into_iter().find(|load| {
-            let near = measured(Distance::SameZone, *load, demand);
-            let idle_far = measured(Distance::Elsewhere, 0, demand);
-            choose(&[near, idle_far], demand, 0) == Some(1)
+    let min_load_to_leave = |demand| {
+        let loads = 0..=SLOTS * 2;
+        let leaves = loads.into_iter().find(|load| {
+            let local = measured(Distance::SameZone, *load, demand);
+            let idle_remote = measured(Distance::Elsewhere, 0, demand);
+            choose(&[local, idle_remote], demand, 0) == Some(1)
         });
         leaves.unwrap()
     };
-    let live = least_load_to_leave(Demand::Live);
-    let reward = least_load_to_leave(Demand::Scoring);
-    let text = least_load_to_leave(Demand::Batch);
+    let live = min_load_to_leave(Demand::Live);
+    let reward = min_load_to_leave(Demand::Scoring);
+    let text = min_load_to_leave(Demand::Batch);
     assert!(live > reward && reward >= text, "{live} {reward} {text}");
     assert!(live <= SLOTS, "{live}");
     assert!(text >= 1, "{text}");
@@ -141,9 +141,9 @@
 #[test]
 fn items_leave_a_full_region_at_once() {
     for demand in [Demand::Batch, Demand::LongBatch, Demand::Scoring] {
-        let near = measured(Distance::SameZone, SLOTS, demand);
-        let far = measured(Distance::Elsewhere, 2, demand);
-        assert_eq!(choose(&[near, far], demand, 0), Some(1), "{demand:?}");
+        let local = measured(Distance::SameZone, SLOTS, demand);
+        let remote = measured(Distance::Elsewhere, 2, demand);
+        assert_eq!(choose(&[local, remote], demand, 0), Some(1), "{demand:?}");
     }
 }
 
@@ -199,18 +199,18 @@
         (0..20u64)
             .map(|round| {
                 let most = *requests.iter().max().unwrap();
-                let mut stayed = vec![0; requests.len()];
-                for turn in 0..most {
+                let mut kept_local = vec![0; requests.len()];
+                for index_in_round in 0..most {
                     for (from, count) in requests.iter().enumerate() {
-                        let is_sent = turn < *count;
-                        let random = round * 31 + u64::from(turn);
+                        let is_sent = index_in_round < *count;
+                        let random = round * 31 + u64::from(index_in_round);
                         if is_sent && self.send(from, demand, random) == Some(from) {
-                            stayed[from] += 1;
+                            kept_local[from] += 1;
                         }
                     }
                 }
                 self.finish();
-                stayed
+                kept_local
             })
             .collect()
     }
@@ -223,15 +223,15 @@
     for demand in [Demand::Live, Demand::Batch, Demand::Scoring] {
         let mut regions = Regions::new(&[4, 4, 4]);
         let slots = 4 * SLOTS;
-        let played = regions.play(&[slots * 2, slots / 4, slots / 4], demand);
-        for stayed in &played {
-            assert!(stayed[0] >= slots * 3 / 4, "{demand:?} {played:?}");
-            assert!(stayed[0] < slots * 2, "{demand:?} {played:?}");
+        let rounds = regions.play(&[slots * 2, slots / 4, slots / 4], demand);
+        for kept_local in &rounds {
+            assert!(kept_local[0] >= slots * 3 / 4, "{demand:?} {rounds:?}");
+            assert!(kept_local[0] < slots * 2, "{demand:?} {rounds:?}");
         }
-        let of = |region: usize| played.iter().map(move |stayed| stayed[region]);
+        let of = |region: usize| rounds.iter().map(move |kept_local| kept_local[region]);
         for region in 0..3 {
             let spread = of(region).max().unwrap() - of(region).min().unwrap();
-            assert!(spread <= SLOTS, "{demand:?} region {region}: {played:?}");
+            assert!(spread <= SLOTS, "{demand:?} region {region}: {rounds:?}");
         }
     }
 }
@@ -240,14 +240,14 @@
 fn a_region_that_loses_half_of_its_instances_uses_the_rest_and_other_regions() {
     let mut regions = Regions::new(&[4, 4, 4]);
     let requests = [2 * SLOTS, 2 * SLOTS, 2 * SLOTS];
-    for stayed in regions.play(&requests, Demand::Live) {
-        assert_eq!(stayed, requests, "each region serves its own requests");
+    for kept_local in regions.play(&requests, Demand::Live) {
+        assert_eq!(kept_local, requests, "each region serves its own requests");
     }
     regions.loads[0].truncate(2);
-    let played = regions.play(&requests, Demand::Live);
-    for stayed in &played {
-        assert!(stayed[0] >= SLOTS, "{played:?}");
-        assert!(stayed[1] + stayed[2] >= 3 * SLOTS, "{played:?}");
+    let rounds = regions.play(&requests, Demand::Live);
+    for kept_local in &rounds {
+        assert!(kept_local[0] >= SLOTS, "{rounds:?}");
+        assert!(kept_local[1] + kept_local[2] >= 3 * SLOTS, "{rounds:?}");
     }
 }
 
@@ -256,16 +256,16 @@
     #[test]
     fn within_one_region_the_round_trip_changes_no_choice(
         loads in prop::collection::vec((0u32..10, any::<bool>(), prop::option::of(1.0..200.0f64)), 1..8),
-        ways in prop::collection::vec(0.1..300.0f64, 8),
+        round_trips in prop::collection::vec(0.1..300.0f64, 8),
         random: u64,
     ) {
-        let of = |index: usize, way: Option<f64>| {
-            let (load, is_near, pace_ms) = loads[index];
-            let distance = if is_near { Distance::SameZone } else { Distance::SameRegion };
-            Candidate { round_trip_ms: way, ..candidate(distance, load, pace_ms) }
+        let of = |index: usize, round_trip: Option<f64>| {
+            let (load, is_same_zone, pace_ms) = loads[index];
+            let distance = if is_same_zone { Distance::SameZone } else { Distance::SameRegion };
+            Candidate { round_trip_ms: round_trip, ..candidate(distance, load, pace_ms) }
         };
         let without: Vec<Candidate> = (0..loads.len()).map(|index| of(index, None)).collect();
-        let with: Vec<Candidate> = (0..loads.len()).map(|index| of(index, Some(ways[index]))).collect();
+        let with: Vec<Candidate> = (0..loads.len()).map(|index| of(index, Some(round_trips[index]))).collect();
         for demand in DEMANDS {
             prop_assert_eq!(choose(&without, demand, random), choose(&with, demand, random));
         }
--- a/crates/front/tests/suspect_load.rs
+++ b/crates/front/tests/suspect_load.rs
@@ -16,12 +16,12 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-const DAY_MS: u64 = 100_000;
-const REQUEST_GAP_MS: u64 = 72;
-const DEADLY_GAP_MS: u64 = 500;
-const DEADLY: u64 = 0;
+const DURATION_MS: u64 = 100_000;
+const REQUEST_INTERVAL_MS: u64 = 72;
+const CRASHING_INTERVAL_MS: u64 = 500;
+const CRASHING_CONTENT: u64 = 0;
 const RESTART_MS: u64 = 3_000;
-const COME_BACK_MS: u64 = 300;
+const RETRY_DELAY_MS: u64 = 300;
 const SEEDS: u64 = 20;
 
 /// Next event of the simulation; times are in milliseconds.
@@ -38,7 +38,7 @@
     },
     /// The instance crashes under the crashing request, or without a cause if `start` is
     /// `u64::MAX`.
-    InstanceEnds {
+    InstanceCrashes {
         instance: usize,
         start: u64,
     },
@@ -53,7 +53,7 @@
     tries: u32,
     sent: u32,
     instance: usize,
-    began_ms: u64,
+    started_ms: u64,
     is_watched: bool,
 }
 
@@ -64,98 +64,105 @@
     served: u32,
     /// Attempts that were held back although they would have been served.
     held: u32,
-    ends: u32,
+    crashes: u32,
 }
 
 /// Parameters of a simulation.
 #[derive(Debug, Clone, Copy)]
-struct Load {
+struct Scenario {
     instances: usize,
     /// Crashes after which a content is held back.
-    most_ends: usize,
+    max_crashes: usize,
     /// Milliseconds between crashes that no request causes.
-    own_ends_gap_ms: u64,
+    unrelated_crash_interval_ms: u64,
     run_ms: u64,
     /// Maximum number of instances that one attempt is sent to.
     attempts: u32,
 }
 
-impl Load {
+impl Scenario {
     /// Live requests to a service with this many instances.
-    fn quotes(instances: usize, most_ends: usize, own_ends_gap_ms: u64) -> Self {
+    fn live_requests(
+        instances: usize,
+        max_crashes: usize,
+        unrelated_crash_interval_ms: u64,
+    ) -> Self {
         Self {
             instances,
-            most_ends,
-            own_ends_gap_ms,
+            max_crashes,
+            unrelated_crash_interval_ms,
             run_ms: 25,
             attempts: 2,
         }
     }
 
     /// Items of batch jobs with long texts.
-    fn items(most_ends: usize, own_ends_gap_ms: u64) -> Self {
+    fn items(max_crashes: usize, unrelated_crash_interval_ms: u64) -> Self {
         Self {
             instances: 45,
-            most_ends,
-            own_ends_gap_ms,
+            max_crashes,
+            unrelated_crash_interval_ms,
             run_ms: 7_000,
             attempts: u32::MAX,
         }
     }
 }
 
-struct Play {
-    load: Load,
+struct Simulation {
+    scenario: Scenario,
     ledger: SuspectLedger,
     base: Instant,
     random: StdRng,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
-    number: u64,
+    sequence: u64,
     /// Start time of each instance; `None` while it is down.
     instances: Vec<Option<u64>>,
     runs: BTreeMap<u64, Run>,
     outcome: Outcome,
 }
 
-impl Play {
-    fn new(load: Load, seed: u64) -> Self {
-        let mut play = Self {
-            load,
-            ledger: SuspectLedger::new(Duration::from_millis(COME_BACK_MS)),
+impl Simulation {
+    fn new(scenario: Scenario, seed: u64) -> Self {
+        let mut simulation = Self {
+            scenario,
+            ledger: SuspectLedger::new(Duration::from_millis(RETRY_DELAY_MS)),
             base: Instant::now(),
             random: StdRng::seed_from_u64(seed),
             events: BinaryHeap::new(),
-            number: 0,
-            instances: vec![Some(0); load.instances],
+            sequence: 0,
+            instances: vec![Some(0); scenario.instances],
             runs: BTreeMap::new(),
             outcome: Outcome::default(),
         };
-        for (content, at) in (0..DAY_MS).step_by(REQUEST_GAP_MS as usize).enumerate() {
-            play.arrive(at, content as u64 + 1, 0, 0);
-            play.outcome.sent += 1;
+        for (content, at) in (0..DURATION_MS)
+            .step_by(REQUEST_INTERVAL_MS as usize)
+            .enumerate()
+        {
+            simulation.add_arrival(at, content as u64 + 1, 0, 0);
+            simulation.outcome.sent += 1;
         }
-        for at in (10_000..DAY_MS).step_by(DEADLY_GAP_MS as usize) {
-            play.arrive(at, DEADLY, 0, 0);
+        for at in (10_000..DURATION_MS).step_by(CRASHING_INTERVAL_MS as usize) {
+            simulation.add_arrival(at, CRASHING_CONTENT, 0, 0);
         }
-        for at in (5_000..DAY_MS).step_by(load.own_ends_gap_ms as usize) {
-            let instance = play.random.random_range(0..load.instances);
-            play.add(
+        for at in (5_000..DURATION_MS).step_by(scenario.unrelated_crash_interval_ms as usize) {
+            let instance = simulation.random.random_range(0..scenario.instances);
+            simulation.add(
                 at,
-                Event::InstanceEnds {
+                Event::InstanceCrashes {
                     instance,
                     start: u64::MAX,
                 },
             );
         }
-        play
+        simulation
     }
 
     fn add(&mut self, at: u64, event: Event) {
-        self.number += 1;
-        self.events.push(Reverse((at, self.number, event)));
+        self.sequence += 1;
+        self.events.push(Reverse((at, self.sequence, event)));
     }
 
-    fn arrive(&mut self, at: u64, content: u64, tries: u32, sent: u32) {
+    fn add_arrival(&mut self, at: u64, content: u64, tries: u32, sent: u32) {
         self.add(
             at,
             Event::Arrives {
@@ -173,46 +180,48 @@
                     content,
                     tries,
                     sent,
-                } => self.begin(now, content, tries, sent),
+                } => self.start_run(now, content, tries, sent),
                 Event::RunEnds { run } => self.serve(run),
-                Event::InstanceEnds { instance, start } => self.end(now, instance, start),
+                Event::InstanceCrashes { instance, start } => {
+                    self.crash_instance(now, instance, start)
+                }
                 Event::Restarts { instance } => self.instances[instance] = Some(now),
             }
         }
         self.outcome
     }
 
-    fn begin(&mut self, now: u64, content: u64, tries: u32, sent: u32) {
-        let up: Vec<usize> = (0..self.instances.len())
+    fn start_run(&mut self, now: u64, content: u64, tries: u32, sent: u32) {
+        let running: Vec<usize> = (0..self.instances.len())
             .filter(|index| self.instances[*index].is_some())
             .collect();
-        if up.is_empty() || sent >= self.load.attempts {
+        if running.is_empty() || sent >= self.scenario.attempts {
             return self.fail(now, content, tries, false);
         }
         let digest = ContentDigest::from_bits(content);
         let at = self.base + Duration::from_millis(now);
-        let admission = self.ledger.admit(digest, self.load.most_ends, at);
+        let admission = self.ledger.admit(digest, self.scenario.max_crashes, at);
         if matches!(admission, Admission::Held { .. }) {
             return self.fail(now, content, tries, true);
         }
-        let instance = up[self.random.random_range(0..up.len())];
-        self.number += 1;
+        let instance = running[self.random.random_range(0..running.len())];
+        self.sequence += 1;
         let run = Run {
             content,
             tries,
             sent: sent + 1,
             instance,
-            began_ms: now,
+            started_ms: now,
             is_watched: admission == Admission::Watched,
         };
-        let id = self.number;
+        let id = self.sequence;
         self.runs.insert(id, run);
-        if content == DEADLY {
+        if content == CRASHING_CONTENT {
             let start = self.instances[instance].unwrap();
             let at = now + self.random.random_range(7..=126);
-            self.add(at, Event::InstanceEnds { instance, start });
+            self.add(at, Event::InstanceCrashes { instance, start });
         } else {
-            self.add(now + self.load.run_ms, Event::RunEnds { run: id });
+            self.add(now + self.scenario.run_ms, Event::RunEnds { run: id });
         }
     }
 
@@ -222,103 +231,130 @@
         };
         let digest = ContentDigest::from_bits(run.content);
         if run.is_watched {
-            self.ledger.run_over(digest);
+            self.ledger.finish_run(digest);
         }
         self.ledger.clear(digest);
         self.outcome.served += 1;
     }
 
-    fn end(&mut self, now: u64, instance: usize, start: u64) {
-        let Some(present) = self.instances[instance] else {
+    fn crash_instance(&mut self, now: u64, instance: usize, start: u64) {
+        let Some(current) = self.instances[instance] else {
             return;
         };
-        if start != u64::MAX && start != present {
+        if start != u64::MAX && start != current {
             return;
         }
         self.instances[instance] = None;
-        self.outcome.ends += 1;
+        self.outcome.crashes += 1;
         self.add(now + RESTART_MS, Event::Restarts { instance });
-        let there = self.runs.iter().filter(|(_, run)| run.instance == instance);
-        let broken: Vec<(u64, Run)> = there.map(|(id, run)| (*id, *run)).collect();
+        let affected = self.runs.iter().filter(|(_, run)| run.instance == instance);
+        let broken: Vec<(u64, Run)> = affected.map(|(id, run)| (*id, *run)).collect();
         for (id, run) in broken {
             self.runs.remove(&id);
             let digest = ContentDigest::from_bits(run.content);
             let at = self.base + Duration::from_millis(now);
-            let began = self.base + Duration::from_millis(run.began_ms);
+            let started = self.base + Duration::from_millis(run.started_ms);
             self.ledger
-                .note_end(digest, &format!("{instance}@{present}"), began, at);
+                .record_crash(digest, &format!("{instance}@{current}"), started, at);
             if run.is_watched {
-                self.ledger.run_over(digest);
+                self.ledger.finish_run(digest);
             }
-            self.begin(now, run.content, run.tries, run.sent);
+            self.start_run(now, run.content, run.tries, run.sent);
         }
     }
 
     fn fail(&mut self, now: u64, content: u64, tries: u32, is_held: bool) {
-        if content != DEADLY {
+        if content != CRASHING_CONTENT {
             self.outcome.held += u32::from(is_held);
         }
         if tries == 0 {
-            self.arrive(now + COME_BACK_MS, content, 1, 0);
+            self.add_arrival(now + RETRY_DELAY_MS, content, 1, 0);
         }
     }
 }
 
 /// Returns the sum of the outcomes over all seeds.
-fn play(load: Load) -> Outcome {
-    let plays = (0..SEEDS).map(|seed| Play::new(load, seed).run());
-    let sum = plays.fold(Outcome::default(), |sum, one| Outcome {
+fn simulate(scenario: Scenario) -> Outcome {
+    let outcomes = (0..SEEDS).map(|seed| Simulation::new(scenario, seed).run());
+    let sum = outcomes.fold(Outcome::default(), |sum, one| Outcome {
         sent: sum.sent + one.sent,
         served: sum.served + one.served,
         held: sum.held + one.held,
-        ends: sum.ends + one.ends,
+        crashes: sum.crashes + one.crashes,
     });
-    println!("{load:?} {sum:?}");
+    println!("{scenario:?} {sum:?}");
     sum
 }
 
 /// No content is ever held back.
-const NEVER: usize = usize::MAX;
+const NO_LIMIT: usize = usize::MAX;
 
 /// One crash in ten seconds without a cause.
-const BAD_DAY_MS: u64 = 10_000;
+const RARE_CRASHES_MS: u64 = 10_000;
 
 /// One crash in half a second without a cause.
-const FALLING_FLEET_MS: u64 = 500;
+const FREQUENT_CRASHES_MS: u64 = 500;
 
 #[test]
 fn holding_back_the_crashing_request_lets_other_requests_succeed() {
-    let [before, after] =
-        [NEVER, LIVE_MOST_ENDS].map(|most| play(Load::quotes(3, most, BAD_DAY_MS)));
-    assert!(before.served * 2 < before.sent, "{before:?}");
-    assert!(after.served * 1_000 > after.sent * 999, "{after:?}");
+    let [without_limit, with_limit] = [NO_LIMIT, LIVE_MOST_ENDS]
+        .map(|max_crashes| simulate(Scenario::live_requests(3, max_crashes, RARE_CRASHES_MS)));
+    assert!(
+        without_limit.served * 2 < without_limit.sent,
+        "{without_limit:?}"
+    );
+    assert!(
+        with_limit.served * 1_000 > with_limit.sent * 999,
+        "{with_limit:?}"
+    );
     for instances in [3, 45] {
-        let [before, after] =
-            [NEVER, LIVE_MOST_ENDS].map(|most| play(Load::quotes(instances, most, BAD_DAY_MS)));
-        assert!(after.served >= before.served, "{before:?} {after:?}");
-        assert!(after.ends * 3 < before.ends, "{before:?} {after:?}");
+        let [without_limit, with_limit] = [NO_LIMIT, LIVE_MOST_ENDS].map(|max_crashes| {
+            simulate(Scenario::live_requests(
+                instances,
+                max_crashes,
+                RARE_CRASHES_MS,
+            ))
+        });
+        assert!(
+            with_limit.served >= without_limit.served,
+            "{without_limit:?} {with_limit:?}"
+        );
+        assert!(
+            with_limit.crashes * 3 < without_limit.crashes,
+            "{without_limit:?} {with_limit:?}"
+        );
     }
 }
 
 #[test]
 fn few_live_requests_are_held_back_for_crashes_with_other_causes() {
     for instances in [3, 45] {
-        for gap in [BAD_DAY_MS, FALLING_FLEET_MS] {
-            let [_, three, four] =
-                [LIVE_MOST_ENDS, 3, 4].map(|most| play(Load::quotes(instances, most, gap)));
-            let chosen = play(Load::quotes(instances, LIVE_MOST_ENDS, gap));
-            assert!(chosen.held * 1_000 <= chosen.sent, "{chosen:?}");
-            assert!(chosen.served >= three.served && three.served >= four.served);
+        for crash_interval_ms in [RARE_CRASHES_MS, FREQUENT_CRASHES_MS] {
+            let [_, three, four] = [LIVE_MOST_ENDS, 3, 4].map(|max_crashes| {
+                simulate(Scenario::live_requests(
+                    instances,
+                    max_crashes,
+                    crash_interval_ms,
+                ))
+            });
+            let actual = simulate(Scenario::live_requests(
+                instances,
+                LIVE_MOST_ENDS,
+                crash_interval_ms,
+            ));
+            assert!(actual.held * 1_000 <= actual.sent, "{actual:?}");
+            assert!(actual.served >= three.served && three.served >= four.served);
         }
     }
 }
 
 #[test]
 fn few_items_are_held_back_for_crashes_with_other_causes() {
-    for gap in [BAD_DAY_MS, 2_000, FALLING_FLEET_MS] {
-        let [two, chosen] = [2, ITEM_MOST_ENDS].map(|most| play(Load::items(most, gap)));
-        assert!(chosen.held <= two.held, "{two:?} {chosen:?}");
-        assert!(chosen.served >= two.served, "{two:?} {chosen:?}");
-        assert!(chosen.served * 50 > chosen.sent * 49, "{chosen:?}");
+    for crash_interval_ms in [RARE_CRASHES_MS, 2_000, FREQUENT_CRASHES_MS] {
+        let [two, actual] = [2, ITEM_MOST_ENDS]
+            .map(|max_crashes| simulate(Scenario::items(max_crashes, crash_interval_ms)));
+        assert!(actual.held <= two.held, "{two:?} {actual:?}");
+        assert!(actual.served >= two.served, "{two:?} {actual:?}");
+        assert!(actual.served * 50 > actual.sent * 49, "{actual:?}");
     }
 }
