--- a/crates/front/tests/suspects.rs
+++ b/crates/front/tests/suspects.rs
@@ -4,13 +4,13 @@
 
 use ladderstage_clock::Instant;
 use ladderstage_front::suspects::{
-    Admission, Cleared, ContentDigest, FIRST_HOLD, LONGEST_HOLD, MOST_CONTENTS, RequestContent,
-    SUSPICION, SuspectLedger,
+    Admission, Cleared, ContentDigest, FIRST_HOLD, MAX_HOLD, MAX_SUSPECTS, RequestContent,
+    SUSPICION_LIFETIME, SuspectLedger,
 };
 use proptest::prelude::*;
 
 /// Crashes after which the contents of these tests are held back.
-const MOST_ENDS: usize = 3;
+const MAX_CRASHES: usize = 3;
 
 const BUSY_RETRY: Duration = Duration::from_millis(500);
 
@@ -24,11 +24,11 @@
 
 /// Crashes `count` instances under one content at intervals of a second; returns the time of the
 /// last crash.
-fn end_instances(ledger: &mut SuspectLedger, count: usize, begin: Instant) -> Instant {
-    let mut now = begin;
+fn crash_instances(ledger: &mut SuspectLedger, count: usize, start: Instant) -> Instant {
+    let mut now = start;
     for instance in 0..count {
         now += Duration::from_secs(1);
-        assert!(ledger.note_end(content(1), &format!("i-{instance}@1"), begin, now));
+        assert!(ledger.record_crash(content(1), &format!("i-{instance}@1"), start, now));
     }
     now
 }
@@ -75,33 +75,36 @@
 
 #[test]
 fn a_content_is_held_back_after_its_last_crash_and_tried_once_after_the_hold() {
-    let (mut ledger, begin) = (ledger(), Instant::now());
-    assert_eq!(ledger.admit(content(1), MOST_ENDS, begin), Admission::Free);
-    let last = end_instances(&mut ledger, MOST_ENDS, begin);
+    let (mut ledger, start) = (ledger(), Instant::now());
     assert_eq!(
-        ledger.admit(content(1), MOST_ENDS, last),
+        ledger.admit(content(1), MAX_CRASHES, start),
+        Admission::Free
+    );
+    let last = crash_instances(&mut ledger, MAX_CRASHES, start);
+    assert_eq!(
+        ledger.admit(content(1), MAX_CRASHES, last),
         Admission::Held {
             retry_after: FIRST_HOLD
         }
     );
-    assert_eq!(ledger.admit(content(2), MOST_ENDS, last), Admission::Free);
+    assert_eq!(ledger.admit(content(2), MAX_CRASHES, last), Admission::Free);
     let after = last + FIRST_HOLD;
     assert_eq!(
-        ledger.admit(content(1), MOST_ENDS, after),
+        ledger.admit(content(1), MAX_CRASHES, after),
         Admission::Watched
     );
     assert_eq!(
-        ledger.admit(content(1), MOST_ENDS, after),
+        ledger.admit(content(1), MAX_CRASHES, after),
         Admission::Held {
             retry_after: BUSY_RETRY
         },
         "one trial run at a time"
     );
     // The trial run crashes one more instance, which doubles the hold.
-    assert!(ledger.note_end(content(1), "i-9@1", after, after));
-    ledger.run_over(content(1));
+    assert!(ledger.record_crash(content(1), "i-9@1", after, after));
+    ledger.finish_run(content(1));
     assert_eq!(
-        ledger.admit(content(1), MOST_ENDS, after),
+        ledger.admit(content(1), MAX_CRASHES, after),
         Admission::Held {
             retry_after: FIRST_HOLD * 2
         }
@@ -110,45 +113,51 @@
 
 #[test]
 fn concurrent_runs_of_a_suspect_are_limited_to_the_crashes_left() {
-    let (mut ledger, begin) = (ledger(), Instant::now());
-    let now = end_instances(&mut ledger, 1, begin);
-    for _ in 1..MOST_ENDS {
-        assert_eq!(ledger.admit(content(1), MOST_ENDS, now), Admission::Watched);
+    let (mut ledger, start) = (ledger(), Instant::now());
+    let now = crash_instances(&mut ledger, 1, start);
+    for _ in 1..MAX_CRASHES {
+        assert_eq!(
+            ledger.admit(content(1), MAX_CRASHES, now),
+            Admission::Watched
+        );
     }
     let busy = Admission::Held {
         retry_after: BUSY_RETRY,
     };
-    assert_eq!(ledger.admit(content(1), MOST_ENDS, now), busy);
-    ledger.run_over(content(1));
-    assert_eq!(ledger.admit(content(1), MOST_ENDS, now), Admission::Watched);
+    assert_eq!(ledger.admit(content(1), MAX_CRASHES, now), busy);
+    ledger.finish_run(content(1));
+    assert_eq!(
+        ledger.admit(content(1), MAX_CRASHES, now),
+        Admission::Watched
+    );
 }
 
 #[test]
 fn a_completed_run_clears_its_content() {
-    let (mut ledger, begin) = (ledger(), Instant::now());
-    let now = end_instances(&mut ledger, MOST_ENDS, begin);
-    assert_eq!(ledger.clear(content(1)), Cleared::Untold);
-    assert_eq!(ledger.admit(content(1), MOST_ENDS, now), Admission::Free);
-    assert_eq!(ledger.clear(content(1)), Cleared::Unsuspected);
+    let (mut ledger, start) = (ledger(), Instant::now());
+    let now = crash_instances(&mut ledger, MAX_CRASHES, start);
+    assert_eq!(ledger.clear(content(1)), Cleared::Local);
+    assert_eq!(ledger.admit(content(1), MAX_CRASHES, now), Admission::Free);
+    assert_eq!(ledger.clear(content(1)), Cleared::NotSuspected);
 }
 
 #[test]
 fn a_clearing_is_shared_only_if_the_suspicion_was() {
-    let (mut ledger, begin) = (ledger(), Instant::now());
-    assert!(!ledger.note_told(content(1)));
-    end_instances(&mut ledger, 1, begin);
-    assert!(ledger.note_told(content(1)));
-    assert_eq!(ledger.clear(content(1)), Cleared::Told);
-    ledger.merge(content(2), ["i-1@1"], begin);
-    assert_eq!(ledger.clear(content(2)), Cleared::Told);
+    let (mut ledger, start) = (ledger(), Instant::now());
+    assert!(!ledger.mark_shared(content(1)));
+    crash_instances(&mut ledger, 1, start);
+    assert!(ledger.mark_shared(content(1)));
+    assert_eq!(ledger.clear(content(1)), Cleared::Shared);
+    ledger.merge(content(2), ["i-1@1"], start);
+    assert_eq!(ledger.clear(content(2)), Cleared::Shared);
 }
 
 #[test]
 fn a_suspect_that_is_not_held_back_expires() {
-    let (mut ledger, begin) = (ledger(), Instant::now());
-    let now = end_instances(&mut ledger, MOST_ENDS - 1, begin);
+    let (mut ledger, start) = (ledger(), Instant::now());
+    let now = crash_instances(&mut ledger, MAX_CRASHES - 1, start);
     assert_eq!(
-        ledger.admit(content(1), MOST_ENDS, now + SUSPICION),
+        ledger.admit(content(1), MAX_CRASHES, now + SUSPICION_LIFETIME),
         Admission::Free
     );
     assert!(ledger.is_empty());
@@ -156,31 +165,31 @@
 
 #[test]
 fn runs_broken_by_one_crash_count_once_and_a_later_incarnation_counts_again() {
-    let (mut ledger, begin) = (ledger(), Instant::now());
-    let first = begin + Duration::from_secs(1);
-    assert!(ledger.note_end(content(1), "i-1@7", begin, first));
+    let (mut ledger, start) = (ledger(), Instant::now());
+    let first = start + Duration::from_secs(1);
+    assert!(ledger.record_crash(content(1), "i-1@7", start, first));
     // A second run on the instance when it crashed.
-    assert!(!ledger.note_end(content(1), "i-1@7", begin, first));
+    assert!(!ledger.record_crash(content(1), "i-1@7", start, first));
     // The instance restarted, accepted another run and crashed, before discovery reported its new
     // incarnation.
     let again = first + Duration::from_secs(3);
-    assert!(ledger.note_end(content(1), "i-1@7", again, again));
-    assert!(!ledger.note_end(content(1), "i-1@7", again, again));
-    assert_eq!(ledger.ends(content(1)).len(), 2);
-    assert!(ledger.note_end(content(1), "i-1@8", again, again));
-    assert_eq!(ledger.ends(content(1)).len(), MOST_ENDS);
+    assert!(ledger.record_crash(content(1), "i-1@7", again, again));
+    assert!(!ledger.record_crash(content(1), "i-1@7", again, again));
+    assert_eq!(ledger.crashes(content(1)).len(), 2);
+    assert!(ledger.record_crash(content(1), "i-1@8", again, again));
+    assert_eq!(ledger.crashes(content(1)).len(), MAX_CRASHES);
 }
 
 #[test]
 fn the_number_of_suspects_is_bounded_and_the_oldest_is_removed_first() {
-    let (mut ledger, begin) = (ledger(), Instant::now());
-    for number in 0..MOST_CONTENTS as u64 + 1 {
-        let now = begin + Duration::from_millis(number);
-        ledger.note_end(content(number), "i-1@1", begin, now);
+    let (mut ledger, start) = (ledger(), Instant::now());
+    for number in 0..MAX_SUSPECTS as u64 + 1 {
+        let now = start + Duration::from_millis(number);
+        ledger.record_crash(content(number), "i-1@1", start, now);
     }
-    assert_eq!(ledger.len(), MOST_CONTENTS);
-    assert!(ledger.ends(content(0)).is_empty());
-    assert_eq!(ledger.ends(content(1)).len(), 1);
+    assert_eq!(ledger.len(), MAX_SUSPECTS);
+    assert!(ledger.crashes(content(0)).is_empty());
+    assert_eq!(ledger.crashes(content(1)).len(), 1);
 }
 
 proptest! {
@@ -188,29 +197,29 @@
     /// exceeds the maximum.
     #[test]
     fn the_order_and_repetition_of_updates_do_not_matter(
-        told in prop::collection::vec(0_u8..6, 0..20),
+        crash_ids in prop::collection::vec(0_u8..6, 0..20),
         seed in any::<u64>(),
     ) {
-        let begin = Instant::now();
-        let names: Vec<String> = told.iter().map(|end| format!("i-{end}@1")).collect();
+        let start = Instant::now();
+        let names: Vec<String> = crash_ids.iter().map(|crash| format!("i-{crash}@1")).collect();
         let mut shuffled = names.clone();
         let shift = seed as usize % names.len().max(1);
         shuffled.rotate_left(shift);
         shuffled.extend(names.iter().rev().cloned());
         let (mut one, mut other) = (ledger(), ledger());
-        one.merge(content(1), names.iter().map(String::as_str), begin);
-        for end in &shuffled {
-            other.merge(content(1), [end.as_str()], begin);
+        one.merge(content(1), names.iter().map(String::as_str), start);
+        for crash in &shuffled {
+            other.merge(content(1), [crash.as_str()], start);
         }
-        prop_assert_eq!(one.ends(content(1)), other.ends(content(1)));
-        let distinct = one.ends(content(1)).len();
-        let admission = one.admit(content(1), MOST_ENDS, begin);
+        prop_assert_eq!(one.crashes(content(1)), other.crashes(content(1)));
+        let distinct = one.crashes(content(1)).len();
+        let admission = one.admit(content(1), MAX_CRASHES, start);
         match admission {
             Admission::Held { retry_after } => {
-                prop_assert!(distinct >= MOST_ENDS);
-                prop_assert!(retry_after <= LONGEST_HOLD);
+                prop_assert!(distinct >= MAX_CRASHES);
+                prop_assert!(retry_after <= MAX_HOLD);
             }
-            Admission::Free | Admission::Watched => prop_assert!(distinct < MOST_ENDS),
+            Admission::Free | Admission::Watched => prop_assert!(distinct < MAX_CRASHES),
         }
     }
 }
