--- a/crates/front/src/live.rs
+++ b/crates/front/src/live.rs
@@ -221,7 +221,7 @@
     ) -> LiveAnswer {
         self.backends.first_fed(FIRST_INSTANCE_TIMEOUT).await;
         let service = route.pick_service(rand::random());
-        let mut under_way = FuturesUnordered::new();
+        let mut running_attempts = FuturesUnordered::new();
         let mut hedge_at = Instant::now();
         let mut table_changed = self.backends.watch();
         let permit_wait_until = Instant::now() + PERMIT_TIMEOUT;
@@ -231,7 +231,7 @@
                 return result_after_timeout(progress);
             }
             let may_start = progress.possible_runs < route.max_attempts.max(1);
-            let is_attempt_due = under_way.is_empty() || Instant::now() >= hedge_at;
+            let is_attempt_due = running_attempts.is_empty() || Instant::now() >= hedge_at;
             let mut held_back = None;
             if may_start
                 && is_attempt_due
@@ -242,7 +242,7 @@
                     Ok(permit) => {
                         progress.tried_instances.push(instance.id().to_owned());
                         progress.possible_runs += 1;
-                        under_way.push(self.attempt(
+                        running_attempts.push(self.attempt(
                             route,
                             request,
                             instance,
@@ -254,7 +254,7 @@
                     Err(refusal) => held_back = Some(refusal),
                 }
             }
-            if under_way.is_empty() {
+            if running_attempts.is_empty() {
                 if held_back.is_none()
                     && may_start
                     && self
@@ -268,7 +268,7 @@
             }
             let may_hedge = route.kind == RouteKind::Safe && may_start && !is_attempt_due;
             tokio::select! {
-                ended = under_way.next() => {
+                ended = running_attempts.next() => {
                     if let Some(ended) = ended
                         && let Some(answer) = self.apply(route, request, ended, progress)
                     {
--- a/crates/front/src/suspects/sharing.rs
+++ b/crates/front/src/suspects/sharing.rs
@@ -40,7 +40,7 @@
 /// others within a second.
 const MAX_CONCURRENT_UPDATES: usize = 32;
 
-/// Lease of a record, which ends when the content may be tried again.
+/// Lease time of a record; equals the first hold, after which the content may be tried again.
 const RECORD_LEASE_TIME: Duration = super::ledger::FIRST_HOLD;
 
 /// Maximum number of attempts to write a record while other nodes write it too.
@@ -62,7 +62,7 @@
 enum Freshness {
     /// May be seconds old and costs a tenth: nothing but updates before the start was missed.
     Stale,
-    /// Updates may have been missed until just now.
+    /// Must be current, as updates may have been missed until just now.
     Newest,
 }
 
