--- a/crates/front/tests/instance_starts.rs
+++ b/crates/front/tests/instance_starts.rs
@@ -114,13 +114,13 @@
     /// The latest incarnation wins with its newest weights, whatever the order and repetition of
     /// the records.
     #[test]
-    fn the_order_of_records_does_not_matter(words in prop::collection::vec((1_u64..5, 1_u64..20), 1..30)) {
+    fn the_order_of_records_does_not_matter(reports in prop::collection::vec((1_u64..5, 1_u64..20), 1..30)) {
         let table = BackendTable::new("a");
-        for (start, version) in &words {
+        for (start, version) in &reports {
             table.upsert(record(*start, *version));
         }
-        let latest = words.iter().map(|(start, _)| *start).max().unwrap();
-        let of_latest = words.iter().filter(|(start, _)| *start == latest);
+        let latest = reports.iter().map(|(start, _)| *start).max().unwrap();
+        let of_latest = reports.iter().filter(|(start, _)| *start == latest);
         let newest = of_latest.map(|(_, version)| *version).max().unwrap();
         prop_assert_eq!(current(&table).started_unix_ms(), latest);
         prop_assert_eq!(current(&table).version(MODEL), newest);
--- a/crates/front/tests/suspect_load.rs
+++ b/crates/front/tests/suspect_load.rs
@@ -1,5 +1,6 @@
 //! Simulates a service under load with one request that crashes each instance running it, to
 //! compare the number of crashes after which a content is held back.
+//!
 //! 13.8 requests per second of 25 ms each; the crashing request arrives twice a second and crashes
 //! its instance 7 to 126 ms after it started; an instance restarts within 3 s. A request is sent to
 //! at most two instances and retried once after a refusal or failure. Instances sometimes crash
