--- a/crates/front/src/backend/choice.rs
+++ b/crates/front/src/backend/choice.rs
@@ -48,7 +48,7 @@
     pub round_trip_ms: Option<f64>,
     /// Recent milliseconds per unit of work: per complete answer including the round trip, or per
     /// event. `None` if unknown.
-    pub pace_ms: Option<f64>,
+    pub unit_time_ms: Option<f64>,
 }
 
 impl Candidate {
@@ -62,7 +62,7 @@
 
     /// Returns the recent milliseconds per unit of work without the round trip.
     fn work_ms(&self, demand: Demand) -> Option<f64> {
-        let time_ms = self.pace_ms?;
+        let time_ms = self.unit_time_ms?;
         if demand.is_timed_per_answer() {
             return Some((time_ms - self.included_round_trip_ms()).max(time_ms * MIN_WORK_SHARE));
         }
@@ -81,7 +81,7 @@
     LongBatch,
     /// The rest of a text whose run was interrupted or moved: the fastest instance. It may queue
     /// there, as new items would otherwise take each slot that becomes free.
-    CutBatch,
+    InterruptedBatch,
     /// A reward call: only instances that keep slots free for live requests.
     Scoring,
 }
@@ -91,7 +91,7 @@
     fn is_timed_per_answer(self) -> bool {
         match self {
             Self::Live | Self::Scoring => true,
-            Self::Batch | Self::LongBatch | Self::CutBatch => false,
+            Self::Batch | Self::LongBatch | Self::InterruptedBatch => false,
         }
     }
 }
@@ -106,7 +106,7 @@
 /// Returns the index of the cheapest instance that accepts the demand, `None` if there is none.
 /// `random` breaks ties.
 pub fn choose(candidates: &[Candidate], demand: Demand, random: u64) -> Option<usize> {
-    let typical = typical_pace(candidates, demand);
+    let typical = typical_unit_time(candidates, demand);
     let eligible = candidates
         .iter()
         .enumerate()
@@ -128,7 +128,7 @@
     match demand {
         Demand::Live => u32::MAX,
         Demand::Batch | Demand::LongBatch => candidate.slots,
-        Demand::CutBatch => candidate.slots + candidate.slots.div_ceil(INTERRUPTED_QUEUE_DIVISOR),
+        Demand::InterruptedBatch => candidate.slots + candidate.slots.div_ceil(INTERRUPTED_QUEUE_DIVISOR),
         Demand::Scoring => candidate.slots - candidate.slots / LIVE_SLOT_DIVISOR,
     }
 }
@@ -143,10 +143,10 @@
         _ => 1.0,
     };
     let fixed_share = match demand {
-        Demand::LongBatch | Demand::CutBatch => LONG_FIXED_TIME_SHARE,
+        Demand::LongBatch | Demand::InterruptedBatch => LONG_FIXED_TIME_SHARE,
         Demand::Live | Demand::Batch | Demand::Scoring => FIXED_TIME_SHARE,
     };
-    let queue_cost = if demand == Demand::CutBatch && candidate.load >= candidate.slots {
+    let queue_cost = if demand == Demand::InterruptedBatch && candidate.load >= candidate.slots {
         QUEUE_COST
     } else {
         0.0
@@ -176,7 +176,7 @@
 }
 
 /// Returns the median of the known times.
-fn typical_pace(candidates: &[Candidate], demand: Demand) -> Option<f64> {
+fn typical_unit_time(candidates: &[Candidate], demand: Demand) -> Option<f64> {
     median(
         candidates
             .iter()
--- a/crates/front/src/backend/cold/limits.rs
+++ b/crates/front/src/backend/cold/limits.rs
@@ -106,16 +106,16 @@
     /// Waits for requests and drains them as services by instance.
     pub async fn take(&self) -> BTreeMap<String, String> {
         loop {
-            let wants = self.take_noted();
-            if !wants.is_empty() {
-                return wants;
+            let permit_requests = self.drain_pending();
+            if !permit_requests.is_empty() {
+                return permit_requests;
             }
             self.changed.notified().await;
         }
     }
 
     /// Drains all pending requests as services by instance.
-    pub fn take_noted(&self) -> BTreeMap<String, String> {
+    pub fn drain_pending(&self) -> BTreeMap<String, String> {
         std::mem::take(&mut *self.lock())
     }
 
--- a/crates/front/src/backend/connection.rs
+++ b/crates/front/src/backend/connection.rs
@@ -63,7 +63,7 @@
     shared: Arc<Shared>,
 }
 
-/// A connection in use. [`PooledConnection::give_back`] returns it to the pool after a complete response;
+/// A connection in use. [`PooledConnection::return_to_pool`] returns it to the pool after a complete response;
 /// dropping it closes the connection.
 #[derive(Debug)]
 pub struct PooledConnection {
@@ -152,7 +152,7 @@
 
 impl PooledConnection {
     /// Returns the connection to the pool for `idle_timeout` or the default one.
-    pub fn give_back(self, idle_timeout: Option<Duration>) {
+    pub fn return_to_pool(self, idle_timeout: Option<Duration>) {
         if self.sender.is_closed() {
             return;
         }
--- a/crates/front/src/backend/exchange.rs
+++ b/crates/front/src/backend/exchange.rs
@@ -80,7 +80,7 @@
     ///
     /// # Errors
     /// `Broken` if the body is longer or ends early.
-    pub async fn read_whole(
+    pub async fn read_body(
         self,
         limit: usize,
     ) -> Result<(StatusCode, HeaderMap, Bytes), ExchangeError> {
@@ -89,7 +89,7 @@
         let body = collected
             .map_err(|error| ExchangeError::Broken(format!("body: {error}")))?
             .to_bytes();
-        self.pooled.give_back(idle_timeout);
+        self.pooled.return_to_pool(idle_timeout);
         Ok((self.status, self.headers, body))
     }
 
@@ -102,7 +102,7 @@
 
 /// Requirement that a response echoes the id of its request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AnswerId {
+pub enum AnswerIdPolicy {
     /// A response without the id belongs to another request.
     Required,
     /// The instance's own endpoints respond without an id; a different id belongs to another
@@ -121,12 +121,12 @@
     head: &RequestHead,
     body: &Bytes,
     attempt_id: &HeaderValue,
-    answer_id: AnswerId,
+    answer_id: AnswerIdPolicy,
 ) -> Result<Reply, ExchangeError> {
     let (response, pooled) = send_on_pooled_connection(instance, head, body, answer_id).await?;
     let (parts, body) = response.into_parts();
     let echoed_id = parts.headers.get(&names.attempt_id);
-    let may_be_missing = answer_id == AnswerId::Optional && echoed_id.is_none();
+    let may_be_missing = answer_id == AnswerIdPolicy::Optional && echoed_id.is_none();
     if echoed_id != Some(attempt_id) && !may_be_missing {
         return Err(ExchangeError::Broken(
             "response to another request".to_owned(),
@@ -157,11 +157,11 @@
         let at_address = reply.headers.get(&names.instance_id);
         let is_other_instance =
             at_address.is_some_and(|id| id.as_bytes() != instance.id().as_bytes());
-        let _ = reply.read_whole(MAX_REFUSAL_BODY_BYTES).await;
+        let _ = reply.read_body(MAX_REFUSAL_BODY_BYTES).await;
         return Err(ExchangeError::Misdirected { is_other_instance });
     }
     if reply.headers.contains_key(&names.not_executed) {
-        let _ = reply.read_whole(MAX_REFUSAL_BODY_BYTES).await;
+        let _ = reply.read_body(MAX_REFUSAL_BODY_BYTES).await;
         return Err(ExchangeError::NotRun(status));
     }
     Ok(reply)
@@ -172,12 +172,12 @@
 fn acquire_ticket(
     instance: &Instance,
     head: &RequestHead,
-    answer_id: AnswerId,
+    answer_id: AnswerIdPolicy,
 ) -> Result<Option<SendTicket>, HoldReason> {
     instance.check_region(&head.allowed)?;
     match answer_id {
-        AnswerId::Required => instance.acquire_send(Instant::now()),
-        AnswerId::Optional => Ok(None),
+        AnswerIdPolicy::Required => instance.acquire_send(Instant::now()),
+        AnswerIdPolicy::Optional => Ok(None),
     }
 }
 
@@ -185,7 +185,7 @@
     instance: &Arc<Instance>,
     head: &RequestHead,
     body: &Bytes,
-    answer_id: AnswerId,
+    answer_id: AnswerIdPolicy,
 ) -> Result<(http::Response<Incoming>, PooledConnection), ExchangeError> {
     for _ in 0..MAX_CONNECTION_ATTEMPTS {
         let acquired = instance.connections().acquire().await;
@@ -194,7 +194,7 @@
             Ok(ticket) => ticket,
             Err(reason) => {
                 // The connection is unused, so the next request may have it.
-                pooled.give_back(None);
+                pooled.return_to_pool(None);
                 return Err(ExchangeError::HeldBack(reason));
             }
         };
--- a/crates/front/src/backend/gate.rs
+++ b/crates/front/src/backend/gate.rs
@@ -68,7 +68,7 @@
 
 impl DrainedZones {
     /// Treats every zone as possibly drained until the first update arrives.
-    pub fn await_first(&self) {
+    pub fn mark_unknown(&self) {
         self.is_unknown.send_replace(true);
     }
 
@@ -154,7 +154,7 @@
     /// Request limits of cold instances.
     pub cold: ColdLimits,
     /// Cold instances for which this node needs permits.
-    pub wants: PermitRequests,
+    pub permit_requests: PermitRequests,
     /// Zones and regions of this node and the instances.
     pub locality: Locality,
 }
--- a/crates/front/src/backend/instance.rs
+++ b/crates/front/src/backend/instance.rs
@@ -36,7 +36,7 @@
 
 /// An instance as described by its discovery record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Discovered {
+pub struct DiscoveredInstance {
     /// Id of the instance, which a later incarnation may reuse.
     pub id: String,
     /// Name of its service.
@@ -76,7 +76,7 @@
     !*flag
 }
 
-impl Discovered {
+impl DiscoveredInstance {
     /// Compares two records without weights and without the exact remaining times.
     pub fn equals_ignoring_weights(&self, other: &Self) -> bool {
         let Self {
@@ -119,7 +119,7 @@
 
 #[derive(Debug)]
 struct InstanceState {
-    discovered: Discovered,
+    discovered: DiscoveredInstance,
     /// Load from other nodes, which is the reported load less own requests, and when it was
     /// reported.
     other_load: Option<(u32, Instant)>,
@@ -146,7 +146,7 @@
 }
 
 impl InstanceState {
-    fn recent_pace_ms(&self, now: Instant) -> Option<f64> {
+    fn recent_unit_time_ms(&self, now: Instant) -> Option<f64> {
         let (unit_time, at) = self.unit_time?;
         (now.saturating_duration_since(at) < UNIT_TIME_MAX_AGE).then_some(unit_time)
     }
@@ -174,7 +174,7 @@
 
 impl Instance {
     /// Creates an instance from its discovery record.
-    pub fn new(discovered: Discovered, gates: SendGates) -> Self {
+    pub fn new(discovered: DiscoveredInstance, gates: SendGates) -> Self {
         let mut cold = ColdState::default();
         cold.record_cold_time(Duration::from_millis(discovered.cold_ms), Instant::now());
         Self {
@@ -215,7 +215,7 @@
 
     /// Returns whether a report about the incarnation started at `started_unix_ms` is about this
     /// one. A start of 0 is unknown and matches any.
-    pub fn is_start(&self, started_unix_ms: u64) -> bool {
+    pub fn matches_incarnation(&self, started_unix_ms: u64) -> bool {
         started_unix_ms == 0 || self.started_unix_ms == 0 || started_unix_ms == self.started_unix_ms
     }
 
@@ -248,10 +248,10 @@
     }
 
     /// Returns the last discovery record with the remaining cold time as of now.
-    pub fn discovered(&self) -> Discovered {
+    pub fn discovered(&self) -> DiscoveredInstance {
         let state = self.lock();
         let cold = state.cold.remaining(Instant::now());
-        Discovered {
+        DiscoveredInstance {
             cold_ms: cold.as_millis() as u64,
             ..state.discovered.clone()
         }
@@ -278,7 +278,7 @@
     }
 
     /// Applies a discovery record. Weight versions never decrease within an incarnation.
-    pub fn update(&self, mut discovered: Discovered) {
+    pub fn update(&self, mut discovered: DiscoveredInstance) {
         let mut state = self.lock();
         for (model, version) in &state.discovered.versions {
             let newer = discovered.versions.entry(model.clone()).or_insert(0);
@@ -303,7 +303,7 @@
     }
 
     /// Records a weight version that the instance reported.
-    pub fn note_version(&self, model: &str, version: u64) {
+    pub fn record_version(&self, model: &str, version: u64) {
         let mut state = self.lock();
         let versions = &mut state.discovered.versions;
         let entry = versions.entry(model.to_owned()).or_insert(0);
@@ -314,7 +314,7 @@
     }
 
     /// Counts a request as in flight until the guard is dropped.
-    pub fn begin(self: &Arc<Self>) -> InFlightGuard {
+    pub fn track_request(self: &Arc<Self>) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         InFlightGuard {
             instance: Arc::clone(self),
@@ -334,26 +334,26 @@
     }
 
     /// Records the time that one unit of work took, in milliseconds.
-    pub fn note_pace(&self, pace_ms: f64, now: Instant) {
+    pub fn record_unit_time(&self, unit_time_ms: f64, now: Instant) {
         let mut state = self.lock();
         let unit_time = match state.unit_time {
             Some((unit_time, at)) if now.saturating_duration_since(at) < UNIT_TIME_MAX_AGE => {
-                unit_time + (pace_ms - unit_time) * UNIT_TIME_WEIGHT
+                unit_time + (unit_time_ms - unit_time) * UNIT_TIME_WEIGHT
             }
-            _ => pace_ms,
+            _ => unit_time_ms,
         };
         state.unit_time = Some((unit_time, now));
     }
 
     /// Records a complete response, which ends the pause after failures.
-    pub fn note_success(&self) {
+    pub fn record_success(&self) {
         let mut state = self.lock();
         state.failures = 0;
         state.paused_until = None;
     }
 
     /// Records a missing or broken response and pauses the instance, for longer with each failure.
-    pub fn note_failure(&self, now: Instant) {
+    pub fn record_failure(&self, now: Instant) {
         let mut state = self.lock();
         let factor = 1u32 << state.failures.min(8);
         state.failures += 1;
@@ -362,7 +362,7 @@
         // It may have restarted before discovery reports it.
         let is_changed = state.cold.record_disconnect();
         if is_changed && self.gates.cold.get(&state.discovered.service).is_some() {
-            log::info!("event=instance_doubtful instance={}", self.id);
+            log::info!("event=instance_maybe_cold instance={}", self.id);
         }
     }
 
@@ -388,7 +388,7 @@
     }
 
     /// Marks a model as unavailable until `until`.
-    pub fn note_loading(&self, model: &str, until: Instant) {
+    pub fn mark_loading(&self, model: &str, until: Instant) {
         self.lock().loading_until.insert(model.to_owned(), until);
     }
 
@@ -413,7 +413,7 @@
     ///
     /// # Errors
     /// Returns the reason if requests must not be sent there.
-    pub fn drain_gate(&self) -> Result<(), HoldReason> {
+    pub fn check_drain(&self) -> Result<(), HoldReason> {
         let state = self.lock();
         self.gates.drained.may_send_to(&state.discovered.zone)
     }
@@ -519,7 +519,7 @@
                 .regions
                 .between_zones(zone, &state.discovered.zone),
             round_trip_ms: self.connections.round_trip_ms(),
-            pace_ms: state.recent_pace_ms(now),
+            unit_time_ms: state.recent_unit_time_ms(now),
         }
     }
 
@@ -530,8 +530,8 @@
     }
 
     /// Returns the recent milliseconds per unit of work, `None` if unknown.
-    pub fn recent_pace_ms(&self) -> Option<f64> {
-        self.lock().recent_pace_ms(Instant::now())
+    pub fn recent_unit_time_ms(&self) -> Option<f64> {
+        self.lock().recent_unit_time_ms(Instant::now())
     }
 
     fn lock(&self) -> MutexGuard<'_, InstanceState> {
--- a/crates/front/src/backend/table.rs
+++ b/crates/front/src/backend/table.rs
@@ -11,7 +11,7 @@
 use super::choice::{Candidate, Demand, choose, median};
 use super::counters::DiscoveryCounters;
 use super::gate::{HoldReason, Locality, SendGates};
-use super::instance::{Discovered, Instance};
+use super::instance::{DiscoveredInstance, Instance};
 
 /// Instances by id. Cheap to clone.
 #[derive(Debug, Clone)]
@@ -62,7 +62,7 @@
     }
 
     /// Replaces the set of drained zones.
-    pub fn set_drained(&self, zones: BTreeSet<Arc<str>>) {
+    pub fn set_drained_zones(&self, zones: BTreeSet<Arc<str>>) {
         let drained = &self.gates.drained;
         let before = drained.current();
         let is_changed = !drained.is_known() || *before != zones;
@@ -98,14 +98,14 @@
 
     /// Returns the reason if drains leave no instance of a service; `None` if one may get requests
     /// or there is none.
-    pub fn drained_out(&self, service: &str) -> Option<HoldReason> {
-        let instances = self.of_service(service);
+    pub fn drain_reason(&self, service: &str) -> Option<HoldReason> {
+        let instances = self.instances_of(service);
         let is_open =
-            |instance: &Arc<Instance>| instance.is_ready() && instance.drain_gate().is_ok();
+            |instance: &Arc<Instance>| instance.is_ready() && instance.check_drain().is_ok();
         if instances.iter().any(is_open) {
             return None;
         }
-        let reasons = instances.iter().map(|instance| instance.drain_gate().err());
+        let reasons = instances.iter().map(|instance| instance.check_drain().err());
         reasons.flatten().next()
     }
 
@@ -116,7 +116,7 @@
 
     /// Removes an instance whose record cannot be read and counts it under the metric label
     /// `reason`.
-    pub fn forget_unreadable(&self, id: &str, reason: &str) {
+    pub fn remove_unreadable(&self, id: &str, reason: &str) {
         let unreadable = &self.counters.unreadable_records;
         unreadable.with_label_values(&[reason]).inc();
         self.remove(id);
@@ -124,7 +124,7 @@
 
     /// Applies a discovery record. A later incarnation replaces the earlier one with all its state;
     /// a late record about an earlier incarnation is ignored.
-    pub fn upsert(&self, mut discovered: Discovered) {
+    pub fn upsert(&self, mut discovered: DiscoveredInstance) {
         let mut instances = self.lock();
         let known = instances.get(&discovered.id);
         if let Some(known) = known {
@@ -134,7 +134,7 @@
             }
             if discovered.started_unix_ms < start {
                 log::info!(
-                    "event=instance_word_late instance={} started={} known={start}",
+                    "event=instance_report_late instance={} started={} known={start}",
                     discovered.id,
                     discovered.started_unix_ms
                 );
@@ -191,9 +191,9 @@
 
     /// Records the start that an instance reported itself. A start later than the known one is a
     /// new incarnation, of which only the discovery record is kept, without weights.
-    pub fn note_start(&self, instance: &Instance, started_unix_ms: u64) {
+    pub fn record_incarnation(&self, instance: &Instance, started_unix_ms: u64) {
         if started_unix_ms > instance.started_unix_ms() {
-            self.upsert(Discovered {
+            self.upsert(DiscoveredInstance {
                 started_unix_ms,
                 versions: BTreeMap::new(),
                 ..instance.discovered()
@@ -207,7 +207,7 @@
 
     /// Requests instances if none was ever added, and waits at most `max_wait` for the first one and
     /// for the drained zones.
-    pub async fn first_fed(&self, max_wait: Duration) {
+    pub async fn wait_for_first_instance(&self, max_wait: Duration) {
         let drained = &self.gates.drained;
         if *self.is_populated.borrow() && drained.is_known() {
             return;
@@ -224,7 +224,7 @@
     }
 
     /// Waits until a request came before the first instance was known.
-    pub async fn wanted(&self) {
+    pub async fn wait_for_first_request(&self) {
         let mut is_requested = self.is_requested.subscribe();
         // The sender lives as long as `self`.
         let _ = is_requested.wait_for(|is_requested| *is_requested).await;
@@ -234,14 +234,14 @@
     pub fn remove(&self, id: &str) {
         if let Some(instance) = self.lock().remove(id) {
             instance.connections().close_idle();
-            log::info!("event=instance_gone instance={id}");
+            log::info!("event=instance_removed instance={id}");
             self.membership.send_modify(|count| *count += 1);
         }
         self.notify();
     }
 
     /// Removes all instances that `is_in_scope` accepts and whose ids are not in `kept`.
-    pub fn retain(&self, kept: &[String], is_in_scope: impl Fn(&Discovered) -> bool) {
+    pub fn retain(&self, kept: &[String], is_in_scope: impl Fn(&DiscoveredInstance) -> bool) {
         let gone: Vec<String> = {
             let instances = self.lock();
             let instances = instances.values();
@@ -276,7 +276,7 @@
     }
 
     /// Returns the last discovery records of all instances, sorted by id.
-    pub fn discovered(&self) -> Vec<Discovered> {
+    pub fn discovered(&self) -> Vec<DiscoveredInstance> {
         let instances = self.lock();
         instances
             .values()
@@ -285,7 +285,7 @@
     }
 
     /// Returns the instances of a service, sorted by id.
-    pub fn of_service(&self, service: &str) -> Vec<Arc<Instance>> {
+    pub fn instances_of(&self, service: &str) -> Vec<Arc<Instance>> {
         let instances = self.lock();
         let found = instances.values();
         found
@@ -295,12 +295,12 @@
     }
 
     /// Returns the median of the recent unit times of a service's instances, in milliseconds.
-    pub fn typical_pace(&self, service: &str) -> Option<f64> {
+    pub fn typical_unit_time(&self, service: &str) -> Option<f64> {
         let now = Instant::now();
-        let instances = self.of_service(service);
+        let instances = self.instances_of(service);
         let paces = instances
             .iter()
-            .filter_map(|one| one.candidate(&self.zone, now).pace_ms);
+            .filter_map(|one| one.candidate(&self.zone, now).unit_time_ms);
         median(paces.collect())
     }
 
@@ -320,7 +320,7 @@
             None => {
                 // Permits for these cold instances would let the work start.
                 let idle = cold.iter().filter(|instance| instance.has_free_slot());
-                idle.for_each(|instance| self.gates.wants.add(instance.id(), service));
+                idle.for_each(|instance| self.gates.permit_requests.add(instance.id(), service));
             }
         }
         chosen
@@ -350,7 +350,7 @@
         now: Instant,
         fits: impl Fn(&Instance) -> bool,
     ) -> (Option<Arc<Instance>>, Vec<Arc<Instance>>) {
-        let mut usable = self.of_service(service);
+        let mut usable = self.instances_of(service);
         usable.retain(|instance| instance.is_usable(model, now) && fits(instance));
         let cold = self.remove_held(&mut usable, now);
         let candidates: Vec<Candidate> = usable
@@ -369,7 +369,7 @@
                 return true;
             };
             let labels = [reason.label(), &instance.zone()];
-            self.counters.passed_over.with_label_values(&labels).inc();
+            self.counters.skipped_instances.with_label_values(&labels).inc();
             if reason == HoldReason::Cold {
                 cold.push(Arc::clone(instance));
             }
@@ -388,7 +388,7 @@
     pub fn held_counts(&self, service: &str) -> BTreeMap<HoldReason, usize> {
         let now = Instant::now();
         let mut counts = BTreeMap::new();
-        let ready = self.of_service(service).into_iter();
+        let ready = self.instances_of(service).into_iter();
         for instance in ready.filter(|instance| instance.is_ready()) {
             if let Err(reason) = instance.may_send(now) {
                 *counts.entry(reason).or_insert(0) += 1;
@@ -413,14 +413,14 @@
 
     /// Returns whether a service has an instance in an allowed region, ready or not.
     pub fn has_any_within(&self, service: &str, allowed: &AllowedRegions) -> bool {
-        let instances = self.of_service(service);
+        let instances = self.instances_of(service);
         instances.iter().any(|instance| instance.is_within(allowed))
     }
 
     /// Returns a random ready instance of a service in an allowed region, paused ones included.
-    pub fn choose_again(&self, service: &str, allowed: &AllowedRegions) -> Option<Arc<Instance>> {
+    pub fn choose_for_retry(&self, service: &str, allowed: &AllowedRegions) -> Option<Arc<Instance>> {
         let now = Instant::now();
-        let instances = self.of_service(service);
+        let instances = self.instances_of(service);
         let ready: Vec<_> = instances
             .into_iter()
             .filter(|instance| instance.is_ready() && instance.is_within(allowed))
--- a/crates/front/src/capacity/outbox.rs
+++ b/crates/front/src/capacity/outbox.rs
@@ -1,100 +1,102 @@
-//! Which orders are to be sent now.
+//! Schedules capacity orders and their retries.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use ladderstage_clock::Instant;
 
-use super::counts::Subject;
+use super::counts::InstancePool;
 use super::sink::CapacityOrderError;
 
-/// First pause after an order that was not taken; doubles with each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(400);
+/// Pause after the first order that failed; doubles with each further one.
+const INITIAL_PAUSE: Duration = Duration::from_millis(400);
 
-/// Longest pause after orders that were not taken.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
+/// Upper limit of the pause after failed orders.
+const MAX_PAUSE: Duration = Duration::from_secs(4);
 
-/// An order without an answer may be carried out within this time, over newer ones.
-pub const LATE_TIME: Duration = Duration::from_secs(15);
+/// Time within which an unanswered order may still take effect, overriding newer ones.
+pub const LATE_EXECUTION_WINDOW: Duration = Duration::from_secs(15);
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Entry {
+struct OutboxEntry {
     desired: u32,
-    is_taken: bool,
-    /// It is not sent before.
-    next_at: Instant,
+    is_accepted: bool,
+    /// Earliest time of the next attempt.
+    next_attempt_at: Instant,
     pause: Duration,
-    /// Until when an order without an answer may be carried out.
+    /// Time until which an unanswered order may still take effect.
     late_until: Option<Instant>,
 }
 
-/// The order of each subject, and when it is to be sent.
+/// Latest order of each pool and the time of its next attempt.
 #[derive(Debug, Default)]
 pub struct Outbox {
-    entries: BTreeMap<Subject, Entry>,
+    entries: BTreeMap<InstancePool, OutboxEntry>,
 }
 
 impl Outbox {
-    /// Takes the count that is wanted of a subject; one that was taken already is not sent again.
-    pub fn want(&mut self, subject: &Subject, desired: u32, now: Instant) {
-        let entry = self.entries.get_mut(subject);
+    /// Sets the desired count of a pool. A count that was accepted already is not sent again.
+    pub fn set_desired(&mut self, pool: &InstancePool, desired: u32, now: Instant) {
+        let entry = self.entries.get_mut(pool);
         if let Some(entry) = entry {
             if entry.desired != desired {
                 entry.desired = desired;
-                entry.is_taken = false;
-                entry.next_at = now;
+                entry.is_accepted = false;
+                entry.next_attempt_at = now;
             }
             return;
         }
-        let entry = Entry {
+        let entry = OutboxEntry {
             desired,
-            is_taken: false,
-            next_at: now,
-            pause: FIRST_PAUSE,
+            is_accepted: false,
+            next_attempt_at: now,
+            pause: INITIAL_PAUSE,
             late_until: None,
         };
-        self.entries.insert(subject.clone(), entry);
+        self.entries.insert(pool.clone(), entry);
     }
 
-    /// Takes a count that an earlier holder wanted: orders of that one may still be carried out late, and are overtaken.
-    pub fn resume(&mut self, subject: &Subject, desired: u32, now: Instant) {
-        self.want(subject, desired, now);
-        if let Some(entry) = self.entries.get_mut(subject) {
-            entry.late_until = Some(now + LATE_TIME);
+    /// Sets a count that an earlier holder ordered. It is sent once more after that holder's orders
+    /// can no longer take effect.
+    pub fn resume(&mut self, pool: &InstancePool, desired: u32, now: Instant) {
+        self.set_desired(pool, desired, now);
+        if let Some(entry) = self.entries.get_mut(pool) {
+            entry.late_until = Some(now + LATE_EXECUTION_WINDOW);
         }
     }
 
-    /// Makes the count of a subject due once more, not sooner than the pause noted with its last outcome.
-    pub fn repeat(&mut self, subject: &Subject, desired: u32, now: Instant) {
-        self.want(subject, desired, now);
-        if let Some(entry) = self.entries.get_mut(subject)
-            && now >= entry.next_at
+    /// Makes the count of a pool due again, after the pause that followed its last outcome.
+    pub fn repeat(&mut self, pool: &InstancePool, desired: u32, now: Instant) {
+        self.set_desired(pool, desired, now);
+        if let Some(entry) = self.entries.get_mut(pool)
+            && now >= entry.next_attempt_at
         {
-            entry.is_taken = false;
+            entry.is_accepted = false;
         }
     }
 
-    /// The orders that are due.
-    pub fn due(&self, now: Instant) -> Vec<(Subject, u32)> {
-        let is_due = |entry: &Entry| {
-            let is_late_over = entry.late_until.is_some_and(|until| now >= until);
-            now >= entry.next_at && (!entry.is_taken || is_late_over)
+    /// Returns the orders that are due.
+    pub fn due(&self, now: Instant) -> Vec<(InstancePool, u32)> {
+        let is_due = |entry: &OutboxEntry| {
+            let has_late_window_passed = entry.late_until.is_some_and(|until| now >= until);
+            now >= entry.next_attempt_at && (!entry.is_accepted || has_late_window_passed)
         };
         let due = self.entries.iter().filter(|(_, entry)| is_due(entry));
-        due.map(|(subject, entry)| (subject.clone(), entry.desired))
+        due.map(|(pool, entry)| (pool.clone(), entry.desired))
             .collect()
     }
 
-    /// Notes the outcome of an order. One that was taken, or for which there was no capacity, is repeated after `pause` at the earliest.
-    pub fn note(
+    /// Records the outcome of an order. An accepted order, or one without available capacity, is
+    /// repeated after `pause` at the earliest.
+    pub fn record_outcome(
         &mut self,
-        subject: &Subject,
+        pool: &InstancePool,
         desired: u32,
         outcome: &Result<(), CapacityOrderError>,
         pause: Duration,
         now: Instant,
     ) {
-        let Some(entry) = self.entries.get_mut(subject) else {
+        let Some(entry) = self.entries.get_mut(pool) else {
             return;
         };
         if entry.late_until.is_some_and(|until| now >= until) {
@@ -102,32 +104,32 @@
         }
         match outcome {
             Ok(()) => {
-                entry.is_taken = entry.desired == desired;
-                entry.pause = FIRST_PAUSE;
-                entry.next_at = if entry.is_taken { now + pause } else { now };
+                entry.is_accepted = entry.desired == desired;
+                entry.pause = INITIAL_PAUSE;
+                entry.next_attempt_at = if entry.is_accepted { now + pause } else { now };
             }
-            Err(CapacityOrderError::NoneToBeHad) => {
-                entry.is_taken = false;
-                entry.pause = FIRST_PAUSE;
-                entry.next_at = now + pause;
+            Err(CapacityOrderError::Unavailable) => {
+                entry.is_accepted = false;
+                entry.pause = INITIAL_PAUSE;
+                entry.next_attempt_at = now + pause;
             }
             Err(CapacityOrderError::Refused(_)) => {
-                entry.is_taken = false;
-                entry.wait(now);
+                entry.is_accepted = false;
+                entry.back_off(now);
             }
             Err(CapacityOrderError::Unknown(_)) => {
-                entry.is_taken = false;
-                entry.late_until = Some(now + LATE_TIME);
-                entry.wait(now);
+                entry.is_accepted = false;
+                entry.late_until = Some(now + LATE_EXECUTION_WINDOW);
+                entry.back_off(now);
             }
         }
     }
 }
 
-impl Entry {
-    /// Puts the order off by a pause that doubles.
-    fn wait(&mut self, now: Instant) {
-        self.next_at = now + self.pause;
-        self.pause = (self.pause * 2).min(LONGEST_PAUSE);
+impl OutboxEntry {
+    /// Delays the next attempt, with exponential backoff.
+    fn back_off(&mut self, now: Instant) {
+        self.next_attempt_at = now + self.pause;
+        self.pause = (self.pause * 2).min(MAX_PAUSE);
     }
 }
--- a/crates/front/src/dialect.rs
+++ b/crates/front/src/dialect.rs
@@ -16,7 +16,7 @@
     /// Remaining time of the sender in milliseconds.
     pub deadline_ms: HeaderName,
     /// Signature of the responding instance.
-    pub response_stamp: HeaderName,
+    pub response_signature: HeaderName,
     /// Id of the only instance that may run the request.
     pub expect_instance: HeaderName,
     /// Name of the request's tenant.
--- a/crates/front/src/ingress/answers.rs
+++ b/crates/front/src/ingress/answers.rs
@@ -75,7 +75,7 @@
         if frame.is_none() {
             let idle_timeout = self.idle_timeout;
             if let Some(pooled) = self.pooled.take() {
-                pooled.give_back(idle_timeout);
+                pooled.return_to_pool(idle_timeout);
             }
             if let Some(run) = &self.run {
                 run.record_complete();
@@ -85,7 +85,7 @@
             && let Some(run) = self.run.take()
         {
             // The check runs while the client's connection is aborted.
-            tokio::spawn(run.look());
+            tokio::spawn(run.check_broken_run());
         }
         Poll::Ready(frame.map(|frame| frame.map_err(Into::into)))
     }
--- a/crates/front/src/ingress/mod.rs
+++ b/crates/front/src/ingress/mod.rs
@@ -34,7 +34,7 @@
 };
 use self::caller::caller;
 use self::state::RequestGuard;
-use crate::config::{ConfigInForce, Route, RouteKind, ServingConfig};
+use crate::config::{CurrentConfig, Route, RouteKind, ServingConfig};
 use crate::dialect::{JobCall, SharedCodec};
 use crate::job::{AcceptError, JobRegistry, ReadError, job_key};
 use crate::live::{LiveRequest, LiveService};
@@ -58,7 +58,7 @@
 /// State shared by all client connections.
 pub struct Ingress {
     /// Routes and limits.
-    pub config: ConfigInForce,
+    pub config: CurrentConfig,
     /// Live requests.
     pub live: LiveService,
     /// Batch jobs.
@@ -262,9 +262,9 @@
         let id = request.headers().get(&self.codec.headers().attempt_id);
         let id = id.and_then(|id| id.to_str().ok()).unwrap_or("-");
         let is_newest = self.has_newest_config();
-        let age = self.nodes.last_contact().map(|at| at.elapsed().as_millis());
+        let age = self.nodes.last_store_contact().map(|at| at.elapsed().as_millis());
         log::warn!(
-            "event=key_refused request={id} config={} reason={refusal} config_is_newest={is_newest} contact_ms={age:?}",
+            "event=key_rejected request={id} config={} reason={refusal} config_is_newest={is_newest} contact_ms={age:?}",
             config.version
         );
         let refused = &self.metrics.refused_keys;
@@ -341,12 +341,12 @@
         };
         match self.jobs.accept(spec).await {
             Ok(()) => empty(StatusCode::ACCEPTED),
-            Err(AcceptError::NotKept(cause)) => {
+            Err(AcceptError::NotStored(cause)) => {
                 log::warn!("event=job_refused job={id} cause=\"{cause}\"");
                 not_run()
             }
-            Err(AcceptError::InDoubt(cause)) => {
-                log::warn!("event=job_in_doubt job={id} cause=\"{cause}\"");
+            Err(AcceptError::OutcomeUnknown(cause)) => {
+                log::warn!("event=job_outcome_unknown job={id} cause=\"{cause}\"");
                 empty(StatusCode::GATEWAY_TIMEOUT)
             }
         }
@@ -405,7 +405,7 @@
     }
 
     fn has_newest_config(&self) -> bool {
-        let contact = self.nodes.last_contact();
+        let contact = self.nodes.last_store_contact();
         contact.is_some_and(|at| at.elapsed() < CONTACT_MAX_AGE)
     }
 
--- a/crates/front/src/job/peers.rs
+++ b/crates/front/src/job/peer_handler.rs
@@ -1,4 +1,4 @@
-//! What other nodes ask of this node's jobs, and jobs that change their owner.
+//! Handles requests of other nodes about this node's jobs, and takeovers of jobs.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,20 +16,21 @@
 };
 
 use super::LOG_PREFIX;
+use super::local_job::Job;
 use super::lock::lock;
 use super::reading::{ReadError, body_local, end_local, results_answer};
 use super::registry::JobRegistry;
-use super::shared::Job;
 use crate::orders::LoadLimit;
 
-/// Jobs accepted within this time count for the demand.
+/// Jobs accepted within this time count towards the demand.
 const DEMAND_WINDOW: Duration = Duration::from_secs(15);
 
-/// Tokens of an item whose client gave no guess.
-const UNKNOWN_TOKENS: u64 = 1_000;
+/// Expected tokens of an item whose client gave no estimate.
+const DEFAULT_TOKENS: u64 = 1_000;
 
 impl JobRegistry {
-    /// Work that this node accepted lately, by model, and the paces that it has seen.
+    /// Returns the work that this node accepted recently, by model, and its instances' event
+    /// intervals.
     pub fn demand(&self) -> Demand {
         let mut tokens = BTreeMap::<String, u64>::new();
         for job in lock(&self.shared.jobs).values() {
@@ -46,87 +47,89 @@
         });
         Demand {
             work: work.collect(),
-            paces: self.paces(),
+            paces: self.event_intervals(),
         }
     }
 
-    /// Paces of the instances that hold models.
-    fn paces(&self) -> Vec<InstancePace> {
+    /// Returns the recent event intervals of the instances that serve models.
+    fn event_intervals(&self) -> Vec<InstancePace> {
         let Some(config) = self.context.config.current() else {
             return Vec::new();
         };
         let services = config.services.iter();
         let instances = services
             .filter(|(_, service)| !service.models.is_empty())
-            .flat_map(|(name, _)| self.context.backends.of_service(name));
+            .flat_map(|(name, _)| self.context.backends.instances_of(name));
         let known = instances.filter_map(|instance| {
-            let pace_ms = instance.recent_pace_ms()?;
+            let interval_ms = instance.recent_unit_time_ms()?;
             Some(InstancePace {
                 instance: instance.id().to_owned(),
-                event_micros: (pace_ms * 1e3) as u64,
+                event_micros: (interval_ms * 1e3) as u64,
             })
         });
         known.collect()
     }
 
-    /// Answers another node's question about a job of this node.
+    /// Answers another node's request about jobs.
     pub async fn handle(&self, request: RequestKind) -> Response {
         let kind = match request {
-            RequestKind::read_job(request) => self.answer_read(request).await,
-            RequestKind::read_job_body(request) => self.answer_body(request).await,
-            RequestKind::end_job(request) => self.answer_end(request).await,
+            RequestKind::read_job(request) => self.handle_read(request).await,
+            RequestKind::read_job_body(request) => self.handle_body(request).await,
+            RequestKind::end_job(request) => self.handle_end(request).await,
             RequestKind::take_kept_texts(request) => {
                 let texts = self.take_kept_texts(request).await;
                 ResponseKind::packed_kept_texts(compress(&encode(&texts)))
             }
             RequestKind::weight_news(news) => {
-                self.take_news(&news);
+                self.apply_weight_news(&news);
                 ResponseKind::done(Done {})
             }
-            RequestKind::accept_job(request) => self.answer_accept(request).await,
+            RequestKind::accept_job(request) => self.handle_accept(request).await,
             RequestKind::giver_end(end) => {
-                self.context.ended_givers.note(&end, Instant::now());
+                self.context.former_leaders.record(&end, Instant::now());
                 ResponseKind::done(Done {})
             }
             RequestKind::read_demand(_) => ResponseKind::demand(self.demand()),
             RequestKind::shard_notice(notice) => {
                 if notice.from_owner {
-                    self.take_over(notice.logs);
+                    self.take_over_logs(notice.logs);
                 } else {
-                    self.on_untended(notice.logs);
+                    self.on_orphaned_logs(notice.logs);
                 }
                 ResponseKind::done(Done {})
             }
-            _ => refused(Reason::MALFORMED, "not a job request"),
+            _ => refused(Reason::MALFORMED, "request does not concern jobs"),
         };
         Response { kind }
     }
 
-    /// Takes what the giver of orders tells of instances' weights.
-    fn take_news(&self, news: &WeightNews) {
+    /// Applies the order leader's update on the weights of instances.
+    fn apply_weight_news(&self, news: &WeightNews) {
         let now = Instant::now();
-        for told in &news.instances {
-            let instance = self.context.backends.get(&told.instance);
-            let Some(instance) = instance.filter(|one| one.is_start(told.started_unix_ms)) else {
+        for update in &news.instances {
+            let instance = self.context.backends.get(&update.instance);
+            let Some(instance) =
+                instance.filter(|instance| instance.matches_incarnation(update.started_unix_ms))
+            else {
                 continue;
             };
-            if told.loading_ms > 0 {
-                let until = now + Duration::from_millis(told.loading_ms);
-                instance.note_loading(&told.model, until);
+            if update.loading_ms > 0 {
+                let until = now + Duration::from_millis(update.loading_ms);
+                instance.mark_loading(&update.model, until);
             } else {
-                instance.note_version(&told.model, told.version);
+                instance.record_version(&update.model, update.version);
             }
         }
         if news.usual_load_ms > 0 {
-            let usual = Duration::from_millis(news.usual_load_ms);
+            let typical = Duration::from_millis(news.usual_load_ms);
             let limit = news.load_limit as usize;
-            let limit = LoadLimit::from_learnt(limit, usual, news.limit_is_near);
-            self.context.learnt_loads.note(&limit);
+            let limit = LoadLimit::from_learned(limit, typical, news.limit_is_near);
+            self.context.learned_load_limit.record(&limit);
         }
         self.context.backends.notify();
     }
 
-    async fn answer_read(&self, request: ReadJob) -> ResponseKind {
+    async fn handle_read(&self, request: ReadJob) -> ResponseKind {
         let ReadJob { job, after, .. } = &request;
         let wait = Duration::from_millis(request.wait_ms);
         let read = if request.anywhere {
@@ -137,18 +140,18 @@
                 Err(refused) => return ResponseKind::refused(refused),
             }
         };
-        read.map_or_else(refusal_of, |results| {
+        read.map_or_else(refusal_from, |results| {
             results_answer(results, request.takes_compressed)
         })
     }
 
-    async fn answer_body(&self, request: ReadJobBody) -> ResponseKind {
+    async fn handle_body(&self, request: ReadJobBody) -> ResponseKind {
         let ReadJobBody { job, item, .. } = &request;
         let body = if request.anywhere {
             match self.body_here_or_at_owner(job, item).await {
                 Ok(body) => Some(body),
                 Err(ReadError::NotFound) => None,
-                Err(error) => return refusal_of(error),
+                Err(error) => return refusal_from(error),
             }
         } else {
             match self.local_or_refusal(job) {
@@ -162,7 +165,7 @@
         })
     }
 
-    async fn answer_end(&self, request: EndJob) -> ResponseKind {
+    async fn handle_end(&self, request: EndJob) -> ResponseKind {
         let ended = if request.anywhere {
             self.end_here_or_at_owner(&request.job).await
         } else {
@@ -171,12 +174,13 @@
                 Err(refused) => return ResponseKind::refused(refused),
             }
         };
-        ended.map_or_else(refusal_of, |()| ResponseKind::done(Done {}))
+        ended.map_or_else(refusal_from, |()| ResponseKind::done(Done {}))
     }
 
-    /// Takes over jobs that a replica hears no owner of, unless their owner answers: the replica may be cut off.
-    pub fn on_untended(&self, logs: Vec<String>) {
-        for id in self.not_here(&logs) {
+    /// Takes over jobs whose logs a replica reports as orphaned, unless their owner answers: the
+    /// replica may be partitioned.
+    pub fn on_orphaned_logs(&self, logs: Vec<String>) {
+        for id in self.jobs_not_local(&logs) {
             let registry = self.clone();
             tokio::spawn(async move {
                 if registry.is_owned(&id).await {
@@ -188,15 +192,15 @@
         }
     }
 
-    /// Takes over jobs that their owner gives up.
-    fn take_over(&self, logs: Vec<String>) {
-        for id in self.not_here(&logs) {
+    /// Takes over jobs that their owner hands over.
+    fn take_over_logs(&self, logs: Vec<String>) {
+        for id in self.jobs_not_local(&logs) {
             let registry = self.clone();
             tokio::spawn(async move { registry.adopt_or_log(&id).await });
         }
     }
 
-    fn not_here(&self, logs: &[String]) -> Vec<String> {
+    fn jobs_not_local(&self, logs: &[String]) -> Vec<String> {
         let ids = logs.iter().filter_map(|log| log.strip_prefix(LOG_PREFIX));
         ids.filter(|id| self.local(id).is_none())
             .map(str::to_owned)
@@ -220,22 +224,22 @@
             };
             Refused {
                 reason,
-                detail: "no such job here".to_owned(),
+                detail: "this node does not own the job".to_owned(),
                 retry_after_ms: 0,
             }
         })
     }
 }
 
-/// Tokens that are expected to come out of a job's items.
+/// Returns the expected number of tokens generated for a job's items.
 fn expected_tokens(spec: &JobSpec) -> u64 {
-    let guesses = spec.items.iter().map(|item| item.expected_tokens);
-    guesses
-        .map(|guess| if guess == 0 { UNKNOWN_TOKENS } else { guess })
+    let estimates = spec.items.iter().map(|item| item.expected_tokens);
+    estimates
+        .map(|tokens| if tokens == 0 { DEFAULT_TOKENS } else { tokens })
         .sum()
 }
 
-fn refusal_of(error: ReadError) -> ResponseKind {
+fn refusal_from(error: ReadError) -> ResponseKind {
     let reason = match error {
         ReadError::NotFound => Reason::NOT_OWNER,
         ReadError::Unavailable(_) => Reason::NOT_READY,
--- a/crates/front/src/job/run.rs
+++ b/crates/front/src/job/run.rs
@@ -1,4 +1,5 @@
-//! One item of a batch job: runs it as a stream, takes it up elsewhere when it is cut or slow, until it is whole.
+//! Runs one item of a batch job as a stream, and migrates it to another instance when the stream
+//! breaks or is slow, until its text is complete.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,48 +9,49 @@
 use ladderstage_clock::Instant;
 
 use super::run_context::{RunContext, refusal_pause};
-use super::run_end::{RunEnd, STALE_WEIGHTS_PAUSE, fits};
+use super::run_end::{RunEnd, STALE_WEIGHTS_PAUSE, can_continue};
 use super::scoring::{ScoreEnd, score};
 use super::stream::follow_stream;
 use super::text::ItemText;
-use crate::backend::{AnswerId, Demand, ExchangeError, Instance, RequestHead, send};
+use crate::backend::{AnswerIdPolicy, Demand, ExchangeError, Instance, RequestHead, send};
 use crate::tenant::set_tenant;
 
-/// Pause before another instance is looked for when none has room.
-const NO_ROOM_PAUSE: Duration = Duration::from_millis(25);
+/// Pause before instances are checked again when none has free capacity.
+const NO_CAPACITY_PAUSE: Duration = Duration::from_millis(25);
 
-/// How long a text of one weight version waits for an instance that still has it.
+/// Time for which a text that requires a single weight version waits for an instance with that
+/// version.
 const VERSION_WAIT: Duration = Duration::from_millis(500);
 
-/// What came of running an item.
+/// Outcome of running an item.
 pub enum RunOutcome {
-    /// Its text is whole; the score is empty where nothing scores it.
+    /// The text is complete.
     Completed {
-        /// The text.
+        /// Generated text.
         text: ItemText,
-        /// Its score.
+        /// Score of the text; empty for an item without a reward call.
         score: String,
     },
-    /// It is given up.
+    /// The item was terminated without a complete text.
     Terminated,
-    /// The instance took none of it; the job's owner chooses again what starts next.
+    /// The instance did not start the item; the job's owner schedules it again.
     NotStarted,
-    /// It was told to stop, or may send no more requests. What it had made was handed over to be kept.
+    /// The run was stopped or may send no more requests. Its partial text was sent to be saved.
     Stopped(ItemText),
 }
 
-/// How the work on an item ended.
+/// How the processing of an item ended.
 enum ItemEnd {
-    /// Its text is whole; the score is empty where nothing scores it.
+    /// The text is complete; `score` is empty for an item without a reward call.
     Completed { score: String },
-    /// It is given up.
+    /// The item was terminated.
     Terminated,
-    /// No more requests may be sent for it.
+    /// No more requests may be sent for the item.
     Closed,
 }
 
-/// Runs the item at `index` until it has a result, going on from `partial`; the first run goes to `first`, and none is needed
-/// for a text that is whole and only lacks its score.
+/// Runs the item at `index` until it has a result, resuming from `partial`. The first run uses the
+/// instance `first`; it is `None` for a complete text that only lacks its score.
 pub async fn run_item(
     context: Arc<RunContext>,
     index: usize,
@@ -58,11 +60,11 @@
 ) -> RunOutcome {
     let item = context.spec.items[index].id.clone();
     let mut stop = context.stop.clone();
-    let run = run_in_time(&context, index, first, &mut partial);
+    let run = run_with_deadline(&context, index, first, &mut partial);
     let ended = tokio::select! {
         ended = run => ended,
         _ = stop.wait_for(|stop| *stop) => {
-            return stopped(&context, &item, partial);
+            return stop_run(&context, &item, partial);
         }
     };
     match ended {
@@ -72,33 +74,33 @@
             score,
         },
         Some(ItemEnd::Terminated) => RunOutcome::Terminated,
-        Some(ItemEnd::Closed) => stopped(&context, &item, partial),
+        Some(ItemEnd::Closed) => stop_run(&context, &item, partial),
     }
 }
 
-/// Hands over what was made to be kept.
-fn stopped(context: &RunContext, item: &str, mut partial: ItemText) -> RunOutcome {
-    if let Some(progress) = partial.take_progress(item) {
+/// Sends the partial text to be saved.
+fn stop_run(context: &RunContext, item: &str, mut partial: ItemText) -> RunOutcome {
+    if let Some(progress) = partial.drain_progress(item) {
         let _ = context.progress.send(progress);
     }
     RunOutcome::Stopped(partial)
 }
 
-/// Runs the item until it is done or too old; `None` if it was not started.
-async fn run_in_time(
+/// Runs the item until it is finished or its deadline passes; returns `None` if it was not started.
+async fn run_with_deadline(
     context: &RunContext,
     index: usize,
     first: Option<Arc<Instance>>,
     partial: &mut ItemText,
 ) -> Option<ItemEnd> {
     let run = run_until_done(context, index, first, partial);
-    let Some(at) = context.give_up_at else {
+    let Some(at) = context.item_deadline else {
         return run.await;
     };
     let ended = tokio::time::timeout_at(at.into(), run).await;
     ended.unwrap_or_else(|_| {
         log::warn!(
-            "event=item_given_up item={} job={} reason=age",
+            "event=item_abandoned item={} job={} reason=age",
             context.spec.items[index].id,
             context.spec.job
         );
@@ -106,51 +108,52 @@
     })
 }
 
-/// Makes the text and has it scored; `None` if the first instance took none of it.
+/// Generates the text and has it scored; returns `None` if the first instance did not start the
+/// item.
 async fn run_until_done(
     context: &RunContext,
     index: usize,
     first: Option<Arc<Instance>>,
     partial: &mut ItemText,
 ) -> Option<ItemEnd> {
-    if !partial.is_whole()
+    if !partial.is_complete()
         && let Some(first) = first
     {
-        match make_text(context, index, first, partial).await? {
-            TextEnd::Whole => {}
-            TextEnd::Impossible => return Some(ItemEnd::Terminated),
+        match generate_text(context, index, first, partial).await? {
+            TextEnd::Complete => {}
+            TextEnd::Unprocessable => return Some(ItemEnd::Terminated),
             TextEnd::Closed => return Some(ItemEnd::Closed),
         }
     }
     let item = &context.spec.items[index];
     let Some(reward) = &item.reward_call else {
-        partial.set_whole();
+        partial.mark_complete();
         let score = String::new();
         return Some(ItemEnd::Completed { score });
     };
-    if !partial.is_whole()
-        && let Some(progress) = partial.end(&item.id)
+    if !partial.is_complete()
+        && let Some(progress) = partial.finish(&item.id)
     {
         let _ = context.progress.send(progress);
     }
     match score(context, index, reward).await {
         ScoreEnd::Scored(score) => Some(ItemEnd::Completed { score }),
-        ScoreEnd::Failed | ScoreEnd::Impossible => Some(ItemEnd::Terminated),
+        ScoreEnd::Failed | ScoreEnd::Unprocessable => Some(ItemEnd::Terminated),
         ScoreEnd::Closed => Some(ItemEnd::Closed),
     }
 }
 
-/// How the making of a text ended.
+/// How the generation of a text ended.
 enum TextEnd {
-    Whole,
-    /// It can never be made, or failed as often as the route allows.
-    Impossible,
-    /// No more requests may be sent for it.
+    Complete,
+    /// The item can never be processed, or failed as often as the route allows.
+    Unprocessable,
+    /// No more requests may be sent for the item.
     Closed,
 }
 
-/// Runs the item at one instance after the other; `None` if the first one took none of it.
-async fn make_text(
+/// Runs the item at one instance after the other; returns `None` if the first one did not start it.
+async fn generate_text(
     context: &RunContext,
     index: usize,
     first: Arc<Instance>,
@@ -163,12 +166,12 @@
             return Some(TextEnd::Closed);
         };
         match end {
-            RunEnd::Complete => return Some(TextEnd::Whole),
-            RunEnd::Impossible => return Some(TextEnd::Impossible),
+            RunEnd::Complete => return Some(TextEnd::Complete),
+            RunEnd::Unprocessable => return Some(TextEnd::Unprocessable),
             RunEnd::Failed => {
                 failures += 1;
                 if failures >= context.max_attempts.max(1) {
-                    return Some(TextEnd::Impossible);
+                    return Some(TextEnd::Unprocessable);
                 }
             }
             RunEnd::NotTaken(_) if partial.events() == 0 && failures == 0 => return None,
@@ -181,7 +184,8 @@
     }
 }
 
-/// Waits until the item may run, runs it at one instance, and notes what that tells of its content. `None` once it may not run any more.
+/// Waits until the item is admitted, runs it at one instance, and reports the outcome to the
+/// suspects ledger. Returns `None` once no more requests may be sent.
 async fn run_admitted(
     context: &RunContext,
     index: usize,
@@ -189,19 +193,19 @@
     partial: &mut ItemText,
 ) -> Option<RunEnd> {
     let content = || context.item_content(index);
-    let _permit = context.admitted(index, content).await?;
+    let _permit = context.wait_admitted(index, content).await?;
     let started = Instant::now();
     let end = tokio::select! {
         end = run_once(context, index, instance, partial) => end,
-        // Behind a cut its connection would stay silent until the next event is overdue.
-        () = instance.ended() => RunEnd::Broken("the instance was started again".to_owned()),
+        // In a network partition the connection would stay silent until the next event times out.
+        () = instance.ended() => RunEnd::Broken("the instance was restarted".to_owned()),
     };
     log_run(context, index, instance, partial, started, &end);
-    context.metrics.note_sent("item", instance.distance());
+    context.metrics.record_sent("item", instance.distance());
     match end {
-        RunEnd::Broken(_) => context.look(index, instance, content(), started).await,
-        RunEnd::Complete | RunEnd::Impossible | RunEnd::Failed => {
-            context.suspects.note_borne(content);
+        RunEnd::Broken(_) => context.probe(index, instance, content(), started).await,
+        RunEnd::Complete | RunEnd::Unprocessable | RunEnd::Failed => {
+            context.suspects.record_completion(content);
         }
         RunEnd::NotTaken(_) | RunEnd::Move(_) => {}
     }
@@ -218,7 +222,7 @@
 ) {
     let outcome = match end {
         RunEnd::Complete => "complete".to_owned(),
-        RunEnd::Impossible => "impossible".to_owned(),
+        RunEnd::Unprocessable => "impossible".to_owned(),
         RunEnd::Failed => "failed".to_owned(),
         RunEnd::NotTaken(cause) => format!("not_taken cause=\"{cause}\""),
         RunEnd::Move(cause) | RunEnd::Broken(cause) => format!("moved cause=\"{cause}\""),
@@ -239,8 +243,9 @@
     );
 }
 
-/// An instance with room and fitting weights, another than `last` if there is one. A text that must come from one weight
-/// version starts over if no instance has that version any more. `None` once no more requests may be sent.
+/// Waits for an instance with free capacity and suitable weights, preferring one other than `last`.
+/// Restarts a text that requires a single weight version if no instance has that version any more.
+/// Returns `None` once no more requests may be sent.
 async fn next_instance(
     context: &RunContext,
     last: &Arc<Instance>,
@@ -255,7 +260,7 @@
         if context.single_version && partial.events() > 0 && started.elapsed() > VERSION_WAIT {
             partial.start_over();
         }
-        let _ = tokio::time::timeout(NO_ROOM_PAUSE, table_changed.changed()).await;
+        let _ = tokio::time::timeout(NO_CAPACITY_PAUSE, table_changed.changed()).await;
     }
     None
 }
@@ -270,11 +275,11 @@
         backends.choose_within(
             &context.service,
             &context.spec.model,
-            Demand::CutBatch,
+            Demand::InterruptedBatch,
             &context.allowed_regions(),
             |instance| {
                 let is_excluded = exclude_last && instance.id() == last.id();
-                !is_excluded && fits(context, partial, instance)
+                !is_excluded && can_continue(context, partial, instance)
             },
         )
     };
@@ -287,14 +292,14 @@
     instance: &Arc<Instance>,
     partial: &mut ItemText,
 ) -> RunEnd {
-    let _guard = instance.begin();
+    let _guard = instance.track_request();
     let names = context.codec.headers();
     let item = &context.spec.items[index];
     let Ok(attempt_id) = HeaderValue::from_str(&item.id) else {
-        return RunEnd::Impossible;
+        return RunEnd::Unprocessable;
     };
     let Some(head) = request_head(context, index, instance, &attempt_id, partial) else {
-        return RunEnd::Impossible;
+        return RunEnd::Unprocessable;
     };
     let body = Bytes::copy_from_slice(&item.body);
     let sending = send(
@@ -303,22 +308,22 @@
         &head,
         &body,
         &attempt_id,
-        AnswerId::Required,
+        AnswerIdPolicy::Required,
     );
-    let reply = match tokio::time::timeout(context.first_event_limit(), sending).await {
+    let reply = match tokio::time::timeout(context.first_event_timeout(), sending).await {
         Ok(Ok(reply)) => reply,
         Ok(Err(error)) => return on_exchange_error(context, instance, &error),
         Err(_) => {
-            instance.note_failure(Instant::now());
-            return RunEnd::Move("no answer in time".to_owned());
+            instance.record_failure(Instant::now());
+            return RunEnd::Move("timed out waiting for the first event".to_owned());
         }
     };
     match reply.status {
         StatusCode::OK => follow_stream(context, index, instance, reply, partial).await,
-        StatusCode::UNPROCESSABLE_ENTITY => RunEnd::Impossible,
+        StatusCode::UNPROCESSABLE_ENTITY => RunEnd::Unprocessable,
         StatusCode::INTERNAL_SERVER_ERROR => RunEnd::Failed,
         status => {
-            instance.note_failure(Instant::now());
+            instance.record_failure(Instant::now());
             RunEnd::Move(format!("status {}", status.as_u16()))
         }
     }
@@ -332,20 +337,23 @@
     let now = Instant::now();
     match error {
         ExchangeError::NotRun(_) => {
-            let usual_load = context.learnt_loads.get().and_then(|limit| limit.usual());
-            let pause = refusal_pause(instance.has_free_slot(), usual_load);
-            instance.note_loading(&context.spec.model, now + pause);
+            let typical_load = context
+                .learned_load_limit
+                .get()
+                .and_then(|limit| limit.typical_load_time());
+            let pause = refusal_pause(instance.has_free_slot(), typical_load);
+            instance.mark_loading(&context.spec.model, now + pause);
         }
         ExchangeError::Misdirected {
             is_other_instance: false,
         } => {
-            instance.note_loading(&context.spec.model, now + STALE_WEIGHTS_PAUSE);
+            instance.mark_loading(&context.spec.model, now + STALE_WEIGHTS_PAUSE);
         }
-        ExchangeError::HeldBack(reason) => context.metrics.note_held_back(*reason),
+        ExchangeError::HeldBack(reason) => context.metrics.record_held_back(*reason),
         ExchangeError::Misdirected { .. }
         | ExchangeError::NotSent(_)
         | ExchangeError::Broken(_) => {
-            instance.note_failure(now);
+            instance.record_failure(now);
         }
     }
     if error.is_not_run() {
@@ -378,7 +386,10 @@
         set_tenant(&mut headers, &names.tenant, &context.spec.tenant);
     }
     headers.insert(names.attempt_id.clone(), attempt_id.clone());
-    headers.insert(names.request_priority.clone(), context.rank.clone());
+    headers.insert(
+        names.request_priority.clone(),
+        context.priority_header.clone(),
+    );
     let expected = HeaderValue::from_str(instance.id()).ok()?;
     headers.insert(names.expect_instance.clone(), expected);
     if let Some(last) = partial.last_event() {
--- a/crates/front/src/live.rs
+++ b/crates/front/src/live.rs
@@ -12,10 +12,10 @@
 use tokio::sync::watch;
 
 use crate::backend::{
-    AnswerId, BackendTable, Demand, ExchangeError, HoldReason, InFlightGuard, Instance, Reply,
+    AnswerIdPolicy, BackendTable, Demand, ExchangeError, HoldReason, InFlightGuard, Instance, Reply,
     RequestHead, end_to_end, send,
 };
-use crate::config::{ConfigInForce, Route, RouteKind};
+use crate::config::{CurrentConfig, Route, RouteKind};
 use crate::dialect::SharedCodec;
 use crate::metrics::Metrics;
 use crate::suspects::{
@@ -126,18 +126,18 @@
     id: HeaderValue,
     route: String,
     content: ContentDigest,
-    began: Instant,
+    started_at: Instant,
     suspects: Suspects,
 }
 
 impl StreamRun {
     /// Records that the stream was passed on completely.
     pub fn record_complete(&self) {
-        self.suspects.note_borne(|| self.content);
+        self.suspects.record_completion(|| self.content);
     }
 
     /// Checks the instance after its connection broke, and announces the content if suspected.
-    pub async fn look(self) {
+    pub async fn check_broken_run(self) {
         let run = BrokenRun {
             subject: RunSubject::Request {
                 id: self.id.to_str().unwrap_or("?"),
@@ -145,9 +145,9 @@
             },
             instance: &self.instance,
             content: self.content,
-            began: self.began,
+            started_at: self.started_at,
         };
-        self.suspects.look(&run).await;
+        self.suspects.check_broken_run(&run).await;
         self.suspects.announce(self.content);
     }
 }
@@ -155,7 +155,7 @@
 /// Serves live requests.
 pub struct LiveService {
     /// Routes, whose limits may change while a request is in progress.
-    pub config: ConfigInForce,
+    pub config: CurrentConfig,
     /// Instances.
     pub backends: BackendTable,
     /// Header names.
@@ -219,7 +219,7 @@
         overall_deadline: Instant,
         progress: &mut Progress,
     ) -> LiveAnswer {
-        self.backends.first_fed(FIRST_INSTANCE_TIMEOUT).await;
+        self.backends.wait_for_first_instance(FIRST_INSTANCE_TIMEOUT).await;
         let service = route.pick_service(rand::random());
         let mut running_attempts = FuturesUnordered::new();
         let mut hedge_at = Instant::now();
@@ -319,7 +319,7 @@
         chosen.or_else(|| {
             let tries = progress.tried_instances.len() as u32;
             let may_retry = may_repeat && tries < route.max_attempts * 2;
-            may_retry.then(|| self.backends.choose_again(service, &allowed))?
+            may_retry.then(|| self.backends.choose_for_retry(service, &allowed))?
         })
     }
 
@@ -341,7 +341,7 @@
             self.log_no_allowed_instance(route, request, &allowed);
             return answer;
         }
-        if let Some(reason) = self.backends.drained_out(service) {
+        if let Some(reason) = self.backends.drain_reason(service) {
             self.log_drained(route, request, service, reason);
             return LiveAnswer::Drained(reason);
         }
@@ -370,7 +370,7 @@
             request.id(),
             route.name
         );
-        self.metrics.note_held_back(reason);
+        self.metrics.record_held_back(reason);
     }
 
     /// Logs why ready instances were held back from a request that was sent to none.
@@ -417,7 +417,7 @@
         Box::pin(async move {
             let started = Instant::now();
             let head = self.build_head(route, request, &instance, overall_deadline);
-            let guard = instance.begin();
+            let guard = instance.track_request();
             let result = tokio::select! {
                 result = self.exchange(route, request, &instance, &head) => result,
                 () = instance.ended() => {
@@ -425,7 +425,7 @@
                 }
             };
             if let Err(ExchangeError::Broken(_)) = &result {
-                self.look(route, request, &instance, started).await;
+                self.check_broken_run(route, request, &instance, started).await;
             }
             Attempt {
                 instance,
@@ -447,21 +447,21 @@
     ) -> Result<AttemptAnswer, ExchangeError> {
         let names = self.codec.headers();
         let (body, id) = (&request.body, &request.attempt_id);
-        let reply = send(instance, names, head, body, id, AnswerId::Required).await?;
+        let reply = send(instance, names, head, body, id, AnswerIdPolicy::Required).await?;
         if route.kind == RouteKind::Streaming {
             return Ok(AttemptAnswer::Stream(reply));
         }
-        let (status, headers, body) = reply.read_whole(MAX_RESPONSE_BYTES).await?;
+        let (status, headers, body) = reply.read_body(MAX_RESPONSE_BYTES).await?;
         Ok(AttemptAnswer::Complete(status, headers, body))
     }
 
     /// Checks the instance of an attempt whose connection broke.
-    async fn look(
+    async fn check_broken_run(
         &self,
         route: &Route,
         request: &LiveRequest,
         instance: &Arc<Instance>,
-        began: Instant,
+        started_at: Instant,
     ) {
         let run = BrokenRun {
             subject: RunSubject::Request {
@@ -470,9 +470,9 @@
             },
             instance,
             content: request.content(route),
-            began,
+            started_at,
         };
-        self.suspects.look(&run).await;
+        self.suspects.check_broken_run(&run).await;
     }
 
     /// Builds the head for the instance: the client's headers with the remaining time, the rank,
@@ -492,7 +492,7 @@
         let tenant = request.caller.tenant();
         headers.insert(
             names.request_priority.clone(),
-            route.rank(tenant.map(AsRef::as_ref)),
+            route.priority_header(tenant.map(AsRef::as_ref)),
         );
         request.caller.set_headers(&mut headers, &names.tenant);
         if let Ok(id) = HeaderValue::from_str(instance.id()) {
@@ -521,7 +521,7 @@
         }
         match ended.result {
             Ok(AttemptAnswer::Stream(reply)) => {
-                ended.instance.note_success();
+                ended.instance.record_success();
                 let run = StreamRun {
                     _guard: ended.guard,
                     _permit: ended.permit,
@@ -529,28 +529,28 @@
                     id: request.attempt_id.clone(),
                     route: route.name.clone(),
                     content: request.content(route),
-                    began: ended.started,
+                    started_at: ended.started,
                     suspects: self.suspects.clone(),
                 };
                 let run = Box::new(run);
                 Some(LiveAnswer::Stream { reply, run })
             }
             Ok(AttemptAnswer::Complete(status, headers, body)) => {
-                self.suspects.note_borne(|| request.content(route));
-                let is_signed = headers.contains_key(&self.codec.headers().response_stamp);
+                self.suspects.record_completion(|| request.content(route));
+                let is_signed = headers.contains_key(&self.codec.headers().response_signature);
                 if status.is_success() && !is_signed {
-                    ended.instance.note_failure(now);
+                    ended.instance.record_failure(now);
                     return self.result_after_failure(route);
                 }
                 if status.is_server_error() && route.kind == RouteKind::Safe {
                     progress.failure = Some((status, headers, body));
                     return None;
                 }
-                ended.instance.note_success();
+                ended.instance.record_success();
                 let response_time = now.saturating_duration_since(ended.started);
                 ended
                     .instance
-                    .note_pace(response_time.as_secs_f64() * 1e3, now);
+                    .record_unit_time(response_time.as_secs_f64() * 1e3, now);
                 Some(LiveAnswer::Complete {
                     status,
                     headers: end_to_end(&headers),
@@ -560,19 +560,19 @@
             Err(error) if error.is_not_run() => {
                 progress.possible_runs -= 1;
                 if let ExchangeError::HeldBack(reason) = error {
-                    self.metrics.note_held_back(reason);
+                    self.metrics.record_held_back(reason);
                     // The instance may be chosen again once it may get requests.
                     progress
                         .tried_instances
                         .retain(|id| id != ended.instance.id());
                 }
                 if matches!(error, ExchangeError::NotSent(_)) {
-                    ended.instance.note_failure(now);
+                    ended.instance.record_failure(now);
                 }
                 None
             }
             Err(_) => {
-                ended.instance.note_failure(now);
+                ended.instance.record_failure(now);
                 let unannounced =
                     || UnannouncedSuspect::new(&self.suspects, request.content(route));
                 progress.unannounced.get_or_insert_with(unannounced);
@@ -584,7 +584,7 @@
     /// Counts a request for its tenant from the start of its first successful attempt.
     fn count_usage(&self, request: &LiveRequest, started: Instant) {
         if let Some(tenant) = request.caller.tenant() {
-            self.usage.note_begun(&tenant.name, started);
+            self.usage.record_start(&tenant.name, started);
         }
     }
 
@@ -617,7 +617,7 @@
             ended.started.elapsed().as_millis(),
         );
         self.metrics.attempts.inc();
-        self.metrics.note_sent("live", ended.instance.distance());
+        self.metrics.record_sent("live", ended.instance.distance());
     }
 }
 
--- a/crates/front/src/orders/permits/mod.rs
+++ b/crates/front/src/orders/permits/mod.rs
@@ -1,9 +1,10 @@
-//! Permits to send requests to cold instances: the holder of the orders lease deals them out, so that the sum over all nodes is bounded.
+//! Permits for requests to cold instances. The holder of the orders lease issues them, which bounds
+//! the number of requests across all nodes.
 
-mod asking;
-mod dealer;
 mod ledger;
+mod permit_issuer;
+mod requester;
 
-pub use asking::PermitAsker;
-pub use dealer::PermitDealer;
-pub use ledger::{PermitLedger, QUIET_TIME};
+pub use ledger::{PERMIT_QUIET_PERIOD, PermitLedger};
+pub use permit_issuer::PermitIssuer;
+pub use requester::PermitRequester;
--- a/crates/front/src/suspects/ledger.rs
+++ b/crates/front/src/suspects/ledger.rs
@@ -15,11 +15,11 @@
 
 /// Crashes after which a live request's content is held back. See `tests/suspect_load.rs` for the
 /// effect of other limits.
-pub const LIVE_MOST_ENDS: usize = 2;
+pub const LIVE_MAX_CRASHES: usize = 2;
 
 /// Crashes after which an item's content is held back. Items run longer than live requests and meet
 /// more crashes with other causes.
-pub const ITEM_MOST_ENDS: usize = 3;
+pub const ITEM_MAX_CRASHES: usize = 3;
 
 /// Time that a content is held back after its last crash; doubles with each further one. One trial
 /// run afterwards shows whether instances survive it by now.
@@ -98,12 +98,12 @@
     /// Names a crash of `incarnation` during a run that started at `began`; `None` if that crash is
     /// known. An instance that accepted a run after its known crash has restarted, even under the
     /// same name.
-    fn name_crash(&self, incarnation: &str, began: Instant) -> Option<Arc<str>> {
+    fn name_crash(&self, incarnation: &str, started_at: Instant) -> Option<Arc<str>> {
         let mut name: Arc<str> = incarnation.into();
         let mut further = 1;
         while self.crashes.contains(&name) {
             let detected_at = self.detected_at.get(&name);
-            if detected_at.is_none_or(|detected_at| began <= *detected_at) {
+            if detected_at.is_none_or(|detected_at| started_at <= *detected_at) {
                 return None;
             }
             further += 1;
@@ -150,7 +150,7 @@
 
     /// Decides whether a run of a content that is held back after `max_crashes` crashes may start.
     pub fn admit(&mut self, content: ContentDigest, max_crashes: usize, now: Instant) -> Admission {
-        if let Some(retry_after) = self.holds(content, max_crashes, now) {
+        if let Some(retry_after) = self.current_hold(content, max_crashes, now) {
             return Admission::Held { retry_after };
         }
         let Some(suspect) = self.suspects.get_mut(&content) else {
@@ -165,7 +165,7 @@
     }
 
     /// Returns how long such a run would be held back; `None` if it would not.
-    pub fn holds(
+    pub fn current_hold(
         &self,
         content: ContentDigest,
         max_crashes: usize,
@@ -196,11 +196,11 @@
         &mut self,
         content: ContentDigest,
         incarnation: &str,
-        began: Instant,
+        started_at: Instant,
         now: Instant,
     ) -> bool {
         let suspect = self.suspect_mut(content, now);
-        let Some(name) = suspect.name_crash(incarnation, began) else {
+        let Some(name) = suspect.name_crash(incarnation, started_at) else {
             return false;
         };
         suspect.detected_at.insert(Arc::clone(&name), now);
--- a/crates/front/src/suspects/mod.rs
+++ b/crates/front/src/suspects/mod.rs
@@ -18,7 +18,7 @@
 
 pub use content::{ContentDigest, RequestContent};
 pub use ledger::{
-    Admission, Cleared, FIRST_HOLD, ITEM_MOST_ENDS, LIVE_MOST_ENDS, MAX_HOLD, MAX_SUSPECTS,
+    Admission, Cleared, FIRST_HOLD, ITEM_MAX_CRASHES, LIVE_MAX_CRASHES, MAX_HOLD, MAX_SUSPECTS,
     SUSPICION_LIFETIME, SuspectLedger,
 };
 pub use probe::{InstanceStatus, probe};
@@ -49,8 +49,8 @@
     /// Returns the crashes after which its content is held back.
     fn max_crashes(&self) -> usize {
         match self {
-            Self::Request { .. } => LIVE_MOST_ENDS,
-            Self::Item { .. } => ITEM_MOST_ENDS,
+            Self::Request { .. } => LIVE_MAX_CRASHES,
+            Self::Item { .. } => ITEM_MAX_CRASHES,
         }
     }
 
@@ -82,7 +82,7 @@
     /// Content of its request.
     pub content: ContentDigest,
     /// When it was sent.
-    pub began: Instant,
+    pub started_at: Instant,
 }
 
 /// Maximum number of changed contents waiting to be shared; more are dropped with a log line.
@@ -153,7 +153,7 @@
 
 impl HeldBack {
     /// Returns whether the run waits only for runs in progress.
-    pub fn is_short(self) -> bool {
+    pub fn is_concurrency_hold(self) -> bool {
         self.retry_after <= BUSY_RETRY
     }
 }
@@ -206,7 +206,7 @@
 
     /// Returns the hold that a run would meet now. `content` is computed only while there are
     /// suspects.
-    pub fn holds(
+    pub fn current_hold(
         &self,
         subject: RunSubject<'_>,
         content: impl FnOnce() -> ContentDigest,
@@ -217,14 +217,14 @@
         let content = content();
         let held = self
             .lock()
-            .holds(content, subject.max_crashes(), Instant::now());
+            .current_hold(content, subject.max_crashes(), Instant::now());
         held.map(|retry_after| HeldBack { retry_after })
     }
 
     /// Checks the instance of a broken run, and suspects the run's content at this node if the
     /// instance crashed.
-    pub async fn look(&self, run: &BrokenRun<'_>) -> InstanceStatus {
-        let run_ms = run.began.elapsed().as_millis();
+    pub async fn check_broken_run(&self, run: &BrokenRun<'_>) -> InstanceStatus {
+        let run_ms = run.started_at.elapsed().as_millis();
         let status = if run.instance.has_ended() {
             InstanceStatus::Exited
         } else {
@@ -234,7 +234,7 @@
         let incarnation = run.instance.incarnation_name();
         if status == InstanceStatus::Exited {
             self.update(|ledger| {
-                ledger.record_crash(content, &incarnation, run.began, Instant::now())
+                ledger.record_crash(content, &incarnation, run.started_at, Instant::now())
             });
         }
         log::warn!(
@@ -260,7 +260,7 @@
     }
 
     /// Announces an item, which only its owner repeats, after its second crash.
-    pub fn tell_of_item(&self, content: ContentDigest) {
+    pub fn announce_item(&self, content: ContentDigest) {
         if self.lock().crashes(content).len() >= ITEM_MIN_CRASHES_TO_ANNOUNCE {
             self.announce(content);
         }
@@ -268,7 +268,7 @@
 
     /// Clears the content of a run that an instance completed. `content` is computed only while
     /// there are suspects.
-    pub fn note_borne(&self, content: impl FnOnce() -> ContentDigest) {
+    pub fn record_completion(&self, content: impl FnOnce() -> ContentDigest) {
         if self.count.load(Ordering::Relaxed) == 0 {
             return;
         }
@@ -283,7 +283,7 @@
     }
 
     /// Applies updates received from another front.
-    pub fn take_news(&self, updates: &SuspectNews) {
+    pub fn apply_updates(&self, updates: &SuspectNews) {
         updates
             .contents
             .iter()
--- a/crates/front/src/suspects/sharing.rs
+++ b/crates/front/src/suspects/sharing.rs
@@ -137,7 +137,7 @@
                 let notified = self.nodes.call(&node, request, UPDATE_TIMEOUT).await;
                 notified
                     .inspect_err(|error| {
-                        log::info!("event=suspects_not_told front={node} cause=\"{error}\"");
+                        log::info!("event=suspects_not_announced front={node} cause=\"{error}\"");
                     })
                     .is_ok()
             }
@@ -155,7 +155,7 @@
             }
         }
         log::info!(
-            "event=suspects_told contents={contents:?} fronts={notified} of={count} elapsed_ms={}",
+            "event=suspects_announced contents={contents:?} fronts={notified} of={count} elapsed_ms={}",
             started_at.elapsed().as_millis()
         );
     }
@@ -209,7 +209,7 @@
     /// Returns whether the store responded recently. Reading it before would cost one call per
     /// second at each partitioned node.
     fn has_contact(&self) -> bool {
-        let contact = self.nodes.last_contact();
+        let contact = self.nodes.last_store_contact();
         contact.is_none_or(|at| at.elapsed() < CONTACT_TIMEOUT)
     }
 
--- a/crates/front/src/tenant.rs
+++ b/crates/front/src/tenant.rs
@@ -54,7 +54,7 @@
     Unknown,
     /// A configuration version revoked the key.
     #[error("key_taken_away_in_version_{version}")]
-    TakenAway {
+    Revoked {
         /// Version that revoked it.
         version: u64,
     },
@@ -66,7 +66,7 @@
         match self {
             Self::Missing => "no_key",
             Self::Unknown => "unknown_key",
-            Self::TakenAway { .. } => "key_taken_away",
+            Self::Revoked { .. } => "key_taken_away",
         }
     }
 }
@@ -115,7 +115,7 @@
 
 /// Returns the tenant that owns a key. All keys are compared in full, so that the time taken
 /// reveals nothing about them.
-pub fn holder<'a>(tenants: &'a [Arc<Tenant>], key: &KeyDigest) -> Option<&'a Arc<Tenant>> {
+pub fn find_tenant<'a>(tenants: &'a [Arc<Tenant>], key: &KeyDigest) -> Option<&'a Arc<Tenant>> {
     let mut found = None;
     for tenant in tenants {
         for known in &tenant.keys {
--- a/crates/front/tests/cold_instances.rs
+++ b/crates/front/tests/cold_instances.rs
@@ -6,11 +6,11 @@
 
 use ladderstage_clock::Instant;
 use ladderstage_front::backend::{
-    BackendTable, ColdAllowance, ColdLimit, ColdState, ColdStatus, Demand, Discovered, HoldReason,
+    BackendTable, ColdAllowance, ColdLimit, ColdState, ColdStatus, Demand, DiscoveredInstance, HoldReason,
     PERMIT_LIFETIME, SEND_WINDOW, SendBudget, WRITE_MARGIN,
 };
 use ladderstage_front::config::{ColdSpec, ServiceSpec, ServingConfig};
-use ladderstage_front::orders::{PermitLedger, QUIET_TIME};
+use ladderstage_front::orders::{PermitLedger, PERMIT_QUIET_PERIOD};
 use ladderstage_front::roster::Roster;
 use proptest::prelude::*;
 
@@ -37,8 +37,8 @@
     Duration::from_millis(milliseconds)
 }
 
-fn record(id: &str, cold_ms: u64) -> Discovered {
-    Discovered {
+fn record(id: &str, cold_ms: u64) -> DiscoveredInstance {
+    DiscoveredInstance {
         id: id.to_owned(),
         service: "service".to_owned(),
         address: "127.0.0.1:9".parse().unwrap(),
@@ -158,7 +158,7 @@
     first.started_unix_ms = 100;
     table.upsert(first);
     let now = Instant::now();
-    table.note_start(&table.get("i-1").unwrap(), 200);
+    table.record_incarnation(&table.get("i-1").unwrap(), 200);
     let restarted = table.get("i-1").unwrap();
     assert!(
         restarted.acquire_send(now).is_ok(),
@@ -197,8 +197,8 @@
     table.upsert(record("i-1", 3_000));
     let choose = || table.choose("service", "", Demand::Batch, |_| true);
     assert!(choose().is_none());
-    let wants = table.gates().wants.take_noted();
-    assert_eq!(wants.get("i-1").map(String::as_str), Some("service"));
+    let permit_requests = table.gates().permit_requests.drain_pending();
+    assert_eq!(permit_requests.get("i-1").map(String::as_str), Some("service"));
     let instance = table.get("i-1").unwrap();
     instance.add_permits(2, Instant::now() + Duration::from_secs(60));
     assert!(choose().is_some() && choose().is_some());
@@ -334,15 +334,15 @@
     let limit = limit();
     let held_since = Instant::now();
     let mut ledger = PermitLedger::new(held_since);
-    let first = held_since + QUIET_TIME;
-    assert_eq!(ledger.deal("i-1", 100, limit.dealt, first), limit.dealt);
+    let first = held_since + PERMIT_QUIET_PERIOD;
+    assert_eq!(ledger.issue("i-1", 100, limit.dealt, first), limit.dealt);
     let used_late = first + PERMIT_LIFETIME - ms(1);
     let within_a_second = used_late + SEND_WINDOW;
-    assert_eq!(ledger.deal("i-1", 100, limit.dealt, within_a_second), 0);
-    let other_instance = ledger.deal("i-2", 100, limit.dealt, within_a_second);
+    assert_eq!(ledger.issue("i-1", 100, limit.dealt, within_a_second), 0);
+    let other_instance = ledger.issue("i-2", 100, limit.dealt, within_a_second);
     assert_eq!(other_instance, limit.dealt, "limits are per instance");
-    let later = first + QUIET_TIME + ms(1);
-    assert_eq!(ledger.deal("i-1", 100, limit.dealt, later), limit.dealt);
+    let later = first + PERMIT_QUIET_PERIOD + ms(1);
+    assert_eq!(ledger.issue("i-1", 100, limit.dealt, later), limit.dealt);
 }
 
 proptest! {
@@ -353,7 +353,7 @@
         let limit = limit();
         let mut now = Instant::now();
         let mut ledger = PermitLedger::new(now);
-        now += QUIET_TIME;
+        now += PERMIT_QUIET_PERIOD;
         let mut budgets = vec![SendBudget::default(); NODES];
         let mut in_transit = Vec::new();
         let mut sent = Vec::new();
@@ -361,7 +361,7 @@
             match step {
                 Step::Elapse(time) => now += ms(time),
                 Step::RequestPermits { node, wanted, answer_after } => {
-                    let count = ledger.deal("i-1", wanted, limit.dealt, now);
+                    let count = ledger.issue("i-1", wanted, limit.dealt, now);
                     if let Some(after) = answer_after {
                         in_transit.push((now + ms(after), node, count, now + PERMIT_LIFETIME));
                     }
--- a/crates/front/tests/order_plan.rs
+++ b/crates/front/tests/order_plan.rs
@@ -1,16 +1,16 @@
-//! Which instance loads which version next.
+//! Tests the plan of weight loads and the assignment of models to instances.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use ladderstage_front::orders::{Assignment, FleetInstance, ModelDemand, most_trades, plan};
+use ladderstage_front::orders::{Assignment, FleetInstance, ModelDemand, max_trades, plan};
 use proptest::prelude::*;
 
-fn demand(model: &str, newest: u64, named_for_ms: u64) -> ModelDemand {
+fn demand(model: &str, newest: u64, announced_for_ms: u64) -> ModelDemand {
     ModelDemand {
         model: model.to_owned(),
         newest,
-        named_for: Duration::from_millis(named_for_ms),
+        announced_for: Duration::from_millis(announced_for_ms),
         weight: 1.0,
         longest_events: 0,
     }
@@ -25,7 +25,7 @@
         versions: versions.collect(),
         load: 0,
         is_busy: false,
-        pace_ms: None,
+        event_interval_ms: None,
     }
 }
 
@@ -49,10 +49,10 @@
 #[test]
 fn instances_are_shared_by_weight() {
     let fleet = fleet(9, 1);
-    let mut heavy = demand("b", 1, 0);
-    heavy.weight = 2.0;
+    let mut larger = demand("b", 1, 0);
+    larger.weight = 2.0;
     let mut assignment = Assignment::default();
-    assignment.update(&[demand("a", 1, 0), heavy], &fleet);
+    assignment.update(&[demand("a", 1, 0), larger], &fleet);
     let counts = counts(&assignment, &fleet);
     assert_eq!(counts["a"], 3);
     assert_eq!(counts["b"], 6);
@@ -76,39 +76,39 @@
     assert_eq!(counts["b"], 4);
 }
 
-/// The instances of a drained zone are left out, all of one model among them; later they return with the weights that they had.
+/// A drained zone removes all instances of one model; afterwards they return with their weights.
 #[test]
-fn each_model_keeps_instances_while_a_zone_is_drained_and_gets_its_own_back() {
+fn each_model_keeps_instances_while_a_zone_is_drained() {
     let demands = ["a", "b", "c", "d"].map(|model| demand(model, 5, 1_000));
-    let whole: Vec<FleetInstance> = (0..12)
+    let full_fleet: Vec<FleetInstance> = (0..12)
         .map(|n| {
             let model = ["a", "b", "c", "d"][n / 3];
             instance(&format!("i-{n:02}"), &[(model, 5)])
         })
         .collect();
     let mut assignment = Assignment::default();
-    assignment.update(&demands, &whole);
+    assignment.update(&demands, &full_fleet);
     let before = assignment.clone();
-    let left = &whole[4..];
-    for _ in 0..left.len() {
-        assignment.update(&demands, left);
+    let remaining = &full_fleet[4..];
+    for _ in 0..remaining.len() {
+        assignment.update(&demands, remaining);
     }
-    let counted = counts(&assignment, left);
-    assert_eq!(counted.len(), 4, "{counted:?}");
+    let model_counts = counts(&assignment, remaining);
+    assert_eq!(model_counts.len(), 4, "{model_counts:?}");
     assert!(assignment.model("i-00").is_none());
-    for _ in 0..whole.len() {
-        assignment.update(&demands, &whole);
+    for _ in 0..full_fleet.len() {
+        assignment.update(&demands, &full_fleet);
     }
-    let counted = counts(&assignment, &whole);
+    let model_counts = counts(&assignment, &full_fleet);
     assert!(
-        counted.values().all(|count| (2..=4).contains(count)),
-        "{counted:?}"
+        model_counts.values().all(|count| (2..=4).contains(count)),
+        "{model_counts:?}"
     );
     assert_eq!(assignment.model("i-00"), before.model("i-00"));
 }
 
 #[test]
-fn a_new_giver_assigns_by_the_weights_that_it_finds() {
+fn a_new_leader_assigns_models_by_loaded_weights() {
     let demands = [demand("a", 5, 0), demand("b", 5, 0)];
     let found = [("i-0", 5, 2), ("i-1", 4, 2), ("i-2", 2, 5), ("i-3", 1, 4)];
     let fleet: Vec<_> = found
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_version_waits_for_the_burst_unless_an_instance_is_of_no_use() {
+fn a_version_waits_for_the_burst_unless_an_instance_is_unusable() {
     let fleet = fleet(2, 4);
     let mut assignment = Assignment::default();
     assignment.update(&[demand("a", 5, 100)], &fleet);
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn busy_instances_and_a_full_wave_are_left_alone() {
+fn nothing_is_planned_for_busy_instances_or_above_the_limit() {
     let mut fleet = fleet(2, 1);
     let demands = [demand("a", 3, 900)];
     let mut assignment = Assignment::default();
@@ -152,7 +152,7 @@
 }
 
 proptest! {
-    /// Orders go only to instances of the model that lack the version, and all get it in the end.
+    /// Orders go only to instances of the model that lack the version, and eventually all have it.
     #[test]
     fn every_instance_of_a_model_gets_the_newest_version(
         count in 1usize..12,
@@ -168,7 +168,7 @@
         let mut assignment = Assignment::default();
         assignment.update(&demands, &fleet);
         for _ in 0..count {
-            let planned = plan(&demands, &assignment, &fleet, 0, 2).expect("some instance lags");
+            let planned = plan(&demands, &assignment, &fleet, 0, 2).expect("some instance is outdated");
             prop_assert_eq!(assignment.model(&planned.instance), Some(planned.model.as_str()));
             let loaded = fleet.iter_mut().find(|one| one.id == planned.instance).unwrap();
             prop_assert!(loaded.versions[&planned.model] < planned.version);
@@ -178,8 +178,8 @@
     }
 }
 
-/// Two models with two instances each, the second of each slow by nature.
-fn paced_fleet() -> Vec<FleetInstance> {
+/// Builds two models with two instances each; the second instance of each is slow.
+fn fleet_with_slow_instances() -> Vec<FleetInstance> {
     let mut fleet = vec![
         instance("a-fast", &[("a", 2), ("b", 1)]),
         instance("a-slow", &[("a", 2), ("b", 1)]),
@@ -188,12 +188,12 @@
     ];
     for one in &mut fleet {
         let is_slow = one.id.ends_with("slow");
-        one.pace_ms = Some(if is_slow { 51.0 } else { 39.0 });
+        one.event_interval_ms = Some(if is_slow { 51.0 } else { 39.0 });
     }
     fleet
 }
 
-fn assigned(demands: &[ModelDemand], fleet: &[FleetInstance]) -> Assignment {
+fn assign(demands: &[ModelDemand], fleet: &[FleetInstance]) -> Assignment {
     let mut assignment = Assignment::default();
     assignment.update(demands, fleet);
     assert_eq!(assignment.model("a-slow"), Some("a"));
@@ -201,7 +201,7 @@
     assignment
 }
 
-fn with_lengths(a: u64, b: u64) -> Vec<ModelDemand> {
+fn demands_with_lengths(a: u64, b: u64) -> Vec<ModelDemand> {
     let mut demands = vec![demand("a", 2, 0), demand("b", 2, 0)];
     demands[0].longest_events = a;
     demands[1].longest_events = b;
@@ -210,8 +210,8 @@
 
 #[test]
 fn the_model_with_the_longest_texts_gets_the_fast_instances() {
-    let (demands, fleet) = (with_lengths(189, 115), paced_fleet());
-    let mut assignment = assigned(&demands, &fleet);
+    let (demands, fleet) = (demands_with_lengths(189, 115), fleet_with_slow_instances());
+    let mut assignment = assign(&demands, &fleet);
     let trade = assignment.trade(&demands, &fleet).expect("a trade");
     assert_eq!(
         (
@@ -224,43 +224,47 @@
     assert_eq!(assignment.model("b-fast"), Some("a"));
     assert_eq!(assignment.model("a-slow"), Some("b"));
     assignment.update(&demands, &fleet);
-    assert_eq!(assignment.model("b-fast"), Some("a"), "it stays");
-    assert_eq!(assignment.trade(&demands, &fleet), None, "each once");
+    assert_eq!(assignment.model("b-fast"), Some("a"), "the trade persists");
+    assert_eq!(
+        assignment.trade(&demands, &fleet),
+        None,
+        "each instance is traded once"
+    );
 }
 
 #[test]
-fn nothing_is_traded_where_it_would_not_help_or_may_pass() {
-    let fleet = paced_fleet();
-    for demands in [with_lengths(115, 110), with_lengths(189, 0)] {
-        let mut assignment = assigned(&demands, &fleet);
+fn no_trade_without_benefit_or_for_temporary_slowness() {
+    let fleet = fleet_with_slow_instances();
+    for demands in [demands_with_lengths(115, 110), demands_with_lengths(189, 0)] {
+        let mut assignment = assign(&demands, &fleet);
         assert_eq!(assignment.trade(&demands, &fleet), None);
     }
-    let demands = with_lengths(189, 115);
+    let demands = demands_with_lengths(189, 115);
     let mut broken = fleet.clone();
-    broken[1].pace_ms = Some(160.0);
-    assert_eq!(assigned(&demands, &broken).trade(&demands, &broken), None);
+    broken[1].event_interval_ms = Some(160.0);
+    assert_eq!(assign(&demands, &broken).trade(&demands, &broken), None);
     let mut unknown = fleet;
-    unknown[2].pace_ms = None;
-    assert_eq!(assigned(&demands, &unknown).trade(&demands, &unknown), None);
+    unknown[2].event_interval_ms = None;
+    assert_eq!(assign(&demands, &unknown).trade(&demands, &unknown), None);
 }
 
-/// Three models with fifteen instances each, of which every third is slow by nature, as on a fleet of 45.
+/// Builds fifteen instances for each model, every third of which is slow.
 fn mixed_fleet(models: &[&str]) -> Vec<FleetInstance> {
     let mut fleet = Vec::new();
     for model in models {
         for index in 0..15 {
             let mut one = instance(&format!("{model}-{index:02}"), &[(model, 2)]);
-            one.pace_ms = Some(if index % 3 == 0 { 64.0 } else { 49.5 });
+            one.event_interval_ms = Some(if index % 3 == 0 { 64.0 } else { 49.5 });
             fleet.push(one);
         }
     }
     fleet
 }
 
-/// One trade a round, and only for the model with the very longest texts, left slow instances with the other one for good: its texts
-/// of 145 events began at 64 ms an event instead of 49.5 ms.
+/// Guards against one trade per round for the model with the longest texts only, which left another
+/// model with slow instances.
 #[test]
-fn all_models_with_long_texts_are_rid_of_slow_instances_in_a_few_rounds() {
+fn all_models_with_long_texts_trade_away_slow_instances() {
     let models = ["a", "b", "c"];
     let mut demands: Vec<ModelDemand> = models.iter().map(|model| demand(model, 2, 0)).collect();
     for (demand, longest) in demands.iter_mut().zip([145, 144, 76]) {
@@ -273,20 +277,22 @@
         let of_model = fleet
             .iter()
             .filter(|one| assignment.model(&one.id) == Some(model));
-        of_model.filter(|one| one.pace_ms == Some(64.0)).count()
+        of_model
+            .filter(|one| one.event_interval_ms == Some(64.0))
+            .count()
     };
     assert_eq!(
         ["a", "b", "c"].map(|model| slow_of(&assignment, model)),
         [5, 5, 5]
     );
-    assert_eq!(most_trades(&demands, &fleet), 3);
+    assert_eq!(max_trades(&demands, &fleet), 3);
     let mut rounds = 0;
     while slow_of(&assignment, "a") + slow_of(&assignment, "b") > 0 {
         rounds += 1;
-        for _ in 0..most_trades(&demands, &fleet) {
+        for _ in 0..max_trades(&demands, &fleet) {
             assignment.trade(&demands, &fleet);
         }
-        assert!(rounds <= 4, "four rounds of three");
+        assert!(rounds <= 4, "more than four rounds");
     }
     assert_eq!(slow_of(&assignment, "c"), 15);
 }
--- a/crates/front/tests/suspect_load.rs
+++ b/crates/front/tests/suspect_load.rs
@@ -12,7 +12,7 @@
 
 use ladderstage_clock::Instant;
 use ladderstage_front::suspects::{
-    Admission, ContentDigest, ITEM_MOST_ENDS, LIVE_MOST_ENDS, SuspectLedger,
+    Admission, ContentDigest, ITEM_MAX_CRASHES, LIVE_MAX_CRASHES, SuspectLedger,
 };
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -298,7 +298,7 @@
 
 #[test]
 fn holding_back_the_crashing_request_lets_other_requests_succeed() {
-    let [without_limit, with_limit] = [NO_LIMIT, LIVE_MOST_ENDS]
+    let [without_limit, with_limit] = [NO_LIMIT, LIVE_MAX_CRASHES]
         .map(|max_crashes| simulate(Scenario::live_requests(3, max_crashes, RARE_CRASHES_MS)));
     assert!(
         without_limit.served * 2 < without_limit.sent,
@@ -309,7 +309,7 @@
         "{with_limit:?}"
     );
     for instances in [3, 45] {
-        let [without_limit, with_limit] = [NO_LIMIT, LIVE_MOST_ENDS].map(|max_crashes| {
+        let [without_limit, with_limit] = [NO_LIMIT, LIVE_MAX_CRASHES].map(|max_crashes| {
             simulate(Scenario::live_requests(
                 instances,
                 max_crashes,
@@ -331,7 +331,7 @@
 fn few_live_requests_are_held_back_for_crashes_with_other_causes() {
     for instances in [3, 45] {
         for crash_interval_ms in [RARE_CRASHES_MS, FREQUENT_CRASHES_MS] {
-            let [_, three, four] = [LIVE_MOST_ENDS, 3, 4].map(|max_crashes| {
+            let [_, three, four] = [LIVE_MAX_CRASHES, 3, 4].map(|max_crashes| {
                 simulate(Scenario::live_requests(
                     instances,
                     max_crashes,
@@ -340,7 +340,7 @@
             });
             let actual = simulate(Scenario::live_requests(
                 instances,
-                LIVE_MOST_ENDS,
+                LIVE_MAX_CRASHES,
                 crash_interval_ms,
             ));
             assert!(actual.held_back * 1_000 <= actual.sent, "{actual:?}");
@@ -352,7 +352,7 @@
 #[test]
 fn few_items_are_held_back_for_crashes_with_other_causes() {
     for crash_interval_ms in [RARE_CRASHES_MS, 2_000, FREQUENT_CRASHES_MS] {
-        let [two, actual] = [2, ITEM_MOST_ENDS]
+        let [two, actual] = [2, ITEM_MAX_CRASHES]
             .map(|max_crashes| simulate(Scenario::items(max_crashes, crash_interval_ms)));
         assert!(actual.held_back <= two.held_back, "{two:?} {actual:?}");
         assert!(actual.served >= two.served, "{two:?} {actual:?}");
