--- a/crates/front/src/backend/choice.rs
+++ b/crates/front/src/backend/choice.rs
@@ -128,7 +128,9 @@
     match demand {
         Demand::Live => u32::MAX,
         Demand::Batch | Demand::LongBatch => candidate.slots,
-        Demand::InterruptedBatch => candidate.slots + candidate.slots.div_ceil(INTERRUPTED_QUEUE_DIVISOR),
+        Demand::InterruptedBatch => {
+            candidate.slots + candidate.slots.div_ceil(INTERRUPTED_QUEUE_DIVISOR)
+        }
         Demand::Scoring => candidate.slots - candidate.slots / LIVE_SLOT_DIVISOR,
     }
 }
--- a/crates/front/src/backend/counters.rs
+++ b/crates/front/src/backend/counters.rs
@@ -37,7 +37,8 @@
             restarts: restarts.expect("valid name"),
             unreadable_records: IntCounterVec::new(options, &["reason"]).expect("valid name"),
             drained_zones: drained_zones.expect("valid name"),
-            skipped_instances: IntCounterVec::new(skipped_instances, &["reason", "zone"]).expect("valid name"),
+            skipped_instances: IntCounterVec::new(skipped_instances, &["reason", "zone"])
+                .expect("valid name"),
         }
     }
 }
--- a/crates/front/src/backend/table.rs
+++ b/crates/front/src/backend/table.rs
@@ -105,7 +105,9 @@
         if instances.iter().any(is_open) {
             return None;
         }
-        let reasons = instances.iter().map(|instance| instance.check_drain().err());
+        let reasons = instances
+            .iter()
+            .map(|instance| instance.check_drain().err());
         reasons.flatten().next()
     }
 
@@ -369,7 +371,10 @@
                 return true;
             };
             let labels = [reason.label(), &instance.zone()];
-            self.counters.skipped_instances.with_label_values(&labels).inc();
+            self.counters
+                .skipped_instances
+                .with_label_values(&labels)
+                .inc();
             if reason == HoldReason::Cold {
                 cold.push(Arc::clone(instance));
             }
@@ -418,7 +423,11 @@
     }
 
     /// Returns a random ready instance of a service in an allowed region, paused ones included.
-    pub fn choose_for_retry(&self, service: &str, allowed: &AllowedRegions) -> Option<Arc<Instance>> {
+    pub fn choose_for_retry(
+        &self,
+        service: &str,
+        allowed: &AllowedRegions,
+    ) -> Option<Arc<Instance>> {
         let now = Instant::now();
         let instances = self.instances_of(service);
         let ready: Vec<_> = instances
--- a/crates/front/src/ingress/mod.rs
+++ b/crates/front/src/ingress/mod.rs
@@ -262,7 +262,10 @@
         let id = request.headers().get(&self.codec.headers().attempt_id);
         let id = id.and_then(|id| id.to_str().ok()).unwrap_or("-");
         let is_newest = self.has_newest_config();
-        let age = self.nodes.last_store_contact().map(|at| at.elapsed().as_millis());
+        let age = self
+            .nodes
+            .last_store_contact()
+            .map(|at| at.elapsed().as_millis());
         log::warn!(
             "event=key_rejected request={id} config={} reason={refusal} config_is_newest={is_newest} contact_ms={age:?}",
             config.version
--- a/crates/front/src/live.rs
+++ b/crates/front/src/live.rs
@@ -12,8 +12,8 @@
 use tokio::sync::watch;
 
 use crate::backend::{
-    AnswerIdPolicy, BackendTable, Demand, ExchangeError, HoldReason, InFlightGuard, Instance, Reply,
-    RequestHead, end_to_end, send,
+    AnswerIdPolicy, BackendTable, Demand, ExchangeError, HoldReason, InFlightGuard, Instance,
+    Reply, RequestHead, end_to_end, send,
 };
 use crate::config::{CurrentConfig, Route, RouteKind};
 use crate::dialect::SharedCodec;
@@ -219,7 +219,9 @@
         overall_deadline: Instant,
         progress: &mut Progress,
     ) -> LiveAnswer {
-        self.backends.wait_for_first_instance(FIRST_INSTANCE_TIMEOUT).await;
+        self.backends
+            .wait_for_first_instance(FIRST_INSTANCE_TIMEOUT)
+            .await;
         let service = route.pick_service(rand::random());
         let mut running_attempts = FuturesUnordered::new();
         let mut hedge_at = Instant::now();
@@ -425,7 +427,8 @@
                 }
             };
             if let Err(ExchangeError::Broken(_)) = &result {
-                self.check_broken_run(route, request, &instance, started).await;
+                self.check_broken_run(route, request, &instance, started)
+                    .await;
             }
             Attempt {
                 instance,
--- a/crates/front/src/suspects/ledger.rs
+++ b/crates/front/src/suspects/ledger.rs
@@ -95,9 +95,9 @@
         self.hold(max_crashes).is_none() && now >= self.last_crash + SUSPICION_LIFETIME
     }
 
-    /// Names a crash of `incarnation` during a run that started at `began`; `None` if that crash is
-    /// known. An instance that accepted a run after its known crash has restarted, even under the
-    /// same name.
+    /// Names a crash of `incarnation` during a run that was sent at `started_at`; `None` if that
+    /// crash is known. An instance that accepted a run after its known crash has restarted, even
+    /// under the same name.
     fn name_crash(&self, incarnation: &str, started_at: Instant) -> Option<Arc<str>> {
         let mut name: Arc<str> = incarnation.into();
         let mut further = 1;
@@ -190,8 +190,8 @@
         }
     }
 
-    /// Records a crash of `incarnation` during a run that started at `began`. Returns
-    /// whether the crash is new.
+    /// Records a crash of `incarnation` during a run that was sent at `started_at`. Returns whether
+    /// the crash is new.
     pub fn record_crash(
         &mut self,
         content: ContentDigest,
--- a/crates/front/tests/cold_instances.rs
+++ b/crates/front/tests/cold_instances.rs
@@ -6,11 +6,11 @@
 
 use ladderstage_clock::Instant;
 use ladderstage_front::backend::{
-    BackendTable, ColdAllowance, ColdLimit, ColdState, ColdStatus, Demand, DiscoveredInstance, HoldReason,
-    PERMIT_LIFETIME, SEND_WINDOW, SendBudget, WRITE_MARGIN,
+    BackendTable, ColdAllowance, ColdLimit, ColdState, ColdStatus, Demand, DiscoveredInstance,
+    HoldReason, PERMIT_LIFETIME, SEND_WINDOW, SendBudget, WRITE_MARGIN,
 };
 use ladderstage_front::config::{ColdSpec, ServiceSpec, ServingConfig};
-use ladderstage_front::orders::{PermitLedger, PERMIT_QUIET_PERIOD};
+use ladderstage_front::orders::{PERMIT_QUIET_PERIOD, PermitLedger};
 use ladderstage_front::roster::Roster;
 use proptest::prelude::*;
 
@@ -198,7 +198,10 @@
     let choose = || table.choose("service", "", Demand::Batch, |_| true);
     assert!(choose().is_none());
     let permit_requests = table.gates().permit_requests.drain_pending();
-    assert_eq!(permit_requests.get("i-1").map(String::as_str), Some("service"));
+    assert_eq!(
+        permit_requests.get("i-1").map(String::as_str),
+        Some("service")
+    );
     let instance = table.get("i-1").unwrap();
     instance.add_permits(2, Instant::now() + Duration::from_secs(60));
     assert!(choose().is_some() && choose().is_some());
