--- a/crates/front/tests/instance_starts.rs
+++ b/crates/front/tests/instance_starts.rs
@@ -1,4 +1,4 @@
-//! An instance may start again under its id: nothing that is believed of one start outlives it.
+//! A new incarnation of an instance inherits no state from an earlier one with the same id.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 
 const MODEL: &str = "model";
 
-fn word(started_unix_ms: u64, version: u64) -> DiscoveredInstance {
+fn record(started_unix_ms: u64, version: u64) -> DiscoveredInstance {
     DiscoveredInstance {
         id: "i-1".to_owned(),
         service: "service".to_owned(),
@@ -26,102 +26,103 @@
     }
 }
 
-fn known(table: &BackendTable) -> Arc<Instance> {
+fn current(table: &BackendTable) -> Arc<Instance> {
     table.get("i-1").unwrap()
 }
 
 #[test]
-fn a_later_start_is_believed_nothing_of_the_earlier_one() {
+fn a_later_incarnation_inherits_no_state() {
     let table = BackendTable::new("a");
-    table.upsert(word(100, 7));
-    let earlier = known(&table);
+    table.upsert(record(100, 7));
+    let earlier = current(&table);
     let now = Instant::now();
     let load = Load {
         running: 8,
         waiting: 3,
         slots: 8,
     };
-    earlier.note_load(load, now);
+    earlier.record_load(load, now);
     earlier.record_unit_time(900.0, now);
     earlier.record_failure(now);
     earlier.mark_loading(MODEL, now + Duration::from_secs(9));
     let _run = earlier.track_request();
     assert!(!earlier.is_usable(MODEL, now));
-    table.upsert(word(200, 6));
-    let later = known(&table);
+    table.upsert(record(200, 6));
+    let later = current(&table);
     assert!(earlier.has_ended() && !later.has_ended());
     assert_eq!(
         later.version(MODEL),
         6,
-        "weights of the earlier start are gone"
+        "weights of the earlier incarnation are gone"
     );
     let candidate = later.candidate("a", now);
     assert_eq!((candidate.load, candidate.unit_time_ms), (0, None));
     assert!(later.is_usable(MODEL, now));
-    // What still comes of the earlier start is noted there only.
+    // Late reports of the earlier incarnation do not reach the later one.
     earlier.record_version(MODEL, 9);
     assert_eq!(later.version(MODEL), 6);
 }
 
 #[test]
-fn a_late_word_of_an_earlier_start_changes_nothing() {
+fn a_late_record_of_an_earlier_incarnation_is_ignored() {
     let table = BackendTable::new("a");
-    table.upsert(word(200, 6));
-    let mut late = word(100, 9);
+    table.upsert(record(200, 6));
+    let mut late = record(100, 9);
     late.is_ready = false;
     table.upsert(late);
-    let instance = known(&table);
+    let instance = current(&table);
     assert!(instance.is_ready() && !instance.has_ended());
     assert_eq!(instance.version(MODEL), 6);
     assert_eq!(instance.started_unix_ms(), 200);
 }
 
 #[test]
-fn what_an_instance_says_itself_goes_before_what_discovery_told() {
+fn the_start_that_an_instance_reports_overrides_discovery() {
     let table = BackendTable::new("a");
-    table.upsert(word(100, 7));
-    let earlier = known(&table);
+    table.upsert(record(100, 7));
+    let earlier = current(&table);
     table.record_incarnation(&earlier, 200);
     assert!(earlier.has_ended());
-    assert_eq!(known(&table).started_unix_ms(), 200);
+    assert_eq!(current(&table).started_unix_ms(), 200);
     assert_eq!(
-        known(&table).version(MODEL),
+        current(&table).version(MODEL),
         0,
         "its weights are not known yet"
     );
-    // Discovery tells of the earlier start until its next answer.
-    table.upsert(word(100, 7));
-    assert_eq!(known(&table).version(MODEL), 0);
-    table.upsert(word(200, 5));
-    assert_eq!(known(&table).version(MODEL), 5);
-    table.record_incarnation(&known(&table), 100);
-    assert_eq!(known(&table).started_unix_ms(), 200);
+    // Discovery reports the earlier incarnation until its next update.
+    table.upsert(record(100, 7));
+    assert_eq!(current(&table).version(MODEL), 0);
+    table.upsert(record(200, 5));
+    assert_eq!(current(&table).version(MODEL), 5);
+    table.record_incarnation(&current(&table), 100);
+    assert_eq!(current(&table).started_unix_ms(), 200);
 }
 
 #[test]
-fn an_instance_that_does_not_tell_its_start_goes_by_its_id() {
+fn an_instance_without_a_start_time_is_identified_by_its_id() {
     let table = BackendTable::new("a");
-    table.upsert(word(0, 7));
-    table.upsert(word(0, 6));
-    assert_eq!(known(&table).version(MODEL), 7);
+    table.upsert(record(0, 7));
+    table.upsert(record(0, 6));
+    assert_eq!(current(&table).version(MODEL), 7);
     assert!(
-        known(&table).matches_incarnation(100),
-        "a word about any start is about it"
+        current(&table).matches_incarnation(100),
+        "a report about any start matches"
     );
 }
 
 proptest! {
-    /// Words about several starts in any order, some of them twice: the latest start is believed, with the newest weights that were told of it.
+    /// The latest incarnation wins with its newest weights, whatever the order and repetition of
+    /// the records.
     #[test]
-    fn the_order_of_words_does_not_matter(words in prop::collection::vec((1_u64..5, 1_u64..20), 1..30)) {
+    fn the_order_of_records_does_not_matter(reports in prop::collection::vec((1_u64..5, 1_u64..20), 1..30)) {
         let table = BackendTable::new("a");
-        for (start, version) in &words {
-            table.upsert(word(*start, *version));
+        for (start, version) in &reports {
+            table.upsert(record(*start, *version));
         }
-        let latest = words.iter().map(|(start, _)| *start).max().unwrap();
-        let of_latest = words.iter().filter(|(start, _)| *start == latest);
+        let latest = reports.iter().map(|(start, _)| *start).max().unwrap();
+        let of_latest = reports.iter().filter(|(start, _)| *start == latest);
         let newest = of_latest.map(|(_, version)| *version).max().unwrap();
-        prop_assert_eq!(known(&table).started_unix_ms(), latest);
-        prop_assert_eq!(known(&table).version(MODEL), newest);
+        prop_assert_eq!(current(&table).started_unix_ms(), latest);
+        prop_assert_eq!(current(&table).version(MODEL), newest);
     }
 }
