--- a/crates/clock/src/instant.rs
+++ b/crates/clock/src/instant.rs
@@ -1,69 +1,71 @@
-//! A moment by the clock that counts suspensions.
+//! A point in time on a clock that includes the time the machine was suspended.
 
 use std::ops::{Add, AddAssign, Sub};
 use std::time::Duration;
 
 use nix::time::{ClockId, clock_gettime};
 
-/// The clock. On Linux the steady one leaves suspensions out and this one counts them; elsewhere the steady one counts them.
+/// On Linux `CLOCK_MONOTONIC` stops during a suspension and `CLOCK_BOOTTIME` does not; elsewhere
+/// `CLOCK_MONOTONIC` keeps running.
 #[cfg(target_os = "linux")]
 const CLOCK: ClockId = ClockId::CLOCK_BOOTTIME;
 #[cfg(not(target_os = "linux"))]
 const CLOCK: ClockId = ClockId::CLOCK_MONOTONIC;
 
-/// A moment, as time since the machine's start. Never goes back; counts the time for which the machine was suspended.
+/// A point in time, as the time since boot. It never decreases and includes suspensions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Instant(Duration);
 
 impl Instant {
-    /// Now.
+    /// Returns the current time.
     ///
     /// # Panics
-    /// If the system has no such clock, which Linux has since 2.6.39.
+    /// If the system lacks the clock; Linux has it since 2.6.39.
     pub fn now() -> Self {
-        let now = clock_gettime(CLOCK).expect("the system has the clock");
+        let now = clock_gettime(CLOCK).expect("the system supports the clock");
         let since_start = Duration::from(now);
         #[cfg(feature = "test-util")]
         let since_start = since_start + crate::testing::suspended();
         Self(since_start)
     }
 
-    /// Time since this moment; zero if it is still to come.
+    /// Returns the time elapsed since this instant, or zero if it is in the future.
     pub fn elapsed(self) -> Duration {
         Self::now().saturating_duration_since(self)
     }
 
-    /// Time from an earlier moment; zero if it is later.
+    /// Returns the time elapsed from `earlier` to this instant, or zero if `earlier` is later.
     pub fn duration_since(self, earlier: Self) -> Duration {
         self.saturating_duration_since(earlier)
     }
 
-    /// Time from an earlier moment; zero if it is later.
+    /// Returns the time elapsed from `earlier` to this instant, or zero if `earlier` is later.
     pub fn saturating_duration_since(self, earlier: Self) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
 
-    /// Time from an earlier moment; `None` if it is later.
+    /// Returns the time elapsed from `earlier` to this instant, or `None` if `earlier` is later.
     pub fn checked_duration_since(self, earlier: Self) -> Option<Duration> {
         self.0.checked_sub(earlier.0)
     }
 
-    /// The moment so much later; `None` if the clock does not reach so far.
+    /// Returns the instant `duration` later, or `None` on overflow.
     pub fn checked_add(self, duration: Duration) -> Option<Self> {
         self.0.checked_add(duration).map(Self)
     }
 
-    /// The moment so much earlier; `None` if it is before the machine's start.
+    /// Returns the instant `duration` earlier, or `None` if that is before boot.
     pub fn checked_sub(self, duration: Duration) -> Option<Self> {
         self.0.checked_sub(duration).map(Self)
     }
 
-    /// The same moment by the steady clock, if the machine is not suspended in between: for waits.
+    /// Converts to [`std::time::Instant`], for timers. The result is exact only if the machine is
+    /// not suspended before it.
     pub fn to_steady(self) -> std::time::Instant {
-        let (now, steady) = (Self::now(), std::time::Instant::now());
+        let (now, monotonic) = (Self::now(), std::time::Instant::now());
         match self.checked_duration_since(now) {
-            Some(later) => steady + later,
-            None => steady.checked_sub(now.0 - self.0).unwrap_or(steady),
+            Some(later) => monotonic + later,
+            None => monotonic.checked_sub(now.0 - self.0).unwrap_or(monotonic),
         }
     }
 }
@@ -85,7 +87,7 @@
 impl Sub<Duration> for Instant {
     type Output = Self;
 
-    /// A moment before the machine's start counts as its start.
+    /// Saturates at boot.
     fn sub(self, duration: Duration) -> Self {
         Self(self.0.saturating_sub(duration))
     }
@@ -101,7 +103,7 @@
 
 impl From<Instant> for tokio::time::Instant {
     fn from(instant: Instant) -> Self {
-        // By tokio's own clock, which tests may stop.
+        // Relative to tokio's clock, which tests may pause.
         Self::now() + instant.saturating_duration_since(Instant::now())
     }
 }
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,8 +1,9 @@
-//! The clock of everything that somebody outside this process relies on: ages, leases, deadlines, windows.
+//! A clock for ages, leases, deadlines and windows that other processes rely on.
 //!
-//! The steady clock of the standard library stands still while a machine is suspended. A holder that wakes after 20 s would believe its lease
-//! for the rest of its term, a front its configuration, a report its windows. [`Instant`] counts that time. Waits stay with tokio's timers,
-//! which go by the steady clock: what they wait for is judged anew by [`Instant`] when they fire.
+//! [`std::time::Instant`] stops while a Linux machine is suspended: after 20 s of suspension a
+//! lease holder would still consider its lease valid. [`Instant`] includes that time. Timers stay
+//! with tokio, which uses the monotonic clock; code that wakes up checks its deadline against
+//! [`Instant`] again.
 
 #![warn(missing_docs)]
 
@@ -12,4 +13,4 @@
 pub mod testing;
 
 pub use instant::Instant;
-pub use suspension::{SUSPENSION_LOOK, SuspensionWatch};
+pub use suspension::{SUSPENSION_CHECK_INTERVAL, SuspensionDetector};
--- a/crates/clock/src/suspension.rs
+++ b/crates/clock/src/suspension.rs
@@ -1,38 +1,39 @@
-//! Notices that the machine was suspended.
+//! Detects that the machine was suspended.
 
 use std::time::Duration;
 
 use crate::Instant;
 
-/// Between looks. Whatever is decided in between goes by [`Instant`]; a look only says so in the log and begins watches anew.
-pub const SUSPENSION_LOOK: Duration = Duration::from_millis(500);
+/// Interval between checks. It only delays the log line and the restart of watches, as decisions
+/// use [`Instant`].
+pub const SUSPENSION_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Differences below this are those between two readings of the clocks.
-const LEAST_SUSPENSION: Duration = Duration::from_millis(100);
+/// Shorter differences come from reading the two clocks one after the other.
+const MIN_SUSPENSION: Duration = Duration::from_millis(100);
 
-/// Compares the clock that counts suspensions with the steady one.
+/// Compares [`Instant`] with the monotonic clock, which excludes suspensions.
 #[derive(Debug)]
-pub struct SuspensionWatch {
-    steady: std::time::Instant,
-    instant: Instant,
+pub struct SuspensionDetector {
+    monotonic: std::time::Instant,
+    boot_time: Instant,
 }
 
-impl Default for SuspensionWatch {
+impl Default for SuspensionDetector {
     fn default() -> Self {
         Self {
-            steady: std::time::Instant::now(),
-            instant: Instant::now(),
+            monotonic: std::time::Instant::now(),
+            boot_time: Instant::now(),
         }
     }
 }
 
-impl SuspensionWatch {
-    /// For how long the machine was suspended since the last look; `None` if it was not.
-    pub fn look(&mut self) -> Option<Duration> {
+impl SuspensionDetector {
+    /// Returns how long the machine was suspended since the last check, or `None` if it was not.
+    pub fn check(&mut self) -> Option<Duration> {
         let now = Self::default();
-        let steady = now.steady.saturating_duration_since(self.steady);
-        let suspended = (now.instant - self.instant).saturating_sub(steady);
+        let monotonic = now.monotonic.saturating_duration_since(self.monotonic);
+        let suspended = (now.boot_time - self.boot_time).saturating_sub(monotonic);
         *self = now;
-        (suspended >= LEAST_SUSPENSION).then_some(suspended)
+        (suspended >= MIN_SUSPENSION).then_some(suspended)
     }
 }
--- a/crates/clock/src/testing.rs
+++ b/crates/clock/src/testing.rs
@@ -1,4 +1,5 @@
-//! Suspensions for tests: each thread has its own, so that one program of several in a process can be suspended.
+//! Simulated suspensions for tests. They are per thread, so that a test can suspend one of several
+//! programs in a process.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -7,12 +8,12 @@
     static SUSPENDED: Cell<Duration> = const { Cell::new(Duration::ZERO) };
 }
 
-/// Makes this thread believe that its machine has just been suspended for so long.
+/// Advances this thread's [`Instant`](crate::Instant) by `duration`, as after a suspension.
 pub fn suspend(duration: Duration) {
     SUSPENDED.set(suspended() + duration);
 }
 
-/// For how long this thread believes its machine was suspended in all.
+/// Returns the total simulated suspension of this thread.
 pub(crate) fn suspended() -> Duration {
     SUSPENDED.get()
 }
--- a/crates/clock/tests/clock.rs
+++ b/crates/clock/tests/clock.rs
@@ -1,27 +1,27 @@
-//! The clock that counts suspensions.
+//! Tests of the clock that includes suspensions.
 
 use std::time::Duration;
 
 use ladderstage_clock::testing::suspend;
-use ladderstage_clock::{Instant, SuspensionWatch};
+use ladderstage_clock::{Instant, SuspensionDetector};
 
 const TWENTY_SECONDS: Duration = Duration::from_secs(20);
 
 #[test]
-fn a_suspension_counts_and_is_noticed_once() {
-    let mut watch = SuspensionWatch::default();
+fn a_suspension_is_included_and_detected_once() {
+    let mut detector = SuspensionDetector::default();
     let before = Instant::now();
     let deadline = before + Duration::from_secs(10);
-    assert_eq!(watch.look(), None);
+    assert_eq!(detector.check(), None);
     suspend(TWENTY_SECONDS);
     assert!(before.elapsed() >= TWENTY_SECONDS);
     assert!(Instant::now() > deadline);
-    let noticed = watch.look().unwrap();
+    let detected = detector.check().unwrap();
     assert!(
-        noticed >= TWENTY_SECONDS - Duration::from_secs(1),
-        "{noticed:?}"
+        detected >= TWENTY_SECONDS - Duration::from_secs(1),
+        "{detected:?}"
     );
-    assert_eq!(watch.look(), None);
+    assert_eq!(detector.check(), None);
 }
 
 #[test]
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn times_before_and_after_each_other_are_never_negative() {
+fn differences_saturate_at_zero() {
     let now = Instant::now();
     let later = now + TWENTY_SECONDS;
     assert_eq!(later - now, TWENTY_SECONDS);
@@ -46,7 +46,7 @@
 }
 
 #[tokio::test]
-async fn a_wait_until_a_moment_that_passed_while_suspended_is_over_at_once() {
+async fn a_wait_for_a_deadline_that_passed_during_a_suspension_ends_at_once() {
     let deadline = Instant::now() + Duration::from_secs(10);
     suspend(TWENTY_SECONDS);
     let waiting = tokio::time::sleep_until(deadline.into());
--- a/crates/front/src/config.rs
+++ b/crates/front/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: routes, services and limits.
+//! Serving configuration: routes, services, tenants and limits.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -11,78 +11,81 @@
 
 use crate::tenant::{KeyDigest, KeyRefusal, Tenant, holder};
 
-/// What may be repeated on a route.
+/// Kind of a route, which decides how its requests may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
     /// Requests may run more than once.
     Safe,
     /// Requests run at most once for each client attempt.
     Unsafe,
-    /// The answer is a series of events.
+    /// The response is a stream of events.
     Streaming,
-    /// The route takes batch jobs.
+    /// The route accepts batch jobs.
     Batch,
 }
 
-/// One part of a route's split.
+/// Service that gets a share of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WeightedService {
-    /// Service that gets this part.
+    /// Name of the service.
     pub service: String,
-    /// Its share against the other parts.
+    /// Weight relative to the other services of the route.
     pub weight: u32,
 }
 
-/// Where requests of one host and path prefix go, and how.
+/// Routing rule for the requests of a host and path prefix.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
-    /// Name, for logs and metrics.
+    /// Name used in logs and metrics.
     pub name: String,
-    /// Host that requests name.
+    /// Value of the requests' `Host` header.
     pub host: String,
-    /// Prefix of the path; begins and ends with a slash.
+    /// Path prefix; starts and ends with a slash.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Kind of the route.
     pub kind: RouteKind,
-    /// Longest time that a request is held.
+    /// Maximum time for which a request is held.
     pub timeout: Duration,
-    /// Time within which an answer is worth most.
+    /// Target latency of a response.
     pub target_latency: Duration,
-    /// Rank, 0 highest.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// The services of the route; not empty.
+    /// Services that share the requests; not empty.
     pub split: Vec<WeightedService>,
-    /// Most instances that one request may be sent to.
+    /// Maximum number of instances that a request may be sent to.
     pub max_attempts: u32,
-    /// How long after a batch job was handed in an item may be given up; `None`: never by age.
+    /// Time after a batch job's submission from which its items may be abandoned; `None`: items are
+    /// never abandoned by age.
     pub max_queue: Option<Duration>,
-    /// How long after a batch job was handed in its results are due.
+    /// Time after a batch job's submission at which its results are due.
     pub result_deadline: Option<Duration>,
-    /// Every text must come from one weight version.
+    /// Every text must come from a single weight version.
     pub single_version: bool,
-    /// A stream may be taken up at another instance.
+    /// An interrupted stream may be resumed at another instance.
     pub resumable: bool,
-    /// Requests need no key.
+    /// Requests do not need an API key.
     pub is_public: bool,
-    /// Where its requests may be served and kept.
+    /// Regions in which requests may be served and stored.
     pub allowed_regions: AllowedRegions,
 }
 
-/// Lowest rank that instances know.
-const LOWEST_RANK: u8 = 9;
+/// Lowest priority that instances distinguish.
+const LOWEST_PRIORITY: u8 = 9;
 
-/// Keys that were taken away and are still told apart from unknown ones, at most.
-const MOST_RETIRED_KEYS: usize = 4_096;
+/// Maximum number of removed keys that are remembered.
+const MAX_RETIRED_KEYS: usize = 4_096;
 
 impl Route {
-    /// Value of the header that tells instances how urgent a request is: a tenant's rank goes before the route's.
+    /// Returns the value of the header that tells instances the priority of a request. A tenant's
+    /// priority overrides the route's.
     pub fn rank(&self, tenant: Option<&Tenant>) -> HeaderValue {
-        let by_tenant = tenant.and_then(|tenant| tenant.priority);
-        let rank = by_tenant.unwrap_or(self.priority);
-        HeaderValue::from(u16::from(rank.min(LOWEST_RANK)))
+        let tenant_priority = tenant.and_then(|tenant| tenant.priority);
+        let priority = tenant_priority.unwrap_or(self.priority);
+        HeaderValue::from(u16::from(priority.min(LOWEST_PRIORITY)))
     }
 
-    /// Where a tenant's requests may be served and kept: the bounds of both hold.
+    /// Returns the regions in which a tenant's requests may be served and stored: those that both
+    /// the route and the tenant allow.
     pub fn allowed_regions_for(&self, tenant: Option<&Tenant>) -> AllowedRegions {
         match tenant {
             Some(tenant) => self.allowed_regions.and(&tenant.allowed_regions),
@@ -90,7 +93,7 @@
         }
     }
 
-    /// Service for a request, by the weights; `random` is any number.
+    /// Picks the service for a request by weight; `random` is any number.
     pub fn pick_service(&self, random: u64) -> &str {
         let total: u64 = self.split.iter().map(|part| u64::from(part.weight)).sum();
         let mut point = random % total.max(1);
@@ -105,55 +108,56 @@
     }
 }
 
-/// What an instance bears while it is cold: it has just started, or says so.
+/// Limits of a cold instance, which has just started or reports that it is cold.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdSpec {
-    /// How long an instance stays cold after its start.
+    /// Time after its start for which an instance is cold.
     pub time: Duration,
-    /// Requests a second that it bears meanwhile, from all callers together.
+    /// Maximum requests per second to a cold instance from all callers together.
     pub requests_per_second: f64,
 }
 
-/// How many instances a service may have, and what they cost.
+/// Bounds and costs of the number of instances of a service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ScalingSpec {
-    /// Fewest instances in a zone, of both kinds together.
+    /// Minimum number of instances in a zone, of both kinds together.
     pub least: u32,
-    /// Most instances in a zone, of both kinds together.
+    /// Maximum number of instances in a zone, of both kinds together.
     pub most: u32,
-    /// Time from an order to the first request that a new instance serves.
+    /// Time from an order to the first request served by the new instance.
     pub boot: Duration,
-    /// Price of an instance that may be taken away, against that of another; `None`: there are none.
+    /// Price of a preemptible instance relative to a regular one; `None`: there are no preemptible
+    /// ones.
     pub preemptible_price: Option<f64>,
-    /// Price of a second of an instance, by zone.
+    /// Price of an instance per second, by zone.
     pub zone_prices: BTreeMap<String, f64>,
 }
 
-/// How the instances of a service are used.
+/// Properties of a service and its instances.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct ServiceSpec {
-    /// Connections that an instance takes from all callers together.
+    /// Maximum connections to an instance from all callers together.
     pub max_connections: u32,
-    /// Models that its instances hold; empty for plain applications.
+    /// Models that the instances serve; empty for applications.
     pub models: Vec<String>,
-    /// Tokens that one event of their streams holds; 0: unknown.
+    /// Tokens per event of a stream; 0: unknown.
     pub tokens_per_event: u64,
-    /// What its instances bear while they are cold; `None`: as much as at any time.
+    /// Limits of cold instances; `None`: the same as for other instances.
     pub cold: Option<ColdSpec>,
-    /// Bounds of how many instances it has; `None`: their number is not ours to change.
+    /// Bounds of the number of instances; `None`: this system does not manage it.
     pub scaling: Option<ScalingSpec>,
 }
 
-/// Bounds of what a client may send.
+/// Limits of client requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Maximum bytes of a request's head.
     pub max_header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum bytes of a request's body.
     pub max_body_bytes: usize,
-    /// Time to send a request's head.
+    /// Maximum time to receive a request's head.
     pub header_timeout: Duration,
-    /// How long a kept connection may rest.
+    /// Maximum idle time of a keep-alive connection.
     pub idle_timeout: Duration,
 }
 
@@ -168,28 +172,28 @@
     }
 }
 
-/// One whole version of the configuration.
+/// One version of the configuration.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct ServingConfig {
-    /// Rises with every change.
+    /// Version number, which increases with every change.
     pub version: u64,
-    /// All routes.
+    /// Routes.
     pub routes: Vec<Route>,
     /// Services by name.
     pub services: BTreeMap<String, ServiceSpec>,
-    /// Bounds of what clients may send.
+    /// Limits of client requests.
     pub limits: Limits,
-    /// Who may send requests; empty: everybody, without a key.
+    /// Tenants that may send requests; empty: everybody may, without a key.
     pub tenants: Vec<Arc<Tenant>>,
-    /// Keys that earlier versions held, with the version that took each away: for the log only.
+    /// Removed keys with the version that removed them, for the log.
     pub retired_keys: BTreeMap<KeyDigest, u64>,
 }
 
 impl ServingConfig {
-    /// The tenant of a request that carries `key`.
+    /// Returns the tenant that `key` belongs to.
     ///
     /// # Errors
-    /// Why it is nobody's.
+    /// Returns the reason why the key is missing or invalid.
     pub fn tenant_of(&self, key: Option<&KeyDigest>) -> Result<&Arc<Tenant>, KeyRefusal> {
         let key = key.ok_or(KeyRefusal::Missing)?;
         holder(&self.tenants, key).ok_or_else(|| match self.retired_keys.get(key) {
@@ -198,15 +202,16 @@
         })
     }
 
-    /// A tenant by its name.
+    /// Returns the tenant with a name.
     pub fn tenant(&self, name: &str) -> Option<&Arc<Tenant>> {
         self.tenants
             .iter()
             .find(|tenant| tenant.name.as_ref() == name)
     }
 
-    /// Where a tenant's requests for a host and path may be served and kept; `None`: no route takes them. A tenant that was removed may
-    /// have had bounds, so that the rest of its work is served nowhere.
+    /// Returns the regions in which a tenant's requests for a host and path may be served and
+    /// stored; `None`: no route matches. Requests of a removed tenant, which may have had
+    /// restrictions, are allowed nowhere.
     pub fn allowed_regions(&self, host: &str, path: &str, tenant: &str) -> Option<AllowedRegions> {
         let route = self.route(host, path)?;
         let known = self.tenant(tenant);
@@ -216,34 +221,34 @@
         Some(route.allowed_regions_for(known.map(AsRef::as_ref)))
     }
 
-    /// Whether any route or tenant names regions.
-    fn binds_regions(&self) -> bool {
+    /// Returns whether any route or tenant restricts the regions.
+    fn restricts_regions(&self) -> bool {
         let routes = self.routes.iter().map(|route| &route.allowed_regions);
         let tenants = self.tenants.iter().map(|tenant| &tenant.allowed_regions);
         routes.chain(tenants).any(|allowed| !allowed.is_all())
     }
 
-    /// Remembers which keys of the version before this one takes away.
-    fn retire_keys_of(&mut self, previous: &Self) {
+    /// Records the keys of the previous version that this one removes.
+    fn record_retired_keys(&mut self, previous: &Self) {
         self.retired_keys = previous.retired_keys.clone();
         let tenants = self.tenants.iter();
         let keys: BTreeSet<&KeyDigest> = tenants.flat_map(|tenant| &tenant.keys).collect();
         self.retired_keys.retain(|key, _| !keys.contains(key));
         let earlier = previous.tenants.iter().flat_map(|tenant| &tenant.keys);
         for key in earlier.filter(|key| !keys.contains(key)) {
-            if self.retired_keys.len() < MOST_RETIRED_KEYS {
+            if self.retired_keys.len() < MAX_RETIRED_KEYS {
                 self.retired_keys.entry(*key).or_insert(self.version);
             }
         }
     }
 
-    /// Services that live requests may go to: all but those that only routes of batch jobs use. A service without a route counts,
-    /// as a route may be given to it at any moment.
+    /// Returns the services that live requests may go to: all except those used only by routes of
+    /// batch jobs. A service without a route is included, as a route may be added at any time.
     pub fn live_services(&self) -> BTreeSet<String> {
         let used_by = |is_batch: bool| -> BTreeSet<&str> {
             let routes = self.routes.iter();
-            let wanted = routes.filter(|route| (route.kind == RouteKind::Batch) == is_batch);
-            wanted
+            let of_kind = routes.filter(|route| (route.kind == RouteKind::Batch) == is_batch);
+            of_kind
                 .flat_map(|route| &route.split)
                 .map(|part| part.service.as_str())
                 .collect()
@@ -257,7 +262,7 @@
             .collect()
     }
 
-    /// The route of a request: of those of its host, the one with the longest matching prefix.
+    /// Returns the route of a request: the one of its host with the longest matching path prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         self.routes
             .iter()
@@ -271,21 +276,23 @@
 #[derive(Debug, Clone)]
 pub struct ConfigInForce {
     current: watch::Sender<Option<Arc<ServingConfig>>>,
-    /// Whether any route or tenant names regions. Checked for each request, so that without any no route is looked up.
-    binds_regions: Arc<AtomicBool>,
+    /// Whether any configuration so far restricted the regions. Lets requests skip the lookup of a
+    /// route otherwise.
+    restricts_regions: Arc<AtomicBool>,
 }
 
 impl Default for ConfigInForce {
     fn default() -> Self {
         Self {
             current: watch::Sender::new(None),
-            binds_regions: Arc::default(),
+            restricts_regions: Arc::default(),
         }
     }
 }
 
 impl ConfigInForce {
-    /// Takes a version unless one as new is in force; returns whether it was taken. A process never goes back.
+    /// Installs a configuration unless one with the same or a later version is installed; returns
+    /// whether it was installed.
     pub fn offer(&self, mut config: ServingConfig) -> bool {
         self.current.send_if_modified(|current| {
             let known = current.as_ref().map(|known| known.version);
@@ -293,7 +300,7 @@
                 return false;
             }
             if let Some(previous) = current {
-                config.retire_keys_of(previous);
+                config.record_retired_keys(previous);
             }
             let keys: usize = config.tenants.iter().map(|tenant| tenant.keys.len()).sum();
             log::info!(
@@ -304,29 +311,31 @@
                 config.tenants.len(),
                 config.retired_keys.len()
             );
-            // Once bound always looked up: work of a tenant whose bound went with it is still here.
-            let binds_regions = config.binds_regions();
-            self.binds_regions
-                .fetch_or(binds_regions, Ordering::Release);
+            // Never reset, as requests of a tenant whose restriction was removed with it may still
+            // be in progress.
+            let restricts_regions = config.restricts_regions();
+            self.restricts_regions
+                .fetch_or(restricts_regions, Ordering::Release);
             *current = Some(Arc::new(std::mem::take(&mut config)));
             true
         })
     }
 
-    /// The version in force; `None` before the first one.
+    /// Returns the installed configuration; `None` before the first one.
     pub fn current(&self) -> Option<Arc<ServingConfig>> {
         self.current.borrow().clone()
     }
 
-    /// Where a tenant's requests for a host and path may be served and kept now; `None`: no route takes them.
+    /// Returns the regions in which a tenant's requests for a host and path may currently be served
+    /// and stored; `None`: no route matches.
     pub fn allowed_regions(&self, host: &str, path: &str, tenant: &str) -> Option<AllowedRegions> {
-        if !self.binds_regions.load(Ordering::Acquire) {
+        if !self.restricts_regions.load(Ordering::Acquire) {
             return Some(AllowedRegions::default());
         }
         self.current()?.allowed_regions(host, path, tenant)
     }
 
-    /// Changes whenever another version is in force.
+    /// Returns a receiver that changes whenever a configuration is installed.
     pub fn watch(&self) -> watch::Receiver<Option<Arc<ServingConfig>>> {
         self.current.subscribe()
     }
--- a/crates/front/src/coordination.rs
+++ b/crates/front/src/coordination.rs
@@ -1,4 +1,4 @@
-//! What the programs need of a linearizable store with compare-and-swap, watches and leases.
+//! Interface to a linearizable store with compare-and-swap, watches and leases.
 
 mod following;
 mod observed;
@@ -10,91 +10,92 @@
 pub use following::{Follower, Update, follow, follow_with};
 pub use observed::{Observed, StoreCalls};
 
-/// Number of a lease.
+/// Identifier of a lease.
 pub type LeaseId = u64;
 
-/// One record of the store.
+/// A record of the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Record {
-    /// Its key.
+    /// Key.
     pub key: String,
-    /// Its bytes.
+    /// Value.
     pub value: Vec<u8>,
-    /// The store's revision of its last change.
+    /// Store revision at which the record was last written.
     pub revision: u64,
 }
 
-/// Why a call gave no result.
+/// Failure of a call to the store.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum CoordinationError {
-    /// The store was not reached, or did not answer a read; nothing was changed.
+    /// The store was not reached or did not answer a read; nothing was changed.
     #[error("store unavailable: {0}")]
     Unavailable(String),
-    /// The store answered that it did nothing.
+    /// The store rejected the call; nothing was changed.
     #[error("store refused: {0}")]
     Refused(String),
-    /// A write got no answer; it may have been carried out, or may be so later if its condition still holds.
+    /// A write was not answered: it may have been applied, or may still be applied later if its
+    /// condition holds then.
     #[error("outcome unknown: {0}")]
     Unknown(String),
-    /// The lease does not exist any more.
-    #[error("the lease is over")]
+    /// The lease has expired or was revoked.
+    #[error("lease expired")]
     LeaseOver,
 }
 
-/// What became of a conditional write that was answered.
+/// Result of a compare-and-swap.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SwapResult {
-    /// The condition held and the record is now the new value.
+    /// The condition held, and the record has the new value.
     Won {
-        /// Revision of this change.
+        /// Store revision of the write.
         revision: u64,
     },
-    /// The condition did not hold; the record as it is.
+    /// The condition did not hold. Holds the current record, if there is one.
     Lost(Option<Record>),
 }
 
-/// Records as of one look.
+/// Records returned by one listing.
 #[derive(Debug, Clone, Default)]
 pub struct Listing {
-    /// The records, each as of some revision at or after `at`.
+    /// Records, each as of some revision at or after `at`.
     pub records: Vec<Record>,
-    /// Revision from which a watch goes on.
+    /// Revision after which a watch has to start.
     pub at: u64,
 }
 
-/// One change seen by a watch.
+/// Change reported by a watch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
     /// The record was written.
     Written(Record),
-    /// The record is gone.
+    /// The record was deleted or its lease expired.
     Removed {
-        /// Its key.
+        /// Key of the record.
         key: String,
     },
 }
 
-/// What a watch answered.
+/// Result of a watch.
 #[derive(Debug, Clone)]
 pub enum WatchAnswer {
-    /// Changes in order, perhaps none, and the revision from which the next watch goes on.
+    /// Changes in order, possibly none.
     Changes {
-        /// The changes.
+        /// Changes.
         changes: Vec<Change>,
-        /// Where to go on.
+        /// Revision after which the next watch has to start.
         at: u64,
     },
-    /// The store has forgotten that part of its history: list again.
+    /// The store no longer has the requested revisions; the caller has to list again.
     HistoryGone,
 }
 
-/// Access to the store. Keys are the caller's; implementations translate calls only.
+/// Client of the store. Callers choose the keys; implementations only translate the calls.
 pub trait Coordination: Send + Sync + 'static {
-    /// The record at `key`.
+    /// Reads the record at `key`.
     fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<Record>, CoordinationError>>;
 
-    /// The record at `key` as it is, or was some seconds ago: a stale read, for a tenth of the price of the other where the store
-    /// offers it.
+    /// Reads the record at `key` with a stale read, which may lag by some seconds and costs a tenth
+    /// of [`Coordination::get`] where the store offers it.
     fn get_stale<'a>(
         &'a self,
         key: &'a str,
@@ -102,11 +103,11 @@
         self.get(key)
     }
 
-    /// All records under `prefix`.
+    /// Lists all records under `prefix`.
     fn list<'a>(&'a self, prefix: &'a str) -> BoxFuture<'a, Result<Listing, CoordinationError>>;
 
-    /// As [`Coordination::list`], as of a revision that may be some seconds old: a stale read. A watch from there tells what came
-    /// since.
+    /// Lists all records under `prefix` with a stale read, which may lag by some seconds. A watch
+    /// from the returned revision reports the later changes.
     fn list_stale<'a>(
         &'a self,
         prefix: &'a str,
@@ -121,7 +122,8 @@
         after: u64,
     ) -> BoxFuture<'a, Result<WatchAnswer, CoordinationError>>;
 
-    /// Writes `value` if the record at `key` was last changed at `expected` (0: is absent).
+    /// Writes `value` if the record at `key` was last written at revision `expected`; 0 requires
+    /// that it does not exist.
     fn swap<'a>(
         &'a self,
         key: &'a str,
@@ -130,7 +132,7 @@
         lease: Option<LeaseId>,
     ) -> BoxFuture<'a, Result<SwapResult, CoordinationError>>;
 
-    /// Writes `value` whatever the record was.
+    /// Writes `value` unconditionally.
     fn put<'a>(
         &'a self,
         key: &'a str,
@@ -138,19 +140,20 @@
         lease: Option<LeaseId>,
     ) -> BoxFuture<'a, Result<(), CoordinationError>>;
 
-    /// A new lease that ends `ttl` after the call arrived unless it is renewed.
+    /// Creates a lease that expires `ttl` after the store received the call unless it is renewed.
     fn grant(&self, ttl: Duration) -> BoxFuture<'_, Result<LeaseId, CoordinationError>>;
 
-    /// Renews a lease for its whole time.
+    /// Extends a lease by its full time to live.
     fn renew(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), CoordinationError>>;
 
-    /// Ends a lease, and with it its records.
+    /// Revokes a lease, which deletes its records.
     fn revoke(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), CoordinationError>>;
 
-    /// Gives up the watches under way, as their answers may never come; whoever waits for them begins anew.
+    /// Ends the watches in progress with an error, as their answers may be lost; callers start new
+    /// ones.
     fn doubt_watches(&self) {}
 
-    /// Returns once another call of this process has been carried out, at the latest after `longest`.
+    /// Returns once another call of this process succeeded, or after `longest` at the latest.
     fn regained(&self, longest: Duration) -> BoxFuture<'_, ()> {
         Box::pin(tokio::time::sleep(longest))
     }
--- a/crates/front/src/coordination/following.rs
+++ b/crates/front/src/coordination/following.rs
@@ -1,58 +1,61 @@
-//! Follows the records under a prefix: lists them once, then watches, over outages and forgotten history.
+//! Follows the records under a prefix: lists them once and then watches them, across outages and
+//! compacted history.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use super::{Change, Coordination, CoordinationError, Record, WatchAnswer};
 
-/// What a follower is told.
+/// Update passed to a [`Follower`].
 #[derive(Debug, Clone)]
 pub enum Update {
-    /// All records there are now; what is not among them is gone.
+    /// All current records; every other record no longer exists.
     Snapshot(Vec<Record>),
-    /// Changes since.
+    /// Changes since the last update.
     Changes(Vec<Change>),
 }
 
-/// Who follows records: how closely, and what becomes of the news.
+/// Consumer of updates to the records under a prefix.
 pub trait Follower: Send {
-    /// Passes between two answers, so that changes in quick succession cost one call.
+    /// Waits between two answers of the store, so that changes in quick succession cost one call.
     fn pause(&self) -> impl Future<Output = ()> + Send;
 
-    /// Takes what the store told as of its revision `at`; a watch that ended without news tells of no changes.
+    /// Applies an update as of revision `at`. A watch that ended without changes passes an empty
+    /// list.
     fn take(&mut self, update: Update, at: u64);
 
-    /// The store does not answer: what was told may be old.
+    /// Reports that the store does not answer, so that the known records may be outdated.
     fn lost(&mut self) {}
 
-    /// Whether the first listing may be a stale read. The watch from its revision begins at once and tells what came since; until
-    /// that is answered, or waits, what was told is as old as that read.
+    /// Returns whether the first listing may be a stale read. The watch from its revision starts at
+    /// once and reports the later changes; until it is answered, or pending at the current
+    /// revision, the records are as old as that read.
     fn may_begin_stale(&self) -> bool {
         false
     }
 
-    /// A watch is given up after this long and begun anew: its answer may have been lost without a sign.
+    /// Returns the time after which a watch is restarted, in case its answer was lost silently.
     fn longest_watch(&self) -> Duration {
         Duration::MAX
     }
 }
 
-/// Pause after a first failed call: a refusal or a lost answer may be the only one.
-const FAILURE_PAUSE: Duration = Duration::from_millis(200);
+/// Delay after the first failed call, which may be an isolated failure.
+const FIRST_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Longest pause after a further failed call. Each call to the store has its price, refused ones too, and the node's lease is
-/// renewed or taken anew each second and a quarter in any case, for a tenth of it: that shows when the store is back.
-const LONGEST_FAILURE_PAUSE: Duration = Duration::from_secs(10);
+/// Maximum wait after further failed calls. Failed calls cost as much as others, and the renewals
+/// of the node's lease, which are cheaper and more frequent, show when the store is back.
+const MAX_RETRY_WAIT: Duration = Duration::from_secs(10);
 
-/// A follower with a fixed pause and a function that takes the news.
+/// Follower with a fixed pause that passes updates to a function.
 struct FnFollower<F> {
-    gather: Duration,
+    batch_interval: Duration,
     on_update: F,
 }
 
 impl<F: FnMut(Update) + Send> Follower for FnFollower<F> {
     fn pause(&self) -> impl Future<Output = ()> + Send {
-        tokio::time::sleep(self.gather)
+        tokio::time::sleep(self.batch_interval)
     }
 
     fn take(&mut self, update: Update, _at: u64) {
@@ -64,59 +67,63 @@
     }
 }
 
-/// Follows all records under `prefix` for as long as the future is polled, from a stale listing on. `gather` passes between two
-/// answers.
+/// Follows all records under `prefix` until the future is dropped, starting with a stale listing.
+/// Waits `batch_interval` between two answers of the store.
 pub async fn follow(
     coordination: Arc<dyn Coordination>,
     prefix: &str,
-    gather: Duration,
+    batch_interval: Duration,
     on_update: impl FnMut(Update) + Send,
 ) {
-    let mut follower = FnFollower { gather, on_update };
+    let mut follower = FnFollower {
+        batch_interval,
+        on_update,
+    };
     follow_with(coordination, prefix, &mut follower).await;
 }
 
-/// As [`follow`], for any [`Follower`].
+/// Follows all records under `prefix` with any [`Follower`].
 pub async fn follow_with(
     coordination: Arc<dyn Coordination>,
     prefix: &str,
     follower: &mut impl Follower,
 ) {
     let mut after = None;
-    let mut is_lost = false;
-    // What is listed once more, as history is gone, must not be older than what was told before.
-    let mut may_be_stale = follower.may_begin_stale();
+    let mut is_unavailable = false;
+    // A listing after compacted history must not be older than the updates already passed on.
+    let mut allows_stale = follower.may_begin_stale();
     loop {
         let result = match after {
-            None if may_be_stale => list_stale(coordination.as_ref(), prefix, follower).await,
+            None if allows_stale => list_stale(coordination.as_ref(), prefix, follower).await,
             None => list(coordination.as_ref(), prefix, follower).await,
             Some(at) => watch(coordination.as_ref(), prefix, at, follower).await,
         };
         match result {
-            // What the lost history told is as old as the last answer: the listing must not wait for another pause.
+            // The known records are as old as the last answer, so the listing must not wait for
+            // another pause.
             Ok(Next::List) => {
                 log::info!("event=history_gone prefix={prefix}");
                 after = None;
             }
-            Ok(Next::WatchAtOnce { at }) => {
+            Ok(Next::WatchNow { at }) => {
                 after = Some(at);
-                may_be_stale = false;
+                allows_stale = false;
             }
             Ok(Next::WatchAgain) => {}
             Ok(Next::Watch { at }) => {
                 after = Some(at);
-                if std::mem::take(&mut is_lost) {
+                if std::mem::take(&mut is_unavailable) {
                     log::info!("event=store_regained prefix={prefix} revision={at}");
                 }
                 follower.pause().await;
             }
             Err(error) => {
                 follower.lost();
-                if std::mem::replace(&mut is_lost, true) {
-                    coordination.regained(LONGEST_FAILURE_PAUSE).await;
+                if std::mem::replace(&mut is_unavailable, true) {
+                    coordination.regained(MAX_RETRY_WAIT).await;
                 } else {
                     log::warn!("event=store_lost prefix={prefix} cause=\"{error}\"");
-                    let pause = ladderstage_journal::jitter::jittered(FAILURE_PAUSE);
+                    let pause = ladderstage_journal::jitter::jittered(FIRST_RETRY_DELAY);
                     tokio::time::sleep(pause).await;
                 }
             }
@@ -124,15 +131,15 @@
     }
 }
 
-/// How following goes on.
+/// Next call to the store.
 enum Next {
-    /// After a pause, with a watch from a revision.
+    /// Watch from a revision after a pause.
     Watch { at: u64 },
-    /// At once, with a watch from a revision.
-    WatchAtOnce { at: u64 },
-    /// At once, with the same watch.
+    /// Watch from a revision without a pause.
+    WatchNow { at: u64 },
+    /// Restart the same watch without a pause.
     WatchAgain,
-    /// At once, with a listing.
+    /// List without a pause.
     List,
 }
 
@@ -153,7 +160,7 @@
 ) -> Result<Next, CoordinationError> {
     let listing = coordination.list_stale(prefix).await?;
     follower.take(Update::Snapshot(listing.records), listing.at);
-    Ok(Next::WatchAtOnce { at: listing.at })
+    Ok(Next::WatchNow { at: listing.at })
 }
 
 async fn watch(
--- a/crates/front/src/coordination/observed.rs
+++ b/crates/front/src/coordination/observed.rs
@@ -1,8 +1,9 @@
-//! Watches that do not outlive the store's silence.
+//! Ends watches when the store stops answering.
 //!
-//! A store that went silent may never answer the calls it had at that moment, not even once it is back: on such a
-//! connection a watch would wait for its whole time while changes pass by. [`Observed`] looks at all calls of the process
-//! and gives its watches up when another call got no answer, and once more when the store answers again.
+//! A store that was unresponsive may never answer the calls that were pending at that time, even
+//! after it has recovered, so that a watch would miss changes until its timeout. [`Observed`]
+//! monitors all calls of the process and ends its watches when another call gets no answer, and
+//! again when the store answers for the first time after that.
 
 use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
@@ -14,21 +15,21 @@
 
 use super::{Coordination, CoordinationError, LeaseId, Listing, Record, SwapResult, WatchAnswer};
 
-/// Longest wait of a new watch for the store to answer another call again.
-const SILENCE_WAIT: Duration = Duration::from_secs(1);
+/// Maximum wait of a new watch for an unresponsive store to answer another call.
+const MAX_RECOVERY_WAIT: Duration = Duration::from_secs(1);
 
-/// What the calls so far have shown of the store.
+/// Health of the store as shown by the calls so far.
 #[derive(Debug, Default)]
-struct Contact {
-    /// The last call got no answer.
-    is_silent: bool,
-    /// Calls without an answer since the last answer.
+struct StoreHealth {
+    /// Whether the last call got no answer.
+    is_unresponsive: bool,
+    /// Number of calls without an answer since the last answer.
     failures: u64,
-    /// When the latest of the answered calls was sent.
-    answered: Option<Instant>,
+    /// Send time of the latest call that was answered.
+    last_answered: Option<Instant>,
 }
 
-/// Counts calls to the store by kind and outcome. Cheap to clone.
+/// Counter of calls to the store by kind and outcome. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct StoreCalls {
     counter: IntCounterVec,
@@ -48,12 +49,12 @@
 }
 
 impl StoreCalls {
-    /// The counter, to be registered.
+    /// Returns the counter for registration.
     pub fn counter(&self) -> &IntCounterVec {
         &self.counter
     }
 
-    fn note<T>(&self, call: &str, result: &Result<T, CoordinationError>) {
+    fn record<T>(&self, call: &str, result: &Result<T, CoordinationError>) {
         let outcome = match result {
             Ok(_) => "answered",
             Err(CoordinationError::Unavailable(_)) => "unavailable",
@@ -65,31 +66,31 @@
     }
 }
 
-/// A store whose watches end with an error when other calls show that they may have been forgotten.
+/// Store wrapper that counts calls and ends watches whose answers may be lost.
 #[derive(Debug)]
 pub struct Observed<C> {
     store: C,
     calls: StoreCalls,
-    contact: Mutex<Contact>,
-    /// Changes whenever the watches under way may have been forgotten.
-    doubt: watch::Sender<u64>,
-    /// Counts calls that were carried out.
-    carried_out: watch::Sender<u64>,
+    health: Mutex<StoreHealth>,
+    /// Changes whenever the watches in progress have to end.
+    watch_cancellations: watch::Sender<u64>,
+    /// Number of calls that succeeded.
+    successes: watch::Sender<u64>,
 }
 
 impl<C: Coordination> Observed<C> {
-    /// Observes the calls to `store`, and counts them in `calls`.
+    /// Wraps `store` and counts its calls in `calls`.
     pub fn new(store: C, calls: StoreCalls) -> Self {
         Self {
             store,
             calls,
-            contact: Mutex::default(),
-            doubt: watch::Sender::new(0),
-            carried_out: watch::Sender::new(0),
+            health: Mutex::default(),
+            watch_cancellations: watch::Sender::new(0),
+            successes: watch::Sender::new(0),
         }
     }
 
-    /// Waits for a call other than a watch and takes in what became of it.
+    /// Awaits a call other than a watch and records its outcome.
     async fn call<T>(
         &self,
         kind: &'static str,
@@ -97,50 +98,53 @@
     ) -> Result<T, CoordinationError> {
         let sent = Instant::now();
         let result = call.await;
-        self.calls.note(kind, &result);
+        self.calls.record(kind, &result);
         if result.is_ok() {
-            self.carried_out.send_modify(|count| *count += 1);
+            self.successes.send_modify(|count| *count += 1);
         }
         match &result {
             Err(error @ (CoordinationError::Unavailable(_) | CoordinationError::Unknown(_))) => {
-                self.note_silence(error, sent);
+                self.record_failure(error, sent);
             }
-            // A refusal and a lease that is over are answers.
+            // A rejection and an expired lease are answers too.
             Ok(_) | Err(CoordinationError::Refused(_) | CoordinationError::LeaseOver) => {
-                self.note_answer(sent);
+                self.record_answer(sent);
             }
         }
         result
     }
 
-    /// A call without an answer shows nothing if a later one was answered.
-    fn note_silence(&self, error: &CoordinationError, sent: Instant) {
-        let mut contact = self.lock();
-        if contact.answered.is_some_and(|answered| sent < answered) {
+    /// Records a call without an answer, unless a call sent later was already answered.
+    fn record_failure(&self, error: &CoordinationError, sent: Instant) {
+        let mut health = self.lock();
+        if health
+            .last_answered
+            .is_some_and(|last_answered| sent < last_answered)
+        {
             return;
         }
-        contact.failures += 1;
-        if !std::mem::replace(&mut contact.is_silent, true) {
+        health.failures += 1;
+        if !std::mem::replace(&mut health.is_unresponsive, true) {
             log::warn!("event=dependency_lost dependency=store cause=\"{error}\"");
         }
-        drop(contact);
-        self.doubt.send_modify(|count| *count += 1);
+        drop(health);
+        self.watch_cancellations.send_modify(|count| *count += 1);
     }
 
-    fn note_answer(&self, sent: Instant) {
-        let mut contact = self.lock();
-        contact.answered = contact.answered.max(Some(sent));
-        if !std::mem::take(&mut contact.is_silent) {
+    fn record_answer(&self, sent: Instant) {
+        let mut health = self.lock();
+        health.last_answered = health.last_answered.max(Some(sent));
+        if !std::mem::take(&mut health.is_unresponsive) {
             return;
         }
-        let failures = std::mem::take(&mut contact.failures);
-        drop(contact);
+        let failures = std::mem::take(&mut health.failures);
+        drop(health);
         log::info!("event=dependency_regained dependency=store failed_calls={failures}");
-        self.doubt.send_modify(|count| *count += 1);
+        self.watch_cancellations.send_modify(|count| *count += 1);
     }
 
-    fn lock(&self) -> MutexGuard<'_, Contact> {
-        self.contact
+    fn lock(&self) -> MutexGuard<'_, StoreHealth> {
+        self.health
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
@@ -175,17 +179,18 @@
         after: u64,
     ) -> BoxFuture<'a, Result<WatchAnswer, CoordinationError>> {
         Box::pin(async move {
-            let mut doubt = self.doubt.subscribe();
-            if self.lock().is_silent {
-                let _ = tokio::time::timeout(SILENCE_WAIT, doubt.changed()).await;
+            let mut watch_cancellations = self.watch_cancellations.subscribe();
+            if self.lock().is_unresponsive {
+                let _ =
+                    tokio::time::timeout(MAX_RECOVERY_WAIT, watch_cancellations.changed()).await;
             }
             tokio::select! {
                 answer = self.store.watch(prefix, after) => {
-                    self.calls.note("watch", &answer);
+                    self.calls.record("watch", &answer);
                     answer
                 }
-                _ = doubt.changed() => {
-                    let cause = "another call got no answer, the store is back, or this machine was suspended";
+                _ = watch_cancellations.changed() => {
+                    let cause = "watch ended because another call got no answer, the store recovered, or this machine was suspended";
                     Err(CoordinationError::Unavailable(cause.to_owned()))
                 }
             }
@@ -224,13 +229,13 @@
     }
 
     fn doubt_watches(&self) {
-        self.doubt.send_modify(|count| *count += 1);
+        self.watch_cancellations.send_modify(|count| *count += 1);
     }
 
     fn regained(&self, longest: Duration) -> BoxFuture<'_, ()> {
         Box::pin(async move {
-            let mut carried_out = self.carried_out.subscribe();
-            let _ = tokio::time::timeout(longest, carried_out.changed()).await;
+            let mut successes = self.successes.subscribe();
+            let _ = tokio::time::timeout(longest, successes.changed()).await;
         })
     }
 }
--- a/crates/front/src/explain/line.rs
+++ b/crates/front/src/explain/line.rs
@@ -1,29 +1,31 @@
-//! One line of the log.
+//! Parser of log lines.
 
 use std::collections::BTreeMap;
 
-/// Fields of a line whose values are ids that a story can be told of.
+/// Fields whose values are ids for which a timeline can be built.
 const ID_FIELDS: [&str; 3] = ["request", "item", "job"];
 
-/// One event of the log: `time=… level=… node=… module=… event=… key=value …`. Values with blanks are quoted.
+/// One event of the log: `time=… level=… node=… module=… event=… key=value …`. Values that contain
+/// spaces are quoted.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LogLine {
-    /// Seconds since the epoch by the clock of the process that wrote it.
+    /// Seconds since the epoch on the clock of the process that wrote the line.
     pub time: f64,
     /// `info`, `warn` or `error`.
     pub level: String,
-    /// Node that wrote it.
+    /// Node that wrote the line.
     pub node: String,
-    /// What happened.
+    /// Event name.
     pub event: String,
-    /// All other fields.
+    /// All other fields by name.
     pub fields: BTreeMap<String, String>,
-    /// The fields as they were written.
+    /// The fields as written.
     pub text: String,
 }
 
 impl LogLine {
-    /// Reads a line; whatever stands before its time is passed over. `None` if it is no event.
+    /// Parses a line and ignores everything before its `time` field. Returns `None` if the line is
+    /// not an event.
     pub fn parse(line: &str) -> Option<Self> {
         let start = line.find("time=")?;
         let mut fields = split_fields(&line[start..]);
@@ -42,24 +44,24 @@
         })
     }
 
-    /// Whether the line is about the request, item or job `id`.
+    /// Returns whether the line is about the request, item or job `id`.
     pub fn is_about(&self, id: &str) -> bool {
         let mut fields = ID_FIELDS.iter();
-        // Where there are tenants, a job goes by the tenant's name and its id.
+        // With tenants, a job's name consists of the tenant's name and its id.
         let names =
             |value: &str| value == id || value.rsplit_once('/').is_some_and(|(_, own)| own == id);
         fields.any(|field| self.fields.get(*field).is_some_and(|value| names(value)))
     }
 
-    /// Whether it tells of something that went wrong.
-    pub fn is_wrong(&self) -> bool {
+    /// Returns whether the event is a failure.
+    pub fn is_failure(&self) -> bool {
         let outcome = self.fields.get("outcome").map_or("", String::as_str);
         let has_failed = ["failed", "moved", "impossible", "none_to_be_had"].contains(&outcome);
         self.level != "info" || has_failed
     }
 }
 
-/// Splits `key=value` pairs at blanks outside quotes.
+/// Splits `key=value` pairs at spaces outside quotes.
 fn split_fields(text: &str) -> BTreeMap<String, String> {
     let mut fields = BTreeMap::new();
     let mut rest = text;
--- a/crates/front/src/explain/mod.rs
+++ b/crates/front/src/explain/mod.rs
@@ -1,9 +1,10 @@
-//! What log lines tell: the steps of trainers, and the story of one request, item or batch job, read from the log lines of all processes.
+//! Analysis of the log lines of all processes: the timeline of a request, item or batch job, and a
+//! table of the trainers' steps.
 
 mod line;
 mod steps;
-mod story;
+mod timeline;
 
 pub use line::LogLine;
 pub use steps::{LastItem, StepRow, steps, table};
-pub use story::{Step, Story};
+pub use timeline::{Story, TimelineEntry};
--- a/crates/front/src/explain/steps.rs
+++ b/crates/front/src/explain/steps.rs
@@ -1,4 +1,4 @@
-//! How long the steps of trainers took and what each waited for, read from the log lines of all processes.
+//! Statistics of the trainers' steps, from the log lines of all processes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,70 +7,70 @@
 
 use super::line::LogLine;
 
-/// One step: a batch job and its way to the groups that its trainer waits for. Times are seconds; those of a step count from
-/// its acceptance.
+/// Progress of a trainer's step, which is a batch job. Times are in seconds from the job's
+/// acceptance.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct StepRow {
-    /// The job.
+    /// Id of the job.
     pub job: String,
-    /// Model that is trained.
+    /// Name of the trained model.
     pub model: String,
     /// Number of the step.
     pub step: u64,
-    /// When the job was accepted, since the first line.
+    /// Time of the job's acceptance since the first log line.
     pub accepted_at: f64,
     /// Oldest weight version that the job allows.
     pub min_version: u64,
-    /// Items handed in.
+    /// Number of submitted items.
     pub items: usize,
-    /// Items that an earlier job had too.
+    /// Number of items that an earlier job had too.
     pub carried: usize,
-    /// Groups that the trainer waits for.
+    /// Number of complete groups that the trainer requires.
     pub wanted_groups: usize,
-    /// When the first item started.
+    /// Time at which the first item started.
     pub first_start: Option<f64>,
-    /// When half of the items were done.
+    /// Time at which half of the items were done.
     pub half_done: Option<f64>,
-    /// When the wanted groups were whole.
+    /// Time at which the required groups were complete.
     pub wanted_done: Option<f64>,
-    /// When the job was ended.
+    /// Time at which the job ended.
     pub ended: Option<f64>,
-    /// The item that made the last wanted group whole.
+    /// Item that completed the last required group.
     pub last: Option<LastItem>,
-    /// Nodes that owned the job, one after the other.
+    /// Number of times that a node took over the job's log.
     pub owners: usize,
-    /// Starts that an instance refused.
+    /// Number of starts that an instance rejected.
     pub refused_starts: usize,
-    /// Runs that went on elsewhere.
+    /// Number of runs that migrated to another instance.
     pub moves: usize,
-    /// Runs at instances in other regions than the owner.
+    /// Number of runs at instances outside the owner's region.
     pub far_runs: usize,
 }
 
-/// The item that a step waited for.
+/// Item that a step waited for last.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct LastItem {
-    /// Its id.
+    /// Id of the item.
     pub id: String,
-    /// Events of its text.
+    /// Number of stream events of its text.
     pub events: u64,
-    /// Tokens that its client guessed.
+    /// Number of tokens that its client expected.
     pub guess: u64,
-    /// Runs that it took.
+    /// Number of runs.
     pub runs: usize,
-    /// When it first started.
+    /// Time at which it first started.
     pub started: f64,
-    /// When its text was whole.
+    /// Time at which its text was complete.
     pub whole: f64,
-    /// When it had its score, or was whole where nothing scores it.
+    /// Time at which it was scored, or complete if it is not scored.
     pub done: f64,
-    /// An earlier job had it too.
+    /// Whether an earlier job had it too.
     pub is_carried: bool,
 }
 
-/// What is known of one item of one job.
+/// Progress of an item of a job.
 #[derive(Default)]
-struct ItemTrace {
+struct ItemProgress {
     group: String,
     first_start: Option<f64>,
     whole: Option<f64>,
@@ -81,7 +81,8 @@
     runs: usize,
 }
 
-impl ItemTrace {
+impl ItemProgress {
+    /// Returns the time at which the item was scored, or complete if it is not scored.
     fn done(&self) -> Option<f64> {
         if self.has_reward_call {
             self.scored
@@ -92,24 +93,24 @@
 }
 
 #[derive(Default)]
-struct JobTrace {
+struct JobProgress {
     row: StepRow,
-    items: BTreeMap<String, ItemTrace>,
+    items: BTreeMap<String, ItemProgress>,
 }
 
-/// The steps in the order of their acceptance.
+/// Returns the steps in the order of their acceptance.
 pub fn steps(lines: &[LogLine]) -> Vec<StepRow> {
     let mut lines: Vec<&LogLine> = lines.iter().collect();
     lines.sort_by(|left, right| left.time.total_cmp(&right.time));
     let begin = lines.first().map_or(0.0, |line| line.time);
-    let mut jobs = BTreeMap::<String, JobTrace>::new();
+    let mut jobs = BTreeMap::<String, JobProgress>::new();
     for line in lines {
         if let Some(job) = line.fields.get("job") {
             let trace = jobs.entry(job.clone()).or_default();
-            trace.take(job, line, begin);
+            trace.record_line(job, line, begin);
         }
     }
-    let mut traces: Vec<JobTrace> = jobs.into_values().collect();
+    let mut traces: Vec<JobProgress> = jobs.into_values().collect();
     traces.retain(|trace| trace.row.items > 0);
     traces.sort_by(|left, right| left.row.accepted_at.total_cmp(&right.row.accepted_at));
     let mut seen = BTreeSet::new();
@@ -127,8 +128,8 @@
     rows
 }
 
-impl JobTrace {
-    fn take(&mut self, job: &str, line: &LogLine, begin: f64) {
+impl JobProgress {
+    fn record_line(&mut self, job: &str, line: &LogLine, begin: f64) {
         let at = line.time - begin;
         match line.event.as_str() {
             "job_accepted" => {
@@ -144,7 +145,7 @@
             "job_ended" => {
                 self.row.ended.get_or_insert(at);
             }
-            "item_run" => self.take_run(line, at),
+            "item_run" => self.record_run(line, at),
             "reward_call" => {
                 let item = self.item(line);
                 item.has_reward_call = true;
@@ -156,7 +157,7 @@
         }
     }
 
-    fn take_run(&mut self, line: &LogLine, at: f64) {
+    fn record_run(&mut self, line: &LogLine, at: f64) {
         if is_outcome(line, "not_taken") {
             self.row.refused_starts += 1;
         }
@@ -181,7 +182,7 @@
         }
     }
 
-    fn item(&mut self, line: &LogLine) -> &mut ItemTrace {
+    fn item(&mut self, line: &LogLine) -> &mut ItemProgress {
         let id = line.fields.get("item").cloned().unwrap_or_default();
         self.items.entry(id).or_default()
     }
@@ -192,11 +193,11 @@
         row.carried = carried.len();
         let starts = self.items.values().filter_map(|item| item.first_start);
         row.first_start = starts.min_by(f64::total_cmp).map(since);
-        let mut done: Vec<f64> = self.items.values().filter_map(ItemTrace::done).collect();
+        let mut done: Vec<f64> = self.items.values().filter_map(ItemProgress::done).collect();
         done.sort_by(f64::total_cmp);
         row.half_done = done.get(row.items / 2).copied().map(since);
         row.ended = row.ended.map(since);
-        if let Some((id, item)) = last_wanted(&self.items, carried, row.wanted_groups) {
+        if let Some((id, item)) = last_required_item(&self.items, carried, row.wanted_groups) {
             let done = item.done().map_or(0.0, since);
             row.wanted_done = Some(done);
             row.last = Some(LastItem {
@@ -214,32 +215,37 @@
     }
 }
 
-/// The item that made the last wanted group whole: groups that came back all count, then those that were whole first.
-fn last_wanted<'a>(
-    items: &'a BTreeMap<String, ItemTrace>,
+/// Returns the item that completed the last required group. All groups with carried items are
+/// required; the others count in the order of their completion.
+fn last_required_item<'a>(
+    items: &'a BTreeMap<String, ItemProgress>,
     carried: &BTreeSet<String>,
-    wanted: usize,
-) -> Option<(&'a str, &'a ItemTrace)> {
-    let mut groups = BTreeMap::<&str, Vec<(&str, &ItemTrace)>>::new();
+    required: usize,
+) -> Option<(&'a str, &'a ItemProgress)> {
+    let mut groups = BTreeMap::<&str, Vec<(&str, &ItemProgress)>>::new();
     for (id, item) in items {
         groups.entry(&item.group).or_default().push((id, item));
     }
-    let is_whole =
-        |group: &Vec<(&str, &ItemTrace)>| group.iter().all(|(_, item)| item.done().is_some());
-    let last = |group: Vec<(&'a str, &'a ItemTrace)>| {
-        let by_done = |one: &(&str, &ItemTrace)| one.1.done().unwrap_or(f64::MAX);
+    let is_complete =
+        |group: &Vec<(&str, &ItemProgress)>| group.iter().all(|(_, item)| item.done().is_some());
+    let last = |group: Vec<(&'a str, &'a ItemProgress)>| {
+        let by_done = |one: &(&str, &ItemProgress)| one.1.done().unwrap_or(f64::MAX);
         group
             .into_iter()
             .max_by(|one, other| by_done(one).total_cmp(&by_done(other)))
     };
     let is_carried =
-        |group: &Vec<(&str, &ItemTrace)>| group.iter().any(|(id, _)| carried.contains(*id));
-    let (back, new): (Vec<_>, Vec<_>) = groups.into_values().partition(is_carried);
-    if !back.iter().all(is_whole) {
+        |group: &Vec<(&str, &ItemProgress)>| group.iter().any(|(id, _)| carried.contains(*id));
+    let (carried_groups, new_groups): (Vec<_>, Vec<_>) = groups.into_values().partition(is_carried);
+    if !carried_groups.iter().all(is_complete) {
         return None;
     }
-    let more = wanted.saturating_sub(back.len());
-    let mut ends: Vec<_> = new.into_iter().filter(is_whole).filter_map(last).collect();
+    let more = required.saturating_sub(carried_groups.len());
+    let mut ends: Vec<_> = new_groups
+        .into_iter()
+        .filter(is_complete)
+        .filter_map(last)
+        .collect();
     ends.sort_by(|one, other| {
         one.1
             .done()
@@ -250,7 +256,7 @@
         return None;
     }
     ends.truncate(more);
-    ends.extend(back.into_iter().filter_map(last));
+    ends.extend(carried_groups.into_iter().filter_map(last));
     ends.into_iter().max_by(|one, other| {
         one.1
             .done()
@@ -270,7 +276,7 @@
         .is_some_and(|found| found == outcome)
 }
 
-/// The rows as a table.
+/// Formats the rows as a text table.
 pub fn table(rows: &[StepRow]) -> String {
     let mut text = String::from(
         "accepted  step  min  items  back  wanted   first    half  wanted   ended  owners  refused  moved    far  last item\n",
--- a/crates/front/src/explain/story.rs
+++ b/crates/front/src/explain/timeline.rs
@@ -1,4 +1,4 @@
-//! What happened to one id, in the order of time over all processes.
+//! Timeline of the log events about one id, over all processes.
 
 use std::collections::BTreeSet;
 
@@ -6,7 +6,7 @@
 
 use super::line::LogLine;
 
-/// Events of a batch job that concern each of its items.
+/// Events of a batch job that affect each of its items.
 const JOB_EVENTS: [&str; 8] = [
     "job_accepted",
     "job_log_taken",
@@ -18,68 +18,71 @@
     "job_ended",
 ];
 
-/// Events that tell of all requests of one content.
+/// Events about all requests with the same fingerprint.
 const CONTENT_EVENTS: [&str; 3] = ["run_broken", "suspect_heard", "suspect_cleared"];
 
-/// Events that tell why a node held requests back as drains left no instance.
+/// Events that explain why a node held back requests because drains left no instance.
 const DRAIN_EVENTS: [&str; 2] = ["zone_drain_began", "zone_drain_ended"];
 
-/// Events that tell of instances that were lost and ordered anew.
+/// Events about lost instances and orders of replacements.
 const CAPACITY_EVENTS: [&str; 2] = ["capacity_lost", "capacity_ordered"];
 
-/// How long before a request instances may have been lost that were still missing.
-const CAPACITY_SECONDS: f64 = 15.0;
+/// Seconds before the first event within which capacity events are included.
+const CAPACITY_LOOKBACK_SECONDS: f64 = 15.0;
 
-/// One step of a story.
+/// Entry of a timeline.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Step {
-    /// Seconds since the epoch by the clock of the process that wrote it.
+pub struct TimelineEntry {
+    /// Seconds since the epoch on the clock of the process that wrote it.
     pub time: f64,
-    /// Seconds since the first step; clocks of machines may differ.
+    /// Seconds since the first entry. The clocks of machines may differ.
     pub after: f64,
     /// Node that wrote it.
     pub node: String,
-    /// What happened.
+    /// Event name.
     pub event: String,
-    /// The inputs and the outcome as they were written.
+    /// The fields as written.
     pub details: String,
-    /// The first step that went wrong, as far as the lines show it.
+    /// Whether this is the first failure in the timeline.
     pub is_first_wrong: bool,
 }
 
-/// All steps of one id.
+/// Timeline of one id.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Story {
     /// The id.
     pub id: String,
-    /// Its steps by time.
-    pub steps: Vec<Step>,
+    /// Entries, by time.
+    pub steps: Vec<TimelineEntry>,
 }
 
 impl Story {
-    /// Picks the lines about `id`, and with them:
+    /// Collects the lines about `id` and, in addition:
     ///
-    /// - for an item, those about its job that concern each item;
-    /// - for a request under whose content instances ended, those about that content;
-    /// - for a request that drains left no instance, those about drains at the same node;
-    /// - if something went wrong, those about instances that were lost and ordered.
+    /// - for an item, the lines about its job that affect each item;
+    /// - for a request with a suspected fingerprint, the lines about that fingerprint;
+    /// - for a request to which drains left no instance, the lines about drains at the same node;
+    /// - if there was a failure, the lines about lost instances and ordered replacements.
     pub fn tell(id: &str, lines: &[LogLine]) -> Self {
-        let related = Related::of(id, lines);
+        let related = RelatedIds::of(id, lines);
         let mut picked: Vec<&LogLine> =
             lines.iter().filter(|line| related.includes(line)).collect();
         let capacity = capacity_before(&picked, lines);
         picked.extend(capacity);
         picked.sort_by(|left, right| left.time.total_cmp(&right.time));
         let begin = picked.first().map_or(0.0, |line| line.time);
-        let first_wrong = picked.iter().position(|line| line.is_wrong());
-        let steps = picked.iter().enumerate().map(|(index, line)| Step {
-            time: line.time,
-            after: line.time - begin,
-            node: line.node.clone(),
-            event: line.event.clone(),
-            details: line.text.clone(),
-            is_first_wrong: Some(index) == first_wrong,
-        });
+        let first_failure = picked.iter().position(|line| line.is_failure());
+        let steps = picked
+            .iter()
+            .enumerate()
+            .map(|(index, line)| TimelineEntry {
+                time: line.time,
+                after: line.time - begin,
+                node: line.node.clone(),
+                event: line.event.clone(),
+                details: line.text.clone(),
+                is_first_wrong: Some(index) == first_failure,
+            });
         Self {
             id: id.to_owned(),
             steps: steps.collect(),
@@ -87,35 +90,35 @@
     }
 }
 
-/// What the lines about an id name: lines about the same belong to its story.
-struct Related<'a> {
+/// Ids that the lines about an id refer to.
+struct RelatedIds<'a> {
     id: &'a str,
-    /// Jobs of the id, if it is an item's.
+    /// Jobs of the id, if it is an item.
     jobs: BTreeSet<&'a str>,
-    /// Contents of its requests.
+    /// Fingerprints of its requests.
     contents: BTreeSet<&'a str>,
     /// Nodes at which drains left it no instance.
-    holding_nodes: BTreeSet<&'a str>,
+    held_back_at: BTreeSet<&'a str>,
 }
 
-impl<'a> Related<'a> {
+impl<'a> RelatedIds<'a> {
     fn of(id: &'a str, lines: &'a [LogLine]) -> Self {
         let is_item = |line: &&LogLine| line.fields.get("item").is_some_and(|item| item == id);
         let of_item = lines.iter().filter(is_item);
         let about = || lines.iter().filter(|line| line.is_about(id));
-        let is_held = |line: &&LogLine| line.event == "request_held_back";
+        let is_held_back = |line: &&LogLine| line.event == "request_held_back";
         Self {
             id,
             jobs: of_item.filter_map(|line| field(line, "job")).collect(),
             contents: about().filter_map(|line| field(line, "content")).collect(),
-            holding_nodes: about()
-                .filter(is_held)
+            held_back_at: about()
+                .filter(is_held_back)
                 .map(|line| line.node.as_str())
                 .collect(),
         }
     }
 
-    /// Whether a line belongs to the story.
+    /// Returns whether a line belongs to the timeline.
     fn includes(&self, line: &LogLine) -> bool {
         line.is_about(self.id)
             || self.concerns_item(line)
@@ -137,7 +140,7 @@
 
     fn concerns_drains(&self, line: &LogLine) -> bool {
         DRAIN_EVENTS.contains(&line.event.as_str())
-            && self.holding_nodes.contains(line.node.as_str())
+            && self.held_back_at.contains(line.node.as_str())
     }
 }
 
@@ -145,30 +148,31 @@
     line.fields.get(name).map(String::as_str)
 }
 
-/// Lines about instances that were lost and ordered shortly before and during a story in which something went wrong.
+/// Returns the lines about lost and ordered instances shortly before and during a timeline that
+/// contains a failure.
 fn capacity_before<'a>(picked: &[&LogLine], lines: &'a [LogLine]) -> Vec<&'a LogLine> {
     let times = || picked.iter().map(|line| line.time);
-    let has_wrong = picked.iter().any(|line| line.is_wrong());
+    let has_failure = picked.iter().any(|line| line.is_failure());
     let (Some(begin), Some(end), true) = (
         times().min_by(f64::total_cmp),
         times().max_by(f64::total_cmp),
-        has_wrong,
+        has_failure,
     ) else {
         return Vec::new();
     };
     lines
         .iter()
         .filter(|line| CAPACITY_EVENTS.contains(&line.event.as_str()))
-        .filter(|line| (begin - CAPACITY_SECONDS..=end).contains(&line.time))
+        .filter(|line| (begin - CAPACITY_LOOKBACK_SECONDS..=end).contains(&line.time))
         .collect()
 }
 
 impl std::fmt::Display for Story {
-    /// A line a step; the first that went wrong is marked with `!`.
+    /// Writes one line per entry, and marks the first failure with `!`.
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         for step in &self.steps {
             let mark = if step.is_first_wrong { '!' } else { ' ' };
-            let Step {
+            let TimelineEntry {
                 after,
                 node,
                 event,
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -1,4 +1,5 @@
-//! The `front` program: serves clients, owns batch jobs, and gives orders if it holds the lease.
+//! The `front` program: serves clients, owns batch jobs, and issues orders while it holds the
+//! orders lease.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,105 +23,108 @@
 use crate::orders::{
     EndedGivers, LearntLoads, OrderGiver, OrderOptions, PermitAsker, PermitDealer, VersionsNamed,
 };
-use crate::program::{JobHooks, JournalParts, PeerHandler, PeerParts, ProgramOptions};
+use crate::program::{JobHooks, JournalParts, PeerHandler, PeerServices, ProgramOptions};
 use crate::roster::{DirectView, RosterOptions, RosterWriter};
 use crate::suspects::{SuspectSharing, Suspects};
 use crate::suspension::watch_suspensions;
-use crate::usage::sharing::share;
+use crate::usage::sharing::share_counts;
 use crate::usage::{ReportSink, UsageMeter, UsageOptions, UsageReporter, WindowClock};
 
-/// How long a stopping front still takes new connections, until their source has noticed.
-const NOTICE_TIME: Duration = Duration::from_millis(2_300);
+/// Time for which a stopping front still accepts connections, until clients and load balancers have
+/// noticed that it is not ready.
+const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(2_300);
 
-/// Kept back from the grace time.
-const STOP_MARGIN: Duration = Duration::from_millis(700);
+/// Part of the grace period reserved for the end of the shutdown.
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(700);
 
-/// Between looks at requests that are still being answered.
-const STOP_LOOK: Duration = Duration::from_millis(50);
+/// Interval between checks for requests in progress.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Work at this node, by what it needs to hear of soon.
+/// Work in progress at this node, by the records that it needs to be up to date.
 #[derive(Debug, Clone, Default)]
 pub struct Activities {
-    /// Batch jobs and orders: they need to hear of instances.
+    /// Batch jobs and orders, which need the instances' records.
     pub with_instances: Activity,
-    /// Orders: they need to hear of named versions.
+    /// Orders, which need the records of named weight versions.
     pub with_versions: Activity,
 }
 
-/// What the adapter of the outside feeds.
+/// Inputs of a front, provided by the platform adapter.
 #[derive(Clone)]
 pub struct FrontInputs {
-    /// Configuration.
+    /// Current configuration.
     pub config: ConfigInForce,
-    /// Instances.
+    /// Known instances.
     pub backends: BackendTable,
-    /// Named weight versions; followed while orders are given here.
+    /// Named weight versions; followed while this node issues orders.
     pub versions: VersionsNamed,
-    /// What is under way here.
+    /// Work in progress at this node.
     pub activities: Activities,
-    /// As of when the instances are known from discovery itself.
+    /// Revision as of which this node knows the instances from discovery.
     pub view: DirectView,
-    /// As of when the drained zones are known from the store itself; `None`: no zone is drained in this deployment.
+    /// Revision as of which this node knows the drained zones from the store; `None`: this
+    /// deployment drains no zones.
     pub drains: Option<DirectView>,
-    /// How the roster of instances is kept; `None`: none is.
+    /// Options of the roster of instances; `None`: there is no roster.
     pub roster: Option<RosterOptions>,
-    /// Names.
+    /// Codec of the platform's headers and bodies.
     pub codec: SharedCodec,
-    /// Reports of use; `None`: nobody wants them.
+    /// Usage reports; `None`: they are disabled.
     pub usage: Option<UsageInputs>,
-    /// By how much callers may exceed what cold instances bear; `None`: these get any number of requests.
+    /// Requests allowed to cold instances beyond their limits; `None`: cold instances are not
+    /// limited.
     pub cold: Option<ColdAllowance>,
-    /// Orders of capacity; `None`: the number of instances is not ours to change.
+    /// Capacity orders; `None`: this system does not manage the number of instances.
     pub capacity: Option<CapacityInputs>,
 }
 
-/// What reports of use need.
+/// Inputs of usage reports.
 #[derive(Clone)]
 pub struct UsageInputs {
-    /// When they are due.
+    /// Window length and deadline.
     pub options: UsageOptions,
-    /// Where they go.
+    /// Receiver of the reports.
     pub sink: Arc<dyn ReportSink>,
 }
 
-/// What orders of capacity need.
+/// Inputs of capacity orders.
 #[derive(Clone)]
 pub struct CapacityInputs {
-    /// Where they go.
+    /// Receiver of the orders.
     pub sink: Arc<dyn CapacitySink>,
-    /// Least time between those of two holders.
+    /// Minimum time between orders of two lease holders.
     pub quiet: Duration,
 }
 
-/// Length of windows where nobody wants reports.
-const UNREPORTED_WINDOW: Duration = Duration::from_secs(60);
+/// Window length when usage reports are disabled.
+const DEFAULT_USAGE_WINDOW: Duration = Duration::from_secs(60);
 
-/// Addresses that clients and the platform use.
+/// Listen addresses for clients and the platform.
 #[derive(Debug, Clone, Copy)]
 pub struct FrontAddresses {
-    /// Clients.
+    /// Address for client requests.
     pub clients: SocketAddr,
-    /// Who asks whether new connections may come.
+    /// Address of the readiness endpoint.
     pub readiness: Option<SocketAddr>,
 }
 
-/// Why the program ended.
+/// Failure of the program.
 #[derive(Debug, thiserror::Error)]
 pub enum FrontError {
-    /// An address cannot be listened on.
+    /// Listening on an address failed.
     #[error("listening on {address}: {error}")]
     Listen {
-        /// The address.
+        /// Address.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         error: std::io::Error,
     },
 }
 
-/// Runs a front until it is told to stop.
+/// Runs a front until `stop` completes.
 ///
 /// # Errors
-/// See [`FrontError`].
+/// Returns an error when an address cannot be listened on.
 pub async fn run(
     options: ProgramOptions,
     addresses: FrontAddresses,
@@ -137,7 +141,7 @@
     })?;
     let nodes = Nodes::new(own_record(&options, server.address()));
     let nodes = nodes.with_regions(options.regions.clone());
-    let common = Common {
+    let shared = SharedParts {
         options: &options,
         inputs: &inputs,
         coordination: &coordination,
@@ -145,7 +149,7 @@
         metrics: &metrics,
     };
     let reports = inputs.usage.as_ref();
-    let window = reports.map_or(UNREPORTED_WINDOW, |usage| usage.options.window);
+    let window = reports.map_or(DEFAULT_USAGE_WINDOW, |usage| usage.options.window);
     let meter = UsageMeter::new(nodes.own().process, WindowClock::new(window));
     let parts = JournalParts::start(&options, &nodes, None, Arc::clone(&coordination));
     metrics.add_journal(parts.journal.metrics());
@@ -153,13 +157,13 @@
     metrics.add_nodes(&nodes);
     metrics.add_discovery(inputs.backends.counters());
     let (suspects, unshared) = Suspects::new(Arc::clone(&metrics));
-    let jobs = JobRegistry::new(common.job_context(&parts, &suspects));
+    let jobs = JobRegistry::new(shared.job_context(&parts, &suspects));
     let permits = PermitDealer::new(inputs.backends.gates().cold.clone());
     let hooks = JobHooks {
         jobs: Some(jobs.clone()),
     };
     parts.journal.set_hooks(Arc::new(hooks));
-    let _ = handler.parts.set(PeerParts {
+    let _ = handler.services.set(PeerServices {
         journal: parts.journal.clone(),
         replica_sets: parts.replica_sets.clone(),
         jobs: Some(jobs.clone()),
@@ -186,14 +190,14 @@
         state: Arc::clone(&state),
     };
     listen(&options, addresses, ingress).await?;
-    let giver = common.order_giver(&jobs, &meter, &permits);
+    let leader = shared.order_leader(&jobs, &meter, &permits);
     let permits_task = tokio::spawn({
-        let asker = common.permit_asker(permits);
+        let asker = shared.permit_asker(permits);
         async move { asker.run().await }
     });
     let sharing_task = inputs.usage.as_ref().map(|_| {
         let nodes = nodes.clone();
-        tokio::spawn(async move { share(&meter, &nodes).await })
+        tokio::spawn(async move { share_counts(&meter, &nodes).await })
     });
     let suspects_task = tokio::spawn({
         let sharing = SuspectSharing {
@@ -212,7 +216,7 @@
         let activity = inputs.activities.with_instances.clone();
         async move { nodes.run(coordination, &activity).await }
     });
-    let orders_task = tokio::spawn(async move { giver.run().await });
+    let orders_task = tokio::spawn(async move { leader.run().await });
     let sweep_task = tokio::spawn({
         let jobs = jobs.clone();
         async move { jobs.sweep().await }
@@ -242,7 +246,7 @@
     Ok(())
 }
 
-/// Record of this front as it starts.
+/// Returns the record of this front at its start.
 fn own_record(options: &ProgramOptions, peer_address: SocketAddr) -> NodeRecord {
     NodeRecord {
         node: options.node.clone(),
@@ -258,8 +262,8 @@
     }
 }
 
-/// What the parts of a front are made from.
-struct Common<'a> {
+/// Shared inputs for the construction of a front's parts.
+struct SharedParts<'a> {
     options: &'a ProgramOptions,
     inputs: &'a FrontInputs,
     coordination: &'a Arc<dyn Coordination>,
@@ -267,7 +271,7 @@
     metrics: &'a Arc<Metrics>,
 }
 
-impl Common<'_> {
+impl SharedParts<'_> {
     fn job_context(&self, parts: &JournalParts, suspects: &Suspects) -> JobContext {
         let inputs = self.inputs;
         JobContext {
@@ -290,7 +294,7 @@
         }
     }
 
-    fn order_giver(
+    fn order_leader(
         &self,
         jobs: &JobRegistry,
         meter: &UsageMeter,
@@ -381,7 +385,8 @@
     tokio::spawn(ingress::serve(clients, Arc::new(ingress)));
     if let Some(address) = addresses.readiness {
         let listener = bind(address).await?;
-        // Clients of a front that is cut off from the journal are better served by others.
+        // Without the journal this front cannot serve jobs, so other fronts serve its clients
+        // better.
         let is_ready =
             move || config.current().is_some() && !state.is_draining() && !jobs.is_cut_off();
         tokio::spawn(ingress::serve_readiness(listener, is_ready));
@@ -398,22 +403,23 @@
     bound.map_err(|error| FrontError::Listen { address, error })
 }
 
-/// A planned stop: says not ready, hands the jobs over, answers what is under way, closes connections that rest.
+/// Shuts down: reports not ready, hands over the jobs, completes the requests in progress, and
+/// closes idle connections.
 async fn drain(options: &ProgramOptions, nodes: &Nodes, jobs: &JobRegistry, state: &IngressState) {
     log::info!(
         "event=draining node={} requests={}",
         options.node,
         state.requests()
     );
-    let deadline = Instant::now() + options.grace.saturating_sub(STOP_MARGIN);
+    let deadline = Instant::now() + options.grace.saturating_sub(SHUTDOWN_MARGIN);
     state.drain();
     nodes.set_leaving(true);
     let answered = async {
-        tokio::time::sleep(NOTICE_TIME).await;
+        tokio::time::sleep(NEW_CONNECTION_GRACE).await;
         state.close_idle();
         let is_busy = || state.requests() > 0 || !jobs.open_jobs().is_empty();
         while is_busy() && Instant::now() < deadline {
-            tokio::time::sleep(STOP_LOOK).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
     };
     tokio::select! {
@@ -426,6 +432,6 @@
         state.requests(),
         jobs.open_jobs().len()
     );
-    // Answers that were handed to the connections still have to reach the sockets.
-    tokio::time::sleep(STOP_LOOK * 2).await;
+    // Lets the connections write the last responses to their sockets.
+    tokio::time::sleep(DRAIN_POLL_INTERVAL * 2).await;
 }
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -1,10 +1,12 @@
-//! The programs that run beside a linearizable coordination store: `front` serves clients and owns batch jobs, `store` keeps
-//! a replica of the journal.
+//! The programs that run beside a linearizable coordination store: `front` serves clients and owns
+//! batch jobs, `store` keeps a replica of the journal.
 //!
-//! How a request flows: [`ingress`] reads it, [`tenant`] says whose it is, [`config`] names route and service, [`backend`] chooses an instance, [`live`]
-//! sends it and answers. How a batch job flows: [`ingress`] accepts it, [`job`] schedules, runs, records and reads it.
-//! [`orders`] changes weight versions, [`usage`] reports what was served,
-//! [`capacity`] orders instances in place of those that were lost. What is outside is reached through [`coordination`] and [`dialect`].
+//! A live request passes through [`ingress`], which reads it, [`tenant`], which identifies its
+//! sender, [`config`], which selects route and service, [`backend`], which chooses an instance, and
+//! [`live`], which sends it and answers. A batch job is accepted by [`ingress`] and scheduled, run,
+//! recorded and read by [`job`]. [`orders`] changes weight versions, [`usage`] reports the served
+//! requests, and [`capacity`] orders replacements for lost instances. External systems are reached
+//! through [`coordination`] and [`dialect`].
 
 #![warn(missing_docs)]
 
--- a/crates/front/src/logging.rs
+++ b/crates/front/src/logging.rs
@@ -1,8 +1,10 @@
-//! Structured log lines on standard output: `time=… level=… node=… module=… event=… key=value …`, one event a line.
+//! Structured log lines on standard output, one event per line: `time=… level=… node=… module=…
+//! event=… key=value …`.
 //!
-//! Lines go through a bounded queue to a thread of their own, so that a reader that stops reading holds nothing up. Lines
-//! that find the queue full, and lines of level `info` beyond [`INFO_LINES_PER_SECOND`], are left out and counted; a line
-//! says how many. Failures are logged as warnings or errors, which are left out only when the queue is full.
+//! A separate thread writes the lines from a bounded queue, so that a blocked reader of the output
+//! does not block the program. Lines that find the queue full, and lines of level `info` and below
+//! beyond [`INFO_LINES_PER_SECOND`], are dropped and counted; a line reports the count. Warnings
+//! and errors are dropped only when the queue is full.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,29 +14,30 @@
 
 use ladderstage_clock::Instant;
 
-/// Environment variable with the filter, as `env_logger` reads it.
+/// Environment variable with the filter in the syntax of `env_logger`.
 const FILTER_VARIABLE: &str = "LADDERSTAGE_LOG";
 
-/// Filter when the variable is not set.
+/// Default filter.
 const DEFAULT_FILTER: &str = "info,hyper=error,reqwest=error";
 
-/// Lines of level `info` and below in one second.
+/// Maximum number of lines of level `info` and below per second.
 pub const INFO_LINES_PER_SECOND: u32 = 400;
 
-/// Lines left out since the start.
+/// Lines dropped since the start.
 static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Lines put into the queue, and lines taken out of it and written.
+/// Lines put into the queue.
 static QUEUED_LINES: AtomicU64 = AtomicU64::new(0);
+/// Lines taken from the queue and written.
 static WRITTEN_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Between looks at the queue while it is flushed.
-const FLUSH_LOOK: Duration = Duration::from_millis(2);
+/// Interval between checks of the queue while flushing.
+const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Lines that wait at most.
-const QUEUE_LINES: usize = 2_048;
+/// Maximum number of queued lines.
+const QUEUE_CAPACITY: usize = 2_048;
 
-/// Takes whole lines from the logger.
+/// Puts complete lines of the logger into the queue.
 struct QueueWriter {
     queue: SyncSender<Vec<u8>>,
     dropped: Arc<AtomicU64>,
@@ -56,16 +59,16 @@
     }
 }
 
-/// Counts the lines of one second.
+/// Counts the lines of the current second.
 #[derive(Default)]
-struct SecondCount {
+struct RateLimiter {
     second: u64,
     lines: u32,
 }
 
-impl SecondCount {
-    /// Whether one more line fits into the second.
-    fn take(&mut self, second: u64) -> bool {
+impl RateLimiter {
+    /// Counts a line and returns whether it is within the limit.
+    fn admit(&mut self, second: u64) -> bool {
         if self.second != second {
             *self = Self { second, lines: 0 };
         }
@@ -74,31 +77,32 @@
     }
 }
 
-/// Lines left out since the start.
+/// Returns the number of lines dropped since the start.
 pub fn dropped_lines() -> u64 {
     DROPPED_LINES.load(Ordering::Relaxed)
 }
 
-/// Waits until all lines so far are written, for `limit` at most: the last ones of a process tell why it ended.
+/// Waits until all lines so far are written, for `limit` at most, so that the reason for an exit is
+/// logged.
 pub fn flush(limit: Duration) {
     let deadline = Instant::now() + limit;
-    let is_written =
+    let is_drained =
         || WRITTEN_LINES.load(Ordering::Relaxed) >= QUEUED_LINES.load(Ordering::Relaxed);
-    while !is_written() && Instant::now() < deadline {
-        std::thread::sleep(FLUSH_LOOK);
+    while !is_drained() && Instant::now() < deadline {
+        std::thread::sleep(FLUSH_POLL_INTERVAL);
     }
 }
 
-/// Installs the logger; a second call changes nothing.
+/// Installs the logger. Further calls have no effect.
 pub fn install(node: &str) {
     let node = node.to_owned();
     let dropped = Arc::new(AtomicU64::new(0));
-    let (queue, lines) = sync_channel::<Vec<u8>>(QUEUE_LINES);
-    let left_out = Arc::clone(&dropped);
+    let (queue, lines) = sync_channel::<Vec<u8>>(QUEUE_CAPACITY);
+    let dropped_by_queue = Arc::clone(&dropped);
     std::thread::spawn(move || {
         let mut output = std::io::stdout();
         while let Ok(line) = lines.recv() {
-            let count = left_out.swap(0, Ordering::Relaxed);
+            let count = dropped_by_queue.swap(0, Ordering::Relaxed);
             if count > 0 {
                 let _ = writeln!(output, "level=warn event=log_lines_dropped count={count}");
             }
@@ -108,9 +112,9 @@
             WRITTEN_LINES.fetch_add(1, Ordering::Relaxed);
         }
     });
-    let over_rate = Arc::clone(&dropped);
+    let dropped_by_rate = Arc::clone(&dropped);
     let writer = QueueWriter { queue, dropped };
-    let count = Mutex::new(SecondCount::default());
+    let count = Mutex::new(RateLimiter::default());
     let environment = env_logger::Env::default().filter_or(FILTER_VARIABLE, DEFAULT_FILTER);
     let installed = env_logger::Builder::from_env(environment)
         .target(env_logger::Target::Pipe(Box::new(writer)))
@@ -123,8 +127,8 @@
             let mut count = count
                 .lock()
                 .unwrap_or_else(|poisoned| poisoned.into_inner());
-            if is_routine && !count.take(since.as_secs()) {
-                over_rate.fetch_add(1, Ordering::Relaxed);
+            if is_routine && !count.admit(since.as_secs()) {
+                dropped_by_rate.fetch_add(1, Ordering::Relaxed);
                 DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
                 return Ok(());
             }
--- a/crates/front/src/metrics.rs
+++ b/crates/front/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of one process, as text.
+//! Prometheus metrics of a process.
 
 use ladderstage::region::Distance;
 use ladderstage_journal::JournalMetrics;
@@ -11,64 +11,66 @@
 use crate::coordination::StoreCalls;
 use crate::nodes::Nodes;
 
-/// Upper bounds of latency buckets, in seconds.
+/// Upper bounds of the latency buckets, in seconds.
 const LATENCY_BUCKETS: [f64; 12] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0,
 ];
 
-/// All counters.
+/// Metrics of a process.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
     /// Client requests by route and outcome.
     pub requests: IntCounterVec,
-    /// Time to the answer of live requests, in seconds.
+    /// Time to the response of live requests, in seconds.
     pub request_seconds: Histogram,
-    /// Requests whose key was refused, by reason.
+    /// Requests without a valid key, by reason.
     pub refused_keys: IntCounterVec,
-    /// Attempts at instances for live requests.
+    /// Attempts to send live requests to instances.
     pub attempts: IntCounter,
-    /// Requests to instances by kind of work and by how far the instance is.
+    /// Requests to instances, by kind of work and distance.
     pub sent: IntCounterVec,
-    /// What was refused as it may not be served or kept where it could be, by kind of work.
+    /// Work rejected because no allowed region could serve or store it, by kind of work.
     pub refused_by_region: IntCounterVec,
-    /// Requests whose connection to an instance broke while it may have run them, by what became of the instance.
+    /// Requests that may have run when their connection to an instance broke, by what became of the
+    /// instance.
     pub broken_runs: IntCounterVec,
-    /// Runs that did not begin, as instances had ended under others of the same content, by what was to run.
+    /// Runs not started because instances had crashed under requests with the same fingerprint, by
+    /// subject.
     pub held_back_runs: IntCounterVec,
-    /// Requests that were not sent, as the instances meant were to get none, by reason.
+    /// Requests not sent because their instances must not get any, by reason.
     pub held_back_requests: IntCounterVec,
-    /// Contents under which instances have ended.
+    /// Request fingerprints suspected of crashing instances.
     pub suspected_contents: IntGauge,
-    /// Ends of instances that are known of them.
+    /// Known crashes of instances under suspected fingerprints.
     pub suspect_ends: IntGauge,
-    /// Item runs by outcome.
+    /// Runs of items, by outcome.
     pub item_runs: IntCounterVec,
-    /// Reward calls by outcome.
+    /// Reward calls, by outcome.
     pub reward_calls: IntCounterVec,
-    /// Batch jobs by event.
+    /// Batch jobs, by event.
     pub jobs: IntCounterVec,
-    /// Orders to instances by outcome.
+    /// Orders to instances, by outcome.
     pub orders: IntCounterVec,
-    /// Permits for requests to cold instances that this node was dealt.
+    /// Permits for requests to cold instances granted to this node.
     pub send_permits: IntCounter,
-    /// Reports of use by outcome.
+    /// Usage reports, by outcome.
     pub usage_reports: IntCounterVec,
-    /// Orders of capacity by zone, kind of instance and outcome.
+    /// Capacity orders, by zone, kind of instance and outcome.
     pub capacity_orders: IntCounterVec,
-    /// Instances that were lost, by zone and reason.
+    /// Lost instances, by zone and reason.
     pub capacity_lost: IntCounterVec,
-    /// Times that the machine was suspended.
+    /// Detected suspensions of the machine.
     pub suspensions: IntCounter,
-    /// Log lines left out because too many were written.
+    /// Dropped log lines.
     pub dropped_log_lines: IntCounter,
 }
 
 impl Metrics {
-    /// Counters at zero.
+    /// Creates and registers all metrics.
     ///
     /// # Panics
-    /// Never: names are valid and distinct.
+    /// Never, as all names are valid and distinct.
     pub fn new() -> Self {
         let registry = Registry::new();
         let vec = |name: &str, help: &str, labels: &[&str]| {
@@ -194,30 +196,30 @@
         }
     }
 
-    /// Counts a request to an instance so far away.
+    /// Counts a request sent to an instance at a distance.
     pub fn note_sent(&self, work: &str, distance: Distance) {
         let labels = [work, distance.label()];
         self.sent.with_label_values(&labels).inc();
     }
 
-    /// Adds the counters of the journal.
+    /// Registers the metrics of the journal.
     pub fn add_journal(&self, journal: &JournalMetrics) {
         if let Err(error) = journal.register(&self.registry) {
             log::error!("event=metrics_not_added cause=\"{error}\"");
         }
     }
 
-    /// Adds the counter of calls to the coordination store.
+    /// Registers the counter of calls to the coordination store.
     pub fn add_store_calls(&self, calls: &StoreCalls) {
         self.add(Box::new(calls.counter().clone()));
     }
 
-    /// Adds the gauge of what the other nodes read.
+    /// Registers the gauge of nodes that read fewer formats.
     pub fn add_nodes(&self, nodes: &Nodes) {
-        self.add(Box::new(nodes.nodes_behind().clone()));
+        self.add(Box::new(nodes.outdated_nodes().clone()));
     }
 
-    /// Adds the counters of discovery.
+    /// Registers the counters of discovery.
     pub fn add_discovery(&self, counters: &DiscoveryCounters) {
         self.add(Box::new(counters.restarts.clone()));
         self.add(Box::new(counters.unreadable_records.clone()));
@@ -237,7 +239,7 @@
         }
     }
 
-    /// All counters as text.
+    /// Renders all metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         let dropped = crate::logging::dropped_lines();
         let counted = self.dropped_log_lines.get();
--- a/crates/front/src/nodes/following.rs
+++ b/crates/front/src/nodes/following.rs
@@ -1,7 +1,9 @@
-//! How a node learns of the others: closely while there is work with them, else by a stale reading now and then.
+//! Keeps track of the other nodes: follows their records while there is work with them, and reads
+//! them periodically otherwise.
 //!
-//! With hundreds of nodes the answers about restarts of any of them would be most of the calls to the store, and each has its
-//! price. A node without work needs the others only to pass something on, and learns soon enough when a call does not reach one.
+//! With hundreds of nodes, watch answers about restarts would be most of the calls to the store. A
+//! node without work needs the others only to forward requests, and a failed call shows soon enough
+//! that a node is gone.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,94 +15,97 @@
 use crate::activity::Activity;
 use crate::coordination::{Coordination, Follower, Update, follow_with};
 
-/// Between two answers of the watch at a node that works with others: one with a disk, a job, or the right to give orders. A node
-/// that is gone is missed only once its lease is over, three times as late.
-const GATHER: Duration = Duration::from_secs(1);
+/// Interval between watch answers at a node that works with others: one with a disk, a job or the
+/// orders lease. It is short compared with a node's lease, which has to expire before the node is
+/// missed.
+const BATCH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The same while nodes start.
-const CLOSE_GATHER: Duration = Duration::from_millis(400);
+/// Interval between watch answers during startup.
+const STARTUP_BATCH_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Between a call that did not reach its node and the reading that follows it: others may be affected as well.
-const DOUBT_PAUSE: Duration = Duration::from_millis(400);
+/// Delay from a failed call to the read that it triggers, as further nodes may have failed.
+const FAILED_CALL_READ_DELAY: Duration = Duration::from_millis(400);
 
-/// Least time between two readings for that, each at the full price.
-const LEAST_DOUBT_INTERVAL: Duration = Duration::from_secs(1);
+/// Minimum interval between reads after failed calls, which are not stale reads and cost more.
+const MIN_READ_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Between two stale readings of a node without work, each a tenth of the price of an answer to a watch.
-const IDLE_INTERVAL: Duration = Duration::from_secs(12);
+/// Interval between stale reads at a node without work. Each costs a tenth of a watch answer.
+const IDLE_READ_INTERVAL: Duration = Duration::from_secs(12);
 
-/// The same while nodes start.
-const STARTING_INTERVAL: Duration = Duration::from_secs(2);
+/// Interval between stale reads during startup.
+const STARTUP_READ_INTERVAL: Duration = Duration::from_secs(2);
 
-/// For so long after its start a node reads more often: the others may have started with it, and a stale reading may be seconds old.
-const STARTING_TIME: Duration = Duration::from_secs(6);
+/// Time after its start for which a node reads more often, as the others may have started with it
+/// and stale reads lag by seconds.
+const STARTUP_READ_PERIOD: Duration = Duration::from_secs(6);
 
-/// For so long after its start a node follows more closely.
-const CLOSE_TIME: Duration = Duration::from_secs(2);
+/// Time after its start for which a node collects watch answers more often.
+const STARTUP_WATCH_PERIOD: Duration = Duration::from_secs(2);
 
-/// The records are followed for so long after the last work: who is handed steps gets one every few seconds.
-const REST_AFTER_WORK: Duration = Duration::from_secs(15);
+/// Time after the last work for which the records are followed, as fronts that get steps get one
+/// every few seconds.
+const WATCH_LINGER: Duration = Duration::from_secs(15);
 
-/// Learns of the other nodes for as long as the future is polled.
+/// Keeps track of the other nodes until the future is dropped.
 pub(super) async fn run(nodes: &Nodes, coordination: &Arc<dyn Coordination>, activity: &Activity) {
     let started = Instant::now();
     loop {
         tokio::select! {
-            () = read_now_and_then(nodes, coordination.as_ref(), started) => {}
+            () = read_periodically(nodes, coordination.as_ref(), started) => {}
             () = activity.active() => {}
         }
         let mut follower = NodeFollower { nodes, started };
         let following = follow_with(Arc::clone(coordination), NODE_PREFIX, &mut follower);
         tokio::select! {
             () = following => {}
-            () = activity.rested(REST_AFTER_WORK) => {}
+            () = activity.rested(WATCH_LINGER) => {}
         }
     }
 }
 
-/// How the next reading is done.
-enum Reading {
-    /// It may be some seconds old.
+/// Kind of the next read.
+enum ReadKind {
+    /// A stale read, which may lag by some seconds.
     Stale,
-    /// A call has not reached its node.
-    InDoubt,
+    /// A fresh read, as a call did not reach its node.
+    AfterFailedCall,
 }
 
-async fn read_now_and_then(nodes: &Nodes, coordination: &dyn Coordination, started: Instant) {
-    let mut unreached = nodes.unreached.subscribe();
-    let mut reading = Reading::Stale;
+async fn read_periodically(nodes: &Nodes, coordination: &dyn Coordination, started: Instant) {
+    let mut failed_calls = nodes.failed_calls.subscribe();
+    let mut read_kind = ReadKind::Stale;
     loop {
         let read_at = Instant::now();
-        let result = match reading {
-            Reading::Stale => {
+        let result = match read_kind {
+            ReadKind::Stale => {
                 let listing = coordination.list_stale(NODE_PREFIX).await;
-                listing.map(|listing| nodes.take_stale(listing.records, listing.at))
+                listing.map(|listing| nodes.apply_stale(listing.records, listing.at))
             }
-            Reading::InDoubt => nodes.refresh(coordination, LEAST_DOUBT_INTERVAL).await,
+            ReadKind::AfterFailedCall => nodes.refresh(coordination, MIN_READ_INTERVAL).await,
         };
         if let Err(error) = result {
             log::warn!("event=nodes_not_read cause=\"{error}\"");
         }
-        let interval = if started.elapsed() < STARTING_TIME {
-            STARTING_INTERVAL
+        let interval = if started.elapsed() < STARTUP_READ_PERIOD {
+            STARTUP_READ_INTERVAL
         } else {
-            IDLE_INTERVAL
+            IDLE_READ_INTERVAL
         };
-        let in_doubt = async {
-            // The sender lives as long as this node.
-            let _ = unreached.changed().await;
-            let earliest = read_at + LEAST_DOUBT_INTERVAL;
-            tokio::time::sleep_until(earliest.max(Instant::now() + DOUBT_PAUSE)).await;
+        let after_failed_call = async {
+            // The sender is owned by `nodes`, so this does not fail.
+            let _ = failed_calls.changed().await;
+            let earliest = read_at + MIN_READ_INTERVAL;
+            tokio::time::sleep_until(earliest.max(Instant::now() + FAILED_CALL_READ_DELAY)).await;
         };
-        reading = tokio::select! {
-            () = tokio::time::sleep(jittered(interval)) => Reading::Stale,
-            () = in_doubt => Reading::InDoubt,
+        read_kind = tokio::select! {
+            () = tokio::time::sleep(jittered(interval)) => ReadKind::Stale,
+            () = after_failed_call => ReadKind::AfterFailedCall,
         };
-        unreached.mark_unchanged();
+        failed_calls.mark_unchanged();
     }
 }
 
-/// Follows the nodes' records while there is work with other nodes.
+/// Follower of the nodes' records while there is work with other nodes.
 struct NodeFollower<'a> {
     nodes: &'a Nodes,
     started: Instant,
@@ -108,22 +113,22 @@
 
 impl Follower for NodeFollower<'_> {
     async fn pause(&self) {
-        if self.started.elapsed() < CLOSE_TIME {
-            return tokio::time::sleep(CLOSE_GATHER).await;
+        if self.started.elapsed() < STARTUP_WATCH_PERIOD {
+            return tokio::time::sleep(STARTUP_BATCH_INTERVAL).await;
         }
-        let mut unreached = self.nodes.unreached.subscribe();
-        let in_doubt = async {
-            // The sender lives as long as this node.
-            let _ = unreached.changed().await;
-            tokio::time::sleep(CLOSE_GATHER).await;
+        let mut failed_calls = self.nodes.failed_calls.subscribe();
+        let after_failed_call = async {
+            // The sender is owned by `nodes`, so this does not fail.
+            let _ = failed_calls.changed().await;
+            tokio::time::sleep(STARTUP_BATCH_INTERVAL).await;
         };
         tokio::select! {
-            () = tokio::time::sleep(GATHER) => {}
-            () = in_doubt => {}
+            () = tokio::time::sleep(BATCH_INTERVAL) => {}
+            () = after_failed_call => {}
         }
     }
 
     fn take(&mut self, update: Update, at: u64) {
-        self.nodes.take(update, at);
+        self.nodes.apply(update, at);
     }
 }
--- a/crates/front/src/nodes/formats.rs
+++ b/crates/front/src/nodes/formats.rs
@@ -1,14 +1,15 @@
-//! Which formats the builds in the fleet read.
+//! Format levels of the builds in the fleet.
 //!
-//! While machines are replaced, builds that know different formats run side by side. Each node's record names what its build reads, so
-//! that a feature that needs all nodes can wait until they have it. This is a hint, as old as the view of the nodes: what an older build would
-//! read wrongly must be written so that its reading is safe, whatever the level.
+//! During an upgrade, builds that read different formats run side by side. Each node's record names
+//! the level of its build, so that a feature that needs all nodes can wait for them. The known
+//! levels may be outdated: data that an older build would misread must be safe in its reading
+//! regardless of the level.
 
 use serde::{Deserialize, Serialize};
 
 use super::{NodeRecord, NodeRole};
 
-/// The formats that a build reads, as a number that rises whenever a build reads more.
+/// Formats that a build reads, as a number that increases when a build reads more.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -16,17 +17,19 @@
 pub struct FormatLevel(pub u32);
 
 impl FormatLevel {
-    /// A build whose record names no level.
-    pub const UNNAMED: Self = Self(0);
+    /// Level of a build whose record does not name one.
+    pub const UNKNOWN: Self = Self(0);
 
-    /// Reads drained zones and coldness of instances in the roster, regions of nodes and jobs, and answers requests for permits.
+    /// Adds drained zones and cold instances in the roster, regions of nodes and jobs, and requests
+    /// for permits.
     pub const ZONES_AND_PERMITS: Self = Self(1);
 
-    /// What this build reads.
+    /// Level of this build.
     pub const OWN: Self = Self::ZONES_AND_PERMITS;
 }
 
-/// What all nodes with a role read: the lowest level among their records; this build's own if there are none.
+/// Returns the lowest level among the records with a role, or this build's own level if there are
+/// none.
 pub fn shared_level<'a>(
     records: impl IntoIterator<Item = &'a NodeRecord>,
     role: NodeRole,
--- a/crates/front/src/nodes/mod.rs
+++ b/crates/front/src/nodes/mod.rs
@@ -1,6 +1,7 @@
-//! The nodes of the system: each keeps a leased record of itself, and learns of the others' records.
+//! The nodes of the system. Each keeps a leased record of itself in the store and reads the others'
+//! records.
 //!
-//! Nodes that work with others follow the records closely (`following`); the many without such work read them now and then.
+//! Nodes that work with others follow the records; all others read them periodically (`following`).
 
 mod following;
 mod formats;
@@ -27,19 +28,21 @@
 use crate::activity::Activity;
 use crate::coordination::{Change, Coordination, CoordinationError, Record, Update};
 
-/// Where the records are.
+/// Key prefix of the records.
 const NODE_PREFIX: &str = "ladderstage/node/";
 
-/// A record that went while the store had trouble may come back: its node counts for this long.
-const GONE_GRACE: Duration = Duration::from_millis(400);
+/// Time for which a node still counts as present after its record is gone, as a record lost during
+/// store trouble may come back.
+const ABSENCE_GRACE: Duration = Duration::from_millis(400);
 
-/// A node whose record is gone may come back for this long; after that it counts as removed.
-const RETURN_TIME: Duration = Duration::from_secs(60);
+/// Time after which a node without a record counts as removed.
+const REMOVAL_AGE: Duration = Duration::from_secs(60);
 
-/// So many news of one answer get a line each; of more, as at the start of a fleet, their number is told.
-const MOST_NEWS_LINES: usize = 16;
+/// Maximum number of changes per update that are logged individually; of more, only the count is
+/// logged.
+const MAX_LOGGED_CHANGES: usize = 16;
 
-/// What a node does.
+/// Role of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum NodeRole {
@@ -49,72 +52,77 @@
     Store,
 }
 
-/// What a node tells of itself.
+/// Record of a node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeRecord {
-    /// Its name; stays the same over restarts.
+    /// Name; stable across restarts.
     pub node: String,
-    /// What it does.
+    /// Role.
     pub role: NodeRole,
-    /// Random number of this process start.
+    /// Random identifier of this process incarnation.
     pub process: u64,
-    /// Where other nodes reach it.
+    /// Address on which other nodes reach it.
     pub peer_address: SocketAddr,
-    /// Zone it runs in.
+    /// Zone of the node.
     pub zone: String,
-    /// Id of its disk; 0: none.
+    /// Identifier of its disk; 0: none.
     pub replica_id: u64,
-    /// It is to be emptied or is stopping: no new work for it.
+    /// The node is being drained or stopped and gets no new work.
     pub is_leaving: bool,
-    /// Processor time of its machine, in thousandths of a core; 0: unknown.
+    /// CPU time available on its machine, in thousandths of a core; 0: unknown.
     #[serde(default)]
     pub cpu_millis: u32,
-    /// Region it runs in; empty: none, or its process is of an older build.
+    /// Region of the node; empty: none, or the record is of an older build.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub region: String,
-    /// Which formats its build reads.
+    /// Formats that its build reads.
     #[serde(default)]
     pub formats: FormatLevel,
 }
 
 #[derive(Debug, Default)]
-struct Known {
-    /// All nodes ever heard of, for their addresses.
+struct KnownNodes {
+    /// Records of all nodes ever seen, for their addresses.
     records: BTreeMap<String, NodeRecord>,
+    /// Nodes whose records exist.
     present: BTreeSet<String>,
-    /// When each node's present process was first heard of.
+    /// Time at which each node's current process was first seen.
     seen_since: BTreeMap<String, Instant>,
-    gone_at: BTreeMap<String, Instant>,
-    /// Revision of the store as of which all this is known.
+    /// Time at which each absent node's record disappeared.
+    absent_since: BTreeMap<String, Instant>,
+    /// Store revision of the latest applied update.
     at: u64,
-    /// When the last reading that was not stale was taken.
-    read_at: Option<Instant>,
-    /// Nodes that read fewer formats than this one, as logged last.
-    behind: BTreeSet<String>,
+    /// Time of the last read that was not stale.
+    fresh_read_at: Option<Instant>,
+    /// Present nodes that read fewer formats than this one, as last logged.
+    outdated: BTreeSet<String>,
 }
 
-/// All nodes as last heard of, and calls to them. Cheap to clone.
+/// The known nodes, and calls to them. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Nodes {
     own: Arc<Mutex<NodeRecord>>,
     regions: RegionMap,
-    known: Arc<Mutex<Known>>,
+    known: Arc<Mutex<KnownNodes>>,
     client: Client,
-    contact: watch::Sender<Option<Instant>>,
+    /// Time of the store's last answer to this node.
+    store_contact: watch::Sender<Option<Instant>>,
+    /// Number of changes of this node's record.
     own_changed: watch::Sender<u64>,
-    /// Calls that did not reach their node: what is known of the nodes may be old.
-    unreached: watch::Sender<u64>,
-    /// How many nodes read fewer formats than this one.
-    nodes_behind: IntGauge,
+    /// Number of calls that did not reach their node, after which the known records may be
+    /// outdated.
+    failed_calls: watch::Sender<u64>,
+    /// Number of present nodes that read fewer formats than this one.
+    outdated_nodes: IntGauge,
 }
 
 impl Nodes {
-    /// Knows only this node so far.
+    /// Creates a table that contains only this node.
     ///
     /// # Panics
-    /// Never: the gauge's name is valid.
+    /// Never, as the gauge's name is valid.
     pub fn new(own: NodeRecord) -> Self {
-        let nodes_behind = IntGauge::new(
+        let outdated_nodes = IntGauge::new(
             "ladderstage_nodes_behind",
             "Nodes whose builds read fewer formats than this one",
         );
@@ -123,31 +131,32 @@
             regions: RegionMap::default(),
             known: Arc::default(),
             client: Client::new(),
-            contact: watch::Sender::new(None),
+            store_contact: watch::Sender::new(None),
             own_changed: watch::Sender::new(0),
-            unreached: watch::Sender::new(0),
-            nodes_behind: nodes_behind.expect("valid name"),
+            failed_calls: watch::Sender::new(0),
+            outdated_nodes: outdated_nodes.expect("valid name"),
         }
     }
 
-    /// The same in a deployment with these regions.
+    /// Sets the regions of the deployment.
     pub fn with_regions(mut self, regions: RegionMap) -> Self {
         self.regions = regions;
         self
     }
 
-    /// Regions of all zones.
+    /// Returns the regions of all zones.
     pub fn regions(&self) -> &RegionMap {
         &self.regions
     }
 
-    /// Region of a node: as the settings here name it for its zone, else as in its record.
+    /// Returns the region of a node: the one configured here for its zone, or else the one in its
+    /// record.
     pub fn region_of<'a>(&'a self, record: &'a NodeRecord) -> Option<&'a str> {
         let as_recorded = || Some(record.region.as_str()).filter(|region| !region.is_empty());
         self.regions.region_of(&record.zone).or_else(as_recorded)
     }
 
-    /// How far a node is from this one.
+    /// Returns the distance from this node to another.
     pub fn distance_to(&self, record: &NodeRecord) -> Distance {
         let own = self.own();
         Distance::between(&self.place(&own), &self.place(record))
@@ -162,14 +171,14 @@
         }
     }
 
-    /// A node outside the allowed regions, which may be this one; `None`: there is none. A node whose record names no region may be of
-    /// a build that knows no bounds, and counts as outside.
+    /// Returns a node outside the allowed regions, possibly this one. A node whose record names no
+    /// region counts as outside, as its build may ignore the restriction.
     pub fn any_outside(&self, allowed: &AllowedRegions) -> Option<NodeRecord> {
         let own = self.own();
         let known = lock(&self.known);
         let others = known.records.values();
         let mut nodes = others
-            .filter(|record| known.may_come_back(&record.node))
+            .filter(|record| known.may_return(&record.node))
             .chain([&own]);
         nodes
             .find(|record| {
@@ -179,18 +188,18 @@
             .cloned()
     }
 
-    /// Whether a node's record was ever heard of.
+    /// Returns whether a node's record was ever read.
     pub fn knows(&self, node: &str) -> bool {
         node == self.own().node || lock(&self.known).records.contains_key(node)
     }
 
-    /// How many present nodes read fewer formats than this one.
-    pub fn nodes_behind(&self) -> &IntGauge {
-        &self.nodes_behind
+    /// Returns the gauge of present nodes that read fewer formats than this one.
+    pub fn outdated_nodes(&self) -> &IntGauge {
+        &self.outdated_nodes
     }
 
-    /// Keeps this node's record and learns of all others, for as long as the future is polled: closely while `activity` says that
-    /// there is work with them.
+    /// Maintains this node's record and keeps track of the other nodes until the future is dropped.
+    /// Follows the others' records while `activity` is active.
     pub async fn run(&self, coordination: Arc<dyn Coordination>, activity: &Activity) {
         tokio::join!(
             following::run(self, &coordination, activity),
@@ -198,63 +207,63 @@
         );
     }
 
-    /// Reads all records now, if they were not read for `age`.
+    /// Reads all records unless they were read within the last `age`.
     ///
     /// # Errors
-    /// When the store did not answer.
+    /// Returns an error when the store does not answer.
     pub async fn refresh(
         &self,
         coordination: &dyn Coordination,
         age: Duration,
     ) -> Result<(), CoordinationError> {
-        let read_at = lock(&self.known).read_at;
-        if read_at.is_some_and(|at| at.elapsed() < age) {
+        let fresh_read_at = lock(&self.known).fresh_read_at;
+        if fresh_read_at.is_some_and(|at| at.elapsed() < age) {
             return Ok(());
         }
         let listing = coordination.list(NODE_PREFIX).await?;
-        self.take(Update::Snapshot(listing.records), listing.at);
+        self.apply(Update::Snapshot(listing.records), listing.at);
         Ok(())
     }
 
-    /// Whether this node is one of the fronts with the most processor time among those that are known.
+    /// Returns whether this node is one of the known fronts with the most CPU time.
     fn is_strongest(&self) -> bool {
         let own = self.own().node;
         let strongest = strongest(self.with_role(NodeRole::Front));
         strongest.iter().any(|record| record.node == own)
     }
 
-    /// When the store last answered this node; `None`: never.
+    /// Returns the time of the store's last answer to this node; `None`: there was none.
     pub fn last_contact(&self) -> Option<Instant> {
-        *self.contact.borrow()
+        *self.store_contact.borrow()
     }
 
-    /// This node's record.
+    /// Returns this node's record.
     pub fn own(&self) -> NodeRecord {
         lock(&self.own).clone()
     }
 
-    /// Says in this node's record that it takes no new work.
+    /// Sets in this node's record whether it is leaving, so that it gets no new work.
     pub fn set_leaving(&self, is_leaving: bool) {
         lock(&self.own).is_leaving = is_leaving;
         self.own_changed.send_modify(|count| *count += 1);
     }
 
-    /// Whether this node takes no new work.
+    /// Returns whether this node is leaving.
     pub fn is_leaving(&self) -> bool {
         lock(&self.own).is_leaving
     }
 
-    /// When a node's present process was first heard of; `None`: never.
+    /// Returns the time at which a node's current process was first seen; `None`: never.
     pub fn seen_since(&self, node: &str) -> Option<Instant> {
         lock(&self.known).seen_since.get(node).copied()
     }
 
-    /// Whether a node's record is there.
+    /// Returns whether a node counts as present.
     pub fn is_present(&self, node: &str) -> bool {
         node == self.own().node || lock(&self.known).is_alive(node)
     }
 
-    /// Present nodes with a role, this one included if it has it.
+    /// Returns the present nodes with a role, including this one.
     pub fn with_role(&self, role: NodeRole) -> Vec<NodeRecord> {
         let own = self.own();
         let mut found: Vec<NodeRecord> = {
@@ -270,16 +279,17 @@
         found
     }
 
-    /// The formats that all present nodes with a role read, by the records known here; [`FormatLevel::UNNAMED`] until the others were read.
+    /// Returns the lowest format level among the present nodes with a role, or
+    /// [`FormatLevel::UNKNOWN`] until their records were read.
     pub fn shared_level(&self, role: NodeRole) -> FormatLevel {
         if lock(&self.known).at == 0 {
-            return FormatLevel::UNNAMED;
+            return FormatLevel::UNKNOWN;
         }
         shared_level(&self.with_role(role), role)
     }
 
-    /// Whether any other front is known.
-    fn knows_others(&self) -> bool {
+    /// Returns whether any other front was ever seen.
+    fn knows_other_fronts(&self) -> bool {
         let own = self.own().node;
         lock(&self.known)
             .records
@@ -287,12 +297,12 @@
             .any(|record| record.role == NodeRole::Front && record.node != own)
     }
 
-    fn note_contact(&self) {
-        self.contact.send_replace(Some(Instant::now()));
+    fn record_store_contact(&self) {
+        self.store_contact.send_replace(Some(Instant::now()));
     }
 
-    /// Takes what the store tells as of its revision `at`; what is older than what is known here changes nothing.
-    fn take(&self, update: Update, at: u64) {
+    /// Applies an update as of revision `at`, unless a later one was applied.
+    fn apply(&self, update: Update, at: u64) {
         let own_formats = lock(&self.own).formats;
         let mut known = lock(&self.known);
         if at < known.at {
@@ -300,9 +310,9 @@
             return;
         }
         known.at = at;
-        known.read_at = Some(Instant::now());
+        known.fresh_read_at = Some(Instant::now());
         match update {
-            Update::Snapshot(records) => known.take_all(&records),
+            Update::Snapshot(records) => known.apply_snapshot(&records),
             Update::Changes(changes) => changes.into_iter().for_each(|change| match change {
                 Change::Written(record) => {
                     known.insert(&record.value, true);
@@ -312,16 +322,16 @@
                 }
             }),
         }
-        let behind = known.note_behind(own_formats);
-        self.nodes_behind
-            .set(i64::try_from(behind).unwrap_or(i64::MAX));
+        let outdated = known.update_outdated(own_formats);
+        self.outdated_nodes
+            .set(i64::try_from(outdated).unwrap_or(i64::MAX));
     }
 
-    /// As [`Nodes::take`], of a stale read.
-    fn take_stale(&self, records: Vec<Record>, at: u64) {
-        let read_at = lock(&self.known).read_at;
-        self.take(Update::Snapshot(records), at);
-        lock(&self.known).read_at = read_at;
+    /// Applies a stale read, which does not count as fresh.
+    fn apply_stale(&self, records: Vec<Record>, at: u64) {
+        let fresh_read_at = lock(&self.known).fresh_read_at;
+        self.apply(Update::Snapshot(records), at);
+        lock(&self.known).fresh_read_at = fresh_read_at;
     }
 
     fn member(&self, record: &NodeRecord) -> Member {
@@ -351,9 +361,9 @@
     }
 }
 
-impl Known {
-    /// Takes all records that there are: nodes without one are gone.
-    fn take_all(&mut self, records: &[Record]) {
+impl KnownNodes {
+    /// Applies a listing of all records; nodes without a record are absent.
+    fn apply_snapshot(&mut self, records: &[Record]) {
         let kept: BTreeSet<&str> = records
             .iter()
             .filter_map(|record| record.key.strip_prefix(NODE_PREFIX))
@@ -364,24 +374,25 @@
             .cloned()
             .collect();
         gone.iter().for_each(|node| self.remove(node));
-        let is_news = |record: &&Record| self.is_news(&record.value);
-        let news = records.iter().filter(is_news).count();
-        let has_lines = news <= MOST_NEWS_LINES;
-        if !has_lines {
-            log::info!("event=nodes_seen count={news} of={}", records.len());
+        let is_changed = |record: &&Record| self.is_changed(&record.value);
+        let changed = records.iter().filter(is_changed).count();
+        let logs_each = changed <= MAX_LOGGED_CHANGES;
+        if !logs_each {
+            log::info!("event=nodes_seen count={changed} of={}", records.len());
         }
         records
             .iter()
-            .for_each(|record| self.insert(&record.value, has_lines));
+            .for_each(|record| self.insert(&record.value, logs_each));
     }
 
-    fn is_news(&self, value: &[u8]) -> bool {
+    /// Returns whether a record differs from the known one.
+    fn is_changed(&self, value: &[u8]) -> bool {
         let record = serde_json::from_slice::<NodeRecord>(value);
         record.is_ok_and(|record| self.records.get(&record.node) != Some(&record))
     }
 
-    /// `has_line`: whether news of it are logged.
-    fn insert(&mut self, value: &[u8], has_line: bool) {
+    /// Inserts a record; `is_logged`: log it if it changed.
+    fn insert(&mut self, value: &[u8], is_logged: bool) {
         let Ok(record) = serde_json::from_slice::<NodeRecord>(value) else {
             log::warn!("event=node_record_unreadable");
             return;
@@ -391,7 +402,7 @@
         if known_process != Some(record.process) {
             self.seen_since.insert(node.clone(), Instant::now());
         }
-        if has_line && self.records.get(&node) != Some(&record) {
+        if is_logged && self.records.get(&node) != Some(&record) {
             log::info!(
                 "event=node_seen node={node} process={} address={} zone={} region={} replica_id={} leaving={}",
                 record.process,
@@ -403,49 +414,50 @@
             );
         }
         self.records.insert(node.clone(), record);
-        self.gone_at.remove(&node);
+        self.absent_since.remove(&node);
         self.present.insert(node);
     }
 
     fn remove(&mut self, node: &str) {
         if self.present.remove(node) {
             log::info!("event=node_gone node={node}");
-            self.gone_at.insert(node.to_owned(), Instant::now());
+            self.absent_since.insert(node.to_owned(), Instant::now());
         }
     }
 
-    /// Notes which present nodes read fewer formats than a level, and logs a change; returns how many there are.
-    fn note_behind(&mut self, level: FormatLevel) -> usize {
+    /// Updates the set of present nodes below a level, logs a change, and returns their number.
+    fn update_outdated(&mut self, level: FormatLevel) -> usize {
         let present = self.present.iter();
-        let is_behind = |node: &&String| {
+        let is_outdated = |node: &&String| {
             let record = self.records.get(*node);
             record.is_some_and(|record| record.formats < level)
         };
-        let behind: BTreeSet<String> = present.filter(is_behind).cloned().collect();
-        if behind != self.behind {
-            let first = behind.first().map_or("-", String::as_str);
+        let outdated: BTreeSet<String> = present.filter(is_outdated).cloned().collect();
+        if outdated != self.outdated {
+            let first = outdated.first().map_or("-", String::as_str);
             log::info!(
                 "event=nodes_behind own_level={} count={} first={first}",
                 level.0,
-                behind.len()
+                outdated.len()
             );
-            self.behind = behind;
+            self.outdated = outdated;
         }
-        self.behind.len()
+        self.outdated.len()
     }
 
-    /// Whether a node is present, or has not been gone for so long that it counts as removed.
-    fn may_come_back(&self, node: &str) -> bool {
-        let is_long_gone = |at: &Instant| at.elapsed() >= RETURN_TIME;
-        self.present.contains(node) || !self.gone_at.get(node).is_some_and(is_long_gone)
+    /// Returns whether a node is present, or has been absent for less than [`REMOVAL_AGE`].
+    fn may_return(&self, node: &str) -> bool {
+        let is_removed = |at: &Instant| at.elapsed() >= REMOVAL_AGE;
+        self.present.contains(node) || !self.absent_since.get(node).is_some_and(is_removed)
     }
 
+    /// Returns whether a node is present, or has been absent for less than [`ABSENCE_GRACE`].
     fn is_alive(&self, node: &str) -> bool {
         self.present.contains(node)
             || self
-                .gone_at
+                .absent_since
                 .get(node)
-                .is_some_and(|at| at.elapsed() < GONE_GRACE)
+                .is_some_and(|at| at.elapsed() < ABSENCE_GRACE)
     }
 }
 
@@ -482,7 +494,7 @@
             .present
             .iter()
             .filter_map(|node| known.records.get(node));
-        // Before the first listing nothing is known.
+        // Nothing is known before the first listing.
         !is_own && !known.present.is_empty() && present.all(|record| record.process != process)
     }
 
@@ -495,21 +507,22 @@
         Box::pin(async move {
             let result = match self.address(node) {
                 Some(address) => self.client.call(address, request, timeout).await,
-                None => Err(CallError::NotSent(format!("no address of {node} is known"))),
+                None => Err(CallError::NotSent(format!("address of {node} is unknown"))),
             };
             if matches!(result, Err(CallError::NotSent(_) | CallError::Unknown(_))) {
-                self.unreached.send_modify(|count| *count += 1);
+                self.failed_calls.send_modify(|count| *count += 1);
             }
             result
         })
     }
 }
 
-/// Those that take new work and have the most processor time: a batch job takes all of a weak machine's.
+/// Returns the nodes with the most CPU time that are not leaving. Weak machines do not own batch
+/// jobs, as a job would use all of their CPU time.
 pub fn strongest(mut records: Vec<NodeRecord>) -> Vec<NodeRecord> {
     records.retain(|record| !record.is_leaving);
-    let most = records.iter().map(|record| record.cpu_millis).max();
-    records.retain(|record| Some(record.cpu_millis) == most);
+    let max_cpu = records.iter().map(|record| record.cpu_millis).max();
+    records.retain(|record| Some(record.cpu_millis) == max_cpu);
     records
 }
 
--- a/crates/front/src/nodes/registration.rs
+++ b/crates/front/src/nodes/registration.rs
@@ -1,4 +1,4 @@
-//! Keeps this node's own record, under a lease.
+//! Maintains this node's record under a lease.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,24 +7,25 @@
 use crate::activity::Activity;
 use crate::coordination::{Coordination, CoordinationError, LeaseId};
 
-/// How long the record of a node that others work with outlives it.
-const NODE_LEASE: Duration = Duration::from_secs(3);
+/// Lease of a node that others work with.
+const SHORT_LEASE: Duration = Duration::from_secs(3);
 
-/// Between renewals of that.
-const RENEWAL: Duration = Duration::from_secs(1);
+/// Renewal interval of the short lease.
+const SHORT_RENEWAL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The same for a front without work that is none of the strongest: nobody hands it any, and whoever calls it notices that it is
-/// gone. With hundreds of nodes the renewals are a sixth of what the store's calls cost.
-const IDLE_LEASE: Duration = Duration::from_secs(9);
+/// Lease of a front that has no work and is not one of the strongest, which gets no jobs from other
+/// nodes and whose absence is noticed when a call to it fails. The long lease saves calls to the
+/// store.
+const LONG_LEASE: Duration = Duration::from_secs(9);
 
-/// Between renewals of that. They also show whether the store answers: a configuration counts as the newest for 2.5 s after that
-/// (`ingress`).
-const IDLE_RENEWAL: Duration = Duration::from_millis(2_200);
+/// Renewal interval of the long lease. Renewals also show whether the store answers: `ingress`
+/// treats the configuration as current for 2.5 s after an answer.
+const LONG_RENEWAL_INTERVAL: Duration = Duration::from_millis(2_200);
 
-/// Pause after a failed renewal or registration.
-const RETRY_PAUSE: Duration = Duration::from_millis(250);
+/// Delay after a failed renewal or registration.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// How long a record outlives its node.
+/// Length of the lease of this node's record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum LeaseKind {
     Short,
@@ -32,10 +33,10 @@
 }
 
 impl LeaseKind {
-    /// What this node's record needs now.
+    /// Returns the lease that this node's record currently needs.
     fn needed(nodes: &Nodes, activity: &Activity) -> Self {
         let has_work = nodes.own().role == NodeRole::Store || activity.is_active();
-        if has_work || nodes.knows_others() && nodes.is_strongest() {
+        if has_work || nodes.knows_other_fronts() && nodes.is_strongest() {
             Self::Short
         } else {
             Self::Long
@@ -44,28 +45,28 @@
 
     fn ttl(self) -> Duration {
         match self {
-            Self::Short => NODE_LEASE,
-            Self::Long => IDLE_LEASE,
+            Self::Short => SHORT_LEASE,
+            Self::Long => LONG_LEASE,
         }
     }
 
     fn renewal(self) -> Duration {
         match self {
-            Self::Short => RENEWAL,
-            Self::Long => IDLE_RENEWAL,
+            Self::Short => SHORT_RENEWAL_INTERVAL,
+            Self::Long => LONG_RENEWAL_INTERVAL,
         }
     }
 }
 
-/// Why a lease is renewed no more.
+/// Reason for which a lease is no longer renewed.
 enum LeaseEnd {
-    /// It is over, or may be.
-    Over,
-    /// The record needs a shorter one.
+    /// The lease expired, or may have.
+    Expired,
+    /// The record needs the short lease.
     TooLong,
 }
 
-/// Keeps the record for as long as the future is polled.
+/// Maintains the record until the future is dropped.
 pub(super) async fn keep(nodes: &Nodes, coordination: &Arc<dyn Coordination>, activity: &Activity) {
     loop {
         let kind = LeaseKind::needed(nodes, activity);
@@ -73,15 +74,15 @@
             Ok(lease) => lease,
             Err(error) => {
                 log::warn!("event=node_not_registered cause=\"{error}\"");
-                tokio::time::sleep(RETRY_PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
                 continue;
             }
         };
         let node = nodes.own().node;
         let ttl = kind.ttl().as_millis();
         log::info!("event=node_registered node={node} lease={lease} ttl_ms={ttl}");
-        match renew_until_over(nodes, coordination, lease, kind, activity).await {
-            LeaseEnd::Over => log::warn!("event=node_lease_over node={node} lease={lease}"),
+        match renew_until_ended(nodes, coordination, lease, kind, activity).await {
+            LeaseEnd::Expired => log::warn!("event=node_lease_over node={node} lease={lease}"),
             LeaseEnd::TooLong => log::info!("event=node_lease_too_long node={node} lease={lease}"),
         }
     }
@@ -94,7 +95,7 @@
 ) -> Result<LeaseId, CoordinationError> {
     let lease = coordination.grant(kind.ttl()).await?;
     write_record(nodes, coordination, lease).await?;
-    nodes.note_contact();
+    nodes.record_store_contact();
     Ok(lease)
 }
 
@@ -109,8 +110,8 @@
     coordination.put(&key, value, Some(lease)).await
 }
 
-/// Returns once the lease is over, or too long.
-async fn renew_until_over(
+/// Renews the lease until it has expired or is too long.
+async fn renew_until_ended(
     nodes: &Nodes,
     coordination: &Arc<dyn Coordination>,
     lease: LeaseId,
@@ -124,7 +125,7 @@
             () = activity.active(), if kind == LeaseKind::Long => return LeaseEnd::TooLong,
             _ = own_changed.changed() => {
                 if write_record(nodes, coordination, lease).await.is_err() {
-                    return LeaseEnd::Over;
+                    return LeaseEnd::Expired;
                 }
             }
         }
@@ -132,11 +133,11 @@
             return LeaseEnd::TooLong;
         }
         match coordination.renew(lease).await {
-            Ok(()) => nodes.note_contact(),
-            Err(CoordinationError::LeaseOver) => return LeaseEnd::Over,
+            Ok(()) => nodes.record_store_contact(),
+            Err(CoordinationError::LeaseOver) => return LeaseEnd::Expired,
             Err(error) => {
                 log::warn!("event=node_lease_not_renewed cause=\"{error}\"");
-                tokio::time::sleep(RETRY_PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
--- a/crates/front/src/program.rs
+++ b/crates/front/src/program.rs
@@ -1,4 +1,5 @@
-//! What both programs share: options, the journal, and the listener for other nodes.
+//! Parts shared by both programs: options, the journal, and the handler of requests from other
+//! nodes.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -26,77 +27,78 @@
 use crate::suspects::Suspects;
 use crate::usage::UsageMeter;
 
-/// Between an owner's heartbeats to the replicas.
-const OWNER_HEARTBEAT: Duration = Duration::from_millis(300);
+/// Interval between an owner's heartbeats to the replicas.
+const OWNER_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// After this long without a heartbeat a job's owner is replaced.
+/// Time without a heartbeat after which a job's owner is replaced.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// Longest round of calls to the replicas.
+/// Timeout of a round of calls to the replicas.
 const ROUND_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Between looks at the replica set.
-const SET_POLL: Duration = Duration::from_millis(400);
+/// Interval between reads of the replica set.
+const REPLICA_SET_POLL_INTERVAL: Duration = Duration::from_millis(400);
 
-/// How long a replica must be missing before another disk takes its place.
-const REPLACE_AFTER: Duration = Duration::from_millis(600);
+/// Time for which a replica must be missing before another disk replaces it.
+const REPLICA_REPLACEMENT_DELAY: Duration = Duration::from_millis(600);
 
-/// What a program is started with, besides what reaches the outside.
+/// Options of a program, apart from its connections to external systems.
 #[derive(Debug, Clone)]
 pub struct ProgramOptions {
-    /// Name of this node; stays the same over restarts.
+    /// Name of this node; stable across restarts.
     pub node: String,
-    /// Zone it runs in.
+    /// Zone of this node.
     pub zone: String,
-    /// Regions of all zones; empty where the deployment has none.
+    /// Regions of all zones; empty if the deployment has none.
     pub regions: RegionMap,
-    /// Where other nodes reach it.
+    /// Address on which other nodes reach this one.
     pub peer_address: SocketAddr,
-    /// Folder for the journal's replica, if it has a disk.
+    /// Folder of the journal's replica, if the node has a disk.
     pub data_folder: Option<PathBuf>,
-    /// Where figures are served, if anywhere.
+    /// Listen address of the metrics endpoint, if enabled.
     pub metrics_address: Option<SocketAddr>,
     /// The whole system starts for the first time.
     pub is_first_start: bool,
-    /// Disks that may be lost at once.
+    /// Number of disks that may be lost at once.
     pub tolerated_losses: usize,
-    /// How long a batch job can be read after it was handed in.
+    /// Time after its submission for which a batch job stays readable.
     pub job_retention: Duration,
-    /// Least time between orders of two givers; none is needed where instances refuse those of an earlier one.
+    /// Minimum time between orders of two order leaders. Zero where instances reject the orders of
+    /// an earlier one.
     pub order_quiet: Duration,
-    /// Processor time of this machine, in thousandths of a core; 0: unknown.
+    /// CPU time available on this machine, in thousandths of a core; 0: unknown.
     pub cpu_millis: u32,
-    /// How long a stop may take.
+    /// Maximum duration of a planned shutdown.
     pub grace: Duration,
-    /// Counts calls to the coordination store.
+    /// Counter of calls to the coordination store.
     pub store_calls: StoreCalls,
 }
 
 impl ProgramOptions {
-    /// Region that the node runs in; empty: none.
+    /// Returns the region of this node; empty: none.
     pub(crate) fn own_region(&self) -> String {
         let region = self.regions.region_of(&self.zone);
         region.unwrap_or_default().to_owned()
     }
 
-    /// Options of the journal at this node.
+    /// Returns the journal's options for this node.
     pub fn journal(&self) -> JournalOptions {
         JournalOptions {
             node: self.node.clone(),
             initial_replicas: InitialReplicas::Count(2 * self.tolerated_losses + 1),
             may_bootstrap: self.is_first_start,
             tended_prefix: LOG_PREFIX,
-            owner_heartbeat: OWNER_HEARTBEAT,
+            owner_heartbeat: OWNER_HEARTBEAT_INTERVAL,
             owner_timeout: OWNER_TIMEOUT,
             round_timeout: ROUND_TIMEOUT,
-            poll: SET_POLL,
-            longest_pause: SET_POLL,
-            replace_after: REPLACE_AFTER,
+            poll: REPLICA_SET_POLL_INTERVAL,
+            longest_pause: REPLICA_SET_POLL_INTERVAL,
+            replace_after: REPLICA_REPLACEMENT_DELAY,
         }
     }
 }
 
-/// The journal at this node and what keeps it running.
+/// The journal at this node and the task that maintains its replica set.
 pub(crate) struct JournalParts {
     pub journal: Journal,
     pub replica_sets: ReplicaSets,
@@ -133,7 +135,7 @@
     }
 }
 
-/// Tells the jobs what the journal learns. The journal of these programs carries no bundle.
+/// Forwards journal events to the jobs. The journal of these programs carries no bundle.
 pub(crate) struct JobHooks {
     pub jobs: Option<JobRegistry>,
 }
@@ -168,8 +170,8 @@
     }
 }
 
-/// What answers other nodes.
-pub(crate) struct PeerParts {
+/// Services that answer requests from other nodes.
+pub(crate) struct PeerServices {
     pub journal: Journal,
     pub replica_sets: ReplicaSets,
     pub jobs: Option<JobRegistry>,
@@ -178,20 +180,22 @@
     pub permits: Option<PermitDealer>,
 }
 
-/// Answers other nodes once the parts are there.
+/// Handles requests from other nodes; rejects them until the services are set.
 #[derive(Clone, Default)]
 pub(crate) struct PeerHandler {
-    pub parts: Arc<OnceLock<PeerParts>>,
+    pub services: Arc<OnceLock<PeerServices>>,
 }
 
 impl Handler for PeerHandler {
     fn handle(&self, request: Request) -> Pin<Box<dyn Future<Output = Response> + Send + '_>> {
         Box::pin(async move {
-            let Some(parts) = self.parts.get() else {
+            let Some(services) = self.services.get() else {
                 return refuse(Reason::NOT_READY, "starting");
             };
             match request.kind {
-                RequestKind::fetch_replica_set(_) => parts.replica_sets.handle_fetch_replica_set(),
+                RequestKind::fetch_replica_set(_) => {
+                    services.replica_sets.handle_fetch_replica_set()
+                }
                 kind @ (RequestKind::read_job(_)
                 | RequestKind::read_job_body(_)
                 | RequestKind::end_job(_)
@@ -200,19 +204,19 @@
                 | RequestKind::weight_news(_)
                 | RequestKind::giver_end(_)
                 | RequestKind::accept_job(_)
-                | RequestKind::shard_notice(_)) => match &parts.jobs {
+                | RequestKind::shard_notice(_)) => match &services.jobs {
                     Some(jobs) => jobs.handle(kind).await,
                     None => refuse(Reason::MALFORMED, "no jobs at this node"),
                 },
                 kind @ (RequestKind::usage_note(_) | RequestKind::read_usage(_)) => {
-                    match &parts.usage {
+                    match &services.usage {
                         Some(meter) => Response {
                             kind: meter.answer(kind),
                         },
                         None => refuse(Reason::MALFORMED, "no counts of use at this node"),
                     }
                 }
-                RequestKind::suspect_news(news) => match &parts.suspects {
+                RequestKind::suspect_news(news) => match &services.suspects {
                     Some(suspects) => {
                         suspects.take_news(&news);
                         Response {
@@ -222,7 +226,7 @@
                     None => refuse(Reason::MALFORMED, "no requests at this node"),
                 },
                 RequestKind::ask_send_permits(asked) => {
-                    let dealt = parts.permits.as_ref().and_then(|one| one.deal(&asked));
+                    let dealt = services.permits.as_ref().and_then(|one| one.deal(&asked));
                     match dealt {
                         Some(dealt) => Response {
                             kind: ResponseKind::send_permits(dealt),
@@ -231,7 +235,7 @@
                     }
                 }
                 RequestKind::None => refuse(Reason::MALFORMED, "no known request"),
-                kind => parts.journal.handle(kind).await,
+                kind => services.journal.handle(kind).await,
             }
         })
     }
--- a/crates/front/src/roster/drains.rs
+++ b/crates/front/src/roster/drains.rs
@@ -1,16 +1,16 @@
-//! Learns which zones are to be drained: from the roster while it names them, else from the operator's records.
+//! Tracks the drained zones: from the roster if it names them, or else from the operator's records.
 
 use super::reader::{DirectSource, DrainFollowing, KnownRoster, RosterReader};
 use super::record::RosterDrains;
 
 impl<S: DirectSource> RosterReader<S> {
-    /// Feeds the set of drained zones for as long as the future is polled.
+    /// Updates the set of drained zones until the future is dropped.
     pub(super) async fn feed_drains(&self, known: &KnownRoster) {
         let Some(following) = &self.drains else {
             return std::future::pending().await;
         };
         if self.options.is_some() {
-            self.begins_by_roster(known).await;
+            self.wait_for_first_roster(known).await;
         }
         loop {
             self.follow_roster_drains(following, known).await;
@@ -24,25 +24,25 @@
         }
     }
 
-    /// Takes the zones from the roster until it names none or older ones, or this node may have to write it: then they must come from the
-    /// records.
+    /// Applies the zones of the roster until the roster names none or older ones, or this node may
+    /// have to write the roster, which requires the operator's records.
     async fn follow_roster_drains(&self, following: &DrainFollowing, known: &KnownRoster) {
         let mut changed = known.subscribe();
-        let mut taken_at = 0;
+        let mut applied_at = 0;
         while !following.keeps_roster.is_active() {
             let roster = changed.borrow_and_update().clone();
             let Some(drains) = roster.and_then(|roster| roster.drains.clone()) else {
                 return;
             };
-            let zones = drains.shared_zones();
-            if drains.known_at < taken_at && *self.backends.gates().drained.current() != zones {
+            let zones = drains.to_zone_set();
+            if drains.known_at < applied_at && *self.backends.gates().drained.current() != zones {
                 log::warn!(
-                    "event=drains_older known_at={} taken={taken_at}",
+                    "event=drains_older known_at={} taken={applied_at}",
                     drains.known_at
                 );
                 return;
             }
-            taken_at = taken_at.max(drains.known_at);
+            applied_at = applied_at.max(drains.known_at);
             self.backends.set_drained(zones);
             tokio::select! {
                 _ = changed.changed() => {}
@@ -51,7 +51,8 @@
         }
     }
 
-    /// Returns once a roster that this node does not keep names zones that are as new as those known here.
+    /// Returns once this node does not write the roster and the roster's zones are at least as new
+    /// as those known here.
     async fn wait_for_current_drains(&self, following: &DrainFollowing, known: &KnownRoster) {
         let mut changed = known.subscribe();
         loop {
@@ -59,19 +60,20 @@
             following.keeps_roster.idle().await;
             let roster = changed.borrow_and_update().clone();
             let drains = roster.and_then(|roster| roster.drains.clone());
-            if drains.is_some_and(|drains| self.are_current(following, &drains)) {
+            if drains.is_some_and(|drains| self.is_drain_set_current(following, &drains)) {
                 return;
             }
-            // The sender lives as long as this node follows the roster.
+            // The caller owns the sender, so this does not fail.
             let _ = changed.changed().await;
         }
     }
 
-    /// Whether they are no older than those known here, which are never replaced by older ones.
-    fn are_current(&self, following: &DrainFollowing, drains: &RosterDrains) -> bool {
+    /// Returns whether the roster's zones are at least as new as, or the same as, those known here.
+    /// Known zones are never replaced by older ones.
+    fn is_drain_set_current(&self, following: &DrainFollowing, drains: &RosterDrains) -> bool {
         let Some(at) = following.view.known_at() else {
             return false;
         };
-        drains.known_at >= at || *self.backends.gates().drained.current() == drains.shared_zones()
+        drains.known_at >= at || *self.backends.gates().drained.current() == drains.to_zone_set()
     }
 }
--- a/crates/front/src/roster/mod.rs
+++ b/crates/front/src/roster/mod.rs
@@ -1,15 +1,19 @@
-//! One record of the instances that live requests go to, for the many fronts that need to know no more.
+//! A single record of the instances that live requests may go to, for the fronts that need nothing
+//! else.
 //!
-//! Discovery's records change with each load of weights, several times a second in all, and a front must hear within the notice
-//! time that an instance leaves. A fleet in which each front follows these records pays for one answer about every second at
-//! each front, mostly about weights that only owners of batch jobs and the giver of orders use. The giver follows the records
-//! closely in any case. It keeps the *roster*: one leased record of the instances of all services that live requests may go to,
-//! without their weights, written only when one comes, leaves or goes. A front without other work follows the roster; one with
-//! such work, without a roster, or with a configuration that names other services follows discovery itself.
+//! Discovery's records change with every load of weights, several times per second in total. If
+//! every front followed them, each would pay for about one watch answer per second, mostly about
+//! weights that only owners of batch jobs and the order leader use. The order leader therefore
+//! maintains the *roster*: one leased record of the instances of all services that live requests
+//! may go to, without their weights, which changes only when an instance is added, leaves or is
+//! removed. A front follows the roster, and follows discovery itself only while it has work that
+//! needs the weights, while there is no roster, or while its configuration names services that the
+//! roster lacks.
 //!
-//! A front must not trust a roster that nobody keeps any more. The record goes with its lease soon after its writer dies, freezes
-//! or loses the store, and the writer stops renewing the lease when its own following of discovery fails. [`RosterOptions`] shares
-//! the notice time among these steps.
+//! A front must not use a roster that is no longer maintained. The record's lease expires soon
+//! after its writer dies, freezes or loses the store, and a writer whose own watch of discovery
+//! fails stops renewing the lease. [`RosterOptions`] divides the maximum delay of changes among
+//! these steps.
 
 mod drains;
 mod options;
@@ -24,5 +28,5 @@
 pub use view::DirectView;
 pub use writer::RosterWriter;
 
-/// The record.
+/// Key of the roster.
 pub const ROSTER_KEY: &str = "ladderstage/instances/roster";
--- a/crates/front/src/roster/options.rs
+++ b/crates/front/src/roster/options.rs
@@ -1,57 +1,59 @@
-//! How the time within which all fronts must hear of a change is shared.
+//! Timing of the roster, derived from the maximum delay of changes.
 
 use std::time::Duration;
 
-/// Shortest lease of the roster, which goes this long after the last renewal of a writer that died. Three renewals fit into it
-/// while the store takes 0.3 s for each.
-const LEAST_LEASE: Duration = Duration::from_secs(1);
+/// Minimum lease of the roster. Allows three renewals to a store that takes 0.3 s for each.
+const MIN_LEASE: Duration = Duration::from_secs(1);
 
-/// Longest gathering: beyond this it saves hardly any calls.
-const MOST_GATHER: Duration = Duration::from_millis(800);
+/// Maximum batch interval; a longer one saves few calls.
+const MAX_BATCH_INTERVAL: Duration = Duration::from_millis(800);
 
-/// Shortest gathering that makes the roster worth its writes.
-const LEAST_GATHER: Duration = Duration::from_millis(200);
+/// Minimum batch interval for which the roster is worth its writes.
+const MIN_BATCH_INTERVAL: Duration = Duration::from_millis(200);
 
-/// From so many fronts on there is a roster. It costs its writer about three calls a second, for closer following, and saves
-/// each idle front about half a call a second; on a small fleet nearly every front has work.
-const LEAST_FRONTS: usize = 16;
+/// Minimum number of fronts for a roster. It costs its writer about three calls per second and
+/// saves each idle front about half a call per second; in small fleets few fronts are idle.
+const MIN_FRONTS: usize = 16;
 
-/// How long a node of a system that starts for the first time waits for a roster: it is written once the instances have settled, 7 s
-/// after the start at most (`writer`), and the giver of orders has its lease.
+/// Time for which a node waits for a roster when the whole system starts for the first time. The
+/// roster is written once the instances have settled (`writer`) and the order leader has its lease.
 pub const FIRST_START_WAIT: Duration = Duration::from_secs(8);
 
-/// The same for a node that is started again: a roster that is there is known with the first answer of the store.
+/// Time for which a restarted node waits for a roster. An existing roster is in the first answer of
+/// the store.
 pub const RESTART_WAIT: Duration = Duration::from_millis(500);
 
-/// When there is a roster, and its times.
+/// Timing of the roster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RosterOptions {
-    /// How long the record outlives its writer.
+    /// Lease of the record, which outlives its writer by at most this time.
     pub lease: Duration,
-    /// Between two answers of discovery at the writer.
+    /// Interval between watch answers of discovery at the writer.
     pub writer_gather: Duration,
-    /// Between two answers about the roster at a reader.
-    pub reader_gather: Duration,
-    /// From so many fronts on there is a roster.
-    pub least_fronts: usize,
+    /// Interval between watch answers about the roster at a reader.
+    pub reader_batch_interval: Duration,
+    /// Minimum number of fronts for a roster.
+    pub min_fronts: usize,
 }
 
 impl RosterOptions {
-    /// Times by which a change reaches all readers within `limit`, also if the writer dies just before it writes the change;
-    /// `None` if there are none. `store_lease` is the shortest lease that the store grants.
+    /// Returns the timing with which a change reaches all readers within `limit`, even if the
+    /// writer dies just before it writes the change; `None` if `limit` is too short. `store_lease`
+    /// is the shortest lease that the store grants.
     pub fn within(limit: Duration, store_lease: Duration) -> Option<Self> {
-        let lease = store_lease.max(LEAST_LEASE);
-        let gather = (limit.checked_sub(lease)? / 2).min(MOST_GATHER);
-        (gather >= LEAST_GATHER).then_some(Self {
+        let lease = store_lease.max(MIN_LEASE);
+        let batch_interval = (limit.checked_sub(lease)? / 2).min(MAX_BATCH_INTERVAL);
+        (batch_interval >= MIN_BATCH_INTERVAL).then_some(Self {
             lease,
-            writer_gather: gather,
-            reader_gather: gather,
-            least_fronts: LEAST_FRONTS,
+            writer_gather: batch_interval,
+            reader_batch_interval: batch_interval,
+            min_fronts: MIN_FRONTS,
         })
     }
 
-    /// The longest that a change takes to reach a reader, calls not counted.
-    pub fn longest(&self) -> Duration {
-        self.writer_gather + self.lease + self.reader_gather
+    /// Returns the maximum delay of a change until it reaches a reader, excluding the duration of
+    /// calls.
+    pub fn max_delay(&self) -> Duration {
+        self.writer_gather + self.lease + self.reader_batch_interval
     }
 }
--- a/crates/front/src/roster/reader.rs
+++ b/crates/front/src/roster/reader.rs
@@ -1,4 +1,4 @@
-//! Learns of instances: by the roster while nothing here needs to know more, else from discovery itself.
+//! Tracks the instances: from the roster unless work at this node requires discovery itself.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,56 +11,56 @@
 use crate::config::ConfigInForce;
 use crate::coordination::{Change, Coordination, Follower, Record, Update, follow_with};
 
-/// Discovery is followed for so long after the last work: a front that is handed steps gets one every few seconds, and one that
-/// rests needs a listing before it starts a step.
-const REST_AFTER_WORK: Duration = Duration::from_secs(15);
+/// Time after the last work for which discovery is followed. A front that gets steps gets one every
+/// few seconds, and switching back costs a listing before a step can start.
+const DISCOVERY_LINGER: Duration = Duration::from_secs(15);
 
-/// Discovery's own records.
+/// Follows the discovery records and the operator's drain records.
 pub trait DirectSource: Send + Sync {
-    /// Follows them into the table of instances for as long as the future is polled, and notes in `view` as of when they are
-    /// known.
+    /// Applies the discovery records to the table of instances until the future is dropped, and
+    /// sets in `view` the revision as of which they are known.
     fn follow(&self, view: &DirectView) -> impl Future<Output = ()> + Send;
 
-    /// The same for the zones that are to be drained.
+    /// Applies the drain records in the same way.
     fn follow_drains(&self, view: &DirectView) -> impl Future<Output = ()> + Send;
 }
 
-/// Where the operator may have zones drained.
+/// State for tracking drained zones, in deployments that have them.
 #[derive(Debug, Clone)]
 pub struct DrainFollowing {
-    /// As of when the drained zones are known here from the store.
+    /// Revision as of which this node knows the drained zones from the store.
     pub view: DirectView,
-    /// Counts while this node may keep the roster.
+    /// Active while this node may write the roster.
     pub keeps_roster: Activity,
 }
 
-/// Feeds the table of instances.
+/// Keeps the table of instances up to date.
 pub struct RosterReader<S> {
-    /// The store.
+    /// Coordination store.
     pub coordination: Arc<dyn Coordination>,
-    /// The instances.
+    /// Table of instances.
     pub backends: BackendTable,
-    /// The configuration.
+    /// Current configuration.
     pub config: ConfigInForce,
-    /// As of when they are known here from discovery itself.
+    /// Revision as of which this node knows the instances from discovery.
     pub view: DirectView,
-    /// Work here that needs to know the instances' weights, and of changes soon.
+    /// Work at this node that needs the instances' weights or prompt updates.
     pub activity: Activity,
-    /// `None`: the notice time is too short for a roster.
+    /// Timing; `None`: there is no roster.
     pub options: Option<RosterOptions>,
-    /// `None`: no zone is drained in this deployment.
+    /// State for drained zones; `None`: this deployment drains no zones.
     pub drains: Option<DrainFollowing>,
-    /// How long a node that has just started waits for a roster before it follows discovery.
+    /// Time for which a starting node waits for a roster before it follows discovery.
     pub first_wait: Duration,
-    /// Discovery.
+    /// Discovery records.
     pub source: S,
 }
 
-/// The roster as the store told last; `None`: there is none.
+/// Latest roster read from the store; `None`: there is none.
 pub(super) type KnownRoster = watch::Sender<Option<Arc<Roster>>>;
 
 impl<S: DirectSource> RosterReader<S> {
-    /// Feeds the table for as long as the future is polled.
+    /// Updates the table until the future is dropped.
     pub async fn run(&self) {
         if self.drains.is_some() {
             self.backends.gates().drained.await_first();
@@ -71,7 +71,7 @@
             return;
         };
         let mut follower = RosterFollower {
-            gather: options.reader_gather,
+            batch_interval: options.reader_batch_interval,
             known: &known,
         };
         let following = follow_with(Arc::clone(&self.coordination), ROSTER_KEY, &mut follower);
@@ -79,22 +79,23 @@
     }
 
     async fn feed(&self, known: &KnownRoster) {
-        if self.begins_by_roster(known).await {
-            self.go_by_roster(known).await;
+        if self.wait_for_first_roster(known).await {
+            self.use_roster(known).await;
         }
         loop {
             tokio::select! {
                 () = self.source.follow(&self.view) => return,
-                () = self.may_rest(known) => {}
+                () = self.wait_until_roster_suffices(known) => {}
             }
             self.view.note_resting();
-            self.go_by_roster(known).await;
+            self.use_roster(known).await;
         }
     }
 
-    /// Waits for a roster at the start, until work begins or a request needs instances. A fleet whose nodes all list discovery as they
-    /// start, and hear of each instance that starts beside them, pays for that many times.
-    pub(super) async fn begins_by_roster(&self, known: &KnownRoster) -> bool {
+    /// Waits for a usable roster at startup, until work starts, a request needs instances, or the
+    /// wait times out; returns whether there is one. Otherwise all nodes of a starting fleet would
+    /// list discovery and follow every instance that starts beside them.
+    pub(super) async fn wait_for_first_roster(&self, known: &KnownRoster) -> bool {
         if self.first_wait.is_zero() {
             return false;
         }
@@ -107,7 +108,7 @@
         }
     }
 
-    async fn go_by_roster(&self, known: &KnownRoster) {
+    async fn use_roster(&self, known: &KnownRoster) {
         log::info!("event=instances_by_roster");
         self.follow_roster(known).await;
         log::info!(
@@ -116,50 +117,54 @@
         );
     }
 
-    /// Returns once there has been no work for a while and the roster is as good as what is known from discovery.
-    async fn may_rest(&self, known: &KnownRoster) {
+    /// Returns once there has been no work for a while and the roster is as new as discovery's
+    /// records known here.
+    async fn wait_until_roster_suffices(&self, known: &KnownRoster) {
         loop {
             if self.activity.is_active() {
-                self.activity.rested(REST_AFTER_WORK).await;
+                self.activity.rested(DISCOVERY_LINGER).await;
             }
             tokio::select! {
-                () = self.roster_is_as_new(known) => return,
+                () = self.wait_for_current_roster(known) => return,
                 () = self.activity.active() => {}
             }
         }
     }
 
-    async fn roster_is_as_new(&self, known: &KnownRoster) {
+    async fn wait_for_current_roster(&self, known: &KnownRoster) {
         let mut changed = known.subscribe();
         loop {
             let roster = changed.borrow_and_update().clone();
-            if roster.is_some_and(|roster| self.is_as_new(&roster)) {
+            if roster.is_some_and(|roster| self.is_current(&roster)) {
                 return;
             }
-            // The sender lives as long as this node follows the roster.
+            // The caller owns the sender, so this does not fail.
             let _ = changed.changed().await;
         }
     }
 
-    /// What is known here never goes back.
-    fn is_as_new(&self, roster: &Roster) -> bool {
+    /// Returns whether the roster covers the configuration and is at least as new as, or the same
+    /// as, the instances known here. Known instances are never replaced by older ones.
+    fn is_current(&self, roster: &Roster) -> bool {
         let Some(at) = self.view.known_at() else {
             return false;
         };
         let known_here = || {
             let drains = roster.drains.clone();
-            Roster::of(&self.backends, roster.services.clone(), at, drains)
+            Roster::from_table(&self.backends, roster.services.clone(), at, drains)
         };
-        self.covers_config(roster) && (roster.known_at >= at || roster.is_same(&known_here()))
+        self.covers_config(roster) && (roster.known_at >= at || roster.is_equivalent(&known_here()))
     }
 
-    /// Whether the roster names the instances of all services that live requests may go to here.
+    /// Returns whether the roster includes all services that live requests may go to by the
+    /// configuration here.
     fn covers_config(&self, roster: &Roster) -> bool {
         let config = self.config.current();
         config.is_none_or(|config| config.live_services().is_subset(&roster.services))
     }
 
-    /// Feeds the table from the roster until that is gone or does not do, or work begins here.
+    /// Applies the roster until it is gone or does not cover the configuration, or work starts
+    /// here.
     async fn follow_roster(&self, known: &KnownRoster) {
         let mut changed = known.subscribe();
         let mut config = self.config.watch();
@@ -179,12 +184,12 @@
 }
 
 struct RosterFollower<'a> {
-    gather: Duration,
+    batch_interval: Duration,
     known: &'a KnownRoster,
 }
 
 impl RosterFollower<'_> {
-    fn written(&self, record: &Record) {
+    fn install(&self, record: &Record) {
         match Roster::read(&record.value) {
             Ok(roster) => {
                 self.known.send_replace(Some(Arc::new(roster)));
@@ -201,26 +206,26 @@
 }
 
 impl Follower for RosterFollower<'_> {
-    /// A node that has just started trusts a roster that is some seconds old for as long as the watch takes.
+    /// A starting node uses a roster that may lag by some seconds until the watch is answered.
     fn may_begin_stale(&self) -> bool {
         true
     }
 
     fn pause(&self) -> impl Future<Output = ()> + Send {
-        tokio::time::sleep(self.gather)
+        tokio::time::sleep(self.batch_interval)
     }
 
     fn take(&mut self, update: Update, _at: u64) {
         match update {
             Update::Snapshot(records) => match records.iter().find(|one| one.key == ROSTER_KEY) {
-                Some(record) => self.written(record),
+                Some(record) => self.install(record),
                 None => {
                     self.known.send_replace(None);
                 }
             },
-            // The last change tells how it is now.
+            // Only the last change reflects the current state.
             Update::Changes(changes) => match changes.last() {
-                Some(Change::Written(record)) => self.written(record),
+                Some(Change::Written(record)) => self.install(record),
                 Some(Change::Removed { .. }) => {
                     self.known.send_replace(None);
                 }
--- a/crates/front/src/roster/record.rs
+++ b/crates/front/src/roster/record.rs
@@ -1,4 +1,4 @@
-//! What the roster's record holds.
+//! Contents of the roster's record.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -7,40 +7,40 @@
 
 use crate::backend::{BackendTable, Discovered};
 
-/// The zones that are to be drained as of a revision of the store.
+/// Drained zones as of a revision of the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RosterDrains {
-    /// Revision of the store as of which the writer knew them.
+    /// Store revision as of which the writer knew the zones.
     pub known_at: u64,
-    /// The zones.
+    /// Names of the zones.
     pub zones: BTreeSet<String>,
 }
 
 impl RosterDrains {
-    /// The zones as they are shared within a node.
-    pub fn shared_zones(&self) -> BTreeSet<Arc<str>> {
+    /// Returns the zones in the form used within a node.
+    pub fn to_zone_set(&self) -> BTreeSet<Arc<str>> {
         self.zones.iter().map(|zone| zone.as_str().into()).collect()
     }
 }
 
-/// The instances that live requests may go to as of a revision of the store, without their weights.
+/// Instances that live requests may go to, as of a revision of the store and without their weights.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Roster {
-    /// Revision of the store as of which the writer knew them.
+    /// Store revision as of which the writer knew the instances.
     pub known_at: u64,
-    /// Services whose instances it names.
+    /// Services that are included.
     pub services: BTreeSet<String>,
-    /// All instances of these services, sorted by id. Those of drained zones are not ready, for readers of older builds, which do not know
-    /// `drains`.
+    /// All instances of these services, sorted by id. Those in drained zones are marked as not
+    /// ready, for readers of older builds, which ignore `drains`.
     pub instances: Vec<Discovered>,
-    /// The zones that are to be drained; `None`: the writer does not know.
+    /// Drained zones; `None`: unknown to the writer.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub drains: Option<RosterDrains>,
 }
 
 impl Roster {
-    /// The instances of some services in a table that is known as of a revision.
-    pub fn of(
+    /// Creates the roster of some services from a table known as of a revision.
+    pub fn from_table(
         table: &BackendTable,
         services: BTreeSet<String>,
         known_at: u64,
@@ -53,7 +53,8 @@
             let zones = drains.as_ref().map(|drains| &drains.zones);
             let is_drained = |zones: &BTreeSet<String>| zones.contains(&instance.zone);
             instance.is_ready &= !zones.is_some_and(is_drained);
-            // It counts down: the roster would be written again with each record of the instance.
+            // The remaining time decreases with each record of the instance, which would cause a
+            // write each time.
             instance.leaves_ms = None;
         });
         Self {
@@ -64,26 +65,26 @@
         }
     }
 
-    /// Bytes of the record.
+    /// Encodes the record.
     ///
     /// # Errors
-    /// When it cannot be written as JSON.
+    /// Returns an error when the JSON encoding fails.
     pub fn write(&self) -> Result<Vec<u8>, serde_json::Error> {
         serde_json::to_vec(self)
     }
 
-    /// Reads the bytes of a record.
+    /// Decodes a record.
     ///
     /// # Errors
-    /// When they are no roster.
+    /// Returns an error when the bytes are not a valid roster.
     pub fn read(bytes: &[u8]) -> Result<Self, serde_json::Error> {
         serde_json::from_slice(bytes)
     }
 
-    /// Whether another roster names the same services, instances and drained zones.
-    pub fn is_same(&self, other: &Self) -> bool {
-        // The time for which an instance stays cold counts down: only whether it is cold matters.
-        let is_same = |one: &Discovered, other: &Discovered| {
+    /// Returns whether another roster has the same services, instances and drained zones.
+    pub fn is_equivalent(&self, other: &Self) -> bool {
+        // The remaining cold time decreases: only whether the instance is cold matters.
+        let is_equivalent = |one: &Discovered, other: &Discovered| {
             let as_cold = Discovered {
                 cold_ms: other.cold_ms,
                 ..one.clone()
@@ -93,7 +94,7 @@
         let mut pairs = self.instances.iter().zip(&other.instances);
         self.services == other.services
             && self.instances.len() == other.instances.len()
-            && pairs.all(|(one, other)| is_same(one, other))
+            && pairs.all(|(one, other)| is_equivalent(one, other))
             && self.drained_zones() == other.drained_zones()
     }
 
@@ -101,8 +102,9 @@
         self.drains.as_ref().map(|drains| &drains.zones)
     }
 
-    /// Makes a table hold exactly these instances of the roster's services. What it knows of weights and of other services stays:
-    /// it is the best there is when work begins while the store does not answer.
+    /// Replaces the instances of the roster's services in a table. Known weights and instances of
+    /// other services are kept, as they are the best information if work starts while the store
+    /// does not answer.
     pub fn apply(&self, table: &BackendTable) {
         let ids: Vec<String> = self.instances.iter().map(|one| one.id.clone()).collect();
         table.retain(&ids, |instance| self.services.contains(&instance.service));
--- a/crates/front/src/roster/view.rs
+++ b/crates/front/src/roster/view.rs
@@ -1,60 +1,61 @@
-//! Whether this node follows discovery itself, and as of when.
+//! Revision as of which this node knows records from following them itself.
 
 use tokio::sync::watch;
 
-/// What this node knows from its own following of discovery.
+/// State of following the records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-enum Known {
-    /// Discovery is not followed, or has not answered yet.
+enum Knowledge {
+    /// The records are not followed, or the store has not answered yet.
     #[default]
-    Nothing,
-    /// All instances as of a revision of the store.
+    Unfollowed,
+    /// All records are known as of a store revision.
     AsOf(u64),
-    /// The store does not answer: what was known before is the best there is.
-    Lost,
+    /// The store does not answer, and the last known records are the best available.
+    Unavailable,
 }
 
-/// State of this node's own following of discovery. Cheap to clone.
+/// Shared state of following discovery or drain records directly. Cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub struct DirectView {
-    known: watch::Sender<Known>,
+    known: watch::Sender<Knowledge>,
 }
 
 impl DirectView {
-    /// Notes that the instances are known as of a revision.
+    /// Sets the revision as of which the records are known.
     pub fn note(&self, at: u64) {
-        self.known.send_replace(Known::AsOf(at));
+        self.known.send_replace(Knowledge::AsOf(at));
     }
 
-    /// Notes that the store does not answer.
+    /// Records that the store does not answer.
     pub fn note_lost(&self) {
-        self.known.send_replace(Known::Lost);
+        self.known.send_replace(Knowledge::Unavailable);
     }
 
-    /// Notes that discovery is followed no more.
+    /// Records that this node stopped following the records.
     pub fn note_resting(&self) {
-        self.known.send_replace(Known::Nothing);
+        self.known.send_replace(Knowledge::Unfollowed);
     }
 
-    /// Revision as of which the instances are known; `None`: they are not.
+    /// Returns the revision as of which the records are known; `None`: they are not.
     pub fn known_at(&self) -> Option<u64> {
         match *self.known.borrow() {
-            Known::AsOf(at) => Some(at),
-            Known::Nothing | Known::Lost => None,
+            Knowledge::AsOf(at) => Some(at),
+            Knowledge::Unfollowed | Knowledge::Unavailable => None,
         }
     }
 
-    /// Whether instances that the roster does not name may be used: their records were just read, or cannot be.
+    /// Returns whether instances that the roster lacks may be used: their records are up to date,
+    /// or cannot be read.
     pub fn is_usable(&self) -> bool {
-        *self.known.borrow() != Known::Nothing
+        *self.known.borrow() != Knowledge::Unfollowed
     }
 
-    /// Returns once the instances are known.
+    /// Waits until the records are known.
     pub async fn known(&self) {
         let mut known = self.known.subscribe();
-        // The sender lives as long as this view.
+        // `self` owns the sender, so this does not fail.
         let _ = known
-            .wait_for(|known| matches!(known, Known::AsOf(_)))
+            .wait_for(|known| matches!(known, Knowledge::AsOf(_)))
             .await;
     }
 }
--- a/crates/front/src/roster/writer.rs
+++ b/crates/front/src/roster/writer.rs
@@ -1,4 +1,4 @@
-//! Keeps the roster at the node that gives orders.
+//! Maintains the roster at the order leader.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,59 +12,60 @@
 use crate::coordination::{Coordination, CoordinationError, LeaseId, SwapResult};
 use crate::nodes::Nodes;
 
-/// Renewals per lease time: one may be lost, or slow, without the record going.
+/// Number of renewals within a lease, so that the record survives a lost or slow one.
 const RENEWALS_PER_LEASE: u32 = 3;
 
-/// Pause before a roster that could not be kept is begun anew, and between looks whether it is worth its calls.
-const RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// Delay before the roster is written again after a failure, and between checks for enough fronts.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Where there is no roster yet it is written once no instance has come or gone for this long: while a system starts they come one
-/// by one, and all fronts would be told of each.
-const SETTLED_AFTER: Duration = Duration::from_secs(2);
+/// Time without added or removed instances after which the first roster is written. Instances start
+/// one by one with the system, and every write is sent to all fronts.
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 
-/// Longest wait for that.
-const SETTLING_LIMIT: Duration = Duration::from_secs(5);
+/// Maximum wait for instances to settle.
+const MAX_SETTLE_WAIT: Duration = Duration::from_secs(5);
 
-/// Why a roster is kept no more under one lease.
+/// Reason for which the roster is no longer maintained under a lease.
 #[derive(Debug, thiserror::Error)]
 enum KeepError {
     #[error(transparent)]
     Store(#[from] CoordinationError),
-    #[error("too few fronts would read it")]
-    FewReaders,
+    #[error("too few fronts for a roster")]
+    TooFewFronts,
     #[error(transparent)]
-    Unwritable(#[from] serde_json::Error),
+    Encoding(#[from] serde_json::Error),
 }
 
-/// Writes the roster while this node gives orders.
+/// Maintains the roster while this node is the order leader.
 pub struct RosterWriter {
-    /// The store.
+    /// Coordination store.
     pub coordination: Arc<dyn Coordination>,
-    /// The instances.
+    /// Table of instances.
     pub backends: BackendTable,
-    /// The configuration.
+    /// Current configuration.
     pub config: ConfigInForce,
-    /// As of when they are known here.
+    /// Revision as of which this node knows the instances.
     pub view: DirectView,
-    /// As of when the drained zones are known here from the store; `None`: no zone is drained in this deployment.
+    /// Revision as of which this node knows the drained zones from the store; `None`: this
+    /// deployment drains no zones.
     pub drains: Option<DirectView>,
-    /// The other nodes.
+    /// Other nodes.
     pub nodes: Nodes,
-    /// `None`: the notice time is too short for a roster.
+    /// Timing; `None`: there is no roster.
     pub options: Option<RosterOptions>,
 }
 
-/// What was written under one lease.
-struct Kept {
+/// Roster written under a lease.
+struct WrittenRoster {
     lease: LeaseId,
-    /// Revision of the record; `None`: unknown, as a write got no answer or another node wrote.
+    /// Revision of the record; `None`: unknown after a write without an answer or by another node.
     revision: Option<u64>,
-    /// What was written last; `None`: nothing under this lease, or in doubt.
+    /// Last written roster; `None`: none under this lease, or the outcome of the write is unknown.
     roster: Option<Roster>,
 }
 
 impl RosterWriter {
-    /// Keeps the roster for as long as the future is polled; its record goes with its lease soon after.
+    /// Maintains the roster until the future is dropped; the record then expires with its lease.
     pub async fn run(&self) {
         let Some(options) = self.options else {
             return std::future::pending().await;
@@ -74,18 +75,18 @@
             if let Some(drains) = &self.drains {
                 drains.known().await;
             }
-            self.settle().await;
-            if self.has_readers(&options)
+            self.wait_until_settled().await;
+            if self.has_enough_fronts(&options)
                 && let Err(error) = self.keep(&options).await
             {
                 log::warn!("event=roster_not_kept cause=\"{error}\"");
             }
-            tokio::time::sleep(RETRY_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
-    /// Returns at once if there is a roster, else once the instances have settled.
-    async fn settle(&self) {
+    /// Returns at once if there is a roster, or else once the instances have settled.
+    async fn wait_until_settled(&self) {
         match self.coordination.get(ROSTER_KEY).await {
             Ok(Some(_)) => return,
             Ok(None) => {}
@@ -93,22 +94,22 @@
         }
         let mut membership = self.backends.watch_membership();
         let settled = async {
-            while tokio::time::timeout(SETTLED_AFTER, membership.changed())
+            while tokio::time::timeout(SETTLE_TIME, membership.changed())
                 .await
                 .is_ok()
             {}
         };
-        // It goes on changing: there is a roster all the same.
-        let _ = tokio::time::timeout(SETTLING_LIMIT, settled).await;
+        // The roster is written even if the instances keep changing.
+        let _ = tokio::time::timeout(MAX_SETTLE_WAIT, settled).await;
     }
 
-    fn has_readers(&self, options: &RosterOptions) -> bool {
-        self.nodes.successors().len() >= options.least_fronts
+    fn has_enough_fronts(&self, options: &RosterOptions) -> bool {
+        self.nodes.successors().len() >= options.min_fronts
     }
 
-    /// Writes the roster under one lease, and renews that while the record tells what is known here.
+    /// Writes the roster under one lease, and renews the lease while the record is up to date.
     async fn keep(&self, options: &RosterOptions) -> Result<(), KeepError> {
-        let mut kept = Kept {
+        let mut written = WrittenRoster {
             lease: self.coordination.grant(options.lease).await?,
             revision: None,
             roster: None,
@@ -120,21 +121,21 @@
         renewal.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                _ = membership.changed() => self.write_news(&mut kept).await?,
-                _ = config.changed() => self.write_news(&mut kept).await?,
-                _ = drained.changed() => self.write_news(&mut kept).await?,
+                _ = membership.changed() => self.write_if_changed(&mut written).await?,
+                _ = config.changed() => self.write_if_changed(&mut written).await?,
+                _ = drained.changed() => self.write_if_changed(&mut written).await?,
                 _ = renewal.tick() => {
-                    if !self.has_readers(options) {
-                        return Err(KeepError::FewReaders);
+                    if !self.has_enough_fronts(options) {
+                        return Err(KeepError::TooFewFronts);
                     }
-                    self.write_news(&mut kept).await?;
-                    self.renew(&kept).await?;
+                    self.write_if_changed(&mut written).await?;
+                    self.renew(&written).await?;
                 }
             }
         }
     }
 
-    /// The roster by what is known here; `None` while a part of it is not known.
+    /// Returns the roster from the records known here; `None` while some of them are unknown.
     fn roster(&self) -> Option<Roster> {
         let known_at = self.view.known_at()?;
         let services = self.config.current()?.live_services();
@@ -148,24 +149,29 @@
                 })
             }
         };
-        Some(Roster::of(&self.backends, services, known_at, drains))
+        Some(Roster::from_table(
+            &self.backends,
+            services,
+            known_at,
+            drains,
+        ))
     }
 
-    /// Writes the roster if it is not as written; a write that the store does not carry out is tried again later.
-    async fn write_news(&self, kept: &mut Kept) -> Result<(), KeepError> {
+    /// Writes the roster if it has changed. A failed write is retried later.
+    async fn write_if_changed(&self, written: &mut WrittenRoster) -> Result<(), KeepError> {
         let Some(roster) = self.roster() else {
             return Ok(());
         };
-        if kept
+        if written
             .roster
             .as_ref()
-            .is_some_and(|kept| kept.is_same(&roster))
+            .is_some_and(|written| written.is_equivalent(&roster))
         {
             return Ok(());
         }
-        kept.roster = None;
+        written.roster = None;
         let value = roster.write()?;
-        match self.swap(kept, value).await {
+        match self.swap(written, value).await {
             Ok(SwapResult::Won { revision }) => {
                 log::info!(
                     "event=roster_written revision={revision} known_at={} instances={} drained={:?}",
@@ -173,28 +179,31 @@
                     roster.instances.len(),
                     roster.drains.as_ref().map(|drains| &drains.zones)
                 );
-                kept.revision = Some(revision);
-                kept.roster = Some(roster);
+                written.revision = Some(revision);
+                written.roster = Some(roster);
                 Ok(())
             }
             Ok(SwapResult::Lost(_)) => {
-                log::info!("event=roster_overtaken expected={:?}", kept.revision);
-                kept.revision = None;
+                log::info!("event=roster_overtaken expected={:?}", written.revision);
+                written.revision = None;
                 Ok(())
             }
             Err(CoordinationError::LeaseOver) => Err(CoordinationError::LeaseOver.into()),
             Err(error) => {
                 log::warn!("event=roster_not_written cause=\"{error}\"");
-                kept.revision = None;
+                written.revision = None;
                 Ok(())
             }
         }
     }
 
-    /// Writes in place of exactly what was there before: a write without an answer that is carried out late finds another
-    /// revision.
-    async fn swap(&self, kept: &Kept, value: Vec<u8>) -> Result<SwapResult, CoordinationError> {
-        let expected = match kept.revision {
+    /// Replaces only the expected revision, so that a delayed write does not overwrite a later one.
+    async fn swap(
+        &self,
+        written: &WrittenRoster,
+        value: Vec<u8>,
+    ) -> Result<SwapResult, CoordinationError> {
+        let expected = match written.revision {
             Some(revision) => revision,
             None => {
                 let found = self.coordination.get(ROSTER_KEY).await?;
@@ -202,16 +211,16 @@
             }
         };
         self.coordination
-            .swap(ROSTER_KEY, expected, value, Some(kept.lease))
+            .swap(ROSTER_KEY, expected, value, Some(written.lease))
             .await
     }
 
-    /// Renews the lease, unless the record may be old.
-    async fn renew(&self, kept: &Kept) -> Result<(), KeepError> {
-        if self.roster().is_none() || kept.roster.is_none() {
+    /// Renews the lease unless the record may be outdated.
+    async fn renew(&self, written: &WrittenRoster) -> Result<(), KeepError> {
+        if self.roster().is_none() || written.roster.is_none() {
             return Ok(());
         }
-        match self.coordination.renew(kept.lease).await {
+        match self.coordination.renew(written.lease).await {
             Ok(()) => Ok(()),
             Err(CoordinationError::LeaseOver) => Err(CoordinationError::LeaseOver.into()),
             Err(error) => {
--- a/crates/front/src/set_records.rs
+++ b/crates/front/src/set_records.rs
@@ -1,4 +1,4 @@
-//! The journal's replica set as a record of the coordination store.
+//! Stores the journal's replica set in a record of the coordination store.
 
 use std::sync::Arc;
 
@@ -10,26 +10,27 @@
 use crate::coordination::{Coordination, CoordinationError, Record, SwapResult};
 use crate::nodes::{NodeRole, Nodes};
 
-/// The record of the set in force.
-const SET_KEY: &str = "ladderstage/replicas/set";
+/// Key of the current replica set.
+const REPLICA_SET_KEY: &str = "ladderstage/replicas/set";
 
-/// The set's record; disks that may become replicas are those that nodes tell of in their own records.
+/// Replica set records in the coordination store. The candidates for replicas are the disks in the
+/// nodes' own records.
 pub struct CoordinatedSetRecords {
-    /// The store.
+    /// Coordination store.
     pub coordination: Arc<dyn Coordination>,
-    /// The nodes.
+    /// Nodes.
     pub nodes: Nodes,
 }
 
-fn failed(error: CoordinationError) -> RecordError {
+fn to_record_error(error: CoordinationError) -> RecordError {
     RecordError::Service(error.to_string())
 }
 
-/// What a read of the record found.
-fn recorded(
+/// Converts the result of a read of the record.
+fn to_recorded_set(
     found: Result<Option<Record>, CoordinationError>,
 ) -> Result<Option<RecordedSet>, RecordError> {
-    let Some(record) = found.map_err(failed)? else {
+    let Some(record) = found.map_err(to_record_error)? else {
         return Ok(None);
     };
     Ok(Some(RecordedSet {
@@ -40,11 +41,11 @@
 
 impl SetRecords for CoordinatedSetRecords {
     fn read(&self) -> BoxFuture<'_, Result<Option<RecordedSet>, RecordError>> {
-        Box::pin(async move { recorded(self.coordination.get(SET_KEY).await) })
+        Box::pin(async move { to_recorded_set(self.coordination.get(REPLICA_SET_KEY).await) })
     }
 
     fn read_stale(&self) -> BoxFuture<'_, Result<Option<RecordedSet>, RecordError>> {
-        Box::pin(async move { recorded(self.coordination.get_stale(SET_KEY).await) })
+        Box::pin(async move { to_recorded_set(self.coordination.get_stale(REPLICA_SET_KEY).await) })
     }
 
     fn swap(
@@ -54,8 +55,11 @@
     ) -> BoxFuture<'_, Result<Option<ReplicaSet>, RecordError>> {
         Box::pin(async move {
             let value = encode(&set);
-            let swapped = self.coordination.swap(SET_KEY, expected, value, None).await;
-            match swapped.map_err(failed)? {
+            let swapped = self
+                .coordination
+                .swap(REPLICA_SET_KEY, expected, value, None)
+                .await;
+            match swapped.map_err(to_record_error)? {
                 SwapResult::Won { .. } => Ok(Some(set)),
                 SwapResult::Lost(Some(record)) => Ok(Some(decode(&record.value)?)),
                 SwapResult::Lost(None) => Ok(None),
