--- a/crates/front/src/store.rs
+++ b/crates/front/src/store.rs
@@ -1,4 +1,4 @@
-//! The `store` program: a replica of the journal on this machine's disk.
+//! The `store` program: keeps a replica of the journal on this machine's disk.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -18,61 +18,61 @@
 use crate::job::LOG_PREFIX;
 use crate::metrics::Metrics;
 use crate::nodes::{FormatLevel, NodeRecord, NodeRole, Nodes};
-use crate::program::{JobHooks, JournalParts, PeerHandler, PeerParts, ProgramOptions};
+use crate::program::{JobHooks, JournalParts, PeerHandler, PeerServices, ProgramOptions};
 use crate::suspension::watch_suspensions;
 
-/// Memory for the database's pages; most reads are of logs written a moment ago.
+/// Size of the database's page cache. Most reads are of recently written logs.
 const CACHE_BYTES: usize = 4 * 1024 * 1024;
 
-/// Most bytes of entries that wait for the disk.
+/// Maximum bytes of entries queued for the disk.
 const QUEUE_BYTES: usize = 24 * 1024 * 1024;
 
-/// Logs of ended jobs are kept for so many times the time for which a job must be readable.
-const KEPT_RETENTIONS: u32 = 3;
+/// Logs of ended jobs are kept for this multiple of the job retention time.
+const LOG_RETENTION_FACTOR: u32 = 3;
 
-/// Pause before a disk that refuses is tried again.
-const DISK_RETRY: Duration = Duration::from_millis(500);
+/// Delay before a failed disk is opened again.
+const DISK_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Between looks at the disk's state.
-const DISK_LOOK: Duration = Duration::from_millis(200);
+/// Interval between checks of the disk.
+const DISK_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How far a retirement is.
+/// Progress of a retirement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetirementState {
-    /// The disk still counts.
+    /// The disk is still part of the replica set.
     Running,
-    /// Nothing hangs on the disk any more.
+    /// The disk is no longer needed.
     Completed,
 }
 
-/// What the adapter of the outside gives a store.
+/// Inputs of a store, provided by the platform adapter.
 pub struct StoreInputs {
-    /// Whether this store is to be emptied.
+    /// Whether this store has to leave the replica set.
     pub is_retired: watch::Receiver<bool>,
-    /// Takes how far that is.
+    /// Receiver of the progress.
     pub retirement: mpsc::UnboundedSender<RetirementState>,
 }
 
-/// Why the program ended.
+/// Failure of the program.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// No data folder is set.
-    #[error("a store needs a data folder")]
+    /// No data folder is configured.
+    #[error("no data folder is configured, which a store needs")]
     NoDataFolder,
-    /// The address for other nodes cannot be listened on.
+    /// Listening on an address failed.
     #[error("listening on {address}: {error}")]
     Listen {
-        /// The address.
+        /// Address.
         address: std::net::SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         error: std::io::Error,
     },
 }
 
-/// Runs a store until it is told to stop.
+/// Runs a store until `stop` completes.
 ///
 /// # Errors
-/// See [`StoreError`].
+/// Returns an error when the data folder is not configured or an address cannot be listened on.
 pub async fn run(
     options: ProgramOptions,
     inputs: StoreInputs,
@@ -119,7 +119,7 @@
         tokio::spawn(serve_metrics(listener, Arc::clone(&metrics)));
     }
     parts.journal.set_hooks(Arc::new(JobHooks { jobs: None }));
-    let _ = handler.parts.set(PeerParts {
+    let _ = handler.services.set(PeerServices {
         journal: parts.journal.clone(),
         replica_sets: parts.replica_sets.clone(),
         jobs: None,
@@ -134,7 +134,7 @@
         storage.replica_id()
     );
     let activity = Activity::default();
-    let _holds_disk = activity.begin();
+    let _disk_work = activity.begin();
     tokio::select! {
         () = nodes.run(Arc::clone(&coordination), &activity) => Ok(()),
         () = watch_suspensions(coordination.as_ref(), &metrics) => Ok(()),
@@ -147,14 +147,14 @@
     }
 }
 
-/// Opens the folder, again and again while the disk refuses.
+/// Opens the storage, and retries until that succeeds.
 async fn open(folder: &Path, job_retention: Duration) -> Storage {
     let options = StorageOptions {
         cache_bytes: CACHE_BYTES,
         queue_bytes: QUEUE_BYTES,
         dropped_when_closed: vec![DropRule {
             prefix: LOG_PREFIX.to_owned(),
-            after: job_retention * KEPT_RETENTIONS,
+            after: job_retention * LOG_RETENTION_FACTOR,
         }],
         ..StorageOptions::default()
     };
@@ -163,27 +163,27 @@
             Ok(storage) => return storage,
             Err(error) => log::error!("event=disk_not_opened cause=\"{error}\""),
         }
-        tokio::time::sleep(DISK_RETRY).await;
+        tokio::time::sleep(DISK_RETRY_DELAY).await;
     }
 }
 
-/// Says when the disk refuses and when it works again; the storage opens it again by itself.
+/// Logs failures and recoveries of the disk. The storage reopens a failed disk itself.
 async fn watch_disk(storage: &Storage) {
-    let mut known = None;
+    let mut logged = None;
     loop {
         let failure = storage.failure();
-        if failure.is_some() != known.is_some() {
+        if failure.is_some() != logged.is_some() {
             match &failure {
                 Some(cause) => log::error!("event=disk_lost cause=\"{cause}\""),
                 None => log::info!("event=disk_regained replica_id={}", storage.replica_id()),
             }
         }
-        known = failure;
-        tokio::time::sleep(DISK_LOOK).await;
+        logged = failure;
+        tokio::time::sleep(DISK_POLL_INTERVAL).await;
     }
 }
 
-/// Leaves the replica set once asked to, and tells how far that is.
+/// Leaves the replica set when requested, and reports the progress.
 async fn retire(
     mut inputs: StoreInputs,
     nodes: &Nodes,
@@ -202,15 +202,15 @@
     nodes.set_leaving(true);
     let _ = inputs.retirement.send(RetirementState::Running);
     let mut set = replica_sets.watch();
-    let is_out = |set: &Option<Arc<ReplicaSet>>| {
+    let has_left = |set: &Option<Arc<ReplicaSet>>| {
         set.as_ref().is_some_and(|set| {
             let is_member = quorum::members(set)
                 .iter()
-                .any(|one| one.replica_id == replica_id);
+                .any(|member| member.replica_id == replica_id);
             !is_member && set.next.is_empty()
         })
     };
-    if set.wait_for(is_out).await.is_ok() {
+    if set.wait_for(has_left).await.is_ok() {
         log::info!("event=retirement_completed replica_id={replica_id}");
         let _ = inputs.retirement.send(RetirementState::Completed);
     }
--- a/crates/front/src/suspension.rs
+++ b/crates/front/src/suspension.rs
@@ -1,17 +1,18 @@
-//! What a program does once it notices that its machine was suspended.
+//! Reacts to suspensions of the machine.
 
-use ladderstage_clock::{SUSPENSION_LOOK, SuspensionWatch};
+use ladderstage_clock::{SUSPENSION_CHECK_INTERVAL, SuspensionDetector};
 
 use crate::coordination::Coordination;
 use crate::metrics::Metrics;
 
-/// Looks for suspensions for as long as the future is polled. Leases, ages and deadlines need no notice: they are judged by a clock that counts
-/// it. Watches of the store do: their connections may be gone without a sign.
+/// Checks for suspensions until the future is dropped. Leases, ages and deadlines use a clock that
+/// includes suspensions and need no action; watches of the store are restarted, as their
+/// connections may have been lost silently.
 pub async fn watch_suspensions(coordination: &dyn Coordination, metrics: &Metrics) {
-    let mut watch = SuspensionWatch::default();
+    let mut detector = SuspensionDetector::default();
     loop {
-        tokio::time::sleep(SUSPENSION_LOOK).await;
-        if let Some(suspended) = watch.look() {
+        tokio::time::sleep(SUSPENSION_CHECK_INTERVAL).await;
+        if let Some(suspended) = detector.check() {
             log::warn!("event=machine_suspended for_ms={}", suspended.as_millis());
             metrics.suspensions.inc();
             coordination.doubt_watches();
--- a/crates/front/src/usage/meter.rs
+++ b/crates/front/src/usage/meter.rs
@@ -1,7 +1,8 @@
-//! Counts of requests that began to run, by window and by the process that sent them.
+//! Counts of started requests, by window and by the process that sent them.
 //!
-//! Each process only adds to its own counts, so that of two words about the same process and window the larger one is the newer,
-//! whoever brings it and however often.
+//! Only a process itself adds to its counts. Of two messages about the same process and window the
+//! one with the larger counts is the newer, so that messages may be repeated, reordered and
+//! forwarded.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -14,39 +15,39 @@
 
 use super::windows::WindowClock;
 
-/// Windows that are remembered: those that may still be reported, and some more.
-const KEPT_WINDOWS: usize = 12;
+/// Maximum number of windows kept: those that may still be reported, and a few more.
+const MAX_WINDOWS: usize = 12;
 
-/// Requests by tenant.
+/// Number of requests by tenant.
 pub type WindowCounts = BTreeMap<Arc<str>, u64>;
 
 #[derive(Debug, Default)]
-struct Counted {
-    /// By window, then by process.
+struct UsageCounts {
+    /// Counts by window, then by process.
     windows: BTreeMap<u64, BTreeMap<u64, WindowCounts>>,
 }
 
-impl Counted {
-    fn forget_old(&mut self) {
-        while self.windows.len() > KEPT_WINDOWS {
+impl UsageCounts {
+    fn evict_old(&mut self) {
+        while self.windows.len() > MAX_WINDOWS {
             self.windows.pop_first();
         }
     }
 }
 
-/// What this process has counted, and what others told of their counts. Cheap to clone.
+/// Counts of this process and those received from others. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct UsageMeter {
     process: u64,
     started_at: Instant,
     clock: WindowClock,
-    counted: Arc<Mutex<Counted>>,
-    /// Windows whose own counts have changed.
+    counted: Arc<Mutex<UsageCounts>>,
+    /// Number of requests counted by this process.
     changed: watch::Sender<u64>,
 }
 
 impl UsageMeter {
-    /// Counts nothing yet; `process` is the random number of this process start.
+    /// Creates a meter without counts; `process` is the random identifier of this process.
     pub fn new(process: u64, clock: WindowClock) -> Self {
         Self {
             process,
@@ -57,67 +58,70 @@
         }
     }
 
-    /// The clock that windows are told by.
+    /// Returns the clock of the windows.
     pub fn clock(&self) -> WindowClock {
         self.clock
     }
 
-    /// When counting began.
+    /// Returns the time at which the meter was created.
     pub fn started_at(&self) -> Instant {
         self.started_at
     }
 
-    /// Counts a request of a tenant that began to run at `at`.
+    /// Counts a request of a tenant that started at `at`.
     pub fn note_begun(&self, tenant: &Arc<str>, at: Instant) {
         let window = self.clock.window_of(at);
         let mut counted = self.lock();
         let processes = counted.windows.entry(window).or_default();
         let own = processes.entry(self.process).or_default();
         *own.entry(Arc::clone(tenant)).or_insert(0) += 1;
-        counted.forget_old();
+        counted.evict_old();
         drop(counted);
         self.changed.send_modify(|changes| *changes += 1);
     }
 
-    /// Changes whenever a request is counted here.
+    /// Returns a receiver that changes whenever a request is counted here.
     pub fn watch(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// Takes what another process told, of itself or of a third one.
+    /// Merges counts received from another process, which may be its own or forwarded.
     pub fn take(&self, usage: &[ProcessUsage]) {
         let mut counted = self.lock();
-        for told in usage.iter().filter(|told| told.process != self.process) {
-            let processes = counted.windows.entry(told.window).or_default();
-            let known = processes.entry(told.process).or_default();
-            for count in &told.counts {
+        for received in usage
+            .iter()
+            .filter(|received| received.process != self.process)
+        {
+            let processes = counted.windows.entry(received.window).or_default();
+            let known = processes.entry(received.process).or_default();
+            for count in &received.counts {
                 let known = known.entry(count.tenant.as_str().into()).or_insert(0);
                 *known = count.requests.max(*known);
             }
         }
-        counted.forget_old();
+        counted.evict_old();
     }
 
-    /// Own counts of the newest `windows` windows that have any.
-    pub fn own(&self, windows: usize) -> Vec<ProcessUsage> {
+    /// Returns this process's counts of the newest `windows` windows that have any.
+    pub fn own_counts(&self, windows: usize) -> Vec<ProcessUsage> {
         let counted = self.lock();
         let own = counted.windows.iter().rev().filter_map(|(window, all)| {
             let counts = all.get(&self.process)?;
-            Some(told(self.process, *window, counts))
+            Some(process_usage(self.process, *window, counts))
         });
         own.take(windows).collect()
     }
 
-    /// All that is known here of a window.
-    pub fn of_window(&self, window: u64) -> Vec<ProcessUsage> {
+    /// Returns all known counts of a window.
+    pub fn counts_in(&self, window: u64) -> Vec<ProcessUsage> {
         let counted = self.lock();
         let processes = counted.windows.get(&window).into_iter().flatten();
         processes
-            .map(|(process, counts)| told(*process, window, counts))
+            .map(|(process, counts)| process_usage(*process, window, counts))
             .collect()
     }
 
-    /// Requests by tenant in a window, of all processes.
+    /// Returns the number of requests by tenant in a window, over all processes.
     pub fn total(&self, window: u64) -> WindowCounts {
         let counted = self.lock();
         let mut total = WindowCounts::new();
@@ -128,11 +132,11 @@
         total
     }
 
-    /// Answers what another node tells or asks of counts.
+    /// Answers a request of another node that reads or shares counts.
     pub fn answer(&self, request: RequestKind) -> ResponseKind {
         match request {
             RequestKind::read_usage(request) => ResponseKind::usage(Usage {
-                usage: self.of_window(request.window),
+                usage: self.counts_in(request.window),
                 unix_ms: self.clock.since_epoch(Instant::now()).as_millis() as u64,
             }),
             RequestKind::usage_note(note) => {
@@ -143,14 +147,14 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Counted> {
+    fn lock(&self) -> MutexGuard<'_, UsageCounts> {
         self.counted
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
 
-fn told(process: u64, window: u64, counts: &WindowCounts) -> ProcessUsage {
+fn process_usage(process: u64, window: u64, counts: &WindowCounts) -> ProcessUsage {
     let counts = counts.iter().map(|(tenant, requests)| TenantCount {
         tenant: tenant.to_string(),
         requests: *requests,
--- a/crates/front/src/usage/mod.rs
+++ b/crates/front/src/usage/mod.rs
@@ -1,8 +1,9 @@
-//! Reports of use: how many requests of each tenant began to run in each window of time.
+//! Usage reports: the number of requests of each tenant that started in each time window.
 //!
-//! Each front counts what it sent ([`meter`]) and tells its counts to a few others, so that they live on when it ends
-//! ([`sharing`]). The holder of the lease that orders are given under gathers the counts of a window once it is over, writes the
-//! report down where all nodes find it, and only then sends it ([`reporter`]): whoever sends it again later sends the same.
+//! Each front counts the requests that it sent ([`meter`]) and copies its counts to a few other
+//! fronts, so that they survive it ([`sharing`]). The holder of the orders lease collects the
+//! counts of a finished window, commits the report to the store, and only then sends it
+//! ([`reporter`]), so that every later attempt sends the same report.
 
 pub mod meter;
 pub mod reporter;
@@ -10,5 +11,5 @@
 pub mod windows;
 
 pub use meter::{UsageMeter, WindowCounts};
-pub use reporter::{FixedReports, ReportError, ReportSink, UsageReport, UsageReporter};
+pub use reporter::{CommittedReports, ReportError, ReportSink, UsageReport, UsageReporter};
 pub use windows::{UsageOptions, WindowClock};
--- a/crates/front/src/usage/reporter.rs
+++ b/crates/front/src/usage/reporter.rs
@@ -1,7 +1,8 @@
-//! The holder's part: gathers the counts of a window that is over, fixes the report in the store, and sends it.
+//! Sends usage reports while this node holds the orders lease: collects the counts of a finished
+//! window, commits the report to the store, and sends it.
 //!
-//! A report that is not fixed is never sent, and what is fixed is never changed: a later holder, or this one after a lost answer,
-//! sends the same counts again, which the receiver passes over.
+//! Only committed reports are sent, and committed reports never change. A later holder, or this one
+//! after a lost answer, sends the same counts again, which the receiver ignores.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -22,154 +23,156 @@
 use crate::nodes::{NodeRole, Nodes};
 use crate::orders::{GiverLease, Held};
 
-/// The fixed reports of the newest windows.
+/// Key of the committed reports of the newest windows.
 const REPORTS_KEY: &str = "ladderstage/usage/reports";
 
-/// Reports that are kept in the store: those that may still have to be sent, with room for a receiver that is away for a while.
-const KEPT_REPORTS: usize = 6;
+/// Number of reports kept in the store, so that they can be sent again after an outage of the
+/// receiver.
+const MAX_STORED_REPORTS: usize = 6;
 
-/// Counts are gathered when this share of the time until the report is due has passed: a request of the window may still wait for
-/// its answer, and fronts tell their counts 0.2 s later.
-const GATHER_SHARE: f64 = 0.25;
+/// Fraction of the time until the deadline after which counts are collected. Requests of the window
+/// may still be starting before that, and fronts share their counts with a delay.
+const COLLECT_FRACTION: f64 = 0.25;
 
-/// From this share on a report is fixed without the fronts that do not answer: the rest is for a receiver that is slow.
-const FIX_SHARE: f64 = 0.6;
+/// Fraction of the time until the deadline after which a report is committed without the fronts
+/// that do not answer. The rest is left for a slow receiver.
+const COMMIT_FRACTION: f64 = 0.6;
 
-/// Time for a front to tell its counts.
+/// Timeout of reading a front's counts.
 const READ_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Between looks at what is to be reported.
-const LOOK_PAUSE: Duration = Duration::from_millis(250);
+/// Interval between checks for windows to report.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Pause after a report that was not taken.
-const RETRY_PAUSE: Duration = Duration::from_millis(700);
+/// Delay after a report that was not accepted.
+const RETRY_DELAY: Duration = Duration::from_millis(700);
 
-/// A clock that is off the other fronts' by less is left as it is: calls take some milliseconds, clocks differ by some tens.
-const CLOCK_SLACK_MS: i64 = 250;
+/// Clock differences to the other fronts below this are not corrected, in milliseconds.
+const MAX_CLOCK_SKEW_MS: i64 = 250;
 
-/// One report.
+/// Usage report of a window.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UsageReport {
     /// Number of the window.
     pub window: u64,
-    /// Requests by tenant.
+    /// Number of requests by tenant.
     pub counts: BTreeMap<String, u64>,
-    /// Name of the holder.
+    /// Node name of the lease holder.
     pub holder: String,
-    /// Its fencing token.
+    /// Fencing token of the lease holder.
     pub fence: u64,
 }
 
-/// Why a report was not taken.
+/// Failure to deliver a report.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ReportError {
     /// The receiver has seen a higher fencing token.
     #[error("fenced")]
     Fenced,
-    /// Nothing is known of it, or it was refused; it may be sent again.
+    /// The report was rejected or its outcome is unknown; it may be sent again.
     #[error("{0}")]
     NotTaken(String),
 }
 
-/// Takes reports.
+/// Receiver of usage reports.
 pub trait ReportSink: Send + Sync + 'static {
-    /// Sends a report; `Ok` once it was taken.
+    /// Sends a report; returns `Ok` once it was accepted.
     fn send<'a>(&'a self, report: &'a UsageReport) -> BoxFuture<'a, Result<(), ReportError>>;
 }
 
-/// Reports by window, as the store holds them.
+/// Committed reports by window, as stored.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct FixedReports {
+pub struct CommittedReports {
     reports: BTreeMap<u64, BTreeMap<String, u64>>,
 }
 
-impl FixedReports {
-    /// Adds a report unless its window has one or a later window has; returns whether it was added.
-    pub fn fix(&mut self, window: u64, counts: BTreeMap<String, u64>) -> bool {
+impl CommittedReports {
+    /// Adds a report unless its window or a later one has a report; returns whether it was added.
+    pub fn commit(&mut self, window: u64, counts: BTreeMap<String, u64>) -> bool {
         let last = self.reports.last_key_value();
         if last.is_some_and(|(last, _)| *last >= window) {
             return false;
         }
         self.reports.insert(window, counts);
-        while self.reports.len() > KEPT_REPORTS {
+        while self.reports.len() > MAX_STORED_REPORTS {
             self.reports.pop_first();
         }
         true
     }
 
-    /// The report of a window.
+    /// Returns the report of a window.
     pub fn get(&self, window: u64) -> Option<&BTreeMap<String, u64>> {
         self.reports.get(&window)
     }
 
-    /// The newest window that has a report.
+    /// Returns the newest window that has a report.
     pub fn newest(&self) -> Option<u64> {
         self.reports.last_key_value().map(|(window, _)| *window)
     }
 }
 
-/// What the store holds.
-enum FoundReports {
-    Fixed(FixedReports),
-    /// A record that cannot be read; the next report takes its place.
+/// Reports found in the store.
+enum StoredReports {
+    Committed(CommittedReports),
+    /// The record could not be decoded; the next report replaces it.
     Unreadable,
 }
 
-impl FoundReports {
-    fn into_fixed(self) -> FixedReports {
+impl StoredReports {
+    fn into_committed(self) -> CommittedReports {
         match self {
-            Self::Fixed(fixed) => fixed,
-            Self::Unreadable => FixedReports::default(),
+            Self::Committed(committed) => committed,
+            Self::Unreadable => CommittedReports::default(),
         }
     }
 }
 
-/// Reports use while this node holds the lease.
+/// Sends usage reports while this node holds the orders lease.
 pub struct UsageReporter {
-    /// The store.
+    /// Coordination store.
     pub coordination: Arc<dyn Coordination>,
-    /// The fronts.
+    /// Fronts.
     pub nodes: Nodes,
     /// Counts of this node.
     pub meter: UsageMeter,
-    /// When reports are due.
+    /// Window length and deadline.
     pub options: UsageOptions,
-    /// Where they go.
+    /// Receiver of the reports.
     pub sink: Arc<dyn ReportSink>,
-    /// Counters.
+    /// Metrics.
     pub metrics: Arc<Metrics>,
 }
 
-/// What a holder knows.
-struct Holding {
+/// State of the reporter during one term of the lease.
+struct HolderState {
     clock: WindowClock,
-    /// Revision of the record; 0: there is none.
+    /// Revision of the stored record; 0: there is none.
     revision: u64,
-    fixed: FixedReports,
-    /// The window that is to be fixed next.
-    next: u64,
-    /// Fronts that told their counts of that window since it ended.
-    told: BTreeSet<String>,
-    /// When the others are asked again.
-    ask_at: Instant,
-    /// Windows that were not taken yet, and when each is sent next.
+    committed: CommittedReports,
+    /// Next window to commit.
+    next_window: u64,
+    /// Fronts whose counts of that window were read after it ended.
+    answered_fronts: BTreeSet<String>,
+    /// Time of the next query to the other fronts.
+    next_query_at: Instant,
+    /// Committed windows that were not accepted yet, with the time of the next attempt.
     unsent: BTreeMap<u64, Instant>,
 }
 
-impl Holding {
-    fn go_on_with(&mut self, next: u64) {
-        self.next = next;
-        self.told.clear();
-        self.ask_at = Instant::now();
+impl HolderState {
+    fn advance_to(&mut self, next_window: u64) {
+        self.next_window = next_window;
+        self.answered_fronts.clear();
+        self.next_query_at = Instant::now();
     }
 }
 
 impl UsageReporter {
-    /// Reports for as long as the future is polled; returns once a later holder is known.
+    /// Sends reports until the future is dropped; returns once a later holder is known.
     pub async fn run(&self, lease: &GiverLease, held: &Held) {
-        let mut holding = self.begin().await;
+        let mut state = self.load_state().await;
         loop {
-            tokio::time::sleep(LOOK_PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
             match lease.may_order(held).await {
                 Ok(true) => {}
                 Ok(false) => continue,
@@ -178,83 +181,85 @@
                     continue;
                 }
             }
-            self.fix_next(&mut holding).await;
-            if self.send_unsent(&mut holding, held).await.is_err() {
+            self.commit_next(&mut state).await;
+            if self.send_unsent(&mut state, held).await.is_err() {
                 log::warn!("event=usage_fenced fence={}", held.fence);
                 return;
             }
         }
     }
 
-    /// Reads what earlier holders have fixed.
-    async fn begin(&self) -> Holding {
-        let (revision, found) = self.read_fixed().await;
+    /// Reads the reports that earlier holders committed.
+    async fn load_state(&self) -> HolderState {
+        let (revision, found) = self.read_reports().await;
         let clock = self.meter.clock();
         let now = Instant::now();
         let current = clock.window_of(now);
-        let oldest = current.saturating_sub(KEPT_REPORTS as u64 - 1);
-        let next = match &found {
-            // Before the first holder of all became one, requests may have run already.
-            FoundReports::Fixed(fixed) => fixed.newest().map_or_else(
+        let oldest = current.saturating_sub(MAX_STORED_REPORTS as u64 - 1);
+        let next_window = match &found {
+            // Without reports there was no earlier holder, and requests may have started since the
+            // process started.
+            StoredReports::Committed(committed) => committed.newest().map_or_else(
                 || clock.window_of(self.meter.started_at()),
                 |newest| newest + 1,
             ),
-            // Any window that is over may have been reported.
-            FoundReports::Unreadable => current,
+            // Any finished window may have been reported.
+            StoredReports::Unreadable => current,
         };
-        let next = next.max(oldest);
-        let fixed = found.into_fixed();
-        // Whether an earlier holder got through with its last reports is not known.
+        let next_window = next_window.max(oldest);
+        let committed = found.into_committed();
+        // The last reports of an earlier holder may not have been accepted.
         let is_due = |window: &u64| clock.since_end(*window, now) < Some(self.options.due);
-        let unsent = fixed.reports.keys().copied().filter(is_due);
-        Holding {
+        let unsent = committed.reports.keys().copied().filter(is_due);
+        HolderState {
             clock,
             revision,
-            next,
-            told: BTreeSet::new(),
-            ask_at: now,
+            next_window,
+            answered_fronts: BTreeSet::new(),
+            next_query_at: now,
             unsent: unsent.map(|window| (window, now)).collect(),
-            fixed,
+            committed,
         }
     }
 
-    async fn read_fixed(&self) -> (u64, FoundReports) {
+    async fn read_reports(&self) -> (u64, StoredReports) {
         loop {
             match self.coordination.get(REPORTS_KEY).await {
-                Ok(None) => return (0, FoundReports::Fixed(FixedReports::default())),
+                Ok(None) => return (0, StoredReports::Committed(CommittedReports::default())),
                 Ok(Some(record)) => match serde_json::from_slice(&record.value) {
-                    Ok(fixed) => return (record.revision, FoundReports::Fixed(fixed)),
+                    Ok(committed) => return (record.revision, StoredReports::Committed(committed)),
                     Err(error) => {
                         log::error!("event=usage_reports_unreadable cause=\"{error}\"");
-                        return (record.revision, FoundReports::Unreadable);
+                        return (record.revision, StoredReports::Unreadable);
                     }
                 },
                 Err(error) => {
                     log::warn!("event=usage_reports_not_read cause=\"{error}\"");
-                    tokio::time::sleep(RETRY_PAUSE).await;
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    /// Fixes the next window once its counts can be told.
-    async fn fix_next(&self, holding: &mut Holding) {
-        let window = holding.next;
-        let since_end = holding.clock.since_end(window, Instant::now());
-        let Some(since_end) = since_end.filter(|at| *at >= self.options.due.mul_f64(GATHER_SHARE))
+    /// Commits the next window once its counts are complete or its deadline is close.
+    async fn commit_next(&self, state: &mut HolderState) {
+        let window = state.next_window;
+        let since_end = state.clock.since_end(window, Instant::now());
+        let Some(since_end) =
+            since_end.filter(|at| *at >= self.options.due.mul_f64(COLLECT_FRACTION))
         else {
             return;
         };
-        if Instant::now() < holding.ask_at {
+        if Instant::now() < state.next_query_at {
             return;
         }
-        holding.ask_at = Instant::now() + RETRY_PAUSE;
-        let missing = self.gather(window, holding).await;
-        if holding.clock.since_end(window, Instant::now()).is_none() {
-            // The clock was ahead of the other fronts'.
+        state.next_query_at = Instant::now() + RETRY_DELAY;
+        let missing = self.collect_counts(window, state).await;
+        if state.clock.since_end(window, Instant::now()).is_none() {
+            // The corrected clock shows that the window has not ended.
             return;
         }
-        if !missing.is_empty() && since_end < self.options.due.mul_f64(FIX_SHARE) {
+        if !missing.is_empty() && since_end < self.options.due.mul_f64(COMMIT_FRACTION) {
             return;
         }
         let total = self.meter.total(window);
@@ -263,15 +268,15 @@
             .map(|(name, count)| (name.to_string(), *count))
             .collect();
         let requests: u64 = counts.values().sum();
-        let mut fixed = holding.fixed.clone();
-        if !fixed.fix(window, counts) {
-            holding.go_on_with(window + 1);
+        let mut committed = state.committed.clone();
+        if !committed.commit(window, counts) {
+            state.advance_to(window + 1);
             return;
         }
-        let value = serde_json::to_vec(&fixed).unwrap_or_default();
+        let value = serde_json::to_vec(&committed).unwrap_or_default();
         let swapped = self
             .coordination
-            .swap(REPORTS_KEY, holding.revision, value, None)
+            .swap(REPORTS_KEY, state.revision, value, None)
             .await;
         match swapped {
             Ok(SwapResult::Won { revision }) => {
@@ -279,45 +284,50 @@
                     "event=usage_fixed window={window} requests={requests} since_end_ms={} missing_fronts={missing:?}",
                     since_end.as_millis()
                 );
-                holding.revision = revision;
-                holding.fixed = fixed;
-                holding.go_on_with(window + 1);
-                holding.unsent.insert(window, Instant::now());
+                state.revision = revision;
+                state.committed = committed;
+                state.advance_to(window + 1);
+                state.unsent.insert(window, Instant::now());
             }
             Ok(SwapResult::Lost(_)) | Err(CoordinationError::Unknown(_)) => {
-                self.catch_up(holding).await
+                self.reload(state).await
             }
             Err(error) => log::warn!("event=usage_not_fixed window={window} cause=\"{error}\""),
         }
     }
 
-    /// Takes what the store holds now: of this node's own swap without an answer, or of another holder.
-    async fn catch_up(&self, holding: &mut Holding) {
-        let (revision, found) = self.read_fixed().await;
-        let fixed = found.into_fixed();
+    /// Adopts the stored reports, which may include this node's own unanswered write or those of
+    /// another holder.
+    async fn reload(&self, state: &mut HolderState) {
+        let (revision, found) = self.read_reports().await;
+        let committed = found.into_committed();
         log::info!(
             "event=usage_reports_read revision={revision} newest={:?}",
-            fixed.newest()
+            committed.newest()
         );
-        for window in fixed
+        for window in committed
             .reports
             .keys()
-            .filter(|window| **window >= holding.next)
+            .filter(|window| **window >= state.next_window)
         {
-            holding.unsent.insert(*window, Instant::now());
+            state.unsent.insert(*window, Instant::now());
         }
-        if let Some(newest) = fixed.newest().filter(|newest| *newest >= holding.next) {
-            holding.go_on_with(newest + 1);
+        if let Some(newest) = committed
+            .newest()
+            .filter(|newest| *newest >= state.next_window)
+        {
+            state.advance_to(newest + 1);
         }
-        holding.revision = revision;
-        holding.fixed = fixed;
+        state.revision = revision;
+        state.committed = committed;
     }
 
-    /// Asks the fronts that have not told their counts of a window, sets the clock by theirs, and returns those that did not answer.
-    async fn gather(&self, window: u64, holding: &mut Holding) -> Vec<String> {
+    /// Reads the counts of a window from the fronts that have not answered yet, corrects the clock
+    /// by the median of theirs, and returns the fronts that did not answer.
+    async fn collect_counts(&self, window: u64, state: &mut HolderState) -> Vec<String> {
         let own = self.nodes.own().node;
         let mut fronts = self.nodes.with_role(NodeRole::Front);
-        fronts.retain(|front| front.node != own && !holding.told.contains(&front.node));
+        fronts.retain(|front| front.node != own && !state.answered_fronts.contains(&front.node));
         let calls = fronts.iter().map(|front| async {
             let kind = RequestKind::read_usage(ReadUsage { window });
             let call = self.nodes.call(&front.node, Request { kind }, READ_TIMEOUT);
@@ -334,37 +344,37 @@
                 continue;
             };
             self.meter.take(&usage.usage);
-            holding.told.insert(front.node.clone());
-            let own_ms = holding.clock.since_epoch(now).as_millis() as i64;
+            state.answered_fronts.insert(front.node.clone());
+            let own_ms = state.clock.since_epoch(now).as_millis() as i64;
             offsets.push(usage.unix_ms as i64 - own_ms);
         }
         offsets.sort_unstable();
         let correction = offsets[offsets.len() / 2];
-        if correction.abs() > CLOCK_SLACK_MS {
+        if correction.abs() > MAX_CLOCK_SKEW_MS {
             log::warn!(
                 "event=usage_clock_corrected by_ms={correction} fronts={}",
                 offsets.len()
             );
-            holding.clock = holding.clock.corrected(correction);
+            state.clock = state.clock.corrected(correction);
         }
         let answered = answers.iter().zip(&fronts);
         let missing = answered.filter(|(answer, _)| answer.is_none());
         missing.map(|(_, front)| front.node.clone()).collect()
     }
 
-    /// Sends what was not taken yet, the oldest first.
-    async fn send_unsent(&self, holding: &mut Holding, held: &Held) -> Result<(), ReportError> {
+    /// Sends the reports that were not accepted yet, oldest first.
+    async fn send_unsent(&self, state: &mut HolderState, held: &Held) -> Result<(), ReportError> {
         let now = Instant::now();
-        let due: Vec<u64> = holding
+        let due: Vec<u64> = state
             .unsent
             .iter()
             .filter(|(_, at)| **at <= now)
             .map(|(window, _)| *window)
             .collect();
         for window in due {
-            let Some(counts) = holding.fixed.get(window).cloned() else {
+            let Some(counts) = state.committed.get(window).cloned() else {
                 log::error!("event=usage_not_reported window={window} reason=too_old");
-                holding.unsent.remove(&window);
+                state.unsent.remove(&window);
                 continue;
             };
             if Instant::now() >= held.proven_until() {
@@ -376,15 +386,15 @@
                 holder: self.nodes.own().node,
                 fence: held.fence,
             };
-            self.send(holding, report).await?;
+            self.send(state, report).await?;
         }
         Ok(())
     }
 
-    async fn send(&self, holding: &mut Holding, report: UsageReport) -> Result<(), ReportError> {
+    async fn send(&self, state: &mut HolderState, report: UsageReport) -> Result<(), ReportError> {
         let window = report.window;
         let sent = self.sink.send(&report).await;
-        let since_end = holding
+        let since_end = state
             .clock
             .since_end(window, Instant::now())
             .unwrap_or_default();
@@ -403,11 +413,11 @@
         );
         match sent {
             Ok(()) => {
-                holding.unsent.remove(&window);
+                state.unsent.remove(&window);
                 Ok(())
             }
             Err(ReportError::NotTaken(_)) => {
-                holding.unsent.insert(window, Instant::now() + RETRY_PAUSE);
+                state.unsent.insert(window, Instant::now() + RETRY_DELAY);
                 Ok(())
             }
             Err(ReportError::Fenced) => Err(ReportError::Fenced),
--- a/crates/front/src/usage/sharing.rs
+++ b/crates/front/src/usage/sharing.rs
@@ -1,4 +1,4 @@
-//! A front's counts at other fronts: those of a front that is killed are still reported.
+//! Copies a front's counts to other fronts, so that they are reported if the front is killed.
 
 use std::time::Duration;
 
@@ -11,56 +11,57 @@
 use super::meter::UsageMeter;
 use crate::nodes::Nodes;
 
-/// Fronts that are told: one of them may end together with the teller.
-const KEEPERS: usize = 2;
+/// Number of fronts that get the counts, so that they survive the failure of one of them together
+/// with this front.
+const BACKUP_FRONTS: usize = 2;
 
-/// Between two tellings: what a front that is killed counted since then is lost. A front with a request every few seconds tells
-/// each of them once.
-const TELL_PAUSE: Duration = Duration::from_millis(200);
+/// Interval between copies. The requests counted since the last copy are lost if the front is
+/// killed.
+const SHARE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Pause after no keeper was reached.
-const RETRY_PAUSE: Duration = Duration::from_secs(1);
+/// Delay after a copy that reached no front.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Time for a keeper to answer.
-const TELL_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout of a copy.
+const SHARE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Windows that are told: the one that goes on, and one that has just ended.
-const TOLD_WINDOWS: usize = 2;
+/// Number of windows copied: the current one and the one before it.
+const SHARED_WINDOWS: usize = 2;
 
-/// Tells this front's counts whenever they have changed, for as long as the future is polled.
-pub async fn share(meter: &UsageMeter, nodes: &Nodes) {
+/// Copies this front's counts whenever they have changed, until the future is dropped.
+pub async fn share_counts(meter: &UsageMeter, nodes: &Nodes) {
     let mut changed = meter.watch();
-    // The meter keeps the sender.
+    // `meter` owns the sender, so this does not fail.
     while changed.changed().await.is_ok() {
-        tokio::time::sleep(TELL_PAUSE).await;
+        tokio::time::sleep(SHARE_INTERVAL).await;
         changed.borrow_and_update();
         let kind = RequestKind::usage_note(UsageNote {
-            usage: meter.own(TOLD_WINDOWS),
+            usage: meter.own_counts(SHARED_WINDOWS),
         });
-        let keepers = keepers(nodes);
-        let calls = keepers.iter().map(|keeper| {
+        let backup_fronts = backup_fronts(nodes);
+        let calls = backup_fronts.iter().map(|backup_front| {
             let request = Request { kind: kind.clone() };
-            nodes.call(keeper, request, TELL_TIMEOUT)
+            nodes.call(backup_front, request, SHARE_TIMEOUT)
         });
         let answers = join_all(calls).await;
-        // A front that knows no other has nobody to tell.
+        // There is nothing to copy to while no other front is known.
         if !answers.is_empty() && answers.iter().all(Result::is_err) {
-            log::warn!("event=usage_not_shared keepers={keepers:?}");
-            tokio::time::sleep(RETRY_PAUSE).await;
+            log::warn!("event=usage_not_shared keepers={backup_fronts:?}");
+            tokio::time::sleep(RETRY_DELAY).await;
             changed.mark_changed();
         }
     }
 }
 
-/// The strongest fronts, which take weak ones' work, by rendezvous hash of this node.
-fn keepers(nodes: &Nodes) -> Vec<String> {
+/// Returns the fronts that get the counts: some of the strongest, by rendezvous hash of this node.
+fn backup_fronts(nodes: &Nodes) -> Vec<String> {
     let own = nodes.own().node;
     let takers = nodes.takers();
     let others = takers.iter().map(|taker| taker.node.as_str());
     let ranked = rendezvous(own.as_bytes(), others.filter(|node| *node != own));
     ranked
         .into_iter()
-        .take(KEEPERS)
+        .take(BACKUP_FRONTS)
         .map(str::to_owned)
         .collect()
 }
--- a/crates/front/tests/explain.rs
+++ b/crates/front/tests/explain.rs
@@ -1,4 +1,4 @@
-//! Stories told from log lines.
+//! Tests of timelines and step statistics built from log lines.
 
 use ladderstage_front::explain::{LogLine, Story, steps, table};
 
@@ -13,45 +13,53 @@
 time=101.001 level=info node=front-b module=m event=request_answered request=r1 route=x config=7 status=200 elapsed_ms=10
 "#;
 
-fn story(id: &str) -> Story {
+fn timeline(id: &str) -> Story {
     let lines: Vec<LogLine> = LOG.lines().filter_map(LogLine::parse).collect();
     assert_eq!(lines.len(), 7);
     Story::tell(id, &lines)
 }
 
-fn events(story: &Story) -> Vec<&str> {
-    story.steps.iter().map(|step| step.event.as_str()).collect()
+fn events(timeline: &Story) -> Vec<&str> {
+    timeline
+        .steps
+        .iter()
+        .map(|step| step.event.as_str())
+        .collect()
 }
 
 #[test]
-fn an_item_s_story_holds_what_happened_to_its_job_in_the_order_of_time() {
-    let story = story("i1");
+fn the_timeline_of_an_item_contains_the_events_of_its_job_by_time() {
+    let timeline = timeline("i1");
     let expected = [
         "job_accepted",
         "append_in_doubt",
         "item_run",
         "job_log_taken",
     ];
-    assert_eq!(events(&story), expected);
-    let wrong: Vec<bool> = story.steps.iter().map(|step| step.is_first_wrong).collect();
-    assert_eq!(wrong, [false, true, false, false]);
-    let text = story.to_string();
+    assert_eq!(events(&timeline), expected);
+    let is_first_failure: Vec<bool> = timeline
+        .steps
+        .iter()
+        .map(|step| step.is_first_wrong)
+        .collect();
+    assert_eq!(is_first_failure, [false, true, false, false]);
+    let text = timeline.to_string();
     assert!(text.contains("!"), "{text}");
     assert!(text.contains("cut: error reading a body"), "{text}");
 }
 
 #[test]
-fn a_request_s_story_holds_its_own_lines_only() {
-    let story = story("r1");
-    assert_eq!(events(&story), ["attempt", "request_answered"]);
-    assert!(story.steps.iter().all(|step| !step.is_first_wrong));
+fn the_timeline_of_a_request_contains_only_its_own_lines() {
+    let timeline = timeline("r1");
+    assert_eq!(events(&timeline), ["attempt", "request_answered"]);
+    assert!(timeline.steps.iter().all(|step| !step.is_first_wrong));
 }
 
 #[test]
-fn a_job_s_story_holds_all_its_items() {
-    let story = story("j1");
+fn the_timeline_of_a_job_contains_all_its_items() {
+    let timeline = timeline("j1");
     assert_eq!(
-        story
+        timeline
             .steps
             .iter()
             .filter(|step| step.event == "item_run")
@@ -60,7 +68,7 @@
     );
 }
 
-const STEPS: &str = r#"
+const STEP_LOG: &str = r#"
 time=100.000 level=info node=a module=m event=job_accepted job=j1 model=m step=3 oldest_version=2 desired_groups=1 items=2
 time=101.000 level=info node=a module=m event=item_run item=i1 job=j1 group=g1 instance=s1 tokens=9 guess=5 events=3 versions=[2] elapsed_ms=900 outcome=complete
 time=101.100 level=info node=a module=m event=reward_call item=i1 job=j1 request=r1 route=x instance=p elapsed_ms=20 outcome=broken cause="no answer in time"
@@ -70,29 +78,29 @@
 "#;
 
 #[test]
-fn a_step_s_row_tells_what_it_waited_for() {
-    let lines: Vec<LogLine> = STEPS.lines().filter_map(LogLine::parse).collect();
+fn the_row_of_a_step_names_the_item_it_waited_for_last() {
+    let lines: Vec<LogLine> = STEP_LOG.lines().filter_map(LogLine::parse).collect();
     let rows = steps(&lines);
     assert_eq!(rows.len(), 1);
     let row = &rows[0];
     assert_eq!((row.step, row.items, row.refused_starts), (3, 2, 1));
     let last = row.last.as_ref().unwrap();
     assert_eq!(last.id, "i1");
-    let is_near = |value: f64, expected: f64| (value - expected).abs() < 1e-6;
+    let is_close = |value: f64, expected: f64| (value - expected).abs() < 1e-6;
     assert!(
-        is_near(last.started, 0.1) && is_near(last.whole, 1.0),
+        is_close(last.started, 0.1) && is_close(last.whole, 1.0),
         "{last:?}"
     );
     assert!(
-        is_near(row.wanted_done.unwrap(), 1.2),
-        "the score counts: {row:?}"
+        is_close(row.wanted_done.unwrap(), 1.2),
+        "the item is done once it is scored: {row:?}"
     );
-    assert!(is_near(row.ended.unwrap(), 2.0));
+    assert!(is_close(row.ended.unwrap(), 2.0));
     assert!(table(&rows).contains("i1 events=3"));
 }
 
 #[test]
-fn a_step_s_row_tells_which_runs_were_in_other_regions() {
+fn the_row_of_a_step_counts_runs_in_other_regions() {
     let log = r#"
 time=100.000 level=info node=a module=m event=job_accepted job=j1 model=m step=3 oldest_version=2 desired_groups=1 items=2
 time=101.000 level=info node=a module=m event=item_run item=i1 job=j1 group=g1 instance=s1 distance=elsewhere events=3 elapsed_ms=900 outcome=complete
@@ -100,12 +108,12 @@
 "#;
     let lines: Vec<LogLine> = log.lines().filter_map(LogLine::parse).collect();
     assert_eq!(steps(&lines)[0].far_runs, 1);
-    let story = Story::tell("i1", &lines).to_string();
-    assert!(story.contains("distance=elsewhere"), "{story}");
+    let timeline = Story::tell("i1", &lines).to_string();
+    assert!(timeline.contains("distance=elsewhere"), "{timeline}");
 }
 
 #[test]
-fn a_job_of_a_tenant_is_found_by_the_id_that_its_client_knows() {
+fn a_job_of_a_tenant_is_found_by_its_id_without_the_tenant() {
     let line = "time=12.0 level=info node=front-1 module=job event=job_accepted job=huka270/7c41e0 items=4";
     let line = LogLine::parse(line).unwrap();
     assert!(line.is_about("7c41e0"));
@@ -113,8 +121,9 @@
     assert!(!line.is_about("c41e0"));
 }
 
-/// One request ended an instance at one front; a repeat of it under another id was held back at another.
-const HELD: &str = r#"
+/// A request crashed an instance at one front; a repeat under another id was held back at another
+/// front.
+const SUSPECT_LOG: &str = r#"
 time=100.000 level=warn node=front-a module=m event=run_broken request=r1 route=x instance=s1 content=c1 run_ms=60 instance_now=ended ends=["s1@7"]
 time=100.100 level=warn node=front-a module=m event=run_broken request=r2 route=x instance=s3 content=c2 run_ms=10 instance_now=listening ends=[]
 time=100.200 level=warn node=front-b module=m event=run_broken request=r3 route=x instance=s2 content=c1 run_ms=80 instance_now=ended ends=["s1@7", "s2@9"]
@@ -124,17 +133,18 @@
 "#;
 
 #[test]
-fn the_story_of_a_held_request_leads_to_the_instances_that_ended_under_others_of_its_content() {
-    let lines: Vec<LogLine> = HELD.lines().filter_map(LogLine::parse).collect();
-    let story = Story::tell("r4", &lines);
+fn the_timeline_of_a_request_held_back_as_suspect_contains_the_crashes_under_its_fingerprint() {
+    let lines: Vec<LogLine> = SUSPECT_LOG.lines().filter_map(LogLine::parse).collect();
+    let timeline = Story::tell("r4", &lines);
     let expected = ["run_broken", "run_broken", "suspect_heard", "run_held_back"];
-    assert_eq!(events(&story), expected);
-    assert!(story.steps[0].details.contains("instance=s1"));
-    assert!(story.steps[1].details.contains("instance=s2"));
+    assert_eq!(events(&timeline), expected);
+    assert!(timeline.steps[0].details.contains("instance=s1"));
+    assert!(timeline.steps[1].details.contains("instance=s2"));
 }
 
-/// All instances of a service were in drained zones at one front, while another one had not heard of that.
-const DRAINED: &str = r#"
+/// All instances of a service were in drained zones at one front; the other front did not know of
+/// the drain yet.
+const DRAIN_LOG: &str = r#"
 time=100.000 level=info node=front-a module=m event=zone_drain_began zone=b instances=15
 time=100.100 level=info node=front-b module=m event=zone_drain_began zone=c instances=4
 time=100.200 level=info node=front-a module=m event=request_held_back request=r1 route=x service=s reason=zone_drained
@@ -143,27 +153,27 @@
 "#;
 
 #[test]
-fn the_story_of_a_request_that_drains_left_no_instance_leads_to_the_drains() {
-    let lines: Vec<LogLine> = DRAINED.lines().filter_map(LogLine::parse).collect();
-    let held = Story::tell("r1", &lines);
+fn the_timeline_of_a_request_held_back_by_drains_contains_the_drains() {
+    let lines: Vec<LogLine> = DRAIN_LOG.lines().filter_map(LogLine::parse).collect();
+    let held_back = Story::tell("r1", &lines);
     let expected = ["zone_drain_began", "request_held_back", "zone_drain_ended"];
-    assert_eq!(events(&held), expected);
+    assert_eq!(events(&held_back), expected);
     assert_eq!(events(&Story::tell("r2", &lines)), ["attempt"]);
 }
 
 #[test]
-fn a_story_that_went_wrong_tells_which_instances_were_lost_and_that_none_were_to_be_had() {
-    const CAPACITY: &str = r#"
+fn a_timeline_with_a_failure_contains_lost_instances_and_failed_capacity_orders() {
+    const CAPACITY_LOG: &str = r#"
 time=82.000 level=info node=front-c module=m event=capacity_lost service=s zone=z kind=kept lost=9 before=0 reason=leaving
 time=99.000 level=info node=front-c module=m event=capacity_lost service=s zone=z kind=kept lost=2 before=0 reason=zone_drained
 time=100.200 level=info node=front-c module=m event=capacity_ordered service=s zone=y kind=preemptible desired=2 extra=2 fence=7 outcome=none_to_be_had cause="none to be had"
 "#;
-    let lines: Vec<LogLine> = [LOG, CAPACITY]
+    let lines: Vec<LogLine> = [LOG, CAPACITY_LOG]
         .into_iter()
         .flat_map(str::lines)
         .filter_map(LogLine::parse)
         .collect();
-    let told = Story::tell("i1", &lines);
+    let failed = Story::tell("i1", &lines);
     let expected = [
         "capacity_lost",
         "job_accepted",
@@ -172,22 +182,22 @@
         "item_run",
         "job_log_taken",
     ];
-    assert_eq!(events(&told), expected);
-    assert!(told.to_string().contains("reason=zone_drained"));
-    // A request that was answered needs no cause.
-    let calm = Story::tell("r1", &lines);
-    assert_eq!(events(&calm), ["attempt", "request_answered"]);
+    assert_eq!(events(&failed), expected);
+    assert!(failed.to_string().contains("reason=zone_drained"));
+    // A timeline without a failure contains no capacity events.
+    let answered = Story::tell("r1", &lines);
+    assert_eq!(events(&answered), ["attempt", "request_answered"]);
 }
 
 #[test]
-fn a_refused_request_s_story_says_what_held_instances_back() {
+fn the_timeline_of_a_rejected_request_contains_the_reasons_why_instances_were_held_back() {
     let log = r#"
 time=100.100 level=info node=front-a module=m event=no_instance request=r2 service=s held_back=cold:3,zone_drained:15
 time=100.101 level=warn node=front-a module=m event=request_answered request=r2 route=x config=7 status=503 elapsed_ms=151
 "#;
     let lines: Vec<LogLine> = log.lines().filter_map(LogLine::parse).collect();
-    let story = Story::tell("r2", &lines);
-    assert_eq!(events(&story), ["no_instance", "request_answered"]);
-    let text = story.to_string();
+    let timeline = Story::tell("r2", &lines);
+    assert_eq!(events(&timeline), ["no_instance", "request_answered"]);
+    let text = timeline.to_string();
     assert!(text.contains("held_back=cold:3,zone_drained:15"), "{text}");
 }
--- a/crates/front/tests/following.rs
+++ b/crates/front/tests/following.rs
@@ -1,4 +1,5 @@
-//! How soon a follower of the store's records learns what it missed.
+//! Tests of following the store's records through lost answers, rejected calls and compacted
+//! history.
 
 mod support;
 
@@ -11,64 +12,64 @@
 use support::memory_store::{MemoryStore, NodeFaults};
 use tokio::time::sleep;
 
-/// Found by a failed run of CI: a front that was told that history is gone passed its whole gathering time once more before it
-/// listed, and sent requests to an instance 2.2 s after that one had said that it leaves.
+/// Guards against waiting for another batch interval before the listing after compacted history,
+/// while requests go to leaving instances.
 #[tokio::test(start_paused = true)]
-async fn a_follower_whose_history_is_gone_lists_at_once() {
-    for begins_stale in [false, true] {
+async fn a_follower_lists_at_once_after_compacted_history() {
+    for starts_stale in [false, true] {
         let store = MemoryStore::default();
         store.write("instances/i-1", Vec::new());
         let followed: Arc<dyn Coordination> = Arc::new(store.of("node"));
-        let gather = Duration::from_millis(1_100);
-        let mut follower = Gathering {
-            gather,
-            begins_stale,
+        let batch_interval = Duration::from_millis(1_100);
+        let mut follower = FixedPauseFollower {
+            batch_interval,
+            starts_stale,
         };
-        let forgetting = async {
-            sleep(gather / 2).await;
+        let compacting = async {
+            sleep(batch_interval / 2).await;
             store.write("instances/i-2", Vec::new());
-            store.forget_history();
+            store.compact_history();
             sleep(Duration::from_secs(5)).await;
         };
         tokio::select! {
-            () = follow_with(followed, "instances/", &mut follower) => unreachable!("a follower goes on for ever"),
-            () = forgetting => {}
+            () = follow_with(followed, "instances/", &mut follower) => unreachable!("a follower never returns"),
+            () = compacting => {}
         }
         let mut listed_at = store.called_at("node", "list_stale", "instances/");
         listed_at.extend(store.called_at("node", "list", "instances/"));
         let watched_at = store.called_at("node", "watch", "instances/");
         assert_eq!(listed_at.len(), 2);
-        if begins_stale {
-            // The watch was under way.
+        if starts_stale {
+            // The watch was in progress.
             assert_eq!(watched_at[0], listed_at[0]);
-            assert_eq!(listed_at[1], listed_at[0] + gather / 2);
+            assert_eq!(listed_at[1], listed_at[0] + batch_interval / 2);
         } else {
             assert_eq!(listed_at[1], watched_at[0]);
         }
     }
 }
 
-/// Gathers changes for a while.
-struct Gathering {
-    gather: Duration,
-    begins_stale: bool,
+/// Follower with a fixed pause.
+struct FixedPauseFollower {
+    batch_interval: Duration,
+    starts_stale: bool,
 }
 
-impl Follower for Gathering {
+impl Follower for FixedPauseFollower {
     fn pause(&self) -> impl Future<Output = ()> + Send {
-        sleep(self.gather)
+        sleep(self.batch_interval)
     }
 
     fn take(&mut self, _: Update, _: u64) {}
 
     fn may_begin_stale(&self) -> bool {
-        self.begins_stale
+        self.starts_stale
     }
 }
 
-/// What a stale listing lacks is told by the watch that follows it at once.
+/// A watch from the revision of the stale listing reports what the listing lacks.
 #[tokio::test(start_paused = true)]
-async fn a_stale_listing_is_made_up_for_at_once() {
+async fn a_watch_follows_a_stale_listing_at_once() {
     let store = MemoryStore::default();
     store.write("instances/i-1", Vec::new());
     store.set_faults(
@@ -80,47 +81,53 @@
     );
     store.write("instances/i-2", Vec::new());
     let followed: Arc<dyn Coordination> = Arc::new(store.of("node"));
-    let mut heard = Vec::new();
-    let gather = Duration::from_secs(60);
-    let following = follow(followed, "instances/", gather, |update| match update {
-        Update::Snapshot(records) => heard.extend(records.into_iter().map(|record| record.key)),
-        Update::Changes(changes) => {
-            heard.extend(changes.into_iter().filter_map(|change| match change {
-                Change::Written(record) => Some(record.key),
-                Change::Removed { .. } => None,
-            }));
-        }
-    });
+    let mut received = Vec::new();
+    let batch_interval = Duration::from_secs(60);
+    let following = follow(
+        followed,
+        "instances/",
+        batch_interval,
+        |update| match update {
+            Update::Snapshot(records) => {
+                received.extend(records.into_iter().map(|record| record.key))
+            }
+            Update::Changes(changes) => {
+                received.extend(changes.into_iter().filter_map(|change| match change {
+                    Change::Written(record) => Some(record.key),
+                    Change::Removed { .. } => None,
+                }));
+            }
+        },
+    );
     let _ = tokio::time::timeout(Duration::from_millis(50), following).await;
-    assert_eq!(heard, ["instances/i-1", "instances/i-2"]);
+    assert_eq!(received, ["instances/i-1", "instances/i-2"]);
 }
 
-/// After the history was forgotten a stale listing could tell what was before.
+/// A stale listing after compacted history could be older than the known records.
 #[tokio::test(start_paused = true)]
 async fn only_the_first_listing_is_stale() {
     let store = MemoryStore::default();
     store.write("instances/i-1", Vec::new());
     let followed: Arc<dyn Coordination> = Arc::new(store.of("node"));
     let following = follow(followed, "instances/", Duration::from_millis(10), |_| {});
-    let forgetting = async {
+    let compacting = async {
         for _ in 0..5 {
             sleep(Duration::from_secs(1)).await;
             store.write("elsewhere", Vec::new());
-            store.forget_history();
+            store.compact_history();
         }
     };
     tokio::select! {
-        () = following => unreachable!("a follower goes on for ever"),
-        () = forgetting => {}
+        () = following => unreachable!("a follower never returns"),
+        () = compacting => {}
     }
     assert_eq!(store.calls("node", "list_stale", "instances/"), 1);
     assert!(store.calls("node", "list", "instances/") >= 4);
 }
 
-/// Found by counting the calls of a day on which the store turned a third of 84 nodes away for 9 s: each of their three followers
-/// asked once a second, and each refused call has its price.
+/// Guards against followers that each retry rejected calls every second.
 #[tokio::test(start_paused = true)]
-async fn followers_of_a_store_that_refuses_wait_for_another_call_to_be_carried_out() {
+async fn followers_of_a_store_that_rejects_calls_wait_for_another_call_to_succeed() {
     let store = MemoryStore::default();
     let refused = NodeFaults {
         is_refused: true,
@@ -141,26 +148,26 @@
             sleep(Duration::from_secs(1)).await;
             let _ = observed.renew(lease).await;
         }
-        let while_down = store.calls("node", "list_stale", "instances/");
+        let during_outage = store.calls("node", "list_stale", "instances/");
         store.set_faults("node", NodeFaults::default());
         observed.renew(lease).await.unwrap();
         sleep(Duration::from_millis(50)).await;
-        while_down
+        during_outage
     };
-    let while_down = tokio::select! {
-        () = following => unreachable!("a follower goes on for ever"),
-        while_down = renewals => while_down,
+    let during_outage = tokio::select! {
+        () = following => unreachable!("a follower never returns"),
+        during_outage = renewals => during_outage,
     };
-    assert_eq!(while_down, 2);
+    assert_eq!(during_outage, 2);
     assert_eq!(store.calls("node", "list_stale", "instances/"), 3);
 }
 
-/// A watch whose answer was lost without a sign tells nothing until its time is over.
+/// Guards against a watch that waits forever for a lost answer.
 #[tokio::test(start_paused = true)]
-async fn a_watch_is_begun_anew_when_it_was_silent_for_long() {
-    struct Impatient;
+async fn a_watch_without_an_answer_is_restarted() {
+    struct ShortWatchFollower;
 
-    impl Follower for Impatient {
+    impl Follower for ShortWatchFollower {
         fn pause(&self) -> impl Future<Output = ()> + Send {
             sleep(Duration::from_millis(10))
         }
@@ -174,7 +181,7 @@
 
     let store = MemoryStore::default();
     let followed: Arc<dyn Coordination> = Arc::new(store.of("node"));
-    let mut follower = Impatient;
+    let mut follower = ShortWatchFollower;
     let following = follow_with(followed, "instances/", &mut follower);
     let _ = tokio::time::timeout(Duration::from_secs(21), following).await;
     assert_eq!(store.calls("node", "watch", "instances/"), 5);
--- a/crates/front/tests/formats.rs
+++ b/crates/front/tests/formats.rs
@@ -1,7 +1,7 @@
-//! Records of the coordination store between builds: what earlier builds wrote is read as it was meant, what this build writes can be read
-//! by them, and each node knows what the others read.
+//! Compatibility of the records in the coordination store between builds: this build reads earlier
+//! records, earlier builds read this build's records, and nodes know each other's format levels.
 //!
-//! `formats/<commit>.txt` holds what the build of that commit wrote.
+//! `formats/<commit>.txt` holds records written by the build of that commit.
 
 mod support;
 
@@ -17,26 +17,26 @@
 };
 use ladderstage_front::roster::Roster;
 use ladderstage_front::suspects::SuspectRecord;
-use ladderstage_front::usage::FixedReports;
+use ladderstage_front::usage::CommittedReports;
 use proptest::prelude::*;
 use serde::Deserialize;
 use support::memory_store::MemoryStore;
 use tokio::time::sleep;
 
-/// What earlier builds wrote.
+/// Records written by earlier builds.
 const EARLIER: [&str; 2] = [
     include_str!("formats/b6915e3.txt"),
     include_str!("formats/c0c1299.txt"),
 ];
 
-/// Longer than a node that works with others takes to hear of a change.
-const HEARD: Duration = Duration::from_secs(2);
+/// Longer than a node with work takes to apply a change.
+const APPLIED: Duration = Duration::from_secs(2);
 
-const GIVER_KEY: &str = "ladderstage/orders/giver";
-const LAST_KEY: &str = "ladderstage/orders/last";
-const LEARNT_KEY: &str = "ladderstage/orders/learnt";
+const LEADER_KEY: &str = "ladderstage/orders/giver";
+const LAST_LEADER_KEY: &str = "ladderstage/orders/last";
+const LEARNED_KEY: &str = "ladderstage/orders/learnt";
 
-/// A node's record as builds without levels read it.
+/// Node record as read by builds without format levels.
 #[derive(Debug, PartialEq, Deserialize)]
 struct EarlierNode {
     node: String,
@@ -49,7 +49,7 @@
     cpu_millis: u32,
 }
 
-/// A roster as builds read it that know neither starts nor coldness of instances.
+/// Roster as read by builds without start times and cold times of instances.
 #[derive(Debug, PartialEq, Deserialize)]
 struct EarlierRoster {
     known_at: u64,
@@ -67,13 +67,13 @@
     slots: u32,
 }
 
-/// Records by name.
+/// Returns the records of a file by name.
 fn records(text: &str) -> BTreeMap<&str, &str> {
     let lines = text.lines().map(|line| line.split_once(' ').unwrap());
     lines.collect()
 }
 
-/// A record that an earlier build wrote, with a level.
+/// Returns a node record of an earlier build with a format level.
 fn record(node: &str, role: NodeRole, formats: FormatLevel) -> NodeRecord {
     let written = records(EARLIER[0])["front"];
     let mut record: NodeRecord = serde_json::from_str(written).unwrap();
@@ -95,15 +95,15 @@
             (front.process, front.cpu_millis, front.is_leaving),
             (99, 250, true)
         );
-        assert_eq!(front.formats, FormatLevel::UNNAMED);
+        assert_eq!(front.formats, FormatLevel::UNKNOWN);
         let store: NodeRecord = serde_json::from_str(written["store"]).unwrap();
         assert_eq!((store.role, store.replica_id), (NodeRole::Store, 21));
         let mut own = front;
         own.formats = FormatLevel::OWN;
         let own = serde_json::to_string(&own).unwrap();
         let read: EarlierNode = serde_json::from_str(&own).unwrap();
-        let meant: EarlierNode = serde_json::from_str(written["front"]).unwrap();
-        assert_eq!(read, meant);
+        let expected: EarlierNode = serde_json::from_str(written["front"]).unwrap();
+        assert_eq!(read, expected);
     }
 }
 
@@ -121,15 +121,15 @@
         one.cold_ms = 4_000;
         one.is_preemptible = true;
         let read: EarlierRoster = serde_json::from_slice(&roster.write().unwrap()).unwrap();
-        let meant: EarlierRoster = serde_json::from_str(written["roster"]).unwrap();
-        assert_eq!(read, meant);
+        let expected: EarlierRoster = serde_json::from_str(written["roster"]).unwrap();
+        assert_eq!(read, expected);
     }
 }
 
 #[test]
-fn reports_of_use_are_read_by_later_and_earlier_builds() {
+fn usage_reports_are_read_by_later_and_earlier_builds() {
     for written in EARLIER.map(records) {
-        let reports: FixedReports = serde_json::from_str(written["reports"]).unwrap();
+        let reports: CommittedReports = serde_json::from_str(written["reports"]).unwrap();
         assert_eq!(
             reports.get(30),
             Some(&BTreeMap::from([("t".to_owned(), 12)]))
@@ -140,8 +140,8 @@
 }
 
 #[test]
-fn suspected_contents_are_read_by_later_and_earlier_builds() {
-    // The build before this one kept none.
+fn suspect_records_are_read_by_later_and_earlier_builds() {
+    // The earlier of the two builds wrote none.
     let written = records(EARLIER[1])["suspect"];
     let record = Record {
         key: "ladderstage/suspect/000000000000feed".to_owned(),
@@ -157,31 +157,31 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_was_learnt_of_loads_is_read_by_later_and_earlier_builds() {
+async fn learned_load_limits_are_read_by_later_and_earlier_builds() {
     for written in EARLIER.map(records) {
         let store = MemoryStore::default();
-        store.write(LEARNT_KEY, written["learnt"].as_bytes().to_vec());
+        store.write(LEARNED_KEY, written["learnt"].as_bytes().to_vec());
         let coordination: Arc<dyn Coordination> = Arc::new(store.of("front-2"));
         let limit = learnt_limit(&LearntLoads::default(), coordination.as_ref()).await;
         let limit: LoadLimit = limit.unwrap();
         assert_eq!((limit.get(), limit.is_near()), (11, true));
-        store.remove(LEARNT_KEY);
+        store.remove(LEARNED_KEY);
         let mut writer = LearntWriter::default();
         writer.save(&limit, &coordination);
-        sleep(HEARD).await;
+        sleep(APPLIED).await;
         assert_eq!(
-            store.read(LEARNT_KEY).unwrap(),
+            store.read(LEARNED_KEY).unwrap(),
             written["learnt"].as_bytes()
         );
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_right_to_give_orders_passes_between_builds() {
+async fn the_orders_lease_passes_between_builds() {
     for written in EARLIER.map(records) {
         let store = MemoryStore::default();
-        store.write(GIVER_KEY, written["giver"].as_bytes().to_vec());
-        store.write(LAST_KEY, written["last"].as_bytes().to_vec());
+        store.write(LEADER_KEY, written["giver"].as_bytes().to_vec());
+        store.write(LAST_LEADER_KEY, written["last"].as_bytes().to_vec());
         let lease = |node: &str| GiverLease {
             coordination: Arc::new(store.of(node)),
             node: node.to_owned(),
@@ -192,62 +192,70 @@
             other.take().await.unwrap().is_none(),
             "held by an earlier build"
         );
-        store.remove(GIVER_KEY);
+        store.remove(LEADER_KEY);
         let held = other.take().await.unwrap().unwrap();
         let last = LastGiver {
             node: "front-1".to_owned(),
             fence: 2,
         };
         assert_eq!(held.last, Some(last));
-        store.remove(GIVER_KEY);
+        store.remove(LEADER_KEY);
         let again = lease("front-1");
         let held = again.take().await.unwrap().unwrap();
         assert!(again.may_order(&held).await.unwrap());
-        assert_eq!(store.read(GIVER_KEY).unwrap(), written["giver"].as_bytes());
+        assert_eq!(store.read(LEADER_KEY).unwrap(), written["giver"].as_bytes());
         let named = format!("front-1 {}", held.fence);
-        assert_eq!(store.read(LAST_KEY).unwrap(), named.as_bytes());
+        assert_eq!(store.read(LAST_LEADER_KEY).unwrap(), named.as_bytes());
     }
 }
 
-/// An upgrade of the other node, and back.
+/// Covers an upgrade of the other node and its rollback.
 #[tokio::test(start_paused = true)]
 async fn the_shared_level_follows_the_other_nodes_builds_both_ways() {
     let store = MemoryStore::default();
     let coordination: Arc<dyn Coordination> = Arc::new(store.of("own"));
     let nodes = Nodes::new(record("own", NodeRole::Front, FormatLevel::OWN));
     let level = || nodes.shared_level(NodeRole::Front);
-    let known = || (level(), nodes.nodes_behind().get());
-    assert_eq!(level(), FormatLevel::UNNAMED, "the others are not known");
+    let known = || (level(), nodes.outdated_nodes().get());
+    assert_eq!(
+        level(),
+        FormatLevel::UNKNOWN,
+        "the other nodes are not known yet"
+    );
     let activity = Activity::default();
     let _work = activity.begin();
     let put = async |text: &str| {
         store.write("ladderstage/node/other", text.as_bytes().to_vec());
-        sleep(HEARD).await;
+        sleep(APPLIED).await;
     };
     let upgraded = record("other", NodeRole::Front, FormatLevel::OWN);
     let upgraded = serde_json::to_string(&upgraded).unwrap();
     let unnamed = records(EARLIER[0])["front"].replace("front-1", "other");
     let newer = unnamed.replace(r#"{"#, r#"{"formats":4000000000,"unheard_of":[],"#);
-    let scene = async {
+    let scenario = async {
         put(&unnamed).await;
-        assert_eq!(known(), (FormatLevel::UNNAMED, 1));
+        assert_eq!(known(), (FormatLevel::UNKNOWN, 1));
         put(&upgraded).await;
         assert_eq!(known(), (FormatLevel::OWN, 0));
         put(&newer).await;
-        assert_eq!(known(), (FormatLevel::OWN, 0), "as this node reads");
+        assert_eq!(
+            known(),
+            (FormatLevel::OWN, 0),
+            "a higher level counts as this node's own"
+        );
         put(&unnamed).await;
-        assert_eq!(known(), (FormatLevel::UNNAMED, 1), "undone");
+        assert_eq!(known(), (FormatLevel::UNKNOWN, 1), "rolled back");
         let stores = nodes.shared_level(NodeRole::Store);
-        assert_eq!(stores, FormatLevel::OWN, "no store is behind");
+        assert_eq!(stores, FormatLevel::OWN, "no store has a lower level");
     };
     tokio::select! {
         () = nodes.run(coordination, &activity) => {}
-        () = scene => {}
+        () = scenario => {}
     }
 }
 
 proptest! {
-    /// Whoever reads least decides, and only among those with the role.
+    /// The lowest level among the nodes with the role decides.
     #[test]
     fn the_lowest_level_of_a_role_is_shared(
         fronts in prop::collection::vec(0..4u32, 0..6),
--- a/crates/front/tests/nodes.rs
+++ b/crates/front/tests/nodes.rs
@@ -1,4 +1,4 @@
-//! What a node knows of the others, and how soon.
+//! Tests of how a node keeps track of the others.
 
 mod support;
 
@@ -15,8 +15,8 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-/// Longer than nodes that start together read often.
-const STARTED: Duration = Duration::from_secs(9);
+/// Longer than the startup period with frequent reads.
+const STARTUP: Duration = Duration::from_secs(9);
 
 fn record(node: &str, process: u64) -> NodeRecord {
     NodeRecord {
@@ -33,12 +33,12 @@
     }
 }
 
-struct Running {
+struct RunningNode {
     nodes: Nodes,
     task: JoinHandle<()>,
 }
 
-impl Running {
+impl RunningNode {
     fn start(store: &MemoryStore, own: NodeRecord, activity: &Activity) -> Self {
         let coordination: Arc<dyn Coordination> = Arc::new(store.of(&own.node));
         let nodes = Nodes::new(own);
@@ -49,17 +49,17 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningNode {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-/// A node without work that has followed the others for a while, beside one other.
-async fn watching(store: &MemoryStore) -> (Running, Running) {
-    let other = Running::start(store, record("other", 1), &Activity::default());
-    let watcher = Running::start(store, record("watcher", 7), &Activity::default());
-    sleep(STARTED).await;
+/// Starts a node without work beside another node, and waits until they know each other.
+async fn start_pair(store: &MemoryStore) -> (RunningNode, RunningNode) {
+    let other = RunningNode::start(store, record("other", 1), &Activity::default());
+    let watcher = RunningNode::start(store, record("watcher", 7), &Activity::default());
+    sleep(STARTUP).await;
     (watcher, other)
 }
 
@@ -67,35 +67,38 @@
 async fn a_process_is_gone_once_its_node_runs_another() {
     let store = MemoryStore::default();
     let activity = Activity::default();
-    let watcher = Running::start(&store, record("watcher", 7), &activity);
-    assert!(!watcher.nodes.is_gone(1), "nothing is known yet");
-    let other = Running::start(&store, record("other", 1), &activity);
-    sleep(STARTED).await;
+    let watcher = RunningNode::start(&store, record("watcher", 7), &activity);
+    assert!(!watcher.nodes.is_gone(1), "no node is known yet");
+    let other = RunningNode::start(&store, record("other", 1), &activity);
+    sleep(STARTUP).await;
     assert!(!watcher.nodes.is_gone(1));
-    assert!(!watcher.nodes.is_gone(7), "this one");
+    assert!(!watcher.nodes.is_gone(7), "its own process");
     drop(other);
     let _work = activity.begin();
-    let _again = Running::start(&store, record("other", 2), &activity);
+    let _again = RunningNode::start(&store, record("other", 2), &activity);
     sleep(Duration::from_millis(1_500)).await;
     assert!(watcher.nodes.is_gone(1));
     assert!(!watcher.nodes.is_gone(2));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_call_that_reaches_nobody_makes_a_node_without_work_look_again() {
+async fn a_failed_call_makes_a_node_without_work_read_the_records_again() {
     let store = MemoryStore::default();
-    let (watcher, other) = watching(&store).await;
+    let (watcher, other) = start_pair(&store).await;
     drop(other);
     let moved = NodeRecord {
         peer_address: "127.0.0.1:2".parse().unwrap(),
         ..record("other", 2)
     };
-    let _other = Running::start(&store, moved, &Activity::default());
-    // The next reading is seconds away.
+    let _other = RunningNode::start(&store, moved, &Activity::default());
+    // The next periodic read is seconds away.
     sleep(Duration::from_millis(100)).await;
-    let _third = Running::start(&store, record("third", 3), &Activity::default());
+    let _third = RunningNode::start(&store, record("third", 3), &Activity::default());
     sleep(Duration::from_secs(1)).await;
-    assert!(!watcher.nodes.is_present("third"), "the pause goes on");
+    assert!(
+        !watcher.nodes.is_present("third"),
+        "the read interval has not passed"
+    );
     let kind = RequestKind::fetch_replica_set(FetchReplicaSet {});
     let call = watcher
         .nodes
@@ -105,9 +108,9 @@
     assert!(watcher.nodes.is_present("third"));
 }
 
-/// Found by counting the calls of a calm day of 295 nodes: half of a front's calls were answers about nodes, and renewals each second.
+/// Guards against idle fronts that watch all nodes and renew their lease every second.
 #[tokio::test(start_paused = true)]
-async fn a_weak_front_without_work_asks_little_of_the_store() {
+async fn a_weak_front_without_work_makes_few_calls_to_the_store() {
     let store = MemoryStore::default();
     let weak = NodeRecord {
         cpu_millis: 120,
@@ -118,8 +121,8 @@
         ..record("strong", 2)
     };
     let activity = Activity::default();
-    let weak = Running::start(&store, weak, &activity);
-    let strong = Running::start(&store, strong, &Activity::default());
+    let weak = RunningNode::start(&store, weak, &activity);
+    let strong = RunningNode::start(&store, strong, &Activity::default());
     sleep(Duration::from_secs(60)).await;
     let calls = |node, kind| store.calls(node, kind, "ladderstage/node/");
     assert_eq!(calls("weak", "list"), 0);
@@ -132,21 +135,21 @@
     drop(strong);
     let _work = activity.begin();
     sleep(Duration::from_secs(5)).await;
-    assert!(weak.nodes.is_gone(2), "followed closely now");
+    assert!(weak.nodes.is_gone(2), "the records are followed now");
 }
 
-/// Other nodes miss one with work soon after it is gone.
+/// Guards against a long lease at a front with work, whose absence would be noticed late.
 #[tokio::test(start_paused = true)]
-async fn a_weak_front_with_work_is_missed_soon() {
+async fn the_loss_of_a_weak_front_with_work_is_noticed_soon() {
     let store = MemoryStore::default();
     let activity = Activity::default();
     let front = |node: &str, cpu_millis, process| NodeRecord {
         cpu_millis,
         ..record(node, process)
     };
-    let weak = Running::start(&store, front("weak", 120, 1), &activity);
-    let strong = Running::start(&store, front("strong", 500, 2), &activity);
-    sleep(STARTED).await;
+    let weak = RunningNode::start(&store, front("weak", 120, 1), &activity);
+    let strong = RunningNode::start(&store, front("strong", 500, 2), &activity);
+    sleep(STARTUP).await;
     let _work = activity.begin();
     sleep(Duration::from_secs(5)).await;
     drop(weak);
@@ -154,13 +157,13 @@
     assert!(strong.nodes.is_gone(1));
 }
 
-/// A reading that comes late, or was stale, does not bring back what is known to be over.
+/// Guards against a late or stale read that restores an outdated state.
 #[tokio::test(start_paused = true)]
-async fn an_older_reading_changes_nothing() {
+async fn an_older_read_changes_nothing() {
     let store = MemoryStore::default();
-    let other = Running::start(&store, record("other", 1), &Activity::default());
-    sleep(STARTED).await;
-    let watcher = Running::start(&store, record("watcher", 7), &Activity::default());
+    let other = RunningNode::start(&store, record("other", 1), &Activity::default());
+    sleep(STARTUP).await;
+    let watcher = RunningNode::start(&store, record("watcher", 7), &Activity::default());
     let coordination = store.of("watcher");
     watcher
         .nodes
--- a/crates/front/tests/region_nodes.rs
+++ b/crates/front/tests/region_nodes.rs
@@ -1,4 +1,4 @@
-//! Where nodes lie, and whether a job that names regions would stay in them.
+//! Tests of the nodes' regions and of the checks that a job stays in its allowed regions.
 
 mod support;
 
@@ -15,8 +15,8 @@
 use support::memory_store::MemoryStore;
 use tokio::time::sleep;
 
-/// Longer than a node that starts needs to hear of the others.
-const STARTED: Duration = Duration::from_secs(9);
+/// Longer than a starting node takes to read the other nodes' records.
+const STARTUP: Duration = Duration::from_secs(9);
 
 fn regions() -> RegionMap {
     let zones = [("e1", "east"), ("e2", "east"), ("w1", "west")];
@@ -46,7 +46,7 @@
     }
 }
 
-/// A front in `e1` that has heard of these nodes.
+/// Returns a front in `e1` that has read these nodes' records.
 async fn front_that_knows(others: &[NodeRecord]) -> Nodes {
     let store = MemoryStore::default();
     for other in others {
@@ -60,7 +60,7 @@
     let activity = Activity::default();
     let run = async move { running.run(coordination, &activity).await };
     let task = tokio::spawn(run);
-    sleep(STARTED).await;
+    sleep(STARTUP).await;
     task.abort();
     nodes
 }
@@ -81,7 +81,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_job_with_bounds_is_kept_only_where_every_node_lies_inside() {
+async fn a_job_with_allowed_regions_requires_all_nodes_inside_them() {
     let store = record("store", NodeRole::Store, "e2");
     let nodes = front_that_knows(std::slice::from_ref(&store)).await;
     let replicas = set(&["store"], &[]);
@@ -122,7 +122,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn nodes_are_as_far_as_the_settings_tell_of_their_zones() {
+async fn distances_of_nodes_follow_the_configured_regions_of_their_zones() {
     let nodes = front_that_knows(&[]).await;
     let distance = |zone, region: &str| {
         let other = NodeRecord {
@@ -138,14 +138,14 @@
     assert_eq!(
         distance("new", "east"),
         Distance::SameRegion,
-        "its own word"
+        "the region in its record"
     );
     assert_eq!(nodes.distance_to(&nodes.own()), Distance::SameMachine);
 }
 
-/// A node of an older build ignores bounds. Its record names no region.
+/// A node of an older build ignores the allowed regions; its record names no region.
 #[tokio::test(start_paused = true)]
-async fn a_job_with_bounds_waits_for_the_last_node_of_a_build_that_knows_none() {
+async fn a_job_with_allowed_regions_is_rejected_while_a_node_has_a_build_without_regions() {
     let earlier = NodeRecord {
         region: String::new(),
         ..record("earlier", NodeRole::Front, "e1")
@@ -159,9 +159,9 @@
     assert_eq!(nodes.any_outside(&AllowedRegions::default()), None);
 }
 
-/// Records pass between this build and older ones, which know no regions.
+/// Older builds neither write nor read regions.
 #[test]
-fn a_record_without_a_region_is_read_and_one_without_regions_is_written_as_before() {
+fn records_without_a_region_are_compatible_with_older_builds() {
     let earlier = json!({
         "node": "n", "role": "front", "process": 7, "peer_address": "127.0.0.1:1", "zone": "e1",
         "replica_id": 0, "is_leaving": false, "cpu_millis": 120,
--- a/crates/front/tests/roster.rs
+++ b/crates/front/tests/roster.rs
@@ -1,4 +1,4 @@
-//! The roster of instances: who learns of a change by it, how late, and what happens when its writer fails.
+//! Tests of the roster: the delay of changes at its readers, and failures of its writer.
 
 mod support;
 
@@ -23,22 +23,23 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep};
 
-/// Where the instances' own records are in these tests.
+/// Key prefix of the instances' records in these tests.
 const INSTANCES: &str = "instances/";
 
-/// Where the requests to drain zones are in these tests.
+/// Key prefix of the drain requests in these tests.
 const DRAINS: &str = "drains/";
 
-/// Time within which a front must hear that an instance leaves.
-const LIMIT: Duration = Duration::from_millis(1_600);
+/// Maximum delay until a front knows that an instance leaves.
+const MAX_DELAY: Duration = Duration::from_millis(1_600);
 
-/// Calls and scheduling, on top of the times that the options name.
-const CALLS: Duration = Duration::from_millis(60);
+/// Allowance for calls and scheduling beyond the configured times.
+const CALL_ALLOWANCE: Duration = Duration::from_millis(60);
 
 fn options() -> RosterOptions {
-    let options = RosterOptions::within(LIMIT, Duration::from_secs(1)).expect("long enough");
+    let options =
+        RosterOptions::within(MAX_DELAY, Duration::from_secs(1)).expect("the limit is long enough");
     RosterOptions {
-        least_fronts: 1,
+        min_fronts: 1,
         ..options
     }
 }
@@ -64,7 +65,7 @@
     store.write(&format!("{INSTANCES}{}", instance.id), value);
 }
 
-/// A configuration with a route to each of some services.
+/// Returns a configuration with a route to each of some services.
 fn config_of(version: u64, routes: &[(RouteKind, &str)]) -> ServingConfig {
     let route = |(kind, service): &(RouteKind, &str)| Route {
         name: (*service).to_owned(),
@@ -140,7 +141,7 @@
     }
 }
 
-/// Follows the requests to drain zones.
+/// Follower of the drain requests.
 struct DrainRecordFollower<'a> {
     records: &'a InstanceRecords,
     view: &'a DirectView,
@@ -195,7 +196,7 @@
     }
 }
 
-/// A node that learns of instances, and may keep the roster.
+/// A node that tracks instances and may maintain the roster.
 struct Node {
     backends: BackendTable,
     config: ConfigInForce,
@@ -217,7 +218,7 @@
         Self::start_waiting(store, name, gather, Duration::ZERO)
     }
 
-    /// As [`Node::start`]; `first_wait`: for so long the node waits for a roster first.
+    /// Starts a node that waits for a roster for up to `first_wait`.
     fn start_waiting(
         store: &MemoryStore,
         name: &str,
@@ -227,13 +228,13 @@
         Self::start_following(store, name, gather, first_wait, None)
     }
 
-    /// A node of a deployment in which zones may be drained.
+    /// Starts a node of a deployment that drains zones.
     fn start_draining(store: &MemoryStore, name: &str, first_wait: Duration) -> Self {
         let following = DrainFollowing {
             view: DirectView::default(),
             keeps_roster: Activity::default(),
         };
-        let gather = options().reader_gather;
+        let gather = options().reader_batch_interval;
         Self::start_following(store, name, gather, first_wait, Some(following))
     }
 
@@ -277,16 +278,16 @@
         }
     }
 
-    /// A node with work, which keeps the roster.
+    /// Starts a node with work that maintains the roster.
     fn start_writer(store: &MemoryStore, name: &str) -> Self {
         Self::start(store, name, options().writer_gather).keep_roster(name)
     }
 
-    /// Makes a node keep the roster.
+    /// Makes the node maintain the roster.
     fn keep_roster(mut self, name: &str) -> Self {
         let node = &mut self;
         let work = node.activity.begin();
-        let keeps = node.drains.as_ref().map(|one| one.keeps_roster.begin());
+        let duty = node.drains.as_ref().map(|one| one.keeps_roster.begin());
         let writer = RosterWriter {
             coordination: Arc::new(node.coordination.clone()),
             backends: node.backends.clone(),
@@ -308,13 +309,13 @@
             options: Some(options()),
         };
         node.tasks.push(tokio::spawn(async move {
-            let _work = (work, keeps);
+            let _work = (work, duty);
             writer.run().await;
         }));
         self
     }
 
-    /// Whether an instance may get requests here.
+    /// Returns whether an instance may get requests from this node.
     fn may_send(&self, id: &str) -> bool {
         let instance = self.backends.get(id);
         instance.is_some_and(|one| {
@@ -322,11 +323,15 @@
         })
     }
 
-    /// Waits until requests may go to an instance here, or may not; returns how long that took.
+    /// Waits until an instance may, or may not, get requests from this node; returns the time that
+    /// took.
     async fn until_may_send(&self, id: &str, expected: bool) -> Duration {
         let started = Instant::now();
         while self.may_send(id) != expected {
-            assert!(started.elapsed() < Duration::from_secs(20), "never heard");
+            assert!(
+                started.elapsed() < Duration::from_secs(20),
+                "the change never arrived"
+            );
             sleep(Duration::from_millis(5)).await;
         }
         started.elapsed()
@@ -336,8 +341,8 @@
         self.backends.get(id).map(|instance| instance.is_ready())
     }
 
-    /// Waits until this node goes by the roster.
-    async fn rests(&self) {
+    /// Waits until this node uses the roster.
+    async fn wait_for_roster_use(&self) {
         while self.view.known_at().is_none() {
             sleep(Duration::from_millis(5)).await;
         }
@@ -346,29 +351,32 @@
         }
     }
 
-    /// Waits until this node knows that an instance takes no new work; returns how long that took.
-    async fn hears_that_it_leaves(&self, id: &str) -> Duration {
+    /// Waits until this node knows that an instance leaves; returns the time that took.
+    async fn wait_until_leaving(&self, id: &str) -> Duration {
         let started = Instant::now();
         while self.is_ready(id) != Some(false) {
-            assert!(started.elapsed() < Duration::from_secs(20), "never heard");
+            assert!(
+                started.elapsed() < Duration::from_secs(20),
+                "the change never arrived"
+            );
             sleep(Duration::from_millis(5)).await;
         }
         started.elapsed()
     }
 }
 
-/// A store with instances, a node that keeps the roster, and one without work that goes by it.
+/// Starts a store with instances, a writer of the roster, and a reader without work that uses it.
 async fn fleet() -> (MemoryStore, Node, Node) {
     let store = MemoryStore::default();
     write(&store, &instance("i-1"));
     write(&store, &instance("i-2"));
     let writer = Node::start_writer(&store, "writer");
-    let reader = Node::start(&store, "reader", options().reader_gather);
-    reader.rests().await;
+    let reader = Node::start(&store, "reader", options().reader_batch_interval);
+    reader.wait_for_roster_use().await;
     (store, writer, reader)
 }
 
-/// The same with an instance, `i-9`, of a service that the roster leaves out.
+/// Starts the same fleet with an instance, `i-9`, of a service that the roster does not include.
 async fn fleet_with_labeler() -> (MemoryStore, Node, Node) {
     let store = MemoryStore::default();
     let labeler = Discovered {
@@ -378,8 +386,8 @@
     write(&store, &instance("i-1"));
     write(&store, &labeler);
     let writer = Node::start_writer(&store, "writer");
-    let reader = Node::start(&store, "reader", options().reader_gather);
-    reader.rests().await;
+    let reader = Node::start(&store, "reader", options().reader_batch_interval);
+    reader.wait_for_roster_use().await;
     (store, writer, reader)
 }
 
@@ -392,10 +400,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_front_without_work_pays_nothing_for_new_weights() {
+async fn a_front_without_work_makes_no_calls_for_new_weights() {
     let (store, writer, reader) = fleet().await;
-    // The watches of the roster begin again after their pauses.
-    sleep(options().reader_gather * 2).await;
+    // The watches of the roster start again after their pauses.
+    sleep(options().reader_batch_interval * 2).await;
     let calls = |kind, key| store.calls("reader", kind, key);
     let before = (calls("watch", INSTANCES), calls("watch", ROSTER_KEY));
     for version in 1..40 {
@@ -412,13 +420,13 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_front_without_work_hears_in_time_that_an_instance_leaves_or_is_gone() {
+async fn a_front_without_work_knows_in_time_that_an_instance_leaves_or_is_removed() {
     let (store, _writer, reader) = fleet().await;
-    let in_time = options().writer_gather + options().reader_gather + CALLS;
+    let in_time = options().writer_gather + options().reader_batch_interval + CALL_ALLOWANCE;
     for round in 0..20_u64 {
         sleep(Duration::from_millis(37 * round)).await;
         leave(&store, "i-1");
-        let taken = reader.hears_that_it_leaves("i-1").await;
+        let taken = reader.wait_until_leaving("i-1").await;
         assert!(taken <= in_time, "{taken:?}");
         write(&store, &instance("i-1"));
         store.remove(&format!("{INSTANCES}i-2"));
@@ -432,53 +440,50 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn news_that_a_dead_writer_did_not_write_arrive_within_the_longest_time() {
+async fn changes_that_a_dead_writer_did_not_write_arrive_within_the_maximum_delay() {
     for offset in [0, 130, 260, 390, 520] {
         let (store, writer, reader) = fleet().await;
         sleep(Duration::from_millis(offset)).await;
         drop(writer);
         leave(&store, "i-1");
-        let taken = reader.hears_that_it_leaves("i-1").await;
-        assert!(taken <= options().longest() + CALLS, "{taken:?}");
+        let taken = reader.wait_until_leaving("i-1").await;
+        assert!(taken <= options().max_delay() + CALL_ALLOWANCE, "{taken:?}");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_writer_that_is_cut_off_loses_its_readers_in_time() {
+async fn readers_stop_using_the_roster_of_a_partitioned_writer_in_time() {
     let (store, _writer, reader) = fleet().await;
-    let cut_off = NodeFaults {
+    let partitioned = NodeFaults {
         is_cut_off: true,
         ..NodeFaults::default()
     };
-    store.set_faults("writer", cut_off);
+    store.set_faults("writer", partitioned);
     leave(&store, "i-1");
-    let taken = reader.hears_that_it_leaves("i-1").await;
-    assert!(taken <= options().longest() + CALLS, "{taken:?}");
-    // It may write again once it is back.
+    let taken = reader.wait_until_leaving("i-1").await;
+    assert!(taken <= options().max_delay() + CALL_ALLOWANCE, "{taken:?}");
+    // The writer may continue after its recovery.
     store.set_faults("writer", NodeFaults::default());
 }
 
-/// Its renewals would be carried out all the while.
+/// Guards against a writer that renews the lease although its watch of discovery fails.
 #[tokio::test(start_paused = true)]
-async fn a_writer_that_cannot_follow_discovery_lets_the_roster_go() {
+async fn a_writer_that_cannot_follow_discovery_lets_the_roster_expire() {
     let (store, _writer, reader) = fleet().await;
-    let blind = NodeFaults {
+    let cannot_follow = NodeFaults {
         refused_prefixes: [INSTANCES.to_owned()].into(),
         ..NodeFaults::default()
     };
-    store.set_faults("writer", blind);
+    store.set_faults("writer", cannot_follow);
     leave(&store, "i-1");
-    let taken = reader.hears_that_it_leaves("i-1").await;
-    assert!(taken <= options().longest() + CALLS, "{taken:?}");
+    let taken = reader.wait_until_leaving("i-1").await;
+    assert!(taken <= options().max_delay() + CALL_ALLOWANCE, "{taken:?}");
     assert!(store.read(ROSTER_KEY).is_none());
     store.set_faults("writer", NodeFaults::default());
     write(&store, &instance("i-1"));
     sleep(Duration::from_secs(20)).await;
     assert!(store.read(ROSTER_KEY).is_some());
-    assert!(
-        reader.view.known_at().is_none(),
-        "goes by the roster once more"
-    );
+    assert!(reader.view.known_at().is_none(), "uses the roster again");
 }
 
 #[tokio::test(start_paused = true)]
@@ -493,19 +498,19 @@
         store.remove(&format!("{INSTANCES}i-2"));
         sleep(options().writer_gather).await;
         leave(&store, "i-1");
-        reader.hears_that_it_leaves("i-1").await;
+        reader.wait_until_leaving("i-1").await;
         for _ in 0..1_000 {
             assert_eq!(reader.is_ready("i-1"), Some(false));
             sleep(Duration::from_millis(5)).await;
         }
-        let bytes = store.read(ROSTER_KEY).expect("kept");
+        let bytes = store.read(ROSTER_KEY).expect("the roster exists");
         let roster = Roster::read(&bytes).unwrap();
         assert_eq!(roster.instances.len(), 1);
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_front_with_work_learns_of_weights_at_once_and_rests_again_later() {
+async fn a_front_with_work_reads_weights_at_once_and_returns_to_the_roster_later() {
     let (store, _writer, reader) = fleet().await;
     let mut loaded = instance("i-1");
     loaded.versions.insert("model".to_owned(), 7);
@@ -518,32 +523,36 @@
     assert_eq!(version(), 7);
     drop(work);
     sleep(Duration::from_secs(20)).await;
-    assert!(reader.view.known_at().is_none(), "goes by the roster");
-    assert_eq!(version(), 7, "weights that are known stay known");
+    assert!(reader.view.known_at().is_none(), "uses the roster");
+    assert_eq!(version(), 7, "known weights are kept");
 }
 
-/// Found by a day on which the store turned a front away that had just been handed a step: it knew no instance for 8 s.
+/// Guards against a front that knows no instances when the store rejects its calls as work starts.
 #[tokio::test(start_paused = true)]
-async fn a_front_that_is_turned_away_as_work_begins_uses_the_instances_it_knew() {
+async fn a_front_rejected_by_the_store_as_work_starts_uses_the_known_instances() {
     let (store, _writer, reader) = fleet_with_labeler().await;
     assert!(!reader.view.is_usable(), "their records may be old");
-    let turned_away = NodeFaults {
+    let rejected = NodeFaults {
         refused_prefixes: [INSTANCES.to_owned(), ROSTER_KEY.to_owned()].into(),
         ..NodeFaults::default()
     };
-    store.set_faults("reader", turned_away);
+    store.set_faults("reader", rejected);
     let _work = reader.activity.begin();
-    sleep(CALLS).await;
-    assert!(reader.view.is_usable(), "there is nothing better");
+    sleep(CALL_ALLOWANCE).await;
+    assert!(reader.view.is_usable(), "nothing better is available");
     assert_eq!(reader.is_ready("i-9"), Some(true));
 }
 
 #[tokio::test(start_paused = true)]
-async fn work_waits_for_the_records_of_instances_that_the_roster_does_not_name() {
+async fn work_waits_for_the_records_of_instances_missing_in_the_roster() {
     let (store, _writer, reader) = fleet_with_labeler().await;
     store.remove(&format!("{INSTANCES}i-9"));
     sleep(Duration::from_secs(5)).await;
-    assert_eq!(reader.is_ready("i-9"), Some(true), "not heard of");
+    assert_eq!(
+        reader.is_ready("i-9"),
+        Some(true),
+        "the removal is not known yet"
+    );
     let _work = reader.activity.begin();
     while !reader.view.is_usable() {
         sleep(Duration::from_millis(1)).await;
@@ -563,16 +572,16 @@
     assert_eq!(reader.is_ready("i-9"), None, "not in the roster");
     let moved = [(RouteKind::Safe, "scorer"), (RouteKind::Safe, "labeler")];
     reader.config.offer(config_of(2, &moved));
-    sleep(CALLS).await;
+    sleep(CALL_ALLOWANCE).await;
     assert_eq!(reader.is_ready("i-9"), Some(true));
     writer.config.offer(config_of(2, &moved));
     sleep(Duration::from_secs(10)).await;
-    assert!(reader.view.known_at().is_none(), "goes by the roster");
+    assert!(reader.view.known_at().is_none(), "uses the roster");
     assert_eq!(reader.is_ready("i-9"), Some(true));
 }
 
 #[test]
-fn services_that_only_batch_jobs_use_are_not_for_live_requests() {
+fn services_used_only_by_batch_jobs_are_not_live_services() {
     let mut config = config_of(
         1,
         &[
@@ -590,9 +599,9 @@
     assert_eq!(live, ["both", "scorer", "without-route"]);
 }
 
-/// A writer that was held up for a while holds an older state than a front that followed discovery itself.
+/// A delayed writer may have an older state than a front that followed discovery itself.
 #[tokio::test(start_paused = true)]
-async fn a_front_does_not_go_back_to_an_older_roster() {
+async fn a_front_does_not_apply_an_older_roster() {
     let store = MemoryStore::default();
     write(&store, &instance("i-1"));
     let old = Roster {
@@ -603,7 +612,7 @@
     };
     leave(&store, "i-1");
     store.write(ROSTER_KEY, old.write().unwrap());
-    let reader = Node::start(&store, "reader", options().reader_gather);
+    let reader = Node::start(&store, "reader", options().reader_batch_interval);
     for _ in 0..4_000 {
         sleep(Duration::from_millis(5)).await;
         assert_ne!(reader.is_ready("i-1"), Some(true));
@@ -611,16 +620,15 @@
     assert!(reader.view.known_at().is_some(), "follows discovery");
 }
 
-/// Found by counting the calls of a calm day of 250 fronts: all listed discovery as they started, and heard of each instance that
-/// started beside them.
+/// Guards against starting fronts that all list and follow discovery.
 #[tokio::test(start_paused = true)]
-async fn a_front_that_starts_beside_the_giver_waits_for_its_roster() {
+async fn a_front_that_starts_with_the_order_leader_waits_for_its_roster() {
     let store = MemoryStore::default();
     write(&store, &instance("i-1"));
     let reader = Node::start_waiting(
         &store,
         "reader",
-        options().reader_gather,
+        options().reader_batch_interval,
         Duration::from_secs(8),
     );
     let _writer = Node::start_writer(&store, "writer");
@@ -628,18 +636,18 @@
     assert_eq!(reader.is_ready("i-1"), Some(true));
     assert_eq!(store.calls("reader", "list", INSTANCES), 0);
     leave(&store, "i-1");
-    let taken = reader.hears_that_it_leaves("i-1").await;
-    assert!(taken <= options().longest() + CALLS, "{taken:?}");
+    let taken = reader.wait_until_leaving("i-1").await;
+    assert!(taken <= options().max_delay() + CALL_ALLOWANCE, "{taken:?}");
     assert_eq!(store.calls("reader", "list", INSTANCES), 0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_front_without_a_roster_follows_discovery_once_a_request_comes_or_the_wait_is_over() {
+async fn a_front_without_a_roster_follows_discovery_after_a_request_or_the_startup_wait() {
     for (asked_after, known_after) in [(Some(3_000), 3_100), (None, 8_100)] {
         let store = MemoryStore::default();
         write(&store, &instance("i-1"));
         let wait = Duration::from_secs(8);
-        let reader = Node::start_waiting(&store, "reader", options().reader_gather, wait);
+        let reader = Node::start_waiting(&store, "reader", options().reader_batch_interval, wait);
         let asking = async {
             if let Some(asked_after) = asked_after {
                 sleep(Duration::from_millis(asked_after)).await;
@@ -655,24 +663,27 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_roster_that_cannot_be_read_is_none() {
+async fn an_invalid_roster_is_ignored() {
     let (store, writer, reader) = fleet().await;
     drop(writer);
     store.write(ROSTER_KEY, b"no roster".to_vec());
     leave(&store, "i-1");
-    let taken = reader.hears_that_it_leaves("i-1").await;
-    assert!(taken <= options().reader_gather + CALLS, "{taken:?}");
+    let taken = reader.wait_until_leaving("i-1").await;
+    assert!(
+        taken <= options().reader_batch_interval + CALL_ALLOWANCE,
+        "{taken:?}"
+    );
 }
 
-/// A store with instances in zones `a` and `b`, a node that keeps the roster, and one without work that goes by it, where zones may
-/// be drained.
+/// Starts a store with instances in zones `a` and `b`, a writer of the roster, and a reader without
+/// work that uses it, in a deployment that drains zones.
 async fn draining_fleet() -> (MemoryStore, Node, Node) {
     let store = MemoryStore::default();
     write(&store, &instance("i-a"));
     write(&store, &in_zone_b("i-b"));
     let writer = Node::start_draining(&store, "writer", Duration::ZERO).keep_roster("writer");
     let reader = Node::start_draining(&store, "reader", Duration::ZERO);
-    reader.rests().await;
+    reader.wait_for_roster_use().await;
     (store, writer, reader)
 }
 
@@ -692,12 +703,12 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_front_by_the_roster_hears_of_drains_at_no_further_call() {
+async fn a_front_that_uses_the_roster_tracks_drains_without_further_calls() {
     let (store, writer, reader) = draining_fleet().await;
     sleep(Duration::from_secs(10)).await;
     let calls = |kind| store.calls("reader", kind, DRAINS);
     let before = (calls("list"), calls("watch"));
-    let in_time = options().writer_gather + options().reader_gather + CALLS;
+    let in_time = options().writer_gather + options().reader_batch_interval + CALL_ALLOWANCE;
     for round in 0..10_u64 {
         sleep(Duration::from_millis(83 * round)).await;
         drain(&store, "a");
@@ -713,7 +724,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn two_zones_all_zones_and_unknown_ones_are_drained_and_given_back_by_themselves() {
+async fn zones_are_drained_and_restored_independently() {
     let (store, _writer, reader) = draining_fleet().await;
     drain(&store, "nowhere");
     drain(&store, "a");
@@ -739,7 +750,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_front_with_work_does_not_take_a_drained_zone_for_open() {
+async fn a_front_that_switches_to_discovery_keeps_the_drained_zones() {
     let (store, _writer, reader) = draining_fleet().await;
     drain(&store, "a");
     reader.until_may_send("i-a", false).await;
@@ -748,16 +759,20 @@
         assert!(!reader.may_send("i-a"));
         sleep(Duration::from_millis(1)).await;
     }
-    assert_eq!(reader.is_ready("i-a"), Some(true), "by its own record");
+    assert_eq!(
+        reader.is_ready("i-a"),
+        Some(true),
+        "ready in its own record"
+    );
     assert!(!reader.may_send("i-a"));
     end_drain(&store, "a");
     reader.until_may_send("i-a", true).await;
     drop(work);
 }
 
-/// Whatever becomes of the roster's writer before it writes the drain.
+/// The writer dies, is partitioned, or cannot follow the drains.
 #[tokio::test(start_paused = true)]
-async fn a_drain_that_the_writer_does_not_write_is_heard_within_the_longest_time() {
+async fn a_drain_that_the_writer_does_not_write_is_known_within_the_maximum_delay() {
     for fault in 0..3 {
         let (store, writer, reader) = draining_fleet().await;
         let _writer = match fault {
@@ -773,7 +788,7 @@
                 store.set_faults("writer", faults);
                 Some(writer)
             }
-            // It follows the instances, and its renewals would be carried out all the while.
+            // Its watch of instances and its renewals still succeed.
             _ => {
                 let refused_prefixes = [DRAINS.to_owned()].into();
                 let faults = NodeFaults {
@@ -786,21 +801,24 @@
         };
         drain(&store, "a");
         let taken = reader.until_may_send("i-a", false).await;
-        assert!(taken <= options().longest() + CALLS, "{fault}: {taken:?}");
+        assert!(
+            taken <= options().max_delay() + CALL_ALLOWANCE,
+            "{fault}: {taken:?}"
+        );
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_new_writer_says_nothing_of_drains_before_it_knows_them() {
+async fn a_new_writer_writes_no_roster_before_it_knows_the_drains() {
     let (store, writer, reader) = draining_fleet().await;
     drain(&store, "a");
     reader.until_may_send("i-a", false).await;
     drop(writer);
-    let blind = NodeFaults {
+    let cannot_follow = NodeFaults {
         refused_prefixes: [DRAINS.to_owned()].into(),
         ..NodeFaults::default()
     };
-    store.set_faults("next", blind);
+    store.set_faults("next", cannot_follow);
     let _next = Node::start_draining(&store, "next", Duration::ZERO).keep_roster("next");
     for _ in 0..2_000 {
         sleep(Duration::from_millis(5)).await;
@@ -823,11 +841,11 @@
             drop(writer);
             sleep(Duration::from_secs(3)).await;
         }
-        let blind = NodeFaults {
+        let cannot_follow = NodeFaults {
             refused_prefixes: [DRAINS.to_owned(), ROSTER_KEY.to_owned()].into(),
             ..NodeFaults::default()
         };
-        store.set_faults("new", blind);
+        store.set_faults("new", cannot_follow);
         let new = Node::start_draining(&store, "new", Duration::from_millis(500));
         let _work = new.activity.begin();
         sleep(Duration::from_secs(1)).await;
@@ -845,16 +863,16 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_front_whose_store_is_silent_goes_on_with_the_drains_that_it_knew() {
+async fn a_front_without_the_store_keeps_the_known_drains() {
     let (store, _writer, reader) = draining_fleet().await;
     drain(&store, "a");
     reader.until_may_send("i-a", false).await;
-    let cut_off = NodeFaults {
+    let partitioned = NodeFaults {
         is_cut_off: true,
         ..NodeFaults::default()
     };
     for node in ["writer", "reader"] {
-        store.set_faults(node, cut_off.clone());
+        store.set_faults(node, partitioned.clone());
     }
     let _work = reader.activity.begin();
     for _ in 0..2_000 {
@@ -863,9 +881,9 @@
     }
 }
 
-/// A writer that was held up for a while holds an older set than a front that listed the drains itself.
+/// A delayed writer may have an older set than a front that listed the drains itself.
 #[tokio::test(start_paused = true)]
-async fn a_front_does_not_go_back_to_an_older_set_of_drained_zones() {
+async fn a_front_does_not_apply_an_older_set_of_drained_zones() {
     let store = MemoryStore::default();
     write(&store, &instance("i-a"));
     let old = Roster {
@@ -887,9 +905,9 @@
     }
 }
 
-/// A roster of an older build names no zones; the instances that it calls ready may be in a drained one.
+/// A roster of an older build names no drained zones, so that its ready instances may be in one.
 #[tokio::test(start_paused = true)]
-async fn drains_are_known_from_the_records_beside_a_roster_that_names_none() {
+async fn drains_are_read_from_the_records_if_the_roster_has_none() {
     let store = MemoryStore::default();
     write(&store, &instance("i-a"));
     let _old_build = Node::start_writer(&store, "old");
@@ -906,9 +924,9 @@
     reader.until_may_send("i-a", true).await;
 }
 
-/// What it reads in a roster may be what it wrote there itself.
+/// The roster that it reads may be its own, so that it must read the records.
 #[tokio::test(start_paused = true)]
-async fn a_front_that_takes_the_roster_over_knows_drains_from_the_records() {
+async fn a_front_that_takes_over_the_roster_reads_drains_from_the_records() {
     let (store, writer, reader) = draining_fleet().await;
     let other = Node::start_draining(&store, "other", Duration::from_millis(500));
     drain(&store, "a");
@@ -920,24 +938,20 @@
     other.until_may_send("i-a", true).await;
     assert!(!other.may_send("i-b"));
     sleep(Duration::from_secs(5)).await;
-    let roster = Roster::read(&store.read(ROSTER_KEY).expect("kept")).unwrap();
-    let zones = roster.drains.expect("named").zones;
+    let roster = Roster::read(&store.read(ROSTER_KEY).expect("the roster exists")).unwrap();
+    let zones = roster.drains.expect("drains are included").zones;
     assert_eq!(zones, ["b".to_owned()].into());
     assert!(reader.may_send("i-a") && !reader.may_send("i-b"));
 }
 
-/// A reader of an older build passes over the zones.
+/// A reader of an older build ignores the drained zones in the roster.
 #[tokio::test(start_paused = true)]
 async fn instances_of_drained_zones_are_not_ready_in_the_roster() {
     let (store, _writer, _reader) = draining_fleet().await;
     let wait = Duration::from_millis(500);
-    let old_build = Node::start_waiting(&store, "old", options().reader_gather, wait);
+    let old_build = Node::start_waiting(&store, "old", options().reader_batch_interval, wait);
     sleep(wait).await;
-    assert_eq!(
-        store.calls("old", "list", INSTANCES),
-        0,
-        "goes by the roster"
-    );
+    assert_eq!(store.calls("old", "list", INSTANCES), 0, "uses the roster");
     drain(&store, "a");
     old_build.until_may_send("i-a", false).await;
     assert!(old_build.may_send("i-b"));
@@ -945,11 +959,11 @@
     old_build.until_may_send("i-a", true).await;
 }
 
-/// What becomes of the roster's writer about the time of a drain.
+/// Fault of the writer around the time of a drain.
 #[derive(Debug, Clone, Copy)]
 enum WriterFault {
     Dies,
-    IsCutOff,
+    IsPartitioned,
     CannotFollowDrains,
     CannotFollowInstances,
     IsRefused,
@@ -959,19 +973,19 @@
     fn any() -> impl Strategy<Value = Self> {
         prop_oneof![
             Just(Self::Dies),
-            Just(Self::IsCutOff),
+            Just(Self::IsPartitioned),
             Just(Self::CannotFollowDrains),
             Just(Self::CannotFollowInstances),
             Just(Self::IsRefused),
         ]
     }
 
-    /// The writer, if it lives on.
-    fn befall(self, store: &MemoryStore, writer: Node) -> Option<Node> {
+    /// Applies the fault; returns the writer unless it died.
+    fn apply_to(self, store: &MemoryStore, writer: Node) -> Option<Node> {
         let mut faults = NodeFaults::default();
         match self {
             Self::Dies => return None,
-            Self::IsCutOff => faults.is_cut_off = true,
+            Self::IsPartitioned => faults.is_cut_off = true,
             Self::IsRefused => faults.is_refused = true,
             Self::CannotFollowDrains => faults.refused_prefixes = [DRAINS.to_owned()].into(),
             Self::CannotFollowInstances => faults.refused_prefixes = [INSTANCES.to_owned()].into(),
@@ -981,24 +995,24 @@
     }
 }
 
-async fn drain_beside_a_fault(fault: WriterFault, before: u64, between: i64) {
+async fn drain_with_fault(fault: WriterFault, before: u64, between: i64) {
     let (store, writer, reader) = draining_fleet().await;
     sleep(Duration::from_millis(before)).await;
     let pause = Duration::from_millis(between.unsigned_abs());
     let _writer = if between < 0 {
-        let writer = fault.befall(&store, writer);
+        let writer = fault.apply_to(&store, writer);
         sleep(pause).await;
         drain(&store, "a");
         writer
     } else {
         drain(&store, "a");
         sleep(pause).await;
-        fault.befall(&store, writer)
+        fault.apply_to(&store, writer)
     };
     let since = if between < 0 { Duration::ZERO } else { pause };
     let taken = since + reader.until_may_send("i-a", false).await;
-    assert!(taken <= options().longest() + CALLS, "{taken:?}");
-    // It stays so.
+    assert!(taken <= options().max_delay() + CALL_ALLOWANCE, "{taken:?}");
+    // The state is stable.
     for _ in 0..1_000 {
         sleep(Duration::from_millis(5)).await;
         assert!(!reader.may_send("i-a") && reader.may_send("i-b"));
@@ -1009,22 +1023,22 @@
     #![proptest_config(ProptestConfig::with_cases(64))]
 
     #[test]
-    fn a_drain_is_known_within_the_longest_time_whatever_becomes_of_the_writer(
+    fn a_drain_is_known_within_the_maximum_delay_despite_a_fault_of_the_writer(
         fault in WriterFault::any(), before in 0_u64..1_000, between in -1_500_i64..1_500,
     ) {
         let mut builder = tokio::runtime::Builder::new_current_thread();
         let runtime = builder.enable_time().start_paused(true).build().unwrap();
-        runtime.block_on(drain_beside_a_fault(fault, before, between));
+        runtime.block_on(drain_with_fault(fault, before, between));
     }
 }
 
 proptest! {
     #[test]
-    fn the_longest_time_is_within_the_limit(limit_ms in 0_u64..20_000, lease_ms in 100_u64..5_000) {
+    fn the_maximum_delay_is_within_the_limit(limit_ms in 0_u64..20_000, lease_ms in 100_u64..5_000) {
         let limit = Duration::from_millis(limit_ms);
         let lease = Duration::from_millis(lease_ms);
         if let Some(options) = RosterOptions::within(limit, lease) {
-            prop_assert!(options.longest() <= limit);
+            prop_assert!(options.max_delay() <= limit);
             prop_assert!(options.lease >= lease);
         }
     }
--- a/crates/front/tests/support/memory_store.rs
+++ b/crates/front/tests/support/memory_store.rs
@@ -1,4 +1,5 @@
-//! A coordination store in memory, on tokio's clock: leases, watches, and faults for each node that uses it.
+//! In-memory coordination store on tokio's clock, with leases, watches, and faults for each node
+//! that uses it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -11,18 +12,18 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// What does not work for one node.
+/// Faults injected into the calls of a node.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct NodeFaults {
     /// No call is answered.
     pub is_cut_off: bool,
-    /// All calls are refused.
+    /// All calls are rejected.
     pub is_refused: bool,
-    /// Watches and listings under these prefixes are refused.
+    /// Calls with these keys or prefixes are rejected.
     pub refused_prefixes: BTreeSet<String>,
-    /// Stale reads lack the changes of so many last revisions.
+    /// Number of latest revisions that stale reads lack.
     pub stale_by: u64,
-    /// The next swap is carried out after this long, and never answered.
+    /// The next swap is applied after this delay and never answered.
     pub late_swap: Option<Duration>,
 }
 
@@ -33,20 +34,20 @@
     history: Vec<(u64, Change)>,
     leases: BTreeMap<LeaseId, (Instant, Duration)>,
     next_lease: LeaseId,
-    /// What is before this revision is not in the history any more.
-    forgotten: u64,
+    /// First revision that is still in the history.
+    compacted: u64,
     calls: BTreeMap<(String, &'static str, String), Vec<Instant>>,
     faults: BTreeMap<String, NodeFaults>,
 }
 
-/// The store. Cheap to clone.
+/// In-memory store. Cheap to clone.
 #[derive(Clone, Default)]
 pub struct MemoryStore {
     state: Arc<Mutex<State>>,
     changed: watch::Sender<u64>,
 }
 
-/// The store as one node reaches it.
+/// Client of the store for one node.
 #[derive(Clone)]
 pub struct NodeStore {
     node: String,
@@ -78,14 +79,14 @@
     fn expire(&mut self) {
         let now = Instant::now();
         let leases = self.leases.iter();
-        let over: Vec<LeaseId> = leases
+        let expired: Vec<LeaseId> = leases
             .filter(|(_, (until, _))| *until <= now)
             .map(|(lease, _)| *lease)
             .collect();
-        over.into_iter().for_each(|lease| self.end(lease));
+        expired.into_iter().for_each(|lease| self.end_lease(lease));
     }
 
-    fn end(&mut self, lease: LeaseId) {
+    fn end_lease(&mut self, lease: LeaseId) {
         self.leases.remove(&lease);
         let held = self
             .records
@@ -115,7 +116,7 @@
 }
 
 impl MemoryStore {
-    /// The store as `node` reaches it.
+    /// Returns the client of a node.
     pub fn of(&self, node: &str) -> NodeStore {
         NodeStore {
             node: node.to_owned(),
@@ -123,19 +124,19 @@
         }
     }
 
-    /// Writes a record that has no lease.
+    /// Writes a record without a lease.
     pub fn write(&self, key: &str, value: Vec<u8>) {
-        self.with(|state| state.put(key, value, None));
+        self.update(|state| state.put(key, value, None));
     }
 
     /// Removes a record.
     pub fn remove(&self, key: &str) {
-        self.with(|state| state.remove(key));
+        self.update(|state| state.remove(key));
     }
 
-    /// A record's bytes.
+    /// Returns the value of a record.
     pub fn read(&self, key: &str) -> Option<Vec<u8>> {
-        self.with(|state| {
+        self.update(|state| {
             state
                 .records
                 .get(key)
@@ -143,28 +144,28 @@
         })
     }
 
-    /// Changes what does not work for a node.
+    /// Sets the faults of a node.
     pub fn set_faults(&self, node: &str, faults: NodeFaults) {
-        self.with(|state| state.faults.insert(node.to_owned(), faults));
+        self.update(|state| state.faults.insert(node.to_owned(), faults));
     }
 
-    /// Forgets the history so far.
-    pub fn forget_history(&self) {
-        self.with(|state| state.forgotten = state.revision);
+    /// Drops the history so far.
+    pub fn compact_history(&self) {
+        self.update(|state| state.compacted = state.revision);
     }
 
-    /// How many calls of a kind a node made about a key or prefix.
+    /// Returns the number of calls of a kind that a node made for a key or prefix.
     pub fn calls(&self, node: &str, kind: &'static str, key: &str) -> usize {
         self.called_at(node, kind, key).len()
     }
 
-    /// When a node made calls of a kind about a key or prefix.
+    /// Returns the times of the calls of a kind that a node made for a key or prefix.
     pub fn called_at(&self, node: &str, kind: &'static str, key: &str) -> Vec<Instant> {
-        let wanted = (node.to_owned(), kind, key.to_owned());
-        self.with(|state| state.calls.get(&wanted).cloned().unwrap_or_default())
+        let call = (node.to_owned(), kind, key.to_owned());
+        self.update(|state| state.calls.get(&call).cloned().unwrap_or_default())
     }
 
-    fn with<T>(&self, act: impl FnOnce(&mut State) -> T) -> T {
+    fn update<T>(&self, act: impl FnOnce(&mut State) -> T) -> T {
         let mut state = self.lock();
         state.expire();
         let result = act(&mut state);
@@ -177,7 +178,7 @@
         self.state.lock().unwrap()
     }
 
-    /// Lets leases end on time although nobody calls.
+    /// Waits for a change, and expires leases in the meantime.
     async fn next_change(&self, changed: &mut watch::Receiver<u64>) {
         const TICK: Duration = Duration::from_millis(5);
         let _ = tokio::time::timeout(TICK, changed.changed()).await;
@@ -191,24 +192,24 @@
         state.faults.get(&self.node).cloned().unwrap_or_default()
     }
 
-    /// Counts a call and says what does not work for it.
-    async fn begin(&self, kind: &'static str, key: &str) -> Result<(), CoordinationError> {
+    /// Counts a call and applies the faults of its node.
+    async fn start_call(&self, kind: &'static str, key: &str) -> Result<(), CoordinationError> {
         let counted = (self.node.clone(), kind, key.to_owned());
-        self.store.with(|state| {
+        self.store.update(|state| {
             let calls = state.calls.entry(counted).or_default();
             calls.push(Instant::now());
         });
         self.check(key).await
     }
 
-    /// What does not work for a call, now or while it waits.
+    /// Applies the faults to a call, which may have been waiting.
     async fn check(&self, key: &str) -> Result<(), CoordinationError> {
         let faults = self.faults();
         if faults.is_cut_off {
             return std::future::pending().await;
         }
         if faults.is_refused || faults.refused_prefixes.contains(key) {
-            return Err(CoordinationError::Refused("turned away".to_owned()));
+            return Err(CoordinationError::Refused("rejected by a fault".to_owned()));
         }
         Ok(())
     }
@@ -217,16 +218,16 @@
 impl Coordination for NodeStore {
     fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<Record>, CoordinationError>> {
         Box::pin(async move {
-            self.begin("get", key).await?;
-            let found = self.store.with(|state| state.records.get(key).cloned());
+            self.start_call("get", key).await?;
+            let found = self.store.update(|state| state.records.get(key).cloned());
             Ok(found.map(|(record, _)| record))
         })
     }
 
     fn list<'a>(&'a self, prefix: &'a str) -> BoxFuture<'a, Result<Listing, CoordinationError>> {
         Box::pin(async move {
-            self.begin("list", prefix).await?;
-            Ok(self.store.with(|state| {
+            self.start_call("list", prefix).await?;
+            Ok(self.store.update(|state| {
                 let records = state.records.values().map(|(record, _)| record.clone());
                 Listing {
                     records: records
@@ -243,14 +244,14 @@
         prefix: &'a str,
     ) -> BoxFuture<'a, Result<Listing, CoordinationError>> {
         Box::pin(async move {
-            self.begin("list_stale", prefix).await?;
+            self.start_call("list_stale", prefix).await?;
             let stale_by = self.faults().stale_by;
-            Ok(self.store.with(|state| {
+            Ok(self.store.update(|state| {
                 let at = state.revision - stale_by.min(state.revision);
                 let records = state.records.values().map(|(record, _)| record);
                 let records = records.filter(|record| record.key.starts_with(prefix));
                 Listing {
-                    // Records that were changed since are left out: how they were before is not kept.
+                    // Records changed since are missing, as their earlier values are not kept.
                     records: records
                         .filter(|record| record.revision <= at)
                         .cloned()
@@ -267,7 +268,7 @@
         after: u64,
     ) -> BoxFuture<'a, Result<WatchAnswer, CoordinationError>> {
         Box::pin(async move {
-            self.begin("watch", prefix).await?;
+            self.start_call("watch", prefix).await?;
             let mut changed = self.store.changed.subscribe();
             let is_under = |change: &Change| match change {
                 Change::Written(record) => record.key.starts_with(prefix),
@@ -277,13 +278,13 @@
                 self.check(prefix).await?;
                 let (changes, at) = {
                     let state = self.store.lock();
-                    if after < state.forgotten {
+                    if after < state.compacted {
                         return Ok(WatchAnswer::HistoryGone);
                     }
                     let history = state.history.iter();
-                    let news =
+                    let matching =
                         history.filter(|(revision, change)| *revision > after && is_under(change));
-                    let changes: Vec<Change> = news.map(|(_, change)| change.clone()).collect();
+                    let changes: Vec<Change> = matching.map(|(_, change)| change.clone()).collect();
                     (changes, state.revision)
                 };
                 if !changes.is_empty() {
@@ -302,7 +303,7 @@
         lease: Option<LeaseId>,
     ) -> BoxFuture<'a, Result<SwapResult, CoordinationError>> {
         Box::pin(async move {
-            self.begin("swap", key).await?;
+            self.start_call("swap", key).await?;
             let mut faults = self.faults();
             if let Some(late) = faults.late_swap.take() {
                 self.store.set_faults(&self.node, faults);
@@ -310,12 +311,12 @@
                 let key = key.to_owned();
                 tokio::spawn(async move {
                     tokio::time::sleep(late).await;
-                    let _ = store.with(|state| state.swap(&key, expected, value, lease));
+                    let _ = store.update(|state| state.swap(&key, expected, value, lease));
                 });
                 return Err(CoordinationError::Unknown("no answer".to_owned()));
             }
             self.store
-                .with(|state| state.swap(key, expected, value, lease))
+                .update(|state| state.swap(key, expected, value, lease))
         })
     }
 
@@ -326,16 +327,16 @@
         lease: Option<LeaseId>,
     ) -> BoxFuture<'a, Result<(), CoordinationError>> {
         Box::pin(async move {
-            self.begin("put", key).await?;
-            self.store.with(|state| state.put(key, value, lease));
+            self.start_call("put", key).await?;
+            self.store.update(|state| state.put(key, value, lease));
             Ok(())
         })
     }
 
     fn grant(&self, ttl: Duration) -> BoxFuture<'_, Result<LeaseId, CoordinationError>> {
         Box::pin(async move {
-            self.begin("grant", "").await?;
-            Ok(self.store.with(|state| {
+            self.start_call("grant", "").await?;
+            Ok(self.store.update(|state| {
                 state.next_lease += 1;
                 let lease = state.next_lease;
                 state.leases.insert(lease, (Instant::now() + ttl, ttl));
@@ -346,8 +347,8 @@
 
     fn renew(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), CoordinationError>> {
         Box::pin(async move {
-            self.begin("renew", "").await?;
-            self.store.with(|state| {
+            self.start_call("renew", "").await?;
+            self.store.update(|state| {
                 let (until, ttl) = state
                     .leases
                     .get_mut(&lease)
@@ -360,8 +361,8 @@
 
     fn revoke(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), CoordinationError>> {
         Box::pin(async move {
-            self.begin("revoke", "").await?;
-            self.store.with(|state| state.end(lease));
+            self.start_call("revoke", "").await?;
+            self.store.update(|state| state.end_lease(lease));
             Ok(())
         })
     }
--- a/crates/front/tests/support/mod.rs
+++ b/crates/front/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins that several tests use.
+//! Fakes shared by several tests.
 
 #![allow(dead_code)]
 
--- a/crates/front/tests/suspensions.rs
+++ b/crates/front/tests/suspensions.rs
@@ -1,4 +1,5 @@
-//! A machine that was suspended believes nothing for longer than it is true: its steady clock stood still meanwhile.
+//! After a suspension of the machine, a process must not rely on leases, ages or windows that have
+//! passed meanwhile.
 
 mod support;
 
@@ -13,7 +14,7 @@
 use ladderstage_front::usage::WindowClock;
 use support::memory_store::MemoryStore;
 
-const SLEEP: Duration = Duration::from_secs(20);
+const SUSPENSION: Duration = Duration::from_secs(20);
 
 fn lease(store: &MemoryStore, node: &str) -> GiverLease {
     GiverLease {
@@ -24,40 +25,40 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_holder_that_wakes_gives_no_order_before_its_lease_is_renewed() {
+async fn a_lease_holder_issues_no_orders_after_a_suspension() {
     let store = MemoryStore::default();
     let lease = lease(&store, "front-1");
     let held = lease.take().await.unwrap().unwrap();
     assert!(lease.may_order(&held).await.unwrap());
-    suspend(SLEEP);
+    suspend(SUSPENSION);
     assert!(!lease.may_order(&held).await.unwrap());
-    // The store let the lease run out meanwhile, and the next renewal says so.
-    tokio::time::advance(SLEEP).await;
+    // The lease expired at the store, which the next renewal reports.
+    tokio::time::advance(SUSPENSION).await;
     assert_eq!(lease.keep(&held).await, LeaseLoss::Over);
 }
 
 #[test]
-fn an_owner_that_wakes_has_an_old_confirmation() {
+fn a_confirmation_ages_during_a_suspension() {
     let confirmation = Confirmation::default();
     let taken_at = Instant::now();
     confirmation.note(Instant::now());
-    assert!(confirmation.age(taken_at) < SLEEP);
-    suspend(SLEEP);
-    assert!(confirmation.age(taken_at) >= SLEEP);
+    assert!(confirmation.age(taken_at) < SUSPENSION);
+    suspend(SUSPENSION);
+    assert!(confirmation.age(taken_at) >= SUSPENSION);
 }
 
 #[test]
-fn windows_go_on_while_the_machine_sleeps() {
+fn usage_windows_advance_during_a_suspension() {
     let window = Duration::from_secs(5);
     let clock = WindowClock::new(window);
     let before = clock.window_of(Instant::now());
-    suspend(SLEEP);
+    suspend(SUSPENSION);
     let after = clock.window_of(Instant::now());
     assert!(after >= before + 4, "{before} {after}");
 }
 
 #[test]
-fn a_pause_of_an_instance_is_over_after_the_sleep() {
+fn the_pause_of_a_failed_instance_ends_during_a_suspension() {
     let table = BackendTable::new("a");
     table.upsert(Discovered {
         id: "i-1".to_owned(),
@@ -75,7 +76,7 @@
     let instance = table.get("i-1").unwrap();
     instance.note_pace(40.0, Instant::now());
     instance.note_failure(Instant::now());
-    suspend(SLEEP);
+    suspend(SUSPENSION);
     assert!(instance.is_usable("", Instant::now()));
     assert_eq!(instance.recent_pace_ms(), None);
 }
