--- a/crates/front/tests/following.rs
+++ b/crates/front/tests/following.rs
@@ -81,18 +81,16 @@
     );
     store.write("instances/i-2", Vec::new());
     let followed: Arc<dyn Coordination> = Arc::new(store.of("node"));
-    let mut received = Vec::new();
+    let mut keys = Vec::new();
     let batch_interval = Duration::from_secs(60);
     let following = follow(
         followed,
         "instances/",
         batch_interval,
         |update| match update {
-            Update::Snapshot(records) => {
-                received.extend(records.into_iter().map(|record| record.key))
-            }
+            Update::Snapshot(records) => keys.extend(records.into_iter().map(|record| record.key)),
             Update::Changes(changes) => {
-                received.extend(changes.into_iter().filter_map(|change| match change {
+                keys.extend(changes.into_iter().filter_map(|change| match change {
                     Change::Written(record) => Some(record.key),
                     Change::Removed { .. } => None,
                 }));
@@ -100,7 +98,7 @@
         },
     );
     let _ = tokio::time::timeout(Duration::from_millis(50), following).await;
-    assert_eq!(received, ["instances/i-1", "instances/i-2"]);
+    assert_eq!(keys, ["instances/i-1", "instances/i-2"]);
 }
 
 /// A stale listing after compacted history could be older than the known records.
