--- a/crates/front/tests/support/memory_store.rs
+++ b/crates/front/tests/support/memory_store.rs
@@ -34,7 +34,7 @@
     history: Vec<(u64, Change)>,
     leases: BTreeMap<LeaseId, (Instant, Duration)>,
     next_lease: LeaseId,
-    /// First revision that is still in the history.
+    /// Revision up to which the history was dropped.
     compacted: u64,
     calls: BTreeMap<(String, &'static str, String), Vec<Instant>>,
     faults: BTreeMap<String, NodeFaults>,
