--- a/crates/clock/src/instant.rs
+++ b/crates/clock/src/instant.rs
@@ -61,7 +61,7 @@
 
     /// Converts to [`std::time::Instant`], for timers. The result is exact only if the machine is
     /// not suspended before it.
-    pub fn to_steady(self) -> std::time::Instant {
+    pub fn to_std(self) -> std::time::Instant {
         let (now, monotonic) = (Self::now(), std::time::Instant::now());
         match self.checked_duration_since(now) {
             Some(later) => monotonic + later,
--- a/crates/front/src/config.rs
+++ b/crates/front/src/config.rs
@@ -9,7 +9,7 @@
 use ladderstage::region::AllowedRegions;
 use tokio::sync::watch;
 
-use crate::tenant::{KeyDigest, KeyRefusal, Tenant, holder};
+use crate::tenant::{KeyDigest, KeyRefusal, Tenant, find_tenant};
 
 /// Kind of a route, which decides how its requests may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -56,7 +56,7 @@
     pub max_attempts: u32,
     /// Time after a batch job's submission from which its items may be abandoned; `None`: items are
     /// never abandoned by age.
-    pub max_queue: Option<Duration>,
+    pub max_queue_time: Option<Duration>,
     /// Time after a batch job's submission at which its results are due.
     pub result_deadline: Option<Duration>,
     /// Every text must come from a single weight version.
@@ -78,7 +78,7 @@
 impl Route {
     /// Returns the value of the header that tells instances the priority of a request. A tenant's
     /// priority overrides the route's.
-    pub fn rank(&self, tenant: Option<&Tenant>) -> HeaderValue {
+    pub fn priority_header(&self, tenant: Option<&Tenant>) -> HeaderValue {
         let tenant_priority = tenant.and_then(|tenant| tenant.priority);
         let priority = tenant_priority.unwrap_or(self.priority);
         HeaderValue::from(u16::from(priority.min(LOWEST_PRIORITY)))
@@ -121,11 +121,11 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct ScalingSpec {
     /// Minimum number of instances in a zone, of both kinds together.
-    pub least: u32,
+    pub min_per_zone: u32,
     /// Maximum number of instances in a zone, of both kinds together.
-    pub most: u32,
+    pub max_per_zone: u32,
     /// Time from an order to the first request served by the new instance.
-    pub boot: Duration,
+    pub boot_time: Duration,
     /// Price of a preemptible instance relative to a regular one; `None`: there are no preemptible
     /// ones.
     pub preemptible_price: Option<f64>,
@@ -196,8 +196,8 @@
     /// Returns the reason why the key is missing or invalid.
     pub fn tenant_of(&self, key: Option<&KeyDigest>) -> Result<&Arc<Tenant>, KeyRefusal> {
         let key = key.ok_or(KeyRefusal::Missing)?;
-        holder(&self.tenants, key).ok_or_else(|| match self.retired_keys.get(key) {
-            Some(version) => KeyRefusal::TakenAway { version: *version },
+        find_tenant(&self.tenants, key).ok_or_else(|| match self.retired_keys.get(key) {
+            Some(version) => KeyRefusal::Revoked { version: *version },
             None => KeyRefusal::Unknown,
         })
     }
@@ -274,14 +274,14 @@
 
 /// The newest configuration known to this process. Cheap to clone.
 #[derive(Debug, Clone)]
-pub struct ConfigInForce {
+pub struct CurrentConfig {
     current: watch::Sender<Option<Arc<ServingConfig>>>,
     /// Whether any configuration so far restricted the regions. Lets requests skip the lookup of a
     /// route otherwise.
     restricts_regions: Arc<AtomicBool>,
 }
 
-impl Default for ConfigInForce {
+impl Default for CurrentConfig {
     fn default() -> Self {
         Self {
             current: watch::Sender::new(None),
@@ -290,10 +290,10 @@
     }
 }
 
-impl ConfigInForce {
+impl CurrentConfig {
     /// Installs a configuration unless one with the same or a later version is installed; returns
     /// whether it was installed.
-    pub fn offer(&self, mut config: ServingConfig) -> bool {
+    pub fn apply_if_newer(&self, mut config: ServingConfig) -> bool {
         self.current.send_if_modified(|current| {
             let known = current.as_ref().map(|known| known.version);
             if known.is_some_and(|known| known >= config.version) {
--- a/crates/front/src/coordination.rs
+++ b/crates/front/src/coordination.rs
@@ -8,7 +8,7 @@
 use futures_util::future::BoxFuture;
 
 pub use following::{Follower, Update, follow, follow_with};
-pub use observed::{Observed, StoreCalls};
+pub use observed::{ObservedStore, StoreCallMetrics};
 
 /// Identifier of a lease.
 pub type LeaseId = u64;
@@ -39,7 +39,7 @@
     Unknown(String),
     /// The lease has expired or was revoked.
     #[error("lease expired")]
-    LeaseOver,
+    LeaseExpired,
 }
 
 /// Result of a compare-and-swap.
@@ -86,7 +86,7 @@
         at: u64,
     },
     /// The store no longer has the requested revisions; the caller has to list again.
-    HistoryGone,
+    HistoryCompacted,
 }
 
 /// Client of the store. Callers choose the keys; implementations only translate the calls.
@@ -151,10 +151,10 @@
 
     /// Ends the watches in progress with an error, as their answers may be lost; callers start new
     /// ones.
-    fn doubt_watches(&self) {}
+    fn cancel_watches(&self) {}
 
     /// Returns once another call of this process succeeded, or after `longest` at the latest.
-    fn regained(&self, longest: Duration) -> BoxFuture<'_, ()> {
+    fn wait_for_success(&self, longest: Duration) -> BoxFuture<'_, ()> {
         Box::pin(tokio::time::sleep(longest))
     }
 }
--- a/crates/front/src/coordination/following.rs
+++ b/crates/front/src/coordination/following.rs
@@ -22,10 +22,10 @@
 
     /// Applies an update as of revision `at`. A watch that ended without changes passes an empty
     /// list.
-    fn take(&mut self, update: Update, at: u64);
+    fn on_update(&mut self, update: Update, at: u64);
 
     /// Reports that the store does not answer, so that the known records may be outdated.
-    fn lost(&mut self) {}
+    fn on_unavailable(&mut self) {}
 
     /// Returns whether the first listing may be a stale read. The watch from its revision starts at
     /// once and reports the later changes; until it is answered, or pending at the current
@@ -35,7 +35,7 @@
     }
 
     /// Returns the time after which a watch is restarted, in case its answer was lost silently.
-    fn longest_watch(&self) -> Duration {
+    fn max_watch_duration(&self) -> Duration {
         Duration::MAX
     }
 }
@@ -58,7 +58,7 @@
         tokio::time::sleep(self.batch_interval)
     }
 
-    fn take(&mut self, update: Update, _at: u64) {
+    fn on_update(&mut self, update: Update, _at: u64) {
         (self.on_update)(update);
     }
 
@@ -102,7 +102,7 @@
             // The known records are as old as the last answer, so the listing must not wait for
             // another pause.
             Ok(Next::List) => {
-                log::info!("event=history_gone prefix={prefix}");
+                log::info!("event=store_history_compacted prefix={prefix}");
                 after = None;
             }
             Ok(Next::WatchNow { at }) => {
@@ -113,16 +113,16 @@
             Ok(Next::Watch { at }) => {
                 after = Some(at);
                 if std::mem::take(&mut is_unavailable) {
-                    log::info!("event=store_regained prefix={prefix} revision={at}");
+                    log::info!("event=store_available prefix={prefix} revision={at}");
                 }
                 follower.pause().await;
             }
             Err(error) => {
-                follower.lost();
+                follower.on_unavailable();
                 if std::mem::replace(&mut is_unavailable, true) {
-                    coordination.regained(MAX_RETRY_WAIT).await;
+                    coordination.wait_for_success(MAX_RETRY_WAIT).await;
                 } else {
-                    log::warn!("event=store_lost prefix={prefix} cause=\"{error}\"");
+                    log::warn!("event=store_unavailable prefix={prefix} cause=\"{error}\"");
                     let pause = ladderstage_journal::jitter::jittered(FIRST_RETRY_DELAY);
                     tokio::time::sleep(pause).await;
                 }
@@ -149,7 +149,7 @@
     follower: &mut impl Follower,
 ) -> Result<Next, CoordinationError> {
     let listing = coordination.list(prefix).await?;
-    follower.take(Update::Snapshot(listing.records), listing.at);
+    follower.on_update(Update::Snapshot(listing.records), listing.at);
     Ok(Next::Watch { at: listing.at })
 }
 
@@ -159,7 +159,7 @@
     follower: &mut impl Follower,
 ) -> Result<Next, CoordinationError> {
     let listing = coordination.list_stale(prefix).await?;
-    follower.take(Update::Snapshot(listing.records), listing.at);
+    follower.on_update(Update::Snapshot(listing.records), listing.at);
     Ok(Next::WatchNow { at: listing.at })
 }
 
@@ -170,14 +170,14 @@
     follower: &mut impl Follower,
 ) -> Result<Next, CoordinationError> {
     let watching = coordination.watch(prefix, after);
-    let Ok(answer) = tokio::time::timeout(follower.longest_watch(), watching).await else {
+    let Ok(answer) = tokio::time::timeout(follower.max_watch_duration(), watching).await else {
         return Ok(Next::WatchAgain);
     };
     match answer? {
         WatchAnswer::Changes { changes, at } => {
-            follower.take(Update::Changes(changes), at);
+            follower.on_update(Update::Changes(changes), at);
             Ok(Next::Watch { at })
         }
-        WatchAnswer::HistoryGone => Ok(Next::List),
+        WatchAnswer::HistoryCompacted => Ok(Next::List),
     }
 }
--- a/crates/front/src/coordination/observed.rs
+++ b/crates/front/src/coordination/observed.rs
@@ -1,7 +1,7 @@
 //! Ends watches when the store stops answering.
 //!
 //! A store that was unresponsive may never answer the calls that were pending at that time, even
-//! after it has recovered, so that a watch would miss changes until its timeout. [`Observed`]
+//! after it has recovered, so that a watch would miss changes until its timeout. [`ObservedStore`]
 //! monitors all calls of the process and ends its watches when another call gets no answer, and
 //! again when the store answers for the first time after that.
 
@@ -31,11 +31,11 @@
 
 /// Counter of calls to the store by kind and outcome. Cheap to clone.
 #[derive(Debug, Clone)]
-pub struct StoreCalls {
+pub struct StoreCallMetrics {
     counter: IntCounterVec,
 }
 
-impl Default for StoreCalls {
+impl Default for StoreCallMetrics {
     fn default() -> Self {
         let options = Opts::new(
             "ladderstage_store_calls_total",
@@ -48,7 +48,7 @@
     }
 }
 
-impl StoreCalls {
+impl StoreCallMetrics {
     /// Returns the counter for registration.
     pub fn counter(&self) -> &IntCounterVec {
         &self.counter
@@ -60,7 +60,7 @@
             Err(CoordinationError::Unavailable(_)) => "unavailable",
             Err(CoordinationError::Refused(_)) => "refused",
             Err(CoordinationError::Unknown(_)) => "unknown",
-            Err(CoordinationError::LeaseOver) => "lease_over",
+            Err(CoordinationError::LeaseExpired) => "lease_over",
         };
         self.counter.with_label_values(&[call, outcome]).inc();
     }
@@ -68,9 +68,9 @@
 
 /// Store wrapper that counts calls and ends watches whose answers may be lost.
 #[derive(Debug)]
-pub struct Observed<C> {
+pub struct ObservedStore<C> {
     store: C,
-    calls: StoreCalls,
+    calls: StoreCallMetrics,
     health: Mutex<StoreHealth>,
     /// Changes whenever the watches in progress have to end.
     watch_cancellations: watch::Sender<u64>,
@@ -78,9 +78,9 @@
     successes: watch::Sender<u64>,
 }
 
-impl<C: Coordination> Observed<C> {
+impl<C: Coordination> ObservedStore<C> {
     /// Wraps `store` and counts its calls in `calls`.
-    pub fn new(store: C, calls: StoreCalls) -> Self {
+    pub fn new(store: C, calls: StoreCallMetrics) -> Self {
         Self {
             store,
             calls,
@@ -107,7 +107,7 @@
                 self.record_failure(error, sent);
             }
             // A rejection and an expired lease are answers too.
-            Ok(_) | Err(CoordinationError::Refused(_) | CoordinationError::LeaseOver) => {
+            Ok(_) | Err(CoordinationError::Refused(_) | CoordinationError::LeaseExpired) => {
                 self.record_answer(sent);
             }
         }
@@ -150,7 +150,7 @@
     }
 }
 
-impl<C: Coordination> Coordination for Observed<C> {
+impl<C: Coordination> Coordination for ObservedStore<C> {
     fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<Record>, CoordinationError>> {
         Box::pin(self.call("get", self.store.get(key)))
     }
@@ -228,11 +228,11 @@
         Box::pin(self.call("revoke", self.store.revoke(lease)))
     }
 
-    fn doubt_watches(&self) {
+    fn cancel_watches(&self) {
         self.watch_cancellations.send_modify(|count| *count += 1);
     }
 
-    fn regained(&self, longest: Duration) -> BoxFuture<'_, ()> {
+    fn wait_for_success(&self, longest: Duration) -> BoxFuture<'_, ()> {
         Box::pin(async move {
             let mut successes = self.successes.subscribe();
             let _ = tokio::time::timeout(longest, successes.changed()).await;
--- a/crates/front/src/explain/timeline.rs
+++ b/crates/front/src/explain/timeline.rs
@@ -49,21 +49,21 @@
 
 /// Timeline of one id.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
-pub struct Story {
+pub struct Timeline {
     /// The id.
     pub id: String,
     /// Entries, by time.
     pub steps: Vec<TimelineEntry>,
 }
 
-impl Story {
+impl Timeline {
     /// Collects the lines about `id` and, in addition:
     ///
     /// - for an item, the lines about its job that affect each item;
     /// - for a request with a suspected fingerprint, the lines about that fingerprint;
     /// - for a request to which drains left no instance, the lines about drains at the same node;
     /// - if there was a failure, the lines about lost instances and ordered replacements.
-    pub fn tell(id: &str, lines: &[LogLine]) -> Self {
+    pub fn build(id: &str, lines: &[LogLine]) -> Self {
         let related = RelatedIds::of(id, lines);
         let mut picked: Vec<&LogLine> =
             lines.iter().filter(|line| related.includes(line)).collect();
@@ -167,7 +167,7 @@
         .collect()
 }
 
-impl std::fmt::Display for Story {
+impl std::fmt::Display for Timeline {
     /// Writes one line per entry, and marks the first failure with `!`.
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         for step in &self.steps {
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -11,20 +11,20 @@
 
 use crate::activity::Activity;
 use crate::backend::{BackendTable, ColdAllowance};
-use crate::capacity::{CapacityDuty, CapacitySink};
-use crate::config::ConfigInForce;
+use crate::capacity::{CapacityController, CapacitySink};
+use crate::config::CurrentConfig;
 use crate::coordination::Coordination;
 use crate::dialect::SharedCodec;
 use crate::ingress::{self, Ingress, IngressState};
-use crate::job::{Confirmation, JobContext, JobRegistry, NewestSteps, TextLengths};
+use crate::job::{QuorumConfirmation, JobContext, JobRegistry, LatestSteps, TextLengths};
 use crate::live::LiveService;
 use crate::metrics::Metrics;
 use crate::nodes::{FormatLevel, NodeRecord, NodeRole, Nodes};
 use crate::orders::{
-    EndedGivers, LearntLoads, OrderGiver, OrderOptions, PermitAsker, PermitDealer, VersionsNamed,
+    FormerLeaders, LearnedLoadLimit, OrderLeader, OrderOptions, PermitRequester, PermitIssuer, AnnouncedVersions,
 };
 use crate::program::{JobHooks, JournalParts, PeerHandler, PeerServices, ProgramOptions};
-use crate::roster::{DirectView, RosterOptions, RosterWriter};
+use crate::roster::{DiscoveryView, RosterOptions, RosterWriter};
 use crate::suspects::{SuspectSharing, Suspects};
 use crate::suspension::watch_suspensions;
 use crate::usage::sharing::share_counts;
@@ -44,27 +44,27 @@
 #[derive(Debug, Clone, Default)]
 pub struct Activities {
     /// Batch jobs and orders, which need the instances' records.
-    pub with_instances: Activity,
+    pub instance_work: Activity,
     /// Orders, which need the records of named weight versions.
-    pub with_versions: Activity,
+    pub version_work: Activity,
 }
 
 /// Inputs of a front, provided by the platform adapter.
 #[derive(Clone)]
 pub struct FrontInputs {
     /// Current configuration.
-    pub config: ConfigInForce,
+    pub config: CurrentConfig,
     /// Known instances.
     pub backends: BackendTable,
     /// Named weight versions; followed while this node issues orders.
-    pub versions: VersionsNamed,
+    pub versions: AnnouncedVersions,
     /// Work in progress at this node.
     pub activities: Activities,
     /// Revision as of which this node knows the instances from discovery.
-    pub view: DirectView,
+    pub view: DiscoveryView,
     /// Revision as of which this node knows the drained zones from the store; `None`: this
     /// deployment drains no zones.
-    pub drains: Option<DirectView>,
+    pub drains: Option<DiscoveryView>,
     /// Options of the roster of instances; `None`: there is no roster.
     pub roster: Option<RosterOptions>,
     /// Codec of the platform's headers and bodies.
@@ -93,7 +93,7 @@
     /// Receiver of the orders.
     pub sink: Arc<dyn CapacitySink>,
     /// Minimum time between orders of two lease holders.
-    pub quiet: Duration,
+    pub quiet_period: Duration,
 }
 
 /// Window length when usage reports are disabled.
@@ -158,7 +158,7 @@
     metrics.add_discovery(inputs.backends.counters());
     let (suspects, unshared) = Suspects::new(Arc::clone(&metrics));
     let jobs = JobRegistry::new(shared.job_context(&parts, &suspects));
-    let permits = PermitDealer::new(inputs.backends.gates().cold.clone());
+    let permits = PermitIssuer::new(inputs.backends.gates().cold.clone());
     let hooks = JobHooks {
         jobs: Some(jobs.clone()),
     };
@@ -192,8 +192,8 @@
     listen(&options, addresses, ingress).await?;
     let leader = shared.order_leader(&jobs, &meter, &permits);
     let permits_task = tokio::spawn({
-        let asker = shared.permit_asker(permits);
-        async move { asker.run().await }
+        let permit_requester = shared.permit_requester(permits);
+        async move { permit_requester.run().await }
     });
     let sharing_task = inputs.usage.as_ref().map(|_| {
         let nodes = nodes.clone();
@@ -213,7 +213,7 @@
     });
     let nodes_task = tokio::spawn({
         let nodes = nodes.clone();
-        let activity = inputs.activities.with_instances.clone();
+        let activity = inputs.activities.instance_work.clone();
         async move { nodes.run(coordination, &activity).await }
     });
     let orders_task = tokio::spawn(async move { leader.run().await });
@@ -284,12 +284,12 @@
             codec: Arc::clone(&inputs.codec),
             metrics: Arc::clone(self.metrics),
             retention: self.options.job_retention,
-            confirmation: Confirmation::default(),
+            confirmation: QuorumConfirmation::default(),
             lengths: TextLengths::default(),
-            steps: NewestSteps::default(),
-            learnt_loads: LearntLoads::default(),
-            ended_givers: EndedGivers::default(),
-            activity: inputs.activities.with_instances.clone(),
+            steps: LatestSteps::default(),
+            learned_load_limit: LearnedLoadLimit::default(),
+            former_leaders: FormerLeaders::default(),
+            activity: inputs.activities.instance_work.clone(),
             suspects: suspects.clone(),
         }
     }
@@ -298,10 +298,10 @@
         &self,
         jobs: &JobRegistry,
         meter: &UsageMeter,
-        permits: &PermitDealer,
-    ) -> OrderGiver {
+        permits: &PermitIssuer,
+    ) -> OrderLeader {
         let inputs = self.inputs;
-        OrderGiver {
+        OrderLeader {
             coordination: Arc::clone(self.coordination),
             nodes: self.nodes.clone(),
             backends: inputs.backends.clone(),
@@ -312,12 +312,12 @@
             jobs: jobs.clone(),
             activities: inputs.activities.clone(),
             options: OrderOptions {
-                quiet: self.options.order_quiet,
+                quiet_period: self.options.order_quiet_period,
             },
             roster: self.roster_writer(),
             usage: self.usage_reporter(meter),
             permits: permits.clone(),
-            capacity: self.capacity_duty(),
+            capacity: self.capacity_controller(),
         }
     }
 
@@ -346,27 +346,27 @@
         })
     }
 
-    fn capacity_duty(&self) -> Option<CapacityDuty> {
+    fn capacity_controller(&self) -> Option<CapacityController> {
         let capacity = self.inputs.capacity.clone()?;
-        Some(CapacityDuty {
+        Some(CapacityController {
             coordination: Arc::clone(self.coordination),
             node: self.options.node.clone(),
             backends: self.inputs.backends.clone(),
             view: self.inputs.view.clone(),
             config: self.inputs.config.clone(),
             sink: capacity.sink,
-            quiet: capacity.quiet,
+            quiet_period: capacity.quiet_period,
             metrics: Arc::clone(self.metrics),
         })
     }
 
-    fn permit_asker(&self, dealer: PermitDealer) -> PermitAsker {
-        PermitAsker {
+    fn permit_requester(&self, issuer: PermitIssuer) -> PermitRequester {
+        PermitRequester {
             allowance: self.inputs.cold,
             backends: self.inputs.backends.clone(),
             config: self.inputs.config.clone(),
             nodes: self.nodes.clone(),
-            dealer,
+            issuer,
             metrics: Arc::clone(self.metrics),
         }
     }
@@ -388,7 +388,7 @@
         // Without the journal this front cannot serve jobs, so other fronts serve its clients
         // better.
         let is_ready =
-            move || config.current().is_some() && !state.is_draining() && !jobs.is_cut_off();
+            move || config.current().is_some() && !state.is_draining() && !jobs.is_journal_unreachable();
         tokio::spawn(ingress::serve_readiness(listener, is_ready));
     }
     if let Some(address) = options.metrics_address {
@@ -411,7 +411,7 @@
         options.node,
         state.requests()
     );
-    let deadline = Instant::now() + options.grace.saturating_sub(SHUTDOWN_MARGIN);
+    let deadline = Instant::now() + options.shutdown_grace.saturating_sub(SHUTDOWN_MARGIN);
     state.drain();
     nodes.set_leaving(true);
     let answered = async {
--- a/crates/front/src/nodes/following.rs
+++ b/crates/front/src/nodes/following.rs
@@ -52,13 +52,13 @@
     loop {
         tokio::select! {
             () = read_periodically(nodes, coordination.as_ref(), started) => {}
-            () = activity.active() => {}
+            () = activity.wait_until_active() => {}
         }
         let mut follower = NodeFollower { nodes, started };
         let following = follow_with(Arc::clone(coordination), NODE_PREFIX, &mut follower);
         tokio::select! {
             () = following => {}
-            () = activity.rested(WATCH_LINGER) => {}
+            () = activity.wait_until_idle_for(WATCH_LINGER) => {}
         }
     }
 }
@@ -128,7 +128,7 @@
         }
     }
 
-    fn take(&mut self, update: Update, at: u64) {
+    fn on_update(&mut self, update: Update, at: u64) {
         self.nodes.apply(update, at);
     }
 }
--- a/crates/front/src/nodes/mod.rs
+++ b/crates/front/src/nodes/mod.rs
@@ -87,7 +87,7 @@
     /// Nodes whose records exist.
     present: BTreeSet<String>,
     /// Time at which each node's current process was first seen.
-    seen_since: BTreeMap<String, Instant>,
+    first_seen: BTreeMap<String, Instant>,
     /// Time at which each absent node's record disappeared.
     absent_since: BTreeMap<String, Instant>,
     /// Store revision of the latest applied update.
@@ -173,7 +173,7 @@
 
     /// Returns a node outside the allowed regions, possibly this one. A node whose record names no
     /// region counts as outside, as its build may ignore the restriction.
-    pub fn any_outside(&self, allowed: &AllowedRegions) -> Option<NodeRecord> {
+    pub fn find_outside(&self, allowed: &AllowedRegions) -> Option<NodeRecord> {
         let own = self.own();
         let known = lock(&self.known);
         let others = known.records.values();
@@ -189,7 +189,7 @@
     }
 
     /// Returns whether a node's record was ever read.
-    pub fn knows(&self, node: &str) -> bool {
+    pub fn has_seen(&self, node: &str) -> bool {
         node == self.own().node || lock(&self.known).records.contains_key(node)
     }
 
@@ -233,7 +233,7 @@
     }
 
     /// Returns the time of the store's last answer to this node; `None`: there was none.
-    pub fn last_contact(&self) -> Option<Instant> {
+    pub fn last_store_contact(&self) -> Option<Instant> {
         *self.store_contact.borrow()
     }
 
@@ -254,8 +254,8 @@
     }
 
     /// Returns the time at which a node's current process was first seen; `None`: never.
-    pub fn seen_since(&self, node: &str) -> Option<Instant> {
-        lock(&self.known).seen_since.get(node).copied()
+    pub fn first_seen(&self, node: &str) -> Option<Instant> {
+        lock(&self.known).first_seen.get(node).copied()
     }
 
     /// Returns whether a node counts as present.
@@ -306,7 +306,7 @@
         let own_formats = lock(&self.own).formats;
         let mut known = lock(&self.known);
         if at < known.at {
-            log::debug!("event=nodes_older at={at} known={}", known.at);
+            log::debug!("event=nodes_update_stale at={at} known={}", known.at);
             return;
         }
         known.at = at;
@@ -400,7 +400,7 @@
         let node = record.node.clone();
         let known_process = self.records.get(&node).map(|known| known.process);
         if known_process != Some(record.process) {
-            self.seen_since.insert(node.clone(), Instant::now());
+            self.first_seen.insert(node.clone(), Instant::now());
         }
         if is_logged && self.records.get(&node) != Some(&record) {
             log::info!(
@@ -480,14 +480,14 @@
         fronts.map(|record| self.member(record)).collect()
     }
 
-    fn takers(&self) -> Vec<Member> {
+    fn takeover_candidates(&self) -> Vec<Member> {
         strongest(self.with_role(NodeRole::Front))
             .iter()
             .map(|record| self.member(record))
             .collect()
     }
 
-    fn is_gone(&self, process: ProcessId) -> bool {
+    fn has_exited(&self, process: ProcessId) -> bool {
         let is_own = self.own().process == process;
         let known = lock(&self.known);
         let mut present = known
--- a/crates/front/src/nodes/registration.rs
+++ b/crates/front/src/nodes/registration.rs
@@ -82,7 +82,7 @@
         let ttl = kind.ttl().as_millis();
         log::info!("event=node_registered node={node} lease={lease} ttl_ms={ttl}");
         match renew_until_ended(nodes, coordination, lease, kind, activity).await {
-            LeaseEnd::Expired => log::warn!("event=node_lease_over node={node} lease={lease}"),
+            LeaseEnd::Expired => log::warn!("event=node_lease_expired node={node} lease={lease}"),
             LeaseEnd::TooLong => log::info!("event=node_lease_too_long node={node} lease={lease}"),
         }
     }
@@ -122,7 +122,7 @@
     loop {
         tokio::select! {
             () = tokio::time::sleep(kind.renewal()) => {}
-            () = activity.active(), if kind == LeaseKind::Long => return LeaseEnd::TooLong,
+            () = activity.wait_until_active(), if kind == LeaseKind::Long => return LeaseEnd::TooLong,
             _ = own_changed.changed() => {
                 if write_record(nodes, coordination, lease).await.is_err() {
                     return LeaseEnd::Expired;
@@ -134,7 +134,7 @@
         }
         match coordination.renew(lease).await {
             Ok(()) => nodes.record_store_contact(),
-            Err(CoordinationError::LeaseOver) => return LeaseEnd::Expired,
+            Err(CoordinationError::LeaseExpired) => return LeaseEnd::Expired,
             Err(error) => {
                 log::warn!("event=node_lease_not_renewed cause=\"{error}\"");
                 tokio::time::sleep(RETRY_DELAY).await;
--- a/crates/front/src/program.rs
+++ b/crates/front/src/program.rs
@@ -19,10 +19,10 @@
 use ladderstage_wire::messages::mod_Response::OneOfkind as ResponseKind;
 use ladderstage_wire::messages::{BundleEvidence, Done, Refused, Request, Response};
 
-use crate::coordination::{Coordination, StoreCalls};
+use crate::coordination::{Coordination, StoreCallMetrics};
 use crate::job::{JobRegistry, LOG_PREFIX};
 use crate::nodes::Nodes;
-use crate::orders::PermitDealer;
+use crate::orders::PermitIssuer;
 use crate::set_records::CoordinatedSetRecords;
 use crate::suspects::Suspects;
 use crate::usage::UsageMeter;
@@ -60,18 +60,18 @@
     /// The whole system starts for the first time.
     pub is_first_start: bool,
     /// Number of disks that may be lost at once.
-    pub tolerated_losses: usize,
+    pub tolerated_failures: usize,
     /// Time after its submission for which a batch job stays readable.
     pub job_retention: Duration,
     /// Minimum time between orders of two order leaders. Zero where instances reject the orders of
     /// an earlier one.
-    pub order_quiet: Duration,
+    pub order_quiet_period: Duration,
     /// CPU time available on this machine, in thousandths of a core; 0: unknown.
     pub cpu_millis: u32,
     /// Maximum duration of a planned shutdown.
-    pub grace: Duration,
+    pub shutdown_grace: Duration,
     /// Counter of calls to the coordination store.
-    pub store_calls: StoreCalls,
+    pub store_calls: StoreCallMetrics,
 }
 
 impl ProgramOptions {
@@ -85,14 +85,14 @@
     pub fn journal(&self) -> JournalOptions {
         JournalOptions {
             node: self.node.clone(),
-            initial_replicas: InitialReplicas::Count(2 * self.tolerated_losses + 1),
+            initial_replicas: InitialReplicas::Count(2 * self.tolerated_failures + 1),
             may_bootstrap: self.is_first_start,
-            tended_prefix: LOG_PREFIX,
-            owner_heartbeat: OWNER_HEARTBEAT_INTERVAL,
+            monitored_prefix: LOG_PREFIX,
+            owner_heartbeat_interval: OWNER_HEARTBEAT_INTERVAL,
             owner_timeout: OWNER_TIMEOUT,
             round_timeout: ROUND_TIMEOUT,
-            poll: REPLICA_SET_POLL_INTERVAL,
-            longest_pause: REPLICA_SET_POLL_INTERVAL,
+            poll_interval: REPLICA_SET_POLL_INTERVAL,
+            max_poll_interval: REPLICA_SET_POLL_INTERVAL,
             replace_after: REPLICA_REPLACEMENT_DELAY,
         }
     }
@@ -151,9 +151,9 @@
         }
     }
 
-    fn contested(&self, log: &str) {
+    fn fence_reported(&self, log: &str) {
         if let Some(jobs) = &self.jobs {
-            jobs.on_contested(log);
+            jobs.on_fence_reported(log);
         }
     }
 
@@ -163,9 +163,9 @@
         }
     }
 
-    fn untended(&self, logs: Vec<String>) {
+    fn orphaned(&self, logs: Vec<String>) {
         if let Some(jobs) = &self.jobs {
-            jobs.on_untended(logs);
+            jobs.on_orphaned_logs(logs);
         }
     }
 }
@@ -177,7 +177,7 @@
     pub jobs: Option<JobRegistry>,
     pub usage: Option<UsageMeter>,
     pub suspects: Option<Suspects>,
-    pub permits: Option<PermitDealer>,
+    pub permits: Option<PermitIssuer>,
 }
 
 /// Handles requests from other nodes; rejects them until the services are set.
@@ -218,7 +218,7 @@
                 }
                 RequestKind::suspect_news(news) => match &services.suspects {
                     Some(suspects) => {
-                        suspects.take_news(&news);
+                        suspects.apply_updates(&news);
                         Response {
                             kind: ResponseKind::done(Done {}),
                         }
@@ -226,7 +226,7 @@
                     None => refuse(Reason::MALFORMED, "no requests at this node"),
                 },
                 RequestKind::ask_send_permits(asked) => {
-                    let dealt = services.permits.as_ref().and_then(|one| one.deal(&asked));
+                    let dealt = services.permits.as_ref().and_then(|one| one.issue(&asked));
                     match dealt {
                         Some(dealt) => Response {
                             kind: ResponseKind::send_permits(dealt),
--- a/crates/front/src/roster/drains.rs
+++ b/crates/front/src/roster/drains.rs
@@ -1,9 +1,9 @@
 //! Tracks the drained zones: from the roster if it names them, or else from the operator's records.
 
-use super::reader::{DirectSource, DrainFollowing, KnownRoster, RosterReader};
+use super::reader::{DiscoverySource, DrainTracking, KnownRoster, RosterReader};
 use super::record::RosterDrains;
 
-impl<S: DirectSource> RosterReader<S> {
+impl<S: DiscoverySource> RosterReader<S> {
     /// Updates the set of drained zones until the future is dropped.
     pub(super) async fn feed_drains(&self, known: &KnownRoster) {
         let Some(following) = &self.drains else {
@@ -14,22 +14,22 @@
         }
         loop {
             self.follow_roster_drains(following, known).await;
-            log::info!("event=drains_by_records");
+            log::info!("event=drains_from_records");
             tokio::select! {
                 () = self.source.follow_drains(&following.view) => return,
                 () = self.wait_for_current_drains(following, known) => {}
             }
-            following.view.note_resting();
-            log::info!("event=drains_by_roster");
+            following.view.mark_unfollowed();
+            log::info!("event=drains_from_roster");
         }
     }
 
     /// Applies the zones of the roster until the roster names none or older ones, or this node may
     /// have to write the roster, which requires the operator's records.
-    async fn follow_roster_drains(&self, following: &DrainFollowing, known: &KnownRoster) {
+    async fn follow_roster_drains(&self, following: &DrainTracking, known: &KnownRoster) {
         let mut changed = known.subscribe();
         let mut applied_at = 0;
-        while !following.keeps_roster.is_active() {
+        while !following.roster_duty.is_active() {
             let roster = changed.borrow_and_update().clone();
             let Some(drains) = roster.and_then(|roster| roster.drains.clone()) else {
                 return;
@@ -37,27 +37,27 @@
             let zones = drains.to_zone_set();
             if drains.known_at < applied_at && *self.backends.gates().drained.current() != zones {
                 log::warn!(
-                    "event=drains_older known_at={} taken={applied_at}",
+                    "event=drains_stale known_at={} taken={applied_at}",
                     drains.known_at
                 );
                 return;
             }
             applied_at = applied_at.max(drains.known_at);
-            self.backends.set_drained(zones);
+            self.backends.set_drained_zones(zones);
             tokio::select! {
                 _ = changed.changed() => {}
-                () = following.keeps_roster.active() => return,
+                () = following.roster_duty.wait_until_active() => return,
             }
         }
     }
 
     /// Returns once this node does not write the roster and the roster's zones are at least as new
     /// as those known here.
-    async fn wait_for_current_drains(&self, following: &DrainFollowing, known: &KnownRoster) {
+    async fn wait_for_current_drains(&self, following: &DrainTracking, known: &KnownRoster) {
         let mut changed = known.subscribe();
         loop {
             following.view.known().await;
-            following.keeps_roster.idle().await;
+            following.roster_duty.wait_until_idle().await;
             let roster = changed.borrow_and_update().clone();
             let drains = roster.and_then(|roster| roster.drains.clone());
             if drains.is_some_and(|drains| self.is_drain_set_current(following, &drains)) {
@@ -70,7 +70,7 @@
 
     /// Returns whether the roster's zones are at least as new as, or the same as, those known here.
     /// Known zones are never replaced by older ones.
-    fn is_drain_set_current(&self, following: &DrainFollowing, drains: &RosterDrains) -> bool {
+    fn is_drain_set_current(&self, following: &DrainTracking, drains: &RosterDrains) -> bool {
         let Some(at) = following.view.known_at() else {
             return false;
         };
--- a/crates/front/src/roster/options.rs
+++ b/crates/front/src/roster/options.rs
@@ -29,7 +29,7 @@
     /// Lease of the record, which outlives its writer by at most this time.
     pub lease: Duration,
     /// Interval between watch answers of discovery at the writer.
-    pub writer_gather: Duration,
+    pub writer_batch_interval: Duration,
     /// Interval between watch answers about the roster at a reader.
     pub reader_batch_interval: Duration,
     /// Minimum number of fronts for a roster.
@@ -45,7 +45,7 @@
         let batch_interval = (limit.checked_sub(lease)? / 2).min(MAX_BATCH_INTERVAL);
         (batch_interval >= MIN_BATCH_INTERVAL).then_some(Self {
             lease,
-            writer_gather: batch_interval,
+            writer_batch_interval: batch_interval,
             reader_batch_interval: batch_interval,
             min_fronts: MIN_FRONTS,
         })
@@ -54,6 +54,6 @@
     /// Returns the maximum delay of a change until it reaches a reader, excluding the duration of
     /// calls.
     pub fn max_delay(&self) -> Duration {
-        self.writer_gather + self.lease + self.reader_batch_interval
+        self.writer_batch_interval + self.lease + self.reader_batch_interval
     }
 }
--- a/crates/front/src/roster/reader.rs
+++ b/crates/front/src/roster/reader.rs
@@ -5,10 +5,10 @@
 
 use tokio::sync::watch;
 
-use super::{DirectView, ROSTER_KEY, Roster, RosterOptions};
+use super::{DiscoveryView, ROSTER_KEY, Roster, RosterOptions};
 use crate::activity::Activity;
 use crate::backend::BackendTable;
-use crate::config::ConfigInForce;
+use crate::config::CurrentConfig;
 use crate::coordination::{Change, Coordination, Follower, Record, Update, follow_with};
 
 /// Time after the last work for which discovery is followed. A front that gets steps gets one every
@@ -16,22 +16,22 @@
 const DISCOVERY_LINGER: Duration = Duration::from_secs(15);
 
 /// Follows the discovery records and the operator's drain records.
-pub trait DirectSource: Send + Sync {
+pub trait DiscoverySource: Send + Sync {
     /// Applies the discovery records to the table of instances until the future is dropped, and
     /// sets in `view` the revision as of which they are known.
-    fn follow(&self, view: &DirectView) -> impl Future<Output = ()> + Send;
+    fn follow(&self, view: &DiscoveryView) -> impl Future<Output = ()> + Send;
 
     /// Applies the drain records in the same way.
-    fn follow_drains(&self, view: &DirectView) -> impl Future<Output = ()> + Send;
+    fn follow_drains(&self, view: &DiscoveryView) -> impl Future<Output = ()> + Send;
 }
 
 /// State for tracking drained zones, in deployments that have them.
 #[derive(Debug, Clone)]
-pub struct DrainFollowing {
+pub struct DrainTracking {
     /// Revision as of which this node knows the drained zones from the store.
-    pub view: DirectView,
+    pub view: DiscoveryView,
     /// Active while this node may write the roster.
-    pub keeps_roster: Activity,
+    pub roster_duty: Activity,
 }
 
 /// Keeps the table of instances up to date.
@@ -41,17 +41,17 @@
     /// Table of instances.
     pub backends: BackendTable,
     /// Current configuration.
-    pub config: ConfigInForce,
+    pub config: CurrentConfig,
     /// Revision as of which this node knows the instances from discovery.
-    pub view: DirectView,
+    pub view: DiscoveryView,
     /// Work at this node that needs the instances' weights or prompt updates.
     pub activity: Activity,
     /// Timing; `None`: there is no roster.
     pub options: Option<RosterOptions>,
     /// State for drained zones; `None`: this deployment drains no zones.
-    pub drains: Option<DrainFollowing>,
+    pub drains: Option<DrainTracking>,
     /// Time for which a starting node waits for a roster before it follows discovery.
-    pub first_wait: Duration,
+    pub startup_wait: Duration,
     /// Discovery records.
     pub source: S,
 }
@@ -59,11 +59,11 @@
 /// Latest roster read from the store; `None`: there is none.
 pub(super) type KnownRoster = watch::Sender<Option<Arc<Roster>>>;
 
-impl<S: DirectSource> RosterReader<S> {
+impl<S: DiscoverySource> RosterReader<S> {
     /// Updates the table until the future is dropped.
     pub async fn run(&self) {
         if self.drains.is_some() {
-            self.backends.gates().drained.await_first();
+            self.backends.gates().drained.mark_unknown();
         }
         let known = KnownRoster::new(None);
         let Some(options) = self.options else {
@@ -87,7 +87,7 @@
                 () = self.source.follow(&self.view) => return,
                 () = self.wait_until_roster_suffices(known) => {}
             }
-            self.view.note_resting();
+            self.view.mark_unfollowed();
             self.use_roster(known).await;
         }
     }
@@ -96,23 +96,23 @@
     /// wait times out; returns whether there is one. Otherwise all nodes of a starting fleet would
     /// list discovery and follow every instance that starts beside them.
     pub(super) async fn wait_for_first_roster(&self, known: &KnownRoster) -> bool {
-        if self.first_wait.is_zero() {
+        if self.startup_wait.is_zero() {
             return false;
         }
         let mut known = known.subscribe();
         tokio::select! {
             _ = known.wait_for(|roster| roster.as_ref().is_some_and(|one| self.covers_config(one))) => true,
-            () = tokio::time::sleep(self.first_wait) => false,
-            () = self.activity.active() => false,
-            () = self.backends.wanted() => false,
+            () = tokio::time::sleep(self.startup_wait) => false,
+            () = self.activity.wait_until_active() => false,
+            () = self.backends.wait_for_first_request() => false,
         }
     }
 
     async fn use_roster(&self, known: &KnownRoster) {
-        log::info!("event=instances_by_roster");
+        log::info!("event=instances_from_roster");
         self.follow_roster(known).await;
         log::info!(
-            "event=instances_by_discovery working={}",
+            "event=instances_from_discovery working={}",
             self.activity.is_active()
         );
     }
@@ -122,11 +122,11 @@
     async fn wait_until_roster_suffices(&self, known: &KnownRoster) {
         loop {
             if self.activity.is_active() {
-                self.activity.rested(DISCOVERY_LINGER).await;
+                self.activity.wait_until_idle_for(DISCOVERY_LINGER).await;
             }
             tokio::select! {
                 () = self.wait_for_current_roster(known) => return,
-                () = self.activity.active() => {}
+                () = self.activity.wait_until_active() => {}
             }
         }
     }
@@ -177,7 +177,7 @@
             tokio::select! {
                 _ = changed.changed() => {}
                 _ = config.changed() => {}
-                () = self.activity.active() => return,
+                () = self.activity.wait_until_active() => return,
             }
         }
     }
@@ -215,7 +215,7 @@
         tokio::time::sleep(self.batch_interval)
     }
 
-    fn take(&mut self, update: Update, _at: u64) {
+    fn on_update(&mut self, update: Update, _at: u64) {
         match update {
             Update::Snapshot(records) => match records.iter().find(|one| one.key == ROSTER_KEY) {
                 Some(record) => self.install(record),
--- a/crates/front/src/roster/record.rs
+++ b/crates/front/src/roster/record.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::backend::{BackendTable, Discovered};
+use crate::backend::{BackendTable, DiscoveredInstance};
 
 /// Drained zones as of a revision of the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -32,7 +32,7 @@
     pub services: BTreeSet<String>,
     /// All instances of these services, sorted by id. Those in drained zones are marked as not
     /// ready, for readers of older builds, which ignore `drains`.
-    pub instances: Vec<Discovered>,
+    pub instances: Vec<DiscoveredInstance>,
     /// Drained zones; `None`: unknown to the writer.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub drains: Option<RosterDrains>,
@@ -84,8 +84,8 @@
     /// Returns whether another roster has the same services, instances and drained zones.
     pub fn is_equivalent(&self, other: &Self) -> bool {
         // The remaining cold time decreases: only whether the instance is cold matters.
-        let is_equivalent = |one: &Discovered, other: &Discovered| {
-            let as_cold = Discovered {
+        let is_equivalent = |one: &DiscoveredInstance, other: &DiscoveredInstance| {
+            let as_cold = DiscoveredInstance {
                 cold_ms: other.cold_ms,
                 ..one.clone()
             };
--- a/crates/front/src/roster/view.rs
+++ b/crates/front/src/roster/view.rs
@@ -16,23 +16,23 @@
 
 /// Shared state of following discovery or drain records directly. Cheap to clone.
 #[derive(Debug, Clone, Default)]
-pub struct DirectView {
+pub struct DiscoveryView {
     known: watch::Sender<Knowledge>,
 }
 
-impl DirectView {
+impl DiscoveryView {
     /// Sets the revision as of which the records are known.
-    pub fn note(&self, at: u64) {
+    pub fn set_known(&self, at: u64) {
         self.known.send_replace(Knowledge::AsOf(at));
     }
 
     /// Records that the store does not answer.
-    pub fn note_lost(&self) {
+    pub fn mark_unavailable(&self) {
         self.known.send_replace(Knowledge::Unavailable);
     }
 
     /// Records that this node stopped following the records.
-    pub fn note_resting(&self) {
+    pub fn mark_unfollowed(&self) {
         self.known.send_replace(Knowledge::Unfollowed);
     }
 
--- a/crates/front/src/roster/writer.rs
+++ b/crates/front/src/roster/writer.rs
@@ -6,9 +6,9 @@
 use ladderstage_journal::Peers;
 use tokio::time::MissedTickBehavior;
 
-use super::{DirectView, ROSTER_KEY, Roster, RosterDrains, RosterOptions};
+use super::{DiscoveryView, ROSTER_KEY, Roster, RosterDrains, RosterOptions};
 use crate::backend::BackendTable;
-use crate::config::ConfigInForce;
+use crate::config::CurrentConfig;
 use crate::coordination::{Coordination, CoordinationError, LeaseId, SwapResult};
 use crate::nodes::Nodes;
 
@@ -43,12 +43,12 @@
     /// Table of instances.
     pub backends: BackendTable,
     /// Current configuration.
-    pub config: ConfigInForce,
+    pub config: CurrentConfig,
     /// Revision as of which this node knows the instances.
-    pub view: DirectView,
+    pub view: DiscoveryView,
     /// Revision as of which this node knows the drained zones from the store; `None`: this
     /// deployment drains no zones.
-    pub drains: Option<DirectView>,
+    pub drains: Option<DiscoveryView>,
     /// Other nodes.
     pub nodes: Nodes,
     /// Timing; `None`: there is no roster.
@@ -184,11 +184,11 @@
                 Ok(())
             }
             Ok(SwapResult::Lost(_)) => {
-                log::info!("event=roster_overtaken expected={:?}", written.revision);
+                log::info!("event=roster_write_conflict expected={:?}", written.revision);
                 written.revision = None;
                 Ok(())
             }
-            Err(CoordinationError::LeaseOver) => Err(CoordinationError::LeaseOver.into()),
+            Err(CoordinationError::LeaseExpired) => Err(CoordinationError::LeaseExpired.into()),
             Err(error) => {
                 log::warn!("event=roster_not_written cause=\"{error}\"");
                 written.revision = None;
@@ -222,7 +222,7 @@
         }
         match self.coordination.renew(written.lease).await {
             Ok(()) => Ok(()),
-            Err(CoordinationError::LeaseOver) => Err(CoordinationError::LeaseOver.into()),
+            Err(CoordinationError::LeaseExpired) => Err(CoordinationError::LeaseExpired.into()),
             Err(error) => {
                 log::warn!("event=roster_not_renewed cause=\"{error}\"");
                 Ok(())
--- a/crates/front/src/usage/reporter.rs
+++ b/crates/front/src/usage/reporter.rs
@@ -21,7 +21,7 @@
 use crate::coordination::{Coordination, CoordinationError, SwapResult};
 use crate::metrics::Metrics;
 use crate::nodes::{NodeRole, Nodes};
-use crate::orders::{GiverLease, Held};
+use crate::orders::{OrdersLease, HeldLease};
 
 /// Key of the committed reports of the newest windows.
 const REPORTS_KEY: &str = "ladderstage/usage/reports";
@@ -71,7 +71,7 @@
     Fenced,
     /// The report was rejected or its outcome is unknown; it may be sent again.
     #[error("{0}")]
-    NotTaken(String),
+    NotAccepted(String),
 }
 
 /// Receiver of usage reports.
@@ -169,15 +169,15 @@
 
 impl UsageReporter {
     /// Sends reports until the future is dropped; returns once a later holder is known.
-    pub async fn run(&self, lease: &GiverLease, held: &Held) {
+    pub async fn run(&self, lease: &OrdersLease, held: &HeldLease) {
         let mut state = self.load_state().await;
         loop {
             tokio::time::sleep(POLL_INTERVAL).await;
-            match lease.may_order(held).await {
+            match lease.may_issue_orders(held).await {
                 Ok(true) => {}
                 Ok(false) => continue,
                 Err(error) => {
-                    log::warn!("event=usage_holder_not_named cause=\"{error}\"");
+                    log::warn!("event=usage_lease_check_failed cause=\"{error}\"");
                     continue;
                 }
             }
@@ -209,7 +209,7 @@
         let next_window = next_window.max(oldest);
         let committed = found.into_committed();
         // The last reports of an earlier holder may not have been accepted.
-        let is_due = |window: &u64| clock.since_end(*window, now) < Some(self.options.due);
+        let is_due = |window: &u64| clock.since_end(*window, now) < Some(self.options.due_after);
         let unsent = committed.reports.keys().copied().filter(is_due);
         HolderState {
             clock,
@@ -246,7 +246,7 @@
         let window = state.next_window;
         let since_end = state.clock.since_end(window, Instant::now());
         let Some(since_end) =
-            since_end.filter(|at| *at >= self.options.due.mul_f64(COLLECT_FRACTION))
+            since_end.filter(|at| *at >= self.options.due_after.mul_f64(COLLECT_FRACTION))
         else {
             return;
         };
@@ -259,7 +259,7 @@
             // The corrected clock shows that the window has not ended.
             return;
         }
-        if !missing.is_empty() && since_end < self.options.due.mul_f64(COMMIT_FRACTION) {
+        if !missing.is_empty() && since_end < self.options.due_after.mul_f64(COMMIT_FRACTION) {
             return;
         }
         let total = self.meter.total(window);
@@ -363,21 +363,21 @@
     }
 
     /// Sends the reports that were not accepted yet, oldest first.
-    async fn send_unsent(&self, state: &mut HolderState, held: &Held) -> Result<(), ReportError> {
+    async fn send_unsent(&self, state: &mut HolderState, held: &HeldLease) -> Result<(), ReportError> {
         let now = Instant::now();
-        let due: Vec<u64> = state
+        let due_after: Vec<u64> = state
             .unsent
             .iter()
             .filter(|(_, at)| **at <= now)
             .map(|(window, _)| *window)
             .collect();
-        for window in due {
+        for window in due_after {
             let Some(counts) = state.committed.get(window).cloned() else {
                 log::error!("event=usage_not_reported window={window} reason=too_old");
                 state.unsent.remove(&window);
                 continue;
             };
-            if Instant::now() >= held.proven_until() {
+            if Instant::now() >= held.valid_until() {
                 return Ok(());
             }
             let report = UsageReport {
@@ -416,7 +416,7 @@
                 state.unsent.remove(&window);
                 Ok(())
             }
-            Err(ReportError::NotTaken(_)) => {
+            Err(ReportError::NotAccepted(_)) => {
                 state.unsent.insert(window, Instant::now() + RETRY_DELAY);
                 Ok(())
             }
--- a/crates/front/src/usage/windows.rs
+++ b/crates/front/src/usage/windows.rs
@@ -10,7 +10,7 @@
     /// Length of a window; window k starts k times this after the epoch.
     pub window: Duration,
     /// Time from the end of a window to the deadline of its report.
-    pub due: Duration,
+    pub due_after: Duration,
 }
 
 /// Maps [`Instant`]s to windows. The system time, which may jump, is read only once.
--- a/crates/front/tests/explain.rs
+++ b/crates/front/tests/explain.rs
@@ -1,6 +1,6 @@
 //! Tests of timelines and step statistics built from log lines.
 
-use ladderstage_front::explain::{LogLine, Story, steps, table};
+use ladderstage_front::explain::{LogLine, Timeline, steps, render_table};
 
 const LOG: &str = r#"
    4.1000 front-a time=100.100 level=info node=front-a module=m event=job_accepted job=j1 items=2
@@ -13,13 +13,13 @@
 time=101.001 level=info node=front-b module=m event=request_answered request=r1 route=x config=7 status=200 elapsed_ms=10
 "#;
 
-fn timeline(id: &str) -> Story {
+fn timeline(id: &str) -> Timeline {
     let lines: Vec<LogLine> = LOG.lines().filter_map(LogLine::parse).collect();
     assert_eq!(lines.len(), 7);
-    Story::tell(id, &lines)
+    Timeline::build(id, &lines)
 }
 
-fn events(timeline: &Story) -> Vec<&str> {
+fn events(timeline: &Timeline) -> Vec<&str> {
     timeline
         .steps
         .iter()
@@ -96,7 +96,7 @@
         "the item is done once it is scored: {row:?}"
     );
     assert!(is_close(row.ended.unwrap(), 2.0));
-    assert!(table(&rows).contains("i1 events=3"));
+    assert!(render_table(&rows).contains("i1 events=3"));
 }
 
 #[test]
@@ -108,7 +108,7 @@
 "#;
     let lines: Vec<LogLine> = log.lines().filter_map(LogLine::parse).collect();
     assert_eq!(steps(&lines)[0].far_runs, 1);
-    let timeline = Story::tell("i1", &lines).to_string();
+    let timeline = Timeline::build("i1", &lines).to_string();
     assert!(timeline.contains("distance=elsewhere"), "{timeline}");
 }
 
@@ -135,7 +135,7 @@
 #[test]
 fn the_timeline_of_a_request_held_back_as_suspect_contains_the_crashes_under_its_fingerprint() {
     let lines: Vec<LogLine> = SUSPECT_LOG.lines().filter_map(LogLine::parse).collect();
-    let timeline = Story::tell("r4", &lines);
+    let timeline = Timeline::build("r4", &lines);
     let expected = ["run_broken", "run_broken", "suspect_heard", "run_held_back"];
     assert_eq!(events(&timeline), expected);
     assert!(timeline.steps[0].details.contains("instance=s1"));
@@ -155,10 +155,10 @@
 #[test]
 fn the_timeline_of_a_request_held_back_by_drains_contains_the_drains() {
     let lines: Vec<LogLine> = DRAIN_LOG.lines().filter_map(LogLine::parse).collect();
-    let held_back = Story::tell("r1", &lines);
+    let held_back = Timeline::build("r1", &lines);
     let expected = ["zone_drain_began", "request_held_back", "zone_drain_ended"];
     assert_eq!(events(&held_back), expected);
-    assert_eq!(events(&Story::tell("r2", &lines)), ["attempt"]);
+    assert_eq!(events(&Timeline::build("r2", &lines)), ["attempt"]);
 }
 
 #[test]
@@ -173,7 +173,7 @@
         .flat_map(str::lines)
         .filter_map(LogLine::parse)
         .collect();
-    let failed = Story::tell("i1", &lines);
+    let failed = Timeline::build("i1", &lines);
     let expected = [
         "capacity_lost",
         "job_accepted",
@@ -185,7 +185,7 @@
     assert_eq!(events(&failed), expected);
     assert!(failed.to_string().contains("reason=zone_drained"));
     // A timeline without a failure contains no capacity events.
-    let answered = Story::tell("r1", &lines);
+    let answered = Timeline::build("r1", &lines);
     assert_eq!(events(&answered), ["attempt", "request_answered"]);
 }
 
@@ -196,7 +196,7 @@
 time=100.101 level=warn node=front-a module=m event=request_answered request=r2 route=x config=7 status=503 elapsed_ms=151
 "#;
     let lines: Vec<LogLine> = log.lines().filter_map(LogLine::parse).collect();
-    let timeline = Story::tell("r2", &lines);
+    let timeline = Timeline::build("r2", &lines);
     assert_eq!(events(&timeline), ["no_instance", "request_answered"]);
     let text = timeline.to_string();
     assert!(text.contains("held_back=cold:3,zone_drained:15"), "{text}");
--- a/crates/front/tests/nodes.rs
+++ b/crates/front/tests/nodes.rs
@@ -68,17 +68,17 @@
     let store = MemoryStore::default();
     let activity = Activity::default();
     let watcher = RunningNode::start(&store, record("watcher", 7), &activity);
-    assert!(!watcher.nodes.is_gone(1), "no node is known yet");
+    assert!(!watcher.nodes.has_exited(1), "no node is known yet");
     let other = RunningNode::start(&store, record("other", 1), &activity);
     sleep(STARTUP).await;
-    assert!(!watcher.nodes.is_gone(1));
-    assert!(!watcher.nodes.is_gone(7), "its own process");
+    assert!(!watcher.nodes.has_exited(1));
+    assert!(!watcher.nodes.has_exited(7), "its own process");
     drop(other);
-    let _work = activity.begin();
+    let _work = activity.start();
     let _again = RunningNode::start(&store, record("other", 2), &activity);
     sleep(Duration::from_millis(1_500)).await;
-    assert!(watcher.nodes.is_gone(1));
-    assert!(!watcher.nodes.is_gone(2));
+    assert!(watcher.nodes.has_exited(1));
+    assert!(!watcher.nodes.has_exited(2));
 }
 
 #[tokio::test(start_paused = true)]
@@ -133,9 +133,9 @@
     assert!(renewals <= 28, "{renewals}");
     assert!(store.calls("strong", "renew", "") >= 50);
     drop(strong);
-    let _work = activity.begin();
+    let _work = activity.start();
     sleep(Duration::from_secs(5)).await;
-    assert!(weak.nodes.is_gone(2), "the records are followed now");
+    assert!(weak.nodes.has_exited(2), "the records are followed now");
 }
 
 /// Guards against a long lease at a front with work, whose absence would be noticed late.
@@ -150,11 +150,11 @@
     let weak = RunningNode::start(&store, front("weak", 120, 1), &activity);
     let strong = RunningNode::start(&store, front("strong", 500, 2), &activity);
     sleep(STARTUP).await;
-    let _work = activity.begin();
+    let _work = activity.start();
     sleep(Duration::from_secs(5)).await;
     drop(weak);
     sleep(Duration::from_secs(5)).await;
-    assert!(strong.nodes.is_gone(1));
+    assert!(strong.nodes.has_exited(1));
 }
 
 /// Guards against a late or stale read that restores an outdated state.
--- a/crates/front/tests/roster.rs
+++ b/crates/front/tests/roster.rs
@@ -7,15 +7,15 @@
 use std::time::Duration;
 
 use ladderstage_front::activity::Activity;
-use ladderstage_front::backend::{BackendTable, Discovered, HoldReason};
+use ladderstage_front::backend::{BackendTable, DiscoveredInstance, HoldReason};
 use ladderstage_front::config::{
-    ConfigInForce, Route, RouteKind, ServiceSpec, ServingConfig, WeightedService,
+    CurrentConfig, Route, RouteKind, ServiceSpec, ServingConfig, WeightedService,
 };
 use ladderstage_front::coordination::{Change, Coordination, Follower, Update, follow_with};
 use ladderstage_front::nodes::{FormatLevel, NodeRecord, NodeRole, Nodes};
 use ladderstage_front::region::AllowedRegions;
 use ladderstage_front::roster::{
-    DirectSource, DirectView, DrainFollowing, ROSTER_KEY, Roster, RosterDrains, RosterOptions,
+    DiscoverySource, DiscoveryView, DrainTracking, ROSTER_KEY, Roster, RosterDrains, RosterOptions,
     RosterReader, RosterWriter,
 };
 use proptest::prelude::*;
@@ -44,8 +44,8 @@
     }
 }
 
-fn instance(id: &str) -> Discovered {
-    Discovered {
+fn instance(id: &str) -> DiscoveredInstance {
+    DiscoveredInstance {
         started_unix_ms: 0,
         cold_ms: 0,
         is_preemptible: false,
@@ -60,7 +60,7 @@
     }
 }
 
-fn write(store: &MemoryStore, instance: &Discovered) {
+fn write(store: &MemoryStore, instance: &DiscoveredInstance) {
     let value = serde_json::to_vec(instance).unwrap();
     store.write(&format!("{INSTANCES}{}", instance.id), value);
 }
@@ -80,7 +80,7 @@
             weight: 1,
         }],
         max_attempts: 2,
-        max_queue: None,
+        max_queue_time: None,
         result_deadline: None,
         single_version: false,
         resumable: false,
@@ -106,7 +106,7 @@
 
 struct RecordFollower<'a> {
     records: &'a InstanceRecords,
-    view: &'a DirectView,
+    view: &'a DiscoveryView,
 }
 
 impl Follower for RecordFollower<'_> {
@@ -114,7 +114,7 @@
         sleep(self.records.gather)
     }
 
-    fn take(&mut self, update: Update, at: u64) {
+    fn on_update(&mut self, update: Update, at: u64) {
         let table = &self.records.backends;
         let id = |key: &str| key.strip_prefix(INSTANCES).unwrap().to_owned();
         let changes = match update {
@@ -133,18 +133,18 @@
                 Change::Removed { key } => table.remove(&id(&key)),
             }
         }
-        self.view.note(at);
+        self.view.set_known(at);
     }
 
-    fn lost(&mut self) {
-        self.view.note_lost();
+    fn on_unavailable(&mut self) {
+        self.view.mark_unavailable();
     }
 }
 
 /// Follower of the drain requests.
 struct DrainRecordFollower<'a> {
     records: &'a InstanceRecords,
-    view: &'a DirectView,
+    view: &'a DiscoveryView,
     zones: BTreeSet<Arc<str>>,
 }
 
@@ -153,7 +153,7 @@
         sleep(self.records.gather)
     }
 
-    fn take(&mut self, update: Update, at: u64) {
+    fn on_update(&mut self, update: Update, at: u64) {
         let zone = |key: &str| Arc::from(key.strip_prefix(DRAINS).unwrap());
         match update {
             Update::Snapshot(records) => {
@@ -168,17 +168,17 @@
                 }
             }),
         }
-        self.records.backends.set_drained(self.zones.clone());
-        self.view.note(at);
+        self.records.backends.set_drained_zones(self.zones.clone());
+        self.view.set_known(at);
     }
 
-    fn lost(&mut self) {
-        self.view.note_lost();
+    fn on_unavailable(&mut self) {
+        self.view.mark_unavailable();
     }
 }
 
-impl DirectSource for InstanceRecords {
-    async fn follow(&self, view: &DirectView) {
+impl DiscoverySource for InstanceRecords {
+    async fn follow(&self, view: &DiscoveryView) {
         let mut follower = RecordFollower {
             records: self,
             view,
@@ -186,7 +186,7 @@
         follow_with(Arc::clone(&self.coordination), INSTANCES, &mut follower).await;
     }
 
-    async fn follow_drains(&self, view: &DirectView) {
+    async fn follow_drains(&self, view: &DiscoveryView) {
         let mut follower = DrainRecordFollower {
             records: self,
             view,
@@ -199,10 +199,10 @@
 /// A node that tracks instances and may maintain the roster.
 struct Node {
     backends: BackendTable,
-    config: ConfigInForce,
-    view: DirectView,
+    config: CurrentConfig,
+    view: DiscoveryView,
     activity: Activity,
-    drains: Option<DrainFollowing>,
+    drains: Option<DrainTracking>,
     coordination: NodeStore,
     tasks: Vec<JoinHandle<()>>,
 }
@@ -223,33 +223,33 @@
         store: &MemoryStore,
         name: &str,
         gather: Duration,
-        first_wait: Duration,
+        startup_wait: Duration,
     ) -> Self {
-        Self::start_following(store, name, gather, first_wait, None)
+        Self::start_following(store, name, gather, startup_wait, None)
     }
 
     /// Starts a node of a deployment that drains zones.
-    fn start_draining(store: &MemoryStore, name: &str, first_wait: Duration) -> Self {
-        let following = DrainFollowing {
-            view: DirectView::default(),
-            keeps_roster: Activity::default(),
+    fn start_draining(store: &MemoryStore, name: &str, startup_wait: Duration) -> Self {
+        let following = DrainTracking {
+            view: DiscoveryView::default(),
+            roster_duty: Activity::default(),
         };
         let gather = options().reader_batch_interval;
-        Self::start_following(store, name, gather, first_wait, Some(following))
+        Self::start_following(store, name, gather, startup_wait, Some(following))
     }
 
     fn start_following(
         store: &MemoryStore,
         name: &str,
         gather: Duration,
-        first_wait: Duration,
-        drains: Option<DrainFollowing>,
+        startup_wait: Duration,
+        drains: Option<DrainTracking>,
     ) -> Self {
         let coordination = store.of(name);
         let backends = BackendTable::new("a");
-        let config = ConfigInForce::default();
-        config.offer(config_of(1, &[(RouteKind::Safe, "scorer")]));
-        let view = DirectView::default();
+        let config = CurrentConfig::default();
+        config.apply_if_newer(config_of(1, &[(RouteKind::Safe, "scorer")]));
+        let view = DiscoveryView::default();
         let activity = Activity::default();
         let reader = RosterReader {
             coordination: Arc::new(coordination.clone()),
@@ -259,7 +259,7 @@
             activity: activity.clone(),
             options: Some(options()),
             drains: drains.clone(),
-            first_wait,
+            startup_wait,
             source: InstanceRecords {
                 coordination: Arc::new(coordination.clone()),
                 backends: backends.clone(),
@@ -280,14 +280,14 @@
 
     /// Starts a node with work that maintains the roster.
     fn start_writer(store: &MemoryStore, name: &str) -> Self {
-        Self::start(store, name, options().writer_gather).keep_roster(name)
+        Self::start(store, name, options().writer_batch_interval).keep_roster(name)
     }
 
     /// Makes the node maintain the roster.
     fn keep_roster(mut self, name: &str) -> Self {
         let node = &mut self;
-        let work = node.activity.begin();
-        let duty = node.drains.as_ref().map(|one| one.keeps_roster.begin());
+        let work = node.activity.start();
+        let duty = node.drains.as_ref().map(|one| one.roster_duty.start());
         let writer = RosterWriter {
             coordination: Arc::new(node.coordination.clone()),
             backends: node.backends.clone(),
@@ -379,7 +379,7 @@
 /// Starts the same fleet with an instance, `i-9`, of a service that the roster does not include.
 async fn fleet_with_labeler() -> (MemoryStore, Node, Node) {
     let store = MemoryStore::default();
-    let labeler = Discovered {
+    let labeler = DiscoveredInstance {
         service: "labeler".to_owned(),
         ..instance("i-9")
     };
@@ -392,7 +392,7 @@
 }
 
 fn leave(store: &MemoryStore, id: &str) {
-    let leaving = Discovered {
+    let leaving = DiscoveredInstance {
         is_ready: false,
         ..instance(id)
     };
@@ -422,7 +422,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_front_without_work_knows_in_time_that_an_instance_leaves_or_is_removed() {
     let (store, _writer, reader) = fleet().await;
-    let in_time = options().writer_gather + options().reader_batch_interval + CALL_ALLOWANCE;
+    let in_time = options().writer_batch_interval + options().reader_batch_interval + CALL_ALLOWANCE;
     for round in 0..20_u64 {
         sleep(Duration::from_millis(37 * round)).await;
         leave(&store, "i-1");
@@ -455,7 +455,7 @@
 async fn readers_stop_using_the_roster_of_a_partitioned_writer_in_time() {
     let (store, _writer, reader) = fleet().await;
     let partitioned = NodeFaults {
-        is_cut_off: true,
+        is_partitioned: true,
         ..NodeFaults::default()
     };
     store.set_faults("writer", partitioned);
@@ -491,12 +491,12 @@
     for late in [10, 200, 600, 1_500, 3_000] {
         let (store, _writer, reader) = fleet().await;
         let loses_answer = NodeFaults {
-            late_swap: Some(Duration::from_millis(late)),
+            delayed_swap: Some(Duration::from_millis(late)),
             ..NodeFaults::default()
         };
         store.set_faults("writer", loses_answer);
         store.remove(&format!("{INSTANCES}i-2"));
-        sleep(options().writer_gather).await;
+        sleep(options().writer_batch_interval).await;
         leave(&store, "i-1");
         reader.wait_until_leaving("i-1").await;
         for _ in 0..1_000 {
@@ -518,7 +518,7 @@
     sleep(Duration::from_secs(3)).await;
     let version = || reader.backends.get("i-1").unwrap().version("model");
     assert_eq!(version(), 0);
-    let work = reader.activity.begin();
+    let work = reader.activity.start();
     sleep(Duration::from_millis(50)).await;
     assert_eq!(version(), 7);
     drop(work);
@@ -537,7 +537,7 @@
         ..NodeFaults::default()
     };
     store.set_faults("reader", rejected);
-    let _work = reader.activity.begin();
+    let _work = reader.activity.start();
     sleep(CALL_ALLOWANCE).await;
     assert!(reader.view.is_usable(), "nothing better is available");
     assert_eq!(reader.is_ready("i-9"), Some(true));
@@ -553,7 +553,7 @@
         Some(true),
         "the removal is not known yet"
     );
-    let _work = reader.activity.begin();
+    let _work = reader.activity.start();
     while !reader.view.is_usable() {
         sleep(Duration::from_millis(1)).await;
     }
@@ -563,7 +563,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_front_whose_configuration_names_another_service_follows_discovery() {
     let (store, writer, reader) = fleet().await;
-    let new = Discovered {
+    let new = DiscoveredInstance {
         service: "labeler".to_owned(),
         ..instance("i-9")
     };
@@ -571,10 +571,10 @@
     sleep(Duration::from_secs(3)).await;
     assert_eq!(reader.is_ready("i-9"), None, "not in the roster");
     let moved = [(RouteKind::Safe, "scorer"), (RouteKind::Safe, "labeler")];
-    reader.config.offer(config_of(2, &moved));
+    reader.config.apply_if_newer(config_of(2, &moved));
     sleep(CALL_ALLOWANCE).await;
     assert_eq!(reader.is_ready("i-9"), Some(true));
-    writer.config.offer(config_of(2, &moved));
+    writer.config.apply_if_newer(config_of(2, &moved));
     sleep(Duration::from_secs(10)).await;
     assert!(reader.view.known_at().is_none(), "uses the roster");
     assert_eq!(reader.is_ready("i-9"), Some(true));
@@ -651,7 +651,7 @@
         let asking = async {
             if let Some(asked_after) = asked_after {
                 sleep(Duration::from_millis(asked_after)).await;
-                reader.backends.first_fed(Duration::from_millis(300)).await;
+                reader.backends.wait_for_first_instance(Duration::from_millis(300)).await;
                 assert_eq!(reader.is_ready("i-1"), Some(true));
             }
         };
@@ -687,8 +687,8 @@
     (store, writer, reader)
 }
 
-fn in_zone_b(id: &str) -> Discovered {
-    Discovered {
+fn in_zone_b(id: &str) -> DiscoveredInstance {
+    DiscoveredInstance {
         zone: "b".to_owned(),
         ..instance(id)
     }
@@ -708,7 +708,7 @@
     sleep(Duration::from_secs(10)).await;
     let calls = |kind| store.calls("reader", kind, DRAINS);
     let before = (calls("list"), calls("watch"));
-    let in_time = options().writer_gather + options().reader_batch_interval + CALL_ALLOWANCE;
+    let in_time = options().writer_batch_interval + options().reader_batch_interval + CALL_ALLOWANCE;
     for round in 0..10_u64 {
         sleep(Duration::from_millis(83 * round)).await;
         drain(&store, "a");
@@ -735,7 +735,7 @@
     assert!(!reader.may_send("i-a"));
     write(
         &store,
-        &Discovered {
+        &DiscoveredInstance {
             zone: "nowhere".to_owned(),
             ..instance("i-new")
         },
@@ -754,7 +754,7 @@
     let (store, _writer, reader) = draining_fleet().await;
     drain(&store, "a");
     reader.until_may_send("i-a", false).await;
-    let work = reader.activity.begin();
+    let work = reader.activity.start();
     while reader.view.known_at().is_none() {
         assert!(!reader.may_send("i-a"));
         sleep(Duration::from_millis(1)).await;
@@ -782,7 +782,7 @@
             }
             1 => {
                 let faults = NodeFaults {
-                    is_cut_off: true,
+                    is_partitioned: true,
                     ..NodeFaults::default()
                 };
                 store.set_faults("writer", faults);
@@ -847,7 +847,7 @@
         };
         store.set_faults("new", cannot_follow);
         let new = Node::start_draining(&store, "new", Duration::from_millis(500));
-        let _work = new.activity.begin();
+        let _work = new.activity.start();
         sleep(Duration::from_secs(1)).await;
         assert_eq!(new.is_ready("i-b"), Some(true));
         let held = new
@@ -868,13 +868,13 @@
     drain(&store, "a");
     reader.until_may_send("i-a", false).await;
     let partitioned = NodeFaults {
-        is_cut_off: true,
+        is_partitioned: true,
         ..NodeFaults::default()
     };
     for node in ["writer", "reader"] {
         store.set_faults(node, partitioned.clone());
     }
-    let _work = reader.activity.begin();
+    let _work = reader.activity.start();
     for _ in 0..2_000 {
         sleep(Duration::from_millis(5)).await;
         assert!(reader.may_send("i-b") && !reader.may_send("i-a"));
@@ -985,7 +985,7 @@
         let mut faults = NodeFaults::default();
         match self {
             Self::Dies => return None,
-            Self::IsPartitioned => faults.is_cut_off = true,
+            Self::IsPartitioned => faults.is_partitioned = true,
             Self::IsRefused => faults.is_refused = true,
             Self::CannotFollowDrains => faults.refused_prefixes = [DRAINS.to_owned()].into(),
             Self::CannotFollowInstances => faults.refused_prefixes = [INSTANCES.to_owned()].into(),
--- a/crates/front/tests/support/memory_store.rs
+++ b/crates/front/tests/support/memory_store.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct NodeFaults {
     /// No call is answered.
-    pub is_cut_off: bool,
+    pub is_partitioned: bool,
     /// All calls are rejected.
     pub is_refused: bool,
     /// Calls with these keys or prefixes are rejected.
@@ -24,7 +24,7 @@
     /// Number of latest revisions that stale reads lack.
     pub stale_by: u64,
     /// The next swap is applied after this delay and never answered.
-    pub late_swap: Option<Duration>,
+    pub delayed_swap: Option<Duration>,
 }
 
 #[derive(Default)]
@@ -104,7 +104,7 @@
         lease: Option<LeaseId>,
     ) -> Result<SwapResult, CoordinationError> {
         if lease.is_some_and(|lease| !self.leases.contains_key(&lease)) {
-            return Err(CoordinationError::LeaseOver);
+            return Err(CoordinationError::LeaseExpired);
         }
         let known = self.records.get(key).map(|(record, _)| record.clone());
         if known.as_ref().map_or(0, |record| record.revision) != expected {
@@ -156,11 +156,11 @@
 
     /// Returns the number of calls of a kind that a node made for a key or prefix.
     pub fn calls(&self, node: &str, kind: &'static str, key: &str) -> usize {
-        self.called_at(node, kind, key).len()
+        self.call_times(node, kind, key).len()
     }
 
     /// Returns the times of the calls of a kind that a node made for a key or prefix.
-    pub fn called_at(&self, node: &str, kind: &'static str, key: &str) -> Vec<Instant> {
+    pub fn call_times(&self, node: &str, kind: &'static str, key: &str) -> Vec<Instant> {
         let call = (node.to_owned(), kind, key.to_owned());
         self.update(|state| state.calls.get(&call).cloned().unwrap_or_default())
     }
@@ -205,7 +205,7 @@
     /// Applies the faults to a call, which may have been waiting.
     async fn check(&self, key: &str) -> Result<(), CoordinationError> {
         let faults = self.faults();
-        if faults.is_cut_off {
+        if faults.is_partitioned {
             return std::future::pending().await;
         }
         if faults.is_refused || faults.refused_prefixes.contains(key) {
@@ -279,7 +279,7 @@
                 let (changes, at) = {
                     let state = self.store.lock();
                     if after < state.compacted {
-                        return Ok(WatchAnswer::HistoryGone);
+                        return Ok(WatchAnswer::HistoryCompacted);
                     }
                     let history = state.history.iter();
                     let matching =
@@ -305,7 +305,7 @@
         Box::pin(async move {
             self.start_call("swap", key).await?;
             let mut faults = self.faults();
-            if let Some(late) = faults.late_swap.take() {
+            if let Some(late) = faults.delayed_swap.take() {
                 self.store.set_faults(&self.node, faults);
                 let store = self.store.clone();
                 let key = key.to_owned();
@@ -352,7 +352,7 @@
                 let (until, ttl) = state
                     .leases
                     .get_mut(&lease)
-                    .ok_or(CoordinationError::LeaseOver)?;
+                    .ok_or(CoordinationError::LeaseExpired)?;
                 *until = Instant::now() + *ttl;
                 Ok(())
             })
--- a/crates/front/tests/suspensions.rs
+++ b/crates/front/tests/suspensions.rs
@@ -8,19 +8,19 @@
 
 use ladderstage_clock::Instant;
 use ladderstage_clock::testing::suspend;
-use ladderstage_front::backend::{BackendTable, Discovered};
-use ladderstage_front::job::Confirmation;
-use ladderstage_front::orders::{GiverLease, LeaseLoss};
+use ladderstage_front::backend::{BackendTable, DiscoveredInstance};
+use ladderstage_front::job::QuorumConfirmation;
+use ladderstage_front::orders::{OrdersLease, LeaseLoss};
 use ladderstage_front::usage::WindowClock;
 use support::memory_store::MemoryStore;
 
 const SUSPENSION: Duration = Duration::from_secs(20);
 
-fn lease(store: &MemoryStore, node: &str) -> GiverLease {
-    GiverLease {
+fn lease(store: &MemoryStore, node: &str) -> OrdersLease {
+    OrdersLease {
         coordination: Arc::new(store.of(node)),
         node: node.to_owned(),
-        quiet: Duration::ZERO,
+        quiet_period: Duration::ZERO,
     }
 }
 
@@ -28,20 +28,20 @@
 async fn a_lease_holder_issues_no_orders_after_a_suspension() {
     let store = MemoryStore::default();
     let lease = lease(&store, "front-1");
-    let held = lease.take().await.unwrap().unwrap();
-    assert!(lease.may_order(&held).await.unwrap());
+    let held = lease.acquire().await.unwrap().unwrap();
+    assert!(lease.may_issue_orders(&held).await.unwrap());
     suspend(SUSPENSION);
-    assert!(!lease.may_order(&held).await.unwrap());
+    assert!(!lease.may_issue_orders(&held).await.unwrap());
     // The lease expired at the store, which the next renewal reports.
     tokio::time::advance(SUSPENSION).await;
-    assert_eq!(lease.keep(&held).await, LeaseLoss::Over);
+    assert_eq!(lease.renew_until_lost(&held).await, LeaseLoss::Expired);
 }
 
 #[test]
 fn a_confirmation_ages_during_a_suspension() {
-    let confirmation = Confirmation::default();
+    let confirmation = QuorumConfirmation::default();
     let taken_at = Instant::now();
-    confirmation.note(Instant::now());
+    confirmation.record(Instant::now());
     assert!(confirmation.age(taken_at) < SUSPENSION);
     suspend(SUSPENSION);
     assert!(confirmation.age(taken_at) >= SUSPENSION);
@@ -60,7 +60,7 @@
 #[test]
 fn the_pause_of_a_failed_instance_ends_during_a_suspension() {
     let table = BackendTable::new("a");
-    table.upsert(Discovered {
+    table.upsert(DiscoveredInstance {
         id: "i-1".to_owned(),
         service: "service".to_owned(),
         address: "127.0.0.1:9".parse().unwrap(),
@@ -74,9 +74,9 @@
         versions: [].into(),
     });
     let instance = table.get("i-1").unwrap();
-    instance.note_pace(40.0, Instant::now());
-    instance.note_failure(Instant::now());
+    instance.record_unit_time(40.0, Instant::now());
+    instance.record_failure(Instant::now());
     suspend(SUSPENSION);
     assert!(instance.is_usable("", Instant::now()));
-    assert_eq!(instance.recent_pace_ms(), None);
+    assert_eq!(instance.recent_unit_time_ms(), None);
 }
--- a/crates/front/tests/usage.rs
+++ b/crates/front/tests/usage.rs
@@ -57,8 +57,8 @@
     let clock = WindowClock::anchored(WINDOW, now, Duration::from_secs(50));
     let meter = UsageMeter::new(1, clock);
     let tenant: Arc<str> = "one".into();
-    meter.note_begun(&tenant, now);
-    meter.note_begun(&tenant, now);
+    meter.record_start(&tenant, now);
+    meter.record_start(&tenant, now);
     meter.take(&[usage_of(2, 10, 5), usage_of(1, 10, 9), usage_of(2, 11, 1)]);
     assert_eq!(meter.total(10).get("one"), Some(&7));
     assert_eq!(meter.total(11).get("one"), Some(&1));
