--- a/crates/front/src/explain/mod.rs
+++ b/crates/front/src/explain/mod.rs
@@ -6,5 +6,5 @@
 mod timeline;
 
 pub use line::LogLine;
-pub use steps::{LastItem, StepRow, steps, render_table};
+pub use steps::{LastItem, StepRow, render_table, steps};
 pub use timeline::{Timeline, TimelineEntry};
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -16,12 +16,13 @@
 use crate::coordination::Coordination;
 use crate::dialect::SharedCodec;
 use crate::ingress::{self, Ingress, IngressState};
-use crate::job::{QuorumConfirmation, JobContext, JobRegistry, LatestSteps, TextLengths};
+use crate::job::{JobContext, JobRegistry, LatestSteps, QuorumConfirmation, TextLengths};
 use crate::live::LiveService;
 use crate::metrics::Metrics;
 use crate::nodes::{FormatLevel, NodeRecord, NodeRole, Nodes};
 use crate::orders::{
-    FormerLeaders, LearnedLoadLimit, OrderLeader, OrderOptions, PermitRequester, PermitIssuer, AnnouncedVersions,
+    AnnouncedVersions, FormerLeaders, LearnedLoadLimit, OrderLeader, OrderOptions, PermitIssuer,
+    PermitRequester,
 };
 use crate::program::{JobHooks, JournalParts, PeerHandler, PeerServices, ProgramOptions};
 use crate::roster::{DiscoveryView, RosterOptions, RosterWriter};
@@ -387,8 +388,9 @@
         let listener = bind(address).await?;
         // Without the journal this front cannot serve jobs, so other fronts serve its clients
         // better.
-        let is_ready =
-            move || config.current().is_some() && !state.is_draining() && !jobs.is_journal_unreachable();
+        let is_ready = move || {
+            config.current().is_some() && !state.is_draining() && !jobs.is_journal_unreachable()
+        };
         tokio::spawn(ingress::serve_readiness(listener, is_ready));
     }
     if let Some(address) = options.metrics_address {
--- a/crates/front/src/program.rs
+++ b/crates/front/src/program.rs
@@ -226,10 +226,13 @@
                     None => refuse(Reason::MALFORMED, "no requests at this node"),
                 },
                 RequestKind::ask_send_permits(asked) => {
-                    let dealt = services.permits.as_ref().and_then(|one| one.issue(&asked));
-                    match dealt {
-                        Some(dealt) => Response {
-                            kind: ResponseKind::send_permits(dealt),
+                    let issued = services
+                        .permits
+                        .as_ref()
+                        .and_then(|issuer| issuer.issue(&asked));
+                    match issued {
+                        Some(issued) => Response {
+                            kind: ResponseKind::send_permits(issued),
                         },
                         None => refuse(Reason::NOT_OWNER, "no permits are dealt here"),
                     }
--- a/crates/front/src/roster/writer.rs
+++ b/crates/front/src/roster/writer.rs
@@ -184,7 +184,10 @@
                 Ok(())
             }
             Ok(SwapResult::Lost(_)) => {
-                log::info!("event=roster_write_conflict expected={:?}", written.revision);
+                log::info!(
+                    "event=roster_write_conflict expected={:?}",
+                    written.revision
+                );
                 written.revision = None;
                 Ok(())
             }
--- a/crates/front/src/usage/reporter.rs
+++ b/crates/front/src/usage/reporter.rs
@@ -21,7 +21,7 @@
 use crate::coordination::{Coordination, CoordinationError, SwapResult};
 use crate::metrics::Metrics;
 use crate::nodes::{NodeRole, Nodes};
-use crate::orders::{OrdersLease, HeldLease};
+use crate::orders::{HeldLease, OrdersLease};
 
 /// Key of the committed reports of the newest windows.
 const REPORTS_KEY: &str = "ladderstage/usage/reports";
@@ -363,15 +363,19 @@
     }
 
     /// Sends the reports that were not accepted yet, oldest first.
-    async fn send_unsent(&self, state: &mut HolderState, held: &HeldLease) -> Result<(), ReportError> {
+    async fn send_unsent(
+        &self,
+        state: &mut HolderState,
+        held: &HeldLease,
+    ) -> Result<(), ReportError> {
         let now = Instant::now();
-        let due_after: Vec<u64> = state
+        let to_send: Vec<u64> = state
             .unsent
             .iter()
             .filter(|(_, at)| **at <= now)
             .map(|(window, _)| *window)
             .collect();
-        for window in due_after {
+        for window in to_send {
             let Some(counts) = state.committed.get(window).cloned() else {
                 log::error!("event=usage_not_reported window={window} reason=too_old");
                 state.unsent.remove(&window);
--- a/crates/front/src/usage/sharing.rs
+++ b/crates/front/src/usage/sharing.rs
@@ -56,8 +56,8 @@
 /// Returns the fronts that get the counts: some of the strongest, by rendezvous hash of this node.
 fn backup_fronts(nodes: &Nodes) -> Vec<String> {
     let own = nodes.own().node;
-    let takeover_candidates = nodes.takeover_candidates();
-    let others = takeover_candidates.iter().map(|taker| taker.node.as_str());
+    let candidates = nodes.takeover_candidates();
+    let others = candidates.iter().map(|candidate| candidate.node.as_str());
     let ranked = rendezvous(own.as_bytes(), others.filter(|node| *node != own));
     ranked
         .into_iter()
--- a/crates/front/tests/explain.rs
+++ b/crates/front/tests/explain.rs
@@ -1,6 +1,6 @@
 //! Tests of timelines and step statistics built from log lines.
 
-use ladderstage_front::explain::{LogLine, Timeline, steps, render_table};
+use ladderstage_front::explain::{LogLine, Timeline, render_table, steps};
 
 const LOG: &str = r#"
    4.1000 front-a time=100.100 level=info node=front-a module=m event=job_accepted job=j1 items=2
--- a/crates/front/tests/following.rs
+++ b/crates/front/tests/following.rs
@@ -131,8 +131,10 @@
         is_refused: true,
         ..NodeFaults::default()
     };
-    let observed: Arc<dyn Coordination> =
-        Arc::new(ObservedStore::new(store.of("node"), StoreCallMetrics::default()));
+    let observed: Arc<dyn Coordination> = Arc::new(ObservedStore::new(
+        store.of("node"),
+        StoreCallMetrics::default(),
+    ));
     let lease = observed.grant(Duration::from_secs(60)).await.unwrap();
     store.set_faults("node", refused);
     let following = follow(
--- a/crates/front/tests/formats.rs
+++ b/crates/front/tests/formats.rs
@@ -13,7 +13,7 @@
 use ladderstage_front::coordination::{Coordination, Record};
 use ladderstage_front::nodes::{FormatLevel, NodeRecord, NodeRole, Nodes, shared_level};
 use ladderstage_front::orders::{
-    OrdersLease, LastLeader, LearnedLoadLimit, LoadLimitWriter, LoadLimit, restore_load_limit,
+    LastLeader, LearnedLoadLimit, LoadLimit, LoadLimitWriter, OrdersLease, restore_load_limit,
 };
 use ladderstage_front::roster::Roster;
 use ladderstage_front::suspects::SuspectRecord;
--- a/crates/front/tests/region_nodes.rs
+++ b/crates/front/tests/region_nodes.rs
@@ -99,10 +99,16 @@
         "{outside:?}"
     );
     let unknown = check(&nodes, &["east"], None);
-    assert!(matches!(unknown, Err(RegionBoundsError::UnknownReplicas { .. })));
+    assert!(matches!(
+        unknown,
+        Err(RegionBoundsError::UnknownReplicas { .. })
+    ));
     for replicas in [set(&["store", "lost"], &[]), set(&["store"], &["joins"])] {
         let unknown = check(&nodes, &["east"], Some(&replicas));
-        assert!(matches!(unknown, Err(RegionBoundsError::UnknownReplica { .. })));
+        assert!(matches!(
+            unknown,
+            Err(RegionBoundsError::UnknownReplica { .. })
+        ));
     }
     let everywhere = AllowedRegions::default();
     assert_eq!(check_node_regions(&everywhere, &nodes, None), Ok(()));
--- a/crates/front/tests/roster.rs
+++ b/crates/front/tests/roster.rs
@@ -101,7 +101,7 @@
 struct InstanceRecords {
     coordination: Arc<dyn Coordination>,
     backends: BackendTable,
-    gather: Duration,
+    batch_interval: Duration,
 }
 
 struct RecordFollower<'a> {
@@ -111,7 +111,7 @@
 
 impl Follower for RecordFollower<'_> {
     fn pause(&self) -> impl Future<Output = ()> + Send {
-        sleep(self.records.gather)
+        sleep(self.records.batch_interval)
     }
 
     fn on_update(&mut self, update: Update, at: u64) {
@@ -150,7 +150,7 @@
 
 impl Follower for DrainRecordFollower<'_> {
     fn pause(&self) -> impl Future<Output = ()> + Send {
-        sleep(self.records.gather)
+        sleep(self.records.batch_interval)
     }
 
     fn on_update(&mut self, update: Update, at: u64) {
@@ -214,34 +214,34 @@
 }
 
 impl Node {
-    fn start(store: &MemoryStore, name: &str, gather: Duration) -> Self {
-        Self::start_waiting(store, name, gather, Duration::ZERO)
+    fn start(store: &MemoryStore, name: &str, batch_interval: Duration) -> Self {
+        Self::start_waiting(store, name, batch_interval, Duration::ZERO)
     }
 
-    /// Starts a node that waits for a roster for up to `first_wait`.
+    /// Starts a node that waits for a roster for up to `startup_wait`.
     fn start_waiting(
         store: &MemoryStore,
         name: &str,
-        gather: Duration,
+        batch_interval: Duration,
         startup_wait: Duration,
     ) -> Self {
-        Self::start_following(store, name, gather, startup_wait, None)
+        Self::start_following(store, name, batch_interval, startup_wait, None)
     }
 
     /// Starts a node of a deployment that drains zones.
     fn start_draining(store: &MemoryStore, name: &str, startup_wait: Duration) -> Self {
-        let following = DrainTracking {
+        let tracking = DrainTracking {
             view: DiscoveryView::default(),
             roster_duty: Activity::default(),
         };
-        let gather = options().reader_batch_interval;
-        Self::start_following(store, name, gather, startup_wait, Some(following))
+        let batch_interval = options().reader_batch_interval;
+        Self::start_following(store, name, batch_interval, startup_wait, Some(tracking))
     }
 
     fn start_following(
         store: &MemoryStore,
         name: &str,
-        gather: Duration,
+        batch_interval: Duration,
         startup_wait: Duration,
         drains: Option<DrainTracking>,
     ) -> Self {
@@ -263,7 +263,7 @@
             source: InstanceRecords {
                 coordination: Arc::new(coordination.clone()),
                 backends: backends.clone(),
-                gather,
+                batch_interval,
             },
         };
         let reading = tokio::spawn(async move { reader.run().await });
@@ -422,7 +422,8 @@
 #[tokio::test(start_paused = true)]
 async fn a_front_without_work_knows_in_time_that_an_instance_leaves_or_is_removed() {
     let (store, _writer, reader) = fleet().await;
-    let in_time = options().writer_batch_interval + options().reader_batch_interval + CALL_ALLOWANCE;
+    let in_time =
+        options().writer_batch_interval + options().reader_batch_interval + CALL_ALLOWANCE;
     for round in 0..20_u64 {
         sleep(Duration::from_millis(37 * round)).await;
         leave(&store, "i-1");
@@ -651,7 +652,10 @@
         let asking = async {
             if let Some(asked_after) = asked_after {
                 sleep(Duration::from_millis(asked_after)).await;
-                reader.backends.wait_for_first_instance(Duration::from_millis(300)).await;
+                reader
+                    .backends
+                    .wait_for_first_instance(Duration::from_millis(300))
+                    .await;
                 assert_eq!(reader.is_ready("i-1"), Some(true));
             }
         };
@@ -708,7 +712,8 @@
     sleep(Duration::from_secs(10)).await;
     let calls = |kind| store.calls("reader", kind, DRAINS);
     let before = (calls("list"), calls("watch"));
-    let in_time = options().writer_batch_interval + options().reader_batch_interval + CALL_ALLOWANCE;
+    let in_time =
+        options().writer_batch_interval + options().reader_batch_interval + CALL_ALLOWANCE;
     for round in 0..10_u64 {
         sleep(Duration::from_millis(83 * round)).await;
         drain(&store, "a");
--- a/crates/front/tests/support/memory_store.rs
+++ b/crates/front/tests/support/memory_store.rs
@@ -305,12 +305,12 @@
         Box::pin(async move {
             self.start_call("swap", key).await?;
             let mut faults = self.faults();
-            if let Some(late) = faults.delayed_swap.take() {
+            if let Some(delay) = faults.delayed_swap.take() {
                 self.store.set_faults(&self.node, faults);
                 let store = self.store.clone();
                 let key = key.to_owned();
                 tokio::spawn(async move {
-                    tokio::time::sleep(late).await;
+                    tokio::time::sleep(delay).await;
                     let _ = store.update(|state| state.swap(&key, expected, value, lease));
                 });
                 return Err(CoordinationError::Unknown("no answer".to_owned()));
--- a/crates/front/tests/suspensions.rs
+++ b/crates/front/tests/suspensions.rs
@@ -10,7 +10,7 @@
 use ladderstage_clock::testing::suspend;
 use ladderstage_front::backend::{BackendTable, DiscoveredInstance};
 use ladderstage_front::job::QuorumConfirmation;
-use ladderstage_front::orders::{OrdersLease, LeaseLoss};
+use ladderstage_front::orders::{LeaseLoss, OrdersLease};
 use ladderstage_front::usage::WindowClock;
 use support::memory_store::MemoryStore;
 
