--- a/crates/front/src/coordination/following.rs
+++ b/crates/front/src/coordination/following.rs
@@ -30,7 +30,7 @@
     /// Returns whether the first listing may be a stale read. The watch from its revision starts at
     /// once and reports the later changes; until it is answered, or pending at the current
     /// revision, the records are as old as that read.
-    fn may_begin_stale(&self) -> bool {
+    fn may_start_stale(&self) -> bool {
         false
     }
 
@@ -62,7 +62,7 @@
         (self.on_update)(update);
     }
 
-    fn may_begin_stale(&self) -> bool {
+    fn may_start_stale(&self) -> bool {
         true
     }
 }
@@ -91,7 +91,7 @@
     let mut after = None;
     let mut is_unavailable = false;
     // A listing after compacted history must not be older than the updates already passed on.
-    let mut allows_stale = follower.may_begin_stale();
+    let mut allows_stale = follower.may_start_stale();
     loop {
         let result = match after {
             None if allows_stale => list_stale(coordination.as_ref(), prefix, follower).await,
--- a/crates/front/src/roster/reader.rs
+++ b/crates/front/src/roster/reader.rs
@@ -207,7 +207,7 @@
 
 impl Follower for RosterFollower<'_> {
     /// A starting node uses a roster that may lag by some seconds until the watch is answered.
-    fn may_begin_stale(&self) -> bool {
+    fn may_start_stale(&self) -> bool {
         true
     }
 
--- a/crates/front/tests/following.rs
+++ b/crates/front/tests/following.rs
@@ -62,7 +62,7 @@
 
     fn on_update(&mut self, _: Update, _: u64) {}
 
-    fn may_begin_stale(&self) -> bool {
+    fn may_start_stale(&self) -> bool {
         self.starts_stale
     }
 }
