--- a/crates/front/src/backend/cold/limits.rs
+++ b/crates/front/src/backend/cold/limits.rs
@@ -31,7 +31,7 @@
     /// Time for which an instance stays cold after its start.
     pub time: Duration,
     /// Permits that all nodes together may use within a second.
-    pub dealt: u32,
+    pub permits_per_second: u32,
     /// Requests per second that one node may send without permits to an instance that it considers
     /// warm.
     pub rate_without_permits: u32,
@@ -45,7 +45,7 @@
         let bound = bound.clamp(0.0, f64::from(u32::MAX)).floor() as u32;
         Self {
             time: spec.time,
-            dealt: bound / PERMIT_DIVISOR,
+            permits_per_second: bound / PERMIT_DIVISOR,
             rate_without_permits: (bound / WITHOUT_PERMIT_DIVISOR).max(1),
         }
     }
@@ -104,7 +104,7 @@
     }
 
     /// Waits for requests and drains them as services by instance.
-    pub async fn take(&self) -> BTreeMap<String, String> {
+    pub async fn drain(&self) -> BTreeMap<String, String> {
         loop {
             let permit_requests = self.drain_pending();
             if !permit_requests.is_empty() {
--- a/crates/front/src/backend/gate.rs
+++ b/crates/front/src/backend/gate.rs
@@ -73,7 +73,7 @@
     }
 
     /// Waits until the drained zones are known.
-    pub async fn known(&self) {
+    pub async fn wait_until_known(&self) {
         let mut is_unknown = self.is_unknown.subscribe();
         // The sender lives as long as `self`.
         let _ = is_unknown.wait_for(|is_unknown| !is_unknown).await;
--- a/crates/front/src/backend/instance.rs
+++ b/crates/front/src/backend/instance.rs
@@ -231,7 +231,7 @@
     }
 
     /// Waits until a later incarnation is known.
-    pub async fn ended(&self) {
+    pub async fn wait_until_ended(&self) {
         let mut has_ended = self.has_ended.subscribe();
         // The sender lives as long as `self`.
         let _ = has_ended.wait_for(|has_ended| *has_ended).await;
@@ -396,7 +396,7 @@
     ///
     /// # Errors
     /// Returns the reason if it may not.
-    pub fn may_send(&self, now: Instant) -> Result<(), HoldReason> {
+    pub fn check_send(&self, now: Instant) -> Result<(), HoldReason> {
         let mut state = self.lock();
         let Some(limit) = self.cold_limit(&state)? else {
             return Ok(());
--- a/crates/front/src/backend/table.rs
+++ b/crates/front/src/backend/table.rs
@@ -219,7 +219,7 @@
         let first_update = async {
             // The sender lives as long as `self`.
             let _ = is_populated.wait_for(|is_populated| *is_populated).await;
-            drained.known().await;
+            drained.wait_until_known().await;
         };
         // After a timeout, the choice of an instance fails.
         let _ = tokio::time::timeout(max_wait, first_update).await;
@@ -367,7 +367,7 @@
     fn remove_held(&self, usable: &mut Vec<Arc<Instance>>, now: Instant) -> Vec<Arc<Instance>> {
         let mut cold = Vec::new();
         usable.retain(|instance| {
-            let Err(reason) = instance.may_send(now) else {
+            let Err(reason) = instance.check_send(now) else {
                 return true;
             };
             let labels = [reason.label(), &instance.zone()];
@@ -395,7 +395,7 @@
         let mut counts = BTreeMap::new();
         let ready = self.instances_of(service).into_iter();
         for instance in ready.filter(|instance| instance.is_ready()) {
-            if let Err(reason) = instance.may_send(now) {
+            if let Err(reason) = instance.check_send(now) {
                 *counts.entry(reason).or_insert(0) += 1;
             }
         }
@@ -433,7 +433,7 @@
         let ready: Vec<_> = instances
             .into_iter()
             .filter(|instance| instance.is_ready() && instance.is_within(allowed))
-            .filter(|instance| instance.may_send(now).is_ok())
+            .filter(|instance| instance.check_send(now).is_ok())
             .collect();
         let index = rand::random_range(0..ready.len().max(1));
         let chosen = ready.get(index).cloned();
--- a/crates/front/src/job/run.rs
+++ b/crates/front/src/job/run.rs
@@ -198,7 +198,7 @@
     let end = tokio::select! {
         end = run_once(context, index, instance, partial) => end,
         // In a network partition the connection would stay silent until the next event times out.
-        () = instance.ended() => RunEnd::Broken("the instance was restarted".to_owned()),
+        () = instance.wait_until_ended() => RunEnd::Broken("the instance was restarted".to_owned()),
     };
     log_run(context, index, instance, partial, started, &end);
     context.metrics.record_sent("item", instance.distance());
--- a/crates/front/src/live.rs
+++ b/crates/front/src/live.rs
@@ -422,7 +422,7 @@
             let guard = instance.track_request();
             let result = tokio::select! {
                 result = self.exchange(route, request, &instance, &head) => result,
-                () = instance.ended() => {
+                () = instance.wait_until_ended() => {
                     Err(ExchangeError::Broken("the instance restarted".to_owned()))
                 }
             };
--- a/crates/front/src/orders/announced_versions.rs
+++ b/crates/front/src/orders/announced_versions.rs
@@ -21,7 +21,7 @@
 
 impl AnnouncedVersions {
     /// Records a version; a lower one than the newest is ignored.
-    pub fn note(&self, model: &str, version: u64) {
+    pub fn record(&self, model: &str, version: u64) {
         let mut versions = lock(&self.versions);
         if versions
             .get(model)
--- a/crates/front/src/orders/permits/requester.rs
+++ b/crates/front/src/orders/permits/requester.rs
@@ -79,7 +79,7 @@
         let permit_requests = &self.backends.gates().permit_requests;
         let mut last_issuer = None;
         loop {
-            let mut needed = permit_requests.take().await;
+            let mut needed = permit_requests.drain().await;
             tokio::time::sleep(BATCH_DELAY).await;
             needed.append(&mut permit_requests.drain_pending());
             let instances = needed.len();
@@ -134,7 +134,7 @@
         let needed = needed.into_iter().filter_map(|(instance, service)| {
             let limit = limits.get(&service)?;
             Some(SendPermit {
-                count: (limit.dealt / REQUEST_DIVISOR).max(1),
+                count: (limit.permits_per_second / REQUEST_DIVISOR).max(1),
                 instance,
                 service,
             })
--- a/crates/front/src/roster/drains.rs
+++ b/crates/front/src/roster/drains.rs
@@ -56,7 +56,7 @@
     async fn wait_for_current_drains(&self, tracking: &DrainTracking, known: &KnownRoster) {
         let mut changed = known.subscribe();
         loop {
-            tracking.view.known().await;
+            tracking.view.wait_until_known().await;
             tracking.roster_duty.wait_until_idle().await;
             let roster = changed.borrow_and_update().clone();
             let drains = roster.and_then(|roster| roster.drains.clone());
--- a/crates/front/src/roster/view.rs
+++ b/crates/front/src/roster/view.rs
@@ -51,7 +51,7 @@
     }
 
     /// Waits until the records are known.
-    pub async fn known(&self) {
+    pub async fn wait_until_known(&self) {
         let mut known = self.known.subscribe();
         // `self` owns the sender, so this does not fail.
         let _ = known
--- a/crates/front/src/roster/writer.rs
+++ b/crates/front/src/roster/writer.rs
@@ -71,9 +71,9 @@
             return std::future::pending().await;
         };
         loop {
-            self.view.known().await;
+            self.view.wait_until_known().await;
             if let Some(drains) = &self.drains {
-                drains.known().await;
+                drains.wait_until_known().await;
             }
             self.wait_until_settled().await;
             if self.has_enough_fronts(&options)
--- a/crates/front/tests/cold_instances.rs
+++ b/crates/front/tests/cold_instances.rs
@@ -69,8 +69,8 @@
 #[test]
 fn permits_and_the_shares_of_two_nodes_without_permits_fit_into_the_bound() {
     let limit = limit();
-    assert!(limit.dealt > 0 && limit.rate_without_permits > 0);
-    assert!(limit.dealt + 2 * limit.rate_without_permits <= BOUND);
+    assert!(limit.permits_per_second > 0 && limit.rate_without_permits > 0);
+    assert!(limit.permits_per_second + 2 * limit.rate_without_permits <= BOUND);
 }
 
 #[test]
@@ -338,14 +338,26 @@
     let held_since = Instant::now();
     let mut ledger = PermitLedger::new(held_since);
     let first = held_since + PERMIT_QUIET_PERIOD;
-    assert_eq!(ledger.issue("i-1", 100, limit.dealt, first), limit.dealt);
+    assert_eq!(
+        ledger.issue("i-1", 100, limit.permits_per_second, first),
+        limit.permits_per_second
+    );
     let used_late = first + PERMIT_LIFETIME - ms(1);
     let within_a_second = used_late + SEND_WINDOW;
-    assert_eq!(ledger.issue("i-1", 100, limit.dealt, within_a_second), 0);
-    let other_instance = ledger.issue("i-2", 100, limit.dealt, within_a_second);
-    assert_eq!(other_instance, limit.dealt, "limits are per instance");
+    assert_eq!(
+        ledger.issue("i-1", 100, limit.permits_per_second, within_a_second),
+        0
+    );
+    let other_instance = ledger.issue("i-2", 100, limit.permits_per_second, within_a_second);
+    assert_eq!(
+        other_instance, limit.permits_per_second,
+        "limits are per instance"
+    );
     let later = first + PERMIT_QUIET_PERIOD + ms(1);
-    assert_eq!(ledger.issue("i-1", 100, limit.dealt, later), limit.dealt);
+    assert_eq!(
+        ledger.issue("i-1", 100, limit.permits_per_second, later),
+        limit.permits_per_second
+    );
 }
 
 proptest! {
@@ -364,7 +376,7 @@
             match step {
                 Step::Elapse(time) => now += ms(time),
                 Step::RequestPermits { node, wanted, answer_after } => {
-                    let count = ledger.issue("i-1", wanted, limit.dealt, now);
+                    let count = ledger.issue("i-1", wanted, limit.permits_per_second, now);
                     if let Some(after) = answer_after {
                         in_transit.push((now + ms(after), node, count, now + PERMIT_LIFETIME));
                     }
@@ -389,7 +401,7 @@
                 *at > now
             });
         }
-        prop_assert!(max_in_a_second(&sent) <= limit.dealt as usize);
+        prop_assert!(max_in_a_second(&sent) <= limit.permits_per_second as usize);
     }
 
     /// Without permits one node sends at most its own share in any second, and one request to an
--- a/crates/front/tests/roster.rs
+++ b/crates/front/tests/roster.rs
@@ -319,7 +319,7 @@
     fn may_send(&self, id: &str) -> bool {
         let instance = self.backends.get(id);
         instance.is_some_and(|one| {
-            one.is_ready() && one.may_send(ladderstage_clock::Instant::now()).is_ok()
+            one.is_ready() && one.check_send(ladderstage_clock::Instant::now()).is_ok()
         })
     }
 
--- a/crates/journal/src/replica.rs
+++ b/crates/journal/src/replica.rs
@@ -154,7 +154,7 @@
         let limit = request.limit.clamp(1, MAX_EXPORTED_LOGS) as usize;
         let mut result = storage.export_logs(&request.after, limit).await;
         if let Ok(page) = &mut result {
-            leave_out_known(page, &request.known);
+            omit_known(page, &request.known);
         }
         respond(result, ResponseKind::export_logs)
     }
@@ -241,11 +241,11 @@
 }
 
 /// Removes from a page the entries that the new replica already has from another replica.
-fn leave_out_known(page: &mut ExportLogsReply, known: &[KnownLog]) {
+fn omit_known(page: &mut ExportLogsReply, known: &[KnownLog]) {
     let known: HashMap<&str, &KnownLog> = known.iter().map(|log| (log.log.as_str(), log)).collect();
     for exported in &mut page.logs {
         if let Some(known) = known.get(exported.log.as_str()) {
-            replica::leave_out_known(exported, known);
+            replica::omit_known(exported, known);
         }
     }
 }
--- a/crates/ladderstage/src/journal/replica.rs
+++ b/crates/ladderstage/src/journal/replica.rs
@@ -194,7 +194,7 @@
 }
 
 /// Leaves the entries out of a copy for a replica that holds the log as `known`, which is as new.
-pub fn leave_out_known(exported: &mut ExportedLog, known: &KnownLog) {
+pub fn omit_known(exported: &mut ExportedLog, known: &KnownLog) {
     let log_epoch = WriterEpoch::from(&known.log_epoch);
     if !is_newer(exported, log_epoch, known.retired, known.length) {
         exported.entries.clear();
--- a/crates/ladderstage/tests/journal/rules.rs
+++ b/crates/ladderstage/tests/journal/rules.rs
@@ -7,7 +7,7 @@
 use crate::support::{LOG, identity, quorum_of};
 use ladderstage::journal::heartbeat::HeartbeatTable;
 use ladderstage::journal::read::{LogRead, LogSurvey};
-use ladderstage::journal::replica::{EntryChange, LogState, import, leave_out_known};
+use ladderstage::journal::replica::{EntryChange, LogState, import, omit_known};
 use ladderstage::journal::writer::{LogWriterState, ReplicaWrite, SealProgress, Sealing};
 use ladderstage::journal::{EpochSource, Quorum, WriterEpoch};
 use ladderstage_wire::messages::{
@@ -381,14 +381,14 @@
     };
     for (round, entries, is_newer) in [(5, 2, false), (4, 7, false), (5, 3, true), (6, 1, true)] {
         let mut copy = exported(round, entries);
-        leave_out_known(&mut copy, &known);
+        omit_known(&mut copy, &known);
         assert_eq!(copy.entries.is_empty(), !is_newer, "{round} {entries}");
         let decision = import(&state, &copy);
         assert_eq!(decision.entries == EntryChange::Replace, is_newer);
         assert_eq!(decision.state.promised, epoch(9, 1), "promises are copied");
     }
     let mut behind = exported(5, 2);
-    leave_out_known(&mut behind, &known);
+    omit_known(&mut behind, &known);
     let decision = import(&LogState::default(), &behind);
     assert_eq!(decision.entries, EntryChange::Keep, "nothing is lost by it");
 }
