--- a/crates/front/src/backend/table.rs
+++ b/crates/front/src/backend/table.rs
@@ -1,4 +1,4 @@
-//! All instances that discovery knows.
+//! Table of all discovered instances.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -13,32 +13,32 @@
 use super::gate::{HoldReason, Locality, SendGates};
 use super::instance::{DiscoveredInstance, Instance};
 
-/// The instances by id. Cheap to clone.
+/// Instances by id. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct BackendTable {
     zone: Arc<str>,
     instances: Arc<Mutex<BTreeMap<String, Arc<Instance>>>>,
     changed: watch::Sender<u64>,
-    /// Changes when an instance comes or goes, or anything but its weights changes.
+    /// Changes when an instance is added, removed or changed in anything but its weights.
     membership: watch::Sender<u64>,
-    /// Whether any instance was ever told of.
-    is_fed: watch::Sender<bool>,
-    /// Whether a request came before that.
-    is_wanted: watch::Sender<bool>,
+    /// True once any instance was added.
+    is_populated: watch::Sender<bool>,
+    /// True once a request came before the first instance.
+    is_requested: watch::Sender<bool>,
     counters: DiscoveryCounters,
     gates: SendGates,
 }
 
 impl BackendTable {
-    /// A table for a chooser in `zone`.
+    /// Creates a table for a node in `zone`.
     pub fn new(zone: &str) -> Self {
         Self {
             zone: zone.into(),
             instances: Arc::default(),
             changed: watch::Sender::new(0),
             membership: watch::Sender::new(0),
-            is_fed: watch::Sender::new(false),
-            is_wanted: watch::Sender::new(false),
+            is_populated: watch::Sender::new(false),
+            is_requested: watch::Sender::new(false),
             counters: DiscoveryCounters::default(),
             gates: SendGates {
                 locality: Locality {
@@ -50,45 +50,45 @@
         }
     }
 
-    /// The same for a deployment with these regions; to be set before instances are added, as each keeps a copy.
+    /// Sets the regions of the zones. Must precede the first instance, as each keeps a copy.
     pub fn with_regions(mut self, regions: RegionMap) -> Self {
         self.gates.locality.regions = regions;
         self
     }
 
-    /// What keeps requests from instances that discovery calls ready.
+    /// Returns the conditions for sending requests to ready instances.
     pub fn gates(&self) -> &SendGates {
         &self.gates
     }
 
-    /// Takes the zones that are to be drained now.
+    /// Replaces the set of drained zones.
     pub fn set_drained_zones(&self, zones: BTreeSet<Arc<str>>) {
         let drained = &self.gates.drained;
         let before = drained.current();
-        let is_news = !drained.is_known() || *before != zones;
+        let is_changed = !drained.is_known() || *before != zones;
         drained.set(zones);
-        if !is_news {
+        if !is_changed {
             return;
         }
         let now = drained.current();
         self.log_drains(&before, &now);
         self.counters.drained_zones.set(now.len() as i64);
-        // Work that waits may find room in a zone whose drain ended.
+        // A zone whose drain ended may have free slots for waiting work.
         self.notify();
     }
 
     fn log_drains(&self, before: &BTreeSet<Arc<str>>, now: &BTreeSet<Arc<str>>) {
         for zone in now.difference(before) {
-            let instances = self.count_in(zone);
+            let instances = self.count_in_zone(zone);
             log::info!("event=zone_drain_began zone={zone} instances={instances}");
         }
         for zone in before.difference(now) {
-            let instances = self.count_in(zone);
+            let instances = self.count_in_zone(zone);
             log::info!("event=zone_drain_ended zone={zone} instances={instances}");
         }
     }
 
-    fn count_in(&self, zone: &str) -> usize {
+    fn count_in_zone(&self, zone: &str) -> usize {
         let instances = self.lock();
         let zones = instances
             .values()
@@ -96,7 +96,8 @@
         zones.filter(|other| other == zone).count()
     }
 
-    /// Why drains leave no instance of a service that may get a request; `None`: one may, or there is no instance.
+    /// Returns the reason if drains leave no instance of a service; `None` if one may get requests
+    /// or there is none.
     pub fn drain_reason(&self, service: &str) -> Option<HoldReason> {
         let instances = self.instances_of(service);
         let is_open =
@@ -104,24 +105,27 @@
         if instances.iter().any(is_open) {
             return None;
         }
-        let reasons = instances.iter().map(|instance| instance.check_drain().err());
+        let reasons = instances
+            .iter()
+            .map(|instance| instance.check_drain().err());
         reasons.flatten().next()
     }
 
-    /// What was counted of discovery.
+    /// Returns the counters of discovery.
     pub fn counters(&self) -> &DiscoveryCounters {
         &self.counters
     }
 
-    /// Forgets an instance whose record names none any more; `reason` is a label of metrics.
+    /// Removes an instance whose record cannot be read and counts it under the metric label
+    /// `reason`.
     pub fn remove_unreadable(&self, id: &str, reason: &str) {
         let unreadable = &self.counters.unreadable_records;
         unreadable.with_label_values(&[reason]).inc();
         self.remove(id);
     }
 
-    /// Takes what discovery tells of one instance. Nothing that is believed of one start outlives it, and a word about an earlier start
-    /// than the known one, which may come late, changes nothing.
+    /// Applies a discovery record. A later incarnation replaces the earlier one with all its state;
+    /// a late record about an earlier incarnation is ignored.
     pub fn upsert(&self, mut discovered: DiscoveredInstance) {
         let mut instances = self.lock();
         let known = instances.get(&discovered.id);
@@ -140,8 +144,8 @@
             }
         }
         let regions = &self.gates.locality.regions;
-        let is_same =
-            known.is_some_and(|known| known.discovered().is_same_without_weights(&discovered));
+        let is_unchanged =
+            known.is_some_and(|known| known.discovered().equals_ignoring_weights(&discovered));
         match known {
             Some(known)
                 if known.address() == discovered.address
@@ -173,22 +177,22 @@
                 let id = discovered.id.clone();
                 let instance = Arc::new(Instance::new(discovered, self.gates.clone()));
                 if let Some(earlier) = instances.insert(id, instance) {
-                    earlier.note_ended();
+                    earlier.mark_ended();
                     self.counters.restarts.inc();
                 }
             }
         }
         drop(instances);
-        self.is_fed
-            .send_if_modified(|is_fed| !std::mem::replace(is_fed, true));
-        if !is_same {
+        self.is_populated
+            .send_if_modified(|is_populated| !std::mem::replace(is_populated, true));
+        if !is_unchanged {
             self.membership.send_modify(|count| *count += 1);
         }
         self.notify();
     }
 
-    /// An instance says itself when it started. If that is later than what discovery told, it has been started again, and nothing
-    /// that was believed of it holds but where it is.
+    /// Records the start that an instance reported itself. A start later than the known one is a
+    /// new incarnation, of which only the discovery record is kept, without weights.
     pub fn record_incarnation(&self, instance: &Instance, started_unix_ms: u64) {
         if started_unix_ms > instance.started_unix_ms() {
             self.upsert(DiscoveredInstance {
@@ -196,38 +200,39 @@
                 versions: BTreeMap::new(),
                 ..instance.discovered()
             });
-            // Whether it is cold its record tells later.
+            // The next discovery record shows whether it is cold.
             if let Some(started_again) = self.get(instance.id()) {
-                started_again.suspect_cold(Instant::now());
+                started_again.mark_possibly_cold(Instant::now());
             }
         }
     }
 
-    /// Asks for instances if none was ever told of, and waits for the first one and for word of drained zones, `longest` at most.
-    pub async fn wait_for_first_instance(&self, longest: Duration) {
+    /// Requests instances if none was ever added, and waits at most `max_wait` for the first one and
+    /// for the drained zones.
+    pub async fn wait_for_first_instance(&self, max_wait: Duration) {
         let drained = &self.gates.drained;
-        if *self.is_fed.borrow() && drained.is_known() {
+        if *self.is_populated.borrow() && drained.is_known() {
             return;
         }
-        self.is_wanted.send_replace(true);
-        let mut is_fed = self.is_fed.subscribe();
-        let first = async {
-            // The sender lives as long as this table.
-            let _ = is_fed.wait_for(|is_fed| *is_fed).await;
-            drained.known().await;
+        self.is_requested.send_replace(true);
+        let mut is_populated = self.is_populated.subscribe();
+        let first_update = async {
+            // The sender lives as long as `self`.
+            let _ = is_populated.wait_for(|is_populated| *is_populated).await;
+            drained.wait_until_known().await;
         };
-        // Whether it came in time shows when an instance is chosen.
-        let _ = tokio::time::timeout(longest, first).await;
+        // After a timeout, the choice of an instance fails.
+        let _ = tokio::time::timeout(max_wait, first_update).await;
     }
 
-    /// Returns once somebody asked for instances before the first one was told of.
+    /// Waits until a request came before the first instance was known.
     pub async fn wait_for_first_request(&self) {
-        let mut is_wanted = self.is_wanted.subscribe();
-        // The sender lives as long as this table.
-        let _ = is_wanted.wait_for(|is_wanted| *is_wanted).await;
+        let mut is_requested = self.is_requested.subscribe();
+        // The sender lives as long as `self`.
+        let _ = is_requested.wait_for(|is_requested| *is_requested).await;
     }
 
-    /// Forgets an instance that is gone; requests under way there go on.
+    /// Removes an instance; its requests in flight continue.
     pub fn remove(&self, id: &str) {
         if let Some(instance) = self.lock().remove(id) {
             instance.connections().close_idle();
@@ -237,41 +242,42 @@
         self.notify();
     }
 
-    /// Forgets all instances among those that `is_meant` accepts whose ids are not among `kept`.
-    pub fn retain(&self, kept: &[String], is_meant: impl Fn(&DiscoveredInstance) -> bool) {
+    /// Removes all instances that `is_in_scope` accepts and whose ids are not in `kept`.
+    pub fn retain(&self, kept: &[String], is_in_scope: impl Fn(&DiscoveredInstance) -> bool) {
         let gone: Vec<String> = {
             let instances = self.lock();
             let instances = instances.values();
             instances
                 .filter(|instance| !kept.iter().any(|id| id == instance.id()))
-                .filter(|instance| is_meant(&instance.discovered()))
+                .filter(|instance| is_in_scope(&instance.discovered()))
                 .map(|instance| instance.id().to_owned())
                 .collect()
         };
         gone.iter().for_each(|id| self.remove(id));
     }
 
-    /// An instance by its id.
+    /// Returns an instance by its id.
     pub fn get(&self, id: &str) -> Option<Arc<Instance>> {
         self.lock().get(id).cloned()
     }
 
-    /// Tells those who wait for room that there may be some.
+    /// Notifies waiting work that there may be free slots.
     pub fn notify(&self) {
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Changes with every change of the table.
+    /// Returns a receiver that changes with every change of the table.
     pub fn watch(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// Changes when an instance comes or goes, or anything but its weights changes.
+    /// Returns a receiver that changes when an instance is added, removed or changed in anything
+    /// but its weights.
     pub fn watch_membership(&self) -> watch::Receiver<u64> {
         self.membership.subscribe()
     }
 
-    /// What discovery told last of all instances, sorted by id.
+    /// Returns the last discovery records of all instances, sorted by id.
     pub fn discovered(&self) -> Vec<DiscoveredInstance> {
         let instances = self.lock();
         instances
@@ -280,17 +286,17 @@
             .collect()
     }
 
-    /// Instances of a service, sorted by id.
+    /// Returns the instances of a service, sorted by id.
     pub fn instances_of(&self, service: &str) -> Vec<Arc<Instance>> {
         let instances = self.lock();
         let found = instances.values();
         found
-            .filter(|instance| instance.is_of(service))
+            .filter(|instance| instance.belongs_to(service))
             .cloned()
             .collect()
     }
 
-    /// Median of the recent paces of a service's instances, in milliseconds per unit of work.
+    /// Returns the median of the recent unit times of a service's instances, in milliseconds.
     pub fn typical_unit_time(&self, service: &str) -> Option<f64> {
         let now = Instant::now();
         let instances = self.instances_of(service);
@@ -300,7 +306,8 @@
         median(paces.collect())
     }
 
-    /// The instance for one more request among those of `service` that are usable and that `fits` accepts.
+    /// Chooses among the usable instances of `service` that `fits` accepts, and reserves capacity
+    /// for the request.
     pub fn choose(
         &self,
         service: &str,
@@ -309,19 +316,20 @@
         fits: impl Fn(&Instance) -> bool,
     ) -> Option<Arc<Instance>> {
         let now = Instant::now();
-        let (chosen, cold) = self.look(service, model, demand, now, fits);
+        let (chosen, cold) = self.select(service, model, demand, now, fits);
         match &chosen {
             Some(instance) => instance.reserve_send(now),
             None => {
-                // Work waits that these could take.
+                // Permits for these cold instances would let the work start.
                 let idle = cold.iter().filter(|instance| instance.has_free_slot());
-                idle.for_each(|instance| self.gates.permit_requests.note(instance.id(), service));
+                idle.for_each(|instance| self.gates.permit_requests.add(instance.id(), service));
             }
         }
         chosen
     }
 
-    /// The instance that [`BackendTable::choose_within`] would choose, for work that goes on where it is unless another place pays.
+    /// Returns the instance that [`BackendTable::choose_within`] would choose, without reserving
+    /// it.
     pub fn best_within(
         &self,
         service: &str,
@@ -331,12 +339,12 @@
         fits: impl Fn(&Instance) -> bool,
     ) -> Option<Arc<Instance>> {
         let fits = |instance: &Instance| instance.is_within(allowed) && fits(instance);
-        let (best, _) = self.look(service, model, demand, Instant::now(), fits);
+        let (best, _) = self.select(service, model, demand, Instant::now(), fits);
         best
     }
 
-    /// The instance for one more request, and the cold ones that a permit would open.
-    fn look(
+    /// Selects the best instance; also returns the cold ones that lack only a permit.
+    fn select(
         &self,
         service: &str,
         model: &str,
@@ -346,7 +354,7 @@
     ) -> (Option<Arc<Instance>>, Vec<Arc<Instance>>) {
         let mut usable = self.instances_of(service);
         usable.retain(|instance| instance.is_usable(model, now) && fits(instance));
-        let cold = self.pass_over_held(&mut usable, now);
+        let cold = self.remove_held(&mut usable, now);
         let candidates: Vec<Candidate> = usable
             .iter()
             .map(|instance| instance.candidate(&self.zone, now))
@@ -355,15 +363,18 @@
         (index.map(|index| Arc::clone(&usable[index])), cold)
     }
 
-    /// Removes instances that may get nothing now; returns those of them for which only a permit is missing.
-    fn pass_over_held(&self, usable: &mut Vec<Arc<Instance>>, now: Instant) -> Vec<Arc<Instance>> {
+    /// Removes the instances that may get no request now; returns those that lack only a permit.
+    fn remove_held(&self, usable: &mut Vec<Arc<Instance>>, now: Instant) -> Vec<Arc<Instance>> {
         let mut cold = Vec::new();
         usable.retain(|instance| {
-            let Err(reason) = instance.may_send(now) else {
+            let Err(reason) = instance.check_send(now) else {
                 return true;
             };
             let labels = [reason.label(), &instance.zone()];
-            self.counters.skipped_instances.with_label_values(&labels).inc();
+            self.counters
+                .skipped_instances
+                .with_label_values(&labels)
+                .inc();
             if reason == HoldReason::Cold {
                 cold.push(Arc::clone(instance));
             }
@@ -372,26 +383,26 @@
         cold
     }
 
-    /// Whether work that waits here for instances of a service may soon get permits for cold ones.
-    pub fn awaits_permits(&self, service: &str) -> bool {
-        let held_back = self.held_back(service);
-        held_back.contains_key(&HoldReason::Cold)
+    /// Returns whether a cold instance of the service may soon get permits.
+    pub fn may_get_permits(&self, service: &str) -> bool {
+        let held_counts = self.held_counts(service);
+        held_counts.contains_key(&HoldReason::Cold)
     }
 
-    /// How many ready instances of a service are held back now, by reason.
-    pub fn held_back(&self, service: &str) -> BTreeMap<HoldReason, usize> {
+    /// Returns the number of ready instances of a service that are held back now, by reason.
+    pub fn held_counts(&self, service: &str) -> BTreeMap<HoldReason, usize> {
         let now = Instant::now();
         let mut counts = BTreeMap::new();
         let ready = self.instances_of(service).into_iter();
         for instance in ready.filter(|instance| instance.is_ready()) {
-            if let Err(reason) = instance.may_send(now) {
+            if let Err(reason) = instance.check_send(now) {
                 *counts.entry(reason).or_insert(0) += 1;
             }
         }
         counts
     }
 
-    /// As [`BackendTable::choose`], among those in allowed regions.
+    /// Like [`BackendTable::choose`], among instances in allowed regions.
     pub fn choose_within(
         &self,
         service: &str,
@@ -405,20 +416,24 @@
         })
     }
 
-    /// Whether a service has an instance in an allowed region, ready or not.
+    /// Returns whether a service has an instance in an allowed region, ready or not.
     pub fn has_any_within(&self, service: &str, allowed: &AllowedRegions) -> bool {
         let instances = self.instances_of(service);
         instances.iter().any(|instance| instance.is_within(allowed))
     }
 
-    /// A ready instance of a service in an allowed region, also one that gets a pause after a failure.
-    pub fn choose_for_retry(&self, service: &str, allowed: &AllowedRegions) -> Option<Arc<Instance>> {
+    /// Returns a random ready instance of a service in an allowed region, paused ones included.
+    pub fn choose_for_retry(
+        &self,
+        service: &str,
+        allowed: &AllowedRegions,
+    ) -> Option<Arc<Instance>> {
         let now = Instant::now();
         let instances = self.instances_of(service);
         let ready: Vec<_> = instances
             .into_iter()
             .filter(|instance| instance.is_ready() && instance.is_within(allowed))
-            .filter(|instance| instance.may_send(now).is_ok())
+            .filter(|instance| instance.check_send(now).is_ok())
             .collect();
         let index = rand::random_range(0..ready.len().max(1));
         let chosen = ready.get(index).cloned();
--- a/crates/front/src/ingress/listeners.rs
+++ b/crates/front/src/ingress/listeners.rs
@@ -1,4 +1,4 @@
-//! Small listeners beside the clients': readiness and figures.
+//! Listeners for readiness checks and metrics.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -12,16 +12,16 @@
 use tokio::net::TcpListener;
 
 use super::ACCEPT_RETRY;
-use super::answers::whole;
+use super::answers::complete;
 use crate::metrics::Metrics;
 
-/// Answers whether this process takes new connections: 200 while `is_ready`, else 503.
+/// Serves the readiness check: 200 while `is_ready`, else 503.
 pub async fn serve_readiness(
     listener: TcpListener,
     is_ready: impl Fn() -> bool + Send + Sync + 'static,
 ) {
     let is_ready = Arc::new(is_ready);
-    serve_small(listener, move |_| {
+    serve_text(listener, move |_| {
         if is_ready() {
             (StatusCode::OK, String::new())
         } else {
@@ -31,13 +31,13 @@
     .await;
 }
 
-/// Answers with all counters as text.
+/// Serves all metrics as text.
 pub async fn serve_metrics(listener: TcpListener, metrics: Arc<Metrics>) {
-    serve_small(listener, move |_| (StatusCode::OK, metrics.render())).await;
+    serve_text(listener, move |_| (StatusCode::OK, metrics.render())).await;
 }
 
-/// Answers every request with status and text; for small listeners beside the clients'.
-async fn serve_small(
+/// Responds to every request with the status and text that `answer` returns for its path.
+async fn serve_text(
     listener: TcpListener,
     answer: impl Fn(&str) -> (StatusCode, String) + Send + Sync + 'static,
 ) {
@@ -51,7 +51,7 @@
         tokio::spawn(async move {
             let service = service_fn(move |request: Request<Incoming>| {
                 let (status, text) = answer(request.uri().path());
-                async move { Ok::<_, Infallible>(whole(status, Bytes::from(text))) }
+                async move { Ok::<_, Infallible>(complete(status, Bytes::from(text))) }
             });
             let connection = http1::Builder::new()
                 .timer(TokioTimer::new())
--- a/crates/front/src/job/locating.rs
+++ b/crates/front/src/job/locating.rs
@@ -1,4 +1,4 @@
-//! Which node owns a job, and questions to it.
+//! Finds the owner of a job and sends requests to it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,142 +12,147 @@
 use ladderstage_wire::messages::mod_Response::OneOfkind as ResponseKind;
 use ladderstage_wire::messages::{ReadJob, Request};
 
+use super::local_job::Job;
 use super::lock::lock;
 use super::log_name;
 use super::reading::{ReadError, unavailable};
 use super::registry::JobRegistry;
-use super::shared::Job;
 
-/// Time for a peer to answer, beyond the time that it was asked to wait.
+/// Time for a peer to answer, in addition to the wait that the request asks for.
 pub(super) const PEER_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Where a job is.
-enum Place {
-    /// This node owns it.
-    Here(Arc<Job>),
-    /// Another node does, or did when it was last heard of.
-    At { node: String, source: Source },
+/// Location of a job.
+enum Location {
+    /// This node owns the job.
+    Local(Arc<Job>),
+    /// Another node owns the job, or owned it when that was last known.
+    Remote { node: String, source: Source },
 }
 
-/// Who says which node owns a job.
+/// Source of the information about a job's owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Source {
-    /// This node remembers it; the job may have moved on.
-    Memory,
-    /// A majority of the journal's replicas, a moment ago.
+    /// This node's cache; the job may have moved since.
+    Cache,
+    /// A majority of the journal's replicas, queried just now.
     Journal,
 }
 
-/// What came of a question about a job.
-pub(super) enum Owned {
+/// Reply to a request about a job.
+pub(super) enum OwnerReply {
     /// This node owns the job.
-    Here(Arc<Job>),
-    /// Its owner's answer.
+    Local(Arc<Job>),
+    /// Answer of the remote owner.
     Answer(ResponseKind),
 }
 
-/// Why an owner gave no answer.
-enum NoAnswer {
-    /// It does not know the job, or it is gone.
+/// Reason why a node gave no answer about a job.
+enum AskError {
+    /// The node does not know the job or has left.
     NotOwner,
-    /// It could not be asked.
-    NotAsked(ReadError),
-    /// It may own the job.
+    /// The request could not be sent.
+    NotSent(ReadError),
+    /// The node may own the job but did not answer.
     Unavailable(ReadError),
 }
 
 impl JobRegistry {
-    /// Asks the owner of a job. Becomes its owner if the one that the journal names does not know the job or is gone; one that
-    /// is only remembered may have handed the job on.
-    pub(super) async fn ask(
+    /// Sends a request to the owner of a job. Becomes the owner if the node that the journal names
+    /// does not know the job or has left.
+    pub(super) async fn ask_owner(
         &self,
         id: &str,
         request: &RequestKind,
         wait: Duration,
-    ) -> Result<Owned, ReadError> {
+    ) -> Result<OwnerReply, ReadError> {
         loop {
             let (node, source) = match self.locate(id).await? {
-                Place::Here(job) => return Ok(Owned::Here(job)),
-                Place::At { node, source } => (node, source),
+                Location::Local(job) => return Ok(OwnerReply::Local(job)),
+                Location::Remote { node, source } => (node, source),
             };
             match self.ask_node(id, &node, request.clone(), wait).await {
-                Ok(answer) => return Ok(Owned::Answer(answer)),
-                Err(NoAnswer::Unavailable(error)) => return Err(error),
-                // Forgotten now: the journal is asked next.
-                Err(_) if source == Source::Memory => {}
-                Err(NoAnswer::NotOwner) => return self.adopt_or_hand_on(id, request, wait).await,
-                Err(NoAnswer::NotAsked(error)) => return Err(error),
+                Ok(answer) => return Ok(OwnerReply::Answer(answer)),
+                Err(AskError::Unavailable(error)) => return Err(error),
+                // The cached owner has been removed, so the next iteration queries the journal.
+                Err(_) if source == Source::Cache => {}
+                Err(AskError::NotOwner) => return self.adopt_or_delegate(id, request, wait).await,
+                Err(AskError::NotSent(error)) => return Err(error),
             }
         }
     }
 
-    /// Becomes the owner of a job that nobody owns, or lets a stronger front become that: the one that replicas tell of untended logs.
-    /// After a kill of all nodes readers come before the replicas' word, and five of six steps went to fronts of 0.12 cores, which read
-    /// the events of two hundred runs late.
-    async fn adopt_or_hand_on(
+    /// Becomes the owner of a job without one, or delegates that to a stronger front. Uses the
+    /// front to which replicas announce orphaned logs, so that after a restart of all nodes readers
+    /// do not place jobs on weak fronts.
+    async fn adopt_or_delegate(
         &self,
         id: &str,
         request: &RequestKind,
         wait: Duration,
-    ) -> Result<Owned, ReadError> {
-        let Some(taker) = self.stronger_taker(id) else {
-            return Ok(Owned::Here(self.adopt(id).await?));
+    ) -> Result<OwnerReply, ReadError> {
+        let Some(candidate) = self.stronger_owner(id) else {
+            return Ok(OwnerReply::Local(self.adopt(id).await?));
         };
-        let answer = self.ask_node(id, &taker, asked_anywhere(request), wait);
+        let answer = self.ask_node(id, &candidate, with_forwarding(request), wait);
         match answer.await {
             Ok(answer) => {
-                log::info!("event=job_takeover_forwarded job={id} node={taker}");
-                lock(&self.shared.owners).insert(id.to_owned(), (taker, Instant::now()));
-                Ok(Owned::Answer(answer))
+                log::info!("event=job_takeover_forwarded job={id} node={candidate}");
+                lock(&self.shared.owners).insert(id.to_owned(), (candidate, Instant::now()));
+                Ok(OwnerReply::Answer(answer))
             }
-            Err(NoAnswer::Unavailable(error)) => Err(error),
-            Err(NoAnswer::NotOwner | NoAnswer::NotAsked(_)) => {
-                Ok(Owned::Here(self.adopt(id).await?))
+            Err(AskError::Unavailable(error)) => Err(error),
+            Err(AskError::NotOwner | AskError::NotSent(_)) => {
+                Ok(OwnerReply::Local(self.adopt(id).await?))
             }
         }
     }
 
-    /// The front that is to own a job whose owner is gone, if it is another one.
-    fn stronger_taker(&self, id: &str) -> Option<String> {
+    /// Returns the front that takes over a job without an owner, if it is not this node.
+    fn stronger_owner(&self, id: &str) -> Option<String> {
         if self.context.nodes.is_leaving() {
             return None;
         }
         let own = self.context.nodes.own().node;
         let takeover_candidates = self.context.nodes.takeover_candidates();
-        if takeover_candidates.iter().any(|taker| taker.node == own) {
+        if takeover_candidates
+            .iter()
+            .any(|candidate| candidate.node == own)
+        {
             return None;
         }
-        let names = takeover_candidates.iter().map(|taker| taker.node.as_str());
+        let names = takeover_candidates
+            .iter()
+            .map(|candidate| candidate.node.as_str());
         rendezvous_first(log_name(id).as_bytes(), names).map(str::to_owned)
     }
 
-    /// Looks whether a job was accepted before.
-    pub(super) async fn find_accepted(&self, id: &str) -> Result<Owned, ReadError> {
-        self.ask(id, &nothing_of(id), Duration::ZERO).await
+    /// Checks whether a job was accepted before.
+    pub(super) async fn find_accepted(&self, id: &str) -> Result<OwnerReply, ReadError> {
+        self.ask_owner(id, &empty_read(id), Duration::ZERO).await
     }
 
-    /// Whether another node answers as the confirmed owner of a job.
+    /// Returns whether another node answers as the confirmed owner of a job.
     pub(super) async fn is_owned(&self, id: &str) -> bool {
         lock(&self.shared.owners).remove(id);
-        let Ok(Place::At { node, .. }) = self.locate(id).await else {
+        let Ok(Location::Remote { node, .. }) = self.locate(id).await else {
             return false;
         };
-        let answer = self.ask_node(id, &node, nothing_of(id), Duration::ZERO);
+        let answer = self.ask_node(id, &node, empty_read(id), Duration::ZERO);
         matches!(answer.await, Ok(ResponseKind::job_results(_)))
     }
 
-    /// Finds a job: here, at its last known owner, or by the journal.
-    async fn locate(&self, id: &str) -> Result<Place, ReadError> {
+    /// Finds the owner of a job: this node, the cached owner, or the owner that the journal names.
+    async fn locate(&self, id: &str) -> Result<Location, ReadError> {
         if let Some(job) = self.local(id) {
             if job.state().spec().is_none() {
-                return Err(unavailable("being accepted"));
+                return Err(unavailable("the job is still being accepted"));
             }
-            return Ok(Place::Here(job));
+            return Ok(Location::Local(job));
         }
-        let remembered = lock(&self.shared.owners).get(id).cloned();
-        if let Some((node, _)) = remembered {
-            let source = Source::Memory;
-            return Ok(Place::At { node, source });
+        let cached = lock(&self.shared.owners).get(id).cloned();
+        if let Some((node, _)) = cached {
+            let source = Source::Cache;
+            return Ok(Location::Remote { node, source });
         }
         let described = self.context.journal.describe(&log_name(id)).await;
         let logs = described.map_err(|error| unavailable(&error.to_string()))?;
@@ -157,12 +162,12 @@
             .find(|log| log.log == name && log.length > 0);
         let node = found.ok_or(ReadError::NotFound)?.owner_node;
         if node == self.context.nodes.own().node {
-            return Ok(Place::Here(self.adopt(id).await?));
+            return Ok(Location::Local(self.adopt(id).await?));
         }
-        let heard = (node.clone(), Instant::now());
-        lock(&self.shared.owners).insert(id.to_owned(), heard);
+        let known_owner = (node.clone(), Instant::now());
+        lock(&self.shared.owners).insert(id.to_owned(), known_owner);
         let source = Source::Journal;
-        Ok(Place::At { node, source })
+        Ok(Location::Remote { node, source })
     }
 
     async fn ask_node(
@@ -171,7 +176,7 @@
         node: &str,
         kind: RequestKind,
         wait: Duration,
-    ) -> Result<ResponseKind, NoAnswer> {
+    ) -> Result<ResponseKind, AskError> {
         let nodes = &self.context.nodes;
         let timeout = wait + PEER_TIMEOUT;
         let answer = nodes.call(node, Request { kind }, timeout).await;
@@ -186,17 +191,17 @@
         if !is_not_owner && nodes.is_present(node) {
             let cause = unavailable(&format!("owner {node}: {error}"));
             return Err(match error {
-                CallError::NotSent(_) => NoAnswer::NotAsked(cause),
-                _ => NoAnswer::Unavailable(cause),
+                CallError::NotSent(_) => AskError::NotSent(cause),
+                _ => AskError::Unavailable(cause),
             });
         }
         log::info!("event=job_owner_gone job={id} node={node} cause=\"{error}\"");
-        Err(NoAnswer::NotOwner)
+        Err(AskError::NotOwner)
     }
 }
 
-/// The same question for a node that may ask the owner in its turn, or become it.
-fn asked_anywhere(request: &RequestKind) -> RequestKind {
+/// Copies a request, allowing its receiver to forward it to the owner or to become the owner.
+fn with_forwarding(request: &RequestKind) -> RequestKind {
     let mut request = request.clone();
     match &mut request {
         RequestKind::read_job(read) => read.anywhere = true,
@@ -207,8 +212,8 @@
     request
 }
 
-/// A question that only the owner of a job answers, for nothing of it.
-fn nothing_of(id: &str) -> RequestKind {
+/// Returns a read of no results, which only the owner of a job answers.
+fn empty_read(id: &str) -> RequestKind {
     RequestKind::read_job(ReadJob {
         job: id.to_owned(),
         after: u64::MAX,
--- a/crates/front/src/job/run_context.rs
+++ b/crates/front/src/job/run_context.rs
@@ -1,4 +1,4 @@
-//! What the runs of one job share: what they are sent with, how long they wait, and until when they may go on.
+//! Context that the runs of one job share.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock};
@@ -19,76 +19,76 @@
     BrokenRun, ContentDigest, HeldBack, RequestContent, RunPermit, RunSubject, Suspects,
 };
 
-/// Longest wait for the first event of a run, where it is not known how fast events come.
-const FIRST_EVENT_LIMIT: Duration = Duration::from_millis(2_500);
+/// Longest wait for the first event of a run, in use while event intervals are unknown.
+const MAX_FIRST_EVENT_WAIT: Duration = Duration::from_millis(2_500);
 
-/// The same in times between two events: a prompt is read in less than one, and an item that waits for a place for longer than so
-/// many is better off elsewhere.
-const FIRST_EVENT_PACES: f64 = 20.0;
+/// The same wait as a multiple of the typical event interval; covers reading the prompt.
+const FIRST_EVENT_INTERVALS: f64 = 20.0;
 
-/// Shortest such wait: connecting again after a lost packet takes a second.
-const LEAST_FIRST_EVENT_LIMIT: Duration = Duration::from_millis(1_100);
+/// Shortest wait for the first event; covers one reconnection after a lost packet.
+const MIN_FIRST_EVENT_WAIT: Duration = Duration::from_millis(1_100);
 
-/// Between looks whether an item is still held back: a hold lasts until another run of its content ends, or for minutes.
-const HELD_LOOK: Duration = Duration::from_millis(250);
+/// Interval at which a held back item is checked.
+const HOLD_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What runs of a job share.
+/// Context that the runs of one job share.
 #[derive(Clone)]
 pub struct RunContext {
-    /// Instances.
+    /// Table of instances.
     pub backends: BackendTable,
-    /// Names.
+    /// Names of headers.
     pub codec: SharedCodec,
-    /// Routes, of reward calls too.
+    /// Current configuration, with the routes of items and reward calls.
     pub config: CurrentConfig,
-    /// Counters.
+    /// Metrics.
     pub metrics: Arc<Metrics>,
-    /// The job.
+    /// Specification of the job.
     pub spec: Arc<JobSpec>,
-    /// Service that runs its items.
+    /// Service that runs the items.
     pub service: String,
-    /// How urgent its items are at instances.
+    /// Priority of the items at instances.
     pub priority_header: HeaderValue,
-    /// Where its items may run by the configuration under which these runs began.
-    pub allowed_at_begin: AllowedRegions,
-    /// Failed attempts after which an item is given up.
+    /// Regions in which the items may run by the configuration at the start of these runs.
+    pub allowed_at_start: AllowedRegions,
+    /// Number of failed attempts after which an item is terminated.
     pub max_attempts: u32,
-    /// Every text must come from one weight version.
+    /// Whether every text must come from a single weight version.
     pub single_version: bool,
-    /// When items are given up.
-    pub give_up_at: Option<Instant>,
-    /// Takes text that is to be kept.
+    /// Time at which unfinished items are terminated.
+    pub item_deadline: Option<Instant>,
+    /// Receives partial texts to be saved in the log.
     pub progress: mpsc::UnboundedSender<JobProgress>,
-    /// Tells that another node, or a later job, is to go on.
+    /// Stops the runs, so that another node or a later job can continue them.
     pub stop: watch::Receiver<bool>,
-    /// When requests may still be sent for the items.
+    /// Limits when requests may be sent for the items.
     pub window: SendWindow,
-    /// Weight versions under which the texts of runs begin.
-    pub begun: BegunVersions,
-    /// Tokens that one event holds; 0: unknown.
+    /// Weight versions of the first events of the runs' texts.
+    pub first_versions: FirstVersions,
+    /// Number of tokens per event, or 0 if it is unknown.
     pub tokens_per_event: u64,
-    /// What is known of loads of weights.
+    /// Limit on concurrent weight loads, as learned so far.
     pub learned_load_limit: LearnedLoadLimit,
-    /// Requests under which instances end.
+    /// Requests that are suspected of crashing instances.
     pub suspects: Suspects,
 }
 
 impl RunContext {
-    /// What the item at `index` has in common with its repeats, in this job and in later ones.
+    /// Returns the content digest of the item at `index`, which its repetitions share across jobs.
     pub(super) fn item_content(&self, index: usize) -> ContentDigest {
         let item = &self.spec.items[index];
         self.content(&self.spec.host, &item.path, &item.body)
     }
 
-    /// Where its items may run by the configuration in force; if that has no route for them, by the one in force when the runs began.
+    /// Returns the regions in which the items may run: by the current configuration, or by that at
+    /// the start of the runs if no route matches any more.
     pub(super) fn allowed_regions(&self) -> AllowedRegions {
         let spec = &self.spec;
         self.config
             .allowed_regions(&spec.host, &spec.path, &spec.tenant)
-            .unwrap_or_else(|| self.allowed_at_begin.clone())
+            .unwrap_or_else(|| self.allowed_at_start.clone())
     }
 
-    /// What its repeats share with a request that is sent for this job.
+    /// Returns the content digest of a request that is sent for this job.
     pub(super) fn content(&self, host: &str, path: &str, body: &[u8]) -> ContentDigest {
         ContentDigest::of(&RequestContent {
             host,
@@ -99,10 +99,10 @@
         })
     }
 
-    /// Whether a request with `content` may be sent for the item at `index`.
+    /// Admits a request with `content` for the item at `index`.
     ///
     /// # Errors
-    /// [`HeldBack`] if instances have ended under others of its content.
+    /// Returns [`HeldBack`] if requests with the same content are suspected of crashing instances.
     pub(super) fn admit(
         &self,
         index: usize,
@@ -111,8 +111,9 @@
         self.suspects.admit(self.subject(index), content)
     }
 
-    /// Waits until a request with `content` may be sent for the item at `index`; `None` once none may be sent any more.
-    pub(super) async fn admitted(
+    /// Waits until a request with `content` is admitted for the item at `index`; returns `None`
+    /// once no more requests may be sent.
+    pub(super) async fn wait_admitted(
         &self,
         index: usize,
         content: impl Fn() -> ContentDigest,
@@ -120,14 +121,15 @@
         while self.window.is_open() {
             match self.admit(index, &content) {
                 Ok(permit) => return Some(permit),
-                Err(_) => self.while_held(index, &content).await,
+                Err(_) => self.wait_while_held(index, &content).await,
             }
         }
         None
     }
 
-    /// For how long a request with `content` for the item at `index` would be held back.
-    pub(super) fn current_hold(
+    /// Returns whether and how a request with `content` for the item at `index` is held back at
+    /// present.
+    pub(super) fn held_back(
         &self,
         index: usize,
         content: impl FnOnce() -> ContentDigest,
@@ -135,9 +137,9 @@
         self.suspects.current_hold(self.subject(index), content)
     }
 
-    async fn while_held(&self, index: usize, content: &impl Fn() -> ContentDigest) {
-        while self.window.is_open() && self.current_hold(index, content).is_some() {
-            tokio::time::sleep(HELD_LOOK).await;
+    async fn wait_while_held(&self, index: usize, content: &impl Fn() -> ContentDigest) {
+        while self.window.is_open() && self.held_back(index, content).is_some() {
+            tokio::time::sleep(HOLD_POLL_INTERVAL).await;
         }
     }
 
@@ -148,8 +150,9 @@
         }
     }
 
-    /// Finds out what became of an instance under a run of the item at `index` whose connection broke.
-    pub(super) async fn check_broken_run(
+    /// Finds out whether an instance crashed during a run of the item at `index` whose connection
+    /// broke, and reports that to the suspects ledger.
+    pub(super) async fn probe(
         &self,
         index: usize,
         instance: &Arc<Instance>,
@@ -166,60 +169,60 @@
         self.suspects.announce_item(content);
     }
 
-    /// Events that an item's text has at most; `None` if that is not known.
-    pub(super) fn most_events(&self, index: usize) -> Option<u64> {
+    /// Returns the largest number of events of an item's text, or `None` if it is unknown.
+    pub(super) fn max_events(&self, index: usize) -> Option<u64> {
         self.spec.items[index]
             .tokens
             .checked_div(self.tokens_per_event)
     }
 
-    /// Longest wait for the first event of a run: a step bears a long item that begins anew once at an instance that hangs, if that is
-    /// noticed soon.
-    pub(super) fn first_event_limit(&self) -> Duration {
+    /// Returns the longest wait for the first event of a run.
+    pub(super) fn first_event_timeout(&self) -> Duration {
         let typical_ms = self.backends.typical_unit_time(&self.service);
-        first_event_limit(typical_ms)
+        first_event_timeout(typical_ms)
     }
 }
 
-/// How long an instance is left out for a model after it refused to start an item, unless it is heard to have newer weights before:
-/// with `free_slots` there it loads weights, which takes `usual_load`. Owners that tried it again each 0.15 s were refused 24 times for
-/// one item, and sent it a whole set of items each time.
-pub fn refusal_pause(free_slots: bool, usual_load: Option<Duration>) -> Duration {
-    match usual_load {
-        Some(usual) if free_slots => usual.max(LOADING_PAUSE),
+/// Returns for how long an instance is excluded for a model after it rejected an item, unless newer
+/// weights are reported earlier. An instance that rejects with `free_slots` is loading weights, so
+/// it is excluded for the typical load time.
+pub fn refusal_pause(free_slots: bool, typical_load: Option<Duration>) -> Duration {
+    match typical_load {
+        Some(typical) if free_slots => typical.max(LOADING_PAUSE),
         _ => LOADING_PAUSE,
     }
 }
 
-/// Longest wait for the first event of a run where events typically come each `typical_ms`.
-pub fn first_event_limit(typical_ms: Option<f64>) -> Duration {
-    let by_pace = typical_ms.and_then(|pace_ms| {
-        let seconds = pace_ms * FIRST_EVENT_PACES / 1e3;
+/// Returns the longest wait for the first event of a run, given the typical event interval.
+pub fn first_event_timeout(typical_ms: Option<f64>) -> Duration {
+    let by_interval = typical_ms.and_then(|interval_ms| {
+        let seconds = interval_ms * FIRST_EVENT_INTERVALS / 1e3;
         Duration::try_from_secs_f64(seconds).ok()
     });
-    by_pace.map_or(FIRST_EVENT_LIMIT, |limit| {
-        limit.clamp(LEAST_FIRST_EVENT_LIMIT, FIRST_EVENT_LIMIT)
+    by_interval.map_or(MAX_FIRST_EVENT_WAIT, |limit| {
+        limit.clamp(MIN_FIRST_EVENT_WAIT, MAX_FIRST_EVENT_WAIT)
     })
 }
 
-/// The weight version of the first event of each text that is under way, by item. Cheap to clone.
+/// Weight version of the first event of each text in progress, by item. Cheap to clone.
 #[derive(Debug, Clone, Default)]
-pub struct BegunVersions {
+pub struct FirstVersions {
     versions: Arc<Mutex<HashMap<usize, u64>>>,
 }
 
-impl BegunVersions {
-    /// Notes the version that made an event; the first counts.
-    pub fn note(&self, index: usize, version: u64) {
+impl FirstVersions {
+    /// Records the weight version of an event unless an earlier event of the item is recorded.
+    pub fn record(&self, index: usize, version: u64) {
         self.lock().entry(index).or_insert(version);
     }
 
-    /// Forgets an item, whose text begins anew.
-    pub fn forget(&self, index: usize) {
+    /// Removes an item whose text restarts.
+    pub fn remove(&self, index: usize) {
         self.lock().remove(&index);
     }
 
-    /// The version under which an item's text began; `None` before its first event.
+    /// Returns the weight version of the first event of an item's text, or `None` before that
+    /// event.
     pub fn get(&self, index: usize) -> Option<u64> {
         self.lock().get(&index).copied()
     }
@@ -231,19 +234,19 @@
     }
 }
 
-/// Until when requests may be sent for the items of a job: always while it is open, and for a short time after its end.
+/// Period in which requests may be sent for the items of a job: until shortly after the job's end.
 #[derive(Debug, Clone, Default)]
 pub struct SendWindow {
     closes_at: Arc<OnceLock<Instant>>,
 }
 
 impl SendWindow {
-    /// Sends end at `at`; only the first call counts.
+    /// Ends the period at `at`; only the first call has an effect.
     pub fn close_at(&self, at: Instant) {
         let _ = self.closes_at.set(at);
     }
 
-    /// Whether a request may be sent now.
+    /// Returns whether a request may be sent now.
     pub fn is_open(&self) -> bool {
         self.closes_at.get().is_none_or(|at| Instant::now() < *at)
     }
--- a/crates/front/src/job/stream.rs
+++ b/crates/front/src/job/stream.rs
@@ -1,4 +1,5 @@
-//! The stream of one run: its events become the item's text, until it ends, breaks, or is better taken up elsewhere.
+//! Reads the event stream of one run into the item's text, until the stream ends, breaks, or the
+//! run migrates.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,20 +9,19 @@
 use ladderstage_clock::Instant;
 
 use super::events::{Event, EventParser};
-use super::pace::Pace;
+use super::migration::EventIntervals;
 use super::run_context::RunContext;
 use super::run_end::{RunEnd, STALE_WEIGHTS_PAUSE};
 use super::text::ItemText;
 use crate::backend::{Instance, Reply, keep_alive};
 
-/// Longest wait for a further event.
-const NEXT_EVENT_LIMIT: Duration = Duration::from_millis(1_200);
+/// Longest wait for the next event after the first one.
+const MAX_EVENT_INTERVAL: Duration = Duration::from_millis(1_200);
 
-/// Events after which text is kept in the journal. Half as many are lost on average when an owner dies, and a step that is whole
-/// after 6.3 s of 8.2 s bears little beside the time until the next owner goes on.
+/// Number of events after which partial text is saved in the journal.
 const EVENTS_PER_PROGRESS: u64 = 8;
 
-/// Takes the events of one run into the text.
+/// Reads the events of one run into the text.
 pub(super) async fn follow_stream(
     context: &RunContext,
     index: usize,
@@ -31,26 +31,26 @@
 ) -> RunEnd {
     let names = context.codec.headers();
     let (headers, mut body, lease) = reply.into_parts();
-    let mut version = read_number(&headers, &names.weight_version);
+    let mut version = parse_number(&headers, &names.weight_version);
     let is_framed = headers.contains_key(http::header::CONTENT_LENGTH)
         || headers.contains_key(http::header::TRANSFER_ENCODING);
     let mut parser = EventParser::new(names.weight_version.as_str());
-    let mut pace = Pace::default();
-    let most_events = context.most_events(index);
+    let mut intervals = EventIntervals::default();
+    let max_events = context.max_events(index);
     loop {
-        let limit = if pace.events == 0 {
-            context.first_event_limit()
+        let limit = if intervals.events == 0 {
+            context.first_event_timeout()
         } else {
-            NEXT_EVENT_LIMIT
+            MAX_EVENT_INTERVAL
         };
         let frame = match tokio::time::timeout(limit, body.frame()).await {
             Err(_) => {
                 instance.record_failure(Instant::now());
-                return RunEnd::Move("no event in time".to_owned());
+                return RunEnd::Move("timed out waiting for an event".to_owned());
             }
             Ok(Some(Err(error))) => {
                 instance.record_failure(Instant::now());
-                return RunEnd::Broken(format!("cut: {error}"));
+                return RunEnd::Broken(format!("connection broken: {error}"));
             }
             Ok(Some(Ok(frame))) => frame,
             Ok(None) if is_framed && parser.is_at_boundary() => {
@@ -58,7 +58,7 @@
                 lease.return_to_pool(keep_alive(&headers));
                 return RunEnd::Complete;
             }
-            Ok(None) => return RunEnd::Broken("ended without an end mark".to_owned()),
+            Ok(None) => return RunEnd::Broken("stream ended without an end marker".to_owned()),
         };
         let Ok(data) = frame.into_data() else {
             continue;
@@ -72,28 +72,29 @@
         };
         for event in events {
             version = event.version.or(version);
-            if let Err(end) = take_event(context, instance, event, version, partial) {
+            if let Err(end) = append_event(context, instance, event, version, partial) {
                 return end;
             }
-            if let Some(begun) = partial.versions().first() {
-                context.begun.note(index, *begun);
+            if let Some(first_version) = partial.versions().first() {
+                context.first_versions.record(index, *first_version);
             }
-            pace.note(instance);
+            intervals.record_arrival(instance);
         }
-        if partial.fresh_events() >= EVENTS_PER_PROGRESS {
+        if partial.unsaved_events() >= EVENTS_PER_PROGRESS {
             let item = &context.spec.items[index].id;
-            if let Some(progress) = partial.take_progress(item) {
+            if let Some(progress) = partial.drain_progress(item) {
                 let _ = context.progress.send(progress);
             }
         }
-        if let Some(cause) = pace.reason_to_move(context, instance, partial, most_events) {
+        if let Some(cause) = intervals.reason_to_move(context, instance, partial, max_events) {
             return RunEnd::Move(cause);
         }
     }
 }
 
-/// Adds one event to the text; an event that does not follow or has unfit weights ends the run.
-fn take_event(
+/// Appends one event to the text; ends the run if the event is out of sequence or its weights are
+/// unsuitable.
+fn append_event(
     context: &RunContext,
     instance: &Instance,
     event: Event,
@@ -104,7 +105,10 @@
         .last_event()
         .is_some_and(|last| event.id != last + 1)
     {
-        return Err(RunEnd::Move(format!("event {} does not follow", event.id)));
+        return Err(RunEnd::Move(format!(
+            "event {} is out of sequence",
+            event.id
+        )));
     }
     let version = version.unwrap_or(0);
     let model = &context.spec.model;
@@ -117,7 +121,7 @@
         && partial
             .versions()
             .first()
-            .is_some_and(|begun| *begun != version)
+            .is_some_and(|first_version| *first_version != version)
     {
         partial.start_over();
         return Err(RunEnd::Move("weight version changed".to_owned()));
@@ -126,6 +130,6 @@
     Ok(())
 }
 
-fn read_number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
+fn parse_number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
     headers.get(name)?.to_str().ok()?.trim().parse().ok()
 }
