--- a/crates/front/src/orders/permits/permit_issuer.rs
+++ b/crates/front/src/orders/permits/permit_issuer.rs
@@ -72,7 +72,12 @@
         let issued = requested.filter_map(|requested| {
             let limit = self.limits.get(&requested.service)?;
             let ledger = &mut held.ledger;
-            let count = ledger.issue(&requested.instance, requested.count, limit.permits_per_second, now);
+            let count = ledger.issue(
+                &requested.instance,
+                requested.count,
+                limit.permits_per_second,
+                now,
+            );
             (count > 0).then(|| SendPermit {
                 count,
                 ..requested.clone()
