--- a/crates/front/tests/cold_instances.rs
+++ b/crates/front/tests/cold_instances.rs
@@ -289,7 +289,7 @@
     /// A node requests permits; the response takes this many milliseconds, or is lost.
     RequestPermits {
         node: usize,
-        wanted: u32,
+        requested: u32,
         answer_after: Option<u64>,
     },
     /// A node sends as many requests as it may, up to `max_sent`.
@@ -316,7 +316,7 @@
         3 => (200..400u64).prop_map(Step::Elapse),
         3 => (500..1_700u64).prop_map(Step::Elapse),
         8 => (node.clone(), 4..30u32, answer_after)
-            .prop_map(|(node, wanted, answer_after)| Step::RequestPermits { node, wanted, answer_after }),
+            .prop_map(|(node, requested, answer_after)| Step::RequestPermits { node, requested, answer_after }),
         8 => (node.clone(), 4..30u32).prop_map(|(node, max_sent)| Step::Send { node, max_sent }),
         1 => node.prop_map(Step::Restart),
         1 => Just(Step::ChangeLeader),
@@ -338,14 +338,26 @@
     let held_since = Instant::now();
     let mut ledger = PermitLedger::new(held_since);
     let first = held_since + PERMIT_QUIET_PERIOD;
-    assert_eq!(ledger.issue("i-1", 100, limit.permits_per_second, first), limit.permits_per_second);
+    assert_eq!(
+        ledger.issue("i-1", 100, limit.permits_per_second, first),
+        limit.permits_per_second
+    );
     let used_late = first + PERMIT_LIFETIME - ms(1);
     let within_a_second = used_late + SEND_WINDOW;
-    assert_eq!(ledger.issue("i-1", 100, limit.permits_per_second, within_a_second), 0);
+    assert_eq!(
+        ledger.issue("i-1", 100, limit.permits_per_second, within_a_second),
+        0
+    );
     let other_instance = ledger.issue("i-2", 100, limit.permits_per_second, within_a_second);
-    assert_eq!(other_instance, limit.permits_per_second, "limits are per instance");
+    assert_eq!(
+        other_instance, limit.permits_per_second,
+        "limits are per instance"
+    );
     let later = first + PERMIT_QUIET_PERIOD + ms(1);
-    assert_eq!(ledger.issue("i-1", 100, limit.permits_per_second, later), limit.permits_per_second);
+    assert_eq!(
+        ledger.issue("i-1", 100, limit.permits_per_second, later),
+        limit.permits_per_second
+    );
 }
 
 proptest! {
@@ -363,8 +375,8 @@
         for step in steps {
             match step {
                 Step::Elapse(time) => now += ms(time),
-                Step::RequestPermits { node, wanted, answer_after } => {
-                    let count = ledger.issue("i-1", wanted, limit.permits_per_second, now);
+                Step::RequestPermits { node, requested, answer_after } => {
+                    let count = ledger.issue("i-1", requested, limit.permits_per_second, now);
                     if let Some(after) = answer_after {
                         in_transit.push((now + ms(after), node, count, now + PERMIT_LIFETIME));
                     }
