--- a/crates/front/tests/cold_instances.rs
+++ b/crates/front/tests/cold_instances.rs
@@ -289,7 +289,7 @@
     /// A node requests permits; the response takes this many milliseconds, or is lost.
     RequestPermits {
         node: usize,
-        wanted: u32,
+        requested: u32,
         answer_after: Option<u64>,
     },
     /// A node sends as many requests as it may, up to `max_sent`.
@@ -316,7 +316,7 @@
         3 => (200..400u64).prop_map(Step::Elapse),
         3 => (500..1_700u64).prop_map(Step::Elapse),
         8 => (node.clone(), 4..30u32, answer_after)
-            .prop_map(|(node, wanted, answer_after)| Step::RequestPermits { node, wanted, answer_after }),
+            .prop_map(|(node, requested, answer_after)| Step::RequestPermits { node, requested, answer_after }),
         8 => (node.clone(), 4..30u32).prop_map(|(node, max_sent)| Step::Send { node, max_sent }),
         1 => node.prop_map(Step::Restart),
         1 => Just(Step::ChangeLeader),
@@ -375,8 +375,8 @@
         for step in steps {
             match step {
                 Step::Elapse(time) => now += ms(time),
-                Step::RequestPermits { node, wanted, answer_after } => {
-                    let count = ledger.issue("i-1", wanted, limit.permits_per_second, now);
+                Step::RequestPermits { node, requested, answer_after } => {
+                    let count = ledger.issue("i-1", requested, limit.permits_per_second, now);
                     if let Some(after) = answer_after {
                         in_transit.push((now + ms(after), node, count, now + PERMIT_LIFETIME));
                     }
