--- a/crates/front/src/explain/steps.rs
+++ b/crates/front/src/explain/steps.rs
@@ -73,8 +73,8 @@
 struct ItemProgress {
     group: String,
     first_start: Option<f64>,
-    whole: Option<f64>,
-    scored: Option<f64>,
+    completed_at: Option<f64>,
+    scored_at: Option<f64>,
     has_reward_call: bool,
     events: u64,
     guess: u64,
@@ -85,9 +85,9 @@
     /// Returns the time at which the item was scored, or complete if it is not scored.
     fn done(&self) -> Option<f64> {
         if self.has_reward_call {
-            self.scored
+            self.scored_at
         } else {
-            self.whole
+            self.completed_at
         }
     }
 }
@@ -106,24 +106,24 @@
     let mut jobs = BTreeMap::<String, JobProgress>::new();
     for line in lines {
         if let Some(job) = line.fields.get("job") {
-            let trace = jobs.entry(job.clone()).or_default();
-            trace.record_line(job, line, begin);
+            let job_progress = jobs.entry(job.clone()).or_default();
+            job_progress.record_line(job, line, begin);
         }
     }
-    let mut traces: Vec<JobProgress> = jobs.into_values().collect();
-    traces.retain(|trace| trace.row.items > 0);
-    traces.sort_by(|left, right| left.row.accepted_at.total_cmp(&right.row.accepted_at));
+    let mut jobs_progress: Vec<JobProgress> = jobs.into_values().collect();
+    jobs_progress.retain(|job_progress| job_progress.row.items > 0);
+    jobs_progress.sort_by(|left, right| left.row.accepted_at.total_cmp(&right.row.accepted_at));
     let mut seen = BTreeSet::new();
     let mut rows = Vec::new();
-    for trace in traces {
-        let carried: BTreeSet<String> = trace
+    for job_progress in jobs_progress {
+        let carried: BTreeSet<String> = job_progress
             .items
             .keys()
             .filter(|item| seen.contains(*item))
             .cloned()
             .collect();
-        seen.extend(trace.items.keys().cloned());
-        rows.push(trace.into_row(&carried));
+        seen.extend(job_progress.items.keys().cloned());
+        rows.push(job_progress.into_row(&carried));
     }
     rows
 }
@@ -150,7 +150,7 @@
                 let item = self.item(line);
                 item.has_reward_call = true;
                 if is_outcome(line, "scored") {
-                    item.scored.get_or_insert(at);
+                    item.scored_at.get_or_insert(at);
                 }
             }
             _ => {}
@@ -178,7 +178,7 @@
             item.first_start.get_or_insert(started);
         }
         if is_outcome(line, "complete") {
-            item.whole.get_or_insert(at);
+            item.completed_at.get_or_insert(at);
         }
     }
 
@@ -206,7 +206,7 @@
                 guess: item.guess,
                 runs: item.runs,
                 started: item.first_start.map_or(0.0, since),
-                whole: item.whole.map_or(0.0, since),
+                whole: item.completed_at.map_or(0.0, since),
                 done,
                 is_carried: carried.contains(id),
             });
@@ -228,7 +228,7 @@
     }
     let is_complete =
         |group: &Vec<(&str, &ItemProgress)>| group.iter().all(|(_, item)| item.done().is_some());
-    let last = |group: Vec<(&'a str, &'a ItemProgress)>| {
+    let last_item = |group: Vec<(&'a str, &'a ItemProgress)>| {
         let by_done = |one: &(&str, &ItemProgress)| one.1.done().unwrap_or(f64::MAX);
         group
             .into_iter()
@@ -240,24 +240,24 @@
     if !carried_groups.iter().all(is_complete) {
         return None;
     }
-    let more = required.saturating_sub(carried_groups.len());
-    let mut ends: Vec<_> = new_groups
+    let missing_groups = required.saturating_sub(carried_groups.len());
+    let mut last_items: Vec<_> = new_groups
         .into_iter()
         .filter(is_complete)
-        .filter_map(last)
+        .filter_map(last_item)
         .collect();
-    ends.sort_by(|one, other| {
+    last_items.sort_by(|one, other| {
         one.1
             .done()
             .unwrap_or(0.0)
             .total_cmp(&other.1.done().unwrap_or(0.0))
     });
-    if ends.len() < more {
+    if last_items.len() < missing_groups {
         return None;
     }
-    ends.truncate(more);
-    ends.extend(carried_groups.into_iter().filter_map(last));
-    ends.into_iter().max_by(|one, other| {
+    last_items.truncate(missing_groups);
+    last_items.extend(carried_groups.into_iter().filter_map(last_item));
+    last_items.into_iter().max_by(|one, other| {
         one.1
             .done()
             .unwrap_or(0.0)
--- a/crates/front/src/logging.rs
+++ b/crates/front/src/logging.rs
@@ -98,11 +98,11 @@
     let node = node.to_owned();
     let dropped = Arc::new(AtomicU64::new(0));
     let (queue, lines) = sync_channel::<Vec<u8>>(QUEUE_CAPACITY);
-    let dropped_by_queue = Arc::clone(&dropped);
+    let unreported_drops = Arc::clone(&dropped);
     std::thread::spawn(move || {
         let mut output = std::io::stdout();
         while let Ok(line) = lines.recv() {
-            let count = dropped_by_queue.swap(0, Ordering::Relaxed);
+            let count = unreported_drops.swap(0, Ordering::Relaxed);
             if count > 0 {
                 let _ = writeln!(output, "level=warn event=log_lines_dropped count={count}");
             }
@@ -112,9 +112,9 @@
             WRITTEN_LINES.fetch_add(1, Ordering::Relaxed);
         }
     });
-    let dropped_by_rate = Arc::clone(&dropped);
+    let drop_counter = Arc::clone(&dropped);
     let writer = QueueWriter { queue, dropped };
-    let count = Mutex::new(RateLimiter::default());
+    let limiter = Mutex::new(RateLimiter::default());
     let environment = env_logger::Env::default().filter_or(FILTER_VARIABLE, DEFAULT_FILTER);
     let installed = env_logger::Builder::from_env(environment)
         .target(env_logger::Target::Pipe(Box::new(writer)))
@@ -124,15 +124,15 @@
                 .duration_since(std::time::UNIX_EPOCH)
                 .unwrap_or_default();
             let is_routine = record.level() >= log::Level::Info;
-            let mut count = count
+            let mut limiter = limiter
                 .lock()
                 .unwrap_or_else(|poisoned| poisoned.into_inner());
-            if is_routine && !count.admit(since.as_secs()) {
-                dropped_by_rate.fetch_add(1, Ordering::Relaxed);
+            if is_routine && !limiter.admit(since.as_secs()) {
+                drop_counter.fetch_add(1, Ordering::Relaxed);
                 DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
                 return Ok(());
             }
-            drop(count);
+            drop(limiter);
             writeln!(
                 buffer,
                 "time={}.{:03} level={} node={} module={} {}",
--- a/crates/front/src/roster/drains.rs
+++ b/crates/front/src/roster/drains.rs
@@ -5,7 +5,7 @@
 
 impl<S: DiscoverySource> RosterReader<S> {
     /// Updates the set of drained zones until the future is dropped.
-    pub(super) async fn feed_drains(&self, known: &KnownRoster) {
+    pub(super) async fn track_drains(&self, known: &KnownRoster) {
         let Some(tracking) = &self.drains else {
             return std::future::pending().await;
         };
--- a/crates/front/src/roster/reader.rs
+++ b/crates/front/src/roster/reader.rs
@@ -67,7 +67,7 @@
         }
         let known = KnownRoster::new(None);
         let Some(options) = self.options else {
-            tokio::join!(self.source.follow(&self.view), self.feed_drains(&known));
+            tokio::join!(self.source.follow(&self.view), self.track_drains(&known));
             return;
         };
         let mut follower = RosterFollower {
@@ -75,10 +75,14 @@
             known: &known,
         };
         let following = follow_with(Arc::clone(&self.coordination), ROSTER_KEY, &mut follower);
-        tokio::join!(following, self.feed(&known), self.feed_drains(&known));
+        tokio::join!(
+            following,
+            self.maintain_table(&known),
+            self.track_drains(&known)
+        );
     }
 
-    async fn feed(&self, known: &KnownRoster) {
+    async fn maintain_table(&self, known: &KnownRoster) {
         if self.wait_for_first_roster(known).await {
             self.use_roster(known).await;
         }
