--- a/crates/front/src/backend/cold/share.rs
+++ b/crates/front/src/backend/cold/share.rs
@@ -1,4 +1,4 @@
-//! What this node may send to one instance: the permits that it was dealt, and a few requests without.
+//! Requests that this node may send to one instance: with permits, and a few without.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,77 +6,88 @@
 use ladderstage_clock::Instant;
 
 use super::limits::ColdLimit;
-use super::state::Warmth;
+use super::state::ColdStatus;
 
-/// A permit lapses this long after it was asked for: long enough for the answer and the next request that waits, short enough that the
-/// holder of the orders lease deals a steady rate.
+/// Lifetime of a permit after it was requested: long enough for the response and the next waiting
+/// request, short enough that the order leader can issue permits at a steady rate.
 pub const PERMIT_LIFETIME: Duration = Duration::from_millis(300);
 
-/// The limits hold within any time of this length.
+/// Length of the sliding window in which the limits hold.
 pub const SEND_WINDOW: Duration = Duration::from_secs(1);
 
-/// Longest time that a busy node needs to write a request to the socket once it may be sent.
+/// Maximum time that a busy node needs to write a request to the socket after it may be sent.
 pub const WRITE_MARGIN: Duration = Duration::from_millis(200);
 
-/// Requests a second without a permit to a doubtful instance: one is enough to find out whether it runs.
-const DOUBTFUL_SENDS: u32 = 1;
+/// Requests per second without a permit to an instance in uncertain state; one shows whether it is
+/// running.
+const UNCERTAIN_SENDS: u32 = 1;
 
-/// How long an instance that was chosen counts as about to get the request.
+/// Time for which a chosen instance counts as about to get the request.
 const RESERVATION_LIFETIME: Duration = Duration::from_millis(50);
 
-/// The right to send one request; given back if the request was not sent.
+/// The right to send one request; released if the request was not sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SendTicket {
     sent_at: Instant,
     permit_until: Option<Instant>,
 }
 
-/// What one node may send to one start of an instance.
+/// Requests that one node may send to one incarnation of an instance.
 #[derive(Debug, Clone, Default)]
-pub struct SendShare {
-    /// Ends of unused permits, in order.
+pub struct SendBudget {
+    /// Expiry of the unused permits, in order.
     permits: VecDeque<Instant>,
-    /// When requests were sent that may still be written within the last window, in order.
+    /// Times of the requests that may have been written within the window, in order.
     sent: VecDeque<Instant>,
-    /// When a request was last sent while the instance counted as warm.
-    sent_warm: Option<Instant>,
-    /// Ends of reservations, in order.
-    reserved: VecDeque<Instant>,
+    /// Last request that was sent while the instance was considered warm.
+    last_sent_warm: Option<Instant>,
+    /// Expiry of the reservations, in order.
+    reservations: VecDeque<Instant>,
 }
 
-impl SendShare {
-    /// Adds permits that are good until `until`.
+impl SendBudget {
+    /// Adds permits that are valid until `until`.
     pub fn add_permits(&mut self, count: u32, until: Instant) {
-        let place = self.permits.partition_point(|known| *known <= until);
+        let index = self.permits.partition_point(|known| *known <= until);
         for _ in 0..count {
-            self.permits.insert(place, until);
+            self.permits.insert(index, until);
         }
     }
 
-    /// Whether the instance may be chosen for one more request; requests that it was chosen for and that were not sent yet count.
-    pub fn has_room(&mut self, warmth: Warmth, limit: &ColdLimit, now: Instant) -> bool {
-        self.forget(now);
-        self.room(warmth, limit, now) > self.reserved.len()
+    /// Returns whether the instance may be chosen for one more request, reservations counted.
+    pub fn has_capacity(
+        &mut self,
+        cold_status: ColdStatus,
+        limit: &ColdLimit,
+        now: Instant,
+    ) -> bool {
+        self.drop_expired(now);
+        self.capacity(cold_status, limit, now) > self.reservations.len()
     }
 
-    /// Notes that the instance was chosen for a request.
+    /// Reserves capacity for a request that is about to be sent.
     pub fn reserve(&mut self, now: Instant) {
-        self.reserved.push_back(now + RESERVATION_LIFETIME);
+        self.reservations.push_back(now + RESERVATION_LIFETIME);
     }
 
-    /// Takes the right to send one request now; `None`: there is none.
-    pub fn take(&mut self, warmth: Warmth, limit: &ColdLimit, now: Instant) -> Option<SendTicket> {
-        self.forget(now);
-        self.reserved.pop_front();
-        if self.room(warmth, limit, now) == 0 {
+    /// Acquires the right to send one request now, `None` if the limit is reached.
+    pub fn acquire(
+        &mut self,
+        cold_status: ColdStatus,
+        limit: &ColdLimit,
+        now: Instant,
+    ) -> Option<SendTicket> {
+        self.drop_expired(now);
+        self.reservations.pop_front();
+        if self.capacity(cold_status, limit, now) == 0 {
             return None;
         }
-        if warmth == Warmth::Warm {
-            self.sent_warm = Some(now);
+        if cold_status == ColdStatus::Warm {
+            self.last_sent_warm = Some(now);
         }
-        let permit_until = match warmth {
-            Warmth::Warm => None,
-            Warmth::Doubtful | Warmth::Cold => self.permits.pop_front(),
+        let permit_until = match cold_status {
+            ColdStatus::Warm => None,
+            ColdStatus::Uncertain | ColdStatus::Cold => self.permits.pop_front(),
         };
         self.sent.push_back(now);
         Some(SendTicket {
@@ -85,44 +96,45 @@
         })
     }
 
-    /// Takes back the ticket of a request that was not sent.
-    pub fn give_back(&mut self, ticket: SendTicket) {
-        if let Some(place) = self.sent.iter().rposition(|at| *at == ticket.sent_at) {
-            self.sent.remove(place);
+    /// Releases the ticket of a request that was not sent.
+    pub fn release(&mut self, ticket: SendTicket) {
+        if let Some(index) = self.sent.iter().rposition(|at| *at == ticket.sent_at) {
+            self.sent.remove(index);
         }
         if let Some(until) = ticket.permit_until {
             self.add_permits(1, until);
         }
     }
 
-    /// How many requests may be sent now.
-    fn room(&self, warmth: Warmth, limit: &ColdLimit, now: Instant) -> usize {
-        let without_permits = |most: u32| (most as usize).saturating_sub(self.sent.len());
-        match warmth {
-            Warmth::Warm => without_permits(limit.unaware),
-            Warmth::Doubtful => self.usable(now).max(without_permits(DOUBTFUL_SENDS)),
-            Warmth::Cold => self.usable(now),
+    /// Returns the number of requests that may be sent now.
+    fn capacity(&self, cold_status: ColdStatus, limit: &ColdLimit, now: Instant) -> usize {
+        let capacity_left = |max_sent: u32| (max_sent as usize).saturating_sub(self.sent.len());
+        match cold_status {
+            ColdStatus::Warm => capacity_left(limit.rate_without_permits),
+            ColdStatus::Uncertain => self.usable_permits(now).max(capacity_left(UNCERTAIN_SENDS)),
+            ColdStatus::Cold => self.usable_permits(now),
         }
     }
 
-    /// Drops what is over by `now`.
-    /// Permits that may be used. None is used in one window with what was sent before the instance was known to be cold: all nodes may have
-    /// sent their shares without permits, and with permits on top these would be too many.
-    fn usable(&self, now: Instant) -> usize {
+    /// Returns the number of usable permits. There are none within a window of a request sent while
+    /// the instance was considered warm: all nodes may have sent their share without permits, and
+    /// permits on top would exceed the bound.
+    fn usable_permits(&self, now: Instant) -> usize {
         let was_warm =
             |at: Instant| now.saturating_duration_since(at) <= SEND_WINDOW + WRITE_MARGIN;
-        if self.sent_warm.is_some_and(was_warm) {
+        if self.last_sent_warm.is_some_and(was_warm) {
             return 0;
         }
         self.permits.len()
     }
 
-    fn forget(&mut self, now: Instant) {
+    /// Drops what has expired by `now`.
+    fn drop_expired(&mut self, now: Instant) {
         while self.permits.front().is_some_and(|until| *until <= now) {
             self.permits.pop_front();
         }
-        while self.reserved.front().is_some_and(|until| *until <= now) {
-            self.reserved.pop_front();
+        while self.reservations.front().is_some_and(|until| *until <= now) {
+            self.reservations.pop_front();
         }
         while self
             .sent
--- a/crates/front/src/backend/connection.rs
+++ b/crates/front/src/backend/connection.rs
@@ -1,4 +1,4 @@
-//! Connections to one instance: one request at a time on each, kept while the instance keeps them.
+//! Connection pool of one instance, with one request at a time per connection.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -14,16 +14,15 @@
 
 use crate::socket;
 
-/// Longest attempt to connect.
-const CONNECT_LIMIT: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long a connection rests before it is closed, unless the instance told less.
-const DEFAULT_REST: Duration = Duration::from_secs(4);
+/// Idle time after which a connection is closed if the instance sent no shorter one.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Why there is no connection; nothing was sent.
+/// Reason why no connection could be made; nothing was sent.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ConnectError {
-    /// The instance did not accept in time, or refused.
+    /// The connection was refused or timed out.
     #[error("connect: {0}")]
     Failed(String),
 }
@@ -31,49 +30,52 @@
 type Sender = SendRequest<Full<Bytes>>;
 
 #[derive(Debug)]
-struct Resting {
+struct IdleConnection {
     sender: Sender,
-    until: Instant,
+    expires_at: Instant,
 }
 
 #[derive(Debug, Default)]
 struct Shared {
-    resting: Mutex<Vec<Resting>>,
+    idle: Mutex<Vec<IdleConnection>>,
     open: AtomicU32,
-    /// Shortest time in which a connection was made, in microseconds; 0: none was made yet.
+    /// Shortest connect time in microseconds; 0 before the first connection.
     round_trip_us: AtomicU32,
 }
 
 impl Shared {
-    fn note_round_trip(&self, taken: Duration) {
-        let taken = u32::try_from(taken.as_micros()).unwrap_or(u32::MAX).max(1);
-        let shorter = |known| (known == 0 || taken < known).then_some(taken);
-        // It fails if the known one is as short.
+    fn record_round_trip(&self, elapsed_time: Duration) {
+        let elapsed_time = u32::try_from(elapsed_time.as_micros())
+            .unwrap_or(u32::MAX)
+            .max(1);
+        let shorter = |known| (known == 0 || elapsed_time < known).then_some(elapsed_time);
+        // Fails if the stored time is already as short.
         let _ = self
             .round_trip_us
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, shorter);
     }
 }
 
-/// Connections to one address.
+/// Pool of connections to one address.
 #[derive(Debug)]
-pub struct Connections {
+pub struct ConnectionPool {
     address: SocketAddr,
     shared: Arc<Shared>,
 }
 
-/// A connection in use. Give it back with [`Lease::return_to_pool`] once a whole answer was read; dropped, it is closed.
+/// A connection in use. [`PooledConnection::return_to_pool`] returns it to the pool after a complete response;
+/// dropping it closes the connection.
 #[derive(Debug)]
-pub struct Lease {
-    /// Sends the one request.
+pub struct PooledConnection {
+    /// Sends the request.
     pub sender: Sender,
-    /// Whether requests were sent on it before.
+    /// True if the connection carried requests before.
     pub is_reused: bool,
     shared: Arc<Shared>,
 }
 
-impl Connections {
-    /// No connections yet.
+impl ConnectionPool {
+    /// Creates an empty pool.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
@@ -81,58 +83,58 @@
         }
     }
 
-    /// A connection that no request is on: a resting one, or a new one.
+    /// Returns an idle connection or opens a new one.
     ///
     /// # Errors
-    /// If no connection can be made in time.
-    pub async fn acquire(&self) -> Result<Lease, ConnectError> {
-        if let Some(sender) = self.take_resting() {
-            return Ok(self.lease(sender, true));
+    /// Fails if no connection can be made in time.
+    pub async fn acquire(&self) -> Result<PooledConnection, ConnectError> {
+        if let Some(sender) = self.pop_idle() {
+            return Ok(self.checked_out(sender, true));
         }
-        let connecting = tokio::time::timeout(CONNECT_LIMIT, self.connect());
+        let connecting = tokio::time::timeout(CONNECT_TIMEOUT, self.connect());
         let sender = connecting
             .await
-            .map_err(|_| ConnectError::Failed("timed out".to_owned()))??;
-        Ok(self.lease(sender, false))
+            .map_err(|_| ConnectError::Failed("connect timed out".to_owned()))??;
+        Ok(self.checked_out(sender, false))
     }
 
-    /// Closes connections that no request is on.
+    /// Closes all idle connections.
     pub fn close_idle(&self) {
         lock(&self.shared).clear();
     }
 
-    /// Round trip in milliseconds: the shortest time in which a connection was made. `None` before the first one.
+    /// Returns the shortest connect time in milliseconds; `None` before the first connection.
     pub fn round_trip_ms(&self) -> Option<f64> {
         let micros = self.shared.round_trip_us.load(Ordering::Relaxed);
         (micros > 0).then(|| f64::from(micros) / 1e3)
     }
 
-    fn lease(&self, sender: Sender, is_reused: bool) -> Lease {
-        Lease {
+    fn checked_out(&self, sender: Sender, is_reused: bool) -> PooledConnection {
+        PooledConnection {
             sender,
             is_reused,
             shared: Arc::clone(&self.shared),
         }
     }
 
-    fn take_resting(&self) -> Option<Sender> {
-        let mut resting = lock(&self.shared);
+    fn pop_idle(&self) -> Option<Sender> {
+        let mut idle = lock(&self.shared);
         let now = Instant::now();
-        resting.retain(|connection| connection.until > now && !connection.sender.is_closed());
-        let index = resting
+        idle.retain(|connection| connection.expires_at > now && !connection.sender.is_closed());
+        let index = idle
             .iter()
             .rposition(|connection| connection.sender.is_ready())?;
-        Some(resting.remove(index).sender)
+        Some(idle.remove(index).sender)
     }
 
     async fn connect(&self) -> Result<Sender, ConnectError> {
         let failed = |error: &dyn std::fmt::Display| ConnectError::Failed(error.to_string());
-        let begun = Instant::now();
+        let started = Instant::now();
         let stream = TcpStream::connect(self.address)
             .await
             .map_err(|e| failed(&e))?;
-        self.shared.note_round_trip(begun.elapsed());
-        socket::set_up(&stream);
+        self.shared.record_round_trip(started.elapsed());
+        socket::configure(&stream);
         let (sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
             .map_err(|e| failed(&e))?;
@@ -148,23 +150,23 @@
     }
 }
 
-impl Lease {
-    /// Keeps the connection for another request, for `rest` or the default.
-    pub fn return_to_pool(self, rest: Option<Duration>) {
+impl PooledConnection {
+    /// Returns the connection to the pool for `idle_timeout` or the default one.
+    pub fn return_to_pool(self, idle_timeout: Option<Duration>) {
         if self.sender.is_closed() {
             return;
         }
-        let until = Instant::now() + rest.unwrap_or(DEFAULT_REST);
-        lock(&self.shared).push(Resting {
+        let expires_at = Instant::now() + idle_timeout.unwrap_or(DEFAULT_IDLE_TIMEOUT);
+        lock(&self.shared).push(IdleConnection {
             sender: self.sender,
-            until,
+            expires_at,
         });
     }
 }
 
-fn lock(shared: &Shared) -> MutexGuard<'_, Vec<Resting>> {
+fn lock(shared: &Shared) -> MutexGuard<'_, Vec<IdleConnection>> {
     shared
-        .resting
+        .idle
         .lock()
         .unwrap_or_else(|poisoned| poisoned.into_inner())
 }
--- a/crates/front/src/backend/exchange.rs
+++ b/crates/front/src/backend/exchange.rs
@@ -1,4 +1,5 @@
-//! One request to one instance, and whether it may have run.
+//! Sends one request to one instance and distinguishes errors after which it may have run from those after
+//! which it has not.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,109 +13,108 @@
 use ladderstage_clock::Instant;
 
 use super::cold::SendTicket;
-use super::connection::Lease;
+use super::connection::PooledConnection;
 use super::gate::HoldReason;
 use super::instance::{Instance, Load};
 use crate::dialect::HeaderNames;
 
-/// Times a request moves to another connection because a resting one had just closed before it was sent.
-const CONNECTIONS_TRIED: u32 = 4;
+/// Maximum number of connections tried when idle ones turn out to be closed.
+const MAX_CONNECTION_ATTEMPTS: u32 = 4;
 
-/// Largest body of a refusal that is read so that its connection can be kept.
-const REFUSAL_BODY_LIMIT: usize = 16 * 1024;
+/// Maximum size of a refusal's body that is read to reuse the connection, in bytes.
+const MAX_REFUSAL_BODY_BYTES: usize = 16 * 1024;
 
-/// What is sent.
+/// Head of a request to an instance.
 #[derive(Debug, Clone)]
 pub struct RequestHead {
-    /// Method.
     pub method: Method,
-    /// Path and query.
     pub uri: Uri,
-    /// Headers, complete.
+    /// All headers, hop-by-hop headers excluded.
     pub headers: HeaderMap,
-    /// Regions whose instances may get it.
+    /// Regions whose instances may receive the request.
     pub allowed: AllowedRegions,
 }
 
-/// Why no answer of the instance can be passed on.
+/// Failure of an exchange that has no response to pass on.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ExchangeError {
-    /// No byte was sent.
+    /// Nothing was sent.
     #[error("not sent: {0}")]
     NotSent(String),
-    /// No byte was sent, as the instance may get nothing now; this does not count as its failure.
+    /// Nothing was sent, as the instance must not receive requests now; not a failure of the
+    /// instance.
     #[error("held back: {0}")]
     HeldBack(HoldReason),
-    /// The instance says that it did not run the request.
+    /// The instance reported that it did not run the request.
     #[error("not run: {0}")]
     NotRun(StatusCode),
-    /// The address belongs to another instance, or the instance has other weights; not run.
+    /// The instance at the address has another id or other weights; the request was not run.
     #[error("misdirected")]
     Misdirected {
-        /// The instance at the address is another one.
+        /// The instance at the address has another id.
         is_other_instance: bool,
     },
-    /// There is no answer, a broken one, or one to another request; the request may have run.
+    /// The response is missing, incomplete or for another request; the request may have run.
     #[error("broken: {0}")]
     Broken(String),
 }
 
 impl ExchangeError {
-    /// Whether the request has certainly not run there.
+    /// Returns whether the request has certainly not run.
     pub fn is_not_run(&self) -> bool {
         !matches!(self, Self::Broken(_))
     }
 }
 
-/// Head of an answer to our request, with its body still to come.
+/// Head of a response whose body is still to be read.
 #[derive(Debug)]
 pub struct Reply {
-    /// Status.
     pub status: StatusCode,
-    /// Headers.
     pub headers: HeaderMap,
-    /// Body.
     pub body: Incoming,
-    lease: Lease,
+    pooled: PooledConnection,
 }
 
 impl Reply {
-    /// Reads the whole body of at most `limit` bytes and keeps the connection.
+    /// Reads the complete body of at most `limit` bytes and returns the connection to the pool.
     ///
     /// # Errors
-    /// `Broken` if the body does not end as it should.
+    /// `Broken` if the body is longer or ends early.
     pub async fn read_body(
         self,
         limit: usize,
     ) -> Result<(StatusCode, HeaderMap, Bytes), ExchangeError> {
-        let rest = keep_alive(&self.headers);
+        let idle_timeout = keep_alive(&self.headers);
         let collected = Limited::new(self.body, limit).collect().await;
         let body = collected
             .map_err(|error| ExchangeError::Broken(format!("body: {error}")))?
             .to_bytes();
-        self.lease.return_to_pool(rest);
+        self.pooled.return_to_pool(idle_timeout);
         Ok((self.status, self.headers, body))
     }
 
-    /// Splits off the connection, to be given back once the body was read to its end.
-    pub fn into_parts(self) -> (HeaderMap, Incoming, Lease) {
-        (self.headers, self.body, self.lease)
+    /// Separates the connection, which the caller returns to the pool after reading the complete
+    /// body.
+    pub fn into_parts(self) -> (HeaderMap, Incoming, PooledConnection) {
+        (self.headers, self.body, self.pooled)
     }
 }
 
-/// Whether an answer must carry the id of its request.
+/// Requirement that a response echoes the id of its request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerIdPolicy {
-    /// An answer without the id belongs to another request.
+    /// A response without the id belongs to another request.
     Required,
-    /// Calls to the instance itself are answered without an id; one with another id belongs to another request.
+    /// The instance's own endpoints respond without an id; a different id belongs to another
+    /// request.
     Optional,
 }
 
-/// Sends a request and waits for the head of its answer.
+/// Sends a request and waits for the head of its response.
 ///
 /// # Errors
-/// See [`ExchangeError`]; refusals of the instance are errors, other statuses are replies.
+/// Returns an [`ExchangeError`] also if the instance refuses the request; any other status is a
+/// reply.
 pub async fn send(
     instance: &Arc<Instance>,
     names: &HeaderNames,
@@ -123,31 +123,31 @@
     attempt_id: &HeaderValue,
     answer_id: AnswerIdPolicy,
 ) -> Result<Reply, ExchangeError> {
-    let (response, lease) = send_on_some_connection(instance, head, body, answer_id).await?;
+    let (response, pooled) = send_on_pooled_connection(instance, head, body, answer_id).await?;
     let (parts, body) = response.into_parts();
-    let found = parts.headers.get(&names.attempt_id);
-    let may_lack = answer_id == AnswerIdPolicy::Optional && found.is_none();
-    if found != Some(attempt_id) && !may_lack {
+    let echoed_id = parts.headers.get(&names.attempt_id);
+    let may_be_missing = answer_id == AnswerIdPolicy::Optional && echoed_id.is_none();
+    if echoed_id != Some(attempt_id) && !may_be_missing {
         return Err(ExchangeError::Broken(
-            "answer to another request".to_owned(),
+            "response to another request".to_owned(),
         ));
     }
     let now = Instant::now();
-    instance.note_answer(now);
+    instance.record_response(now);
     if let Some(load) = read_load(&parts.headers, names) {
-        instance.note_load(load, now);
+        instance.record_load(load, now);
     }
     let reply = Reply {
         status: parts.status,
         headers: parts.headers,
         body,
-        lease,
+        pooled,
     };
-    refusal(instance, names, reply).await
+    check_refusal(instance, names, reply).await
 }
 
-/// Turns an instance's own refusal into an error.
-async fn refusal(
+/// Returns an error if the instance itself refused the request.
+async fn check_refusal(
     instance: &Instance,
     names: &HeaderNames,
     reply: Reply,
@@ -157,63 +157,64 @@
         let at_address = reply.headers.get(&names.instance_id);
         let is_other_instance =
             at_address.is_some_and(|id| id.as_bytes() != instance.id().as_bytes());
-        let _ = reply.read_body(REFUSAL_BODY_LIMIT).await;
+        let _ = reply.read_body(MAX_REFUSAL_BODY_BYTES).await;
         return Err(ExchangeError::Misdirected { is_other_instance });
     }
     if reply.headers.contains_key(&names.not_executed) {
-        let _ = reply.read_body(REFUSAL_BODY_LIMIT).await;
+        let _ = reply.read_body(MAX_REFUSAL_BODY_BYTES).await;
         return Err(ExchangeError::NotRun(status));
     }
     Ok(reply)
 }
 
-/// Asks all gates right before the first byte. Calls to the instance itself, as for reports and orders, are not work: no limit holds for them.
-fn take_ticket(
+/// Checks all limits right before the first byte is sent. Calls to the instance's own endpoints,
+/// such as reports and orders, are not limited.
+fn acquire_ticket(
     instance: &Instance,
     head: &RequestHead,
     answer_id: AnswerIdPolicy,
 ) -> Result<Option<SendTicket>, HoldReason> {
     instance.check_region(&head.allowed)?;
     match answer_id {
-        AnswerIdPolicy::Required => instance.take_send(Instant::now()),
+        AnswerIdPolicy::Required => instance.acquire_send(Instant::now()),
         AnswerIdPolicy::Optional => Ok(None),
     }
 }
 
-async fn send_on_some_connection(
+async fn send_on_pooled_connection(
     instance: &Arc<Instance>,
     head: &RequestHead,
     body: &Bytes,
     answer_id: AnswerIdPolicy,
-) -> Result<(http::Response<Incoming>, Lease), ExchangeError> {
-    for _ in 0..CONNECTIONS_TRIED {
+) -> Result<(http::Response<Incoming>, PooledConnection), ExchangeError> {
+    for _ in 0..MAX_CONNECTION_ATTEMPTS {
         let acquired = instance.connections().acquire().await;
-        let mut lease = acquired.map_err(|error| ExchangeError::NotSent(error.to_string()))?;
-        let ticket = match take_ticket(instance, head, answer_id) {
+        let mut pooled = acquired.map_err(|error| ExchangeError::NotSent(error.to_string()))?;
+        let ticket = match acquire_ticket(instance, head, answer_id) {
             Ok(ticket) => ticket,
             Err(reason) => {
-                // Unused: the next request may have it.
-                lease.return_to_pool(None);
+                // The connection is unused, so the next request may have it.
+                pooled.return_to_pool(None);
                 return Err(ExchangeError::HeldBack(reason));
             }
         };
-        let request = build(head, body.clone());
-        match lease.sender.try_send_request(request).await {
-            Ok(response) => return Ok((response, lease)),
+        let request = build_request(head, body.clone());
+        match pooled.sender.try_send_request(request).await {
+            Ok(response) => return Ok((response, pooled)),
             Err(mut failed) => {
                 if failed.take_message().is_none() {
                     return Err(ExchangeError::Broken(failed.error().to_string()));
                 }
-                instance.give_back_send(ticket);
+                instance.release_send(ticket);
             }
         }
     }
     Err(ExchangeError::NotSent(
-        "connections close at once".to_owned(),
+        "idle connections closed before the request was sent".to_owned(),
     ))
 }
 
-fn build(head: &RequestHead, body: Bytes) -> Request<Full<Bytes>> {
+fn build_request(head: &RequestHead, body: Bytes) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(body));
     *request.method_mut() = head.method.clone();
     *request.uri_mut() = head.uri.clone();
@@ -233,7 +234,7 @@
     })
 }
 
-/// How long the instance keeps a resting connection, less a margin.
+/// Returns the instance's keep-alive timeout less a margin.
 pub(crate) fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let seconds = text
@@ -245,7 +246,7 @@
     ))
 }
 
-/// Whether a header concerns one connection only.
+/// Returns whether a header is hop-by-hop.
 pub fn is_hop_by_hop(name: &http::HeaderName) -> bool {
     const NAMES: [&str; 8] = [
         "connection",
@@ -260,9 +261,9 @@
     NAMES.contains(&name.as_str())
 }
 
-/// Copies headers, but those that concern one connection only and those that `Connection` names.
+/// Copies all headers except hop-by-hop ones and those that `Connection` names.
 pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
-    let named: Vec<String> = headers
+    let connection_options: Vec<String> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
@@ -272,7 +273,11 @@
         .collect();
     let mut kept = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
-        if !is_hop_by_hop(name) && !named.iter().any(|other| other == name.as_str()) {
+        if !is_hop_by_hop(name)
+            && !connection_options
+                .iter()
+                .any(|other| other == name.as_str())
+        {
             kept.append(name, value.clone());
         }
     }
--- a/crates/front/src/capacity/counts.rs
+++ b/crates/front/src/capacity/counts.rs
@@ -1,4 +1,4 @@
-//! How many instances of each service are there, by zone and kind.
+//! Counts the instances of each service by zone and kind.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -6,20 +6,20 @@
 
 use crate::backend::DiscoveredInstance;
 
-/// Whether instances may be taken away at short notice. The number of each kind is ordered apart.
+/// Billing class of an instance. Each class is ordered separately.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum InstanceKind {
-    /// They are not taken away.
-    Kept,
-    /// All of a zone may be taken away at once; they cost less.
+    /// Runs until it is stopped.
+    OnDemand,
+    /// Costs less, but the provider may reclaim all of a zone at once.
     Preemptible,
 }
 
 impl InstanceKind {
-    /// Label of metrics and word in logs.
+    /// Returns the name used in metric labels and logs.
     pub fn label(self) -> &'static str {
         match self {
-            Self::Kept => "kept",
+            Self::OnDemand => "kept",
             Self::Preemptible => "preemptible",
         }
     }
@@ -31,36 +31,38 @@
     }
 }
 
-/// What one order is about: the instances of a service in a zone, of one kind.
+/// Instances of one service in one zone and of one kind; the unit that an order sizes.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct InstancePool {
-    /// The service.
+    /// Name of the service.
     pub service: Arc<str>,
-    /// The zone.
+    /// Name of the zone.
     pub zone: Arc<str>,
-    /// Which of its instances.
+    /// Billing class.
     pub kind: InstanceKind,
 }
 
-/// Instances of one subject.
+/// Instances of one pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Present {
-    /// Those that take work and are not about to leave.
+pub struct PresentInstances {
+    /// Ready instances that have not announced their departure.
     pub serving: u32,
-    /// Those that are still there and take no new work.
+    /// Instances that are still running but accept no new work.
     pub leaving: u32,
-    /// They are preemptible, and some were told when they will be taken away.
-    pub is_taken_back: bool,
+    /// The pool is preemptible and at least one instance announced that it will be reclaimed.
+    pub is_being_reclaimed: bool,
 }
 
-/// Counts instances by subject.
-pub fn count(instances: &[DiscoveredInstance]) -> BTreeMap<InstancePool, Present> {
-    let mut counts = BTreeMap::<InstancePool, Present>::new();
+/// Counts instances by pool.
+pub fn count_instances(
+    instances: &[DiscoveredInstance],
+) -> BTreeMap<InstancePool, PresentInstances> {
+    let mut counts = BTreeMap::<InstancePool, PresentInstances>::new();
     for instance in instances {
         let kind = if instance.is_preemptible {
             InstanceKind::Preemptible
         } else {
-            InstanceKind::Kept
+            InstanceKind::OnDemand
         };
         let pool = InstancePool {
             service: instance.service.as_str().into(),
@@ -73,7 +75,7 @@
         } else {
             present.leaving += 1;
         }
-        present.is_taken_back |= instance.is_preemptible && instance.leaves_ms.is_some();
+        present.is_being_reclaimed |= instance.is_preemptible && instance.leaves_ms.is_some();
     }
     counts
 }
--- a/crates/front/src/job/mod.rs
+++ b/crates/front/src/job/mod.rs
@@ -1,8 +1,7 @@
-//! Batch jobs: accepted once a majority of store disks holds them, run item by item, read at any front.
+//! Batch jobs: accepted once a majority of store disks holds them, run item by item, readable at
+//! any front.
 
 mod appending;
-mod bounds;
-mod carrying;
 mod confirmation;
 mod context;
 mod digest;
@@ -10,53 +9,57 @@
 mod events;
 mod group_listing;
 mod handover;
-mod home;
-mod leftover;
 mod lengths;
+mod local_job;
 mod locating;
 mod lock;
+mod migration;
 mod owner;
-mod pace;
-mod peers;
-mod questions;
+mod peer_handler;
+mod peer_requests;
+mod preferred_owner;
 mod queue;
 mod reading;
+mod region_bounds;
 mod registry;
 mod relay;
+mod result_cache;
 mod run;
 mod run_context;
 mod run_end;
+mod scheduling;
 mod scoring;
-mod seen;
-mod shared;
-mod starting;
 mod state;
 mod stream;
 mod text;
+mod text_reuse;
 mod trainer_steps;
+mod unfinished;
 
-pub use bounds::{RegionBoundsError, check_node_regions};
 pub use confirmation::QuorumConfirmation;
 pub use context::JobContext;
 pub use digest::{FoundLog, LogDigest};
 pub use events::{Event, EventParser};
 pub use group_listing::GroupListing;
-pub use home::{home, home_in_region};
 pub use lengths::TextLengths;
-pub use pace::{Pace, expected_rest, pays_to_move, rest_demand};
+pub use migration::{
+    EventIntervals, expected_remaining_events, is_move_worthwhile, remaining_demand,
+};
+pub use preferred_owner::{home, preferred_owner_in_region};
 pub use queue::EntryQueue;
 pub use reading::ReadError;
+pub use region_bounds::{RegionBoundsError, check_node_regions};
 pub use registry::{AcceptError, JobRegistry};
-pub use run_context::{first_event_limit, refusal_pause};
-pub use state::{JobState, entry_bytes};
+pub use run_context::{first_event_timeout, refusal_pause};
+pub use state::{JobState, encode_entry};
 pub use text::ItemText;
 pub use trainer_steps::LatestSteps;
 
-/// Prefix of the jobs' logs in the journal; the job's id follows.
+/// Prefix of the names of job logs in the journal; the job key follows.
 pub const LOG_PREFIX: &str = "job/";
 
-/// By what a job is known among the nodes and in the journal: jobs of two tenants that have the same id are two jobs. Without
-/// tenants it is the id itself. A tenant's name may hold any sign, so what would end it is escaped.
+/// Returns the key that identifies a job among the nodes and in the journal. It includes the
+/// tenant, as two tenants may use the same id. Separators in the tenant's name are escaped.
 pub fn job_key(tenant: Option<&str>, id: &str) -> String {
     match tenant {
         Some(tenant) => {
@@ -67,7 +70,7 @@
     }
 }
 
-/// Name of a job's log.
+/// Returns the name of a job's log.
 pub fn log_name(job: &str) -> String {
     format!("{LOG_PREFIX}{job}")
 }
--- a/crates/front/src/job/leftover.rs
+++ b/crates/front/src/job/unfinished.rs
@@ -1,7 +1,9 @@
-//! What an ended job leaves behind for a later one: a trainer brings groups that were not whole back under the same ids.
+//! Unfinished items of an ended job, kept for a later job: a trainer submits incomplete groups
+//! again under the same ids.
 //!
-//! Their runs go on past the end of the job, and those whose weights the later job will not allow begin anew under newer ones, so
-//! that the later job, wherever it is accepted, starts from what there is by then. Long texts take most of the time of a step.
+//! Their runs continue after the end of the job. Items whose weights the later job will not allow
+//! restart with newer ones, so that the later job can resume from partial texts at whichever front
+//! accepts it.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
@@ -13,38 +15,38 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::{AbortHandle, JoinSet};
 
+use super::local_job::Job;
 use super::owner::Owner;
 use super::run::{RunOutcome, run_item};
-use super::run_context::{BegunVersions, RunContext, SendWindow};
-use super::shared::Job;
+use super::run_context::{FirstVersions, RunContext, SendWindow};
 use super::text::ItemText;
 use crate::backend::Demand;
 
-/// How long requests may be sent for items of an ended job. Platforms forbid it from some time after the end was
-/// confirmed, 3 s on the strictest; the rest is for a request that is slow on its way.
-const SEND_TIME: Duration = Duration::from_millis(2_000);
+/// Time after the end of a job during which requests may be sent for its items; platforms forbid it
+/// 3 s after the end was confirmed.
+const SEND_GRACE: Duration = Duration::from_millis(2_000);
 
-/// How long an ended job's texts are kept. A trainer asks for its next step within one step's time of the end, 4 s to 8 s.
-const KEEP_TIME: Duration = Duration::from_secs(10);
+/// Time for which the texts of an ended job are kept; covers the time until a trainer's next step.
+const RETENTION: Duration = Duration::from_secs(10);
 
-/// Trainers read about twice a second: what was listed this long before the end may not have been read.
-const READ_INTERVAL: Duration = Duration::from_millis(800);
+/// Results listed less than this time before the end may not have been read by the trainer.
+const TRAINER_READ_INTERVAL: Duration = Duration::from_millis(800);
 
-/// Pause before an item that found no instance is tried again.
+/// Pause before an item is retried that found no instance.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// What a later job asks of what earlier ones left behind.
-pub(super) struct TakeTexts {
-    /// Oldest weight version that may have made the texts.
+/// Request of a later job for texts of earlier jobs.
+pub(super) struct TextRequest {
+    /// Oldest weight version that may have generated the texts.
     pub min_version: u64,
-    /// The later job's items.
+    /// Items of the later job.
     pub items: Arc<HashSet<String>>,
-    /// Gets the texts.
+    /// Receives the texts.
     pub answer: oneshot::Sender<Vec<KeptText>>,
 }
 
-/// Items of groups that were not whole when their job ended, and their runs.
-pub(super) struct Leftover {
+/// Items of groups that were incomplete at the end of their job, with their runs.
+pub(super) struct UnfinishedItems {
     /// Tenant of the job.
     pub tenant: String,
     /// Model of the job.
@@ -54,67 +56,76 @@
     /// Oldest weight version that the job allowed.
     pub min_version: u64,
     job: Arc<Job>,
-    /// Items that are likely to come back.
-    likely: Vec<JobItem>,
-    /// What there is of each item without a result: of an item that began anew, also what was made of it before.
+    /// Items that a later job is likely to repeat.
+    candidates: Vec<JobItem>,
+    /// Texts of each item without a result; a restarted item may have several.
     texts: HashMap<String, Vec<KeptText>>,
     runs: JoinSet<(usize, RunOutcome)>,
-    /// The items of the runs, by the number that a run goes by.
+    /// Items of the runs, by run number.
     running: HashMap<usize, RunningItem>,
     stop: watch::Sender<bool>,
     window: SendWindow,
-    /// Starts runs anew; `None` while no route takes them.
+    /// Context for restarted runs; `None` while no route matches.
     context: Option<Arc<RunContext>>,
 }
 
-/// A run under way.
+/// Run in progress.
 struct RunningItem {
     id: String,
     handle: AbortHandle,
-    /// Weight version under which its text began; `None` before the first event.
-    begun: Option<u64>,
+    /// Weight version of the first event; `None` before that event.
+    first_version: Option<u64>,
 }
 
 impl Owner {
-    /// Splits off the items that a later job may have again, with their runs; all other runs are ended. `None` if there are none.
+    /// Splits off the items that a later job may repeat, with their runs, and aborts all other
+    /// runs. Returns `None` if there are no such items.
     ///
-    /// Nothing is left behind by a job that was found ended, as when its log is taken over to be read: how long ago its end was
-    /// confirmed is not known.
-    pub(super) fn take_leftover(&mut self) -> Option<Leftover> {
-        let Some(end_asked_at) = self.end_asked_at else {
+    /// Also returns `None` for a job that had already ended when its log was taken over, because
+    /// the time of its end is unknown.
+    pub(super) fn split_off_unfinished(&mut self) -> Option<UnfinishedItems> {
+        let Some(end_requested_at) = self.end_requested_at else {
             self.runs.abort_all();
             return None;
         };
-        self.window.close_at(end_asked_at + SEND_TIME);
+        self.window.close_at(end_requested_at + SEND_GRACE);
         let spec = self.job.state().spec().cloned();
-        // Only trainers, who wait for groups, bring items back.
+        // Only trainers, whose jobs set `desired_groups`, repeat items.
         let Some(spec) = spec.filter(|spec| spec.desired_groups > 0) else {
             self.runs.abort_all();
             return None;
         };
-        let likely = self.items_to_come_back(&spec, end_asked_at);
+        let candidates = self.unread_items(&spec, end_requested_at);
         let mut running = HashMap::new();
         for (index, handle) in &self.running {
-            if likely.contains(index) {
+            if candidates.contains(index) {
                 let id = spec.items[*index].id.clone();
                 let handle = handle.clone();
-                let begun = self.begun.get(*index);
-                running.insert(*index, RunningItem { id, handle, begun });
+                let first_version = self.first_versions.get(*index);
+                running.insert(
+                    *index,
+                    RunningItem {
+                        id,
+                        handle,
+                        first_version,
+                    },
+                );
             } else {
                 handle.abort();
             }
         }
-        // Made first: new runs stop when those that are under way do.
+        // Built before `self.stop` is replaced, so that restarted runs stop together with those in
+        // progress.
         let context = self.run_context(&spec);
-        let likely_items = likely.iter().map(|index| spec.items[*index].clone());
-        Some(Leftover {
+        let candidate_items = candidates.iter().map(|index| spec.items[*index].clone());
+        Some(UnfinishedItems {
             tenant: spec.tenant.clone(),
             model: spec.model.clone(),
             step: spec.train_step,
             min_version: spec.min_version,
             job: Arc::clone(&self.job),
-            likely: likely_items.collect(),
-            texts: self.unlisted_texts(&spec, &likely),
+            candidates: candidate_items.collect(),
+            texts: self.unlisted_texts(&spec, &candidates),
             runs: std::mem::take(&mut self.runs),
             running,
             stop: std::mem::replace(&mut self.stop, watch::Sender::new(true)),
@@ -123,12 +134,12 @@
         })
     }
 
-    /// Items of groups that the trainer has not read as whole, as far as that can be told: they lack a result, or the last one was
-    /// listed just before the end.
-    fn items_to_come_back(&self, spec: &JobSpec, end_asked_at: Instant) -> Vec<usize> {
+    /// Returns the items of groups that the trainer has probably not read completely: an item lacks
+    /// a result, or its result was listed shortly before the end.
+    fn unread_items(&self, spec: &JobSpec, end_requested_at: Instant) -> Vec<usize> {
         let state = self.job.state();
-        let cutoff = end_asked_at.checked_sub(READ_INTERVAL);
-        let read = cutoff.map_or(0, |cutoff| self.listing.listed_before(cutoff));
+        let cutoff = end_requested_at.checked_sub(TRAINER_READ_INTERVAL);
+        let read = cutoff.map_or(0, |cutoff| self.listing_history.listed_before(cutoff));
         let read_items: HashSet<&str> = state.results()[..read.min(state.results().len())]
             .iter()
             .map(|result| result.item.as_str())
@@ -144,14 +155,15 @@
         groups.into_values().filter(is_unread).flatten().collect()
     }
 
-    /// Texts without a result: whole too late to be listed, or kept in the log.
+    /// Returns the texts of items without a result: completed too late to be listed, or saved in
+    /// the log.
     fn unlisted_texts(&self, spec: &JobSpec, items: &[usize]) -> HashMap<String, Vec<KeptText>> {
         let state = self.job.state();
         let text_of = |index: &usize| {
             let item = &spec.items[*index];
-            match self.late.get(index) {
+            match self.late_texts.get(index) {
                 Some((text, score)) => text.to_kept(item, score),
-                None => state.kept(&item.id).to_kept(item, ""),
+                None => state.partial_text(&item.id).to_kept(item, ""),
             }
         };
         let texts = items.iter().filter_map(text_of);
@@ -159,29 +171,30 @@
     }
 }
 
-/// How many results there were at which time.
+/// Number of results over time.
 #[derive(Debug, Default)]
-pub(super) struct Listing {
+pub(super) struct ListingHistory {
     counts: Vec<(Instant, usize)>,
 }
 
-impl Listing {
-    /// Notes the number of results now.
-    pub fn note(&mut self, results: usize) {
+impl ListingHistory {
+    /// Records the current number of results.
+    pub fn record(&mut self, results: usize) {
         if self.counts.last().is_none_or(|(_, last)| *last < results) {
             self.counts.push((Instant::now(), results));
         }
     }
 
-    /// Results that were listed by `time`.
+    /// Returns the number of results that were listed by `time`.
     pub fn listed_before(&self, time: Instant) -> usize {
         let before = self.counts.iter().take_while(|(at, _)| *at <= time);
         before.last().map_or(0, |(_, results)| *results)
     }
 }
 
-/// The text of a listed result; its lines stand for its events, as nothing goes on after it.
-fn kept_of_result(item: &JobItem, result: &JobResult) -> Option<KeptText> {
+/// Returns the text of a listed result. Its lines are counted as events, which suffices because
+/// nothing continues the text.
+fn kept_text_from_result(item: &JobItem, result: &JobResult) -> Option<KeptText> {
     if result.state != ResultState::COMPLETED {
         return None;
     }
@@ -202,7 +215,7 @@
     })
 }
 
-/// Whether a text may be used where `min_version` is the oldest allowed.
+/// Returns whether all weight versions of a text are at least `min_version`.
 fn is_allowed(text: &KeptText, min_version: u64) -> bool {
     are_allowed(&text.weight_versions, min_version)
 }
@@ -211,35 +224,35 @@
     versions.iter().all(|version| *version >= min_version)
 }
 
-/// The text that is the furthest of those that may be used.
-fn best_of(texts: Vec<KeptText>, min_version: u64) -> Option<KeptText> {
+/// Returns the most advanced of the allowed texts.
+fn best_allowed_text(texts: Vec<KeptText>, min_version: u64) -> Option<KeptText> {
     let allowed = texts
         .into_iter()
         .filter(|text| is_allowed(text, min_version));
     allowed.max_by_key(|text| (!text.score.is_empty(), text.is_whole, text.events))
 }
 
-impl Leftover {
-    /// Goes on until a later job takes the texts, or for the time that they are kept. That job is expected to allow `min_version`
-    /// and newer weights.
-    pub async fn linger(
+impl UnfinishedItems {
+    /// Continues the runs until a later job requests the texts or they expire. That job is expected
+    /// to allow weights from `min_version` on.
+    pub async fn run_until_requested(
         mut self,
         min_version: u64,
-        mut takers: mpsc::UnboundedReceiver<TakeTexts>,
+        mut requests: mpsc::UnboundedReceiver<TextRequest>,
     ) {
-        self.begin_anew(min_version);
-        let deadline = tokio::time::sleep(KEEP_TIME);
+        self.restart_outdated(min_version);
+        let deadline = tokio::time::sleep(RETENTION);
         tokio::pin!(deadline);
         loop {
             tokio::select! {
                 Some(ended) = self.runs.join_next() => {
                     if let Ok((index, outcome)) = ended {
-                        self.take_run(index, outcome);
+                        self.record_run_end(index, outcome);
                     }
                 }
-                taker = takers.recv() => {
-                    if let Some(taker) = taker {
-                        self.hand_over(taker).await;
+                request = requests.recv() => {
+                    if let Some(request) = request {
+                        self.hand_over(request).await;
                     }
                     return;
                 }
@@ -248,52 +261,60 @@
         }
     }
 
-    /// Begins items anew whose text the later job will not allow, and those that have none.
-    fn begin_anew(&mut self, min_version: u64) {
+    /// Restarts items without a text that the later job is expected to allow.
+    fn restart_outdated(&mut self, min_version: u64) {
         let Some(context) = &self.context else {
             return;
         };
-        let likely = self.likely.iter();
-        let anew: Vec<JobItem> = likely
-            .filter(|item| !self.has_allowed(&item.id, min_version))
+        let candidates = self.candidates.iter();
+        let outdated: Vec<JobItem> = candidates
+            .filter(|item| !self.has_usable_text(&item.id, min_version))
             .cloned()
             .collect();
         log::info!(
             "event=unfinished_items_kept job={} step={} items={} anew={} min_version={min_version}",
             context.spec.job,
             self.step,
-            self.likely.len(),
-            anew.len()
+            self.candidates.len(),
+            outdated.len()
         );
         let spec = JobSpec {
             min_version,
-            items: anew,
-            ..about_job(&context.spec)
+            items: outdated,
+            ..spec_without_items(&context.spec)
         };
         let context = Arc::new(RunContext {
             spec: Arc::new(spec),
-            begun: BegunVersions::default(),
+            first_versions: FirstVersions::default(),
             ..context.as_ref().clone()
         });
-        // Numbers of the new runs follow those of the job's items.
+        // The numbers of restarted runs follow those of the runs in progress.
         let first = self.running.keys().max().map_or(0, |number| number + 1);
         for (index, item) in context.spec.items.iter().enumerate() {
-            self.stop_run_of(&item.id);
+            self.abort_run(&item.id);
             let context = Arc::clone(&context);
             let number = first + index;
-            let run = async move { (number, run_from_begin(context, index).await) };
+            let run = async move { (number, run_from_start(context, index).await) };
             let handle = self.runs.spawn(run);
             let id = item.id.clone();
-            let begun = None;
-            self.running
-                .insert(number, RunningItem { id, handle, begun });
+            let first_version = None;
+            self.running.insert(
+                number,
+                RunningItem {
+                    id,
+                    handle,
+                    first_version,
+                },
+            );
         }
     }
 
-    fn has_allowed(&self, item: &str, min_version: u64) -> bool {
+    fn has_usable_text(&self, item: &str, min_version: u64) -> bool {
         let mut runs = self.running.values();
         if let Some(run) = runs.find(|run| run.id == item) {
-            return run.begun.is_some_and(|version| version >= min_version);
+            return run
+                .first_version
+                .is_some_and(|version| version >= min_version);
         }
         let state = self.job.state();
         let listed = state.results().iter().find(|result| result.item == item);
@@ -304,7 +325,7 @@
         texts.is_some_and(|texts| texts.iter().any(|text| is_allowed(text, min_version)))
     }
 
-    fn stop_run_of(&mut self, item: &str) {
+    fn abort_run(&mut self, item: &str) {
         self.running.retain(|_, run| {
             let is_other = run.id != item;
             if !is_other {
@@ -314,11 +335,11 @@
         });
     }
 
-    fn take_run(&mut self, index: usize, outcome: RunOutcome) {
+    fn record_run_end(&mut self, index: usize, outcome: RunOutcome) {
         let Some(RunningItem { id, .. }) = self.running.remove(&index) else {
             return;
         };
-        let Some(item) = self.likely.iter().find(|item| item.id == id) else {
+        let Some(item) = self.candidates.iter().find(|item| item.id == id) else {
             return;
         };
         let kept = match &outcome {
@@ -331,29 +352,29 @@
         }
     }
 
-    /// Stops all runs and hands the texts over that the taker may use.
-    async fn hand_over(mut self, taker: TakeTexts) {
+    /// Stops all runs and sends the texts that the later job can use.
+    async fn hand_over(mut self, request: TextRequest) {
         self.stop.send_replace(true);
         self.window.close_at(Instant::now());
         while let Some(ended) = self.runs.join_next().await {
             if let Ok((index, outcome)) = ended {
-                self.take_run(index, outcome);
+                self.record_run_end(index, outcome);
             }
         }
-        let texts = self.texts_for(&taker);
+        let texts = self.texts_for(&request);
         log::info!(
             "event=unfinished_items_received step={} texts={} min_version={}",
             self.step,
             texts.len(),
-            taker.min_version
+            request.min_version
         );
-        let _ = taker.answer.send(texts);
+        let _ = request.answer.send(texts);
     }
 }
 
-impl Leftover {
-    /// What there is of each of the taker's items that this job had too.
-    fn texts_for(&mut self, taker: &TakeTexts) -> Vec<KeptText> {
+impl UnfinishedItems {
+    /// Returns the best text of each requested item that this job has.
+    fn texts_for(&mut self, request: &TextRequest) -> Vec<KeptText> {
         let job = Arc::clone(&self.job);
         let state = job.state();
         let results: HashMap<&str, &JobResult> = state
@@ -361,20 +382,20 @@
             .iter()
             .map(|result| (result.item.as_str(), result))
             .collect();
-        let items = taker.items.iter().filter_map(|id| state.item(id));
+        let items = request.items.iter().filter_map(|id| state.item(id));
         items
             .filter_map(|item| {
                 let mut texts = self.texts.remove(&item.id).unwrap_or_default();
                 let result = results.get(item.id.as_str());
-                texts.extend(result.and_then(|result| kept_of_result(item, result)));
-                best_of(texts, taker.min_version)
+                texts.extend(result.and_then(|result| kept_text_from_result(item, result)));
+                best_allowed_text(texts, request.min_version)
             })
             .collect()
     }
 }
 
-/// A job without its items.
-fn about_job(spec: &JobSpec) -> JobSpec {
+/// Copies a job's specification without its items.
+fn spec_without_items(spec: &JobSpec) -> JobSpec {
     JobSpec {
         job: spec.job.clone(),
         host: spec.host.clone(),
@@ -388,11 +409,11 @@
     }
 }
 
-/// Runs an item on the first instance that has room and weights that are new enough.
-async fn run_from_begin(context: Arc<RunContext>, index: usize) -> RunOutcome {
+/// Runs an item on the first instance with free capacity and weights that are new enough.
+async fn run_from_start(context: Arc<RunContext>, index: usize) -> RunOutcome {
     let mut stop = context.stop.clone();
     while context.window.is_open() && !*stop.borrow() {
-        let fits = |instance: &crate::backend::Instance| {
+        let is_new_enough = |instance: &crate::backend::Instance| {
             instance.version(&context.spec.model) >= context.spec.min_version
         };
         let backends = &context.backends;
@@ -401,7 +422,7 @@
             &context.spec.model,
             Demand::LongBatch,
             &context.allowed_regions(),
-            fits,
+            is_new_enough,
         );
         if let Some(instance) = chosen {
             let text = ItemText::default();
--- a/crates/front/src/live.rs
+++ b/crates/front/src/live.rs
@@ -1,4 +1,4 @@
-//! Live requests: attempts within the route's budget and the client's deadline, and what the client is told.
+//! Live requests: attempts within the route's limits and the client's deadline, and the response.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,68 +12,70 @@
 use tokio::sync::watch;
 
 use crate::backend::{
-    AnswerIdPolicy, BackendTable, Demand, ExchangeError, HoldReason, Instance, Reply, RequestHead,
-    RunGuard, end_to_end, send,
+    AnswerIdPolicy, BackendTable, Demand, ExchangeError, HoldReason, InFlightGuard, Instance,
+    Reply, RequestHead, end_to_end, send,
 };
 use crate::config::{CurrentConfig, Route, RouteKind};
 use crate::dialect::SharedCodec;
 use crate::metrics::Metrics;
 use crate::suspects::{
     BrokenRun, ContentDigest, HeldBack, RequestContent, RunPermit, RunSubject, Suspects,
-    UntoldSuspect,
+    UnannouncedSuspect,
 };
 use crate::tenant::Caller;
 use crate::usage::UsageMeter;
 
-/// Largest answer that is held whole before it is passed on.
-const WHOLE_ANSWER_LIMIT: usize = 32 * 1024 * 1024;
+/// Maximum size of a response that is read completely before it is passed on, in bytes.
+const MAX_RESPONSE_BYTES: usize = 32 * 1024 * 1024;
 
-/// When a client should come back after a refusal.
+/// Retry delay sent to a client whose request was not run.
 pub const RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// The same where all instances are in drained zones: an operator has to end a drain, and fronts learn of that within seconds.
+/// The same while all instances are in drained zones, as fronts learn within seconds that a drain
+/// ended.
 pub const DRAINED_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// A second instance is asked after this share of the target latency, where requests may run twice.
-const HEDGE_SHARE: f64 = 0.6;
+/// Share of the target latency after which a second instance is tried, on routes that may run
+/// requests twice.
+const HEDGE_DELAY_SHARE: f64 = 0.6;
 
-/// How long a request waits for the first instances at a node that has just started: a listing takes some tens of milliseconds.
-const FIRST_INSTANCES_WAIT: Duration = Duration::from_millis(300);
+/// Maximum wait for the first instances at a node that has just started.
+const FIRST_INSTANCE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Longest wait for permits while all instances that could serve a request are cold: time for one call to the node that deals them.
-const PERMIT_WAIT: Duration = Duration::from_millis(150);
+/// Maximum wait for permits while all suitable instances are cold, which covers one call to the
+/// order leader.
+const PERMIT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Time that the client's own path takes, kept back from what instances are told.
+/// Part of the client's remaining time that is reserved for the response's way back.
 const RETURN_MARGIN: Duration = Duration::from_millis(10);
 
-/// A request as read from its client.
+/// A request as received from its client.
 #[derive(Debug, Clone)]
 pub struct LiveRequest {
-    /// Id of the client attempt.
+    /// Id of the client's attempt.
     pub attempt_id: HeaderValue,
-    /// Method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
     /// Headers as received.
     pub headers: HeaderMap,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
-    /// Whose it is.
+    /// Sender of the request.
     pub caller: Caller,
     /// When its head was read.
     pub received: Instant,
-    /// When the client stops waiting; `None`: it did not say.
+    /// When the client stops waiting; `None` if it did not say.
     pub deadline: Option<Instant>,
 }
 
 impl LiveRequest {
-    /// Id of the client attempt, for the log.
+    /// Returns the id of the client's attempt for the log.
     pub fn id(&self) -> &str {
         self.attempt_id.to_str().unwrap_or("?")
     }
 
-    /// What its repeats share with it.
+    /// Returns the digest by which repetitions of the request are recognized.
     fn content(&self, route: &Route) -> ContentDigest {
         let path = self.uri.path_and_query();
         let tenant = self.caller.tenant();
@@ -87,40 +89,38 @@
     }
 }
 
-/// What a client is answered.
+/// Result of a live request.
 #[derive(Debug)]
 pub enum LiveAnswer {
-    /// A whole answer of an instance.
-    Whole {
-        /// Status.
+    /// A complete response of an instance.
+    Complete {
         status: StatusCode,
-        /// Headers, connection headers left out.
+        /// Headers without hop-by-hop ones.
         headers: HeaderMap,
-        /// Body.
         body: Bytes,
     },
-    /// The begin of a stream; the run is there until its end.
+    /// The start of a streamed response, whose run lasts until the stream ends.
     Stream {
-        /// The answer.
+        /// Head of the response and the connection.
         reply: Reply,
-        /// The run that makes it.
+        /// Run that produces the stream.
         run: Box<StreamRun>,
     },
     /// The request has not run and will not.
     NotRun,
-    /// The same, as instances have ended under others of its content.
+    /// The request has not run, as requests with its content have crashed instances.
     HeldBack(HeldBack),
-    /// The same, as drains leave no instance that may get a request.
-    NoneMayServe(HoldReason),
-    /// Nothing is promised.
+    /// The request has not run, as drains leave no instance that may get it.
+    Drained(HoldReason),
+    /// The request failed and may have run.
     Failed(StatusCode),
 }
 
-/// The run of a stream that is passed on.
+/// Run of a stream that is being passed on.
 #[derive(Debug)]
 pub struct StreamRun {
     /// Counts the request at its instance.
-    _guard: RunGuard,
+    _guard: InFlightGuard,
     _permit: RunPermit,
     instance: Arc<Instance>,
     id: HeaderValue,
@@ -131,12 +131,12 @@
 }
 
 impl StreamRun {
-    /// The stream was passed on to its end.
-    pub fn note_whole(&self) {
+    /// Records that the stream was passed on completely.
+    pub fn record_complete(&self) {
         self.suspects.record_completion(|| self.content);
     }
 
-    /// Finds out what became of the instance, as its connection broke.
+    /// Checks the instance after its connection broke, and announces the content if suspected.
     pub async fn check_broken_run(self) {
         let run = BrokenRun {
             subject: RunSubject::Request {
@@ -148,23 +148,22 @@
             started_at: self.started_at,
         };
         self.suspects.check_broken_run(&run).await;
-        self.suspects.tell(self.content);
+        self.suspects.announce(self.content);
     }
 }
 
 /// Serves live requests.
 pub struct LiveService {
-    /// Routes, whose bounds may change while a request is under way.
+    /// Routes, whose limits may change while a request is in progress.
     pub config: CurrentConfig,
     /// Instances.
     pub backends: BackendTable,
-    /// Names.
+    /// Header names.
     pub codec: SharedCodec,
-    /// Counters.
     pub metrics: Arc<Metrics>,
-    /// Counts what began to run.
+    /// Counts requests that started to run.
     pub usage: UsageMeter,
-    /// Requests under which instances end.
+    /// Contents that crashed instances.
     pub suspects: Suspects,
 }
 
@@ -172,85 +171,93 @@
     instance: Arc<Instance>,
     result: Result<AttemptAnswer, ExchangeError>,
     started: Instant,
-    /// Counts it at the instance.
-    guard: RunGuard,
+    /// Counts the attempt at the instance.
+    guard: InFlightGuard,
     permit: RunPermit,
 }
 
 enum AttemptAnswer {
-    Whole(StatusCode, HeaderMap, Bytes),
+    Complete(StatusCode, HeaderMap, Bytes),
     Stream(Reply),
 }
 
-/// Progress of one request over its attempts.
+/// State of one request over its attempts.
 #[derive(Default)]
 struct Progress {
-    tried: Vec<String>,
-    /// Attempts that ran or may have run, those under way included.
+    tried_instances: Vec<String>,
+    /// Attempts that ran or may have run, including those in progress.
     possible_runs: u32,
-    /// An instance's own failure, passed on if nothing better comes.
+    /// Error response of an instance, passed on if no attempt succeeds.
     failure: Option<(StatusCode, HeaderMap, Bytes)>,
-    /// The request was counted for its tenant.
+    /// True once the request was counted for its tenant.
     is_counted: bool,
-    /// An instance may have ended under an attempt.
-    untold: Option<UntoldSuspect>,
+    /// Set if an instance may have crashed during an attempt.
+    unannounced: Option<UnannouncedSuspect>,
 }
 
 impl LiveService {
-    /// Serves a request on `route`. Dropping the future ends the work.
+    /// Serves a request on `route`. Dropping the future cancels it.
     pub async fn serve(&self, route: &Route, request: &LiveRequest) -> LiveAnswer {
-        let limit = self.limit(route, request);
+        let overall_deadline = self.overall_deadline(route, request);
         let mut progress = Progress::default();
-        let work = self.work(route, request, limit, &mut progress);
-        let ended = tokio::time::timeout_at(limit.into(), work).await;
-        ended.unwrap_or_else(|_| out_of_time(&progress))
+        let run_attempts = self.run_attempts(route, request, overall_deadline, &mut progress);
+        let ended = tokio::time::timeout_at(overall_deadline.into(), run_attempts).await;
+        ended.unwrap_or_else(|_| result_after_timeout(&progress))
     }
 
-    fn limit(&self, route: &Route, request: &LiveRequest) -> Instant {
+    fn overall_deadline(&self, route: &Route, request: &LiveRequest) -> Instant {
         let by_route = request.received + route.timeout;
         request
             .deadline
             .map_or(by_route, |deadline| deadline.min(by_route))
     }
 
-    async fn work(
+    async fn run_attempts(
         &self,
         route: &Route,
         request: &LiveRequest,
-        limit: Instant,
+        overall_deadline: Instant,
         progress: &mut Progress,
     ) -> LiveAnswer {
-        self.backends.wait_for_first_instance(FIRST_INSTANCES_WAIT).await;
+        self.backends
+            .wait_for_first_instance(FIRST_INSTANCE_TIMEOUT)
+            .await;
         let service = route.pick_service(rand::random());
-        let mut under_way = FuturesUnordered::new();
+        let mut running_attempts = FuturesUnordered::new();
         let mut hedge_at = Instant::now();
         let mut table_changed = self.backends.watch();
-        let permit_wait_until = Instant::now() + PERMIT_WAIT;
+        let permit_wait_until = Instant::now() + PERMIT_TIMEOUT;
         loop {
-            // The timer that ends this work stood still if the machine was suspended.
-            if Instant::now() >= limit {
-                return out_of_time(progress);
+            // The timer that ends this future stops while the machine is suspended.
+            if Instant::now() >= overall_deadline {
+                return result_after_timeout(progress);
             }
             let may_start = progress.possible_runs < route.max_attempts.max(1);
-            let is_due = under_way.is_empty() || Instant::now() >= hedge_at;
-            let mut held = None;
+            let is_attempt_due = running_attempts.is_empty() || Instant::now() >= hedge_at;
+            let mut held_back = None;
             if may_start
-                && is_due
+                && is_attempt_due
                 && let Some(instance) = self.next_instance(route, request, service, progress)
             {
-                hedge_at = Instant::now() + route.target_latency.mul_f64(HEDGE_SHARE);
+                hedge_at = Instant::now() + route.target_latency.mul_f64(HEDGE_DELAY_SHARE);
                 match self.admit(route, request) {
                     Ok(permit) => {
-                        progress.tried.push(instance.id().to_owned());
+                        progress.tried_instances.push(instance.id().to_owned());
                         progress.possible_runs += 1;
-                        under_way.push(self.attempt(route, request, instance, permit, limit));
+                        running_attempts.push(self.attempt(
+                            route,
+                            request,
+                            instance,
+                            permit,
+                            overall_deadline,
+                        ));
                         continue;
                     }
-                    Err(refusal) => held = Some(refusal),
+                    Err(refusal) => held_back = Some(refusal),
                 }
             }
-            if under_way.is_empty() {
-                if held.is_none()
+            if running_attempts.is_empty() {
+                if held_back.is_none()
                     && may_start
                     && self
                         .wait_for_permits(service, permit_wait_until, &mut table_changed)
@@ -258,14 +265,14 @@
                 {
                     continue;
                 }
-                let answer = give_up(progress, held);
-                return self.name_cause(route, service, request, progress, answer);
+                let answer = result_without_attempts(progress, held_back);
+                return self.classify_not_run(route, service, request, progress, answer);
             }
-            let may_hedge = route.kind == RouteKind::Safe && may_start && !is_due;
+            let may_hedge = route.kind == RouteKind::Safe && may_start && !is_attempt_due;
             tokio::select! {
-                ended = under_way.next() => {
+                ended = running_attempts.next() => {
                     if let Some(ended) = ended
-                        && let Some(answer) = self.take(route, request, ended, progress)
+                        && let Some(answer) = self.apply(route, request, ended, progress)
                     {
                         return answer;
                     }
@@ -275,21 +282,23 @@
         }
     }
 
-    /// Waits, until `until` at most, for a change of the instances of a service that lack permits; returns whether there was reason to wait.
+    /// Waits until `until` for a change of the instances if they lack permits; returns whether it
+    /// waited.
     async fn wait_for_permits(
         &self,
         service: &str,
         until: Instant,
         table_changed: &mut watch::Receiver<u64>,
     ) -> bool {
-        if Instant::now() >= until || !self.backends.awaits_permits(service) {
+        if Instant::now() >= until || !self.backends.may_get_permits(service) {
             return false;
         }
         let _ = tokio::time::timeout_at(until.into(), table_changed.changed()).await;
         true
     }
 
-    /// An instance that was not tried, else, where requests may run twice, one whose answer was broken.
+    /// Returns an instance that was not tried yet, or, if the request may run twice, any ready one
+    /// for a retry.
     fn next_instance(
         &self,
         route: &Route,
@@ -298,21 +307,27 @@
         progress: &Progress,
     ) -> Option<Arc<Instance>> {
         let allowed = self.allowed_regions(route, request);
-        let was_tried = |instance: &Instance| progress.tried.iter().any(|id| id == instance.id());
+        let was_tried = |instance: &Instance| {
+            progress
+                .tried_instances
+                .iter()
+                .any(|id| id == instance.id())
+        };
         let untried = |instance: &Instance| !was_tried(instance);
         let chosen = self
             .backends
             .choose_within(service, "", Demand::Live, &allowed, untried);
         let may_repeat = route.kind == RouteKind::Safe && progress.possible_runs > 0;
         chosen.or_else(|| {
-            let tries = progress.tried.len() as u32;
-            let is_left = may_repeat && tries < route.max_attempts * 2;
-            is_left.then(|| self.backends.choose_for_retry(service, &allowed))?
+            let tries = progress.tried_instances.len() as u32;
+            let may_retry = may_repeat && tries < route.max_attempts * 2;
+            may_retry.then(|| self.backends.choose_for_retry(service, &allowed))?
         })
     }
 
-    /// Logs why a request was not run, and answers so where drains are the cause: then the client need not come back soon.
-    fn name_cause(
+    /// Logs why a request was not run, and replaces the result if drains are the cause, for a
+    /// longer retry delay.
+    fn classify_not_run(
         &self,
         route: &Route,
         service: &str,
@@ -325,18 +340,23 @@
         };
         let allowed = self.allowed_regions(route, request);
         if !allowed.is_all() && !self.backends.has_any_within(service, &allowed) {
-            self.note_none_within(route, request, &allowed);
+            self.log_no_allowed_instance(route, request, &allowed);
             return answer;
         }
         if let Some(reason) = self.backends.drain_reason(service) {
-            self.note_drained_out(route, request, service, reason);
-            return LiveAnswer::NoneMayServe(reason);
+            self.log_drained(route, request, service, reason);
+            return LiveAnswer::Drained(reason);
         }
         self.log_held_back(request, service, progress);
         answer
     }
 
-    fn note_none_within(&self, route: &Route, request: &LiveRequest, allowed: &AllowedRegions) {
+    fn log_no_allowed_instance(
+        &self,
+        route: &Route,
+        request: &LiveRequest,
+        allowed: &AllowedRegions,
+    ) {
         log::warn!(
             "event=request_not_run request={} route={} reason=no_instance_in_allowed_regions allowed={allowed}",
             request.id(),
@@ -346,13 +366,7 @@
         refused.with_label_values(&["live"]).inc();
     }
 
-    fn note_drained_out(
-        &self,
-        route: &Route,
-        request: &LiveRequest,
-        service: &str,
-        reason: HoldReason,
-    ) {
+    fn log_drained(&self, route: &Route, request: &LiveRequest, service: &str, reason: HoldReason) {
         log::info!(
             "event=request_held_back request={} route={} service={service} reason={reason}",
             request.id(),
@@ -361,11 +375,11 @@
         self.metrics.record_held_back(reason);
     }
 
-    /// Logs what held ready instances back from a request for which none was tried.
+    /// Logs why ready instances were held back from a request that was sent to none.
     fn log_held_back(&self, request: &LiveRequest, service: &str, progress: &Progress) {
-        let held_back = self.backends.held_back(service);
-        if progress.tried.is_empty() && !held_back.is_empty() {
-            let reasons = held_back
+        let held_counts = self.backends.held_counts(service);
+        if progress.tried_instances.is_empty() && !held_counts.is_empty() {
+            let reasons = held_counts
                 .iter()
                 .map(|(reason, count)| format!("{reason}:{count}"));
             log::info!(
@@ -376,7 +390,8 @@
         }
     }
 
-    /// Where the request may be served by the configuration in force; if that has no route for it, by the one in force when it arrived.
+    /// Returns the regions that the configuration in force allows for the request; if it no longer
+    /// has the route, those allowed when the request arrived.
     fn allowed_regions(&self, route: &Route, request: &LiveRequest) -> AllowedRegions {
         let tenant = request.caller.tenant();
         let name = tenant.map_or("", |tenant| &tenant.name);
@@ -399,20 +414,21 @@
         request: &'a LiveRequest,
         instance: Arc<Instance>,
         permit: RunPermit,
-        limit: Instant,
+        overall_deadline: Instant,
     ) -> BoxFuture<'a, Attempt> {
         Box::pin(async move {
             let started = Instant::now();
-            let head = self.head(route, request, &instance, limit);
+            let head = self.build_head(route, request, &instance, overall_deadline);
             let guard = instance.track_request();
             let result = tokio::select! {
                 result = self.exchange(route, request, &instance, &head) => result,
-                () = instance.ended() => {
-                    Err(ExchangeError::Broken("the instance was started again".to_owned()))
+                () = instance.wait_until_ended() => {
+                    Err(ExchangeError::Broken("the instance restarted".to_owned()))
                 }
             };
             if let Err(ExchangeError::Broken(_)) = &result {
-                self.check_broken_run(route, request, &instance, started).await;
+                self.check_broken_run(route, request, &instance, started)
+                    .await;
             }
             Attempt {
                 instance,
@@ -424,7 +440,7 @@
         })
     }
 
-    /// Sends the request to one instance and reads the answer, of a stream its head.
+    /// Sends the request to one instance and reads the response, for a stream only its head.
     async fn exchange(
         &self,
         route: &Route,
@@ -438,11 +454,11 @@
         if route.kind == RouteKind::Streaming {
             return Ok(AttemptAnswer::Stream(reply));
         }
-        let (status, headers, body) = reply.read_body(WHOLE_ANSWER_LIMIT).await?;
-        Ok(AttemptAnswer::Whole(status, headers, body))
+        let (status, headers, body) = reply.read_body(MAX_RESPONSE_BYTES).await?;
+        Ok(AttemptAnswer::Complete(status, headers, body))
     }
 
-    /// Finds out what became of an instance under a request whose connection broke.
+    /// Checks the instance of an attempt whose connection broke.
     async fn check_broken_run(
         &self,
         route: &Route,
@@ -462,19 +478,20 @@
         self.suspects.check_broken_run(&run).await;
     }
 
-    /// Headers for the instance: the client's, with the time that is left, the route's rank and the instance that is meant.
-    fn head(
+    /// Builds the head for the instance: the client's headers with the remaining time, the rank,
+    /// the tenant and the instance id.
+    fn build_head(
         &self,
         route: &Route,
         request: &LiveRequest,
         instance: &Instance,
-        limit: Instant,
+        overall_deadline: Instant,
     ) -> RequestHead {
         let names = self.codec.headers();
         let mut headers = end_to_end(&request.headers);
-        let left = limit.saturating_duration_since(Instant::now());
-        let left = left.saturating_sub(RETURN_MARGIN).as_millis().max(1) as u64;
-        headers.insert(names.deadline_ms.clone(), HeaderValue::from(left));
+        let remaining = overall_deadline.saturating_duration_since(Instant::now());
+        let remaining = remaining.saturating_sub(RETURN_MARGIN).as_millis().max(1) as u64;
+        headers.insert(names.deadline_ms.clone(), HeaderValue::from(remaining));
         let tenant = request.caller.tenant();
         headers.insert(
             names.request_priority.clone(),
@@ -492,8 +509,8 @@
         }
     }
 
-    /// Takes in an attempt that ended; `Some` is the client's answer.
-    fn take(
+    /// Applies the result of an attempt; returns the client's result if it is final.
+    fn apply(
         &self,
         route: &Route,
         request: &LiveRequest,
@@ -503,7 +520,7 @@
         self.log(route, request, &ended);
         let now = Instant::now();
         if ended.result.is_ok() && !std::mem::replace(&mut progress.is_counted, true) {
-            self.count(request, ended.started);
+            self.count_usage(request, ended.started);
         }
         match ended.result {
             Ok(AttemptAnswer::Stream(reply)) => {
@@ -521,21 +538,23 @@
                 let run = Box::new(run);
                 Some(LiveAnswer::Stream { reply, run })
             }
-            Ok(AttemptAnswer::Whole(status, headers, body)) => {
+            Ok(AttemptAnswer::Complete(status, headers, body)) => {
                 self.suspects.record_completion(|| request.content(route));
                 let is_signed = headers.contains_key(&self.codec.headers().response_signature);
                 if status.is_success() && !is_signed {
                     ended.instance.record_failure(now);
-                    return self.after_broken(route);
+                    return self.result_after_failure(route);
                 }
                 if status.is_server_error() && route.kind == RouteKind::Safe {
                     progress.failure = Some((status, headers, body));
                     return None;
                 }
                 ended.instance.record_success();
-                let taken = now.saturating_duration_since(ended.started);
-                ended.instance.record_unit_time(taken.as_secs_f64() * 1e3, now);
-                Some(LiveAnswer::Whole {
+                let response_time = now.saturating_duration_since(ended.started);
+                ended
+                    .instance
+                    .record_unit_time(response_time.as_secs_f64() * 1e3, now);
+                Some(LiveAnswer::Complete {
                     status,
                     headers: end_to_end(&headers),
                     body,
@@ -545,8 +564,10 @@
                 progress.possible_runs -= 1;
                 if let ExchangeError::HeldBack(reason) = error {
                     self.metrics.record_held_back(reason);
-                    // It was not tried, and may take the request once it may be sent.
-                    progress.tried.retain(|id| id != ended.instance.id());
+                    // The instance may be chosen again once it may get requests.
+                    progress
+                        .tried_instances
+                        .retain(|id| id != ended.instance.id());
                 }
                 if matches!(error, ExchangeError::NotSent(_)) {
                     ended.instance.record_failure(now);
@@ -555,22 +576,23 @@
             }
             Err(_) => {
                 ended.instance.record_failure(now);
-                let untold = || UntoldSuspect::new(&self.suspects, request.content(route));
-                progress.untold.get_or_insert_with(untold);
-                self.after_broken(route)
+                let unannounced =
+                    || UnannouncedSuspect::new(&self.suspects, request.content(route));
+                progress.unannounced.get_or_insert_with(unannounced);
+                self.result_after_failure(route)
             }
         }
     }
 
-    /// Counts a request that began to run; instances of these services begin when a request arrives.
-    fn count(&self, request: &LiveRequest, started: Instant) {
+    /// Counts a request for its tenant from the start of its first successful attempt.
+    fn count_usage(&self, request: &LiveRequest, started: Instant) {
         if let Some(tenant) = request.caller.tenant() {
             self.usage.record_start(&tenant.name, started);
         }
     }
 
-    /// A request that may have run is sent again only where that is allowed.
-    fn after_broken(&self, route: &Route) -> Option<LiveAnswer> {
+    /// Returns the failure unless the route allows to run a request twice.
+    fn result_after_failure(&self, route: &Route) -> Option<LiveAnswer> {
         match route.kind {
             RouteKind::Safe => None,
             _ => Some(LiveAnswer::Failed(StatusCode::BAD_GATEWAY)),
@@ -579,7 +601,9 @@
 
     fn log(&self, route: &Route, request: &LiveRequest, ended: &Attempt) {
         let outcome = match &ended.result {
-            Ok(AttemptAnswer::Whole(status, ..)) => format!("answered status={}", status.as_u16()),
+            Ok(AttemptAnswer::Complete(status, ..)) => {
+                format!("answered status={}", status.as_u16())
+            }
             Ok(AttemptAnswer::Stream(reply)) => {
                 format!("streaming status={}", reply.status.as_u16())
             }
@@ -600,8 +624,8 @@
     }
 }
 
-/// The answer when the time of the client or the route is over.
-fn out_of_time(progress: &Progress) -> LiveAnswer {
+/// Returns the result after the deadline of the client or the route.
+fn result_after_timeout(progress: &Progress) -> LiveAnswer {
     if progress.possible_runs == 0 {
         LiveAnswer::NotRun
     } else {
@@ -609,16 +633,16 @@
     }
 }
 
-/// The answer when no attempt is under way and none may begin.
-fn give_up(progress: &mut Progress, held: Option<HeldBack>) -> LiveAnswer {
+/// Returns the result when no attempt is in progress and none may start.
+fn result_without_attempts(progress: &mut Progress, held_back: Option<HeldBack>) -> LiveAnswer {
     match progress.failure.take() {
-        Some((status, headers, body)) => LiveAnswer::Whole {
+        Some((status, headers, body)) => LiveAnswer::Complete {
             status,
             headers: end_to_end(&headers),
             body,
         },
         None if progress.possible_runs == 0 => {
-            held.map_or(LiveAnswer::NotRun, LiveAnswer::HeldBack)
+            held_back.map_or(LiveAnswer::NotRun, LiveAnswer::HeldBack)
         }
         None => LiveAnswer::Failed(StatusCode::BAD_GATEWAY),
     }
--- a/crates/front/tests/capacity_duty.rs
+++ b/crates/front/tests/capacity_duty.rs
@@ -1,4 +1,4 @@
-//! The holder's part of ordering capacity, before a store in memory and a receiver that fails.
+//! Tests the capacity controller against an in-memory store and a receiver that fails on demand.
 
 mod support;
 
@@ -20,24 +20,24 @@
 
 const SERVICE: &str = "model";
 const ZONES: [&str; 3] = ["a", "b", "c"];
-const WANTED: &str = "ladderstage/capacity/wanted";
+const DESIRED_CAPACITY_KEY: &str = "ladderstage/capacity/wanted";
 
-/// Longest wait for something that must come.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout for events that must happen.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Some looks of a holder.
-const SOME_LOOKS: Duration = Duration::from_millis(1_200);
+/// Duration of several checks of the fleet.
+const SEVERAL_CHECKS: Duration = Duration::from_millis(1_200);
 
-/// Takes orders, or fails those of some zones.
+/// Accepts orders, or fails them as configured.
 #[derive(Default)]
 struct Receiver {
     orders: Mutex<Vec<(CapacityOrder, &'static str)>>,
-    /// What becomes of the next orders.
+    /// Outcomes of the next orders.
     failures: Mutex<VecDeque<CapacityOrderError>>,
-    /// Zones in which none can be had.
-    empty_zones: BTreeSet<&'static str>,
-    /// No order is answered.
-    is_silent: bool,
+    /// Zones without available capacity.
+    unavailable_zones: BTreeSet<&'static str>,
+    /// Orders are recorded, but never answered.
+    never_answers: bool,
 }
 
 impl Receiver {
@@ -52,11 +52,11 @@
         self.orders.lock().unwrap().clone()
     }
 
-    /// The order for a zone that was taken last.
-    fn taken(&self, zone: &str) -> Option<CapacityOrder> {
+    /// Returns the latest accepted order for a zone.
+    fn accepted(&self, zone: &str) -> Option<CapacityOrder> {
         let orders = self.orders().into_iter().rev();
-        let mut taken = orders.filter(|(_, outcome)| *outcome == "taken");
-        taken
+        let mut accepted = orders.filter(|(_, outcome)| *outcome == "taken");
+        accepted
             .find(|(order, _)| order.pool.zone.as_ref() == zone)
             .map(|(order, _)| order)
     }
@@ -65,7 +65,7 @@
         if let Some(failure) = self.failures.lock().unwrap().pop_front() {
             return Err(failure);
         }
-        if self.empty_zones.contains(order.pool.zone.as_ref()) {
+        if self.unavailable_zones.contains(order.pool.zone.as_ref()) {
             return Err(CapacityOrderError::Unavailable);
         }
         Ok(())
@@ -83,7 +83,7 @@
                 .as_ref()
                 .map_or_else(|error| error.label(), |()| "taken");
             self.orders.lock().unwrap().push((order.clone(), label));
-            if self.is_silent {
+            if self.never_answers {
                 std::future::pending::<()>().await;
             }
             outcome
@@ -128,9 +128,10 @@
     config
 }
 
-/// One node with a fleet of two instances in each of three zones, the store as it sees it, and a receiver.
+/// Node with a fleet of two instances in each of three zones, its view of the store, and a
+/// receiver.
 struct Node {
-    duty: CapacityController,
+    controller: CapacityController,
     lease: OrdersLease,
     receiver: Arc<Receiver>,
 }
@@ -145,7 +146,7 @@
         }
         let view = DiscoveryView::default();
         view.set_known(1);
-        let duty = CapacityController {
+        let controller = CapacityController {
             coordination: coordination.clone(),
             node: name.to_owned(),
             backends,
@@ -161,13 +162,14 @@
             quiet_period: Duration::ZERO,
         };
         Self {
-            duty,
+            controller,
             lease,
             receiver,
         }
     }
 
-    /// Holds the lease until something was seen, and then ends like a process that is killed.
+    /// Holds the lease until `seen` resolves, and then stops without a release, like a killed
+    /// process.
     async fn hold_until<T>(&self, seen: impl Future<Output = T>) -> T {
         let held = loop {
             if let Some(held) = self.lease.acquire().await.unwrap() {
@@ -176,51 +178,51 @@
             tokio::time::sleep(Duration::from_millis(50)).await;
         };
         tokio::select! {
-            seen = tokio::time::timeout(PATIENCE, seen) => seen.expect("seen in time"),
-            loss = self.lease.renew_until_lost(&held) => panic!("the lease is lost: {loss}"),
-            () = self.duty.run(&self.lease, &held) => panic!("the duty ended"),
+            seen = tokio::time::timeout(EVENT_TIMEOUT, seen) => seen.expect("the expected event within the timeout"),
+            loss = self.lease.renew_until_lost(&held) => panic!("lease lost: {loss}"),
+            () = self.controller.run(&self.lease, &held) => panic!("the controller stopped"),
         }
     }
 
     fn drain(&self, zone: &str) {
-        let gates = self.duty.backends.gates();
+        let gates = self.controller.backends.gates();
         gates.drained.set(BTreeSet::from([zone.into()]));
     }
 }
 
-async fn eventually<T>(look: impl Fn() -> Option<T>) -> T {
+async fn eventually<T>(probe: impl Fn() -> Option<T>) -> T {
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = probe() {
             return found;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-fn fixed(store: &MemoryStore) -> Option<String> {
-    let value = store.read(WANTED)?;
+fn persisted(store: &MemoryStore) -> Option<String> {
+    let value = store.read(DESIRED_CAPACITY_KEY)?;
     Some(String::from_utf8(value).unwrap())
 }
 
 #[tokio::test]
-async fn what_a_drained_zone_had_is_ordered_in_the_others() {
+async fn instances_of_a_drained_zone_are_ordered_in_other_zones() {
     let store = MemoryStore::default();
     let node = Node::new("one", &store, Receiver::default());
     node.drain("b");
     let receiver = Arc::clone(&node.receiver);
-    let order = node.hold_until(eventually(|| receiver.taken("a"))).await;
+    let order = node.hold_until(eventually(|| receiver.accepted("a"))).await;
     assert_eq!(order.pool.kind, InstanceKind::Preemptible);
     assert_eq!((order.desired, order.holder.as_str()), (1, "one"));
-    let other = node.hold_until(eventually(|| receiver.taken("c"))).await;
+    let other = node.hold_until(eventually(|| receiver.accepted("c"))).await;
     assert_eq!(other.desired, 1);
-    assert!(receiver.taken("b").is_none());
+    assert!(receiver.accepted("b").is_none());
 }
 
 #[tokio::test]
-async fn what_one_holder_fixed_and_did_not_send_the_next_one_sends_under_a_higher_fence() {
+async fn a_new_holder_sends_persisted_orders_with_a_higher_fence() {
     let store = MemoryStore::default();
     let silent = Receiver {
-        is_silent: true,
+        never_answers: true,
         ..Receiver::default()
     };
     let first = Node::new("one", &store, silent);
@@ -228,11 +230,11 @@
     first
         .hold_until(eventually(|| first.receiver.orders().pop()))
         .await;
-    let before = fixed(&store).unwrap();
+    let before = persisted(&store).unwrap();
     let second = Node::new("two", &store, Receiver::default());
     second.drain("b");
     let order = second
-        .hold_until(eventually(|| second.receiver.taken("a")))
+        .hold_until(eventually(|| second.receiver.accepted("a")))
         .await;
     let earlier = first.receiver.orders();
     assert!(
@@ -240,13 +242,15 @@
             .iter()
             .all(|(earlier, _)| earlier.fence < order.fence)
     );
-    assert!(earlier.iter().any(|(earlier, _)| {
-        earlier.pool == order.pool && earlier.desired == order.desired
-    }));
+    assert!(
+        earlier
+            .iter()
+            .any(|(earlier, _)| { earlier.pool == order.pool && earlier.desired == order.desired })
+    );
     assert_eq!(
-        fixed(&store).unwrap(),
+        persisted(&store).unwrap(),
         before,
-        "nothing was to be fixed anew"
+        "the persisted capacity is unchanged"
     );
 }
 
@@ -258,55 +262,57 @@
     let node = Node::new("one", &store, Receiver::of([lost(), lost(), refused]));
     node.drain("b");
     let receiver = Arc::clone(&node.receiver);
-    node.hold_until(eventually(|| receiver.taken("a").zip(receiver.taken("c"))))
-        .await;
+    node.hold_until(eventually(|| {
+        receiver.accepted("a").zip(receiver.accepted("c"))
+    }))
+    .await;
     let orders = receiver.orders();
     assert!(orders.len() >= 5, "{orders:?}");
     assert!(orders.iter().all(|(order, _)| order.desired == 1));
 }
 
 #[tokio::test]
-async fn a_zone_with_none_to_be_had_is_passed_by() {
+async fn a_zone_without_available_capacity_is_skipped() {
     let store = MemoryStore::default();
     let empty = Receiver {
-        empty_zones: BTreeSet::from(["a"]),
+        unavailable_zones: BTreeSet::from(["a"]),
         ..Receiver::default()
     };
     let node = Node::new("one", &store, empty);
     node.drain("b");
     let receiver = Arc::clone(&node.receiver);
-    let moved = || receiver.taken("c").filter(|order| order.desired == 2);
+    let moved = || receiver.accepted("c").filter(|order| order.desired == 2);
     node.hold_until(eventually(moved)).await;
 }
 
 #[tokio::test]
-async fn nothing_is_ordered_that_the_store_did_not_take() {
+async fn orders_are_sent_only_after_they_are_persisted() {
     let store = MemoryStore::default();
     let node = Node::new("one", &store, Receiver::default());
     let receiver = Arc::clone(&node.receiver);
-    let is_found = || fixed(&store).filter(|text| text.contains("\"found\":2"));
+    let is_found = || persisted(&store).filter(|text| text.contains("\"found\":2"));
     node.hold_until(async {
         eventually(is_found).await;
-        // The lease is renewed; only this record cannot be written.
+        // The lease can be renewed; only this record cannot be written.
         store.set_faults(
             "one",
             NodeFaults {
-                refused_prefixes: BTreeSet::from([WANTED.to_owned()]),
+                refused_prefixes: BTreeSet::from([DESIRED_CAPACITY_KEY.to_owned()]),
                 ..NodeFaults::default()
             },
         );
         node.drain("b");
-        tokio::time::sleep(SOME_LOOKS).await;
+        tokio::time::sleep(SEVERAL_CHECKS).await;
         assert!(receiver.orders().is_empty());
         store.set_faults("one", NodeFaults::default());
-        eventually(|| receiver.taken("a")).await;
+        eventually(|| receiver.accepted("a")).await;
     })
     .await;
-    assert!(fixed(&store).unwrap().contains("\"extra\":1"));
+    assert!(persisted(&store).unwrap().contains("\"extra\":1"));
 }
 
 #[tokio::test]
-async fn a_swap_without_an_answer_is_read_again_before_anything_is_sent() {
+async fn a_swap_with_unknown_outcome_is_read_back_before_orders_are_sent() {
     let store = MemoryStore::default();
     let node = Node::new("one", &store, Receiver::default());
     node.drain("b");
@@ -319,63 +325,63 @@
                 ..NodeFaults::default()
             },
         );
-        eventually(|| receiver.taken("a")).await
+        eventually(|| receiver.accepted("a")).await
     };
     let order = node.hold_until(seen).await;
-    let wanted = fixed(&store).unwrap();
-    assert!(wanted.contains("\"extra\":1"), "{wanted}");
+    let stored = persisted(&store).unwrap();
+    assert!(stored.contains("\"extra\":1"), "{stored}");
     assert_eq!(order.desired, 1);
-    assert!(store.calls("one", "get", WANTED) >= 2);
+    assert!(store.calls("one", "get", DESIRED_CAPACITY_KEY) >= 2);
 }
 
 #[tokio::test]
-async fn an_old_listing_orders_nothing() {
+async fn no_orders_are_sent_while_the_instance_list_is_outdated() {
     let store = MemoryStore::default();
     let node = Node::new("one", &store, Receiver::default());
-    node.duty.view.mark_unavailable();
+    node.controller.view.mark_unavailable();
     node.drain("b");
     let receiver = Arc::clone(&node.receiver);
     node.hold_until(async {
-        eventually(|| (store.calls("one", "get", WANTED) > 0).then_some(())).await;
-        // Longer than counts must be known before they are used.
+        eventually(|| (store.calls("one", "get", DESIRED_CAPACITY_KEY) > 0).then_some(())).await;
+        // Exceeds every grace period of the planner.
         tokio::time::sleep(Duration::from_secs(4)).await;
         assert!(receiver.orders().is_empty());
-        assert_eq!(fixed(&store), None);
-        node.duty.view.set_known(2);
-        eventually(|| receiver.taken("a")).await;
+        assert_eq!(persisted(&store), None);
+        node.controller.view.set_known(2);
+        eventually(|| receiver.accepted("a")).await;
     })
     .await;
 }
 
 #[tokio::test]
-async fn a_new_holder_waits_for_its_turn_although_the_last_one_told_its_end() {
+async fn an_announced_end_does_not_shorten_the_quiet_period_of_capacity_orders() {
     let store = MemoryStore::default();
     let first = Node::new("one", &store, Receiver::default());
     first.drain("b");
     first
-        .hold_until(eventually(|| first.receiver.taken("a")))
+        .hold_until(eventually(|| first.receiver.accepted("a")))
         .await;
     let mut second = Node::new("two", &store, Receiver::default());
-    second.duty.quiet_period = Duration::from_secs(3_600);
+    second.controller.quiet_period = Duration::from_secs(3_600);
     second.drain("c");
-    let before = fixed(&store);
+    let before = persisted(&store);
     second
         .hold_until(async {
-            // What is lost is written down meanwhile.
-            eventually(|| (fixed(&store) != before).then_some(())).await;
-            tokio::time::sleep(SOME_LOOKS).await;
+            // Losses are persisted during the quiet period.
+            eventually(|| (persisted(&store) != before).then_some(())).await;
+            tokio::time::sleep(SEVERAL_CHECKS).await;
         })
         .await;
     assert!(second.receiver.orders().is_empty());
 }
 
 #[tokio::test]
-async fn without_bounds_the_store_is_not_called() {
+async fn the_store_is_not_called_without_scaling_bounds() {
     let store = MemoryStore::default();
     let mut node = Node::new("one", &store, Receiver::default());
-    node.duty.config = config(false);
+    node.controller.config = config(false);
     node.drain("b");
-    node.hold_until(tokio::time::sleep(SOME_LOOKS)).await;
-    assert_eq!(store.calls("one", "get", WANTED), 0);
+    node.hold_until(tokio::time::sleep(SEVERAL_CHECKS)).await;
+    assert_eq!(store.calls("one", "get", DESIRED_CAPACITY_KEY), 0);
     assert!(node.receiver.orders().is_empty());
 }
--- a/crates/front/tests/homes.rs
+++ b/crates/front/tests/homes.rs
@@ -1,8 +1,8 @@
-//! Which front is to own a step.
+//! Choice of the preferred owner of a step.
 
 use std::collections::BTreeSet;
 
-use ladderstage_front::job::{home, home_in_region};
+use ladderstage_front::job::{preferred_owner, preferred_owner_in_region};
 use ladderstage_front::nodes::{FormatLevel, NodeRecord, NodeRole};
 use ladderstage_front::region::Distance;
 use proptest::prelude::*;
@@ -23,9 +23,9 @@
 }
 
 #[test]
-fn fronts_of_one_strength_keep_what_they_are_handed() {
+fn equally_strong_fronts_keep_the_steps_they_receive() {
     let fronts = [front("a", "z", 250), front("b", "z", 250)];
-    assert_eq!(home(&fronts[0], &fronts, "m", 0), None);
+    assert_eq!(preferred_owner(&fronts[0], &fronts, "m", 0), None);
 }
 
 #[test]
@@ -34,12 +34,18 @@
     let far = front("far", "y", 900);
     let weak = front("weak", "z", 120);
     let fronts = [strong.clone(), far.clone(), weak.clone()];
-    assert_eq!(home(&weak, &fronts, "m", 0).as_deref(), Some("strong"));
+    assert_eq!(
+        preferred_owner(&weak, &fronts, "m", 0).as_deref(),
+        Some("strong")
+    );
     strong.is_leaving = true;
-    assert_eq!(home(&weak, &[strong, far, weak.clone()], "m", 0), None);
+    assert_eq!(
+        preferred_owner(&weak, &[strong, far, weak.clone()], "m", 0),
+        None
+    );
 }
 
-/// A trainer and the owner of its steps are in one region as long as that has a strong front.
+/// The owner of a step stays in the region of its trainer while a strong front is there.
 #[test]
 fn without_a_strong_front_in_the_zone_a_step_goes_to_one_of_the_region() {
     let weak = front("weak", "east-1", 120);
@@ -53,13 +59,14 @@
             Distance::Elsewhere
         }
     };
-    let home_of = |fronts: &[NodeRecord]| home_in_region(&weak, fronts, "m", 0, distance);
+    let preferred_owner_of =
+        |fronts: &[NodeRecord]| preferred_owner_in_region(&weak, fronts, "m", 0, distance);
     let all = [weak.clone(), near.clone(), far.clone()];
-    assert_eq!(home_of(&all).as_deref(), Some("near"));
-    assert_eq!(home_of(&[weak.clone(), far]), None);
+    assert_eq!(preferred_owner_of(&all).as_deref(), Some("near"));
+    assert_eq!(preferred_owner_of(&[weak.clone(), far]), None);
     let in_zone = front("in-zone", "east-1", 500);
     assert_eq!(
-        home_of(&[weak.clone(), near, in_zone]).as_deref(),
+        preferred_owner_of(&[weak.clone(), near, in_zone]).as_deref(),
         Some("in-zone")
     );
 }
@@ -68,7 +75,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn the_steps_of_a_model_go_round_whichever_weak_front_is_met(
+    fn steps_of_a_model_rotate_regardless_of_the_receiving_front(
         strong in 1usize..6,
         model in "[a-z]{1,8}",
         first in 0u64..1_000,
@@ -76,12 +83,12 @@
         let mut fronts: Vec<_> = (0..strong).map(|index| front(&format!("s{index}"), "z", 500)).collect();
         let weak = [front("w0", "z", 120), front("w1", "z", 120)];
         fronts.extend(weak.clone());
-        let mut homes = BTreeSet::new();
+        let mut owners = BTreeSet::new();
         for step in first..first + strong as u64 {
-            let met = home(&weak[0], &fronts, &model, step);
-            prop_assert_eq!(&met, &home(&weak[1], &fronts, &model, step));
-            homes.insert(met.unwrap());
+            let owner = preferred_owner(&weak[0], &fronts, &model, step);
+            prop_assert_eq!(&owner, &preferred_owner(&weak[1], &fronts, &model, step));
+            owners.insert(owner.unwrap());
         }
-        prop_assert_eq!(homes.len(), strong);
+        prop_assert_eq!(owners.len(), strong);
     }
 }
