--- a/crates/front/src/backend/instance.rs
+++ b/crates/front/src/backend/instance.rs
@@ -1,4 +1,4 @@
-//! One instance of a service.
+//! State of one instance of a service and the connections to it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,53 +12,55 @@
 use tokio::sync::watch;
 
 use super::choice::Candidate;
-use super::cold::{ColdLimit, ColdState, SendShare, SendTicket, Warmth};
-use super::connection::Connections;
+use super::cold::{ColdLimit, ColdState, ColdStatus, SendBudget, SendTicket};
+use super::connection::ConnectionPool;
 use super::gate::{HoldReason, SendGates};
 
-/// How long a load that the instance told counts.
-const LOAD_TRUST: Duration = Duration::from_millis(500);
+/// Maximum age of a reported load.
+const LOAD_MAX_AGE: Duration = Duration::from_millis(500);
 
-/// Weight of a new pace against the known one.
-const PACE_WEIGHT: f64 = 0.25;
+/// Weight of a new measurement in the moving average of the unit time.
+const UNIT_TIME_WEIGHT: f64 = 0.25;
 
-/// How long a pace counts without a newer one.
-const PACE_TRUST: Duration = Duration::from_secs(10);
+/// Maximum age of a measured unit time.
+const UNIT_TIME_MAX_AGE: Duration = Duration::from_secs(10);
 
-/// First pause after a failure; doubles with each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
+/// Pause after the first failure; doubles with each further one.
+const INITIAL_PAUSE: Duration = Duration::from_millis(250);
 
-/// Longest pause after failures.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+/// Maximum pause after failures.
+const MAX_PAUSE: Duration = Duration::from_secs(2);
 
-/// Pause for a model whose weights are being loaded, unless the instance is heard to have them earlier.
+/// Pause for a model whose weights are being loaded, unless the instance reports them earlier.
 pub const LOADING_PAUSE: Duration = Duration::from_millis(150);
 
-/// An instance as discovery tells of it.
+/// An instance as described by its discovery record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DiscoveredInstance {
-    /// Its id.
+    /// Id of the instance, which a later incarnation may reuse.
     pub id: String,
-    /// Service that it belongs to.
+    /// Name of its service.
     pub service: String,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Zone it runs in.
+    /// Zone that it runs in.
     pub zone: String,
-    /// It takes new work.
+    /// True if it accepts new work.
     pub is_ready: bool,
-    /// Requests that it runs side by side.
+    /// Number of requests that run concurrently.
     pub slots: u32,
-    /// When this start of it began, in milliseconds since the epoch by its own clock; 0: unknown. The id may come back with a later one.
+    /// Start of this incarnation in milliseconds since the epoch by the instance's clock; 0 if
+    /// unknown.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub started_unix_ms: u64,
-    /// How much longer it bears few requests after its start, in milliseconds as of the record; 0: it bears all that it has slots for.
+    /// Remaining time in milliseconds, as of the record, in which it handles few requests; 0 if it
+    /// is not cold.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub cold_ms: u64,
-    /// It may be taken away at short notice, with all such instances of its zone.
+    /// True if it may be withdrawn at short notice, with all such instances of its zone.
     #[serde(default, skip_serializing_if = "is_false")]
     pub is_preemptible: bool,
-    /// Milliseconds until it is taken away as of the record; `None`: not announced.
+    /// Milliseconds until it is withdrawn, as of the record; `None` if not announced.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub leaves_ms: Option<u64>,
     /// Weight versions by model.
@@ -75,8 +77,8 @@
 }
 
 impl DiscoveredInstance {
-    /// Whether another word about the instance tells the same, weights left out.
-    pub fn is_same_without_weights(&self, other: &Self) -> bool {
+    /// Compares two records without weights and without the exact remaining times.
+    pub fn equals_ignoring_weights(&self, other: &Self) -> bool {
         let Self {
             id,
             service,
@@ -97,373 +99,377 @@
             && *is_ready == other.is_ready
             && *slots == other.slots
             && *started_unix_ms == other.started_unix_ms
-            // How much longer differs with each word.
+            // The remaining time differs in each record.
             && (*cold_ms == 0) == (other.cold_ms == 0)
             && *is_preemptible == other.is_preemptible
             && leaves_ms.is_none() == other.leaves_ms.is_none()
     }
 }
 
-/// Load that an instance told with an answer.
+/// Load that an instance reported with a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Load {
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// Requests that it runs side by side.
+    /// Number of requests that run concurrently.
     pub slots: u32,
 }
 
 #[derive(Debug)]
-struct Known {
+struct InstanceState {
     discovered: DiscoveredInstance,
-    /// Load of others: what was told less own requests then, and when.
-    others: Option<(u32, Instant)>,
-    pace: Option<(f64, Instant)>,
+    /// Load from other nodes, which is the reported load less own requests, and when it was
+    /// reported.
+    other_load: Option<(u32, Instant)>,
+    unit_time: Option<(f64, Instant)>,
     failures: u32,
     paused_until: Option<Instant>,
     loading_until: BTreeMap<String, Instant>,
     cold: ColdState,
-    share: SendShare,
+    budget: SendBudget,
 }
 
-/// One instance: what is known of it, and the connections to it.
+/// One incarnation of an instance: its state and its connections.
 #[derive(Debug)]
 pub struct Instance {
     id: String,
     started_unix_ms: u64,
     address: SocketAddr,
-    connections: Connections,
+    connections: ConnectionPool,
     in_flight: AtomicU32,
     gates: SendGates,
-    known: Mutex<Known>,
-    /// A later start of it is known.
+    state: Mutex<InstanceState>,
+    /// True once a later incarnation is known.
     has_ended: watch::Sender<bool>,
 }
 
-impl Known {
+impl InstanceState {
     fn recent_unit_time_ms(&self, now: Instant) -> Option<f64> {
-        let (pace, at) = self.pace?;
-        (now.saturating_duration_since(at) < PACE_TRUST).then_some(pace)
+        let (unit_time, at) = self.unit_time?;
+        (now.saturating_duration_since(at) < UNIT_TIME_MAX_AGE).then_some(unit_time)
     }
 }
 
-/// Why an instance whose limit is reached gets no request.
-fn hold_reason(warmth: Warmth) -> HoldReason {
-    match warmth {
-        Warmth::Warm => HoldReason::SendRate,
-        Warmth::Doubtful | Warmth::Cold => HoldReason::Cold,
+/// Returns the reason to hold requests back from an instance whose limit is reached.
+fn hold_reason(cold_status: ColdStatus) -> HoldReason {
+    match cold_status {
+        ColdStatus::Warm => HoldReason::SendRate,
+        ColdStatus::Uncertain | ColdStatus::Cold => HoldReason::Cold,
     }
 }
 
-/// Counts a request at the instance until it is dropped.
+/// Counts a request as in flight until dropped.
 #[derive(Debug)]
-pub struct RunGuard {
+pub struct InFlightGuard {
     instance: Arc<Instance>,
 }
 
-impl Drop for RunGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.instance.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 impl Instance {
-    /// A newly discovered instance that gets requests as the gates allow.
+    /// Creates an instance from its discovery record.
     pub fn new(discovered: DiscoveredInstance, gates: SendGates) -> Self {
         let mut cold = ColdState::default();
-        cold.told(Duration::from_millis(discovered.cold_ms), Instant::now());
+        cold.record_cold_time(Duration::from_millis(discovered.cold_ms), Instant::now());
         Self {
             id: discovered.id.clone(),
             started_unix_ms: discovered.started_unix_ms,
             address: discovered.address,
             has_ended: watch::Sender::new(false),
-            connections: Connections::new(discovered.address),
+            connections: ConnectionPool::new(discovered.address),
             in_flight: AtomicU32::new(0),
             gates,
-            known: Mutex::new(Known {
+            state: Mutex::new(InstanceState {
                 discovered,
-                others: None,
-                pace: None,
+                other_load: None,
+                unit_time: None,
                 failures: 0,
                 paused_until: None,
                 loading_until: BTreeMap::new(),
                 cold,
-                share: SendShare::default(),
+                budget: SendBudget::default(),
             }),
         }
     }
 
-    /// Its id.
+    /// Returns its id.
     pub fn id(&self) -> &str {
         &self.id
     }
 
-    /// Name of this start of the instance, the same at all nodes: an id may come back with a later start.
-    pub fn start_name(&self) -> String {
+    /// Returns the name of this incarnation, which is the same at all nodes.
+    pub fn incarnation_name(&self) -> String {
         format!("{}@{}", self.id, self.started_unix_ms)
     }
 
-    /// When it started, in milliseconds since the epoch by its own clock; 0: unknown.
+    /// Returns its start in milliseconds since the epoch by its own clock; 0 if unknown.
     pub fn started_unix_ms(&self) -> u64 {
         self.started_unix_ms
     }
 
-    /// Whether a word about the start at `started_unix_ms` is about this one; 0: unknown, as from instances that do not tell.
+    /// Returns whether a report about the incarnation started at `started_unix_ms` is about this
+    /// one. A start of 0 is unknown and matches any.
     pub fn matches_incarnation(&self, started_unix_ms: u64) -> bool {
         started_unix_ms == 0 || self.started_unix_ms == 0 || started_unix_ms == self.started_unix_ms
     }
 
-    /// Notes that a later start of it is known: whatever runs here has ended.
-    pub fn note_ended(&self) {
+    /// Records that a later incarnation is known, so that the runs here have ended.
+    pub fn mark_ended(&self) {
         self.connections.close_idle();
         self.has_ended.send_replace(true);
     }
 
-    /// Whether a later start of it is known.
+    /// Returns whether a later incarnation is known.
     pub fn has_ended(&self) -> bool {
         *self.has_ended.borrow()
     }
 
-    /// Returns once a later start of it is known.
-    pub async fn ended(&self) {
+    /// Waits until a later incarnation is known.
+    pub async fn wait_until_ended(&self) {
         let mut has_ended = self.has_ended.subscribe();
-        // The sender lives as long as this instance.
+        // The sender lives as long as `self`.
         let _ = has_ended.wait_for(|has_ended| *has_ended).await;
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Connections to it.
-    pub fn connections(&self) -> &Connections {
+    /// Returns its connection pool.
+    pub fn connections(&self) -> &ConnectionPool {
         &self.connections
     }
 
-    /// What discovery told last; how much longer it is cold is as of now.
+    /// Returns the last discovery record with the remaining cold time as of now.
     pub fn discovered(&self) -> DiscoveredInstance {
-        let known = self.lock();
-        let cold = known.cold.remaining(Instant::now());
+        let state = self.lock();
+        let cold = state.cold.remaining(Instant::now());
         DiscoveredInstance {
             cold_ms: cold.as_millis() as u64,
-            ..known.discovered.clone()
+            ..state.discovered.clone()
         }
     }
 
-    /// Whether it belongs to a service.
-    pub fn is_of(&self, service: &str) -> bool {
+    /// Returns whether it belongs to a service.
+    pub fn belongs_to(&self, service: &str) -> bool {
         self.lock().discovered.service == service
     }
 
-    /// Zone it runs in.
+    /// Returns the zone that it runs in.
     pub fn zone(&self) -> String {
         self.lock().discovered.zone.clone()
     }
 
-    /// Whether it takes new work, as discovery told last.
+    /// Returns whether it accepts new work by its last discovery record.
     pub fn is_ready(&self) -> bool {
         self.lock().discovered.is_ready
     }
 
-    /// Weight versions that it has, by model.
+    /// Returns its weight versions by model.
     pub fn versions(&self) -> BTreeMap<String, u64> {
         self.lock().discovered.versions.clone()
     }
 
-    /// Takes what discovery tells now. Weight versions only rise within one start.
+    /// Applies a discovery record. Weight versions never decrease within an incarnation.
     pub fn update(&self, mut discovered: DiscoveredInstance) {
-        let mut known = self.lock();
-        for (model, version) in &known.discovered.versions {
+        let mut state = self.lock();
+        for (model, version) in &state.discovered.versions {
             let newer = discovered.versions.entry(model.clone()).or_insert(0);
             *newer = (*newer).max(*version);
         }
         let (cold, now) = (Duration::from_millis(discovered.cold_ms), Instant::now());
-        if !cold.is_zero() && known.cold.remaining(now).is_zero() {
+        if !cold.is_zero() && state.cold.remaining(now).is_zero() {
             log::info!(
                 "event=instance_cold instance={} remaining_ms={}",
                 self.id,
                 cold.as_millis()
             );
         }
-        known.cold.told(cold, now);
-        known.discovered = discovered;
+        state.cold.record_cold_time(cold, now);
+        state.discovered = discovered;
     }
 
-    /// Weight version of a model as last heard; 0: none.
+    /// Returns the last reported weight version of a model, 0 if none.
     pub fn version(&self, model: &str) -> u64 {
-        let known = self.lock();
-        known.discovered.versions.get(model).copied().unwrap_or(0)
+        let state = self.lock();
+        state.discovered.versions.get(model).copied().unwrap_or(0)
     }
 
-    /// Notes a weight version that the instance told.
+    /// Records a weight version that the instance reported.
     pub fn record_version(&self, model: &str, version: u64) {
-        let mut known = self.lock();
-        let versions = &mut known.discovered.versions;
+        let mut state = self.lock();
+        let versions = &mut state.discovered.versions;
         let entry = versions.entry(model.to_owned()).or_insert(0);
         if version > *entry {
             *entry = version;
-            known.loading_until.remove(model);
+            state.loading_until.remove(model);
         }
     }
 
-    /// Counts one more request until the guard is dropped.
-    pub fn track_request(self: &Arc<Self>) -> RunGuard {
+    /// Counts a request as in flight until the guard is dropped.
+    pub fn track_request(self: &Arc<Self>) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
-        RunGuard {
+        InFlightGuard {
             instance: Arc::clone(self),
         }
     }
 
-    /// Own requests there now.
+    /// Returns the number of own requests in flight.
     pub fn in_flight(&self) -> u32 {
         self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Notes the load that came with an answer.
-    pub fn note_load(&self, load: Load, now: Instant) {
+    /// Records the load that came with a response.
+    pub fn record_load(&self, load: Load, now: Instant) {
         let own = self.in_flight();
-        let others = (load.running + load.waiting).saturating_sub(own);
-        self.lock().others = Some((others, now));
+        let other_load = (load.running + load.waiting).saturating_sub(own);
+        self.lock().other_load = Some((other_load, now));
     }
 
-    /// Notes the time that one unit of work took, in milliseconds.
+    /// Records the time that one unit of work took, in milliseconds.
     pub fn record_unit_time(&self, unit_time_ms: f64, now: Instant) {
-        let mut known = self.lock();
-        let pace = match known.pace {
-            Some((pace, at)) if now.saturating_duration_since(at) < PACE_TRUST => {
-                pace + (unit_time_ms - pace) * PACE_WEIGHT
+        let mut state = self.lock();
+        let unit_time = match state.unit_time {
+            Some((unit_time, at)) if now.saturating_duration_since(at) < UNIT_TIME_MAX_AGE => {
+                unit_time + (unit_time_ms - unit_time) * UNIT_TIME_WEIGHT
             }
             _ => unit_time_ms,
         };
-        known.pace = Some((pace, now));
+        state.unit_time = Some((unit_time, now));
     }
 
-    /// Notes a whole answer.
+    /// Records a complete response, which ends the pause after failures.
     pub fn record_success(&self) {
-        let mut known = self.lock();
-        known.failures = 0;
-        known.paused_until = None;
+        let mut state = self.lock();
+        state.failures = 0;
+        state.paused_until = None;
     }
 
-    /// Notes that no answer came, or a broken one: the instance gets a pause that grows.
+    /// Records a missing or broken response and pauses the instance, for longer with each failure.
     pub fn record_failure(&self, now: Instant) {
-        let mut known = self.lock();
-        let factor = 1u32 << known.failures.min(8);
-        known.failures += 1;
-        let pause = (FIRST_PAUSE * factor).min(LONGEST_PAUSE);
-        known.paused_until = Some(now + pause);
-        // It may have ended, and come back before discovery tells.
-        let is_news = known.cold.disconnected();
-        if is_news && self.gates.cold.get(&known.discovered.service).is_some() {
+        let mut state = self.lock();
+        let factor = 1u32 << state.failures.min(8);
+        state.failures += 1;
+        let pause = (INITIAL_PAUSE * factor).min(MAX_PAUSE);
+        state.paused_until = Some(now + pause);
+        // It may have restarted before discovery reports it.
+        let is_changed = state.cold.record_disconnect();
+        if is_changed && self.gates.cold.get(&state.discovered.service).is_some() {
             log::info!("event=instance_maybe_cold instance={}", self.id);
         }
     }
 
-    /// Notes that it answers: it runs, also if it failed before.
-    pub fn note_answer(&self, now: Instant) {
-        let mut known = self.lock();
-        let limit = self.gates.cold.get(&known.discovered.service);
+    /// Records that the instance responds, also after a failure.
+    pub fn record_response(&self, now: Instant) {
+        let mut state = self.lock();
+        let limit = self.gates.cold.get(&state.discovered.service);
         let time = limit.map_or(Duration::ZERO, |limit| limit.time);
-        known.cold.answered(now, time);
+        state.cold.record_reconnect(now, time);
     }
 
-    /// Notes that it may have turned cold just now without a word of it.
-    pub fn suspect_cold(&self, now: Instant) {
-        let mut known = self.lock();
-        if let Some(limit) = self.gates.cold.get(&known.discovered.service) {
-            known.cold.suspected(now, limit.time);
+    /// Records that it may have just become cold without reporting it.
+    pub fn mark_possibly_cold(&self, now: Instant) {
+        let mut state = self.lock();
+        if let Some(limit) = self.gates.cold.get(&state.discovered.service) {
+            state.cold.mark_uncertain(now, limit.time);
         }
     }
 
-    /// Takes permits to send requests to it while it is cold, good until `until`.
+    /// Adds permits, valid until `until`, to send requests while it is cold.
     pub fn add_permits(&self, count: u32, until: Instant) {
-        self.lock().share.add_permits(count, until);
+        self.lock().budget.add_permits(count, until);
     }
 
-    /// Notes that a model cannot be used there for a moment.
+    /// Marks a model as unavailable until `until`.
     pub fn mark_loading(&self, model: &str, until: Instant) {
         self.lock().loading_until.insert(model.to_owned(), until);
     }
 
-    /// Whether it may be chosen for a request now.
+    /// Checks whether it may be chosen for a request now.
     ///
     /// # Errors
-    /// Why it is to get none.
-    pub fn may_send(&self, now: Instant) -> Result<(), HoldReason> {
-        let mut known = self.lock();
-        let Some(limit) = self.send_limit(&known)? else {
+    /// Returns the reason if it may not.
+    pub fn check_send(&self, now: Instant) -> Result<(), HoldReason> {
+        let mut state = self.lock();
+        let Some(limit) = self.cold_limit(&state)? else {
             return Ok(());
         };
-        let warmth = self.warmth(&known, &limit, now);
-        if known.share.has_room(warmth, &limit, now) {
+        let cold_status = self.cold_status(&state, &limit, now);
+        if state.budget.has_capacity(cold_status, &limit, now) {
             Ok(())
         } else {
-            Err(hold_reason(warmth))
+            Err(hold_reason(cold_status))
         }
     }
 
-    /// Whether drains let a request be sent to its zone.
+    /// Checks whether its zone is drained.
     ///
     /// # Errors
-    /// Why it is to get none.
+    /// Returns the reason if requests must not be sent there.
     pub fn check_drain(&self) -> Result<(), HoldReason> {
-        let known = self.lock();
-        self.gates.drained.may_send_to(&known.discovered.zone)
+        let state = self.lock();
+        self.gates.drained.may_send_to(&state.discovered.zone)
     }
 
-    /// Notes that it was chosen for a request, which is sent soon or not at all.
+    /// Reserves capacity for a request that is about to be sent.
     pub fn reserve_send(&self, now: Instant) {
-        let mut known = self.lock();
-        if let Ok(Some(_)) = self.send_limit(&known) {
-            known.share.reserve(now);
+        let mut state = self.lock();
+        if let Ok(Some(_)) = self.cold_limit(&state) {
+            state.budget.reserve(now);
         }
     }
 
-    /// Takes the right to send one request now, which uses up a permit if one is needed; `None` where no limit is in force.
+    /// Acquires the right to send one request now, which consumes a permit if one is needed. `None`
+    /// if no limit applies.
     ///
     /// # Errors
-    /// Why it is to get none.
-    pub fn take_send(&self, now: Instant) -> Result<Option<SendTicket>, HoldReason> {
-        let mut known = self.lock();
-        let Some(limit) = self.send_limit(&known)? else {
+    /// Returns the reason if no request may be sent.
+    pub fn acquire_send(&self, now: Instant) -> Result<Option<SendTicket>, HoldReason> {
+        let mut state = self.lock();
+        let Some(limit) = self.cold_limit(&state)? else {
             return Ok(None);
         };
-        let warmth = self.warmth(&known, &limit, now);
-        let ticket = known.share.take(warmth, &limit, now);
-        ticket.map(Some).ok_or(hold_reason(warmth))
+        let cold_status = self.cold_status(&state, &limit, now);
+        let ticket = state.budget.acquire(cold_status, &limit, now);
+        ticket.map(Some).ok_or(hold_reason(cold_status))
     }
 
-    /// Takes back the right to send a request that was not sent.
-    pub fn give_back_send(&self, ticket: Option<SendTicket>) {
+    /// Releases the right to send a request that was not sent.
+    pub fn release_send(&self, ticket: Option<SendTicket>) {
         if let Some(ticket) = ticket {
-            self.lock().share.give_back(ticket);
+            self.lock().budget.release(ticket);
         }
     }
 
-    /// How it is to be treated. It may have turned cold while its zone was drained, and its record may say so only later.
-    fn warmth(&self, known: &Known, limit: &ColdLimit, now: Instant) -> Warmth {
-        let drain_ended = self.gates.drained.ended_at(&known.discovered.zone);
-        let is_just_back =
+    /// Returns its cold status. It counts as uncertain for a while after a drain, as it may have
+    /// become cold meanwhile and its record may be late.
+    fn cold_status(&self, state: &InstanceState, limit: &ColdLimit, now: Instant) -> ColdStatus {
+        let drain_ended = self.gates.drained.ended_at(&state.discovered.zone);
+        let is_recently_undrained =
             drain_ended.is_some_and(|at| now.saturating_duration_since(at) < limit.time);
-        match known.cold.warmth(now) {
-            Warmth::Warm if is_just_back => Warmth::Doubtful,
-            warmth => warmth,
+        match state.cold.cold_status(now) {
+            ColdStatus::Warm if is_recently_undrained => ColdStatus::Uncertain,
+            cold_status => cold_status,
         }
     }
 
-    /// The limit of the requests to it; `None`: there is none.
-    fn send_limit(&self, known: &Known) -> Result<Option<ColdLimit>, HoldReason> {
-        self.gates.drained.may_send_to(&known.discovered.zone)?;
-        Ok(self.gates.cold.get(&known.discovered.service))
+    /// Returns the limit for its requests, `None` if there is none.
+    fn cold_limit(&self, state: &InstanceState) -> Result<Option<ColdLimit>, HoldReason> {
+        self.gates.drained.may_send_to(&state.discovered.zone)?;
+        Ok(self.gates.cold.get(&state.discovered.service))
     }
 
-    /// Whether a request that may be served in these regions may be sent to it.
+    /// Checks whether it is in an allowed region.
     ///
     /// # Errors
-    /// It lies in another one.
+    /// `OtherRegion` if it is not.
     pub fn check_region(&self, allowed: &AllowedRegions) -> Result<(), HoldReason> {
         if self.is_within(allowed) {
             Ok(())
@@ -472,64 +478,64 @@
         }
     }
 
-    /// Whether it lies in an allowed region.
+    /// Returns whether it is in an allowed region.
     pub fn is_within(&self, allowed: &AllowedRegions) -> bool {
         let locality = &self.gates.locality;
         allowed.is_all() || locality.is_within(&self.lock().discovered.zone, allowed)
     }
 
-    /// How far it is from this node.
+    /// Returns its distance from this node.
     pub fn distance(&self) -> Distance {
         self.gates
             .locality
             .distance_to(&self.lock().discovered.zone)
     }
 
-    /// Whether the instance takes new work for `model` (empty: any) now.
+    /// Returns whether it accepts new work for `model` (empty for any) now.
     pub fn is_usable(&self, model: &str, now: Instant) -> bool {
-        let known = self.lock();
-        let is_loading = known
+        let state = self.lock();
+        let is_loading = state
             .loading_until
             .get(model)
             .is_some_and(|until| *until > now);
-        let is_paused = known.paused_until.is_some_and(|until| until > now);
-        known.discovered.is_ready && !is_loading && !is_paused
+        let is_paused = state.paused_until.is_some_and(|until| until > now);
+        state.discovered.is_ready && !is_loading && !is_paused
     }
 
-    /// What the choice is made from.
+    /// Returns the state that a choice is based on.
     pub fn candidate(&self, zone: &str, now: Instant) -> Candidate {
-        let known = self.lock();
-        let fresh = |at: Instant| now.saturating_duration_since(at) < LOAD_TRUST;
-        let others = known
-            .others
-            .filter(|(_, at)| fresh(*at))
+        let state = self.lock();
+        let is_fresh = |at: Instant| now.saturating_duration_since(at) < LOAD_MAX_AGE;
+        let other_load = state
+            .other_load
+            .filter(|(_, at)| is_fresh(*at))
             .map_or(0, |(load, _)| load);
         Candidate {
-            load: self.in_flight() + others,
-            slots: known.discovered.slots,
+            load: self.in_flight() + other_load,
+            slots: state.discovered.slots,
             distance: self
                 .gates
                 .locality
                 .regions
-                .between_zones(zone, &known.discovered.zone),
+                .between_zones(zone, &state.discovered.zone),
             round_trip_ms: self.connections.round_trip_ms(),
-            unit_time_ms: known.recent_unit_time_ms(now),
+            unit_time_ms: state.recent_unit_time_ms(now),
         }
     }
 
-    /// Whether, by what is known, one more request would run at once, the one that asks left out.
+    /// Returns whether the caller's request, which is already counted, has a slot.
     pub fn has_free_slot(&self) -> bool {
         let candidate = self.candidate("", Instant::now());
         candidate.load <= candidate.slots
     }
 
-    /// Recent milliseconds per unit of work; `None` while unknown.
+    /// Returns the recent milliseconds per unit of work, `None` if unknown.
     pub fn recent_unit_time_ms(&self) -> Option<f64> {
         self.lock().recent_unit_time_ms(Instant::now())
     }
 
-    fn lock(&self) -> MutexGuard<'_, Known> {
-        self.known
+    fn lock(&self) -> MutexGuard<'_, InstanceState> {
+        self.state
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
--- a/crates/front/src/capacity/planner.rs
+++ b/crates/front/src/capacity/planner.rs
@@ -1,4 +1,5 @@
-//! What is wanted, from what is there: whatever a service lost in one zone is placed in others until it is back.
+//! Plans the desired capacity: replaces instances that a service lost in one zone by instances in
+//! others until they return.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -6,142 +7,152 @@
 
 use ladderstage_clock::Instant;
 
-use super::counts::{InstanceKind, Present, InstancePool, count};
+use super::counts::{InstanceKind, InstancePool, PresentInstances, count_instances};
+use super::desired::{DesiredCapacity, DesiredCount};
 use super::losses::{LossReason, Losses};
-use super::outbox::LATE_TIME;
-use super::placement::{Offer, Placed, place};
-use super::wanted::{CountWanted, WantedCapacity};
+use super::outbox::LATE_EXECUTION_WINDOW;
+use super::placement::{Placement, ZoneOffer, place};
 use crate::backend::DiscoveredInstance;
 use crate::config::{ScalingSpec, ServiceSpec};
 
-/// Instances beyond those that were found count as the service's own once they have been there for so long: while instances are replaced
-/// one by one, there is one more for a short time.
-pub const ADOPTION_TIME: Duration = Duration::from_secs(5);
+/// Time after which additional instances count as found. A rolling replacement runs one additional
+/// instance for less than this.
+pub const ADOPTION_DELAY: Duration = Duration::from_secs(5);
 
-/// Replacements are given back once they have not been needed for so long: instances that return are slow at first, and may be lost again
-/// soon.
-pub const GIVE_BACK_TIME: Duration = Duration::from_secs(10);
+/// Time for which replacements stay after they are last needed. Returning instances are slow at
+/// first and may be lost again.
+pub const RELEASE_DELAY: Duration = Duration::from_secs(10);
 
-/// How long a zone without capacity, or whose instances are being taken away, is left out.
-pub const REFUSAL_TIME: Duration = Duration::from_secs(2);
+/// Time for which a pool without available capacity, or with reclaimed instances, is skipped.
+pub const UNAVAILABLE_PAUSE: Duration = Duration::from_secs(2);
 
-/// What the plan is made from.
+/// Input of one planning round.
 #[derive(Debug, Clone, Copy)]
-pub struct FleetNow<'a> {
+pub struct FleetState<'a> {
     /// Services by name.
     pub services: &'a BTreeMap<String, ServiceSpec>,
-    /// All instances that discovery knows.
+    /// All discovered instances.
     pub instances: &'a [DiscoveredInstance],
-    /// Zones that are to be drained.
+    /// Zones that are being drained.
     pub drained: &'a BTreeSet<Arc<str>>,
 }
 
-/// More instances count as lost than before.
+/// Increase in the number of lost instances of a pool.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct LossNews {
-    /// Which.
+pub struct LossUpdate {
+    /// Pool that lost instances.
     pub pool: InstancePool,
-    /// How many are lost now.
+    /// Instances lost now.
     pub lost: u32,
-    /// How many were before.
+    /// Instances lost before.
     pub before: u32,
-    /// Why.
+    /// Reason of the loss.
     pub reason: LossReason,
 }
 
-/// Result of one check of the fleet.
+/// Result of one planning round.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Plan {
-    /// What is wanted from now on; `None`: the same as before.
-    pub wanted: Option<WantedCapacity>,
-    /// What was lost since the last check.
-    pub losses: Vec<LossNews>,
+    /// New desired capacity; `None` if it is unchanged.
+    pub desired_capacity: Option<DesiredCapacity>,
+    /// Losses since the last round.
+    pub losses: Vec<LossUpdate>,
 }
 
-/// Replacements that were not needed lately.
+/// Replacements that are not needed at present.
 #[derive(Debug, Clone, Copy)]
-struct Spare {
-    /// Most that were lost at one time since then.
-    most_lost: u32,
+struct ExcessReplacements {
+    /// Maximum number of instances lost at any time since `since`.
+    max_lost: u32,
     since: Instant,
 }
 
-/// Instances that are there and that no order of ours explains.
+/// Instances that no order of this service accounts for.
 #[derive(Debug, Clone, Copy)]
 struct Surplus {
     count: u32,
     since: Instant,
 }
 
-/// Plans for one holder; keeps what has to be known from one check of the fleet to the next.
+/// Planner of one lease holder, with the state it keeps between rounds.
 #[derive(Debug)]
 pub struct CapacityPlanner {
-    wanted: WantedCapacity,
+    desired_capacity: DesiredCapacity,
     losses: BTreeMap<InstancePool, Losses>,
     surplus: BTreeMap<InstancePool, Surplus>,
-    /// Most instances beyond the found ones that recent orders may bring, and until when these may be carried out.
-    ordered: BTreeMap<InstancePool, (u32, Instant)>,
-    refused_until: BTreeMap<InstancePool, Instant>,
-    /// Preemptible instances that served at the last check.
-    served: BTreeMap<InstancePool, u32>,
-    spare: BTreeMap<Arc<str>, Spare>,
+    /// Maximum number of extra instances that recent orders may bring, and the time until which
+    /// these orders may take effect.
+    max_ordered_until: BTreeMap<InstancePool, (u32, Instant)>,
+    unavailable_until: BTreeMap<InstancePool, Instant>,
+    /// Preemptible instances that were serving in the last round.
+    last_serving: BTreeMap<InstancePool, u32>,
+    excess: BTreeMap<Arc<str>, ExcessReplacements>,
 }
 
 impl CapacityPlanner {
-    /// A planner that goes on with what earlier holders wanted.
-    pub fn new(wanted: WantedCapacity, now: Instant) -> Self {
-        // Orders of an earlier holder may still be carried out.
-        let ordered = wanted.subjects().filter(|(_, count)| count.is_ordered);
-        let ordered = ordered.map(|(pool, _)| (pool, (u32::MAX, now + LATE_TIME)));
+    /// Creates a planner that continues from the capacity that earlier holders persisted.
+    pub fn new(desired_capacity: DesiredCapacity, now: Instant) -> Self {
+        // Orders of an earlier holder may still take effect.
+        let ordered = desired_capacity
+            .pools()
+            .filter(|(_, count)| count.is_ordered);
+        let ordered = ordered.map(|(pool, _)| (pool, (u32::MAX, now + LATE_EXECUTION_WINDOW)));
         Self {
-            ordered: ordered.collect(),
-            wanted,
+            max_ordered_until: ordered.collect(),
+            desired_capacity,
             losses: BTreeMap::new(),
             surplus: BTreeMap::new(),
-            refused_until: BTreeMap::new(),
-            served: BTreeMap::new(),
-            spare: BTreeMap::new(),
+            unavailable_until: BTreeMap::new(),
+            last_serving: BTreeMap::new(),
+            excess: BTreeMap::new(),
         }
     }
 
-    /// What was fixed last.
-    pub fn wanted(&self) -> &WantedCapacity {
-        &self.wanted
+    /// Returns the desired capacity that was persisted last.
+    pub fn desired_capacity(&self) -> &DesiredCapacity {
+        &self.desired_capacity
     }
 
-    /// Notes that it is not known which instances are there. What was counted of missing time starts again, so that records that lapsed
-    /// while the store was away can return first.
-    pub fn note_unknown(&mut self) {
+    /// Discards observations because the fleet is unknown. Restarts the grace periods of missing
+    /// instances, so that records that expired during an outage of the store can return.
+    pub fn discard_observations(&mut self) {
         self.surplus.clear();
-        self.served.clear();
-        self.losses.values_mut().for_each(Losses::note_unknown);
+        self.last_serving.clear();
+        self.losses
+            .values_mut()
+            .for_each(Losses::discard_observations);
     }
 
-    /// Notes that none can be had of a subject now.
-    pub fn note_refused(&mut self, pool: &InstancePool, now: Instant) {
-        self.refused_until
-            .insert(pool.clone(), now + REFUSAL_TIME);
+    /// Marks a pool as having no available capacity for now.
+    pub fn mark_unavailable(&mut self, pool: &InstancePool, now: Instant) {
+        self.unavailable_until
+            .insert(pool.clone(), now + UNAVAILABLE_PAUSE);
     }
 
-    /// Takes what was fixed.
-    pub fn accept(&mut self, wanted: WantedCapacity, now: Instant) {
-        for (pool, count) in wanted.subjects() {
-            let before = self.wanted.get(&pool);
+    /// Applies a persisted capacity.
+    pub fn apply(&mut self, desired_capacity: DesiredCapacity, now: Instant) {
+        for (pool, count) in desired_capacity.pools() {
+            let before = self.desired_capacity.get(&pool);
             if count.extra == before.extra {
                 continue;
             }
-            let most = before.extra.max(count.extra);
-            let (known, until) = self.ordered.get(&pool).copied().unwrap_or((0, now));
-            let most = if now < until { most.max(known) } else { most };
-            self.ordered.insert(pool, (most, now + LATE_TIME));
+            let max = before.extra.max(count.extra);
+            let (known, until) = self
+                .max_ordered_until
+                .get(&pool)
+                .copied()
+                .unwrap_or((0, now));
+            let max = if now < until { max.max(known) } else { max };
+            self.max_ordered_until
+                .insert(pool, (max, now + LATE_EXECUTION_WINDOW));
         }
-        self.wanted = wanted;
+        self.desired_capacity = desired_capacity;
     }
 
-    /// Checks the fleet, and plans what is wanted from now on.
-    pub fn plan(&mut self, fleet: FleetNow, now: Instant) -> Plan {
-        let counts = count(fleet.instances);
-        let mut next = self.wanted.clone();
+    /// Plans the desired capacity for the current fleet.
+    pub fn plan(&mut self, fleet: FleetState, now: Instant) -> Plan {
+        let counts = count_instances(fleet.instances);
+        let mut next = self.desired_capacity.clone();
         let mut losses = Vec::new();
         for (service, spec) in fleet.services {
             if let Some(scaling) = &spec.scaling {
@@ -152,86 +163,97 @@
                     drained: fleet.drained,
                 };
                 self.adopt(&service, &mut next, now);
-                self.look_at_losses(&service, &next, now, &mut losses);
+                self.update_losses(&service, &next, now, &mut losses);
                 self.replace(&service, &mut next, now);
             }
         }
         Plan {
-            wanted: (next != self.wanted).then_some(next),
+            desired_capacity: (next != self.desired_capacity).then_some(next),
             losses,
         }
     }
 
-    /// Subjects that lack preemptible instances, which can only be had again by an order in their own zone.
-    pub fn to_order_again(&self, drained: &BTreeSet<Arc<str>>, now: Instant) -> Vec<InstancePool> {
-        let is_short = |pool: &InstancePool, serving: u32| {
-            serving < self.wanted.get(pool).desired()
+    /// Returns the pools that lack preemptible instances. Only an order in the same zone replaces
+    /// these.
+    pub fn pools_to_reorder(
+        &self,
+        drained: &BTreeSet<Arc<str>>,
+        now: Instant,
+    ) -> Vec<InstancePool> {
+        let is_lacking = |pool: &InstancePool, serving: u32| {
+            serving < self.desired_capacity.get(pool).desired()
                 && !drained.contains(&pool.zone)
-                && !self.is_refused(pool, now)
+                && !self.is_unavailable(pool, now)
         };
-        let short = self.served.iter();
-        short
-            .filter(|(pool, serving)| is_short(pool, **serving))
+        let lacking = self.last_serving.iter();
+        lacking
+            .filter(|(pool, serving)| is_lacking(pool, **serving))
             .map(|(pool, _)| pool.clone())
             .collect()
     }
 
-    fn is_refused(&self, pool: &InstancePool, now: Instant) -> bool {
-        let until = self.refused_until.get(pool);
+    fn is_unavailable(&self, pool: &InstancePool, now: Instant) -> bool {
+        let until = self.unavailable_until.get(pool);
         until.is_some_and(|until| now < *until)
     }
 
-    /// Counts instances that are there without an order of ours as the service's own.
-    fn adopt(&mut self, service: &Service, next: &mut WantedCapacity, now: Instant) {
-        let is_new = !self.wanted.has_service(&service.name);
-        for pool in service.subjects(next) {
-            let wanted = next.get(&pool);
-            let most_ordered = self.most_ordered(&pool, wanted.extra, now);
-            let own = service.present(&pool).serving;
-            let own = own.saturating_sub(most_ordered);
-            if own <= wanted.found {
+    /// Counts instances that no order accounts for as found once they have stayed long enough.
+    fn adopt(&mut self, service: &Service, next: &mut DesiredCapacity, now: Instant) {
+        let is_new = !self.desired_capacity.has_service(&service.name);
+        for pool in service.pools(next) {
+            let desired_count = next.get(&pool);
+            let max_ordered = self.max_ordered(&pool, desired_count.extra, now);
+            let unordered = service.present(&pool).serving;
+            let unordered = unordered.saturating_sub(max_ordered);
+            if unordered <= desired_count.found {
                 self.surplus.remove(&pool);
                 continue;
             }
             let surplus = self.surplus.entry(pool.clone()).or_insert(Surplus {
-                count: own,
+                count: unordered,
                 since: now,
             });
-            surplus.count = surplus.count.min(own);
-            if is_new || now.saturating_duration_since(surplus.since) >= ADOPTION_TIME {
+            surplus.count = surplus.count.min(unordered);
+            if is_new || now.saturating_duration_since(surplus.since) >= ADOPTION_DELAY {
                 let found = surplus.count;
-                next.set(&pool, CountWanted { found, ..wanted });
+                next.set(
+                    &pool,
+                    DesiredCount {
+                        found,
+                        ..desired_count
+                    },
+                );
                 self.surplus.remove(&pool);
             }
         }
     }
 
-    /// Most instances beyond the found ones that orders of ours may have brought.
-    fn most_ordered(&self, pool: &InstancePool, extra: u32, now: Instant) -> u32 {
-        let ordered = self.ordered.get(pool);
+    /// Returns the maximum number of extra instances that orders may have brought.
+    fn max_ordered(&self, pool: &InstancePool, extra: u32, now: Instant) -> u32 {
+        let ordered = self.max_ordered_until.get(pool);
         let ordered = ordered.filter(|(_, until)| now < *until);
-        ordered.map_or(0, |(most, _)| *most).max(extra)
+        ordered.map_or(0, |(max, _)| *max).max(extra)
     }
 
-    fn look_at_losses(
+    fn update_losses(
         &mut self,
         service: &Service,
-        wanted: &WantedCapacity,
+        desired_capacity: &DesiredCapacity,
         now: Instant,
-        news: &mut Vec<LossNews>,
+        updates: &mut Vec<LossUpdate>,
     ) {
-        for pool in service.subjects(wanted) {
+        for pool in service.pools(desired_capacity) {
             let present = service.present(&pool);
             if pool.kind == InstanceKind::Preemptible {
-                let desired = wanted.get(&pool).desired();
-                news.extend(self.look_for_taken_away(&pool, present, desired, now));
+                let desired = desired_capacity.get(&pool).desired();
+                updates.extend(self.detect_reclaimed(&pool, present, desired, now));
             }
-            let found = wanted.get(&pool).found;
+            let found = desired_capacity.get(&pool).found;
             let is_drained = service.drained.contains(&pool.zone);
             let losses = self.losses.entry(pool.clone()).or_default();
             let before = losses.lost();
-            if let Some(reason) = losses.look(found, present, is_drained, now) {
-                news.push(LossNews {
+            if let Some(reason) = losses.update(found, present, is_drained, now) {
+                updates.push(LossUpdate {
                     pool,
                     lost: losses.lost(),
                     before,
@@ -241,127 +263,135 @@
         }
     }
 
-    /// Preemptible instances of a zone count as taken away if some gave notice or if none is left, also those that were ordered and have
-    /// not started yet. Where some are left and none gave notice, the others crashed.
-    fn look_for_taken_away(
+    /// Detects reclaimed preemptible instances: some announced it, or none is left. All missing
+    /// ones then count as lost, including ordered ones that have not started. If some are left
+    /// without an announcement, the missing ones crashed.
+    fn detect_reclaimed(
         &mut self,
         pool: &InstancePool,
-        present: Present,
+        present: PresentInstances,
         desired: u32,
         now: Instant,
-    ) -> Option<LossNews> {
+    ) -> Option<LossUpdate> {
         let serving = present.serving;
-        let before = self.served.insert(pool.clone(), serving).unwrap_or(0);
+        let before = self.last_serving.insert(pool.clone(), serving).unwrap_or(0);
         let is_none_left = serving == 0 && before > 0 && desired > 0;
-        if !is_none_left && !present.is_taken_back {
+        if !is_none_left && !present.is_being_reclaimed {
             return None;
         }
-        let is_news = !self.is_refused(pool, now) && serving < desired;
-        self.note_refused(pool, now);
-        is_news.then(|| LossNews {
+        let is_new_loss = !self.is_unavailable(pool, now) && serving < desired;
+        self.mark_unavailable(pool, now);
+        is_new_loss.then(|| LossUpdate {
             pool: pool.clone(),
             lost: desired - serving,
             before: 0,
-            reason: LossReason::TakenAway,
+            reason: LossReason::Reclaimed,
         })
     }
 
-    /// Places as many instances as were lost.
-    fn replace(&mut self, service: &Service, next: &mut WantedCapacity, now: Instant) {
-        let subjects = service.subjects(next);
-        let lost: u32 = subjects.iter().map(|pool| self.lost(pool)).sum();
-        let placed = placed(&subjects, next);
+    /// Places as many replacements as there are lost instances.
+    fn replace(&mut self, service: &Service, next: &mut DesiredCapacity, now: Instant) {
+        let pools = service.pools(next);
+        let lost: u32 = pools.iter().map(|pool| self.lost(pool)).sum();
+        let placement = placement(&pools, next);
         let offers = self.offers(service, next, now);
-        let target = self.target(service, lost, placed.values().sum(), now);
-        set_placed(&subjects, next, &place(&offers, &placed, target));
+        let target = self.target(service, lost, placement.values().sum(), now);
+        set_placement(&pools, next, &place(&offers, &placement, target));
     }
 
     fn lost(&self, pool: &InstancePool) -> u32 {
         self.losses.get(pool).map_or(0, Losses::lost)
     }
 
-    /// How many instances are to be there beyond the found ones.
-    fn target(&mut self, service: &Service, lost: u32, placed: u32, now: Instant) -> u32 {
-        if lost >= placed {
-            self.spare.remove(&service.name);
+    /// Returns the number of extra instances the service should have.
+    fn target(&mut self, service: &Service, lost: u32, placed_count: u32, now: Instant) -> u32 {
+        if lost >= placed_count {
+            self.excess.remove(&service.name);
             return lost;
         }
         let name = Arc::clone(&service.name);
-        let spare = self.spare.entry(name).or_insert(Spare {
-            most_lost: lost,
+        let excess = self.excess.entry(name).or_insert(ExcessReplacements {
+            max_lost: lost,
             since: now,
         });
-        spare.most_lost = spare.most_lost.max(lost);
-        if now.saturating_duration_since(spare.since) < GIVE_BACK_TIME {
-            return placed;
+        excess.max_lost = excess.max_lost.max(lost);
+        if now.saturating_duration_since(excess.since) < RELEASE_DELAY {
+            return placed_count;
         }
-        let needed = spare.most_lost;
-        self.spare.remove(&service.name);
+        let needed = excess.max_lost;
+        self.excess.remove(&service.name);
         needed
     }
 
-    fn offers(&self, service: &Service, wanted: &WantedCapacity, now: Instant) -> Vec<Offer> {
-        let subjects = service.subjects(wanted);
-        let zones: BTreeSet<Arc<str>> = subjects
-            .iter()
-            .map(|pool| Arc::clone(&pool.zone))
-            .collect();
-        let open = zones
+    fn offers(
+        &self,
+        service: &Service,
+        desired_capacity: &DesiredCapacity,
+        now: Instant,
+    ) -> Vec<ZoneOffer> {
+        let pools = service.pools(desired_capacity);
+        let zones: BTreeSet<Arc<str>> = pools.iter().map(|pool| Arc::clone(&pool.zone)).collect();
+        let available = zones
             .into_iter()
             .filter(|zone| !service.drained.contains(zone));
-        open.map(|zone| self.offer(service, wanted, zone, now))
+        available
+            .map(|zone| self.offer(service, desired_capacity, zone, now))
             .collect()
     }
 
     fn offer(
         &self,
         service: &Service,
-        wanted: &WantedCapacity,
+        desired_capacity: &DesiredCapacity,
         zone: Arc<str>,
         now: Instant,
-    ) -> Offer {
-        let of_kind = |kind| service.pool(&zone, kind);
-        let kept = of_kind(InstanceKind::Kept);
-        let preemptible = of_kind(InstanceKind::Preemptible);
-        let found = |pool: &InstancePool| wanted.get(pool).found;
+    ) -> ZoneOffer {
+        let pool_of = |kind| service.pool(&zone, kind);
+        let on_demand = pool_of(InstanceKind::OnDemand);
+        let preemptible = pool_of(InstanceKind::Preemptible);
+        let found = |pool: &InstancePool| desired_capacity.get(pool).found;
         let mut kinds = Vec::new();
         if service.prefers_preemptible() {
-            let most = self.most(service, &preemptible, wanted, now);
-            kinds.push((InstanceKind::Preemptible, most));
+            let max = self.max_extra(service, &preemptible, desired_capacity, now);
+            kinds.push((InstanceKind::Preemptible, max));
         }
-        kinds.push((InstanceKind::Kept, self.most(service, &kept, wanted, now)));
-        let all_found = found(&kept) + found(&preemptible);
-        Offer {
-            serving: all_found.saturating_sub(self.lost(&kept) + self.lost(&preemptible)),
-            room: service.scaling.max_per_zone.saturating_sub(all_found),
+        kinds.push((
+            InstanceKind::OnDemand,
+            self.max_extra(service, &on_demand, desired_capacity, now),
+        ));
+        let total_found = found(&on_demand) + found(&preemptible);
+        ZoneOffer {
+            serving: total_found.saturating_sub(self.lost(&on_demand) + self.lost(&preemptible)),
+            free_capacity: service.scaling.max_per_zone.saturating_sub(total_found),
             price: service.price(&zone),
             kinds,
             zone,
         }
     }
 
-    /// Most instances of a subject that can be had beyond the found ones.
-    fn most(
+    /// Returns the maximum number of extra instances that may be ordered in a pool.
+    fn max_extra(
         &self,
         service: &Service,
         pool: &InstancePool,
-        wanted: &WantedCapacity,
+        desired_capacity: &DesiredCapacity,
         now: Instant,
     ) -> u32 {
-        let count = wanted.get(pool);
+        let count = desired_capacity.get(pool);
         let present = service.present(pool);
         let arrived = present.serving.saturating_sub(count.found);
-        if self.is_refused(pool, now) {
+        if self.is_unavailable(pool, now) {
             return count.extra.min(arrived);
         }
-        // An order names all of its kind: where some of those are missing it could name fewer than are there.
-        let is_whole = present.serving >= count.found;
-        // Nor may it take away those that somebody else has just added.
-        let has_others = arrived > self.most_ordered(pool, count.extra, now);
-        if has_others {
+        // An order names the total of its pool. While found instances are missing, that total could
+        // be below the number running.
+        let is_complete = present.serving >= count.found;
+        // An order must not remove instances that somebody else has just added.
+        let has_foreign_instances = arrived > self.max_ordered(pool, count.extra, now);
+        if has_foreign_instances {
             return count.extra;
         }
-        if is_whole || pool.kind == InstanceKind::Preemptible {
+        if is_complete || pool.kind == InstanceKind::Preemptible {
             u32::MAX
         } else {
             count.extra
@@ -369,35 +399,39 @@
     }
 }
 
-/// What is wanted of some subjects beyond the found instances.
-fn placed(subjects: &[InstancePool], wanted: &WantedCapacity) -> Placed {
-    let counts = subjects.iter().map(|pool| {
-        let extra = wanted.get(pool).extra;
+/// Returns the desired extra instances of the given pools.
+fn placement(pools: &[InstancePool], desired_capacity: &DesiredCapacity) -> Placement {
+    let counts = pools.iter().map(|pool| {
+        let extra = desired_capacity.get(pool).extra;
         ((Arc::clone(&pool.zone), pool.kind), extra)
     });
     counts.filter(|(_, extra)| *extra > 0).collect()
 }
 
-/// Makes `placed` what is wanted of some subjects beyond the found instances.
-fn set_placed(subjects: &[InstancePool], wanted: &mut WantedCapacity, placed: &Placed) {
-    for pool in subjects {
-        let before = wanted.get(pool);
+/// Sets the desired extra instances of the given pools.
+fn set_placement(
+    pools: &[InstancePool],
+    desired_capacity: &mut DesiredCapacity,
+    placement: &Placement,
+) {
+    for pool in pools {
+        let before = desired_capacity.get(pool);
         let place = (Arc::clone(&pool.zone), pool.kind);
-        let extra = placed.get(&place).copied().unwrap_or(0);
-        let count = CountWanted {
+        let extra = placement.get(&place).copied().unwrap_or(0);
+        let count = DesiredCount {
             extra,
             is_ordered: before.is_ordered || extra > 0,
             ..before
         };
-        wanted.set(pool, count);
+        desired_capacity.set(pool, count);
     }
 }
 
-/// One service at one check of the fleet.
+/// View of one service during a planning round.
 struct Service<'a> {
     name: Arc<str>,
     scaling: &'a ScalingSpec,
-    counts: &'a BTreeMap<InstancePool, Present>,
+    counts: &'a BTreeMap<InstancePool, PresentInstances>,
     drained: &'a BTreeSet<Arc<str>>,
 }
 
@@ -410,15 +444,15 @@
         }
     }
 
-    fn present(&self, pool: &InstancePool) -> Present {
+    fn present(&self, pool: &InstancePool) -> PresentInstances {
         self.counts.get(pool).copied().unwrap_or_default()
     }
 
-    /// Both kinds in all zones that the service has, or had, instances in.
-    fn subjects(&self, wanted: &WantedCapacity) -> Vec<InstancePool> {
-        let there = self.counts.keys().cloned();
-        let known = wanted.subjects().map(|(pool, _)| pool);
-        let zones: BTreeSet<Arc<str>> = there
+    /// Returns both kinds of pool in every zone that has, or had, instances of the service.
+    fn pools(&self, desired_capacity: &DesiredCapacity) -> Vec<InstancePool> {
+        let present = self.counts.keys().cloned();
+        let known = desired_capacity.pools().map(|(pool, _)| pool);
+        let zones: BTreeSet<Arc<str>> = present
             .chain(known)
             .filter(|pool| pool.service == self.name)
             .map(|pool| pool.zone)
@@ -426,18 +460,19 @@
         zones
             .iter()
             .flat_map(|zone| {
-                [InstanceKind::Kept, InstanceKind::Preemptible].map(|kind| self.pool(zone, kind))
+                [InstanceKind::OnDemand, InstanceKind::Preemptible]
+                    .map(|kind| self.pool(zone, kind))
             })
             .collect()
     }
 
-    /// Whether there are preemptible instances and they cost less.
+    /// Returns true if preemptible instances are available and cost less.
     fn prefers_preemptible(&self) -> bool {
         let price = self.scaling.preemptible_price;
         price.is_some_and(|price| price < 1.0)
     }
 
-    /// Price of a zone; without prices all zones cost the same.
+    /// Returns the price of a zone; 1.0 if none is configured.
     fn price(&self, zone: &str) -> f64 {
         self.scaling.zone_prices.get(zone).copied().unwrap_or(1.0)
     }
--- a/crates/front/src/job/questions.rs
+++ b/crates/front/src/job/peer_requests.rs
@@ -1,4 +1,4 @@
-//! Questions about a job to another node, and what its answers say.
+//! Requests about jobs to other nodes, and conversion of the answers.
 
 use std::time::Duration;
 
@@ -6,9 +6,10 @@
 use ladderstage_wire::messages::mod_Response::OneOfkind as ResponseKind;
 use ladderstage_wire::messages::{EndJob, JobResults, ReadJob, ReadJobBody};
 
-use super::reading::{ReadError, unavailable, unpack};
+use super::reading::{ReadError, decompress_results, unavailable};
 
-/// Asks for results from position `after` on. `anywhere`: the node may ask the owner in its turn.
+/// Builds a request for results from position `after` on. `anywhere` allows the receiver to forward
+/// it to the owner.
 pub(super) fn read_request(id: &str, after: u64, wait: Duration, anywhere: bool) -> RequestKind {
     RequestKind::read_job(ReadJob {
         job: id.to_owned(),
@@ -19,7 +20,7 @@
     })
 }
 
-/// Asks for the body of an item.
+/// Builds a request for the body of an item.
 pub(super) fn body_request(id: &str, item: &str, anywhere: bool) -> RequestKind {
     RequestKind::read_job_body(ReadJobBody {
         job: id.to_owned(),
@@ -28,7 +29,7 @@
     })
 }
 
-/// Asks to end a job.
+/// Builds a request to end a job.
 pub(super) fn end_request(id: &str, anywhere: bool) -> RequestKind {
     RequestKind::end_job(EndJob {
         job: id.to_owned(),
@@ -36,28 +37,28 @@
     })
 }
 
-/// Results that a node answered.
-pub(super) fn results_of(answer: ResponseKind) -> Result<JobResults, ReadError> {
+/// Extracts results from an answer.
+pub(super) fn results_from(answer: ResponseKind) -> Result<JobResults, ReadError> {
     match answer {
         ResponseKind::job_results(results) => Ok(results),
-        ResponseKind::compressed_job_results(packed) => unpack(&packed),
-        _ => Err(unavailable("another answer than asked for")),
+        ResponseKind::compressed_job_results(compressed) => decompress_results(&compressed),
+        _ => Err(unavailable("unexpected kind of answer")),
     }
 }
 
-/// The body that a node answered.
-pub(super) fn body_of(answer: ResponseKind) -> Result<Vec<u8>, ReadError> {
+/// Extracts an item's body from an answer.
+pub(super) fn body_from(answer: ResponseKind) -> Result<Vec<u8>, ReadError> {
     match answer {
         ResponseKind::job_body(body) if body.found => Ok(body.body),
         ResponseKind::job_body(_) => Err(ReadError::NotFound),
-        _ => Err(unavailable("another answer than asked for")),
+        _ => Err(unavailable("unexpected kind of answer")),
     }
 }
 
-/// Whether a node answered that it is done.
-pub(super) fn done_of(answer: ResponseKind) -> Result<(), ReadError> {
+/// Checks that an answer confirms the request.
+pub(super) fn done_from(answer: ResponseKind) -> Result<(), ReadError> {
     match answer {
         ResponseKind::done(_) => Ok(()),
-        _ => Err(unavailable("another answer than asked for")),
+        _ => Err(unavailable("unexpected kind of answer")),
     }
 }
--- a/crates/front/src/job/registry.rs
+++ b/crates/front/src/job/registry.rs
@@ -1,4 +1,5 @@
-//! The jobs of this node and the way to all others: accepts, reads, ends and adopts them.
+//! Registry of this node's jobs, and access to those of other nodes: accepts, reads, ends and
+//! adopts jobs.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::{Arc, Mutex};
@@ -8,73 +9,75 @@
 use ladderstage_journal::JournalError;
 use ladderstage_wire::messages::{JobResults, JobSpec};
 
-use super::carrying::LeftoverEntry;
 use super::context::JobContext;
 use super::digest::LogDigest;
-use super::locating::Owned;
+use super::local_job::{Command, Job};
+use super::locating::OwnerReply;
 use super::lock::lock;
 use super::owner::{Owner, OwnerEnd};
-use super::questions::{body_of, body_request, done_of, end_request, read_request, results_of};
-use super::reading::{COMMIT_LIMIT, ReadError, body_local, end_local, read_local, unavailable};
-use super::seen::SeenResults;
-use super::shared::{Command, Job};
+use super::peer_requests::{
+    body_from, body_request, done_from, end_request, read_request, results_from,
+};
+use super::reading::{COMMIT_TIMEOUT, ReadError, body_local, end_local, read_local, unavailable};
+use super::result_cache::ResultCache;
 use super::state::JobState;
+use super::text_reuse::UnfinishedEntry;
 use super::{LOG_PREFIX, log_name};
 use crate::orders::{FormerLeaders, LearnedLoadLimit};
 
-/// An owner answers reads for this long after a majority of replicas last confirmed it: another owner may have listed more
-/// since, and readers may see an older state for a second at most.
-const READ_TRUST: Duration = Duration::from_millis(700);
+/// Largest age of the last majority confirmation at which an owner answers reads. Limits how long
+/// readers may see the state of a superseded owner.
+const MAX_READ_CONFIRMATION_AGE: Duration = Duration::from_millis(700);
 
-/// Between looks for jobs that need not be kept any more.
+/// Interval at which expired jobs are removed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Why a job was not accepted.
+/// Reason why a job was not accepted.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum AcceptError {
-    /// Nothing of it is kept by this try.
-    #[error("not kept: {0}")]
+    /// This attempt has stored nothing of the job.
+    #[error("job not stored: {0}")]
     NotStored(String),
-    /// It may be kept.
-    #[error("in doubt: {0}")]
+    /// The job may be stored.
+    #[error("outcome unknown: {0}")]
     OutcomeUnknown(String),
 }
 
-/// The jobs of this node. Cheap to clone.
+/// Jobs of this node. Cheap to clone.
 #[derive(Clone)]
 pub struct JobRegistry {
     pub(super) context: Arc<JobContext>,
-    pub(super) shared: Arc<Shared>,
+    pub(super) shared: Arc<SharedState>,
     pub(super) started_at: Instant,
 }
 
 #[derive(Default)]
-pub(super) struct Shared {
+pub(super) struct SharedState {
     pub(super) jobs: Mutex<HashMap<String, Arc<Job>>>,
     /// Jobs whose logs are being taken over.
     pub(super) opening: Mutex<HashSet<String>>,
-    /// Owners of other jobs as last heard.
+    /// Cached owners of other nodes' jobs, with the time of the information.
     pub(super) owners: Mutex<HashMap<String, (String, Instant)>>,
-    /// Results that were read at other owners.
-    pub(super) seen: Mutex<SeenResults>,
-    /// What ended jobs left behind here.
-    pub(super) leftovers: Mutex<Vec<LeftoverEntry>>,
+    /// Results that were read from other owners.
+    pub(super) result_cache: Mutex<ResultCache>,
+    /// Unfinished items of ended jobs.
+    pub(super) unfinished: Mutex<Vec<UnfinishedEntry>>,
 }
 
-/// Removes a job from those being opened.
-struct Opening {
-    shared: Arc<Shared>,
+/// Removes a job from `opening` when it is dropped.
+struct OpeningGuard {
+    shared: Arc<SharedState>,
     id: String,
 }
 
-impl Drop for Opening {
+impl Drop for OpeningGuard {
     fn drop(&mut self) {
         lock(&self.shared.opening).remove(&self.id);
     }
 }
 
 impl JobRegistry {
-    /// No jobs yet.
+    /// Creates an empty registry.
     pub fn new(context: JobContext) -> Self {
         Self {
             context: Arc::new(context),
@@ -83,30 +86,31 @@
         }
     }
 
-    /// Accepts a job and owns it: `Ok` once a majority of store disks holds it, also if it was accepted before, then by any owner.
+    /// Accepts a job and becomes its owner. Returns `Ok` once a majority of store disks holds the
+    /// job, also if any node accepted it before.
     pub(super) async fn accept_here(&self, spec: JobSpec) -> Result<(), AcceptError> {
         let id = spec.job.clone();
         match self.find_accepted(&id).await {
-            Ok(Owned::Here(job)) => return self.wait_accepted(&job).await,
-            Ok(Owned::Answer(_)) => return Ok(()),
+            Ok(OwnerReply::Local(job)) => return self.wait_accepted(&job).await,
+            Ok(OwnerReply::Answer(_)) => return Ok(()),
             Err(ReadError::NotFound) => {}
             Err(ReadError::Unavailable(cause)) => return Err(AcceptError::NotStored(cause)),
         }
-        if let Err(cause) = self.check_bounds(&spec) {
+        if let Err(cause) = self.check_regions(&spec) {
             log::warn!("event=job_regions_rejected job={id} cause=\"{cause}\"");
             let refused = &self.context.metrics.refused_by_region;
             refused.with_label_values(&["job"]).inc();
             return Err(AcceptError::NotStored(cause.to_string()));
         }
-        let about = describe(&spec);
-        let opened = tokio::time::timeout(COMMIT_LIMIT, self.open(&id, Some(spec))).await;
+        let fields = log_fields(&spec);
+        let opened = tokio::time::timeout(COMMIT_TIMEOUT, self.open(&id, Some(spec))).await;
         let job = match opened {
             Ok(Ok(job)) => job,
             Ok(Err(JournalError::NoQuorum(cause))) => return Err(AcceptError::NotStored(cause)),
             Ok(Err(error)) => return Err(AcceptError::OutcomeUnknown(error.to_string())),
             Err(_) => {
                 return Err(AcceptError::NotStored(
-                    "the log was not sealed in time".to_owned(),
+                    "the takeover of the job's log timed out".to_owned(),
                 ));
             }
         };
@@ -116,11 +120,11 @@
             .jobs
             .with_label_values(&["accepted"])
             .inc();
-        log::info!("event=job_accepted job={id} {about}");
+        log::info!("event=job_accepted job={id} {fields}");
         Ok(())
     }
 
-    /// Results from position `after` on; waits up to `wait` for one.
+    /// Returns results from position `after` on; waits up to `wait` for the first one.
     ///
     /// # Errors
     /// See [`ReadError`].
@@ -136,7 +140,7 @@
         self.read_elsewhere(id, after, wait, true).await
     }
 
-    /// As [`JobRegistry::read`], without the help of a front that is no owner.
+    /// Reads like [`JobRegistry::read`], but does not relay the request through another front.
     pub(super) async fn read_here_or_at_owner(
         &self,
         id: &str,
@@ -149,7 +153,7 @@
         }
     }
 
-    /// Reads a job of another node: only results that were not read here before are asked for.
+    /// Reads a job of another node; requests only results that are not cached.
     async fn read_elsewhere(
         &self,
         id: &str,
@@ -157,7 +161,7 @@
         wait: Duration,
         relayed: bool,
     ) -> Result<JobResults, ReadError> {
-        let known = lock(&self.shared.seen).known(id);
+        let known = lock(&self.shared.result_cache).count(id);
         let has_some = after < known;
         let (from, wait) = if has_some {
             (known, Duration::ZERO)
@@ -166,26 +170,29 @@
         };
         let request = read_request(id, from, wait, relayed);
         let asked = if relayed {
-            self.relay(id, &request, wait).await.and_then(results_of)
+            self.relay(id, &request, wait).await.and_then(results_from)
         } else {
-            match self.ask(id, &request, wait).await {
-                Ok(Owned::Here(job)) => return self.read_here(&job, after, wait).await,
-                Ok(Owned::Answer(answer)) => results_of(answer),
+            match self.ask_owner(id, &request, wait).await {
+                Ok(OwnerReply::Local(job)) => return self.read_here(&job, after, wait).await,
+                Ok(OwnerReply::Answer(answer)) => results_from(answer),
                 Err(error) => Err(error),
             }
         };
-        let mut seen = lock(&self.shared.seen);
+        let mut result_cache = lock(&self.shared.result_cache);
         match asked {
             Ok(results) => {
-                seen.record(id, from, &results);
-                Ok(seen.page(id, after).unwrap_or(results))
+                result_cache.insert(id, from, &results);
+                Ok(result_cache.page(id, after).unwrap_or(results))
             }
-            // What was read before holds whether its owner is reached or not.
-            Err(error) => seen.page(id, after).filter(|_| has_some).ok_or(error),
+            // Cached results stay valid if the owner cannot be reached.
+            Err(error) => result_cache
+                .page(id, after)
+                .filter(|_| has_some)
+                .ok_or(error),
         }
     }
 
-    /// Body of an item that has no result yet.
+    /// Returns the body of an item of an open job.
     ///
     /// # Errors
     /// See [`ReadError`].
@@ -194,23 +201,24 @@
             return self.body_here_or_at_owner(id, item).await;
         }
         let request = body_request(id, item, true);
-        body_of(self.relay(id, &request, Duration::ZERO).await?)
+        body_from(self.relay(id, &request, Duration::ZERO).await?)
     }
 
-    /// As [`JobRegistry::body`], without the help of a front that is no owner.
+    /// Returns a body like [`JobRegistry::body`], but does not relay the request through another
+    /// front.
     pub(super) async fn body_here_or_at_owner(
         &self,
         id: &str,
         item: &str,
     ) -> Result<Vec<u8>, ReadError> {
         let request = body_request(id, item, false);
-        match self.ask(id, &request, Duration::ZERO).await? {
-            Owned::Here(job) => body_local(&job, item).ok_or(ReadError::NotFound),
-            Owned::Answer(answer) => body_of(answer),
+        match self.ask_owner(id, &request, Duration::ZERO).await? {
+            OwnerReply::Local(job) => body_local(&job, item).ok_or(ReadError::NotFound),
+            OwnerReply::Answer(answer) => body_from(answer),
         }
     }
 
-    /// Ends a job: `Ok` once that is committed, also if it was ended before.
+    /// Ends a job; returns `Ok` once the end is committed, also if it was ended before.
     ///
     /// # Errors
     /// See [`ReadError`].
@@ -219,34 +227,34 @@
             return self.end_here_or_at_owner(id).await;
         }
         let request = end_request(id, true);
-        done_of(self.relay(id, &request, COMMIT_LIMIT).await?)
+        done_from(self.relay(id, &request, COMMIT_TIMEOUT).await?)
     }
 
-    /// As [`JobRegistry::end`], without the help of a front that is no owner.
+    /// Ends a job like [`JobRegistry::end`], but does not relay the request through another front.
     pub(super) async fn end_here_or_at_owner(&self, id: &str) -> Result<(), ReadError> {
         let request = end_request(id, false);
-        match self.ask(id, &request, COMMIT_LIMIT).await? {
-            Owned::Here(job) => end_local(&job).await,
-            Owned::Answer(answer) => done_of(answer),
+        match self.ask_owner(id, &request, COMMIT_TIMEOUT).await? {
+            OwnerReply::Local(job) => end_local(&job).await,
+            OwnerReply::Answer(answer) => done_from(answer),
         }
     }
 
-    /// What givers of orders have learnt of loads, here or by their word.
+    /// Returns the limit on concurrent weight loads, as learned so far.
     pub fn learned_load_limit(&self) -> &LearnedLoadLimit {
         &self.context.learned_load_limit
     }
 
-    /// The giver of orders that told its end last.
+    /// Returns the recent orders of former order leaders.
     pub fn former_leaders(&self) -> &FormerLeaders {
         &self.context.former_leaders
     }
 
-    /// Notes that a majority of replicas answered a heartbeat sent at `asked_at`.
+    /// Records that a majority of replicas answered a heartbeat sent at `asked_at`.
     pub fn on_confirmed(&self, asked_at: Instant) {
         self.context.confirmation.record(asked_at);
     }
 
-    /// Notes that a replica says that another node has the log.
+    /// Handles the report of a replica that another node has the log.
     pub fn on_fence_reported(&self, log: &str) {
         let id = log.strip_prefix(LOG_PREFIX).unwrap_or_default();
         if let Some(job) = self.local(id) {
@@ -254,10 +262,10 @@
         }
     }
 
-    /// Whether this node's state of a job is recent enough to be read.
+    /// Returns whether this node's state of a job is recent enough to be read.
     pub(super) fn is_readable(&self, job: &Job) -> bool {
         let age = self.context.confirmation.age(job.opened_at);
-        job.state().is_ended() || job.is_uncontested() && age < READ_TRUST
+        job.state().is_ended() || job.is_uncontested() && age < MAX_READ_CONFIRMATION_AGE
     }
 
     pub(super) async fn read_here(
@@ -268,27 +276,29 @@
     ) -> Result<JobResults, ReadError> {
         let results = read_local(job, after, wait).await;
         if !self.is_readable(job) {
-            return Err(unavailable("ownership is not confirmed"));
+            return Err(unavailable(
+                "no recent confirmation of this node's ownership",
+            ));
         }
         Ok(results)
     }
 
-    /// Gives up a job whose log another node has taken.
+    /// Stops the owner of a job whose log another node has taken over.
     pub fn on_fenced(&self, log: &str) {
         let id = log.strip_prefix(LOG_PREFIX).unwrap_or_default();
         if let Some(job) = self.local(id) {
-            job.ask(Command::Lost);
+            job.send(Command::Lost);
         }
     }
 
-    /// Forgets jobs that need not be read any more, for as long as the future is polled.
+    /// Removes expired jobs and cached results periodically, until the future is dropped.
     pub async fn sweep(&self) {
         loop {
             tokio::time::sleep(SWEEP_INTERVAL).await;
             let retention = self.context.retention;
             lock(&self.shared.jobs).retain(|_, job| job.opened_at.elapsed() < retention * 2);
             lock(&self.shared.owners).retain(|_, (_, heard)| heard.elapsed() < retention);
-            lock(&self.shared.seen).forget(retention);
+            lock(&self.shared.result_cache).remove_unread_for(retention);
         }
     }
 
@@ -305,8 +315,9 @@
                 }
             }
         };
-        let waited = tokio::time::timeout(COMMIT_LIMIT, accepted).await;
-        waited.map_err(|_| AcceptError::OutcomeUnknown("the commit takes too long".to_owned()))
+        let waited = tokio::time::timeout(COMMIT_TIMEOUT, accepted).await;
+        waited
+            .map_err(|_| AcceptError::OutcomeUnknown("the commit of the job timed out".to_owned()))
     }
 
     /// Becomes the owner of a job that is in the journal.
@@ -325,12 +336,12 @@
         Ok(job)
     }
 
-    /// Takes the job's log over and starts its owner.
+    /// Takes over the job's log and starts its owner.
     async fn open(&self, id: &str, spec: Option<JobSpec>) -> Result<Arc<Job>, JournalError> {
         if !lock(&self.shared.opening).insert(id.to_owned()) {
             return Err(JournalError::Unresolved);
         }
-        let opening = Opening {
+        let opening = OpeningGuard {
             shared: Arc::clone(&self.shared),
             id: id.to_owned(),
         };
@@ -358,25 +369,25 @@
         let context = Arc::clone(&self.context);
         let digest = LogDigest::of(&entries);
         let trainer_spec = spec.as_ref().filter(|spec| spec.desired_groups > 0);
-        let carried = trainer_spec.map(|spec| self.gather_kept_texts(spec));
+        let collection = trainer_spec.map(|spec| self.collect_kept_texts(spec));
         let mut owner = Owner::new(context, Arc::clone(&job), writer, digest, spec);
-        owner.gathering = carried;
+        owner.text_collection = collection;
         let registry = self.clone();
         let owned = Arc::clone(&job);
         let activity = self.context.activity.start();
         tokio::spawn(async move {
             let _activity = activity;
             match owner.run(commands).await {
-                OwnerEnd::Lost => registry.forget(&owned),
-                OwnerEnd::Ended(Some(leftover)) => registry.keep_leftover(*leftover).await,
+                OwnerEnd::Lost => registry.remove(&owned),
+                OwnerEnd::Ended(Some(unfinished)) => registry.keep_unfinished(*unfinished).await,
                 OwnerEnd::Ended(None) => {}
             }
         });
         Ok(job)
     }
 
-    /// Forgets exactly this job.
-    fn forget(&self, job: &Arc<Job>) {
+    /// Removes this job unless its entry has been replaced.
+    fn remove(&self, job: &Arc<Job>) {
         let mut jobs = lock(&self.shared.jobs);
         if jobs
             .get(&job.id)
@@ -387,8 +398,8 @@
     }
 }
 
-/// What the log tells of a job that was handed in.
-fn describe(spec: &JobSpec) -> String {
+/// Formats the fields of a job for the log.
+fn log_fields(spec: &JobSpec) -> String {
     format!(
         "model={} step={} oldest_version={} desired_groups={} items={}",
         spec.model,
--- a/crates/front/src/orders/named.rs
+++ b/crates/front/src/orders/announced_versions.rs
@@ -1,4 +1,4 @@
-//! The weight versions that were named.
+//! Weight versions announced by trainers.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -6,43 +6,49 @@
 use super::plan::ModelDemand;
 use ladderstage_clock::Instant;
 
-/// A version and when this process heard of it.
+/// Version and the time at which this process learned of it.
 #[derive(Debug, Clone, Copy)]
-struct Named {
+struct Announced {
     version: u64,
-    heard_at: Instant,
+    received_at: Instant,
 }
 
-/// Newest version named for each model. Cheap to clone.
+/// Newest version announced for each model. Cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub struct AnnouncedVersions {
-    versions: Arc<Mutex<BTreeMap<String, Named>>>,
+    versions: Arc<Mutex<BTreeMap<String, Announced>>>,
 }
 
 impl AnnouncedVersions {
-    /// Notes a version; versions only rise.
-    pub fn note(&self, model: &str, version: u64) {
+    /// Records a version; a lower one than the newest is ignored.
+    pub fn record(&self, model: &str, version: u64) {
         let mut versions = lock(&self.versions);
         if versions
             .get(model)
-            .is_some_and(|named| named.version >= version)
+            .is_some_and(|announced| announced.version >= version)
         {
             return;
         }
         log::info!("event=version_announced model={model} version={version}");
-        let heard_at = Instant::now();
-        versions.insert(model.to_owned(), Named { version, heard_at });
+        let received_at = Instant::now();
+        versions.insert(
+            model.to_owned(),
+            Announced {
+                version,
+                received_at,
+            },
+        );
     }
 
-    /// What is wanted of each model.
+    /// Returns the demand for each model's newest version.
     pub(super) fn demands(&self) -> Vec<ModelDemand> {
         let versions = lock(&self.versions);
         let demands = versions.iter();
         demands
-            .map(|(model, named)| ModelDemand {
+            .map(|(model, announced)| ModelDemand {
                 model: model.clone(),
-                newest: named.version,
-                named_for: named.heard_at.elapsed(),
+                newest: announced.version,
+                announced_for: announced.received_at.elapsed(),
                 weight: 1.0,
                 longest_events: 0,
             })
--- a/crates/front/src/orders/lease.rs
+++ b/crates/front/src/orders/lease.rs
@@ -1,4 +1,5 @@
-//! The right to give orders: a leased record that names the holder, and a lasting one that names the last who gave orders.
+//! Orders lease: a leased record names the current holder, and a persistent one names the node that
+//! issued orders last.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -9,33 +10,34 @@
 
 use crate::coordination::{Coordination, CoordinationError, LeaseId, SwapResult};
 
-/// The leased record.
-const GIVER_KEY: &str = "ladderstage/orders/giver";
+/// Key of the leased record.
+const LEASE_KEY: &str = "ladderstage/orders/giver";
 
-/// The lasting record.
-const LAST_KEY: &str = "ladderstage/orders/last";
+/// Key of the persistent record.
+const LAST_LEADER_KEY: &str = "ladderstage/orders/last";
 
-/// How long the lease outlives its holder. Shorter than the time for which a new holder keeps quiet.
-const GIVER_LEASE: Duration = Duration::from_millis(1_500);
+/// Lifetime of the lease after its last renewal. Shorter than the quiet period of a new holder.
+const LEASE_DURATION: Duration = Duration::from_millis(1_500);
 
-/// Longest wait for a renewal: a lost answer must leave time for two more tries.
-const RENEWAL_LIMIT: Duration = Duration::from_millis(400);
+/// Timeout of one renewal; short enough to retry twice after a lost answer.
+const RENEWAL_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Pause before a renewal is tried again.
-const RENEWAL_RETRY: Duration = Duration::from_millis(80);
+/// Pause before a failed renewal is retried.
+const RENEWAL_RETRY_PAUSE: Duration = Duration::from_millis(80);
 
-/// Between renewals.
-const RENEWAL: Duration = Duration::from_millis(400);
+/// Interval between renewals.
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(400);
 
-/// For so long the lease is left to the node that gave orders last, which needs not keep quiet.
-const PRECEDENCE: Duration = Duration::from_millis(700);
+/// Delay by which other nodes let the last leader acquire the lease first, as it needs no quiet
+/// period.
+const PRECEDENCE_DELAY: Duration = Duration::from_millis(700);
 
-/// Who gave orders last, as the lasting record names them.
+/// Node that issued orders last, as stored in the persistent record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LastLeader {
-    /// Its node.
+    /// Name of the node.
     pub node: String,
-    /// The fence of its lease.
+    /// Fence of its lease.
     pub fence: u64,
 }
 
@@ -44,7 +46,7 @@
         format!("{} {}", self.node, self.fence).into_bytes()
     }
 
-    /// Processes of an earlier version wrote only the node.
+    /// Earlier versions stored the node without a fence.
     fn read(value: &[u8]) -> Self {
         let text = String::from_utf8_lossy(value);
         let (node, fence) = text.split_once(' ').unwrap_or((&text, ""));
@@ -55,78 +57,79 @@
     }
 }
 
-/// A lease that this node holds.
+/// Orders lease that this node holds.
 #[derive(Debug)]
 pub struct HeldLease {
     lease: LeaseId,
-    /// Rises with each holder.
+    /// Fencing token; increases with each holder.
     pub fence: u64,
-    /// Who gave orders before; `None`: nobody.
+    /// Node that issued orders last; `None` if no orders were ever issued.
     pub last: Option<LastLeader>,
-    /// Until when the lease certainly lasts, by the steady clock from the send of the last renewal.
+    /// Time until which the lease is certain to be valid, counted on the monotonic clock from the
+    /// start of the last renewal.
     valid_until: watch::Sender<Instant>,
-    /// Before this an order of the last holder may be too recent.
+    /// End of the quiet period after the previous leader's orders.
     quiet_until: watch::Sender<Instant>,
-    /// The lasting record names this holder.
-    is_named: AtomicBool,
+    /// The persistent record names this holder.
+    is_recorded: AtomicBool,
 }
 
 impl HeldLease {
-    /// Until when the lease certainly lasts.
+    /// Returns the time until which the lease is certain to be valid.
     pub fn valid_until(&self) -> Instant {
         *self.valid_until.borrow()
     }
 
-    /// Follows until when the lease certainly lasts.
-    pub fn watch_proof(&self) -> watch::Receiver<Instant> {
+    /// Watches the time until which the lease is certain to be valid.
+    pub fn watch_validity(&self) -> watch::Receiver<Instant> {
         self.valid_until.subscribe()
     }
 
-    /// Whether this holder may have given orders.
-    pub fn is_named(&self) -> bool {
-        self.is_named.load(Ordering::Relaxed)
+    /// Returns true if this holder may have issued orders.
+    pub fn is_recorded(&self) -> bool {
+        self.is_recorded.load(Ordering::Relaxed)
     }
 
-    /// Whether an order of the last holder may still be too recent.
-    pub fn is_quiet(&self) -> bool {
+    /// Returns true during the quiet period after the previous leader's orders.
+    pub fn is_in_quiet_period(&self) -> bool {
         Instant::now() < *self.quiet_until.borrow()
     }
 
-    /// Ends the quiet time: it is known which orders the last holder gave when.
-    pub fn end_quiet(&self) {
+    /// Ends the quiet period, because the previous leader's recent orders are known.
+    pub fn end_quiet_period(&self) {
         self.quiet_until.send_replace(Instant::now());
     }
 }
 
-/// Why a lease is held no more.
+/// Reason for which a lease was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum LeaseLoss {
-    /// The store says that it is over.
-    #[error("over")]
+    /// The store reports that the lease has expired.
+    #[error("expired")]
     Expired,
-    /// It could not be renewed in time.
-    #[error("unproven")]
-    Unproven,
+    /// The lease could not be renewed in time.
+    #[error("not_renewed")]
+    NotRenewed,
 }
 
-/// Takes, renews and proves the lease for one node.
+/// Acquires, renews and verifies the orders lease for one node.
 pub struct OrdersLease {
-    /// The store.
+    /// Client of the coordination store.
     pub coordination: Arc<dyn Coordination>,
-    /// Name of this node: the holder, whichever process it runs.
+    /// Name of this node; a restarted process counts as the same holder.
     pub node: String,
-    /// Least time between orders of two holders.
+    /// Minimum time between orders of two holders.
     pub quiet_period: Duration,
 }
 
 impl OrdersLease {
-    /// Takes the lease if it is free.
+    /// Acquires the lease if it is free.
     ///
     /// # Errors
-    /// When the store did not answer; the lease may then be taken without use until it ends.
+    /// When the store does not answer. The lease may then be held, unused, until it expires.
     pub async fn acquire(&self) -> Result<Option<HeldLease>, CoordinationError> {
-        let record = self.coordination.get(GIVER_KEY).await?;
-        // A record of this node is of an earlier process: the same holder, which gives no orders any more.
+        let record = self.coordination.get(LEASE_KEY).await?;
+        // A record that names this node belongs to an earlier process, which issues no more orders.
         let is_own = record
             .as_ref()
             .is_some_and(|record| record.value == self.node.as_bytes());
@@ -136,21 +139,21 @@
         let found_free_at = Instant::now();
         let last_before = self.last().await?;
         if !self.is_own(last_before.as_ref()) && !is_own {
-            tokio::time::sleep(PRECEDENCE).await;
+            tokio::time::sleep(PRECEDENCE_DELAY).await;
         }
         let expected = record.map_or(0, |record| record.revision);
-        let asked_at = Instant::now();
-        let lease = self.coordination.grant(GIVER_LEASE).await?;
+        let requested_at = Instant::now();
+        let lease = self.coordination.grant(LEASE_DURATION).await?;
         let value = self.node.clone().into_bytes();
         match self
             .coordination
-            .swap(GIVER_KEY, expected, value, Some(lease))
+            .swap(LEASE_KEY, expected, value, Some(lease))
             .await?
         {
             SwapResult::Won { revision } => {
-                // Asked again under the lease: nobody else becomes the last holder now.
+                // Read again under the lease, when no other node can become the last leader.
                 let last = self.last().await?;
-                // A holder in between has named itself before its first order.
+                // Any holder in between recorded itself before its first order.
                 let last_order_before = if last == last_before {
                     found_free_at
                 } else {
@@ -171,9 +174,9 @@
                     lease,
                     fence: revision,
                     last,
-                    valid_until: watch::Sender::new(asked_at + GIVER_LEASE),
+                    valid_until: watch::Sender::new(requested_at + LEASE_DURATION),
                     quiet_until: watch::Sender::new(quiet_until),
-                    is_named: AtomicBool::new(false),
+                    is_recorded: AtomicBool::new(false),
                 }))
             }
             SwapResult::Lost(_) => {
@@ -183,77 +186,80 @@
         }
     }
 
-    /// Waits for the holder's record to go, by a watch that costs one call a change.
+    /// Waits with a watch until the holder's record is gone.
     pub async fn wait_until_free(&self) {
-        let Ok(listing) = self.coordination.list(GIVER_KEY).await else {
+        let Ok(listing) = self.coordination.list(LEASE_KEY).await else {
             return;
         };
         if !listing.records.is_empty() {
-            let _ = self.coordination.watch(GIVER_KEY, listing.at).await;
+            let _ = self.coordination.watch(LEASE_KEY, listing.at).await;
         }
     }
 
-    /// Renews the lease again and again; returns once it is lost.
+    /// Renews the lease until it is lost.
     pub async fn renew_until_lost(&self, held: &HeldLease) -> LeaseLoss {
-        tokio::time::sleep(RENEWAL).await;
+        tokio::time::sleep(RENEWAL_INTERVAL).await;
         loop {
             match self.renew(held).await {
-                Ok(()) => tokio::time::sleep(RENEWAL).await,
+                Ok(()) => tokio::time::sleep(RENEWAL_INTERVAL).await,
                 Err(CoordinationError::LeaseExpired) => return LeaseLoss::Expired,
                 Err(error) => {
                     log::warn!("event=orders_lease_renewal_failed cause=\"{error}\"");
-                    tokio::time::sleep(RENEWAL_RETRY).await;
+                    tokio::time::sleep(RENEWAL_RETRY_PAUSE).await;
                 }
             }
             if Instant::now() >= held.valid_until() {
-                return LeaseLoss::Unproven;
+                return LeaseLoss::NotRenewed;
             }
         }
     }
 
     async fn renew(&self, held: &HeldLease) -> Result<(), CoordinationError> {
-        let asked_at = Instant::now();
+        let requested_at = Instant::now();
         let renewal = self.coordination.renew(held.lease);
-        let renewed = tokio::time::timeout(RENEWAL_LIMIT, renewal).await;
+        let renewed = tokio::time::timeout(RENEWAL_TIMEOUT, renewal).await;
         renewed.unwrap_or_else(|_| {
-            let cause = "no answer to a renewal in time".to_owned();
+            let cause = "lease renewal timed out".to_owned();
             Err(CoordinationError::Unknown(cause))
         })?;
-        held.valid_until.send_replace(asked_at + GIVER_LEASE);
+        held.valid_until.send_replace(requested_at + LEASE_DURATION);
         Ok(())
     }
 
-    /// Whether orders may be given now. Before its first order a holder names itself the last one.
+    /// Returns true if orders may be issued now. Records this holder as the last leader before its
+    /// first order.
     ///
     /// # Errors
-    /// When the store did not take that name; no order may be given then.
+    /// When the store did not accept that record. No order may be issued then.
     pub async fn may_issue_orders(&self, held: &HeldLease) -> Result<bool, CoordinationError> {
-        if held.is_quiet() {
+        if held.is_in_quiet_period() {
             return Ok(false);
         }
-        if !held.is_named() {
+        if !held.is_recorded() {
             let own = LastLeader {
                 node: self.node.clone(),
                 fence: held.fence,
             };
-            self.coordination.put(LAST_KEY, own.write(), None).await?;
-            held.is_named.store(true, Ordering::Relaxed);
+            self.coordination
+                .put(LAST_LEADER_KEY, own.write(), None)
+                .await?;
+            held.is_recorded.store(true, Ordering::Relaxed);
         }
         Ok(Instant::now() < held.valid_until())
     }
 
-    /// Gives the lease back.
+    /// Releases the lease.
     pub async fn release(&self, held: &HeldLease) {
         let _ = self.coordination.revoke(held.lease).await;
         log::info!("event=orders_lease_released fence={}", held.fence);
     }
 
     async fn last(&self) -> Result<Option<LastLeader>, CoordinationError> {
-        let record = self.coordination.get(LAST_KEY).await?;
+        let record = self.coordination.get(LAST_LEADER_KEY).await?;
         Ok(record.map(|record| LastLeader::read(&record.value)))
     }
 
-    /// Whether this node gave orders last.
+    /// Returns true if this node issued orders last.
     fn is_own(&self, last: Option<&LastLeader>) -> bool {
         last.is_some_and(|last| last.node == self.node)
     }
--- a/crates/front/src/orders/plan.rs
+++ b/crates/front/src/orders/plan.rs
@@ -1,115 +1,118 @@
-//! Which instance should load which version next.
+//! Plans which instance loads which weight version next.
 //!
-//! A job may allow the version before the newest, which must then be everywhere when the newest is named: each instance
-//! that serves a model loads every version, after the burst of work that follows its naming. Loading all models
-//! everywhere would take longer than versions last: each instance serves the model that it is assigned to, in shares of
-//! the models' demand.
+//! Each instance serves one model, assigned in proportion to demand, as loading all models
+//! everywhere would take longer than a version lasts. A job may still use the version before the
+//! newest one, so every instance loads every version of its model, after the burst of work that
+//! follows the announcement.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A version is named just before work that allows the one before it comes in a burst: that work may start everywhere first.
-const BURST_TIME: Duration = Duration::from_millis(400);
+/// Time after an announcement during which work that allows the previous version starts; those
+/// instances are not reloaded yet.
+const BURST_DURATION: Duration = Duration::from_millis(400);
 
-/// Versions behind the newest from which on no job may use an instance.
-const USELESS_LAG: u64 = 2;
+/// Number of versions behind the newest from which on no job may use an instance.
+const UNUSABLE_LAG: u64 = 2;
 
-/// A model's texts count as short if they take at most this share of the time of the longest ones.
-const SHORT_SHARE: f64 = 0.8;
+/// Maximum text time, relative to the longest one, at which a model's texts count as short.
+const SHORT_TEXT_RATIO: f64 = 0.8;
 
-/// Pace against the fastest from which on an instance counts as slow.
-const SLOW_PACE: f64 = 1.15;
+/// Minimum event interval, relative to the fastest instance, at which an instance counts as slow.
+const SLOW_RATIO: f64 = 1.15;
 
-/// Pace from which on an instance is not slow by nature: that will pass.
-const BROKEN_PACE: f64 = 2.0;
+/// Relative event interval from which on the slowness counts as temporary.
+const TEMPORARY_RATIO: f64 = 2.0;
 
-/// Pace up to which an instance counts as fast.
-const FAST_PACE: f64 = 1.07;
+/// Maximum relative event interval at which an instance counts as fast.
+const FAST_RATIO: f64 = 1.07;
 
-/// An instance that holds models.
+/// Instance that holds models.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FleetInstance {
-    /// Its id.
+    /// Instance id.
     pub id: String,
-    /// Versions that it has, by model.
+    /// Loaded version of each model.
     pub versions: BTreeMap<String, u64>,
-    /// Requests there as best known.
+    /// Known number of requests in progress.
     pub load: u32,
-    /// An order is under way there, or was given a moment ago.
+    /// Excluded from orders, because one is in progress or was issued recently.
     pub is_busy: bool,
     /// Milliseconds between two events of a run; `None` while unknown.
-    pub pace_ms: Option<f64>,
+    pub event_interval_ms: Option<f64>,
 }
 
-/// What is wanted of one model.
+/// Demand for one model.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ModelDemand {
-    /// Its name.
+    /// Name of the model.
     pub model: String,
-    /// Newest version that was named.
+    /// Newest announced version.
     pub newest: u64,
-    /// How long ago that was.
-    pub named_for: Duration,
-    /// Work that asks for it, against the other models.
+    /// Time since its announcement.
+    pub announced_for: Duration,
+    /// Amount of work, relative to other models.
     pub weight: f64,
-    /// Events of its longest recent text; 0: unknown.
+    /// Number of events in the longest recent text; 0 if unknown.
     pub longest_events: u64,
 }
 
-/// An order to give.
+/// Planned order to load a version.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Planned {
-    /// Instance to load.
+pub struct PlannedLoad {
+    /// Instance id.
     pub instance: String,
-    /// Model.
+    /// Name of the model.
     pub model: String,
-    /// Version.
+    /// Version to load.
     pub version: u64,
 }
 
-/// Which model each instance serves.
+/// Assignment of models to instances.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Assignment {
     model_of: BTreeMap<String, String>,
-    /// Instances that were traded between models; once each, as what is seen of their pace may be passing.
+    /// Instances that were traded already; each is traded once, as its event interval may be
+    /// temporary.
     traded: BTreeSet<String>,
 }
 
-/// One of so many instances of a model may be traded in a round: each loads other weights for a second or two, and its model is served
-/// by the others meanwhile.
-const TRADE_SHARE: usize = 5;
+/// Divisor of a model's instances that yields the maximum number of trades per round, as a traded
+/// instance is unavailable while it loads other weights.
+const TRADE_DIVISOR: usize = 5;
 
-/// Instances that one model may trade in a round. Where a third of 45 instances is slow by nature and each of three models got a third
-/// of those, one trade a round took 33 s until the models with long texts had none left.
-pub fn most_trades(demands: &[ModelDemand], fleet: &[FleetInstance]) -> usize {
-    (fleet.len() / demands.len().max(1) / TRADE_SHARE).max(1)
+/// Returns the maximum number of trades per round.
+pub fn max_trades(demands: &[ModelDemand], fleet: &[FleetInstance]) -> usize {
+    (fleet.len() / demands.len().max(1) / TRADE_DIVISOR).max(1)
 }
 
-/// Two instances that changed their models.
+/// Exchange of two instances between models.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Trade {
-    /// The model that got the fast one.
+    /// Model that received the fast instance.
     pub model: String,
-    /// The instance that it gave.
+    /// Instance that this model gave away.
     pub slow: String,
-    /// The instance that it got.
+    /// Instance that this model received.
     pub fast: String,
 }
 
-/// An instance and its pace against the fastest instance of the same model.
-struct Paced<'a> {
+/// Instance that may be traded, with its event interval relative to the fastest instance of its
+/// model.
+struct Tradable<'a> {
     id: &'a str,
-    pace_ms: f64,
-    relative_pace: f64,
+    event_interval_ms: f64,
+    slowness: f64,
 }
 
 impl Assignment {
-    /// Model of an instance.
+    /// Returns the model of an instance.
     pub fn model(&self, instance: &str) -> Option<&str> {
         self.model_of.get(instance).map(String::as_str)
     }
 
-    /// Adapts to the fleet and the demand. An instance keeps its model unless another one lacks more than one instance.
+    /// Adapts the assignment to the fleet and the demand. An instance keeps its model unless
+    /// another model lacks at least two instances.
     pub fn update(&mut self, demands: &[ModelDemand], fleet: &[FleetInstance]) {
         self.model_of.retain(|id, model| {
             fleet.iter().any(|one| one.id == *id) && demands.iter().any(|one| one.model == *model)
@@ -127,7 +130,7 @@
         self.balance(&quotas, fleet);
     }
 
-    /// The model whose weights are newest at the instance among those that lack instances.
+    /// Returns the model with the newest weights at the instance among those that lack instances.
     fn best_model(
         &self,
         demands: &[ModelDemand],
@@ -135,64 +138,65 @@
         instance: &FleetInstance,
     ) -> String {
         let key = |demand: &&ModelDemand| {
-            let has_room = self.count(&demand.model) < quotas[&demand.model];
+            let lacks_instances = self.count(&demand.model) < quotas[&demand.model];
             let version = instance.versions.get(&demand.model).copied().unwrap_or(0);
             let lag = demand.newest.saturating_sub(version);
             let missing = quotas[&demand.model].saturating_sub(self.count(&demand.model));
-            (has_room, std::cmp::Reverse(lag), missing)
+            (lacks_instances, std::cmp::Reverse(lag), missing)
         };
         let best = demands.iter().max_by_key(key);
         best.map(|demand| demand.model.clone()).unwrap_or_default()
     }
 
-    /// Moves one instance from a model with too many to one that lacks two or more.
+    /// Moves one instance from the model with the largest surplus to one that lacks at least two,
+    /// or has none.
     fn balance(&mut self, quotas: &BTreeMap<String, usize>, fleet: &[FleetInstance]) {
         let surplus = |model: &String| self.count(model) as i64 - quotas[model] as i64;
-        let Some(most) = quotas.keys().max_by_key(|model| surplus(model)) else {
+        let Some(largest) = quotas.keys().max_by_key(|model| surplus(model)) else {
             return;
         };
-        let Some(least) = quotas.keys().min_by_key(|model| surplus(model)) else {
+        let Some(smallest) = quotas.keys().min_by_key(|model| surplus(model)) else {
             return;
         };
-        if surplus(most) < 1 || surplus(least) > -2 && self.count(least) > 0 {
+        if surplus(largest) < 1 || surplus(smallest) > -2 && self.count(smallest) > 0 {
             return;
         }
         let moved = fleet
             .iter()
-            .filter(|one| self.model(&one.id) == Some(most))
-            .min_by_key(|one| one.versions.get(most).copied().unwrap_or(0));
+            .filter(|one| self.model(&one.id) == Some(largest))
+            .min_by_key(|one| one.versions.get(largest).copied().unwrap_or(0));
         if let Some(moved) = moved {
-            self.model_of.insert(moved.id.clone(), least.clone());
+            self.model_of.insert(moved.id.clone(), smallest.clone());
         }
     }
 
-    /// Trades a slow instance of a model whose texts take long for a fast one of the model whose texts take the shortest time: a
-    /// step is as long as its longest texts.
+    /// Trades a slow instance of a model with long texts for a fast one of the model with the
+    /// shortest texts, because a step takes as long as its longest texts.
     pub fn trade(&mut self, demands: &[ModelDemand], fleet: &[FleetInstance]) -> Option<Trade> {
-        let time = |demand: &ModelDemand| {
-            let pace = self.best_pace(&demand.model, fleet)?;
-            (demand.longest_events > 0).then_some(pace * demand.longest_events as f64)
+        let text_time = |demand: &ModelDemand| {
+            let interval = self.shortest_interval(&demand.model, fleet)?;
+            (demand.longest_events > 0).then_some(interval * demand.longest_events as f64)
         };
         let mut times: Vec<(f64, &str)> = demands
             .iter()
-            .filter_map(|demand| Some((time(demand)?, demand.model.as_str())))
+            .filter_map(|demand| Some((text_time(demand)?, demand.model.as_str())))
             .collect();
         times.sort_by(|left, right| left.0.total_cmp(&right.0));
         let (short_time, short_model) = *times.first()?;
         let long = times
             .iter()
-            .filter(|(long_time, _)| short_time <= long_time * SHORT_SHARE);
-        let by_pace =
-            |one: &Paced, other: &Paced| one.relative_pace.total_cmp(&other.relative_pace);
+            .filter(|(long_time, _)| short_time <= long_time * SHORT_TEXT_RATIO);
+        let by_slowness =
+            |one: &Tradable, other: &Tradable| one.slowness.total_cmp(&other.slowness);
         let (slow, long_model) = long
-            .flat_map(|(_, model)| self.paced(model, fleet).map(move |one| (one, *model)))
-            .filter(|(one, _)| (SLOW_PACE..BROKEN_PACE).contains(&one.relative_pace))
-            .max_by(|(one, _), (other, _)| by_pace(one, other))?;
+            .flat_map(|(_, model)| self.tradable(model, fleet).map(move |one| (one, *model)))
+            .filter(|(one, _)| (SLOW_RATIO..TEMPORARY_RATIO).contains(&one.slowness))
+            .max_by(|(one, _), (other, _)| by_slowness(one, other))?;
         let fast = self
-            .paced(short_model, fleet)
-            .filter(|one| one.relative_pace < FAST_PACE)
-            .filter(|one| one.pace_ms * SLOW_PACE <= slow.pace_ms)
-            .min_by(by_pace)?;
+            .tradable(short_model, fleet)
+            .filter(|one| one.slowness < FAST_RATIO)
+            .filter(|one| one.event_interval_ms * SLOW_RATIO <= slow.event_interval_ms)
+            .min_by(by_slowness)?;
         let trade = Trade {
             model: long_model.to_owned(),
             slow: slow.id.to_owned(),
@@ -205,32 +209,32 @@
         Some(trade)
     }
 
-    /// Pace of the fastest instance of a model.
-    fn best_pace(&self, model: &str, fleet: &[FleetInstance]) -> Option<f64> {
-        let paces = fleet
+    /// Returns the event interval of a model's fastest instance.
+    fn shortest_interval(&self, model: &str, fleet: &[FleetInstance]) -> Option<f64> {
+        let intervals_ms = fleet
             .iter()
             .filter(|one| self.model(&one.id) == Some(model))
-            .filter_map(|one| one.pace_ms);
-        paces.min_by(f64::total_cmp)
+            .filter_map(|one| one.event_interval_ms);
+        intervals_ms.min_by(f64::total_cmp)
     }
 
-    /// Instances of a model that may be traded.
-    fn paced<'a>(
+    /// Returns the instances of a model that may be traded.
+    fn tradable<'a>(
         &'a self,
         model: &'a str,
         fleet: &'a [FleetInstance],
-    ) -> impl Iterator<Item = Paced<'a>> {
-        let best = self.best_pace(model, fleet);
+    ) -> impl Iterator<Item = Tradable<'a>> {
+        let best = self.shortest_interval(model, fleet);
         fleet
             .iter()
             .filter(move |one| self.model(&one.id) == Some(model))
             .filter(|one| !one.is_busy && !self.traded.contains(&one.id))
             .filter_map(move |one| {
-                let pace_ms = one.pace_ms?;
-                Some(Paced {
+                let event_interval_ms = one.event_interval_ms?;
+                Some(Tradable {
                     id: &one.id,
-                    pace_ms,
-                    relative_pace: pace_ms / best?,
+                    event_interval_ms,
+                    slowness: event_interval_ms / best?,
                 })
             })
     }
@@ -243,7 +247,8 @@
     }
 }
 
-/// Instances for each model: shares of the weights by largest remainder, at least one each while there are enough.
+/// Returns the number of instances for each model: proportional to the weights by largest
+/// remainder, and at least one if there are enough instances.
 fn quotas(demands: &[ModelDemand], instances: usize) -> BTreeMap<String, usize> {
     let total: f64 = demands
         .iter()
@@ -253,8 +258,8 @@
         .iter()
         .map(|demand| {
             let exact = demand.weight.max(f64::MIN_POSITIVE) / total * instances as f64;
-            let whole = (exact as usize).max(usize::from(instances >= demands.len()));
-            (exact - whole as f64, whole, demand.model.as_str())
+            let rounded = (exact as usize).max(usize::from(instances >= demands.len()));
+            (exact - rounded as f64, rounded, demand.model.as_str())
         })
         .collect();
     while shares.iter().map(|share| share.1).sum::<usize>() < instances {
@@ -271,41 +276,42 @@
         .collect()
 }
 
-/// The next order, given what is loading anywhere and how many may load at once.
+/// Plans the next order, given the number of loads in progress and its limit.
 ///
-/// Instances two or more versions behind go first and at once, as no job may use them; then, after the burst of work, those
-/// one behind, the least busy first.
+/// Instances that no job may use come first and without delay. Instances one version behind follow
+/// after the burst of work, the least loaded first.
 pub fn plan(
     demands: &[ModelDemand],
     assignment: &Assignment,
     fleet: &[FleetInstance],
-    loading: usize,
-    most_loading: usize,
-) -> Option<Planned> {
-    if loading >= most_loading {
+    loads_in_progress: usize,
+    max_loading: usize,
+) -> Option<PlannedLoad> {
+    if loads_in_progress >= max_loading {
         return None;
     }
     let candidates = demands
         .iter()
-        .filter_map(|demand| next_of(demand, assignment, fleet));
+        .filter_map(|demand| next_load(demand, assignment, fleet));
     candidates
         .max_by_key(|(urgency, _)| *urgency)
         .map(|(_, planned)| planned)
 }
 
-/// How urgent an order is: instances that no job may use first, of the model that has the smallest share of useful ones.
+/// Urgency of an order: unusable instances first, then the model with the largest share of unusable
+/// instances, then the one with most outdated ones.
 type Urgency = (bool, u64, usize);
 
-/// The next order for one model.
-fn next_of(
+/// Plans the next order for one model.
+fn next_load(
     demand: &ModelDemand,
     assignment: &Assignment,
     fleet: &[FleetInstance],
-) -> Option<(Urgency, Planned)> {
+) -> Option<(Urgency, PlannedLoad)> {
     let version = |one: &FleetInstance| one.versions.get(&demand.model).copied().unwrap_or(0);
     let lag = |one: &FleetInstance| demand.newest.saturating_sub(version(one));
-    let least_lag = if demand.named_for < BURST_TIME {
-        USELESS_LAG
+    let min_lag = if demand.announced_for < BURST_DURATION {
+        UNUSABLE_LAG
     } else {
         1
     };
@@ -315,15 +321,18 @@
         .collect();
     let next = served
         .iter()
-        .filter(|one| !one.is_busy && lag(one) >= least_lag)
+        .filter(|one| !one.is_busy && lag(one) >= min_lag)
         .min_by_key(|one| (version(one), one.load, &one.id))?;
-    let useless = served.iter().filter(|one| lag(one) >= USELESS_LAG).count();
-    let behind = served.iter().filter(|one| lag(one) >= 1).count();
-    let useless_share = (useless * 1_000 / served.len().max(1)) as u64;
-    let planned = Planned {
+    let unusable = served.iter().filter(|one| lag(one) >= UNUSABLE_LAG).count();
+    let outdated = served.iter().filter(|one| lag(one) >= 1).count();
+    let unusable_share = (unusable * 1_000 / served.len().max(1)) as u64;
+    let planned = PlannedLoad {
         instance: next.id.clone(),
         model: demand.model.clone(),
         version: demand.newest,
     };
-    Some(((lag(next) >= USELESS_LAG, useless_share, behind), planned))
+    Some((
+        (lag(next) >= UNUSABLE_LAG, unusable_share, outdated),
+        planned,
+    ))
 }
--- a/crates/front/src/suspects/mod.rs
+++ b/crates/front/src/suspects/mod.rs
@@ -1,7 +1,5 @@
-//! Requests under which instances end: told by their content, whatever id they come under and at which front, and held back.
-//!
-//! Without it each try of such a request ended as many instances as its route allows attempts: all ten in five tries of
-//! platform/tests/crashing_requests.rs, where two end with it, three by an item.
+//! Requests that crash instances. They are recognized by their content at any front and held back
+//! after a few crashes.
 
 mod content;
 mod ledger;
@@ -20,45 +18,43 @@
 
 pub use content::{ContentDigest, RequestContent};
 pub use ledger::{
-    Admission, Cleared, FIRST_HOLD, ITEM_MAX_CRASHES, LIVE_MAX_CRASHES, LONGEST_HOLD, MOST_CONTENTS,
-    SUSPICION, SuspectLedger,
+    Admission, Cleared, FIRST_HOLD, ITEM_MAX_CRASHES, LIVE_MAX_CRASHES, MAX_HOLD, MAX_SUSPECTS,
+    SUSPICION_LIFETIME, SuspectLedger,
 };
-pub use probe::{InstanceFate, probe};
+pub use probe::{InstanceStatus, probe};
 pub use record::SuspectRecord;
 pub use sharing::SuspectSharing;
 
 use crate::backend::Instance;
 use crate::metrics::Metrics;
 
-/// What ran, by the ids that the log names it by.
+/// A live request or an item, by the ids in the log.
 #[derive(Debug, Clone, Copy)]
 pub enum RunSubject<'a> {
-    /// A live request.
     Request {
-        /// Id of the client attempt.
+        /// Id of the client's attempt.
         id: &'a str,
-        /// Its route.
+        /// Name of its route.
         route: &'a str,
     },
-    /// An item of a batch job.
     Item {
         /// Id of the item.
         id: &'a str,
-        /// Its job.
+        /// Id of its job.
         job: &'a str,
     },
 }
 
 impl RunSubject<'_> {
-    /// Ends of instances after which its content is held back.
-    fn most_ends(&self) -> usize {
+    /// Returns the crashes after which its content is held back.
+    fn max_crashes(&self) -> usize {
         match self {
             Self::Request { .. } => LIVE_MAX_CRASHES,
             Self::Item { .. } => ITEM_MAX_CRASHES,
         }
     }
 
-    /// Label of metrics.
+    /// Returns the label in metrics.
     fn label(&self) -> &'static str {
         match self {
             Self::Request { .. } => "request",
@@ -76,40 +72,41 @@
     }
 }
 
-/// A run whose connection broke while the instance may have been at work on it.
+/// A run whose connection broke, possibly while the instance was executing it.
 #[derive(Debug, Clone, Copy)]
 pub struct BrokenRun<'a> {
-    /// What ran.
+    /// Request or item that ran.
     pub subject: RunSubject<'a>,
-    /// Where.
+    /// Instance that ran it.
     pub instance: &'a Arc<Instance>,
-    /// What it is told by.
+    /// Content of its request.
     pub content: ContentDigest,
     /// When it was sent.
     pub started_at: Instant,
 }
 
-/// Contents of which something new is known and not yet shared, at most; more are dropped with a line.
-const MOST_UNSHARED: usize = 256;
+/// Maximum number of changed contents waiting to be shared; more are dropped with a log line.
+const MAX_UNSHARED: usize = 256;
 
-/// Ends from which on fronts are told of an item: one in some thousand items meets two ends that others caused.
-const ITEM_TOLD_FROM: usize = 2;
+/// Crashes from which on an item is announced to all fronts; few items meet two crashes with other
+/// causes.
+const ITEM_MIN_CRASHES_TO_ANNOUNCE: usize = 2;
 
-/// A caller whose request is not let through, as runs of the same content are under way, may come back after this: by then most have
-/// ended one way or the other.
+/// Retry delay of a request that is refused while runs of the same content are in progress, most of
+/// which have ended by then.
 const BUSY_RETRY: Duration = Duration::from_millis(500);
 
-/// Watches for requests under which instances end, and holds them back. Cheap to clone.
+/// Detects requests that crash instances and holds them back. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Suspects {
     ledger: Arc<Mutex<SuspectLedger>>,
-    /// Contents that are suspected; with none, as mostly, no content is digested.
+    /// Number of suspects; while it is zero, no content digests are computed.
     count: Arc<AtomicUsize>,
-    news: mpsc::Sender<ContentDigest>,
+    updates: mpsc::Sender<ContentDigest>,
     metrics: Arc<Metrics>,
 }
 
-/// A run that may begin. It counts among the runs of its content until it is dropped.
+/// Admission of a run, which counts among the runs of its content until dropped.
 #[derive(Debug, Default)]
 pub struct RunPermit {
     watched: Option<(Suspects, ContentDigest)>,
@@ -118,20 +115,21 @@
 impl Drop for RunPermit {
     fn drop(&mut self) {
         if let Some((suspects, content)) = self.watched.take() {
-            suspects.lock().run_over(content);
+            suspects.lock().finish_run(content);
         }
     }
 }
 
-/// A content that ended an instance in a try that is not over yet: fronts are told when this is dropped, unless an instance bears it before.
+/// A content that crashed an instance during an attempt still in progress. It is announced on drop
+/// unless cleared before.
 #[derive(Debug)]
-pub struct UntoldSuspect {
+pub struct UnannouncedSuspect {
     suspects: Suspects,
     content: ContentDigest,
 }
 
-impl UntoldSuspect {
-    /// To be told of by `suspects`.
+impl UnannouncedSuspect {
+    /// Creates a guard that announces `content` through `suspects`.
     pub fn new(suspects: &Suspects, content: ContentDigest) -> Self {
         Self {
             suspects: suspects.clone(),
@@ -140,43 +138,43 @@
     }
 }
 
-impl Drop for UntoldSuspect {
+impl Drop for UnannouncedSuspect {
     fn drop(&mut self) {
-        self.suspects.tell(self.content);
+        self.suspects.announce(self.content);
     }
 }
 
-/// A run that may not begin.
+/// Refusal of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeldBack {
-    /// When another try may be let through.
+    /// Time until another attempt may be admitted.
     pub retry_after: Duration,
 }
 
 impl HeldBack {
-    /// Whether only runs under way are waited for.
+    /// Returns whether the run waits only for runs in progress.
     pub fn is_concurrency_hold(self) -> bool {
         self.retry_after <= BUSY_RETRY
     }
 }
 
 impl Suspects {
-    /// Knows of none; what becomes known is to be shared by the receiver.
+    /// Creates an empty set; the receiver gets the contents whose changes are to be shared.
     pub fn new(metrics: Arc<Metrics>) -> (Self, mpsc::Receiver<ContentDigest>) {
-        let (news, unshared) = mpsc::channel(MOST_UNSHARED);
+        let (updates, unshared_updates) = mpsc::channel(MAX_UNSHARED);
         let suspects = Self {
             ledger: Arc::new(Mutex::new(SuspectLedger::new(BUSY_RETRY))),
             count: Arc::default(),
-            news,
+            updates,
             metrics,
         };
-        (suspects, unshared)
+        (suspects, unshared_updates)
     }
 
-    /// Whether a run may begin. `content` is asked for only while any content is suspected.
+    /// Admits a run. `content` is computed only while there are suspects.
     ///
     /// # Errors
-    /// [`HeldBack`] if it may not.
+    /// [`HeldBack`] if the run must not start now.
     pub fn admit(
         &self,
         subject: RunSubject<'_>,
@@ -187,7 +185,7 @@
         }
         let content = content();
         let admission =
-            self.update(|ledger| ledger.admit(content, subject.most_ends(), Instant::now()));
+            self.update(|ledger| ledger.admit(content, subject.max_crashes(), Instant::now()));
         match admission {
             Admission::Free => Ok(RunPermit::default()),
             Admission::Watched => Ok(RunPermit {
@@ -196,7 +194,7 @@
             Admission::Held { retry_after } => {
                 log::info!(
                     "event=run_held_back {subject} content={content} ends={:?} retry_after_ms={}",
-                    self.ends(content),
+                    self.crashes(content),
                     retry_after.as_millis()
                 );
                 let held = &self.metrics.held_back_runs;
@@ -206,7 +204,8 @@
         }
     }
 
-    /// Whether a run would be held back now. `content` is asked for only while any content is suspected.
+    /// Returns the hold that a run would meet now. `content` is computed only while there are
+    /// suspects.
     pub fn current_hold(
         &self,
         subject: RunSubject<'_>,
@@ -218,99 +217,107 @@
         let content = content();
         let held = self
             .lock()
-            .current_hold(content, subject.most_ends(), Instant::now());
+            .current_hold(content, subject.max_crashes(), Instant::now());
         held.map(|retry_after| HeldBack { retry_after })
     }
 
-    /// Finds out what became of the instance under a run that broke, and suspects its content at this node if the instance ended.
-    pub async fn check_broken_run(&self, run: &BrokenRun<'_>) -> InstanceFate {
+    /// Checks the instance of a broken run, and suspects the run's content at this node if the
+    /// instance crashed.
+    pub async fn check_broken_run(&self, run: &BrokenRun<'_>) -> InstanceStatus {
         let run_ms = run.started_at.elapsed().as_millis();
-        let fate = if run.instance.has_ended() {
-            InstanceFate::Ended
+        let status = if run.instance.has_ended() {
+            InstanceStatus::Exited
         } else {
             probe(run.instance.address()).await
         };
         let content = run.content;
-        let start = run.instance.start_name();
-        if fate == InstanceFate::Ended {
-            self.update(|ledger| ledger.note_end(content, &start, run.started_at, Instant::now()));
+        let incarnation = run.instance.incarnation_name();
+        if status == InstanceStatus::Exited {
+            self.update(|ledger| {
+                ledger.record_crash(content, &incarnation, run.started_at, Instant::now())
+            });
         }
         log::warn!(
             "event=run_broken {} instance={} content={content} run_ms={run_ms} instance_now={} ends={:?}",
             run.subject,
             run.instance.id(),
-            fate.label(),
-            self.ends(content)
+            status.label(),
+            self.crashes(content)
         );
         let counter = &self.metrics.broken_runs;
-        counter.with_label_values(&[fate.label()]).inc();
-        fate
+        counter.with_label_values(&[status.label()]).inc();
+        status
     }
 
-    /// Tells all fronts what is known of a content, if it is suspected. Each end of an instance makes suspects of all that ran there: telling
-    /// hundreds of fronts of each of them, and again as they are cleared, would cost more than the end. So a live request is told of once its
-    /// try is over without success, an item once a second instance has ended under it.
-    pub fn tell(&self, content: ContentDigest) {
-        if self.update(|ledger| ledger.note_told(content)) {
+    /// Announces a content to all fronts if it is suspected. A crash makes every run on the
+    /// instance a suspect, most of which are soon cleared, so announcing all of them would cost
+    /// more than the crash: a live request is announced when its attempts have failed, an item
+    /// after its second crash.
+    pub fn announce(&self, content: ContentDigest) {
+        if self.update(|ledger| ledger.mark_shared(content)) {
             self.share(content);
         }
     }
 
-    /// As [`Suspects::tell`], for an item, which only its owner runs again and again.
+    /// Announces an item, which only its owner repeats, after its second crash.
     pub fn announce_item(&self, content: ContentDigest) {
-        if self.lock().ends(content).len() >= ITEM_TOLD_FROM {
-            self.tell(content);
+        if self.lock().crashes(content).len() >= ITEM_MIN_CRASHES_TO_ANNOUNCE {
+            self.announce(content);
         }
     }
 
-    /// An instance bore a run to the end of its answer. `content` is asked for only while any content is suspected.
+    /// Clears the content of a run that an instance completed. `content` is computed only while
+    /// there are suspects.
     pub fn record_completion(&self, content: impl FnOnce() -> ContentDigest) {
         if self.count.load(Ordering::Relaxed) == 0 {
             return;
         }
         let content = content();
         let cleared = self.update(|ledger| ledger.clear(content));
-        if cleared != Cleared::Unsuspected {
+        if cleared != Cleared::NotSuspected {
             log::info!("event=suspect_cleared content={content} by=own_run");
         }
-        if cleared == Cleared::Told {
+        if cleared == Cleared::Shared {
             self.share(content);
         }
     }
 
-    /// Takes what another front tells.
-    pub fn apply_updates(&self, news: &SuspectNews) {
-        news.contents.iter().for_each(|told| self.take(told));
+    /// Applies updates received from another front.
+    pub fn apply_updates(&self, updates: &SuspectNews) {
+        updates
+            .contents
+            .iter()
+            .for_each(|content_update| self.apply(content_update));
     }
 
-    fn take(&self, told: &SuspectedContent) {
-        let content = ContentDigest::from_bits(told.content);
-        if !told.ends.is_empty() {
-            self.take_ends(content, &told.ends);
-        } else if self.update(|ledger| ledger.clear(content)) != Cleared::Unsuspected {
+    fn apply(&self, content_update: &SuspectedContent) {
+        let content = ContentDigest::from_bits(content_update.content);
+        if !content_update.ends.is_empty() {
+            self.merge_crashes(content, &content_update.ends);
+        } else if self.update(|ledger| ledger.clear(content)) != Cleared::NotSuspected {
             log::info!("event=suspect_cleared content={content} by=news");
         }
     }
 
-    /// Takes ends that others know of.
-    fn take_ends(&self, content: ContentDigest, ends: &[String]) {
+    /// Merges crashes that other nodes know of.
+    fn merge_crashes(&self, content: ContentDigest, ends: &[String]) {
         let ends = ends.iter().map(String::as_str);
         if self.update(|ledger| ledger.merge(content, ends, Instant::now())) {
             log::info!(
                 "event=suspect_heard content={content} ends={:?}",
-                self.ends(content)
+                self.crashes(content)
             );
         }
     }
 
-    /// Starts of instances that ended under a content, as far as is known here.
-    fn ends(&self, content: ContentDigest) -> Vec<String> {
-        let ends = self.lock().ends(content);
-        ends.iter().map(ToString::to_string).collect()
+    /// Returns the names of the incarnations known to have crashed during runs of a content.
+    fn crashes(&self, content: ContentDigest) -> Vec<String> {
+        let crashes = self.lock().crashes(content);
+        crashes.iter().map(ToString::to_string).collect()
     }
 
     fn share(&self, content: ContentDigest) {
-        if let Err(error) = self.news.try_send(content) {
+        if let Err(error) = self.updates.try_send(content) {
             log::warn!("event=suspect_not_shared content={content} cause=\"{error}\"");
         }
     }
@@ -320,7 +327,7 @@
         let result = change(&mut ledger);
         self.count.store(ledger.len(), Ordering::Relaxed);
         self.metrics.suspected_contents.set(ledger.len() as i64);
-        self.metrics.suspect_ends.set(ledger.known_ends() as i64);
+        self.metrics.suspect_ends.set(ledger.known_crashes() as i64);
         result
     }
 
--- a/crates/front/src/suspects/sharing.rs
+++ b/crates/front/src/suspects/sharing.rs
@@ -1,7 +1,8 @@
-//! News of suspected contents: told to all fronts at once, and kept in the coordination store.
+//! Shares suspects with other fronts, directly and through the coordination store.
 //!
-//! A caller comes back at any front, within a fraction of a second. Fronts are told directly, as a watch of the store at each of hundreds of
-//! fronts has its price all day; the store's records are read at the start, and when this node was out of touch and may have missed news.
+//! A client may retry at any front within a fraction of a second, so fronts are notified directly;
+//! a permanent watch of the store at each of hundreds of fronts would cost more. The store's
+//! records are read at the start and when this node may have missed updates.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -21,103 +22,110 @@
 use crate::coordination::{Coordination, CoordinationError, Record, SwapResult};
 use crate::nodes::{NodeRole, Nodes};
 
-/// Time for a front to answer news. One that is silent for longer is out of touch, and reads the records when it is back.
-const TELL_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout of an update to a front. A front that is silent for longer reads the records once it is
+/// connected again.
+const UPDATE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Which fronts there are is read again before news are told, unless it was read within this time: one content makes a few news in a second.
-const FRONTS_AGE: Duration = Duration::from_secs(1);
+/// Maximum age of the list of fronts when an update is sent, as one content changes several times a
+/// second.
+const FRONTS_MAX_AGE: Duration = Duration::from_secs(1);
 
-/// Longest wait for that: news matter within a caller's pause before it comes back.
-const FRONTS_LIMIT: Duration = Duration::from_millis(300);
+/// Timeout for reading that list, so that the update arrives before the client retries.
+const FRONTS_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// News within this time share one message: an instance ends under all that ran there at once.
-const GATHER: Duration = Duration::from_millis(10);
+/// Updates within this time share one message, as a crash affects all runs of an instance at once.
+const BATCH_DELAY: Duration = Duration::from_millis(10);
 
-/// Fronts that are told at once: a weak front connects to some hundred others in less than a second so.
-const TOLD_AT_ONCE: usize = 32;
+/// Maximum number of fronts notified concurrently, which lets a slow front reach some hundred
+/// others within a second.
+const MAX_CONCURRENT_UPDATES: usize = 32;
 
-/// Lease of a record: as long as a first hold, so that the record goes when the content may be tried again.
-const RECORD_LEASE: Duration = super::ledger::FIRST_HOLD;
+/// Lease time of a record; equals the first hold, after which the content may be tried again.
+const RECORD_LEASE_TIME: Duration = super::ledger::FIRST_HOLD;
 
-/// Tries to write one record against writes of other nodes.
-const WRITE_TRIES: u32 = 5;
+/// Maximum number of attempts to write a record while other nodes write it too.
+const MAX_WRITE_ATTEMPTS: u32 = 5;
 
-/// Between looks whether this node was out of touch, and tries to write what could not be written.
-const LOOK_PAUSE: Duration = Duration::from_secs(1);
+/// Interval between checks for lost contact, and between retries of failed writes.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Without an answer of the store for so long this node may have been frozen or cut off, and missed news.
-const OUT_OF_TOUCH: Duration = Duration::from_millis(2_500);
+/// Time without a response of the store after which this node may have been frozen or partitioned
+/// and missed updates.
+const CONTACT_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// A node that has just started is not known to all others yet: it reads the records once more after this time, in which others
-/// read which nodes there are.
-const SECOND_READ: Duration = Duration::from_secs(5);
+/// Delay of the second read after the start: by then all other nodes know of this one and notify
+/// it.
+const SECOND_READ_DELAY: Duration = Duration::from_secs(5);
 
-/// How new a reading of the store must be.
+/// Required freshness of a read of the store.
 #[derive(Debug, Clone, Copy)]
-enum Reading {
-    /// It may be seconds old, for a tenth of the price: nothing was missed but what came before the start.
+enum Freshness {
+    /// May be seconds old and costs a tenth: nothing but updates before the start was missed.
     Stale,
-    /// News may have been missed until just now.
+    /// Must be current, as updates may have been missed until just now.
     Newest,
 }
 
-/// Shares what this node knows of suspected contents.
+/// Shares this node's knowledge of suspects.
 pub struct SuspectSharing {
-    /// What is known here.
+    /// Suspects known here.
     pub suspects: Suspects,
-    /// The other fronts.
+    /// All nodes, among them the other fronts.
     pub nodes: Nodes,
-    /// The store.
+    /// Coordination store.
     pub coordination: Arc<dyn Coordination>,
 }
 
 impl SuspectSharing {
-    /// Shares for as long as the future is polled; `news` are contents of which something new is known here.
-    pub async fn run(self, news: mpsc::Receiver<ContentDigest>) {
-        let (told, kept) = mpsc::unbounded_channel();
-        tokio::join!(self.tell_all(news, told), self.keep_all(kept));
+    /// Shares until the future is dropped; `updates` delivers the contents that changed here.
+    pub async fn run(self, updates: mpsc::Receiver<ContentDigest>) {
+        let (announced, to_store) = mpsc::unbounded_channel();
+        tokio::join!(
+            self.announce_all(updates, announced),
+            self.store_all(to_store)
+        );
     }
 
-    /// Tells all fronts each news. A front that is silent holds up neither the others nor later news.
-    async fn tell_all(
+    /// Sends each change to all fronts. A silent front delays neither the others nor later changes.
+    async fn announce_all(
         &self,
-        mut news: mpsc::Receiver<ContentDigest>,
-        told: mpsc::UnboundedSender<ContentDigest>,
+        mut updates: mpsc::Receiver<ContentDigest>,
+        announced: mpsc::UnboundedSender<ContentDigest>,
     ) {
-        let mut telling: FuturesUnordered<_> = FuturesUnordered::new();
+        let mut announcements: FuturesUnordered<_> = FuturesUnordered::new();
         loop {
             tokio::select! {
-                content = news.recv() => {
+                content = updates.recv() => {
                     let Some(content) = content else {
                         return;
                     };
-                    tokio::time::sleep(GATHER).await;
+                    tokio::time::sleep(BATCH_DELAY).await;
                     let mut contents = BTreeSet::from([content]);
-                    while let Ok(content) = news.try_recv() {
+                    while let Ok(content) = updates.try_recv() {
                         contents.insert(content);
                     }
                     for content in &contents {
-                        // The keeper is there as long as this loop.
-                        let _ = told.send(*content);
+                        // The receiver lives as long as this loop.
+                        let _ = announced.send(*content);
                     }
-                    telling.push(self.tell(contents));
+                    announcements.push(self.announce(contents));
                 }
-                Some(()) = telling.next() => {}
+                Some(()) = announcements.next() => {}
             }
         }
     }
 
-    /// Tells all other fronts what is known of some contents.
-    async fn tell(&self, contents: BTreeSet<ContentDigest>) {
+    /// Sends the crashes known for some contents to all other fronts.
+    async fn announce(&self, contents: BTreeSet<ContentDigest>) {
         let known = contents.iter().map(|content| SuspectedContent {
             content: content.to_bits(),
-            ends: self.suspects.ends(*content),
+            ends: self.suspects.crashes(*content),
         });
         let kind = RequestKind::suspect_news(SuspectNews {
             contents: known.collect(),
         });
-        let (begun, mut told) = (Instant::now(), 0);
-        self.learn_fronts().await;
+        let (started_at, mut notified) = (Instant::now(), 0);
+        self.refresh_fronts().await;
         let own = self.nodes.own().node;
         let mut fronts = self.nodes.with_role(NodeRole::Front);
         fronts.retain(|front| front.node != own);
@@ -126,56 +134,60 @@
         let call = |node: String| {
             let request = Request { kind: kind.clone() };
             async move {
-                let told = self.nodes.call(&node, request, TELL_TIMEOUT).await;
-                told.inspect_err(|error| {
-                    log::info!("event=suspects_not_announced front={node} cause=\"{error}\"");
-                })
-                .is_ok()
+                let notified = self.nodes.call(&node, request, UPDATE_TIMEOUT).await;
+                notified
+                    .inspect_err(|error| {
+                        log::info!("event=suspects_not_announced front={node} cause=\"{error}\"");
+                    })
+                    .is_ok()
             }
         };
         let mut calls: FuturesUnordered<_> = FuturesUnordered::new();
         loop {
-            while calls.len() < TOLD_AT_ONCE
+            while calls.len() < MAX_CONCURRENT_UPDATES
                 && let Some(front) = others.next()
             {
                 calls.push(call(front.node));
             }
             match calls.next().await {
-                Some(was_told) => told += usize::from(was_told),
+                Some(was_notified) => notified += usize::from(was_notified),
                 None => break,
             }
         }
         log::info!(
-            "event=suspects_announced contents={contents:?} fronts={told} of={count} elapsed_ms={}",
-            begun.elapsed().as_millis()
+            "event=suspects_announced contents={contents:?} fronts={notified} of={count} elapsed_ms={}",
+            started_at.elapsed().as_millis()
         );
     }
 
-    /// Reads which fronts there are: a front without work with others hears of new ones up to 12 s late. Without an answer those that are known
-    /// are told.
-    async fn learn_fronts(&self) {
-        let reading = self.nodes.refresh(self.coordination.as_ref(), FRONTS_AGE);
-        match tokio::time::timeout(FRONTS_LIMIT, reading).await {
+    /// Refreshes the list of fronts, which may be 12 s old at an idle front. Without a response of
+    /// the store the known fronts are used.
+    async fn refresh_fronts(&self) {
+        let refresh = self
+            .nodes
+            .refresh(self.coordination.as_ref(), FRONTS_MAX_AGE);
+        match tokio::time::timeout(FRONTS_TIMEOUT, refresh).await {
             Ok(Ok(())) => {}
             Ok(Err(error)) => log::info!("event=fronts_not_read cause=\"{error}\""),
             Err(_) => log::info!("event=fronts_not_read cause=\"no answer in time\""),
         }
     }
 
-    /// Writes all news into the store, and reads what it holds when this node may have missed news.
-    async fn keep_all(&self, mut news: mpsc::UnboundedReceiver<ContentDigest>) {
+    /// Writes all changes to the store, and reads its records when this node may have missed
+    /// updates.
+    async fn store_all(&self, mut updates: mpsc::UnboundedReceiver<ContentDigest>) {
         let started = Instant::now();
         let mut unwritten = BTreeSet::new();
         let mut has_second_read = false;
-        let mut wanted = Some(Reading::Stale);
+        let mut pending_read = Some(Freshness::Stale);
         loop {
-            if let Some(reading) = wanted
-                && self.is_in_touch()
-                && self.read_all(reading).await.is_ok()
+            if let Some(freshness) = pending_read
+                && self.has_contact()
+                && self.read_all(freshness).await.is_ok()
             {
-                wanted = None;
+                pending_read = None;
             }
-            let received = tokio::time::timeout(LOOK_PAUSE, news.recv()).await;
+            let received = tokio::time::timeout(CHECK_INTERVAL, updates.recv()).await;
             match received {
                 Ok(Some(content)) => {
                     unwritten.insert(content);
@@ -184,39 +196,40 @@
                 Err(_) => {}
             }
             self.write_all(&mut unwritten).await;
-            if !has_second_read && started.elapsed() > SECOND_READ {
+            if !has_second_read && started.elapsed() > SECOND_READ_DELAY {
                 has_second_read = true;
-                wanted.get_or_insert(Reading::Stale);
+                pending_read.get_or_insert(Freshness::Stale);
             }
-            if !self.is_in_touch() {
-                wanted = Some(Reading::Newest);
+            if !self.has_contact() {
+                pending_read = Some(Freshness::Newest);
             }
         }
     }
 
-    /// Whether the store answered this node lately. Reading it before it does would cost a call a second at each node that is cut off.
-    fn is_in_touch(&self) -> bool {
+    /// Returns whether the store responded recently. Reading it before would cost one call per
+    /// second at each partitioned node.
+    fn has_contact(&self) -> bool {
         let contact = self.nodes.last_store_contact();
-        contact.is_none_or(|at| at.elapsed() < OUT_OF_TOUCH)
+        contact.is_none_or(|at| at.elapsed() < CONTACT_TIMEOUT)
     }
 
-    /// Takes what the store holds.
-    async fn read_all(&self, reading: Reading) -> Result<(), CoordinationError> {
-        let listing = match reading {
-            Reading::Stale => self.coordination.list_stale(PREFIX).await,
-            Reading::Newest => self.coordination.list(PREFIX).await,
+    /// Merges the records of the store.
+    async fn read_all(&self, freshness: Freshness) -> Result<(), CoordinationError> {
+        let listing = match freshness {
+            Freshness::Stale => self.coordination.list_stale(PREFIX).await,
+            Freshness::Newest => self.coordination.list(PREFIX).await,
         };
         let records = listing
             .inspect_err(|error| log::warn!("event=suspects_not_read cause=\"{error}\""))?
             .records;
         let known = records.iter().filter_map(read_or_log);
         for (content, record) in known {
-            self.suspects.take_ends(content, &record.ends);
+            self.suspects.merge_crashes(content, &record.ends);
         }
         Ok(())
     }
 
-    /// Writes what is known of contents; those that could not be written stay for the next time.
+    /// Writes the state of contents; those that could not be written are kept for the next time.
     async fn write_all(&self, unwritten: &mut BTreeSet<ContentDigest>) {
         let contents: Vec<ContentDigest> = unwritten.iter().copied().collect();
         for content in contents {
@@ -233,23 +246,23 @@
     }
 
     async fn write(&self, content: ContentDigest) -> Result<(), CoordinationError> {
-        let ends = self.suspects.ends(content);
+        let ends = self.suspects.crashes(content);
         if ends.is_empty() {
-            return self.erase(content).await;
+            return self.delete_record(content).await;
         }
         let key = SuspectRecord::key(content);
         let mut found = self.coordination.get(&key).await?;
-        let lease = self.coordination.grant(RECORD_LEASE).await?;
-        for _ in 0..WRITE_TRIES {
+        let lease = self.coordination.grant(RECORD_LEASE_TIME).await?;
+        for _ in 0..MAX_WRITE_ATTEMPTS {
             let mut record = SuspectRecord {
                 ends: Vec::new(),
                 lease,
             };
             if let Some((_, known)) = found.as_ref().and_then(read_or_log) {
-                self.suspects.take_ends(content, &known.ends);
+                self.suspects.merge_crashes(content, &known.ends);
                 record.add(known.ends);
             }
-            record.add(self.suspects.ends(content));
+            record.add(self.suspects.crashes(content));
             let revision = found.as_ref().map_or(0, |record| record.revision);
             let value = serde_json::to_vec(&record).unwrap_or_default();
             match self
@@ -262,12 +275,12 @@
             }
         }
         Err(CoordinationError::Refused(
-            "other nodes write it too".to_owned(),
+            "record is being written by other nodes".to_owned(),
         ))
     }
 
-    /// Ends the record of a content that an instance bore.
-    async fn erase(&self, content: ContentDigest) -> Result<(), CoordinationError> {
+    /// Deletes the record of a content that was cleared.
+    async fn delete_record(&self, content: ContentDigest) -> Result<(), CoordinationError> {
         let key = SuspectRecord::key(content);
         let found = self.coordination.get(&key).await?;
         match found.as_ref().and_then(read_or_log) {
--- a/crates/front/tests/order_candidates.rs
+++ b/crates/front/tests/order_candidates.rs
@@ -1,4 +1,4 @@
-//! Few nodes try to become the giver of orders, and others take the place of those that are gone.
+//! Tests the selection of candidates for the orders lease.
 
 use ladderstage_front::orders::is_candidate;
 
@@ -9,13 +9,13 @@
 }
 
 #[test]
-fn of_many_nodes_a_few_are_candidates_and_the_next_follow_when_those_are_gone() {
+fn four_nodes_are_candidates_and_others_replace_those_that_leave() {
     let mut nodes: Vec<String> = (0..68).map(|index| format!("front-{index}")).collect();
     while !nodes.is_empty() {
         let before = candidates(&nodes);
         assert_eq!(before.len(), nodes.len().min(4));
-        let gone = before[0].clone();
-        nodes.retain(|node| *node != gone);
+        let departed = before[0].clone();
+        nodes.retain(|node| *node != departed);
         let after = candidates(&nodes);
         assert!(before[1..].iter().all(|node| after.contains(node)));
     }
@@ -26,9 +26,10 @@
     assert!(!is_candidate("front-1", [("front-2", 500)]));
 }
 
-/// Found on a day of 250 fronts: the giver of orders had 0.12 cores and noticed loads 0.25 s late, and took them for slow ones.
+/// Guards against an order leader with little CPU, which detects finished loads late and takes them
+/// for slow ones.
 #[test]
-fn the_strongest_nodes_are_candidates_and_weaker_ones_only_where_those_are_too_few() {
+fn weak_nodes_are_candidates_only_without_enough_strong_ones() {
     let name = |index: usize| format!("front-{index}");
     let names: Vec<String> = (0..250).map(name).collect();
     for strong in [15, 3] {
--- a/crates/front/tests/region_choice.rs
+++ b/crates/front/tests/region_choice.rs
@@ -1,4 +1,4 @@
-//! Work stays in its region, and moves to another when that serves it better.
+//! Work stays in its region until another region is expected to be faster.
 
 use std::collections::BTreeMap;
 
@@ -6,16 +6,16 @@
 use ladderstage_front::region::{AllowedRegions, Distance, RegionMap};
 use proptest::prelude::*;
 
-/// Round trip to another region.
+/// Round trip to another region, in milliseconds.
 const ROUND_TRIP_MS: f64 = 24.0;
 
-/// Time of a live request at an instance.
+/// Time of a live request at an instance, in milliseconds.
 const LIVE_MS: f64 = 25.0;
 
-/// Time of a reward call at an instance.
+/// Time of a reward call at an instance, in milliseconds.
 const REWARD_MS: f64 = 200.0;
 
-/// Time between two events of a text.
+/// Time between two events of a text, in milliseconds.
 const EVENT_MS: f64 = 45.0;
 
 const SLOTS: u32 = 6;
@@ -30,16 +30,17 @@
     }
 }
 
-/// As measured: for whole answers, round trip included.
+/// Returns a candidate with its typical measured time, which includes the round trip for complete
+/// answers.
 fn measured(distance: Distance, load: u32, demand: Demand) -> Candidate {
-    let way = if distance == Distance::Elsewhere {
+    let round_trip = if distance == Distance::Elsewhere {
         ROUND_TRIP_MS
     } else {
         0.0
     };
     let pace = match demand {
-        Demand::Live => LIVE_MS + way,
-        Demand::Scoring => REWARD_MS + way,
+        Demand::Live => LIVE_MS + round_trip,
+        Demand::Scoring => REWARD_MS + round_trip,
         Demand::Batch | Demand::LongBatch | Demand::InterruptedBatch => EVENT_MS,
     };
     candidate(distance, load, Some(pace))
@@ -54,7 +55,7 @@
 ];
 
 #[test]
-fn an_instance_of_this_region_goes_before_an_equal_one_elsewhere() {
+fn an_instance_of_the_own_region_is_preferred_to_an_equal_one_elsewhere() {
     for demand in DEMANDS {
         for random in 0..8 {
             let known = [Distance::Elsewhere, Distance::SameRegion]
@@ -67,7 +68,8 @@
     }
 }
 
-/// Instances `near` and `far`, one in each region, known to a chooser in the region `east`.
+/// Returns a table in region `east` with the instances `near` in `east`, `far` in `west`, and
+/// `lost` in an unknown zone.
 fn table_of_two_regions() -> BackendTable {
     let zones = [("e1", "east"), ("w1", "west")];
     let zones = zones.map(|(zone, region)| (zone.into(), region.into()));
@@ -97,7 +99,7 @@
     let chosen = |allowed: &AllowedRegions| {
         let first = table.choose_within("service", "", Demand::Live, allowed, |_| true);
         let again = table.choose_for_retry("service", allowed);
-        [first, again].map(|one| one.map(|instance| instance.id().to_owned()))
+        [first, again].map(|choice| choice.map(|instance| instance.id().to_owned()))
     };
     for _ in 0..32 {
         assert_eq!(
@@ -116,36 +118,37 @@
     assert!(!table.has_any_within("service", &only("north")));
 }
 
-/// A live request takes about as long as the round trip: it goes elsewhere once it would wait here for as long.
+/// Leaving the region pays later for a short request, as the round trip is as long as the request.
 #[test]
-fn short_requests_stay_here_for_longer_than_long_ones() {
-    let least_load_to_leave = |demand| {
-        let near = 0..=SLOTS * 2;
-        let leaves = near.into_iter().find(|load| {
-            let near = measured(Distance::SameZone, *load, demand);
-            let idle_far = measured(Distance::Elsewhere, 0, demand);
-            choose(&[near, idle_far], demand, 0) == Some(1)
+fn short_requests_leave_the_region_at_higher_loads_than_long_ones() {
+    let min_load_to_leave = |demand| {
+        let loads = 0..=SLOTS * 2;
+        let leaves = loads.into_iter().find(|load| {
+            let local = measured(Distance::SameZone, *load, demand);
+            let idle_remote = measured(Distance::Elsewhere, 0, demand);
+            choose(&[local, idle_remote], demand, 0) == Some(1)
         });
         leaves.unwrap()
     };
-    let live = least_load_to_leave(Demand::Live);
-    let reward = least_load_to_leave(Demand::Scoring);
-    let text = least_load_to_leave(Demand::Batch);
+    let live = min_load_to_leave(Demand::Live);
+    let reward = min_load_to_leave(Demand::Scoring);
+    let text = min_load_to_leave(Demand::Batch);
     assert!(live > reward && reward >= text, "{live} {reward} {text}");
     assert!(live <= SLOTS, "{live}");
     assert!(text >= 1, "{text}");
 }
 
 #[test]
-fn a_full_region_sends_its_items_elsewhere_at_once() {
+fn items_leave_a_full_region_at_once() {
     for demand in [Demand::Batch, Demand::LongBatch, Demand::Scoring] {
-        let near = measured(Distance::SameZone, SLOTS, demand);
-        let far = measured(Distance::Elsewhere, 2, demand);
-        assert_eq!(choose(&[near, far], demand, 0), Some(1), "{demand:?}");
+        let local = measured(Distance::SameZone, SLOTS, demand);
+        let remote = measured(Distance::Elsewhere, 2, demand);
+        assert_eq!(choose(&[local, remote], demand, 0), Some(1), "{demand:?}");
     }
 }
 
-/// Regions whose instances each finish one request at a time unit and slot; each region chooses by what it knows of all.
+/// Regions whose instances finish one request per slot and round; each region knows the loads of
+/// all.
 struct Regions {
     /// Loads of the instances of each region.
     loads: Vec<Vec<u32>>,
@@ -159,7 +162,7 @@
         }
     }
 
-    /// Gives one request of region `from` an instance; returns the region of it.
+    /// Sends one request of region `from`; returns the region that serves it.
     fn send(&mut self, from: usize, demand: Demand, random: u64) -> Option<usize> {
         let places: Vec<(usize, usize)> = self
             .loads
@@ -183,84 +186,86 @@
         Some(region)
     }
 
-    /// All instances finish what runs in their slots.
+    /// Finishes the requests running in all slots.
     fn finish(&mut self) {
         for load in self.loads.iter_mut().flatten() {
             *load = load.saturating_sub(SLOTS);
         }
     }
 
-    /// Shares of the requests of each region that were served there, over some rounds with `demand[region]` requests a round.
+    /// Plays 20 rounds with `requests[region]` requests each; returns how many of each region's
+    /// requests were served there, per round.
     fn play(&mut self, requests: &[u32], demand: Demand) -> Vec<Vec<u32>> {
         (0..20u64)
             .map(|round| {
                 let most = *requests.iter().max().unwrap();
-                let mut stayed = vec![0; requests.len()];
-                for turn in 0..most {
+                let mut kept_local = vec![0; requests.len()];
+                for index_in_round in 0..most {
                     for (from, count) in requests.iter().enumerate() {
-                        let is_sent = turn < *count;
-                        let random = round * 31 + u64::from(turn);
+                        let is_sent = index_in_round < *count;
+                        let random = round * 31 + u64::from(index_in_round);
                         if is_sent && self.send(from, demand, random) == Some(from) {
-                            stayed[from] += 1;
+                            kept_local[from] += 1;
                         }
                     }
                 }
                 self.finish();
-                stayed
+                kept_local
             })
             .collect()
     }
 }
 
-/// A region at twice its load keeps what it can serve and sends the rest elsewhere, in each round the same; the others keep theirs.
+/// A region at twice its capacity keeps what it can serve and sends the rest elsewhere, without
+/// oscillation between rounds.
 #[test]
-fn a_region_at_twice_its_load_sends_the_rest_elsewhere_and_nothing_swings() {
+fn a_region_at_twice_its_capacity_sends_the_rest_elsewhere_without_oscillation() {
     for demand in [Demand::Live, Demand::Batch, Demand::Scoring] {
         let mut regions = Regions::new(&[4, 4, 4]);
         let slots = 4 * SLOTS;
-        let played = regions.play(&[slots * 2, slots / 4, slots / 4], demand);
-        for stayed in &played {
-            assert!(stayed[0] >= slots * 3 / 4, "{demand:?} {played:?}");
-            assert!(stayed[0] < slots * 2, "{demand:?} {played:?}");
+        let rounds = regions.play(&[slots * 2, slots / 4, slots / 4], demand);
+        for kept_local in &rounds {
+            assert!(kept_local[0] >= slots * 3 / 4, "{demand:?} {rounds:?}");
+            assert!(kept_local[0] < slots * 2, "{demand:?} {rounds:?}");
         }
-        let of = |region: usize| played.iter().map(move |stayed| stayed[region]);
+        let of = |region: usize| rounds.iter().map(move |kept_local| kept_local[region]);
         for region in 0..3 {
             let spread = of(region).max().unwrap() - of(region).min().unwrap();
-            assert!(spread <= SLOTS, "{demand:?} region {region}: {played:?}");
+            assert!(spread <= SLOTS, "{demand:?} region {region}: {rounds:?}");
         }
     }
 }
 
 #[test]
-fn a_region_that_loses_half_of_its_instances_goes_on_with_the_rest_and_the_others() {
+fn a_region_that_loses_half_of_its_instances_uses_the_rest_and_other_regions() {
     let mut regions = Regions::new(&[4, 4, 4]);
     let requests = [2 * SLOTS, 2 * SLOTS, 2 * SLOTS];
-    for stayed in regions.play(&requests, Demand::Live) {
-        assert_eq!(stayed, requests, "each region serves its own");
+    for kept_local in regions.play(&requests, Demand::Live) {
+        assert_eq!(kept_local, requests, "each region serves its own requests");
     }
     regions.loads[0].truncate(2);
-    let played = regions.play(&requests, Demand::Live);
-    for stayed in &played {
-        assert!(stayed[0] >= SLOTS, "{played:?}");
-        assert!(stayed[1] + stayed[2] >= 3 * SLOTS, "{played:?}");
+    let rounds = regions.play(&requests, Demand::Live);
+    for kept_local in &rounds {
+        assert!(kept_local[0] >= SLOTS, "{rounds:?}");
+        assert!(kept_local[1] + kept_local[2] >= 3 * SLOTS, "{rounds:?}");
     }
 }
 
 proptest! {
-    /// Without another region the round trip is no part of the cost: its measured values change no choice.
+    /// Within one region the measured round trips affect no choice.
     #[test]
-    fn in_one_region_the_way_changes_nothing(
+    fn within_one_region_the_round_trip_changes_no_choice(
         loads in prop::collection::vec((0u32..10, any::<bool>(), prop::option::of(1.0..200.0f64)), 1..8),
-        ways in prop::collection::vec(0.1..300.0f64, 8),
+        round_trips in prop::collection::vec(0.1..300.0f64, 8),
         random: u64,
     ) {
-        let of = |index: usize, way: Option<f64>| {
-            let (load, is_near, unit_time_ms) = loads[index];
-            let distance = if is_near { Distance::SameZone } else { Distance::SameRegion };
-            Candidate { round_trip_ms: way, ..candidate(distance, load, unit_time_ms) }
+        let of = |index: usize, round_trip: Option<f64>| {
+            let (load, is_same_zone, unit_time_ms) = loads[index];
+            let distance = if is_same_zone { Distance::SameZone } else { Distance::SameRegion };
+            Candidate { round_trip_ms: round_trip, ..candidate(distance, load, unit_time_ms) }
         };
         let without: Vec<Candidate> = (0..loads.len()).map(|index| of(index, None)).collect();
-        let with: Vec<Candidate> = (0..loads.len()).map(|index| of(index, Some(ways[index]))).collect();
+        let with: Vec<Candidate> = (0..loads.len()).map(|index| of(index, Some(round_trips[index]))).collect();
         for demand in DEMANDS {
             prop_assert_eq!(choose(&without, demand, random), choose(&with, demand, random));
         }
