--- a/crates/journal/src/calls.rs
+++ b/crates/journal/src/calls.rs
@@ -69,8 +69,8 @@
         self.service.replica_sets.current().ok_or_else(no_set)
     }
 
-    /// Calls one replica by its node name. The caller must compare the replica id in the response with the member's,
-    /// as the node's disk may have been replaced.
+    /// Calls one replica by its node name. The caller must compare the replica id in the response
+    /// with the member's, as the node's disk may have been replaced.
     pub async fn call(
         &self,
         member: &ReplicaMember,
@@ -102,8 +102,9 @@
         }
     }
 
-    /// Sends `request` to all replicas of `set` concurrently and passes each response to `on_answer`. Ends when
-    /// `on_answer` finishes, a quorum has become impossible, all replicas have responded, or the timeout expires.
+    /// Sends `request` to all replicas of `set` concurrently and passes each response to
+    /// `on_answer`. Ends when `on_answer` finishes, a quorum has become impossible, all replicas
+    /// have responded, or the timeout expires.
     pub async fn round<T>(
         &self,
         set: &ReplicaSet,
--- a/crates/journal/src/confirmation.rs
+++ b/crates/journal/src/confirmation.rs
@@ -11,8 +11,9 @@
 use super::writer::WriterShared;
 
 impl WriterShared {
-    /// Checks that a quorum of this writer's replica set has promised the log to no higher epoch. Every later writer
-    /// needs the promise of a quorum too, so on `Ok` none had taken the log over when this call started.
+    /// Checks that a quorum of this writer's replica set has promised the log to no higher epoch.
+    /// Every later writer needs the promise of a quorum too, so on `Ok` none had taken the log over
+    /// when this call started.
     ///
     /// # Errors
     ///
--- a/crates/journal/src/handlers.rs
+++ b/crates/journal/src/handlers.rs
@@ -9,8 +9,8 @@
 use super::Journal;
 
 impl Journal {
-    /// Handles any journal request of a peer and refuses other requests as malformed. The methods below handle one
-    /// kind each.
+    /// Handles any journal request of a peer and refuses other requests as malformed. The methods
+    /// below handle one kind each.
     pub async fn handle(&self, request: RequestKind) -> Response {
         self.service().answer(request).await
     }
@@ -40,7 +40,8 @@
         self.service().describe_logs(request)
     }
 
-    /// Records an owner's heartbeat; the response carries the evidence of [`super::JournalHooks::own_evidence`].
+    /// Records an owner's heartbeat; the response carries the evidence of
+    /// [`super::JournalHooks::own_evidence`].
     pub fn handle_owner_heartbeat(&self, request: &OwnerHeartbeat) -> Response {
         self.service().owner_heartbeat(request)
     }
--- a/crates/journal/src/heartbeat.rs
+++ b/crates/journal/src/heartbeat.rs
@@ -1,4 +1,5 @@
-//! Heartbeats to the replicas. They keep the ownership of this node's logs and return bundle evidence.
+//! Heartbeats to the replicas. They keep the ownership of this node's logs and return bundle
+//! evidence.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Weak};
@@ -22,10 +23,12 @@
 /// Maximum number of concurrent rounds; further rounds are skipped while replicas are slow.
 const MAX_ROUNDS: usize = 4;
 
-/// Number of members above which a node without logs skips rounds, to limit the load on the replicas.
+/// Number of members above which a node without logs skips rounds, to limit the load on the
+/// replicas.
 const SKIP_ABOVE_MEMBERS: usize = 32;
 
-/// Maximum number of consecutive skipped rounds. Bundle evidence from one round must stay valid until the next.
+/// Maximum number of consecutive skipped rounds. Bundle evidence from one round must stay valid
+/// until the next.
 const SKIPPED_ROUNDS: u32 = 2;
 
 /// State shared by the heartbeat rounds.
@@ -37,8 +40,8 @@
     pub hooks: HookSlot,
 }
 
-/// Sends heartbeats every `interval`, with jitter, until the journal is dropped. A node without logs in a large
-/// cluster skips some of them.
+/// Sends heartbeats every `interval`, with jitter, until the journal is dropped. A node without
+/// logs in a large cluster skips some of them.
 pub(crate) async fn run(heartbeats: Weak<Heartbeats>, interval: Duration) {
     let slots = Arc::new(Semaphore::new(MAX_ROUNDS));
     let mut skipped = 0;
@@ -88,8 +91,8 @@
         self.report(sent_at, &set, &answers);
     }
 
-    /// Sends the heartbeat to all replicas and collects their replies. Reports to the hooks as soon as a quorum has
-    /// responded, so that one unreachable replica does not delay the evidence.
+    /// Sends the heartbeat to all replicas and collects their replies. Reports to the hooks as soon
+    /// as a quorum has responded, so that one unreachable replica does not delay the evidence.
     async fn collect_replies(
         &self,
         set: &ReplicaSet,
@@ -143,7 +146,8 @@
         }
     }
 
-    /// Applies a replica's statement that the epoch of `owned` is fenced. Ignored if the log has a newer writer here.
+    /// Applies a replica's statement that the epoch of `owned` is fenced. Ignored if the log has a
+    /// newer writer here.
     fn on_fenced(&self, owned: &OwnedLog, replica: u64) {
         let log = &owned.log;
         let fenced_epoch = WriterEpoch::from(&owned.epoch);
--- a/crates/journal/src/hooks.rs
+++ b/crates/journal/src/hooks.rs
@@ -10,15 +10,16 @@
     /// Returns the bundle evidence that this node sends in its replies to owners' heartbeats.
     fn own_evidence(&self) -> BundleEvidence;
 
-    /// Called when a heartbeat round has ended or reached a quorum, with the evidence of each replica that has
-    /// responded so far. `majority` is true if these replicas form a quorum. A round may be reported twice, the
-    /// second time with more replies.
+    /// Called when a heartbeat round has ended or reached a quorum, with the evidence of each
+    /// replica that has responded so far. `majority` is true if these replicas form a quorum. A
+    /// round may be reported twice, the second time with more replies.
     fn heartbeat_round(&self, sent_at: Instant, evidence: Vec<BundleEvidence>, majority: bool);
 
     /// Called when no quorum accepts appends of this node's writer of `log` any more.
     fn fenced(&self, log: &str);
 
-    /// Called when a replica reports a higher epoch for `log`; other replicas may still accept this node's writer.
+    /// Called when a replica reports a higher epoch for `log`; other replicas may still accept this
+    /// node's writer.
     fn fence_reported(&self, _log: &str) {}
 
     /// Called with logs that this node should take over because their owners are silent.
@@ -41,8 +42,9 @@
         self.hooks.get()
     }
 
-    /// Returns this node's bundle evidence, with a revision of at least `stored`, the revision on this node's disk.
-    /// `None` while the hooks are not set; callers must not treat that as "no newer bundle exists".
+    /// Returns this node's bundle evidence, with a revision of at least `stored`, the revision on
+    /// this node's disk. `None` while the hooks are not set; callers must not treat that as "no
+    /// newer bundle exists".
     pub fn own_evidence(&self, stored: u64) -> Option<BundleEvidence> {
         let evidence = self.get()?.own_evidence();
         if evidence.revision >= stored {
--- a/crates/journal/src/jitter.rs
+++ b/crates/journal/src/jitter.rs
@@ -15,8 +15,9 @@
     ))
 }
 
-/// Returns the exponential back-off after `failures` failures: `base` doubled for each, at most `max_delay`, times a
-/// random factor from 0.5 to 1.5, so that competitors that failed together do not retry together.
+/// Returns the exponential back-off after `failures` failures: `base` doubled for each, at most
+/// `max_delay`, times a random factor from 0.5 to 1.5, so that competitors that failed together do
+/// not retry together.
 pub fn backoff(base: Duration, failures: u32, max_delay: Duration) -> Duration {
     let factor = 2u32.saturating_pow(failures.min(MAX_DOUBLINGS));
     let delay = base.saturating_mul(factor).min(max_delay);
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,7 +1,8 @@
-//! The replicated journal: the replica service, quorum calls for writers and readers, and replica set changes.
+//! The replicated journal: the replica service, quorum calls for writers and readers, and replica
+//! set changes.
 //!
-//! The protocol's state machines are in the `ladderstage` crate; this crate connects them to disks, network calls and
-//! timers.
+//! The protocol's state machines are in the `ladderstage` crate; this crate connects them to disks,
+//! network calls and timers.
 
 #![warn(missing_docs)]
 
@@ -48,7 +49,8 @@
 pub use peers::Peers;
 pub use writer::LogWriter;
 
-/// Number of epochs that one take-over tries. The first is often too low, as the log's epoch is not known yet.
+/// Number of epochs that one take-over tries. The first is often too low, as the log's epoch is not
+/// known yet.
 const SEAL_ATTEMPTS: u32 = 3;
 
 /// Timeout for reading a sealed log from one replica.
@@ -63,14 +65,16 @@
     /// No majority responded before the timeout; the outcome of a write is unknown.
     #[error("no majority of replicas responded: {0}")]
     NoQuorum(String),
-    /// The replica set has changed since this writer took the log over, which must be repeated. The outcome of a
-    /// write is unknown.
+    /// The replica set has changed since this writer took the log over, which must be repeated. The
+    /// outcome of a write is unknown.
     #[error("the replica set was changed")]
     StaleReplicaSet,
-    /// The log's retention after closing has passed. Only its first entry is kept and it accepts no writer.
+    /// The log's retention after closing has passed. Only its first entry is kept and it accepts no
+    /// writer.
     #[error("the log is retired")]
     Retired,
-    /// The outcome of an earlier append of this writer is unknown; that append must be retried first.
+    /// The outcome of an earlier append of this writer is unknown; that append must be retried
+    /// first.
     #[error("the outcome of an earlier append is unknown")]
     Unresolved,
 }
@@ -78,7 +82,8 @@
 /// Content of a log as read from a majority.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LogSnapshot {
-    /// Entries of the log; the last ones may not be committed. Only the first entry if the log is retired.
+    /// Entries of the log; the last ones may not be committed. Only the first entry if the log is
+    /// retired.
     pub entries: Vec<LogEntry>,
     /// True if the log is retired: only its first entry is kept.
     pub retired: bool,
@@ -108,8 +113,8 @@
 }
 
 impl Journal {
-    /// Starts the journal on this node, which reaches the other nodes through `peers`. With `storage` the node is
-    /// a replica. Must be called within a tokio runtime.
+    /// Starts the journal on this node, which reaches the other nodes through `peers`. With
+    /// `storage` the node is a replica. Must be called within a tokio runtime.
     pub fn start_with(
         options: impl Into<JournalOptions>,
         process: ProcessId,
@@ -169,13 +174,15 @@
         self.inner.hooks.set(hooks);
     }
 
-    /// Takes a log over: seals it at a majority with a new epoch, then reads it and installs it there. Returns a
-    /// writer, which may append, and the entries committed so far. Retries only after an epoch that was too low;
-    /// the caller must back off with jitter. For monitored logs heartbeats are sent until the writer is dropped.
+    /// Takes a log over: seals it at a majority with a new epoch, then reads it and installs it
+    /// there. Returns a writer, which may append, and the entries committed so far. Retries only
+    /// after an epoch that was too low; the caller must back off with jitter. For monitored logs
+    /// heartbeats are sent until the writer is dropped.
     ///
     /// # Errors
     ///
-    /// `Fenced` if other writers keep raising the epoch, `Retired`, `StaleReplicaSet` or `NoQuorum`.
+    /// `Fenced` if other writers keep raising the epoch, `Retired`, `StaleReplicaSet` or
+    /// `NoQuorum`.
     pub async fn take_over(&self, log: &str) -> Result<(LogWriter, Vec<LogEntry>), JournalError> {
         for _ in 0..SEAL_ATTEMPTS {
             let set = self.inner.calls.replica_set()?;
@@ -193,8 +200,8 @@
         Err(JournalError::Fenced)
     }
 
-    /// Reads a log from a majority without fencing its writer. `None` if a majority does not know the log. The last
-    /// entries may not be committed yet.
+    /// Reads a log from a majority without fencing its writer. `None` if a majority does not know
+    /// the log. The last entries may not be committed yet.
     ///
     /// # Errors
     ///
@@ -228,7 +235,8 @@
         }))
     }
 
-    /// Returns the newest description, as known by a majority, of each log whose name starts with `prefix`.
+    /// Returns the newest description, as known by a majority, of each log whose name starts with
+    /// `prefix`.
     ///
     /// # Errors
     ///
--- a/crates/journal/src/options.rs
+++ b/crates/journal/src/options.rs
@@ -7,7 +7,8 @@
 pub enum InitialReplicas {
     /// The disks of the named nodes.
     Named(Vec<String>),
-    /// This number of the recorded disks, spread over regions and zones. A set that has shrunk grows back to it.
+    /// This number of the recorded disks, spread over regions and zones. A set that has shrunk
+    /// grows back to it.
     Count(usize),
 }
 
@@ -30,7 +31,8 @@
     pub initial_replicas: InitialReplicas,
     /// Allows this node to create the first set; otherwise it only waits for one.
     pub may_bootstrap: bool,
-    /// Prefix of the names of monitored logs: their writers send heartbeats, and silent writers are replaced.
+    /// Prefix of the names of monitored logs: their writers send heartbeats, and silent writers are
+    /// replaced.
     pub monitored_prefix: &'static str,
     /// Time between an owner's heartbeats to the replicas.
     pub owner_heartbeat_interval: Duration,
--- a/crates/journal/src/orphaned.rs
+++ b/crates/journal/src/orphaned.rs
@@ -29,7 +29,8 @@
     pub monitored_prefix: &'static str,
 }
 
-/// Checks for orphaned logs several times per `owner_timeout`, with jitter, until the journal is dropped.
+/// Checks for orphaned logs several times per `owner_timeout`, with jitter, until the journal is
+/// dropped.
 pub(crate) async fn run(monitor: Weak<OrphanMonitor>, owner_timeout: Duration) {
     loop {
         tokio::time::sleep(crate::jitter::jittered(owner_timeout / CHECKS_PER_TIMEOUT)).await;
--- a/crates/journal/src/peers.rs
+++ b/crates/journal/src/peers.rs
@@ -22,7 +22,8 @@
         self.successors()
     }
 
-    /// Returns whether a process is known to have exited. This is a hint that only speeds up the take-over of its logs.
+    /// Returns whether a process is known to have exited. This is a hint that only speeds up the
+    /// take-over of its logs.
     fn has_exited(&self, _process: ProcessId) -> bool {
         false
     }
--- a/crates/journal/src/registry.rs
+++ b/crates/journal/src/registry.rs
@@ -7,8 +7,8 @@
 
 use super::writer::{WeakWriter, WriterShared};
 
-/// Open writers of monitored logs, by log name. A writer is registered from its take-over until it is dropped.
-/// Writers of other logs, such as claims, are not registered.
+/// Open writers of monitored logs, by log name. A writer is registered from its take-over until it
+/// is dropped. Writers of other logs, such as claims, are not registered.
 pub(crate) struct OwnedLogs {
     monitored_prefix: &'static str,
     writers: Mutex<BTreeMap<String, WeakWriter>>,
--- a/crates/journal/src/replica.rs
+++ b/crates/journal/src/replica.rs
@@ -30,8 +30,8 @@
 /// Maximum number of logs in one export response.
 const MAX_EXPORTED_LOGS: u32 = 256;
 
-/// Fraction of the owner timeout after which the log of a process that has exited counts as orphaned. It covers one
-/// and a half heartbeat intervals, as the membership information may lag.
+/// Fraction of the owner timeout after which the log of a process that has exited counts as
+/// orphaned. It covers one and a half heartbeat intervals, as the membership information may lag.
 const EXITED_OWNER_TIMEOUT_FRACTION: f64 = 0.4;
 
 /// Handler of journal requests; a node without a data folder refuses them.
@@ -182,8 +182,9 @@
         respond(result.map(|_| Done {}), ResponseKind::done)
     }
 
-    /// Returns the open logs whose names start with `prefix` and whose owner was silent for `timeout`. If `has_exited`
-    /// returns true for the owner's process, a fraction of `timeout` suffices.
+    /// Returns the open logs whose names start with `prefix` and whose owner was silent for
+    /// `timeout`. If `has_exited` returns true for the owner's process, a fraction of `timeout`
+    /// suffices.
     pub fn orphaned(
         &self,
         prefix: &str,
--- a/crates/journal/src/replica_set/bootstrap.rs
+++ b/crates/journal/src/replica_set/bootstrap.rs
@@ -61,8 +61,9 @@
         Ok(())
     }
 
-    /// Records this node's disk as a candidate and creates the first set once enough candidates are recorded. The
-    /// record is checked on every call, as a late write of an earlier process of this node may have replaced it.
+    /// Records this node's disk as a candidate and creates the first set once enough candidates are
+    /// recorded. The record is checked on every call, as a late write of an earlier process of this
+    /// node may have replaced it.
     async fn create_first(
         &self,
     ) -> Result<Option<ladderstage_wire::messages::ReplicaSet>, RecordError> {
--- a/crates/journal/src/replica_set/copy.rs
+++ b/crates/journal/src/replica_set/copy.rs
@@ -24,8 +24,8 @@
 /// Maximum number of logs in one page.
 const LOGS_PER_PAGE: u32 = 64;
 
-/// Maximum number of logs stored here that the request for a page lists. More than a page holds, as the sender may
-/// not have all of them.
+/// Maximum number of logs stored here that the request for a page lists. More than a page holds, as
+/// the sender may not have all of them.
 const KNOWN_LOGS_PER_REQUEST: usize = 4 * LOGS_PER_PAGE as usize;
 
 /// Error of a copy.
@@ -79,16 +79,17 @@
 }
 
 impl LogCopy {
-    /// Copies the logs of a quorum of the current replicas of a joint set to this node. Each replica is fenced against
-    /// older sets before its logs are copied. Returns the number of copied logs; a log that several replicas sent is
-    /// counted each time.
+    /// Copies the logs of a quorum of the current replicas of a joint set to this node. Each
+    /// replica is fenced against older sets before its logs are copied. Returns the number of
+    /// copied logs; a log that several replicas sent is counted each time.
     ///
-    /// The bundle is not copied, as every node receives it by other means, but it must have arrived before this node
-    /// may replace a replica.
+    /// The bundle is not copied, as every node receives it by other means, but it must have arrived
+    /// before this node may replace a replica.
     ///
     /// # Errors
     ///
-    /// `NoQuorum` if too few replicas could be copied, `BundleBehind` if the bundle has not arrived, or `Storage`.
+    /// `NoQuorum` if too few replicas could be copied, `BundleBehind` if the bundle has not
+    /// arrived, or `Storage`.
     pub async fn copy_quorum(&self, set: &ReplicaSet) -> Result<usize, CopyError> {
         let quorum = Quorum::new(&ReplicaSet {
             next: Vec::new(),
@@ -126,8 +127,8 @@
         Ok(logs)
     }
 
-    /// Sends all logs of this node to each replica that stays in a shrinking set, after fencing those replicas against
-    /// older sets. Returns the number of logs.
+    /// Sends all logs of this node to each replica that stays in a shrinking set, after fencing
+    /// those replicas against older sets. Returns the number of logs.
     ///
     /// # Errors
     ///
@@ -171,7 +172,8 @@
         Ok(copied)
     }
 
-    /// Sorts members by distance. The first copy transfers complete logs, later ones only what is missing.
+    /// Sorts members by distance. The first copy transfers complete logs, later ones only what is
+    /// missing.
     fn nearest_first(&self, members: &[ReplicaMember]) -> Vec<ReplicaMember> {
         let alive = self.peers.alive();
         let find = |node: &str| alive.iter().find(|member| member.node == node);
@@ -229,7 +231,8 @@
         }
     }
 
-    /// Checks that the node still has the disk that the set lists; returns the revision of its bundle.
+    /// Checks that the node still has the disk that the set lists; returns the revision of its
+    /// bundle.
     async fn check_disk(&self, member: &ReplicaMember) -> Result<u64, SourceError> {
         let request = RequestKind::owner_heartbeat(OwnerHeartbeat::default());
         let ResponseKind::owner_heartbeat(reply) = self.call(member, request).await? else {
--- a/crates/journal/src/replica_set/mod.rs
+++ b/crates/journal/src/replica_set/mod.rs
@@ -1,7 +1,7 @@
 //! The journal's replica set as known to this node.
 //!
-//! The set is read from the disk, the key-value service and peers, so that all nodes can restart while the key-value
-//! service is down.
+//! The set is read from the disk, the key-value service and peers, so that all nodes can restart
+//! while the key-value service is down.
 
 mod bootstrap;
 mod copy;
@@ -57,8 +57,8 @@
 }
 
 impl ReplicaSets {
-    /// Starts the task that creates or learns the first set and then replaces lost replicas. It runs until the returned
-    /// handle is dropped. Must be called within a tokio runtime.
+    /// Starts the task that creates or learns the first set and then replaces lost replicas. It
+    /// runs until the returned handle is dropped. Must be called within a tokio runtime.
     pub fn run(
         &self,
         options: impl Into<JournalOptions>,
@@ -130,8 +130,8 @@
         self.inner.current.subscribe()
     }
 
-    /// Adopts a set if it is newer than the known one, and returns whether it was. The set is first stored on this
-    /// node's disk, if it has one.
+    /// Adopts a set if it is newer than the known one, and returns whether it was. The set is first
+    /// stored on this node's disk, if it has one.
     ///
     /// # Errors
     ///
@@ -182,7 +182,8 @@
         }
     }
 
-    /// Fetches the set from a peer if `version`, as found in its pings and responses, is newer than the known one.
+    /// Fetches the set from a peer if `version`, as found in its pings and responses, is newer than
+    /// the known one.
     pub fn on_peer_version(&self, peers: Arc<dyn Peers>, node: &str, version: u64) {
         if version > self.version() {
             self.fetch_in_background(peers, node.to_owned());
--- a/crates/journal/src/replica_set/records.rs
+++ b/crates/journal/src/replica_set/records.rs
@@ -1,4 +1,5 @@
-//! Interface to the replica set's records: one record of the set, changed by compare-and-swap, and one for each disk.
+//! Interface to the replica set's records: one record of the set, changed by compare-and-swap, and
+//! one for each disk.
 
 use futures_util::future::BoxFuture;
 use ladderstage_wire::DecodeError;
@@ -29,13 +30,14 @@
     /// Reads the recorded set; `None` if there is no record.
     fn read(&self) -> BoxFuture<'_, Result<Option<RecordedSet>, RecordError>>;
 
-    /// Like [`SetRecords::read`], but may return a record that is a few seconds old if that is cheaper.
+    /// Like [`SetRecords::read`], but may return a record that is a few seconds old if that is
+    /// cheaper.
     fn read_stale(&self) -> BoxFuture<'_, Result<Option<RecordedSet>, RecordError>> {
         self.read()
     }
 
-    /// Replaces the record if its revision is `expected`, where 0 means that there is none. Returns the set that is
-    /// recorded now.
+    /// Replaces the record if its revision is `expected`, where 0 means that there is none. Returns
+    /// the set that is recorded now.
     fn swap(
         &self,
         expected: u64,
--- a/crates/journal/src/replica_set/replacement.rs
+++ b/crates/journal/src/replica_set/replacement.rs
@@ -25,8 +25,8 @@
 /// Timeout of the announcement of a new set to a peer.
 const FENCE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Minimum time between reads of the record by a node whose disk is not a member. Such nodes usually learn of their
-/// admission from the members, but that announcement may get lost.
+/// Minimum time between reads of the record by a node whose disk is not a member. Such nodes
+/// usually learn of their admission from the members, but that announcement may get lost.
 const NON_MEMBER_READ_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Time that a leaving replica waits for a spare disk before the set is shrunk.
@@ -99,7 +99,8 @@
         let alive = self.peers.alive();
         let spares = self.spares(set, &alive);
         let lost = self.lost(set, &alive);
-        // A missing replica takes precedence over a leaving one, so that the spare replaces the missing one.
+        // A missing replica takes precedence over a leaving one, so that the spare replaces the
+        // missing one.
         if self.should_leave(set, &alive) && self.missing_since.is_empty() {
             return self.leave(set, &spares).await;
         }
@@ -127,8 +128,8 @@
         is_leaving && own_id.is_some_and(|id| is_member(set, id))
     }
 
-    /// Leaves the set. A spare replaces this replica; without one, this node copies its logs to the remaining replicas
-    /// and the set shrinks, but not below [`Self::min_replicas`].
+    /// Leaves the set. A spare replaces this replica; without one, this node copies its logs to the
+    /// remaining replicas and the set shrinks, but not below [`Self::min_replicas`].
     async fn leave(
         &mut self,
         set: &ReplicaSet,
@@ -165,8 +166,8 @@
         }
     }
 
-    /// Returns the minimum size to which the set may shrink. For a target of 2f + 1 it is 2f, of which a majority is
-    /// still more than f.
+    /// Returns the minimum size to which the set may shrink. For a target of 2f + 1 it is 2f, of
+    /// which a majority is still more than f.
     fn min_replicas(&self) -> usize {
         self.target_count.saturating_sub(1).max(MIN_REPLICAS)
     }
@@ -191,7 +192,8 @@
             .any(|member| Some(member.replica_id) == own_id)
     }
 
-    /// Returns whether this node has a disk that is not a member; the members do not announce newer sets to it.
+    /// Returns whether this node has a disk that is not a member; the members do not announce newer
+    /// sets to it.
     fn is_non_member(&self, set: &ReplicaSet) -> bool {
         let own_id = self.replica_sets.own_replica_id();
         own_id.is_some_and(|id| !is_member(set, id))
@@ -230,7 +232,8 @@
         Ok(())
     }
 
-    /// Returns the ids of replicas that were missing for `replace_after` and of those whose node has another disk now.
+    /// Returns the ids of replicas that were missing for `replace_after` and of those whose node
+    /// has another disk now.
     fn lost(&mut self, set: &ReplicaSet, alive: &[Member]) -> BTreeSet<u64> {
         let is_missing = |member: &ReplicaMember| !is_present(member, alive);
         let missing: BTreeSet<u64> = quorum::members(set)
@@ -256,9 +259,9 @@
             .collect()
     }
 
-    /// Returns whether this node changes the set. Rendezvous hashing selects one node, to limit calls to the key-value
-    /// service; if nodes disagree, the compare-and-swap decides. Nodes with a disk are preferred, as their view of
-    /// the membership is more recent.
+    /// Returns whether this node changes the set. Rendezvous hashing selects one node, to limit
+    /// calls to the key-value service; if nodes disagree, the compare-and-swap decides. Nodes with
+    /// a disk are preferred, as their view of the membership is more recent.
     fn is_coordinator(&self, set: &ReplicaSet, alive: &[Member]) -> bool {
         let has_disks = alive.iter().any(|member| member.replica_id != 0);
         let eligible = alive
@@ -269,7 +272,8 @@
         rendezvous_first(key.as_bytes(), names) == Some(self.node.as_str())
     }
 
-    /// Returns the disks that could join the set, those in the zones with the fewest replicas first.
+    /// Returns the disks that could join the set, those in the zones with the fewest replicas
+    /// first.
     fn spares(&self, set: &ReplicaSet, alive: &[Member]) -> Vec<ReplicaMember> {
         let present: Vec<&Member> = alive
             .iter()
@@ -283,7 +287,8 @@
         spares_by_need(&staying, &present)
     }
 
-    /// Replaces the recorded set `from` by `to` and announces the result. If another set is recorded, learns that one.
+    /// Replaces the recorded set `from` by `to` and announces the result. If another set is
+    /// recorded, learns that one.
     async fn swap(&self, from: &ReplicaSet, to: ReplicaSet) -> Result<(), RecordError> {
         let Some(recorded) = self.records.read().await? else {
             return Ok(());
@@ -301,7 +306,8 @@
         Ok(())
     }
 
-    /// Sends the new set to the old and new replicas; the other nodes learn of its version from pings.
+    /// Sends the new set to the old and new replicas; the other nodes learn of its version from
+    /// pings.
     async fn announce(&self, from: &ReplicaSet, set: &ReplicaSet) {
         let mut recipients = quorum::members(from);
         recipients.extend(quorum::members(set));
@@ -335,7 +341,8 @@
     })
 }
 
-/// Returns whether the replica's node is present with another disk, which means that the replica is lost.
+/// Returns whether the replica's node is present with another disk, which means that the replica is
+/// lost.
 fn has_other_disk(member: &ReplicaMember, alive: &[Member]) -> bool {
     alive.iter().any(|known| {
         known.node == member.node
--- a/crates/journal/src/replica_set/zones.rs
+++ b/crates/journal/src/replica_set/zones.rs
@@ -1,12 +1,13 @@
-//! Placement of replicas over regions and zones, so that the loss of one affects as few replicas as possible.
+//! Placement of replicas over regions and zones, so that the loss of one affects as few replicas as
+//! possible.
 
 use std::collections::BTreeMap;
 
 use ladderstage::region::Place;
 use ladderstage_wire::messages::{Member, ReplicaMember};
 
-/// Selects `count` of the candidates, balanced over regions first and over zones second; ties are broken by name.
-/// `None` if there are too few candidates.
+/// Selects `count` of the candidates, balanced over regions first and over zones second; ties are
+/// broken by name. `None` if there are too few candidates.
 pub fn select_spread(
     mut candidates: Vec<ReplicaMember>,
     alive: &[Member],
@@ -29,8 +30,8 @@
     Some(chosen)
 }
 
-/// Returns the disks of the `alive` nodes, sorted by the number of `present` replicas in their region, then by the
-/// number in their zone.
+/// Returns the disks of the `alive` nodes, sorted by the number of `present` replicas in their
+/// region, then by the number in their zone.
 pub fn spares_by_need(alive: &[Member], present: &[&Member]) -> Vec<ReplicaMember> {
     let in_zone = |zone: &str| present.iter().filter(|member| member.zone == zone).count();
     let in_region = |region: &str| {
--- a/crates/journal/src/writer.rs
+++ b/crates/journal/src/writer.rs
@@ -18,7 +18,8 @@
 use super::calls::{ReplicaCalls, ReplicaFailure, describe_failure, transfer_timeout};
 use super::registry::OwnedLogs;
 
-/// Number of failed writes to one replica after which its task ends; the next append starts a new task.
+/// Number of failed writes to one replica after which its task ends; the next append starts a new
+/// task.
 const MAX_FAILURES: u32 = 3;
 
 /// Range of the random pause before a retry, in milliseconds.
@@ -26,7 +27,8 @@
 
 /// Writer that may append to one log until a higher epoch fences it.
 ///
-/// One task per replica sends the entries that this replica lacks, so that a slow replica does not delay the others.
+/// One task per replica sends the entries that this replica lacks, so that a slow replica does not
+/// delay the others.
 pub struct LogWriter {
     shared: Arc<WriterShared>,
     owned: Arc<OwnedLogs>,
@@ -108,17 +110,19 @@
         self.shared.epoch
     }
 
-    /// Appends entries; returns `Ok` once a majority holds them. `closes` marks the log as finished.
+    /// Appends entries; returns `Ok` once a majority holds them. `closes` marks the log as
+    /// finished.
     ///
     /// # Errors
     ///
-    /// - `Fenced`: another writer has taken the log over. Drop this writer; entries of appends that did not return
-    ///   `Ok` may or may not be in the log.
-    /// - `NoQuorum`: the entries may be stored at some replicas and keep their position in the log. Either call
-    ///   `append` again with the same arguments (or [`LogWriter::retry`]) until it returns `Ok`, or drop the writer;
-    ///   the next writer may or may not find the entries.
+    /// - `Fenced`: another writer has taken the log over. Drop this writer; entries of appends that
+    ///   did not return `Ok` may or may not be in the log.
+    /// - `NoQuorum`: the entries may be stored at some replicas and keep their position in the log.
+    ///   Either call `append` again with the same arguments (or [`LogWriter::retry`]) until it
+    ///   returns `Ok`, or drop the writer; the next writer may or may not find the entries.
     /// - `StaleReplicaSet`: like `NoQuorum`, but a retry cannot succeed. Take the log over again.
-    /// - `Unresolved`: the outcome of an earlier append with other arguments is unknown; nothing was done.
+    /// - `Unresolved`: the outcome of an earlier append with other arguments is unknown; nothing
+    ///   was done.
     pub async fn append(
         &mut self,
         entries: Vec<LogEntry>,
@@ -150,12 +154,13 @@
         Ok(())
     }
 
-    /// Checks, without writing, that no other writer had taken the log over when this call started. On `Ok`, earlier
-    /// decisions based on the entries are valid.
+    /// Checks, without writing, that no other writer had taken the log over when this call started.
+    /// On `Ok`, earlier decisions based on the entries are valid.
     ///
     /// # Errors
     ///
-    /// `Fenced` and `StaleReplicaSet` as for [`LogWriter::append`]; `NoQuorum` if too few replicas responded.
+    /// `Fenced` and `StaleReplicaSet` as for [`LogWriter::append`]; `NoQuorum` if too few replicas
+    /// responded.
     pub async fn confirm_ownership(&self) -> Result<(), JournalError> {
         self.shared.confirm_ownership().await
     }
@@ -168,7 +173,8 @@
 }
 
 impl WriterShared {
-    /// Records that `replica` reported a higher epoch for the log. Returns whether a quorum has become impossible.
+    /// Records that `replica` reported a higher epoch for the log. Returns whether a quorum has
+    /// become impossible.
     pub fn on_fenced(&self, replica: ReplicaId) -> bool {
         let mut progress = self.lock();
         progress.state.on_fenced(replica);
@@ -178,8 +184,8 @@
         is_fenced
     }
 
-    /// Sends to each replica the entries that it lacks. Returns when a quorum holds all entries, a quorum has become
-    /// impossible, or the timeout of the round expires.
+    /// Sends to each replica the entries that it lacks. Returns when a quorum holds all entries, a
+    /// quorum has become impossible, or the timeout of the round expires.
     async fn replicate(self: &Arc<Self>) -> Result<(), JournalError> {
         let started = Instant::now();
         let changed = self.changed.subscribe();
@@ -238,7 +244,8 @@
         }
     }
 
-    /// Sends entries to one replica until it holds all of them, rejects the writer, or has failed [`MAX_FAILURES`] times.
+    /// Sends entries to one replica until it holds all of them, rejects the writer, or has failed
+    /// [`MAX_FAILURES`] times.
     async fn write_to(self: Arc<Self>, member: ReplicaMember) {
         let mut failures = 0;
         while let Some(write) = self.next_write(&member, failures < MAX_FAILURES) {
@@ -253,8 +260,8 @@
         }
     }
 
-    /// Returns the next write for the replica. If there is none, marks the task as ended under the same lock, so that
-    /// a concurrent append starts a new task.
+    /// Returns the next write for the replica. If there is none, marks the task as ended under the
+    /// same lock, so that a concurrent append starts a new task.
     fn next_write(&self, member: &ReplicaMember, may_retry: bool) -> Option<ReplicaWrite> {
         let mut progress = self.lock();
         let write = progress.state.next_write(member.replica_id);
@@ -267,7 +274,8 @@
         write
     }
 
-    /// Records the result of a write. Returns whether the replica made progress or rejected this writer permanently.
+    /// Records the result of a write. Returns whether the replica made progress or rejected this
+    /// writer permanently.
     fn record_result(
         &self,
         member: &ReplicaMember,
--- a/crates/journal/tests/zones.rs
+++ b/crates/journal/tests/zones.rs
@@ -89,7 +89,8 @@
     count
 }
 
-/// Guards against balancing by zone only: a region with many zones would get a majority of the replicas.
+/// Guards against balancing by zone only: a region with many zones would get a majority of the
+/// replicas.
 #[test]
 fn with_three_regions_no_region_gets_a_majority() {
     let fleet = fleet_in_regions(&[("a-1", 1), ("a-2", 1), ("a-3", 1), ("b-1", 3), ("c-1", 3)]);
--- a/crates/storage/src/batch.rs
+++ b/crates/storage/src/batch.rs
@@ -17,8 +17,8 @@
 use crate::store::StoredBundle;
 use crate::tables::{ENTRIES, LOGS, LogRow, META, keys};
 
-/// Result of one request in a batch. Outer error: the disk failed, and with it the complete batch. Inner error: only
-/// this request is refused.
+/// Result of one request in a batch. Outer error: the disk failed, and with it the complete batch.
+/// Inner error: only this request is refused.
 pub(crate) type Applied<T> = Result<Result<T, StorageError>, redb::Error>;
 
 /// Changes to the in-memory content that are published after the commit.
@@ -136,7 +136,8 @@
         Ok(Ok(()))
     }
 
-    /// Stores the replica set if it is newer than the stored one; requests under older sets are then refused.
+    /// Stores the replica set if it is newer than the stored one; requests under older sets are
+    /// then refused.
     pub fn put_replica_set(&mut self, set: &ReplicaSet) -> Applied<()> {
         let known = self.replica_set().map_or(0, |set| set.version);
         if set.version > known {
@@ -162,7 +163,8 @@
         Ok(Ok(report))
     }
 
-    /// Deletes a log, unless a writer has changed it in the same batch. Returns whether it was deleted.
+    /// Deletes a log, unless a writer has changed it in the same batch. Returns whether it was
+    /// deleted.
     fn delete_log(&mut self, log: &str) -> Result<bool, redb::Error> {
         if self.staged.logs.contains_key(log) {
             return Ok(false);
@@ -173,8 +175,8 @@
         Ok(true)
     }
 
-    /// Deletes all entries but the first, unless a writer has changed the log in the same batch. Returns whether the log
-    /// was retired.
+    /// Deletes all entries but the first, unless a writer has changed the log in the same batch.
+    /// Returns whether the log was retired.
     fn retire(&mut self, log: &str) -> Result<bool, redb::Error> {
         if self.staged.logs.contains_key(log) {
             return Ok(false);
--- a/crates/storage/src/committer.rs
+++ b/crates/storage/src/committer.rs
@@ -119,7 +119,8 @@
             let mut answers = Vec::new();
             if let Err(error) = self.commit(&mut requests, &mut answers) {
                 log::error!("event=storage_failed cause=\"{error}\"");
-                // Must be set before the requests and answers are dropped, as that makes the callers read it.
+                // Must be set before the requests and answers are dropped, as that makes the
+                // callers read it.
                 self.shared.set_failure(Some(error.to_string()));
                 drop((requests, answers));
                 if !self.reopen(&mut queue) {
@@ -129,8 +130,9 @@
         }
     }
 
-    /// Closes the database and retries to open it; requests are refused meanwhile. Returns whether it was reopened, which
-    /// is false if all handles were dropped or the folder has another replica id.
+    /// Closes the database and retries to open it; requests are refused meanwhile. Returns whether
+    /// it was reopened, which is false if all handles were dropped or the folder has another
+    /// replica id.
     fn reopen(&mut self, queue: &mut mpsc::Receiver<Queued>) -> bool {
         if let Some(database) = self.shared.set_database(None) {
             close(database);
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -2,7 +2,8 @@
 
 use std::path::PathBuf;
 
-/// Error of opening a data folder. A folder that cannot be opened is never replaced by an empty one.
+/// Error of opening a data folder. A folder that cannot be opened is never replaced by an empty
+/// one.
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
     /// The operating system returned an error.
@@ -50,7 +51,8 @@
 /// Error of a request to the storage.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum StorageError {
-    /// The disk failed. Requests fail until the folder could be reopened; the outcome of this one is unknown.
+    /// The disk failed. Requests fail until the folder could be reopened; the outcome of this one
+    /// is unknown.
     #[error("storage failed: {0}")]
     Failed(String),
     /// No replica set is stored yet.
--- a/crates/storage/src/open.rs
+++ b/crates/storage/src/open.rs
@@ -48,7 +48,8 @@
     pub after: Duration,
 }
 
-/// Fault injection for tests: makes commits fail like writes to a failed disk. Cheap to clone; clones share the count.
+/// Fault injection for tests: makes commits fail like writes to a failed disk. Cheap to clone;
+/// clones share the count.
 #[derive(Debug, Clone, Default)]
 pub struct StorageFaults {
     commits: Arc<AtomicU32>,
@@ -138,8 +139,8 @@
     })
 }
 
-/// Returns an error if the watermark shows that a missing database existed. A watermark at commit 0 without a database
-/// remains if the process stops while it creates the folder.
+/// Returns an error if the watermark shows that a missing database existed. A watermark at commit 0
+/// without a database remains if the process stops while it creates the folder.
 fn check_database_was_not_lost(database: &Path, watermark: &Path) -> Result<(), OpenError> {
     if !exists(watermark)? {
         return Ok(());
@@ -154,7 +155,8 @@
     }
 }
 
-/// Creates the files. The database is renamed to its final name last, so that a folder with a database is complete.
+/// Creates the files. The database is renamed to its final name last, so that a folder with a
+/// database is complete.
 fn create(folder: &Path, options: &StorageOptions) -> Result<(), OpenError> {
     let new_path = folder.join(NEW_DATABASE_FILE);
     if exists(&new_path)? {
@@ -196,13 +198,14 @@
     Ok(())
 }
 
-/// Opens the database and checks its integrity. Damaged pages can make the database library panic; such a panic is
-/// returned as an error.
+/// Opens the database and checks its integrity. Damaged pages can make the database library panic;
+/// such a panic is returned as an error.
 fn open_database(path: &Path, options: &StorageOptions) -> Result<(Database, Content), OpenError> {
     let started = Instant::now();
     let opened = catch_unwind(AssertUnwindSafe(|| {
-        // A file that was not closed is repaired while it is opened, which verifies all checksums. The integrity check
-        // would do that a second time and double the time of a restart after a power loss.
+        // A file that was not closed is repaired while it is opened, which verifies all checksums.
+        // The integrity check would do that a second time and double the time of a restart after a
+        // power loss.
         let is_repaired = Arc::new(AtomicBool::new(false));
         let repaired = Arc::clone(&is_repaired);
         let mut database = Database::builder()
@@ -257,7 +260,8 @@
     Ok(content)
 }
 
-/// Checks the database against the watermark: same replica id, and no acknowledged commit is missing.
+/// Checks the database against the watermark: same replica id, and no acknowledged commit is
+/// missing.
 fn check_content(path: &Path, content: &Content, mark: Mark) -> Result<(), OpenError> {
     if content.replica_id == 0 || content.replica_id != mark.replica_id {
         let cause = format!(
--- a/crates/storage/src/records.rs
+++ b/crates/storage/src/records.rs
@@ -13,7 +13,8 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct LogRecord {
     pub state: LogState,
-    /// Time of the last change in milliseconds on the store's clock, which runs only while the store is open.
+    /// Time of the last change in milliseconds on the store's clock, which runs only while the
+    /// store is open.
     pub changed_at_ms: u64,
 }
 
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -36,7 +36,8 @@
     pub bytes: Vec<u8>,
 }
 
-/// Handle of a replica's data folder. Cheap to clone; the folder is closed when the last handle is dropped.
+/// Handle of a replica's data folder. Cheap to clone; the folder is closed when the last handle is
+/// dropped.
 #[derive(Clone)]
 pub struct Storage {
     inner: Arc<Inner>,
@@ -156,14 +157,15 @@
             .await
     }
 
-    /// Stores the replica set if it is newer than the stored one; durable on return. Requests under older sets are then
-    /// refused.
+    /// Stores the replica set if it is newer than the stored one; durable on return. Requests under
+    /// older sets are then refused.
     pub async fn put_replica_set(&self, set: ReplicaSet) -> Result<(), StorageError> {
         self.submit(0, |answer| Command::PutReplicaSet(set, answer))
             .await
     }
 
-    /// Retires or deletes some of the logs whose retention has passed. To be called about once per minute.
+    /// Retires or deletes some of the logs whose retention has passed. To be called about once per
+    /// minute.
     pub async fn sweep(&self) -> Result<SweepReport, StorageError> {
         self.submit(0, Command::Sweep).await
     }
--- a/crates/storage/src/tables.rs
+++ b/crates/storage/src/tables.rs
@@ -13,8 +13,8 @@
 pub(crate) const ENTRIES: TableDefinition<'static, (&str, u64), &[u8]> =
     TableDefinition::new("entries");
 
-/// Row of a log: promised round and owner, log round and owner, owner's node, length, flags, and the time of the last
-/// change in milliseconds on the store's clock.
+/// Row of a log: promised round and owner, log round and owner, owner's node, length, flags, and
+/// the time of the last change in milliseconds on the store's clock.
 pub(crate) type LogRow<'a> = (u64, u64, u64, u64, &'a str, u64, u8, u64);
 
 /// Keys in [`META`].
--- a/crates/storage/src/watermark.rs
+++ b/crates/storage/src/watermark.rs
@@ -1,8 +1,8 @@
 //! The number of the last acknowledged commit, in a separate file.
 //!
-//! After damage the database may roll back to an earlier commit and appear intact. The watermark is written after each
-//! commit and before its responses are sent, so that such a rollback is detected. Commits alternate between two slots,
-//! so that a torn write damages at most one of them.
+//! After damage the database may roll back to an earlier commit and appear intact. The watermark is
+//! written after each commit and before its responses are sent, so that such a rollback is
+//! detected. Commits alternate between two slots, so that a torn write damages at most one of them.
 
 use std::fs::{File, OpenOptions};
 use std::io;
--- a/crates/storage/tests/storage.rs
+++ b/crates/storage/tests/storage.rs
@@ -241,7 +241,8 @@
     assert!(!storage.read_log("claim/pool/key").await.unwrap().found);
 }
 
-/// Guards against silent data loss: a damaged file is either opened with all acknowledged entries or refused.
+/// Guards against silent data loss: a damaged file is either opened with all acknowledged entries
+/// or refused.
 #[tokio::test]
 async fn a_damaged_file_is_recovered_or_refused() {
     let folder = tempfile::tempdir().unwrap();
@@ -360,7 +361,8 @@
     }
 }
 
-/// An install may omit entries that the replica holds at the named epoch, and is rejected if it does not hold them.
+/// An install may omit entries that the replica holds at the named epoch, and is rejected if it
+/// does not hold them.
 #[tokio::test]
 async fn an_install_keeps_the_first_entries_of_the_same_log() {
     let folder = tempfile::tempdir().unwrap();
@@ -392,7 +394,8 @@
     assert_eq!(storage.read_log(LOG).await.unwrap().entries, expected);
 }
 
-/// Guards against a process that needs a restart after a temporary disk failure, and against data loss by the reopening.
+/// Guards against a process that needs a restart after a temporary disk failure, and against data
+/// loss by the reopening.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_folder_is_reopened_after_a_failed_commit() {
     let folder = tempfile::tempdir().unwrap();
--- a/crates/transport/src/calls.rs
+++ b/crates/transport/src/calls.rs
@@ -30,7 +30,8 @@
     handed_to_socket: bool,
 }
 
-/// Calls in flight. Each ends exactly once: completed, abandoned by its caller, or failed with the connection.
+/// Calls in flight. Each ends exactly once: completed, abandoned by its caller, or failed with the
+/// connection.
 #[derive(Debug, Default)]
 pub(crate) struct Calls {
     state: Mutex<State>,
@@ -44,7 +45,8 @@
 }
 
 impl Calls {
-    /// Adds a call whose encoded request of `bytes` bytes is about to be queued; returns the receiver of its result.
+    /// Adds a call whose encoded request of `bytes` bytes is about to be queued; returns the
+    /// receiver of its result.
     ///
     /// # Errors
     ///
@@ -80,8 +82,8 @@
         state.queued_bytes = state.queued_bytes.saturating_sub(bytes);
     }
 
-    /// Marks a call as about to be written to the socket. Returns false if its caller has abandoned it; it must not be
-    /// sent then.
+    /// Marks a call as about to be written to the socket. Returns false if its caller has abandoned
+    /// it; it must not be sent then.
     pub fn mark_handed_to_socket(&self, call_id: u64) -> bool {
         let mut state = self.lock();
         match state.calls.get_mut(&call_id) {
@@ -102,8 +104,8 @@
         }
     }
 
-    /// Ends a call without a response. Returns whether its request may have been written to the socket; `None` if the call
-    /// had already ended.
+    /// Ends a call without a response. Returns whether its request may have been written to the
+    /// socket; `None` if the call had already ended.
     pub fn abandon(&self, call_id: u64) -> Option<bool> {
         let call = self.lock().calls.remove(&call_id)?;
         Some(call.handed_to_socket)
--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -14,7 +14,8 @@
 /// Maximum number of connections that one call tries if each has just closed.
 const MAX_CONNECTIONS_TRIED: usize = 3;
 
-/// Client that keeps one connection to each peer open. Cheap to clone; clones share the connections.
+/// Client that keeps one connection to each peer open. Cheap to clone; clones share the
+/// connections.
 #[derive(Debug, Clone)]
 pub struct Client {
     shared: Arc<Shared>,
@@ -46,8 +47,9 @@
         Self::default()
     }
 
-    /// Creates a client that closes idle connections, least recently used first, when more than `kept` are open. Busy
-    /// connections are never closed; at most [`MAX_CLIENT_CONNECTIONS`] or `kept` are open, whichever is larger.
+    /// Creates a client that closes idle connections, least recently used first, when more than
+    /// `kept` are open. Busy connections are never closed; at most [`MAX_CLIENT_CONNECTIONS`] or
+    /// `kept` are open, whichever is larger.
     pub fn with_connections(kept: usize) -> Self {
         let shared = Shared {
             connections: Mutex::default(),
@@ -71,10 +73,11 @@
         connections.len()
     }
 
-    /// Sends `request` to the peer at `address` and waits for its response. `timeout` includes the time to connect.
+    /// Sends `request` to the peer at `address` and waits for its response. `timeout` includes the
+    /// time to connect.
     ///
-    /// Must be called within a tokio runtime. Dropping the future abandons the call; a request that was already sent may
-    /// still be executed.
+    /// Must be called within a tokio runtime. Dropping the future abandons the call; a request that
+    /// was already sent may still be executed.
     ///
     /// # Errors
     ///
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -35,7 +35,8 @@
 }
 
 impl Connection {
-    /// Starts to connect. Calls may be made immediately and are sent once the connection is established.
+    /// Starts to connect. Calls may be made immediately and are sent once the connection is
+    /// established.
     pub fn open(address: SocketAddr, traffic: Arc<Traffic>) -> Self {
         let calls = Arc::new(Calls::default());
         let timeouts_in_a_row = Arc::new(AtomicU32::new(0));
@@ -56,7 +57,8 @@
         }
     }
 
-    /// Returns whether the connection must be replaced: it is closed, or too many consecutive calls timed out.
+    /// Returns whether the connection must be replaced: it is closed, or too many consecutive calls
+    /// timed out.
     pub fn needs_replacement(&self) -> bool {
         let timeouts = self.timeouts_in_a_row.load(Ordering::Relaxed);
         timeouts >= TIMEOUTS_BEFORE_REPLACEMENT || self.calls.is_closed()
@@ -96,7 +98,8 @@
         }
     }
 
-    /// Queues an encoded request. If the queue is full, abandons the call, which drops the sender of its reply.
+    /// Queues an encoded request. If the queue is full, abandons the call, which drops the sender
+    /// of its reply.
     fn enqueue(&self, call_id: u64, encoded: Vec<u8>) {
         let bytes = encoded.len();
         let request = OutgoingRequest { call_id, encoded };
@@ -145,7 +148,8 @@
     }
 }
 
-/// Guard that abandons the call when its caller stops waiting, including when the caller's future is dropped.
+/// Guard that abandons the call when its caller stops waiting, including when the caller's future
+/// is dropped.
 struct CallGuard<'a> {
     calls: &'a Calls,
     call_id: u64,
--- a/crates/transport/src/driver.rs
+++ b/crates/transport/src/driver.rs
@@ -130,8 +130,8 @@
     }
 }
 
-/// Converts a response to the result of its call. The outcome is unknown if the response is of an unknown kind, or if it
-/// is `INTERNAL`, which a handler that failed during execution also returns.
+/// Converts a response to the result of its call. The outcome is unknown if the response is of an
+/// unknown kind, or if it is `INTERNAL`, which a handler that failed during execution also returns.
 fn call_result(response: Response) -> CallResult {
     match response.kind {
         OneOfkind::None => Err(CallError::Unknown("unknown kind of response".to_owned())),
--- a/crates/transport/src/framing.rs
+++ b/crates/transport/src/framing.rs
@@ -56,7 +56,8 @@
     Ok(FrameHeader::parse(bytes)?)
 }
 
-/// Reads a payload. The buffer grows with the received bytes, as the length in the header is not trusted.
+/// Reads a payload. The buffer grows with the received bytes, as the length in the header is not
+/// trusted.
 async fn read_payload<R>(reader: &mut R, length: usize) -> Result<Vec<u8>, ReadError>
 where
     R: AsyncRead + Unpin,
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,5 +1,6 @@
-//! Calls between ladderstage processes over TCP: one multiplexed connection to each peer, typed requests and responses,
-//! and errors that distinguish whether the peer may have received the request.
+//! Calls between ladderstage processes over TCP: one multiplexed connection to each peer, typed
+//! requests and responses, and errors that distinguish whether the peer may have received the
+//! request.
 
 mod calls;
 mod client;
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -21,8 +21,8 @@
 pub trait Handler: Send + Sync + 'static {
     /// Handles one request. Requests of one connection are handled concurrently.
     ///
-    /// The handler runs to completion even if the connection closes. If it panics, the caller receives `INTERNAL`, which
-    /// its client reports as an unknown outcome.
+    /// The handler runs to completion even if the connection closes. If it panics, the caller
+    /// receives `INTERNAL`, which its client reports as an unknown outcome.
     fn handle(&self, request: Request) -> Pin<Box<dyn Future<Output = Response> + Send + '_>>;
 }
 
@@ -35,7 +35,8 @@
 }
 
 impl Server {
-    /// Starts to listen on `address`, where port 0 selects any free port, and passes requests to `handler`.
+    /// Starts to listen on `address`, where port 0 selects any free port, and passes requests to
+    /// `handler`.
     ///
     /// # Errors
     ///
--- a/crates/transport/src/session.rs
+++ b/crates/transport/src/session.rs
@@ -172,8 +172,8 @@
     let _ = responses.send(frame).await;
 }
 
-/// Encodes a response. One that exceeds the frame limit is replaced by `INTERNAL`, so that the outcome is unknown to the
-/// caller.
+/// Encodes a response. One that exceeds the frame limit is replaced by `INTERNAL`, so that the
+/// outcome is unknown to the caller.
 fn encode_response(frame: &Frame) -> Result<Vec<u8>, String> {
     match encode_frame(frame) {
         Ok(encoded) => Ok(encoded),
--- a/crates/transport/tests/calls.rs
+++ b/crates/transport/tests/calls.rs
@@ -205,7 +205,8 @@
         assert!(matches!(refused, Err(CallError::NotSent(_))), "{refused:?}");
     }
     calls.shutdown().await;
-    // Abandoned calls free capacity: at the client immediately, at the server when their handlers end.
+    // Abandoned calls free capacity: at the client immediately, at the server when their handlers
+    // end.
     let answered = async {
         loop {
             handler.release.notify_waiters();
--- a/crates/transport/tests/common/mod.rs
+++ b/crates/transport/tests/common/mod.rs
@@ -18,8 +18,8 @@
 /// Timeout of waits that should end much earlier.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Handler of `ReadLog` requests, by log name: "hold" waits for `release`, "panic" panics, "refuse" is refused, "big"
-/// returns a response over the frame limit, any other name is echoed.
+/// Handler of `ReadLog` requests, by log name: "hold" waits for `release`, "panic" panics, "refuse"
+/// is refused, "big" returns a response over the frame limit, any other name is echoed.
 #[derive(Default)]
 pub struct ScriptedHandler {
     pub held: Notify,
--- a/crates/wire/src/compression.rs
+++ b/crates/wire/src/compression.rs
@@ -6,7 +6,8 @@
 use flate2::read::DeflateDecoder;
 use flate2::write::DeflateEncoder;
 
-/// Maximum size of decompressed content, in bytes. It limits the memory that damaged input can claim.
+/// Maximum size of decompressed content, in bytes. It limits the memory that damaged input can
+/// claim.
 const MAX_CONTENT_BYTES: u64 = 256 * 1024 * 1024;
 
 /// Error of a decompression.
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,4 +1,5 @@
-//! Encoding of frames: payload length (`u32`, big-endian), CRC-32 of the payload (`u32`, big-endian), payload.
+//! Encoding of frames: payload length (`u32`, big-endian), CRC-32 of the payload (`u32`,
+//! big-endian), payload.
 
 use crate::messages::Frame;
 use crate::{DecodeError, decode, encode};
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,8 @@
 //! Messages between ladderstage processes, and the frames that carry them.
 //!
-//! The messages are generated from `proto/ladderstage.proto` and committed; `CONTRIBUTING.md` gives the command that
-//! regenerates them. [`frame`] adds a length and a checksum, so that damaged bytes are detected before decoding.
+//! The messages are generated from `proto/ladderstage.proto` and committed; `CONTRIBUTING.md` gives
+//! the command that regenerates them. [`frame`] adds a length and a checksum, so that damaged bytes
+//! are detected before decoding.
 
 pub mod compression;
 pub mod frame;
--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -1,7 +1,7 @@
 //! Guards against incompatible encodings of messages and job log entries between builds.
 //!
-//! `formats/<commit>.txt` contains the samples as encoded by the build of that commit. If `LADDERSTAGE_WRITE_FORMATS` names
-//! a file, this build's samples are written to it.
+//! `formats/<commit>.txt` contains the samples as encoded by the build of that commit. If
+//! `LADDERSTAGE_WRITE_FORMATS` names a file, this build's samples are written to it.
 
 // Samples set all fields, but use `..default()` for fields that are added later.
 #[allow(clippy::needless_update)]
@@ -25,7 +25,8 @@
 /// Environment variable that names the file to which this build's samples are written.
 const WRITE_VARIABLE: &str = "LADDERSTAGE_WRITE_FORMATS";
 
-/// Fields with a number that no message uses, one of each wire type: varint, 64-bit, length-delimited, 32-bit.
+/// Fields with a number that no message uses, one of each wire type: varint, 64-bit,
+/// length-delimited, 32-bit.
 const UNKNOWN_FIELDS: [&[u8]; 4] = [
     &[0xa0, 0x38, 0x05],
     &[0xa1, 0x38, 1, 2, 3, 4, 5, 6, 7, 8],
--- a/crates/wire/tests/formats/samples.rs
+++ b/crates/wire/tests/formats/samples.rs
@@ -1,4 +1,5 @@
-//! One sample of each message and entry that builds exchange on the platform, with a distinct value in each field.
+//! One sample of each message and entry that builds exchange on the platform, with a distinct value
+//! in each field.
 //!
 //! Fields that are added later keep their defaults here, so that the encoded samples stay the same.
 
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -1,4 +1,5 @@
-//! Tests of frames: an encoded frame decodes unchanged, and damaged bytes give an error, never a panic.
+//! Tests of frames: an encoded frame decodes unchanged, and damaged bytes give an error, never a
+//! panic.
 
 use ladderstage_wire::frame::{
     FrameError, FrameHeader, HEADER_BYTES, MAX_PAYLOAD_BYTES, encode_frame,
