--- a/crates/daemon/src/backends/gossip.rs
+++ b/crates/daemon/src/backends/gossip.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ladderstage::backend::{GossipOrigin, Observed, reports_spread_by_gossip};
+use ladderstage::backend::{GossipOrigin, ObservationInterval, reports_spread_by_gossip};
 use ladderstage_wire::messages::{
     BackendGossip, BackendReport, KnownBackends, Request, mod_Request, mod_Response,
 };
@@ -105,7 +105,7 @@
     let Some(gossip) = call(shared, node, question).await else {
         return;
     };
-    let observed = Observed {
+    let observed = ObservationInterval {
         sent_at,
         received_at: shared.now(),
     };
--- a/crates/daemon/src/backends/mod.rs
+++ b/crates/daemon/src/backends/mod.rs
@@ -92,15 +92,15 @@
     }
 
     /// Counts a request as under way at a back end until the guard is dropped.
-    pub fn begin(&self, backend: &str) -> InFlight {
+    pub fn start_request(&self, backend: &str) -> InFlightGuard {
         let now = self.shared.now();
-        let dispatch = self.shared.update(|table| table.begin(backend, now));
+        let dispatch = self.shared.update(|table| table.start_request(backend, now));
         self.guard(dispatch)
     }
 
-    /// As [`Self::begin`], but only if the back end is still a candidate of the pool: two requests that chose
+    /// As [`Self::start_request`], but only if the back end is still a candidate of the pool: two requests that chose
     /// at the same moment cannot both take its last place or its one trial after an ejection.
-    pub fn try_begin(&self, pool: &str, backend: &str) -> Option<InFlight> {
+    pub fn try_start_request(&self, pool: &str, backend: &str) -> Option<InFlightGuard> {
         let bundle = self.shared.bundle()?;
         let pool = bundle.bundle.pool(pool)?;
         if !pool.backends.iter().any(|name| name == backend) {
@@ -109,39 +109,39 @@
         let now = self.shared.now();
         let begun = self
             .shared
-            .update(|table| table.try_begin(backend, pool.concurrency, now));
+            .update(|table| table.try_start_request(backend, pool.concurrency, now));
         begun.ok().map(|dispatch| self.guard(dispatch))
     }
 
-    fn guard(&self, dispatch: Dispatch) -> InFlight {
-        InFlight {
+    fn guard(&self, dispatch: Dispatch) -> InFlightGuard {
+        InFlightGuard {
             shared: self.shared.clone(),
             dispatch,
         }
     }
 
     /// A request failed at the back end: no connection, a cut answer, a timeout, or a 5xx.
-    pub fn note_failure(&self, backend: &str) {
+    pub fn record_failure(&self, backend: &str) {
         let now = self.shared.now();
         self.shared
-            .update(|table| table.note_failure(backend, now, rand::random()));
+            .update(|table| table.record_failure(backend, now, rand::random()));
     }
 
     /// The back end refused before running; `leaving`: because it is stopping.
-    pub fn note_refusal(&self, backend: &str, leaving: bool) {
+    pub fn record_refusal(&self, backend: &str, leaving: bool) {
         let now = self.shared.now();
         self.shared.update(|table| {
             if leaving {
-                table.note_leaving(backend, now);
+                table.record_leaving(backend, now);
             } else {
-                table.note_refusal(backend, now, rand::random());
+                table.record_refusal(backend, now, rand::random());
             }
         });
     }
 
-    /// A request was answered whole. To be called while its [`InFlight`] guard is still held.
-    pub fn note_success(&self, backend: &str) {
-        self.shared.update(|table| table.note_success(backend));
+    /// A request was answered whole. To be called while its [`InFlightGuard`] guard is still held.
+    pub fn record_success(&self, backend: &str) {
+        self.shared.update(|table| table.record_success(backend));
     }
 
     /// All back ends known, sorted by name.
@@ -185,13 +185,13 @@
 
 /// A request under way at a back end; counted until dropped.
 #[derive(Debug)]
-pub struct InFlight {
+pub struct InFlightGuard {
     shared: Arc<Shared>,
     dispatch: Dispatch,
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.shared.update(|table| table.end(&self.dispatch));
+        self.shared.update(|table| table.finish_request(&self.dispatch));
     }
 }
--- a/crates/daemon/src/backends/polling.rs
+++ b/crates/daemon/src/backends/polling.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use ladderstage::backend::{ListedBackend, Observed, Placement, Report, reads_reports};
+use ladderstage::backend::{ListedBackend, ObservationInterval, Placement, Report, reads_reports_directly};
 use ladderstage::bundle::PoolKind;
 use ladderstage_platform::load::{LoadReport, read_load};
 use ladderstage_platform::machine_list::{Machine, MachineKind, MachineList, MachineState};
@@ -15,7 +15,7 @@
 use tokio::time::sleep;
 
 use super::shared::Shared;
-use crate::by_members::ByMembers;
+use crate::members_cache::ByMembers;
 use crate::jitter::jittered;
 use crate::watchers::poll_factor;
 
@@ -62,7 +62,7 @@
     match list.read().await {
         Ok(machines) => {
             if before.failed {
-                info!("event=machine_list_back");
+                info!("event=machine_list_recovered");
             }
             log_findings(&machines.findings, &before.findings);
             take_in_list(shared, machines.machines, sent_at);
@@ -95,7 +95,7 @@
 fn take_in_list(shared: &Shared, machines: Vec<Machine>, sent_at: Duration) {
     let listed: Vec<ListedBackend> = machines.into_iter().map(from_list).collect();
     let received_at = shared.now();
-    let observed = Observed {
+    let observed = ObservationInterval {
         sent_at,
         received_at,
     };
@@ -151,7 +151,7 @@
     let own = shared.peers.own();
     let names = own_names.get(bundle.revision, shared.peers.alive(), |members| {
         let names = bundle.pools.iter().flat_map(|pool| &pool.backends);
-        let names = names.filter(|name| reads_reports(name, &own, members));
+        let names = names.filter(|name| reads_reports_directly(name, &own, members));
         names.cloned().collect()
     });
     let placed = names.iter().filter_map(|name| {
@@ -199,7 +199,7 @@
         sequence: report.sequence,
     };
     let received_at = shared.now();
-    let observed = Observed {
+    let observed = ObservationInterval {
         sent_at,
         received_at,
     };
--- a/crates/daemon/src/bundles/mod.rs
+++ b/crates/daemon/src/bundles/mod.rs
@@ -20,7 +20,7 @@
 use tokio::task::JoinHandle;
 
 pub use parts::{
-    BundleParts, BundleStore, Peers, ROLL_DEADLINE, ReplicaSetSource, WeightVersions,
+    BundleDependencies, BundleStore, Peers, DEFAULT_ROLL_DEADLINE, ReplicaSetSource, WeightVersionSource,
     replica_set_source,
 };
 pub use proposal::ProposalState;
@@ -84,7 +84,7 @@
 
 impl Bundles {
     /// Reads the bundle on this node's disk, if any, and starts watching the key-value service.
-    pub async fn start(settings: &Settings, parts: BundleParts) -> Result<Self, BundlesError> {
+    pub async fn start(settings: &Settings, parts: BundleDependencies) -> Result<Self, BundlesError> {
         let trusted = TrustedKeys::from_hex(&settings.trusted_keys).map_err(BundlesError::Keys)?;
         let shared = Arc::new(Shared::new(settings, trusted, parts));
         shared.load().await?;
@@ -134,13 +134,13 @@
     }
 
     /// A peer told its evidence in the answer to a call that was sent at `asked_at`.
-    pub fn learned_evidence(&self, from: &str, evidence: &BundleEvidence, asked_at: Instant) {
+    pub fn observe_evidence(&self, from: &str, evidence: &BundleEvidence, asked_at: Instant) {
         self.shared.learn_from_answer(from, evidence, asked_at);
     }
 
     /// A peer told its revision in a call to this node. That says nothing of freshness, as the call may have been
     /// long under way.
-    pub fn learned_revision(&self, from: &str, revision: u64) {
+    pub fn observe_revision(&self, from: &str, revision: u64) {
         self.shared.learn_revision(from, revision);
     }
 
--- a/crates/daemon/src/bundles/parts.rs
+++ b/crates/daemon/src/bundles/parts.rs
@@ -88,7 +88,7 @@
 }
 
 /// Asks which weight versions of a model the weight store holds.
-pub trait WeightVersions: Send + Sync + 'static {
+pub trait WeightVersionSource: Send + Sync + 'static {
     /// The versions; the error says why they are not known.
     fn versions<'a>(
         &'a self,
@@ -96,7 +96,7 @@
     ) -> BoxFuture<'a, Result<BTreeSet<WeightVersion>, String>>;
 }
 
-impl WeightVersions for WeightStore {
+impl WeightVersionSource for WeightStore {
     fn versions<'a>(
         &'a self,
         model: &'a str,
@@ -123,7 +123,7 @@
 }
 
 /// What [`super::Bundles::start`] joins.
-pub struct BundleParts {
+pub struct BundleDependencies {
     /// The key-value service.
     pub key_value: KeyValue,
     /// The other nodes.
@@ -133,10 +133,10 @@
     /// The replicas that must hold an accepted bundle.
     pub replica_set: ReplicaSetSource,
     /// The weight store; without it the versions of a bundle are not checked against it.
-    pub weight_versions: Option<Arc<dyn WeightVersions>>,
+    pub weight_versions: Option<Arc<dyn WeightVersionSource>>,
     /// How long a roll may take before it says that its outcome is unknown.
     pub roll_deadline: Duration,
 }
 
-/// A sensible [`BundleParts::roll_deadline`].
-pub const ROLL_DEADLINE: Duration = Duration::from_secs(8);
+/// A sensible [`BundleDependencies::roll_deadline`].
+pub const DEFAULT_ROLL_DEADLINE: Duration = Duration::from_secs(8);
--- a/crates/daemon/src/bundles/poll.rs
+++ b/crates/daemon/src/bundles/poll.rs
@@ -87,7 +87,7 @@
             self.push_onward(0);
         }
         let as_of = self.instant(asked_at);
-        self.state().evidence.learn(revision, as_of);
+        self.state().evidence.observe_newest(revision, as_of);
     }
 }
 
--- a/crates/daemon/src/bundles/receive.rs
+++ b/crates/daemon/src/bundles/receive.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use ladderstage::evidence::Learned;
+use ladderstage::evidence::EvidenceEffect;
 use ladderstage::ids::Revision;
 use ladderstage_wire::messages::mod_Refused::Reason;
 use ladderstage_wire::messages::mod_Request::OneOfkind as RequestKind;
@@ -100,12 +100,12 @@
         let Some(as_of) = self.instant(asked_at).checked_sub(age) else {
             return self.learn_revision(from, evidence.revision);
         };
-        let learned = self.state().evidence.learn(evidence.revision, as_of);
+        let learned = self.state().evidence.observe_newest(evidence.revision, as_of);
         self.fetch_if_told(from, learned);
     }
 
     pub(super) fn learn_revision(self: &Arc<Self>, from: &str, revision: Revision) {
-        let learned = self.state().evidence.learn_of(revision);
+        let learned = self.state().evidence.observe_existence(revision);
         self.fetch_if_told(from, learned);
     }
 
@@ -125,19 +125,19 @@
             // A replica that names no bundle may not have read its disk yet.
             let is_empty = |evidence: &BundleEvidence| evidence.revision == 0;
             if majority && !evidence.iter().any(is_empty) {
-                state.evidence.learn(highest, as_of)
+                state.evidence.observe_newest(highest, as_of)
             } else {
-                state.evidence.learn_of(highest)
+                state.evidence.observe_existence(highest)
             }
         };
-        if matches!(learned, Learned::Fetch { .. }) {
+        if matches!(learned, EvidenceEffect::Fetch { .. }) {
             let replicas = self.replica_nodes();
             self.spawn_fetch(replicas);
         }
     }
 
-    fn fetch_if_told(self: &Arc<Self>, from: &str, learned: Learned) {
-        if matches!(learned, Learned::Fetch { .. }) {
+    fn fetch_if_told(self: &Arc<Self>, from: &str, learned: EvidenceEffect) {
+        if matches!(learned, EvidenceEffect::Fetch { .. }) {
             self.spawn_fetch(vec![from.to_owned()]);
         }
     }
@@ -164,7 +164,7 @@
         for node in nodes {
             self.fetch(node).await;
             let state = self.state();
-            if state.evidence.revision() > 0 && state.evidence.ahead().is_none() {
+            if state.evidence.revision() > 0 && state.evidence.newer_revision().is_none() {
                 return true;
             }
         }
--- a/crates/daemon/src/bundles/roll.rs
+++ b/crates/daemon/src/bundles/roll.rs
@@ -310,7 +310,7 @@
         }
         if let Some(revision) = read_document(&proposal.signed).revision() {
             let as_of = self.shared.instant(asked_at);
-            self.shared.state().evidence.learn(revision, as_of);
+            self.shared.state().evidence.observe_newest(revision, as_of);
         }
         self.accept(&proposal).await
     }
--- a/crates/daemon/src/bundles/state.rs
+++ b/crates/daemon/src/bundles/state.rs
@@ -14,8 +14,8 @@
 use tokio::sync::watch;
 
 use super::metrics::BundleMetrics;
-use super::{BundleInForce, BundleParts, BundleStore, BundlesError, Peers};
-use super::{ReplicaSetSource, WeightVersions};
+use super::{BundleInForce, BundleDependencies, BundleStore, BundlesError, Peers};
+use super::{ReplicaSetSource, WeightVersionSource};
 use crate::settings::Settings;
 
 /// How many past bundles are remembered, to answer for old proposals.
@@ -47,7 +47,7 @@
     pub(super) key_value: KeyValue,
     pub(super) peers: Arc<dyn Peers>,
     pub(super) replica_set: ReplicaSetSource,
-    pub(super) weight_versions: Option<Arc<dyn WeightVersions>>,
+    pub(super) weight_versions: Option<Arc<dyn WeightVersionSource>>,
     pub(super) roll_deadline: Duration,
     pub(super) evidence_bound: Duration,
     pub(super) metrics: BundleMetrics,
@@ -70,7 +70,7 @@
 }
 
 impl Shared {
-    pub(super) fn new(settings: &Settings, trusted: TrustedKeys, parts: BundleParts) -> Self {
+    pub(super) fn new(settings: &Settings, trusted: TrustedKeys, parts: BundleDependencies) -> Self {
         let timing = &settings.timing;
         Self {
             trusted,
@@ -153,7 +153,7 @@
             Ok(signed) => signed,
             Err(error) => {
                 error!(
-                    "event=bundle_on_disk_unreadable cause={:?}",
+                    "event=stored_bundle_unreadable cause={:?}",
                     error.to_string()
                 );
                 return Ok(());
--- a/crates/daemon/src/claims.rs
+++ b/crates/daemon/src/claims.rs
@@ -89,11 +89,11 @@
     async fn look(&self, claimant: &mut Claimant, log: &str, deadline: Instant) -> ClaimStep {
         match timeout_at(deadline, self.journal.read(log)).await {
             Ok(Ok(Some(entries))) => match fold(log, &entries) {
-                Some(state) => claimant.after_look(&state),
+                Some(state) => claimant.after_unfenced_read(&state),
                 None => ClaimStep::TakeOver,
             },
             Ok(Err(JournalError::NoQuorum(detail))) => {
-                log::warn!("event=claim_not_read log={log} error=\"{detail}\"");
+                log::warn!("event=claim_log_unavailable log={log} error=\"{detail}\"");
                 claimant.after_take_over(TakeOverResult::NoQuorum)
             }
             Err(_) => claimant.after_take_over(TakeOverResult::NoQuorum),
@@ -104,13 +104,13 @@
     async fn take_over(&self, log: &str, deadline: Instant) -> (Option<LogWriter>, TakeOverResult) {
         match timeout_at(deadline, self.journal.take_over(log)).await {
             Ok(Ok((writer, entries))) => match fold(log, &entries) {
-                Some(state) => (Some(writer), TakeOverResult::Taken(state)),
+                Some(state) => (Some(writer), TakeOverResult::Acquired(state)),
                 None => (None, TakeOverResult::NoQuorum),
             },
             Ok(Err(JournalError::Fenced)) => (None, TakeOverResult::Fenced),
             Ok(Err(JournalError::Retired)) => (None, TakeOverResult::Retired),
             Ok(Err(error)) => {
-                log::warn!("event=claim_not_read log={log} error=\"{error}\"");
+                log::warn!("event=claim_log_unavailable log={log} error=\"{error}\"");
                 (None, TakeOverResult::NoQuorum)
             }
             Err(_) => (None, TakeOverResult::NoQuorum),
@@ -131,7 +131,7 @@
                 return;
             }
         }
-        log::warn!("event=claim_not_recorded log={}", self.log);
+        log::warn!("event=claim_outcome_not_recorded log={}", self.log);
     }
 
     /// Whether the outcome is recorded, or need not be any more.
--- a/crates/daemon/src/hooks.rs
+++ b/crates/daemon/src/hooks.rs
@@ -38,9 +38,9 @@
         self.own_bundle_evidence()
     }
 
-    fn learned_evidence(&self, from: &str, evidence: &BundleEvidence, asked_at: Instant) {
+    fn observe_evidence(&self, from: &str, evidence: &BundleEvidence, asked_at: Instant) {
         if let Some(parts) = self.parts() {
-            parts.bundles.learned_evidence(from, evidence, asked_at);
+            parts.bundles.observe_evidence(from, evidence, asked_at);
         }
     }
 
@@ -48,7 +48,7 @@
         self.parts().map_or(0, |parts| parts.replica_sets.version())
     }
 
-    fn learned_replica_set_version(&self, from: &str, version: u64) {
+    fn observe_replica_set_version(&self, from: &str, version: u64) {
         if let Some(parts) = self.parts() {
             let peers = Arc::new(parts.members.clone());
             parts.replica_sets.on_peer_version(peers, from, version);
--- a/crates/daemon/src/http/trainers.rs
+++ b/crates/daemon/src/http/trainers.rs
@@ -12,7 +12,7 @@
 
 use super::body::{LimitedBody, read_limited};
 use crate::drain::{Drain, DrainGuard};
-use crate::shards::{MAX_PULL_WAIT, Shards, StepQuestion};
+use crate::shards::{MAX_PULL_WAIT, Shards, StepPullRequest};
 use answer::{Refusal, TrainerAnswer};
 use model::{SamplesBody, StepStatusBody, SubmittedBody};
 
@@ -72,7 +72,7 @@
     )?;
     let most_wait = MAX_PULL_WAIT.as_millis() as u64;
     let wait_ms = number("wait_ms", wait_ms, 0, 0, most_wait)?;
-    let question = StepQuestion {
+    let question = StepPullRequest {
         trainer: trainer.to_owned(),
         step,
         cursor,
--- a/crates/daemon/src/http/trainers/answer.rs
+++ b/crates/daemon/src/http/trainers/answer.rs
@@ -163,7 +163,7 @@
 impl<'r> Responder<'r, 'static> for Refusal {
     fn respond_to(self, request: &'r Request<'_>) -> rocket::response::Result<'static> {
         if let Some(shards) = request.rocket().state::<Shards>() {
-            shards.metrics().note_refusal(self.reason);
+            shards.metrics().record_refusal(self.reason);
         }
         log::info!(
             "event=trainer_refused path={} status={} outcome={} reason={} error=\"{}\"",
--- a/crates/daemon/src/http/trainers/model.rs
+++ b/crates/daemon/src/http/trainers/model.rs
@@ -5,7 +5,7 @@
 use ladderstage_wire::messages::{Sample, Segment, ShardSpec};
 use serde::{Deserialize, Serialize};
 
-use crate::shards::{ShardStatus, StepPull, StepStatus, Submitted};
+use crate::shards::{ShardStatus, StepPullResponse, StepStatus, SubmittedStep};
 
 /// A step as a trainer submits it.
 #[derive(Debug, Serialize, Deserialize)]
@@ -67,7 +67,7 @@
 }
 
 impl<'a> SubmittedBody<'a> {
-    pub(super) fn new(trainer: &'a str, step: u64, spec: &ShardSpec, submitted: Submitted) -> Self {
+    pub(super) fn new(trainer: &'a str, step: u64, spec: &ShardSpec, submitted: SubmittedStep) -> Self {
         Self {
             trainer,
             step,
@@ -107,7 +107,7 @@
 }
 
 impl SamplesBody {
-    pub(super) fn new(trainer: &str, step: u64, pull: StepPull) -> Self {
+    pub(super) fn new(trainer: &str, step: u64, pull: StepPullResponse) -> Self {
         Self {
             cursor: pull.cursor.encode(trainer, step),
             samples: pull
@@ -162,7 +162,7 @@
         Self {
             trainer,
             step,
-            finished: status.is_whole() && status.shards.iter().all(|shard| shard.finished),
+            finished: status.has_all_shards() && status.shards.iter().all(|shard| shard.finished),
             pool: status.pool,
             shard_count: status.shard_count,
             shards: status.shards,
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -5,7 +5,7 @@
 
 pub mod backends;
 pub mod bundles;
-mod by_members;
+mod members_cache;
 pub mod claims;
 pub mod drain;
 pub mod hooks;
--- a/crates/daemon/src/live/attempts.rs
+++ b/crates/daemon/src/live/attempts.rs
@@ -9,7 +9,7 @@
 use ladderstage_platform::dispatch::DispatchError;
 
 use super::{LiveError, Permit};
-use crate::backends::{Backends, InFlight};
+use crate::backends::{Backends, InFlightGuard};
 
 /// Shortest time that an attempt is given while another may follow.
 const MIN_ATTEMPT: Duration = Duration::from_millis(500);
@@ -23,7 +23,7 @@
     pub(super) id: String,
     /// The attempt must not reuse a connection: it must not run twice, or follows one that broke.
     pub(super) fresh_connection: bool,
-    _in_flight: InFlight,
+    _in_flight: InFlightGuard,
 }
 
 /// The attempts of one request.
@@ -82,7 +82,7 @@
             let candidate = candidates.swap_remove(index);
             if let Some(in_flight) = self
                 .backends()
-                .try_begin(&self.permit.pool, &candidate.name)
+                .try_start_request(&self.permit.pool, &candidate.name)
             {
                 return Ok(self.attempt(candidate, in_flight));
             }
@@ -113,12 +113,12 @@
 
     /// Takes in the back end's own whole answer.
     pub(super) fn succeed(&self, attempt: &Attempt) {
-        self.backends().note_success(&attempt.backend);
+        self.backends().record_success(&attempt.backend);
     }
 
     /// Takes in that an attempt whose answer was begun is not to be counted as a success.
     pub(super) fn note_broken(&self, attempt: &Attempt) {
-        self.backends().note_failure(&attempt.backend);
+        self.backends().record_failure(&attempt.backend);
     }
 
     /// What is certain now that there will be no further attempt.
@@ -167,7 +167,7 @@
         choose(candidates, &options, rand::random())
     }
 
-    fn attempt(&mut self, candidate: Candidate, in_flight: InFlight) -> Attempt {
+    fn attempt(&mut self, candidate: Candidate, in_flight: InFlightGuard) -> Attempt {
         let id = self.permit.options.id.of_attempt(self.count);
         let is_retry = self.count > 0;
         self.count += 1;
@@ -188,11 +188,11 @@
                 leaving,
                 ..
             } => {
-                self.backends().note_refusal(backend, *leaving);
+                self.backends().record_refusal(backend, *leaving);
                 *retry_after
             }
             DispatchError::NotSent(_) | DispatchError::Unknown(_) => {
-                self.backends().note_failure(backend);
+                self.backends().record_failure(backend);
                 None
             }
         };
--- a/crates/daemon/src/live/limits.rs
+++ b/crates/daemon/src/live/limits.rs
@@ -45,7 +45,7 @@
         state.adopt(bundle);
         state.admission.admit(class, now)?;
         if let Some(budget) = state.budgets.get_mut(class) {
-            budget.note_first_try(now);
+            budget.record_first_attempt(now);
         }
         Ok(Place {
             limits: self.clone(),
--- a/crates/daemon/src/members/handlers.rs
+++ b/crates/daemon/src/members/handlers.rs
@@ -31,13 +31,13 @@
         {
             let mut membership = self.shared.membership();
             membership.merge(ping.updates, now);
-            membership.heard_from(&ping.from, now);
+            membership.record_contact(&ping.from, now);
         }
         if let Some(evidence) = ping.evidence {
             self.learn_revision(&ping.from, evidence);
         }
         let hooks = &self.shared.hooks;
-        hooks.learned_replica_set_version(&ping.from, ping.replica_set_version);
+        hooks.observe_replica_set_version(&ping.from, ping.replica_set_version);
         messages::ping_ack(self.shared.ack_to(&ping.from, true))
     }
 
@@ -67,6 +67,6 @@
         };
         self.shared
             .hooks
-            .learned_evidence(from, &evidence, Instant::now());
+            .observe_evidence(from, &evidence, Instant::now());
     }
 }
--- a/crates/daemon/src/members/hooks.rs
+++ b/crates/daemon/src/members/hooks.rs
@@ -14,11 +14,11 @@
     /// If `evidence.known`, it told so in an answer to a ping sent at `asked_at`, so that its knowledge dates from
     /// `asked_at` minus `age_ms` or later. Otherwise only the revision counts: it came with the member's own
     /// ping, and how long that was on its way is not known.
-    fn learned_evidence(&self, from: &str, evidence: &BundleEvidence, asked_at: Instant);
+    fn observe_evidence(&self, from: &str, evidence: &BundleEvidence, asked_at: Instant);
 
     /// Version of the journal's replica set known here; 0: none.
     fn replica_set_version(&self) -> u64;
 
     /// A member told the version of the replica set that it knows.
-    fn learned_replica_set_version(&self, from: &str, version: u64);
+    fn observe_replica_set_version(&self, from: &str, version: u64);
 }
--- a/crates/daemon/src/members/mod.rs
+++ b/crates/daemon/src/members/mod.rs
@@ -136,14 +136,14 @@
     /// Tells the others that this node is stopping as planned. Some are told before this returns, which takes one
     /// probe timeout at most; they pass it on.
     pub async fn announce_leaving(&self) {
-        self.shared.membership().leave();
+        self.shared.membership().start_leaving();
         self.shared.tell_some().await;
     }
 
     /// Tells the others that this node has stopped as planned; for the very end of the stop. As
     /// [`announce_leaving`](Self::announce_leaving) otherwise.
     pub async fn announce_left(&self) {
-        self.shared.membership().left();
+        self.shared.membership().finish_leaving();
         self.shared.tell_some().await;
     }
 
--- a/crates/daemon/src/members/probes.rs
+++ b/crates/daemon/src/members/probes.rs
@@ -30,8 +30,8 @@
             return;
         }
         let now = self.now();
-        let next = self.membership().missed(&target, now, &mut rand::rng());
-        if let Some(Action::ProbeThrough { target, helpers }) = next {
+        let next = self.membership().on_missed_probe(&target, now, &mut rand::rng());
+        if let Some(Action::IndirectProbe { target, helpers }) = next {
             self.probe_through(target, helpers).await;
         }
     }
@@ -66,12 +66,12 @@
         while let Some(reached) = asked.next().await {
             if reached {
                 let now = self.now();
-                self.membership().heard_from(&target.node, now);
+                self.membership().record_contact(&target.node, now);
                 return;
             }
         }
         let now = self.now();
-        self.membership().probe_failed(&target, now);
+        self.membership().on_probe_failed(&target, now);
     }
 
     async fn ask_helper(&self, helper: &Member, target: &Member) -> bool {
--- a/crates/daemon/src/members/shared.rs
+++ b/crates/daemon/src/members/shared.rs
@@ -39,7 +39,7 @@
         let timing = &settings.timing;
         let config = MembershipConfig {
             probe_interval: Duration::from_millis(timing.probe_interval_ms),
-            suspicion: Duration::from_millis(timing.suspicion_ms),
+            suspicion_timeout: Duration::from_millis(timing.suspicion_ms),
             seeds: seeds.len(),
         };
         Self {
@@ -110,13 +110,13 @@
         {
             let mut membership = self.membership();
             membership.merge(ack.updates, now);
-            membership.heard_from(&ack.node, now);
+            membership.record_contact(&ack.node, now);
         }
         if let Some(evidence) = &ack.evidence {
-            self.hooks.learned_evidence(&ack.node, evidence, asked_at);
+            self.hooks.observe_evidence(&ack.node, evidence, asked_at);
         }
         self.hooks
-            .learned_replica_set_version(&ack.node, ack.replica_set_version);
+            .observe_replica_set_version(&ack.node, ack.replica_set_version);
     }
 }
 
--- a/crates/daemon/src/members/task.rs
+++ b/crates/daemon/src/members/task.rs
@@ -32,7 +32,7 @@
 async fn carry_out(shared: Arc<Shared>, action: Action) {
     match action {
         Action::Probe { target } => shared.probe(target).await,
-        Action::ProbeThrough { target, helpers } => shared.probe_through(target, helpers).await,
+        Action::IndirectProbe { target, helpers } => shared.probe_through(target, helpers).await,
         Action::Sync { target } => shared.sync(target).await,
     }
 }
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -14,7 +14,7 @@
 
 use crate::backends::Backends;
 use crate::bundles::{
-    BundleParts, BundleStore, Bundles, BundlesError, ROLL_DEADLINE, WeightVersions,
+    BundleDependencies, BundleStore, Bundles, BundlesError, DEFAULT_ROLL_DEADLINE, WeightVersionSource,
     replica_set_source,
 };
 use crate::drain::Drain;
@@ -142,7 +142,7 @@
             storage.clone(),
             replica_sets.clone(),
         );
-        let bundle_parts = BundleParts {
+        let bundle_parts = BundleDependencies {
             key_value: key_value.clone(),
             peers: Arc::new(members.clone()),
             store: storage
@@ -150,7 +150,7 @@
                 .map(|storage| Arc::new(storage) as Arc<dyn BundleStore>),
             replica_set: replica_set_source(&settings, &replica_sets),
             weight_versions: weight_versions(&settings),
-            roll_deadline: ROLL_DEADLINE,
+            roll_deadline: DEFAULT_ROLL_DEADLINE,
         };
         let bundles = Bundles::start(&settings, bundle_parts).await?;
         let backends = Backends::start(
@@ -257,7 +257,7 @@
     rand::random::<u64>().max(1)
 }
 
-fn weight_versions(settings: &Settings) -> Option<Arc<dyn WeightVersions>> {
+fn weight_versions(settings: &Settings) -> Option<Arc<dyn WeightVersionSource>> {
     let base_url = settings.weight_store.as_deref()?;
     Some(Arc::new(WeightStore::new(base_url)))
 }
--- a/crates/daemon/src/orders/mod.rs
+++ b/crates/daemon/src/orders/mod.rs
@@ -10,7 +10,7 @@
 
 use ladderstage::bundle::Bundle;
 use ladderstage::engine_orders::{
-    Action, AttemptOutcome, EngineView, Order, STANDBY_DELAY, caretaker_rank, orders, wave,
+    Action, AttemptOutcome, EngineView, Order, STANDBY_DELAY, order_sender_rank, orders, wave,
 };
 use ladderstage_platform::orders::{OrderAnswer, OrderRequest, send_order};
 use log::{info, warn};
@@ -22,7 +22,7 @@
 
 use crate::backends::{Backends, Peers, TaskGroup};
 use crate::bundles::{BundleInForce, Bundles};
-use crate::by_members::ByMembers;
+use crate::members_cache::ByMembers;
 use crate::jitter::jittered;
 use crate::members::Members;
 use crate::settings::Settings;
@@ -144,7 +144,7 @@
 /// Engines that this node is a caretaker of, with its rank.
 fn own_ranks(bundle: &Bundle, own: &str, members: &[String]) -> BTreeMap<String, usize> {
     let ranked = orders(bundle).into_iter().filter_map(|order| {
-        let rank = caretaker_rank(&order.backend, own, members)?;
+        let rank = order_sender_rank(&order.backend, own, members)?;
         Some((order.backend, rank))
     });
     ranked.collect()
--- a/crates/daemon/src/settings/check.rs
+++ b/crates/daemon/src/settings/check.rs
@@ -3,16 +3,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use ladderstage::bundle::TrustedKeys;
-use ladderstage::document::{Finding, Places};
+use ladderstage::document::{Finding, KeyPositions};
 
 use super::{Settings, Timing};
 
 /// Longest name of a node, zone or region, in characters.
 const MAX_NAME_LENGTH: usize = 64;
 
-pub(super) fn cross_check(settings: &Settings, places: &Places) -> Vec<Finding> {
+pub(super) fn cross_check(settings: &Settings, key_positions: &KeyPositions) -> Vec<Finding> {
     let mut checker = Checker {
-        places,
+        key_positions,
         findings: Vec::new(),
     };
     checker.check_name("node", &settings.node);
@@ -27,13 +27,13 @@
 }
 
 struct Checker<'p> {
-    places: &'p Places,
+    key_positions: &'p KeyPositions,
     findings: Vec<Finding>,
 }
 
 impl Checker<'_> {
     fn add(&mut self, path: &str, found: impl Into<String>, allowed: impl Into<String>) {
-        let finding = self.places.finding(path, found.into(), allowed.into());
+        let finding = self.key_positions.finding(path, found.into(), allowed.into());
         self.findings.extend(finding);
     }
 
--- a/crates/daemon/src/settings/mod.rs
+++ b/crates/daemon/src/settings/mod.rs
@@ -103,7 +103,7 @@
         let reading = document::read(file, text, |table| read::read_settings(table, flags));
         let mut findings = reading.findings;
         if reading.well_formed {
-            findings.extend(check::cross_check(&reading.value, &reading.places));
+            findings.extend(check::cross_check(&reading.value, &reading.key_positions));
         }
         if findings.is_empty() {
             return Ok(reading.value);
--- a/crates/daemon/src/shards/attempt/mod.rs
+++ b/crates/daemon/src/shards/attempt/mod.rs
@@ -162,7 +162,7 @@
                     tokio::time::sleep(jittered(delay)).await;
                 }
                 Err(Interruption::Cut(detail)) => ::log::info!(
-                    "event=stream_cut engine={} tokens={} error=\"{detail}\"",
+                    "event=stream_interrupted engine={} tokens={} error=\"{detail}\"",
                     placement.engine.name,
                     partial.tokens()
                 ),
--- a/crates/daemon/src/shards/attempt/stream.rs
+++ b/crates/daemon/src/shards/attempt/stream.rs
@@ -87,10 +87,10 @@
         match &ended {
             Ok(()) => {
                 cancel.is_armed = false;
-                self.shared.parts.engines.note_success(&engine.name);
+                self.shared.parts.engines.record_success(&engine.name);
             }
             Err(Interruption::Cut(_) | Interruption::Unversioned) => {
-                self.shared.parts.engines.note_failure(&engine.name);
+                self.shared.parts.engines.record_failure(&engine.name);
             }
             Err(_) => {}
         }
@@ -116,20 +116,20 @@
                 leaving,
                 ..
             })) => {
-                backends.note_refusal(&engine.name, leaving);
+                backends.record_refusal(&engine.name, leaving);
                 let delay = retry_after.unwrap_or(REFUSED_DELAY).min(REFUSED_DELAY_MOST);
                 Err(Interruption::Refused(delay))
             }
             Ok(Err(DispatchError::NotSent(_))) => {
-                backends.note_failure(&engine.name);
+                backends.record_failure(&engine.name);
                 Err(Interruption::Refused(REFUSED_DELAY))
             }
             Ok(Err(DispatchError::Unknown(detail))) => {
-                backends.note_failure(&engine.name);
+                backends.record_failure(&engine.name);
                 Err(Interruption::Cut(detail))
             }
             Err(_) => {
-                backends.note_failure(&engine.name);
+                backends.record_failure(&engine.name);
                 Err(Interruption::Cut(
                     "engine did not begin to answer".to_owned(),
                 ))
--- a/crates/daemon/src/shards/delivery.rs
+++ b/crates/daemon/src/shards/delivery.rs
@@ -163,7 +163,7 @@
                 PullOutcome::Superseded => {
                     return Ok(Some(outcome_only(ReplyOutcome::SUPERSEDED)));
                 }
-                PullOutcome::NotYetKnown => {
+                PullOutcome::UnknownAnswer => {
                     let detail = "answer not known to this owner";
                     return Ok(Some(replies::refused(Reason::NOT_READY, detail)));
                 }
--- a/crates/daemon/src/shards/gathering.rs
+++ b/crates/daemon/src/shards/gathering.rs
@@ -8,7 +8,7 @@
 
 use super::Shared;
 use super::delivery::UNKNOWN_AGE_MS;
-use super::pulling::{PullError, StepPull, StepQuestion};
+use super::pulling::{PullError, StepPullResponse, StepPullRequest};
 use super::step_index::StepStatus;
 
 /// What came of asking one shard.
@@ -82,15 +82,15 @@
 /// Joins the shards' answers, checked once more against the bundle in force here as the last thing before they leave.
 pub(super) fn finish(
     shared: &Shared,
-    question: &StepQuestion,
+    question: &StepPullRequest,
     status: &StepStatus,
     gathered: Gathered,
-) -> Result<StepPull, PullError> {
+) -> Result<StepPullResponse, PullError> {
     if gathered.is_superseded {
         return Err(PullError::Superseded);
     }
     let is_complete = gathered.complete.len() == status.shard_count as usize;
-    let mut pull = StepPull {
+    let mut pull = StepPullResponse {
         samples: Vec::new(),
         cursor: question.cursor.clone(),
         complete: is_complete,
--- a/crates/daemon/src/shards/generation.rs
+++ b/crates/daemon/src/shards/generation.rs
@@ -45,7 +45,7 @@
         backoff.is_some_and(|backoff| backoff.not_before > Instant::now())
     }
 
-    fn note_failure(&mut self, slot: u32) {
+    fn record_failure(&mut self, slot: u32) {
         let failures = self.slots.get(&slot).map_or(0, |backoff| backoff.failures);
         let delay = backoff(RETRY_DELAY, failures, RETRY_DELAY_MOST);
         let backoff = Backoff {
@@ -105,7 +105,7 @@
                     "event=attempt_task_failed shard={} error=\"{error}\"",
                     self.key
                 );
-                self.backoffs.note_failure(slot);
+                self.backoffs.record_failure(slot);
             }
         }
     }
@@ -116,7 +116,7 @@
             self.key
         );
         self.shared.metrics.note_failed_attempt();
-        self.backoffs.note_failure(slot);
+        self.backoffs.record_failure(slot);
     }
 
     /// Stops attempts at slots that need none any more.
--- a/crates/daemon/src/shards/log.rs
+++ b/crates/daemon/src/shards/log.rs
@@ -106,7 +106,7 @@
             Err(JournalError::Fenced) => Err(CommitError::Fenced),
             Err(JournalError::StaleReplicaSet) => Err(CommitError::StaleReplicaSet),
             Err(error) => {
-                ::log::warn!("event=ownership_in_doubt error=\"{error}\"");
+                ::log::warn!("event=ownership_unconfirmed error=\"{error}\"");
                 Err(CommitError::InDoubt)
             }
         }
--- a/crates/daemon/src/shards/metrics.rs
+++ b/crates/daemon/src/shards/metrics.rs
@@ -77,7 +77,7 @@
     }
 
     /// Counts a trainer's request that was refused.
-    pub fn note_refusal(&self, reason: &str) {
+    pub fn record_refusal(&self, reason: &str) {
         self.refusals.with_label_values(&[reason]).inc();
     }
 
--- a/crates/daemon/src/shards/mod.rs
+++ b/crates/daemon/src/shards/mod.rs
@@ -45,11 +45,11 @@
 use step_index::StepIndex;
 
 pub use metrics::ShardMetrics;
-pub use parts::{BundleSource, EnginePlace, EngineSource, ShardParts};
-pub use pulling::{PullError, StepPull, StepQuestion};
+pub use parts::{BundleSource, EnginePlace, EngineSource, ShardDependencies};
+pub use pulling::{PullError, StepPullResponse, StepPullRequest};
 pub use registry::ShardDescription;
 pub use step_index::{ShardStatus, StepStatus};
-pub use submission::{SubmitError, Submitted};
+pub use submission::{SubmitError, SubmittedStep};
 
 /// Longest that one pull may wait for samples.
 pub const MAX_PULL_WAIT: Duration = Duration::from_secs(30);
@@ -74,7 +74,7 @@
 struct Shared {
     node: String,
     zone: String,
-    parts: ShardParts,
+    parts: ShardDependencies,
     registry: Registry,
     steps: StepIndex,
     metrics: ShardMetrics,
@@ -111,7 +111,7 @@
         engine: EngineClient,
         scorer: Option<Scorer>,
     ) -> Self {
-        let parts = ShardParts {
+        let parts = ShardDependencies {
             peers: Arc::new(members),
             journal,
             bundles: Arc::new(bundles),
@@ -123,7 +123,7 @@
     }
 
     /// As [`Shards::start`], over other parts.
-    pub fn start_with(settings: &Settings, process: ProcessId, parts: ShardParts) -> Self {
+    pub fn start_with(settings: &Settings, process: ProcessId, parts: ShardDependencies) -> Self {
         ::log::info!(
             "event=shards_started node={} process={process:016x}",
             settings.node
@@ -276,7 +276,7 @@
                 .call(node, request, NOTICE_TIMEOUT)
                 .await;
             if let Err(error) = told {
-                ::log::info!("event=successor_not_told successor={node} error=\"{error}\"");
+                ::log::info!("event=successor_not_notified successor={node} error=\"{error}\"");
             }
         });
         futures_util::future::join_all(notices).await;
--- a/crates/daemon/src/shards/owner.rs
+++ b/crates/daemon/src/shards/owner.rs
@@ -171,7 +171,7 @@
         match ShardLog::take_over(&shared.parts.journal, log).await {
             Ok(shard_log) => return Some(shard_log),
             Err(error @ (JournalError::Fenced | JournalError::Retired)) => {
-                ::log::info!("event=takeover_given_up log={log} error=\"{error}\"");
+                ::log::info!("event=takeover_abandoned log={log} error=\"{error}\"");
                 return None;
             }
             Err(error) => ::log::warn!("event=takeover_failed log={log} error=\"{error}\""),
@@ -232,7 +232,7 @@
             .await
         {
             Ok(()) => {
-                ::log::info!("event=shard_taken_over_again log={log}");
+                ::log::info!("event=shard_retaken log={log}");
                 self.in_doubt = false;
                 Ok(())
             }
--- a/crates/daemon/src/shards/parts.rs
+++ b/crates/daemon/src/shards/parts.rs
@@ -33,21 +33,21 @@
     fn candidates(&self, pool: &str) -> Vec<Candidate>;
 
     /// Takes a place at an engine if it is still a candidate of the pool.
-    fn try_begin(&self, pool: &str, engine: &str) -> Option<EnginePlace>;
+    fn try_start_request(&self, pool: &str, engine: &str) -> Option<EnginePlace>;
 
     /// A request failed there.
-    fn note_failure(&self, engine: &str);
+    fn record_failure(&self, engine: &str);
 
     /// The engine refused before running; `leaving`: because it is stopping.
-    fn note_refusal(&self, engine: &str, leaving: bool);
+    fn record_refusal(&self, engine: &str, leaving: bool);
 
     /// A request was answered whole.
-    fn note_success(&self, engine: &str);
+    fn record_success(&self, engine: &str);
 }
 
 /// What shards need of the other parts of a node.
 #[derive(Clone)]
-pub struct ShardParts {
+pub struct ShardDependencies {
     /// The other daemons.
     pub peers: Arc<dyn Peers>,
     /// The journal.
@@ -62,7 +62,7 @@
     pub scorer: Option<Scorer>,
 }
 
-impl fmt::Debug for ShardParts {
+impl fmt::Debug for ShardDependencies {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("ShardParts")
     }
@@ -87,20 +87,20 @@
         Backends::candidates(self, pool)
     }
 
-    fn try_begin(&self, pool: &str, engine: &str) -> Option<EnginePlace> {
-        let place = Backends::try_begin(self, pool, engine)?;
+    fn try_start_request(&self, pool: &str, engine: &str) -> Option<EnginePlace> {
+        let place = Backends::try_start_request(self, pool, engine)?;
         Some(Box::new(place))
     }
 
-    fn note_failure(&self, engine: &str) {
-        Backends::note_failure(self, engine);
+    fn record_failure(&self, engine: &str) {
+        Backends::record_failure(self, engine);
     }
 
-    fn note_refusal(&self, engine: &str, leaving: bool) {
-        Backends::note_refusal(self, engine, leaving);
+    fn record_refusal(&self, engine: &str, leaving: bool) {
+        Backends::record_refusal(self, engine, leaving);
     }
 
-    fn note_success(&self, engine: &str) {
-        Backends::note_success(self, engine);
+    fn record_success(&self, engine: &str) {
+        Backends::record_success(self, engine);
     }
 }
--- a/crates/daemon/src/shards/placement.rs
+++ b/crates/daemon/src/shards/placement.rs
@@ -69,7 +69,7 @@
     };
     while let Some(index) = choose(&engines, &options, rand::random()) {
         let engine = engines.swap_remove(index);
-        if let Some(place) = shared.parts.engines.try_begin(pool, &engine.name) {
+        if let Some(place) = shared.parts.engines.try_start_request(pool, &engine.name) {
             return Some(Placement {
                 engine,
                 _place: place,
--- a/crates/daemon/src/shards/pulling.rs
+++ b/crates/daemon/src/shards/pulling.rs
@@ -24,7 +24,7 @@
 
 /// A trainer's question.
 #[derive(Debug, Clone)]
-pub struct StepQuestion {
+pub struct StepPullRequest {
     /// Trainer that asks.
     pub trainer: String,
     /// Its step.
@@ -39,7 +39,7 @@
 
 /// Answer to a trainer.
 #[derive(Debug, Clone, PartialEq)]
-pub struct StepPull {
+pub struct StepPullResponse {
     /// Fresh samples, each slot of the step once over all answers that the trainer takes.
     pub samples: Vec<Sample>,
     /// Acknowledges these samples when it comes back.
@@ -70,7 +70,7 @@
 impl Shards {
     /// Gathers fresh samples that follow the cursor. An answer of a shard that is left out stays open at its owner and
     /// is given again for the same cursor.
-    pub async fn pull(&self, question: &StepQuestion) -> Result<StepPull, PullError> {
+    pub async fn pull(&self, question: &StepPullRequest) -> Result<StepPullResponse, PullError> {
         // Before the journal is asked: a daemon that is cut off would only learn by its timeout that it is.
         if self.shared.parts.bundles.deliverable().is_none() {
             return Err(PullError::HeldBack);
@@ -108,7 +108,7 @@
         }
     }
 
-    async fn find_step(&self, question: &StepQuestion) -> Result<StepStatus, PullError> {
+    async fn find_step(&self, question: &StepPullRequest) -> Result<StepStatus, PullError> {
         self.step_status(&question.trainer, question.step).await
     }
 
@@ -116,7 +116,7 @@
     /// their place.
     async fn ask(
         &self,
-        question: &StepQuestion,
+        question: &StepPullRequest,
         status: &StepStatus,
         wait: Duration,
         gathered: &mut Gathered,
@@ -143,7 +143,7 @@
 
     async fn ask_shard(
         &self,
-        question: &StepQuestion,
+        question: &StepPullRequest,
         shard: &ShardStatus,
         wait: Duration,
     ) -> ShardAnswer {
--- a/crates/daemon/src/shards/step_index.rs
+++ b/crates/daemon/src/shards/step_index.rs
@@ -46,7 +46,7 @@
 
 impl StepStatus {
     /// Whether every shard of the step is known.
-    pub fn is_whole(&self) -> bool {
+    pub fn has_all_shards(&self) -> bool {
         self.shard_count > 0 && self.shards.len() == self.shard_count as usize
     }
 }
@@ -104,7 +104,7 @@
             return Ok(None);
         };
         let status = Arc::new(status);
-        if !status.is_whole() {
+        if !status.has_all_shards() {
             return Ok(Some(status));
         }
         let mut steps = lock(&self.steps);
--- a/crates/daemon/src/shards/submission.rs
+++ b/crates/daemon/src/shards/submission.rs
@@ -32,7 +32,7 @@
 
 /// A step whose shards are all open.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Submitted {
+pub struct SubmittedStep {
     /// Shards of the step.
     pub shard_count: u32,
     /// Whether the whole step had been submitted before.
@@ -55,7 +55,7 @@
 
 impl Shards {
     /// Opens all shards of a step; `whole` carries all of its samples. `Ok` only once each opening is committed.
-    pub async fn submit(&self, whole: &ShardSpec) -> Result<Submitted, SubmitError> {
+    pub async fn submit(&self, whole: &ShardSpec) -> Result<SubmittedStep, SubmitError> {
         if self.shared.is_draining() {
             return Err(SubmitError::NotRun("draining".to_owned()));
         }
@@ -82,7 +82,7 @@
 
 impl Submission<'_> {
     /// The first shard decides between different bodies under one step; the others follow it.
-    async fn run(&self, specs: Vec<ShardSpec>) -> Result<Submitted, SubmitError> {
+    async fn run(&self, specs: Vec<ShardSpec>) -> Result<SubmittedStep, SubmitError> {
         let shard_count = specs.len() as u32;
         let mut specs = specs.into_iter();
         let Some(first) = specs.next() else {
@@ -100,7 +100,7 @@
                 Err(error) => return Err(error),
             }
         }
-        Ok(Submitted {
+        Ok(SubmittedStep {
             shard_count,
             was_open,
         })
--- a/crates/daemon/tests/backends.rs
+++ b/crates/daemon/tests/backends.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
-use ladderstage::backend::reads_reports;
+use ladderstage::backend::reads_reports_directly;
 use ladderstage_daemon::backends::Backends;
 use standin::{OnePeer, bundle, engine, in_force, machine_list, settings, wait_until};
 
@@ -91,7 +91,7 @@
     let telling = start("a", list, peers.clone());
     *peers.other.lock().unwrap() = Some(told.clone());
     wait_until("both know the engine", || usable(&told) && usable(&telling)).await;
-    telling.note_refusal(ENGINE, true);
+    telling.record_refusal(ENGINE, true);
     assert!(!usable(&telling));
     wait_until("the other knows", || !usable(&told)).await;
     assert!(told.describe()[0].leaving);
@@ -100,7 +100,7 @@
 #[tokio::test]
 async fn above_the_member_bound_reports_come_from_their_readers() {
     let members: Vec<String> = (0..40).map(|index| format!("daemon-{index}")).collect();
-    let reads = |node: &&String| reads_reports(ENGINE, node, &members);
+    let reads = |node: &&String| reads_reports_directly(ENGINE, node, &members);
     assert_eq!(members.iter().filter(reads).count(), 2);
     let reader = members.iter().find(reads).expect("two readers");
     let other = members.iter().find(|node| !reads(node)).expect("others");
@@ -123,14 +123,14 @@
     let backends = start("a", list, OnePeer::new("a", &[]));
     wait_until("the engine is usable", || usable(&backends)).await;
     let guards: Vec<_> = (0..4)
-        .filter_map(|_| backends.try_begin("lm", ENGINE))
+        .filter_map(|_| backends.try_start_request("lm", ENGINE))
         .collect();
     assert_eq!(guards.len(), 4);
-    assert!(backends.try_begin("lm", ENGINE).is_none());
+    assert!(backends.try_start_request("lm", ENGINE).is_none());
     assert!(!usable(&backends));
     drop(guards);
     wait_until("the engine is usable again", || usable(&backends)).await;
-    assert!(backends.try_begin("no such pool", ENGINE).is_none());
+    assert!(backends.try_start_request("no such pool", ENGINE).is_none());
 }
 
 #[tokio::test]
--- a/crates/daemon/tests/bundles.rs
+++ b/crates/daemon/tests/bundles.rs
@@ -202,18 +202,18 @@
         known: true,
     };
     let long_ago = Instant::now().checked_sub(Duration::from_secs(5)).unwrap();
-    nodes[4].learned_evidence("n1", &held, long_ago);
+    nodes[4].observe_evidence("n1", &held, long_ago);
     nodes[4].heartbeat_round(Instant::now(), std::slice::from_ref(&held), false);
     nodes[4].heartbeat_round(
         Instant::now(),
         &[held.clone(), BundleEvidence::default()],
         true,
     );
-    nodes[4].learned_revision("n1", 1);
+    nodes[4].observe_revision("n1", 1);
     assert!(!nodes[4].may_deliver());
     let asked_at = Instant::now();
     nodes[4].heartbeat_round(asked_at, &[held.clone(), held.clone()], true);
-    nodes[3].learned_evidence("n1", &held, asked_at);
+    nodes[3].observe_evidence("n1", &held, asked_at);
     for node in &nodes[3..] {
         let age = node.evidence_age().unwrap();
         assert!(age <= asked_at.elapsed());
@@ -231,11 +231,11 @@
     wait_for_revision(&nodes, 2).await;
     server.set_fault(Some(Fault::CutBefore));
     let late = cluster.start("n5").await;
-    late.learned_revision("n1", 2);
+    late.observe_revision("n1", 2);
     assert!(!late.may_deliver());
     cluster.network.reconnect("n5");
     wait_until("the fetch", || {
-        late.learned_revision("n1", 2);
+        late.observe_revision("n1", 2);
         late.current()
             .is_some_and(|current| current.bundle.revision == 2)
     })
@@ -251,7 +251,7 @@
     wait_for_revision(&nodes, 1).await;
     let before = cluster.network.fetches();
     for _ in 0..LOOKS {
-        nodes[0].learned_revision("n2", 9);
+        nodes[0].observe_revision("n2", 9);
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     let fetches = cluster.network.fetches() - before;
--- a/crates/daemon/tests/members/cluster.rs
+++ b/crates/daemon/tests/members/cluster.rs
@@ -30,7 +30,7 @@
         self.told.clone()
     }
 
-    fn learned_evidence(&self, from: &str, evidence: &BundleEvidence, asked_at: Instant) {
+    fn observe_evidence(&self, from: &str, evidence: &BundleEvidence, asked_at: Instant) {
         let entry = (from.to_owned(), evidence.clone(), asked_at);
         self.learned.lock().expect("lock").push(entry);
     }
@@ -39,7 +39,7 @@
         self.told.revision
     }
 
-    fn learned_replica_set_version(&self, from: &str, version: u64) {
+    fn observe_replica_set_version(&self, from: &str, version: u64) {
         let entry = (from.to_owned(), version);
         self.learned_versions.lock().expect("lock").push(entry);
     }
--- a/crates/daemon/tests/shards/nodes.rs
+++ b/crates/daemon/tests/shards/nodes.rs
@@ -11,7 +11,7 @@
 use ladderstage_daemon::journal::{Journal, JournalHooks, Peers};
 use ladderstage_daemon::replica_set::ReplicaSets;
 use ladderstage_daemon::settings::Settings;
-use ladderstage_daemon::shards::{ShardParts, Shards};
+use ladderstage_daemon::shards::{ShardDependencies, Shards};
 use ladderstage_platform::engine::EngineClient;
 use ladderstage_platform::scorer::Scorer;
 use ladderstage_storage::{Storage, StorageOptions};
@@ -101,7 +101,7 @@
             Some(storage),
             replica_sets,
         );
-        let parts = ShardParts {
+        let parts = ShardDependencies {
             peers,
             journal: journal.clone(),
             bundles: self.bundles.clone(),
--- a/crates/daemon/tests/shards/platform.rs
+++ b/crates/daemon/tests/shards/platform.rs
@@ -209,19 +209,19 @@
         self.engines.iter().map(candidate).collect()
     }
 
-    fn try_begin(&self, _pool: &str, name: &str) -> Option<EnginePlace> {
+    fn try_start_request(&self, _pool: &str, name: &str) -> Option<EnginePlace> {
         let engine = self.engines.iter().find(|engine| engine.name == name)?;
         engine.in_flight.fetch_add(1, Ordering::SeqCst);
         Some(Box::new(Counted(engine.in_flight.clone())))
     }
 
-    fn note_failure(&self, engine: &str) {
+    fn record_failure(&self, engine: &str) {
         self.failures.lock().unwrap().push(engine.to_owned());
     }
 
-    fn note_refusal(&self, _engine: &str, _leaving: bool) {}
+    fn record_refusal(&self, _engine: &str, _leaving: bool) {}
 
-    fn note_success(&self, _engine: &str) {}
+    fn record_success(&self, _engine: &str) {}
 }
 
 pub async fn start_scorer() -> Handle {
--- a/crates/daemon/tests/support/bundle_cluster.rs
+++ b/crates/daemon/tests/support/bundle_cluster.rs
@@ -9,7 +9,7 @@
 
 use futures_util::future::BoxFuture;
 use ladderstage::bundle::{BundleKey, sign};
-use ladderstage_daemon::bundles::{BundleParts, BundleStore, Bundles, Peers};
+use ladderstage_daemon::bundles::{BundleDependencies, BundleStore, Bundles, Peers};
 use ladderstage_daemon::settings::Settings;
 use ladderstage_platform::key_value::KeyValue;
 use ladderstage_transport::CallError;
@@ -197,7 +197,7 @@
     /// Starts a node, again if it ran before: a replica finds its disk as it was.
     pub async fn start(&self, name: &str) -> Bundles {
         let (network, node) = (self.network.clone(), name.to_owned());
-        let parts = BundleParts {
+        let parts = BundleDependencies {
             key_value: KeyValue::new(vec![self.key_value_url.clone()], PATIENCE),
             peers: Arc::new(Link {
                 own: name.to_owned(),
--- a/crates/front/src/backend/choice.rs
+++ b/crates/front/src/backend/choice.rs
@@ -55,7 +55,7 @@
     /// Returns the round trip in milliseconds that the cost includes; zero within the region.
     fn included_round_trip_ms(&self) -> f64 {
         match self.distance {
-            Distance::Elsewhere => self.round_trip_ms.unwrap_or(ASSUMED_ROUND_TRIP_MS),
+            Distance::OtherRegion => self.round_trip_ms.unwrap_or(ASSUMED_ROUND_TRIP_MS),
             Distance::SameMachine | Distance::SameZone | Distance::SameRegion => 0.0,
         }
     }
@@ -162,7 +162,7 @@
 fn zone_cost(candidate: &Candidate) -> f64 {
     match candidate.distance {
         Distance::SameMachine | Distance::SameZone => 0.0,
-        Distance::SameRegion | Distance::Elsewhere => OTHER_ZONE_COST,
+        Distance::SameRegion | Distance::OtherRegion => OTHER_ZONE_COST,
     }
 }
 
--- a/crates/front/src/backend/gate.rs
+++ b/crates/front/src/backend/gate.rs
@@ -185,6 +185,6 @@
 
     /// Returns whether a zone is in an allowed region.
     pub fn is_within(&self, zone: &str, allowed: &AllowedRegions) -> bool {
-        allowed.is_all() || allowed.permits(self.regions.region_of(zone))
+        allowed.allows_all() || allowed.permits(self.regions.region_of(zone))
     }
 }
--- a/crates/front/src/backend/instance.rs
+++ b/crates/front/src/backend/instance.rs
@@ -481,7 +481,7 @@
     /// Returns whether it is in an allowed region.
     pub fn is_within(&self, allowed: &AllowedRegions) -> bool {
         let locality = &self.gates.locality;
-        allowed.is_all() || locality.is_within(&self.lock().discovered.zone, allowed)
+        allowed.allows_all() || locality.is_within(&self.lock().discovered.zone, allowed)
     }
 
     /// Returns its distance from this node.
--- a/crates/front/src/config.rs
+++ b/crates/front/src/config.rs
@@ -88,7 +88,7 @@
     /// the route and the tenant allow.
     pub fn allowed_regions_for(&self, tenant: Option<&Tenant>) -> AllowedRegions {
         match tenant {
-            Some(tenant) => self.allowed_regions.and(&tenant.allowed_regions),
+            Some(tenant) => self.allowed_regions.intersect(&tenant.allowed_regions),
             None => self.allowed_regions.clone(),
         }
     }
@@ -225,7 +225,7 @@
     fn restricts_regions(&self) -> bool {
         let routes = self.routes.iter().map(|route| &route.allowed_regions);
         let tenants = self.tenants.iter().map(|tenant| &tenant.allowed_regions);
-        routes.chain(tenants).any(|allowed| !allowed.is_all())
+        routes.chain(tenants).any(|allowed| !allowed.allows_all())
     }
 
     /// Records the keys of the previous version that this one removes.
--- a/crates/front/src/explain/steps.rs
+++ b/crates/front/src/explain/steps.rs
@@ -165,7 +165,7 @@
             self.row.moves += 1;
         }
         let distance = line.fields.get("distance");
-        if distance.is_some_and(|distance| distance == Distance::Elsewhere.label()) {
+        if distance.is_some_and(|distance| distance == Distance::OtherRegion.label()) {
             self.row.far_runs += 1;
         }
         let started = at - number(line, "elapsed_ms") as f64 / 1e3;
--- a/crates/front/src/job/preferred_owner.rs
+++ b/crates/front/src/job/preferred_owner.rs
@@ -152,7 +152,7 @@
     preferred_owner(own, fronts, model, step).or_else(|| {
         let near = fronts
             .iter()
-            .filter(|front| distance(front) < Distance::Elsewhere);
+            .filter(|front| distance(front) < Distance::OtherRegion);
         let near: Vec<NodeRecord> = near.cloned().collect();
         preferred_among(own, &near, model, step)
     })
@@ -186,6 +186,6 @@
 ) -> Vec<NodeRecord> {
     let (near, far): (Vec<_>, Vec<_>) = fronts
         .into_iter()
-        .partition(|front| distance(front) < Distance::Elsewhere);
+        .partition(|front| distance(front) < Distance::OtherRegion);
     if near.is_empty() { far } else { near }
 }
--- a/crates/front/src/job/region_bounds.rs
+++ b/crates/front/src/job/region_bounds.rs
@@ -75,10 +75,10 @@
     nodes: &Nodes,
     replicas: Option<&ReplicaSet>,
 ) -> Result<(), RegionBoundsError> {
-    if allowed.is_all() {
+    if allowed.allows_all() {
         return Ok(());
     }
-    if allowed.is_nowhere() {
+    if allowed.allows_none() {
         return Err(RegionBoundsError::NoAllowedRegion);
     }
     let allowed = || allowed.clone();
@@ -127,7 +127,7 @@
             .config
             .allowed_regions(&spec.host, &spec.path, &spec.tenant);
         let allowed = bound.ok_or(RegionBoundsError::NoRoute)?;
-        if allowed.is_all() {
+        if allowed.allows_all() {
             return Ok(());
         }
         let replicas = context.replica_sets.current();
--- a/crates/front/src/live.rs
+++ b/crates/front/src/live.rs
@@ -339,7 +339,7 @@
             return answer;
         };
         let allowed = self.allowed_regions(route, request);
-        if !allowed.is_all() && !self.backends.has_any_within(service, &allowed) {
+        if !allowed.allows_all() && !self.backends.has_any_within(service, &allowed) {
             self.log_no_allowed_instance(route, request, &allowed);
             return answer;
         }
--- a/crates/front/src/nodes/mod.rs
+++ b/crates/front/src/nodes/mod.rs
@@ -183,7 +183,7 @@
         nodes
             .find(|record| {
                 let is_bound = !record.region.is_empty() && allowed.permits(self.region_of(record));
-                !allowed.is_all() && !is_bound
+                !allowed.allows_all() && !is_bound
             })
             .cloned()
     }
--- a/crates/front/src/region_findings.rs
+++ b/crates/front/src/region_findings.rs
@@ -53,7 +53,7 @@
         let excluded_routes = config
             .routes
             .iter()
-            .filter(|route| route.allowed_regions_for(Some(tenant)).is_nowhere());
+            .filter(|route| route.allowed_regions_for(Some(tenant)).allows_none());
         findings.extend(excluded_routes.map(|route| RegionFinding::NoCommonRegion {
             route: route.name.clone(),
             tenant: Arc::clone(&tenant.name),
--- a/crates/front/tests/homes.rs
+++ b/crates/front/tests/homes.rs
@@ -56,7 +56,7 @@
         if region(other) == region(&weak) {
             Distance::SameRegion
         } else {
-            Distance::Elsewhere
+            Distance::OtherRegion
         }
     };
     let preferred_owner_of =
--- a/crates/front/tests/region_choice.rs
+++ b/crates/front/tests/region_choice.rs
@@ -25,7 +25,7 @@
         load,
         slots: SLOTS,
         distance,
-        round_trip_ms: (distance == Distance::Elsewhere).then_some(ROUND_TRIP_MS),
+        round_trip_ms: (distance == Distance::OtherRegion).then_some(ROUND_TRIP_MS),
         unit_time_ms,
     }
 }
@@ -33,7 +33,7 @@
 /// Returns a candidate with its typical measured time, which includes the round trip for complete
 /// answers.
 fn measured(distance: Distance, load: u32, demand: Demand) -> Candidate {
-    let round_trip = if distance == Distance::Elsewhere {
+    let round_trip = if distance == Distance::OtherRegion {
         ROUND_TRIP_MS
     } else {
         0.0
@@ -58,10 +58,10 @@
 fn an_instance_of_the_own_region_is_preferred_to_an_equal_one_elsewhere() {
     for demand in DEMANDS {
         for random in 0..8 {
-            let known = [Distance::Elsewhere, Distance::SameRegion]
+            let known = [Distance::OtherRegion, Distance::SameRegion]
                 .map(|distance| measured(distance, 1, demand));
             assert_eq!(choose(&known, demand, random), Some(1), "{demand:?}");
-            let unknown = [Distance::Elsewhere, Distance::SameRegion]
+            let unknown = [Distance::OtherRegion, Distance::SameRegion]
                 .map(|distance| candidate(distance, 1, None));
             assert_eq!(choose(&unknown, demand, random), Some(1), "{demand:?}");
         }
@@ -125,7 +125,7 @@
         let loads = 0..=SLOTS * 2;
         let leaves = loads.into_iter().find(|load| {
             let local = measured(Distance::SameZone, *load, demand);
-            let idle_remote = measured(Distance::Elsewhere, 0, demand);
+            let idle_remote = measured(Distance::OtherRegion, 0, demand);
             choose(&[local, idle_remote], demand, 0) == Some(1)
         });
         leaves.unwrap()
@@ -142,7 +142,7 @@
 fn items_leave_a_full_region_at_once() {
     for demand in [Demand::Batch, Demand::LongBatch, Demand::Scoring] {
         let local = measured(Distance::SameZone, SLOTS, demand);
-        let remote = measured(Distance::Elsewhere, 2, demand);
+        let remote = measured(Distance::OtherRegion, 2, demand);
         assert_eq!(choose(&[local, remote], demand, 0), Some(1), "{demand:?}");
     }
 }
@@ -176,7 +176,7 @@
                 let distance = if *region == from {
                     Distance::SameRegion
                 } else {
-                    Distance::Elsewhere
+                    Distance::OtherRegion
                 };
                 measured(distance, self.loads[*region][*index], demand)
             })
--- a/crates/front/tests/region_nodes.rs
+++ b/crates/front/tests/region_nodes.rs
@@ -139,8 +139,8 @@
     };
     assert_eq!(distance("e1", ""), Distance::SameZone);
     assert_eq!(distance("e2", ""), Distance::SameRegion);
-    assert_eq!(distance("w1", ""), Distance::Elsewhere);
-    assert_eq!(distance("new", ""), Distance::Elsewhere);
+    assert_eq!(distance("w1", ""), Distance::OtherRegion);
+    assert_eq!(distance("new", ""), Distance::OtherRegion);
     assert_eq!(
         distance("new", "east"),
         Distance::SameRegion,
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -25,7 +25,7 @@
 use std::time::Duration;
 
 use ladderstage::ids::ProcessId;
-use ladderstage::journal::read::{LogRead, LogSurvey};
+use ladderstage::journal::read::{LogRead, LogListing};
 use ladderstage::journal::writer::{SealProgress, SealedLog, Sealing, WriterIdentity};
 use ladderstage::journal::{EpochSource, WriterEpoch, quorum};
 use ladderstage_storage::Storage;
@@ -244,17 +244,17 @@
     pub async fn describe(&self, prefix: &str) -> Result<Vec<LogDescription>, JournalError> {
         let calls = &self.inner.calls;
         let set = calls.replica_set()?;
-        let mut survey = LogSurvey::new(ReplicaCalls::quorum(&set));
+        let mut listing = LogListing::new(ReplicaCalls::quorum(&set));
         let request = RequestKind::describe_logs(DescribeLogs {
             prefix: prefix.to_owned(),
         });
         calls
             .round(&set, &request, |answer| match answer {
-                ResponseKind::describe_logs(reply) => RoundStep::finish_if(survey.on_reply(reply)),
+                ResponseKind::describe_logs(reply) => RoundStep::finish_if(listing.on_reply(reply)),
                 _ => RoundStep::Continue,
             })
             .await?;
-        Ok(survey.into_logs())
+        Ok(listing.into_logs())
     }
 
     fn service(&self) -> &ReplicaService {
--- a/crates/journal/src/replica.rs
+++ b/crates/journal/src/replica.rs
@@ -77,7 +77,7 @@
             Ok(storage) => storage,
             Err(refusal) => return refusal,
         };
-        self.touch(&request.log);
+        self.record_activity(&request.log);
         let result = storage.seal(request).await;
         respond(result, ResponseKind::seal)
     }
@@ -87,7 +87,7 @@
             Ok(storage) => storage,
             Err(refusal) => return refusal,
         };
-        self.touch(&request.log);
+        self.record_activity(&request.log);
         let result = storage.install(request).await;
         respond(result, ResponseKind::write)
     }
@@ -200,7 +200,7 @@
             false => (log, timeout),
         });
         let now = self.now();
-        self.lock_heartbeats().silent(open, now, timeout)
+        self.lock_heartbeats().orphaned_by_timeout(open, now, timeout)
     }
 
     fn storage_for(&self, log: &str) -> Result<&Storage, Response> {
@@ -210,9 +210,9 @@
         self.storage.as_ref().ok_or_else(not_a_replica)
     }
 
-    fn touch(&self, log: &str) {
+    fn record_activity(&self, log: &str) {
         let now = self.now();
-        self.lock_heartbeats().touch(log, now);
+        self.lock_heartbeats().record_activity(log, now);
     }
 
     fn now(&self) -> Duration {
--- a/crates/journal/src/replica_set/copy.rs
+++ b/crates/journal/src/replica_set/copy.rs
@@ -100,7 +100,7 @@
         let mut logs = 0;
         let mut needed = 0;
         for member in &self.nearest_first(&set.current) {
-            if quorum.is_covered_by(&copied) {
+            if quorum.is_intersected_by(&copied) {
                 break;
             }
             match self.copy_replica(set, member).await {
@@ -113,7 +113,7 @@
                 Err(error) => failures.push(format!("{}: {error}", member.node)),
             }
         }
-        if !quorum.is_covered_by(&copied) {
+        if !quorum.is_intersected_by(&copied) {
             return Err(CopyError::NoQuorum {
                 copied: copied.len(),
                 needed: set.current.len().div_ceil(2),
--- a/crates/journal/src/replica_set/replacement.rs
+++ b/crates/journal/src/replica_set/replacement.rs
@@ -108,10 +108,10 @@
             return Ok(());
         }
         let proposal = if self.missing_since.is_empty() {
-            replica_set::propose_with(set, self.target_count, &spares)
+            replica_set::propose_addition(set, self.target_count, &spares)
         } else {
             // While a replica is missing, spares are reserved for its replacement.
-            replica_set::propose(set, &lost, &spares)
+            replica_set::propose_replacement(set, &lost, &spares)
         };
         match proposal {
             Some(proposal) => Ok(self.swap(set, proposal).await?),
@@ -138,7 +138,7 @@
         let Some(own_id) = self.replica_sets.own_replica_id() else {
             return Ok(());
         };
-        if replica_set::is_shrunk_by(set, own_id) {
+        if replica_set::is_removed_by_shrink(set, own_id) {
             let copied = self.copy_to_remaining(set).await?;
             log::info!(
                 "event=logs_handed_over version={} logs={copied}",
@@ -154,12 +154,12 @@
             return Ok(());
         }
         let lost = BTreeSet::from([own_id]);
-        let with_spare = replica_set::propose(set, &lost, spares);
+        let with_spare = replica_set::propose_replacement(set, &lost, spares);
         let waited = self
             .leaving_since
             .get_or_insert_with(Instant::now)
             .elapsed();
-        let without = || replica_set::propose_without(set, own_id, self.min_replicas());
+        let without = || replica_set::propose_removal(set, own_id, self.min_replicas());
         match with_spare.or_else(|| (waited >= SPARE_TIMEOUT).then(without).flatten()) {
             Some(proposal) => Ok(self.swap(set, proposal).await?),
             None => Ok(()),
@@ -186,8 +186,8 @@
 
     fn is_newcomer(&self, set: &ReplicaSet) -> bool {
         let own_id = self.replica_sets.own_replica_id();
-        let newcomers = replica_set::newcomers(set);
-        newcomers
+        let joining_replicas = replica_set::joining_replicas(set);
+        joining_replicas
             .iter()
             .any(|member| Some(member.replica_id) == own_id)
     }
@@ -368,5 +368,5 @@
         next: Vec::new(),
         ..set.clone()
     };
-    Quorum::new(&current_only).is_covered_by(&present)
+    Quorum::new(&current_only).is_intersected_by(&present)
 }
--- a/crates/journal/src/writer.rs
+++ b/crates/journal/src/writer.rs
@@ -230,7 +230,7 @@
             Some(Err(JournalError::StaleReplicaSet))
         } else if progress.state.is_fenced() {
             Some(Err(JournalError::Fenced))
-        } else if progress.state.is_stuck_without(&progress.sending) {
+        } else if progress.state.cannot_commit_with(&progress.sending) {
             let failure = progress.last_failure.clone();
             Some(Err(JournalError::NoQuorum(failure)))
         } else {
@@ -300,7 +300,7 @@
             Err(failure) => {
                 progress.last_failure = describe_failure(member, &failure);
                 if failure == ReplicaFailure::UnknownRequest {
-                    progress.state.on_whole_log_needed(member.replica_id);
+                    progress.state.on_complete_log_needed(member.replica_id);
                 }
                 let is_stale = failure == ReplicaFailure::StaleReplicaSet;
                 if is_stale {
--- a/crates/ladderstage/src/backend/entry.rs
+++ b/crates/ladderstage/src/backend/entry.rs
@@ -4,7 +4,7 @@
 
 use super::health::{Health, Withheld};
 use super::listing::{Listing, Placement};
-use super::observation::{ListedBackend, Observed, Report};
+use super::observation::{ListedBackend, ObservationInterval, Report};
 use super::policy::BackendPolicy;
 use super::process::{Processes, ReportEffect};
 use super::traffic::Traffic;
@@ -131,7 +131,7 @@
     pub(super) fn observe_listed(
         &mut self,
         listed: &ListedBackend,
-        observed: Observed,
+        observed: ObservationInterval,
         version: u64,
         policy: &BackendPolicy,
     ) -> bool {
@@ -165,7 +165,7 @@
     }
 
     /// Takes in a report whose place in time is known.
-    pub(super) fn observe_report(&mut self, report: &Report, observed: Observed, version: u64) {
+    pub(super) fn observe_report(&mut self, report: &Report, observed: ObservationInterval, version: u64) {
         match self.processes.observe(report, observed, version) {
             ReportEffect::Ignored => return,
             ReportEffect::Confirmed => {}
@@ -194,35 +194,35 @@
         }
     }
 
-    pub(super) fn begin(&mut self, dispatch: u64, now: Duration) {
-        self.traffic.begin(dispatch, now);
-        self.health.begin(dispatch);
+    pub(super) fn start_request(&mut self, dispatch: u64, now: Duration) {
+        self.traffic.start_request(dispatch, now);
+        self.health.start_request(dispatch);
     }
 
-    pub(super) fn end(&mut self, dispatch: u64) {
-        self.traffic.end(dispatch);
-        self.health.end(dispatch);
+    pub(super) fn finish_request(&mut self, dispatch: u64) {
+        self.traffic.finish_request(dispatch);
+        self.health.finish_request(dispatch);
     }
 
     /// A request was answered whole. Which one is not said, so the evidence is as old as the oldest under way.
-    pub(super) fn note_success(&mut self) {
+    pub(super) fn record_success(&mut self) {
         self.health.succeed();
         if let Some(sent_at) = self.traffic.oldest() {
             self.note_evidence(sent_at);
         }
     }
 
-    pub(super) fn note_failure(&mut self, now: Duration, policy: &BackendPolicy, jitter: f64) {
+    pub(super) fn record_failure(&mut self, now: Duration, policy: &BackendPolicy, jitter: f64) {
         self.health.fail(now, policy, jitter);
     }
 
-    pub(super) fn note_refusal(&mut self, now: Duration, policy: &BackendPolicy, jitter: f64) {
+    pub(super) fn record_refusal(&mut self, now: Duration, policy: &BackendPolicy, jitter: f64) {
         self.health.refuse(now, policy, jitter);
     }
 
     /// The back end itself refused a request because it is leaving. If all requests under way started after the
     /// present process was seen, it speaks of that one; else perhaps of the one before.
-    pub(super) fn note_leaving(
+    pub(super) fn record_leaving(
         &mut self,
         now: Duration,
         version: u64,
--- a/crates/ladderstage/src/backend/gossip.rs
+++ b/crates/ladderstage/src/backend/gossip.rs
@@ -6,7 +6,7 @@
 
 use super::entry::Backend;
 use super::listing::Placement;
-use super::observation::{Observed, Report};
+use super::observation::{ObservationInterval, Report};
 use super::table::BackendTable;
 use super::view::age_ms;
 use crate::bundle::PoolKind;
@@ -18,7 +18,7 @@
     /// minutes late), so their ages mean nothing: they prove leaving, and may name a newer load of the known process.
     Pushed,
     /// They answer a request of ours; their ages count from when it was sent.
-    Pulled(Observed),
+    Pulled(ObservationInterval),
 }
 
 impl BackendTable {
@@ -32,7 +32,7 @@
         }
     }
 
-    fn observe_pulled(&mut self, report: &BackendReport, observed: Observed) {
+    fn observe_pulled(&mut self, report: &BackendReport, observed: ObservationInterval) {
         let backend = &report.backend;
         self.received_whole(backend);
         let placement = placement_from_wire(report);
@@ -46,7 +46,7 @@
             return;
         };
         self.suggest_placement(backend, placement);
-        let observed = Observed {
+        let observed = ObservationInterval {
             sent_at,
             ..observed
         };
--- a/crates/ladderstage/src/backend/health.rs
+++ b/crates/ladderstage/src/backend/health.rs
@@ -47,14 +47,14 @@
     }
 
     /// A request starts; the first after an ejection is the trial.
-    pub(super) fn begin(&mut self, dispatch: u64) {
+    pub(super) fn start_request(&mut self, dispatch: u64) {
         if self.ejected_until.is_some() && self.trial.is_none() {
             self.trial = Some(dispatch);
         }
     }
 
     /// A request ended, whatever its outcome.
-    pub(super) fn end(&mut self, dispatch: u64) {
+    pub(super) fn finish_request(&mut self, dispatch: u64) {
         if self.trial == Some(dispatch) {
             self.trial = None;
         }
--- a/crates/ladderstage/src/backend/mod.rs
+++ b/crates/ladderstage/src/backend/mod.rs
@@ -28,10 +28,10 @@
 pub use entry::Unusable;
 pub use gossip::GossipOrigin;
 pub use listing::Placement;
-pub use observation::{ListedBackend, Observed, Report};
+pub use observation::{ListedBackend, ObservationInterval, Report};
 pub use policy::BackendPolicy;
 pub use readers::{
-    READERS_PER_BACKEND, SELF_READ_MEMBERS, reads_reports, reports_spread_by_gossip,
+    READERS_PER_BACKEND, SELF_READ_MEMBERS, reads_reports_directly, reports_spread_by_gossip,
 };
 pub use refresh::LEAST_GAIN;
 pub use table::{BackendTable, Dispatch};
--- a/crates/ladderstage/src/backend/observation.rs
+++ b/crates/ladderstage/src/backend/observation.rs
@@ -10,7 +10,7 @@
 /// the start of this process. Age is always reckoned from `sent_at`, order of two answers is certain only if one
 /// span ends before the other begins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Observed {
+pub struct ObservationInterval {
     /// When the request was sent.
     pub sent_at: Duration,
     /// When the answer arrived.
--- a/crates/ladderstage/src/backend/process.rs
+++ b/crates/ladderstage/src/backend/process.rs
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use super::observation::{Observed, Report};
+use super::observation::{ObservationInterval, Report};
 use crate::ids::ProcessId;
 
 /// Barred processes remembered for one back end. An older one has been replaced this many times over.
@@ -28,8 +28,8 @@
     /// When the report with the highest sequence was asked for.
     pub(super) report_at: Duration,
     /// Spans of the first and the last report.
-    pub(super) first: Observed,
-    last: Observed,
+    pub(super) first: ObservationInterval,
+    last: ObservationInterval,
 }
 
 /// What a report changed.
@@ -78,7 +78,7 @@
     pub(super) fn observe(
         &mut self,
         report: &Report,
-        observed: Observed,
+        observed: ObservationInterval,
         version: u64,
     ) -> ReportEffect {
         let effect = self.place(report, observed);
@@ -131,7 +131,7 @@
         self.barred.iter().any(|barred| barred.process == process)
     }
 
-    fn place(&mut self, report: &Report, observed: Observed) -> ReportEffect {
+    fn place(&mut self, report: &Report, observed: ObservationInterval) -> ReportEffect {
         let Some(current) = &mut self.current else {
             self.current = Some(CurrentProcess::new(report, observed));
             return ReportEffect::Replaced;
@@ -154,7 +154,7 @@
             .any(|barred| barred.process == process && barred.replaced)
     }
 
-    fn replace(&mut self, report: &Report, observed: Observed) {
+    fn replace(&mut self, report: &Report, observed: ObservationInterval) {
         self.replaced_at = Some(observed.sent_at);
         let previous = self.current.replace(CurrentProcess::new(report, observed));
         if let Some(previous) = previous {
@@ -198,7 +198,7 @@
 }
 
 impl CurrentProcess {
-    fn new(report: &Report, observed: Observed) -> Self {
+    fn new(report: &Report, observed: ObservationInterval) -> Self {
         Self {
             report: report.clone(),
             report_at: observed.sent_at,
@@ -207,7 +207,7 @@
         }
     }
 
-    fn confirm(&mut self, report: &Report, observed: Observed) {
+    fn confirm(&mut self, report: &Report, observed: ObservationInterval) {
         if observed.received_at > self.last.received_at {
             self.last = observed;
         }
--- a/crates/ladderstage/src/backend/readers.rs
+++ b/crates/ladderstage/src/backend/readers.rs
@@ -18,7 +18,7 @@
 }
 
 /// Whether the member `own` reads the reports of `backend` itself.
-pub fn reads_reports(backend: &str, own: &str, members: &[String]) -> bool {
+pub fn reads_reports_directly(backend: &str, own: &str, members: &[String]) -> bool {
     if !reports_spread_by_gossip(members.len()) {
         return true;
     }
--- a/crates/ladderstage/src/backend/refresh.rs
+++ b/crates/ladderstage/src/backend/refresh.rs
@@ -10,7 +10,7 @@
 use ladderstage_wire::messages::{BackendGossip, BackendRefresh};
 
 use super::entry::Backend;
-use super::observation::{Observed, Report};
+use super::observation::{ObservationInterval, Report};
 use super::table::BackendTable;
 use super::view::age_ms;
 use crate::routing::rendezvous_score;
@@ -87,7 +87,7 @@
         &mut self,
         names: &[&str],
         refresh: &BackendRefresh,
-        observed: Observed,
+        observed: ObservationInterval,
     ) {
         for index in 0..refresh.positions.len() {
             let Some(item) = Item::read(refresh, index) else {
@@ -100,7 +100,7 @@
         }
     }
 
-    fn observe_item(&mut self, name: &str, item: &Item, observed: Observed) {
+    fn observe_item(&mut self, name: &str, item: &Item, observed: ObservationInterval) {
         let Some(backend) = self.backend(name) else {
             return;
         };
@@ -116,7 +116,7 @@
         // A report from before the start of this process is no evidence.
         let age = Duration::from_millis(u64::from(item.age_ms));
         if let Some(sent_at) = observed.sent_at.checked_sub(age) {
-            let observed = Observed {
+            let observed = ObservationInterval {
                 sent_at,
                 ..observed
             };
--- a/crates/ladderstage/src/backend/table.rs
+++ b/crates/ladderstage/src/backend/table.rs
@@ -6,7 +6,7 @@
 use super::description::BackendDescription;
 use super::entry::{Backend, Unusable};
 use super::listing::Placement;
-use super::observation::{ListedBackend, Observed, Report};
+use super::observation::{ListedBackend, ObservationInterval, Report};
 use super::policy::BackendPolicy;
 use crate::routing::Candidate;
 
@@ -58,7 +58,7 @@
     }
 
     /// Takes in an answer of the machine list; one asked for before the last one is ignored.
-    pub fn observe_list(&mut self, machines: &[ListedBackend], observed: Observed) {
+    pub fn observe_list(&mut self, machines: &[ListedBackend], observed: ObservationInterval) {
         if self
             .last_list_at
             .is_some_and(|last| observed.sent_at < last)
@@ -88,7 +88,7 @@
     }
 
     /// Takes in a report that this process read itself, or whose place in time is as certain.
-    pub fn observe_report(&mut self, name: &str, report: &Report, observed: Observed) {
+    pub fn observe_report(&mut self, name: &str, report: &Report, observed: ObservationInterval) {
         self.change(name, |backend, version, _| {
             backend.observe_report(report, observed, version);
         });
@@ -108,12 +108,12 @@
         });
     }
 
-    /// A request starts; it counts until [`Self::end`].
-    pub fn begin(&mut self, name: &str, now: Duration) -> Dispatch {
+    /// A request starts; it counts until [`Self::finish_request`].
+    pub fn start_request(&mut self, name: &str, now: Duration) -> Dispatch {
         let number = self.next_dispatch;
         self.next_dispatch += 1;
         if let Some(backend) = self.backends.get_mut(name) {
-            backend.begin(number, now);
+            backend.start_request(number, now);
         }
         Dispatch {
             backend: name.to_owned(),
@@ -121,49 +121,49 @@
         }
     }
 
-    /// As [`Self::begin`], if the back end may be given new work now.
-    pub fn try_begin(
+    /// As [`Self::start_request`], if the back end may be given new work now.
+    pub fn try_start_request(
         &mut self,
         name: &str,
         concurrency: u32,
         now: Duration,
     ) -> Result<Dispatch, Unusable> {
         self.check(name, concurrency, now)?;
-        Ok(self.begin(name, now))
+        Ok(self.start_request(name, now))
     }
 
     /// A request ended, whatever its outcome.
-    pub fn end(&mut self, dispatch: &Dispatch) {
+    pub fn finish_request(&mut self, dispatch: &Dispatch) {
         if let Some(backend) = self.backends.get_mut(&dispatch.backend) {
-            backend.end(dispatch.number);
+            backend.finish_request(dispatch.number);
         }
     }
 
     /// A request was answered whole and has not ended yet.
-    pub fn note_success(&mut self, name: &str) {
+    pub fn record_success(&mut self, name: &str) {
         if let Some(backend) = self.backends.get_mut(name) {
-            backend.note_success();
+            backend.record_success();
         }
     }
 
     /// A request failed. `jitter` is uniform in [0, 1).
-    pub fn note_failure(&mut self, name: &str, now: Duration, jitter: f64) {
+    pub fn record_failure(&mut self, name: &str, now: Duration, jitter: f64) {
         if let Some(backend) = self.backends.get_mut(name) {
-            backend.note_failure(now, &self.policy, jitter);
+            backend.record_failure(now, &self.policy, jitter);
         }
     }
 
     /// The back end refused before running because it is full. `jitter` is uniform in [0, 1).
-    pub fn note_refusal(&mut self, name: &str, now: Duration, jitter: f64) {
+    pub fn record_refusal(&mut self, name: &str, now: Duration, jitter: f64) {
         if let Some(backend) = self.backends.get_mut(name) {
-            backend.note_refusal(now, &self.policy, jitter);
+            backend.record_refusal(now, &self.policy, jitter);
         }
     }
 
     /// The back end refused before running because it is leaving.
-    pub fn note_leaving(&mut self, name: &str, now: Duration) {
+    pub fn record_leaving(&mut self, name: &str, now: Duration) {
         self.change(name, |backend, version, policy| {
-            backend.note_leaving(now, version, policy);
+            backend.record_leaving(now, version, policy);
         });
     }
 
--- a/crates/ladderstage/src/backend/traffic.rs
+++ b/crates/ladderstage/src/backend/traffic.rs
@@ -10,11 +10,11 @@
 }
 
 impl Traffic {
-    pub(super) fn begin(&mut self, dispatch: u64, now: Duration) {
+    pub(super) fn start_request(&mut self, dispatch: u64, now: Duration) {
         self.started.insert(dispatch, now);
     }
 
-    pub(super) fn end(&mut self, dispatch: u64) {
+    pub(super) fn finish_request(&mut self, dispatch: u64) {
         self.started.remove(&dispatch);
     }
 
--- a/crates/ladderstage/src/bundle/check.rs
+++ b/crates/ladderstage/src/bundle/check.rs
@@ -4,7 +4,7 @@
 
 use super::model::{Bundle, PoolKind, PoolSpec};
 use super::{BundleDocument, LIVE_CLASS, ROLLOUT_CLASS};
-use crate::document::{Finding, Places};
+use crate::document::{Finding, KeyPositions};
 use crate::ids::WeightVersion;
 
 /// Longest name of a pool, back end or class, in characters.
@@ -49,11 +49,11 @@
 
 pub(super) fn cross_check(
     bundle: &Bundle,
-    places: &Places,
+    key_positions: &KeyPositions,
     context: &CheckContext<'_>,
 ) -> Vec<Finding> {
     let mut checker = Checker {
-        places,
+        key_positions,
         findings: Vec::new(),
     };
     checker.check_revision(bundle, context.current);
@@ -71,13 +71,13 @@
 }
 
 struct Checker<'p> {
-    places: &'p Places,
+    key_positions: &'p KeyPositions,
     findings: Vec<Finding>,
 }
 
 impl Checker<'_> {
     fn add(&mut self, path: &str, found: impl Into<String>, allowed: impl Into<String>) {
-        let finding = self.places.finding(path, found.into(), allowed.into());
+        let finding = self.key_positions.finding(path, found.into(), allowed.into());
         self.findings.extend(finding);
     }
 
@@ -156,7 +156,7 @@
                 "1 or more, or no such key",
             );
         }
-        if self.places.is_faulty(&format!("{path}.kind")) {
+        if self.key_positions.is_faulty(&format!("{path}.kind")) {
             return;
         }
         let version_path = format!("{path}.weight_version");
@@ -244,7 +244,7 @@
     /// Left out while a pool's own capacity is in doubt: what it would find might be an echo of that.
     fn check_capacity(&mut self, bundle: &Bundle) {
         let in_doubt = bundle.pools.iter().enumerate().any(|(index, pool)| {
-            let faulty = self.places.is_faulty(&format!("pool[{index}].backends"));
+            let faulty = self.key_positions.is_faulty(&format!("pool[{index}].backends"));
             faulty || capacity(pool) == 0
         });
         if in_doubt || bundle.pools.is_empty() {
--- a/crates/ladderstage/src/bundle/document.rs
+++ b/crates/ladderstage/src/bundle/document.rs
@@ -49,7 +49,7 @@
         let found = format!("{length} bytes");
         let allowed = format!("up to {MAX_TEXT_BYTES} bytes");
         reading.findings = reading
-            .places
+            .key_positions
             .finding("", found, allowed)
             .into_iter()
             .collect();
@@ -63,7 +63,7 @@
         if self.reading.well_formed {
             findings.extend(check::cross_check(
                 &self.reading.value,
-                &self.reading.places,
+                &self.reading.key_positions,
                 context,
             ));
         }
--- a/crates/ladderstage/src/claim.rs
+++ b/crates/ladderstage/src/claim.rs
@@ -96,7 +96,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum TakeOverResult {
     /// The log is ours until fenced; it says this.
-    Taken(ClaimState),
+    Acquired(ClaimState),
     /// Another writer has a higher epoch.
     Fenced,
     /// The key was settled so long ago that its outcome is no longer kept.
@@ -177,7 +177,7 @@
     ///
     /// Seeing another's claim of the same request is enough to answer `unknown`; taking the log over would only
     /// hinder that claimant. All else needs the certainty of a take-over.
-    pub fn after_look(&self, state: &ClaimState) -> ClaimStep {
+    pub fn after_unfenced_read(&self, state: &ClaimState) -> ClaimStep {
         match state {
             ClaimState::Claimed(claimed)
                 if claimed.claimant != self.own.claimant
@@ -197,7 +197,7 @@
     /// The step after a take-over.
     pub fn after_take_over(&mut self, result: TakeOverResult) -> ClaimStep {
         match result {
-            TakeOverResult::Taken(state) => self.after_read(state),
+            TakeOverResult::Acquired(state) => self.after_read(state),
             TakeOverResult::Fenced => {
                 self.met_rival = true;
                 self.try_again()
--- a/crates/ladderstage/src/document/places.rs
+++ b/crates/ladderstage/src/document/key_positions.rs
@@ -13,7 +13,7 @@
 
 /// Where each key of a document stands, by path such as `pool[0].backends[2]`.
 #[derive(Debug, Clone)]
-pub struct Places {
+pub struct KeyPositions {
     file: String,
     text: String,
     line_starts: Vec<usize>,
@@ -21,7 +21,7 @@
     faulty: BTreeSet<String>,
 }
 
-impl Places {
+impl KeyPositions {
     pub(super) fn new(file: &str, text: &str) -> Self {
         Self {
             file: file.to_owned(),
--- a/crates/ladderstage/src/document/mod.rs
+++ b/crates/ladderstage/src/document/mod.rs
@@ -1,16 +1,16 @@
 //! TOML documents read with every finding of a file in one run, each with its place.
 //!
 //! [`read`] walks a document through [`Table`]s, which note wrong types and values, missing keys and unknown
-//! keys as they go and hand out what could be read. Cross-checks then add [`Finding`]s through [`Places`].
+//! keys as they go and hand out what could be read. Cross-checks then add [`Finding`]s through [`KeyPositions`].
 
 mod finding;
 mod nearest;
-mod places;
+mod key_positions;
 mod table;
 mod value;
 
 pub use finding::Finding;
-pub use places::Places;
+pub use key_positions::KeyPositions;
 pub use table::Table;
 pub use value::FromToml;
 
@@ -26,7 +26,7 @@
     /// Everything wrong so far, by place.
     pub findings: Vec<Finding>,
     /// Where each key stands.
-    pub places: Places,
+    pub key_positions: KeyPositions,
     /// Whether the text is TOML at all; without it, cross-checks would report echoes.
     pub well_formed: bool,
 }
@@ -34,19 +34,19 @@
 /// Reads `text`, which came from `file` (a name for the findings only).
 pub fn read<T>(file: &str, text: &str, reader: impl FnOnce(&mut Table<'_>) -> T) -> Reading<T> {
     let (root, errors) = DeTable::parse_recoverable(text);
-    let report = Report::new(Places::new(file, text), !errors.is_empty());
+    let report = Report::new(KeyPositions::new(file, text), !errors.is_empty());
     for error in &errors {
         report.add_syntax_error(error);
     }
     let mut table = Table::new(&report, root.get_ref(), String::new());
     let value = reader(&mut table);
     table.finish();
-    let (mut findings, places) = report.into_parts();
+    let (mut findings, key_positions) = report.into_parts();
     finding::sort(&mut findings);
     Reading {
         value,
         findings,
-        places,
+        key_positions,
         well_formed: errors.is_empty(),
     }
 }
--- a/crates/ladderstage/src/document/table.rs
+++ b/crates/ladderstage/src/document/table.rs
@@ -8,28 +8,28 @@
 
 use super::nearest::nearest;
 use super::value::{describe, shorten};
-use super::{Finding, FromToml, Places};
+use super::{Finding, FromToml, KeyPositions};
 
 /// Findings and places collected while a document is read.
 #[derive(Debug)]
 pub(super) struct Report {
-    places: RefCell<Places>,
+    key_positions: RefCell<KeyPositions>,
     findings: RefCell<Vec<Finding>>,
     /// Broken TOML may hide keys, so absent ones are not reported.
     broken: bool,
 }
 
 impl Report {
-    pub(super) fn new(places: Places, broken: bool) -> Self {
+    pub(super) fn new(key_positions: KeyPositions, broken: bool) -> Self {
         Self {
-            places: RefCell::new(places),
+            key_positions: RefCell::new(key_positions),
             findings: RefCell::default(),
             broken,
         }
     }
 
-    pub(super) fn into_parts(self) -> (Vec<Finding>, Places) {
-        (self.findings.into_inner(), self.places.into_inner())
+    pub(super) fn into_parts(self) -> (Vec<Finding>, KeyPositions) {
+        (self.findings.into_inner(), self.key_positions.into_inner())
     }
 
     pub(super) fn add_syntax_error(&self, error: &toml::de::Error) {
@@ -40,7 +40,7 @@
 
     /// Adds a finding. A line with a syntax error gets no further ones: they would be echoes.
     fn add(&self, offset: usize, found: String, allowed: String) {
-        let finding = self.places.borrow().finding_at(offset, found, allowed);
+        let finding = self.key_positions.borrow().finding_at(offset, found, allowed);
         let mut findings = self.findings.borrow_mut();
         let is_echo = self.broken && findings.iter().any(|other| other.line == finding.line);
         if !is_echo {
@@ -49,15 +49,15 @@
     }
 
     fn add_at(&self, path: &str, found: String, allowed: String) {
-        let finding = self.places.borrow().finding(path, found, allowed);
+        let finding = self.key_positions.borrow().finding(path, found, allowed);
         self.findings.borrow_mut().extend(finding);
-        self.places.borrow_mut().mark_faulty(path);
+        self.key_positions.borrow_mut().mark_faulty(path);
     }
 
     fn reject(&self, path: &str, value: &Spanned<DeValue<'_>>, allowed: &str) {
         let found = describe(value.get_ref());
         self.add(value.span().start, found, allowed.to_owned());
-        self.places.borrow_mut().mark_faulty(path);
+        self.key_positions.borrow_mut().mark_faulty(path);
     }
 }
 
@@ -235,11 +235,11 @@
             self.report
                 .add_at(&path, found, format!("`{key}` with {allowed}"));
         }
-        self.report.places.borrow_mut().mark_faulty(&path);
+        self.report.key_positions.borrow_mut().mark_faulty(&path);
     }
 
     fn note(&self, path: &str, offset: usize) {
-        self.report.places.borrow_mut().note(path, offset);
+        self.report.key_positions.borrow_mut().note(path, offset);
     }
 
     fn path_of(&self, key: &str) -> String {
--- a/crates/ladderstage/src/engine_orders/mod.rs
+++ b/crates/ladderstage/src/engine_orders/mod.rs
@@ -9,5 +9,5 @@
 mod wave;
 
 pub use attempt::{Action, Attempt, AttemptOutcome, next_action};
-pub use order::{CARETAKERS_PER_ENGINE, Order, STANDBY_DELAY, caretaker_rank, orders};
+pub use order::{CARETAKERS_PER_ENGINE, Order, STANDBY_DELAY, order_sender_rank, orders};
 pub use wave::{EngineView, WAVE_SHARE_PERCENT, WAVE_TIMEOUT, wave};
--- a/crates/ladderstage/src/engine_orders/order.rs
+++ b/crates/ladderstage/src/engine_orders/order.rs
@@ -43,7 +43,7 @@
 }
 
 /// Rank of `own` among the caretakers of an engine, 0 first; `None`: others look after it.
-pub fn caretaker_rank(backend: &str, own: &str, members: &[String]) -> Option<usize> {
+pub fn order_sender_rank(backend: &str, own: &str, members: &[String]) -> Option<usize> {
     let key = format!("engine-caretaker/{backend}");
     rendezvous(key.as_bytes(), members.iter().map(String::as_str))
         .into_iter()
--- a/crates/ladderstage/src/evidence.rs
+++ b/crates/ladderstage/src/evidence.rs
@@ -9,7 +9,7 @@
 
 /// What a piece of evidence calls for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Learned {
+pub enum EvidenceEffect {
     /// The revision held was the newest at that instant.
     Refreshed,
     /// It is about a lower revision or says nothing new.
@@ -29,7 +29,7 @@
 pub struct Evidence {
     held: Revision,
     newest_as_of: Option<Duration>,
-    ahead: Option<Ahead>,
+    newer_revision: Option<Ahead>,
 }
 
 /// A newer revision that is known of but not held yet.
@@ -51,14 +51,14 @@
     }
 
     /// A newer revision that is known of, to be fetched.
-    pub fn ahead(&self) -> Option<Revision> {
-        self.ahead.map(|ahead| ahead.revision)
+    pub fn newer_revision(&self) -> Option<Revision> {
+        self.newer_revision.map(|newer_revision| newer_revision.revision)
     }
 
     /// The latest instant at which the revision held was known to be the newest. `None` if there is none, or
     /// once a newer one is known of: from then on the one held may not be delivered under.
     pub fn newest_as_of(&self) -> Option<Duration> {
-        if self.ahead.is_some() {
+        if self.newer_revision.is_some() {
             return None;
         }
         self.newest_as_of
@@ -77,46 +77,46 @@
         }
         self.held = revision;
         self.newest_as_of = None;
-        if let Some(ahead) = self.ahead
-            && ahead.revision <= revision
+        if let Some(newer_revision) = self.newer_revision
+            && newer_revision.revision <= revision
         {
-            self.ahead = None;
-            if ahead.revision == revision {
-                self.newest_as_of = ahead.newest_as_of;
+            self.newer_revision = None;
+            if newer_revision.revision == revision {
+                self.newest_as_of = newer_revision.newest_as_of;
             }
         }
         true
     }
 
     /// A source says that `revision` was the newest at the instant `as_of`.
-    pub fn learn(&mut self, revision: Revision, as_of: Duration) -> Learned {
+    pub fn observe_newest(&mut self, revision: Revision, as_of: Duration) -> EvidenceEffect {
         self.merge(revision, Some(as_of))
     }
 
     /// A source says that `revision` exists, but not as of when it was the newest.
-    pub fn learn_of(&mut self, revision: Revision) -> Learned {
+    pub fn observe_existence(&mut self, revision: Revision) -> EvidenceEffect {
         self.merge(revision, None)
     }
 
-    fn merge(&mut self, revision: Revision, as_of: Option<Duration>) -> Learned {
+    fn merge(&mut self, revision: Revision, as_of: Option<Duration>) -> EvidenceEffect {
         if revision == 0 || revision < self.held {
-            return Learned::Ignored;
+            return EvidenceEffect::Ignored;
         }
         if revision == self.held {
             // `None` is less than any instant.
             let is_later = as_of > self.newest_as_of;
             self.newest_as_of = self.newest_as_of.max(as_of);
             return if is_later {
-                Learned::Refreshed
+                EvidenceEffect::Refreshed
             } else {
-                Learned::Ignored
+                EvidenceEffect::Ignored
             };
         }
         let newer = Ahead {
             revision,
             newest_as_of: as_of,
         };
-        self.ahead = Some(match self.ahead {
+        self.newer_revision = Some(match self.newer_revision {
             Some(known) if known.revision > revision => known,
             Some(known) if known.revision == revision => Ahead {
                 revision,
@@ -124,6 +124,6 @@
             },
             _ => newer,
         });
-        Learned::Fetch { revision }
+        EvidenceEffect::Fetch { revision }
     }
 }
--- a/crates/ladderstage/src/journal/heartbeat.rs
+++ b/crates/ladderstage/src/journal/heartbeat.rs
@@ -27,13 +27,13 @@
             return true;
         }
         if epoch == state.promised {
-            self.touch(&owned.log, now);
+            self.record_activity(&owned.log, now);
         }
         false
     }
 
     /// Records that a writer of the log was heard through a seal, an install or an append.
-    pub fn touch(&mut self, log: &str, now: Duration) {
+    pub fn record_activity(&mut self, log: &str, now: Duration) {
         match self.heard_at.get_mut(log) {
             Some(heard_at) => *heard_at = now,
             None => {
@@ -54,11 +54,11 @@
         timeout: Duration,
     ) -> Vec<String> {
         let open = open.into_iter().map(|log| (log, timeout));
-        self.silent(open, now, timeout)
+        self.orphaned_by_timeout(open, now, timeout)
     }
 
     /// As [`HeartbeatTable::orphaned`], with a timeout of each log's own, `longest` at most.
-    pub fn silent(
+    pub fn orphaned_by_timeout(
         &mut self,
         open: impl IntoIterator<Item = (String, Duration)>,
         now: Duration,
--- a/crates/ladderstage/src/journal/quorum.rs
+++ b/crates/ladderstage/src/journal/quorum.rs
@@ -48,7 +48,7 @@
     }
 
     /// Whether `replicas` meet every quorum of the current set: what any quorum holds, one of them holds.
-    pub fn is_covered_by(&self, replicas: &BTreeSet<ReplicaId>) -> bool {
+    pub fn is_intersected_by(&self, replicas: &BTreeSet<ReplicaId>) -> bool {
         let quorum = self.current.len() / 2 + 1;
         self.current.intersection(replicas).count() + quorum > self.current.len()
     }
--- a/crates/ladderstage/src/journal/read.rs
+++ b/crates/ladderstage/src/journal/read.rs
@@ -59,13 +59,13 @@
 
 /// Gathers descriptions of logs; keeps of each the newest promise, and that somebody holds entries of it.
 #[derive(Debug, Clone)]
-pub struct LogSurvey {
+pub struct LogListing {
     quorum: Quorum,
     answered: BTreeSet<u64>,
     logs: BTreeMap<String, LogDescription>,
 }
 
-impl LogSurvey {
+impl LogListing {
     /// A survey of the replicas of `quorum`.
     pub fn new(quorum: Quorum) -> Self {
         Self {
--- a/crates/ladderstage/src/journal/replica_set.rs
+++ b/crates/ladderstage/src/journal/replica_set.rs
@@ -55,7 +55,7 @@
 }
 
 /// Replicas of `next` that must copy the logs before `next` can become current.
-pub fn newcomers(set: &ReplicaSet) -> Vec<&ReplicaMember> {
+pub fn joining_replicas(set: &ReplicaSet) -> Vec<&ReplicaMember> {
     let is_current = |member: &ReplicaMember| contains(&set.current, member.replica_id);
     let next = set.next.iter();
     next.filter(|member| !is_current(member)).collect()
@@ -63,7 +63,7 @@
 
 /// The set that follows `set` once a newcomer has to be brought in for a replica in `lost`; `None` if none is lost
 /// or no spare is left. A lost newcomer is replaced first; without a spare for it the change is taken back.
-pub fn propose(
+pub fn propose_replacement(
     set: &ReplicaSet,
     lost: &BTreeSet<ReplicaId>,
     spares: &[ReplicaMember],
@@ -83,7 +83,7 @@
             next,
         });
     }
-    if shrinks(set) {
+    if is_shrinking(set) {
         // The replica that was to leave copies its logs to all others; if one of them is lost on the way, it stays in the set.
         return is_any_lost(set, lost).then(|| ReplicaSet {
             version,
@@ -91,8 +91,8 @@
             next: Vec::new(),
         });
     }
-    let newcomers = newcomers(set);
-    let lost_newcomer = newcomers
+    let joining_replicas = joining_replicas(set);
+    let lost_newcomer = joining_replicas
         .iter()
         .find(|member| lost.contains(&member.replica_id))?;
     let next = match spare {
@@ -108,7 +108,7 @@
 
 /// The set that follows `set` when a replica leaves and no spare takes its place; `None` while `set` is joint, or if fewer
 /// than `least` would stay.
-pub fn propose_without(set: &ReplicaSet, leaver: ReplicaId, least: usize) -> Option<ReplicaSet> {
+pub fn propose_removal(set: &ReplicaSet, leaver: ReplicaId, least: usize) -> Option<ReplicaSet> {
     let next: Vec<ReplicaMember> = set
         .current
         .iter()
@@ -124,7 +124,7 @@
 }
 
 /// The set that follows `set` when it is smaller than `wanted` and a spare is there; `None` while `set` is joint.
-pub fn propose_with(
+pub fn propose_addition(
     set: &ReplicaSet,
     wanted: usize,
     spares: &[ReplicaMember],
@@ -145,8 +145,8 @@
 }
 
 /// Whether a joint set only leaves replicas out: then the leavers copy their logs to those that stay.
-pub fn shrinks(set: &ReplicaSet) -> bool {
-    !set.next.is_empty() && newcomers(set).is_empty()
+pub fn is_shrinking(set: &ReplicaSet) -> bool {
+    !set.next.is_empty() && joining_replicas(set).is_empty()
 }
 
 /// Replicas of the current set that the next one leaves out.
@@ -156,9 +156,9 @@
 }
 
 /// Whether the replica `own` is one that a joint set only leaves out.
-pub fn is_shrunk_by(set: &ReplicaSet, own: ReplicaId) -> bool {
+pub fn is_removed_by_shrink(set: &ReplicaSet, own: ReplicaId) -> bool {
     let leavers = leavers(set);
-    shrinks(set) && leavers.iter().any(|member| member.replica_id == own)
+    is_shrinking(set) && leavers.iter().any(|member| member.replica_id == own)
 }
 
 fn is_any_lost(set: &ReplicaSet, lost: &BTreeSet<ReplicaId>) -> bool {
--- a/crates/ladderstage/src/journal/writer.rs
+++ b/crates/ladderstage/src/journal/writer.rs
@@ -299,13 +299,13 @@
                 progress.closed |= sent.closes();
             }
             Outcome::FENCED => progress.fenced = true,
-            Outcome::NEEDS_INSTALL => self.on_whole_log_needed(replica),
+            Outcome::NEEDS_INSTALL => self.on_complete_log_needed(replica),
             Outcome::FAILED | Outcome::UNSPECIFIED => {}
         }
     }
 
     /// Notes that the replica needs the whole log, as it cannot tell what it holds of it.
-    pub fn on_whole_log_needed(&mut self, replica: ReplicaId) {
+    pub fn on_complete_log_needed(&mut self, replica: ReplicaId) {
         if let Some(progress) = self.progress.get_mut(&replica) {
             progress.held = None;
             progress.kept = 0;
@@ -326,7 +326,7 @@
 
     /// Whether everything that was added can be committed only by replicas that are not in `active`, those that
     /// an answer is still awaited from.
-    pub fn is_stuck_without(&self, active: &BTreeSet<ReplicaId>) -> bool {
+    pub fn cannot_commit_with(&self, active: &BTreeSet<ReplicaId>) -> bool {
         let reachable = self.holders().union(active).copied().collect();
         !self.quorum.is_met_by(&reachable)
     }
--- a/crates/ladderstage/src/membership/action.rs
+++ b/crates/ladderstage/src/membership/action.rs
@@ -13,7 +13,7 @@
         target: Member,
     },
     /// Ask the helpers to ping the member. One reached it: `Membership::heard_from`; none: `Membership::probe_failed`.
-    ProbeThrough {
+    IndirectProbe {
         /// Whom to ping.
         target: Member,
         /// Through whom.
--- a/crates/ladderstage/src/membership/config.rs
+++ b/crates/ladderstage/src/membership/config.rs
@@ -62,7 +62,7 @@
     /// Between ticks.
     pub probe_interval: Duration,
     /// How long a suspect member has to refute.
-    pub suspicion: Duration,
+    pub suspicion_timeout: Duration,
     /// Addresses of the settings to join through.
     pub seeds: usize,
 }
--- a/crates/ladderstage/src/membership/entry.rs
+++ b/crates/ladderstage/src/membership/entry.rs
@@ -16,7 +16,7 @@
     /// When this process last answered or called.
     pub heard: Option<Duration>,
     /// When it first missed a probe, directly and through helpers, since it was last heard.
-    pub missed: Option<Duration>,
+    pub on_missed_probe: Option<Duration>,
 }
 
 impl Entry {
@@ -25,7 +25,7 @@
             member,
             since: now,
             heard: None,
-            missed: None,
+            on_missed_probe: None,
         }
     }
 
@@ -34,7 +34,7 @@
         let same_process = self.member.process == member.process;
         if !same_process {
             self.heard = None;
-            self.missed = None;
+            self.on_missed_probe = None;
         }
         if !same_process || self.member.state != member.state {
             self.since = now;
@@ -72,7 +72,7 @@
     /// Whether nothing was heard from it for `bound`, or it missed its last probe.
     pub fn is_silent(&self, now: Duration, bound: Duration) -> bool {
         match self.heard {
-            Some(heard) => self.missed.is_some() || now.saturating_sub(heard) > bound,
+            Some(heard) => self.on_missed_probe.is_some() || now.saturating_sub(heard) > bound,
             None => true,
         }
     }
--- a/crates/ladderstage/src/membership/isolation.rs
+++ b/crates/ladderstage/src/membership/isolation.rs
@@ -31,7 +31,7 @@
     pub fn silence_bound(&self) -> Duration {
         let others = self.present().count().max(1) as u32;
         let round = self.config.probe_interval * others;
-        let shortest = self.config.suspicion * SILENT_SUSPICIONS;
+        let shortest = self.config.suspicion_timeout * SILENT_SUSPICIONS;
         shortest.max(round * SILENT_ROUNDS)
     }
 
--- a/crates/ladderstage/src/membership/probing.rs
+++ b/crates/ladderstage/src/membership/probing.rs
@@ -28,7 +28,7 @@
 
     /// The member did not answer a ping: ask others to try, or, with no others, the probe has failed. A member that
     /// is dead or has left anyway is not asked after.
-    pub fn missed<R: Rng + ?Sized>(
+    pub fn on_missed_probe<R: Rng + ?Sized>(
         &mut self,
         target: &Member,
         now: Duration,
@@ -48,23 +48,23 @@
             .map(|member| (*member).clone())
             .collect();
         if helpers.is_empty() {
-            self.probe_failed(target, now);
+            self.on_probe_failed(target, now);
             return None;
         }
         let target = target.clone();
-        Some(Action::ProbeThrough { target, helpers })
+        Some(Action::IndirectProbe { target, helpers })
     }
 
     /// The member was reached neither directly nor through others. An alive one is suspected from now on; a
     /// leaving one is given the same time and then counts as left.
-    pub fn probe_failed(&mut self, target: &Member, now: Duration) {
+    pub fn on_probe_failed(&mut self, target: &Member, now: Duration) {
         let Some(entry) = self.others.get_mut(&target.node) else {
             return;
         };
         if entry.member.process != target.process {
             return;
         }
-        entry.missed.get_or_insert(now);
+        entry.on_missed_probe.get_or_insert(now);
         // A refutation that came meanwhile stands.
         if entry.member.state == MemberState::ALIVE
             && entry.member.incarnation == target.incarnation
@@ -78,19 +78,19 @@
     fn excuse_own_pause(&mut self, now: Duration) {
         let pause = now.saturating_sub(self.last_tick);
         self.last_tick = now;
-        if pause < self.config.suspicion / 2 {
+        if pause < self.config.suspicion_timeout / 2 {
             return;
         }
         for entry in self.others.values_mut().filter(|entry| entry.is_present()) {
             entry.since = now;
-            entry.missed = entry.missed.map(|_| now);
+            entry.on_missed_probe = entry.on_missed_probe.map(|_| now);
         }
     }
 
     fn expire_suspicions(&mut self, now: Duration) {
-        let patience = self.config.suspicion;
+        let patience = self.config.suspicion_timeout;
         for (node, entry) in &mut self.others {
-            let missed_for = entry.missed.map(|missed| now.saturating_sub(missed));
+            let missed_for = entry.on_missed_probe.map(|on_missed_probe| now.saturating_sub(on_missed_probe));
             let state = match entry.member.state {
                 MemberState::SUSPECT if entry.age(now) >= patience => MemberState::DEAD,
                 MemberState::LEAVING if missed_for >= Some(patience) => MemberState::LEFT,
--- a/crates/ladderstage/src/membership/state.rs
+++ b/crates/ladderstage/src/membership/state.rs
@@ -54,7 +54,7 @@
     pub fn all(&self) -> Vec<Member> {
         let others = self.others.values().map(|entry| entry.member.clone());
         let mut members: Vec<_> = others.chain([self.own.clone()]).collect();
-        members.sort_by(|left, right| left.node.cmp(&right.node));
+        members.sort_by(|finish_leaving, right| finish_leaving.node.cmp(&right.node));
         members
     }
 
@@ -67,10 +67,10 @@
     }
 
     /// The member answered or called.
-    pub fn heard_from(&mut self, node: &str, now: Duration) {
+    pub fn record_contact(&mut self, node: &str, now: Duration) {
         if let Some(entry) = self.others.get_mut(node) {
             entry.heard = Some(now);
-            entry.missed = None;
+            entry.on_missed_probe = None;
         }
     }
 
@@ -132,12 +132,12 @@
     }
 
     /// This process starts its planned stop. There is no way back for it.
-    pub fn leave(&mut self) {
+    pub fn start_leaving(&mut self) {
         self.leave_as(MemberState::LEAVING);
     }
 
     /// This process has ended its planned stop.
-    pub fn left(&mut self) {
+    pub fn finish_leaving(&mut self) {
         self.leave_as(MemberState::LEFT);
     }
 
--- a/crates/ladderstage/src/region.rs
+++ b/crates/ladderstage/src/region.rs
@@ -14,7 +14,7 @@
     /// Both are in one region, or there are no regions.
     SameRegion,
     /// They are in different regions, or the region of one is not known.
-    Elsewhere,
+    OtherRegion,
 }
 
 impl Distance {
@@ -27,7 +27,7 @@
         } else if from.region == to.region {
             Self::SameRegion
         } else {
-            Self::Elsewhere
+            Self::OtherRegion
         }
     }
 
@@ -37,7 +37,7 @@
             Self::SameMachine => "machine",
             Self::SameZone => "zone",
             Self::SameRegion => "region",
-            Self::Elsewhere => "elsewhere",
+            Self::OtherRegion => "elsewhere",
         }
     }
 }
@@ -154,17 +154,17 @@
     }
 
     /// Whether regions do not matter.
-    pub fn is_all(&self) -> bool {
+    pub fn allows_all(&self) -> bool {
         self.names.is_none()
     }
 
     /// Whether nothing is allowed anywhere.
-    pub fn is_nowhere(&self) -> bool {
+    pub fn allows_none(&self) -> bool {
         self.names.as_ref().is_some_and(|names| names.is_empty())
     }
 
     /// Regions that both allow.
-    pub fn and(&self, other: &Self) -> Self {
+    pub fn intersect(&self, other: &Self) -> Self {
         match (&self.names, &other.names) {
             (None, _) => other.clone(),
             (_, None) => self.clone(),
@@ -190,7 +190,7 @@
 
 impl fmt::Display for AllowedRegions {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        if self.is_all() {
+        if self.allows_all() {
             return formatter.write_str("all");
         }
         let names: Vec<&str> = self.names().collect();
--- a/crates/ladderstage/src/retry.rs
+++ b/crates/ladderstage/src/retry.rs
@@ -57,7 +57,7 @@
     }
 
     /// Counts a first try.
-    pub fn note_first_try(&mut self, now: Duration) {
+    pub fn record_first_attempt(&mut self, now: Duration) {
         self.first_tries.add(now);
     }
 
--- a/crates/ladderstage/src/shard/pull.rs
+++ b/crates/ladderstage/src/shard/pull.rs
@@ -52,7 +52,7 @@
     /// Another answer was acknowledged instead of the one asked after.
     Superseded,
     /// The answer asked after is newer than this state: its reader is not the owner (any more).
-    NotYetKnown,
+    UnknownAnswer,
 }
 
 impl PullDecision {
@@ -77,7 +77,7 @@
         match taken {
             Some(taken) => self.pull_on_path(pull, Some(taken), bound, ages),
             None if pull.after_answer > self.last_answer => {
-                PullDecision::without_entries(PullOutcome::NotYetKnown)
+                PullDecision::without_entries(PullOutcome::UnknownAnswer)
             }
             None => PullDecision::without_entries(PullOutcome::Superseded),
         }
--- a/crates/ladderstage/tests/backend.rs
+++ b/crates/ladderstage/tests/backend.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use ladderstage::backend::{
-    BackendPolicy, BackendTable, GossipOrigin, ListedBackend, Observed, Report, Unusable,
+    BackendPolicy, BackendTable, GossipOrigin, ListedBackend, ObservationInterval, Report, Unusable,
 };
 use ladderstage::bundle::PoolKind;
 use ladderstage_wire::messages::BackendReport;
@@ -18,8 +18,8 @@
     Duration::from_millis(millis)
 }
 
-fn at(sent: u64, received: u64) -> Observed {
-    Observed {
+fn at(sent: u64, received: u64) -> ObservationInterval {
+    ObservationInterval {
         sent_at: ms(sent),
         received_at: ms(received),
     }
@@ -75,9 +75,9 @@
     assert_eq!(check(&table, FRESHNESS + 1), Err(Unusable::Stale));
     table.observe_report(NAME, &report(1, 2, false), at(1_000, 5_000));
     assert_eq!(check(&table, 5_000), Err(Unusable::Stale));
-    let dispatch = table.begin(NAME, ms(6_000));
-    table.note_success(NAME);
-    table.end(&dispatch);
+    let dispatch = table.start_request(NAME, ms(6_000));
+    table.record_success(NAME);
+    table.finish_request(&dispatch);
     assert_eq!(check(&table, 6_000 + FRESHNESS), Ok(()));
 }
 
@@ -141,7 +141,7 @@
 #[test]
 fn a_new_process_counts_only_when_certainly_seen_later() {
     let mut table = table();
-    table.note_leaving(NAME, ms(5));
+    table.record_leaving(NAME, ms(5));
     table.observe_report(NAME, &report(2, 1, false), at(1, 10));
     assert_eq!(check(&table, 10), Err(Unusable::Leaving));
     table.observe_report(NAME, &report(2, 2, false), at(11, 12));
@@ -155,32 +155,32 @@
     let mut table = table();
     for _ in 0..3 {
         assert_eq!(check(&table, 10), Ok(()));
-        table.note_failure(NAME, ms(10), 0.5);
+        table.record_failure(NAME, ms(10), 0.5);
     }
     assert_eq!(check(&table, 509), Err(Unusable::Ejected));
     let trial = table
-        .try_begin(NAME, 10, ms(510))
+        .try_start_request(NAME, 10, ms(510))
         .expect("ejection is over");
     assert_eq!(check(&table, 510), Err(Unusable::OnTrial));
-    table.note_failure(NAME, ms(510), 0.5);
-    table.end(&trial);
+    table.record_failure(NAME, ms(510), 0.5);
+    table.finish_request(&trial);
     assert_eq!(check(&table, 1_509), Err(Unusable::Ejected));
     let trial = table
-        .try_begin(NAME, 10, ms(1_510))
+        .try_start_request(NAME, 10, ms(1_510))
         .expect("twice as long, then over");
-    table.note_success(NAME);
-    table.end(&trial);
+    table.record_success(NAME);
+    table.finish_request(&trial);
     assert_eq!(check(&table, 1_511), Ok(()));
 }
 
 #[test]
 fn own_work_is_bounded_and_counted_since_the_report() {
     let mut table = table();
-    let first = table.try_begin(NAME, 2, ms(10)).expect("free");
+    let first = table.try_start_request(NAME, 2, ms(10)).expect("free");
     table.observe_report(NAME, &report(1, 2, false), at(20, 21));
-    table.try_begin(NAME, 2, ms(30)).expect("one place left");
-    assert_eq!(table.try_begin(NAME, 2, ms(30)), Err(Unusable::Busy));
-    table.end(&first);
+    table.try_start_request(NAME, 2, ms(30)).expect("one place left");
+    assert_eq!(table.try_start_request(NAME, 2, ms(30)), Err(Unusable::Busy));
+    table.finish_request(&first);
     let candidates = table.candidates(&[NAME.to_owned()], 2, ms(40));
     assert_eq!(candidates[0].own_in_flight, 1);
     assert_eq!(candidates[0].dispatched_since_report, 1);
@@ -293,20 +293,20 @@
             table.observe_list(&machines, at(now.saturating_sub(delay), now));
         }
         Event::RefusedLeaving => {
-            table.note_leaving(NAME, ms(now));
+            table.record_leaving(NAME, ms(now));
             let described = table.describe(ms(now));
             if let Some(current) = described.first().filter(|backend| backend.process != 0) {
                 knowledge.leaving.insert(current.process);
             }
         }
-        Event::RefusedFull => table.note_refusal(NAME, ms(now), 0.5),
+        Event::RefusedFull => table.record_refusal(NAME, ms(now), 0.5),
         Event::Succeeded => {
-            let dispatch = table.begin(NAME, ms(now));
-            table.note_success(NAME);
-            table.end(&dispatch);
+            let dispatch = table.start_request(NAME, ms(now));
+            table.record_success(NAME);
+            table.finish_request(&dispatch);
             knowledge.evidence(now);
         }
-        Event::Failed => table.note_failure(NAME, ms(now), 0.5),
+        Event::Failed => table.record_failure(NAME, ms(now), 0.5),
     }
 }
 
--- a/crates/ladderstage/tests/backend_refresh.rs
+++ b/crates/ladderstage/tests/backend_refresh.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use ladderstage::backend::{
-    BackendPolicy, BackendTable, GossipOrigin, LEAST_GAIN, ListedBackend, Observed, Report,
+    BackendPolicy, BackendTable, GossipOrigin, LEAST_GAIN, ListedBackend, ObservationInterval, Report,
 };
 use ladderstage::bundle::PoolKind;
 use ladderstage_wire::messages::{BackendGossip, BackendRefresh};
@@ -14,8 +14,8 @@
 const PORT: u16 = 80;
 const FRESHNESS: Duration = Duration::from_secs(2);
 
-fn at(sent_ms: u64, received_ms: u64) -> Observed {
-    Observed {
+fn at(sent_ms: u64, received_ms: u64) -> ObservationInterval {
+    ObservationInterval {
         sent_at: Duration::from_millis(sent_ms),
         received_at: Duration::from_millis(received_ms),
     }
@@ -61,7 +61,7 @@
     answer.unwrap()
 }
 
-fn take(asker: &mut BackendTable, answer: &BackendGossip, observed: Observed) {
+fn take(asker: &mut BackendTable, answer: &BackendGossip, observed: ObservationInterval) {
     asker.observe_gossip(&answer.reports, GossipOrigin::Pulled(observed));
     for refresh in &answer.refreshes {
         asker.observe_refresh(&NAMES, refresh, observed);
--- a/crates/ladderstage/tests/claim.rs
+++ b/crates/ladderstage/tests/claim.rs
@@ -28,7 +28,7 @@
             _ => self.undecided = None,
         }
         self.epoch += 1;
-        TakeOverResult::Taken(ClaimState::fold(&self.committed))
+        TakeOverResult::Acquired(ClaimState::fold(&self.committed))
     }
 
     /// What a reader sees, who may or may not meet the replica that holds the undecided entry.
@@ -92,7 +92,7 @@
     fn step(&mut self, log: &mut ModelLog, luck: u8) {
         self.phase = match std::mem::replace(&mut self.phase, Phase::Done) {
             Phase::Claiming(ClaimStep::TakeOver) if !std::mem::replace(&mut self.looked, true) => {
-                Phase::Claiming(self.claimant.after_look(&log.look(luck)))
+                Phase::Claiming(self.claimant.after_unfenced_read(&log.look(luck)))
             }
             Phase::Claiming(ClaimStep::TakeOver) => {
                 self.looked = false;
@@ -134,10 +134,10 @@
 
     fn reopen(&mut self, log: &mut ModelLog, settlement: Settlement, luck: u8) -> Phase {
         match log.take_over(luck) {
-            TakeOverResult::Taken(state) if state.is_open_for(self.claimant.id()) => {
+            TakeOverResult::Acquired(state) if state.is_open_for(self.claimant.id()) => {
                 Phase::Settling(settlement, Some(log.epoch))
             }
-            TakeOverResult::Taken(_) => Phase::Done,
+            TakeOverResult::Acquired(_) => Phase::Done,
             _ => Phase::Settling(settlement, None),
         }
     }
@@ -207,7 +207,7 @@
     let mut untouched = claimant.clone();
     let step = untouched.after_take_over(TakeOverResult::NoQuorum);
     assert_eq!(step, refuse(ClaimRefusal::NotRun));
-    claimant.after_take_over(TakeOverResult::Taken(ClaimState::Unclaimed));
+    claimant.after_take_over(TakeOverResult::Acquired(ClaimState::Unclaimed));
     assert_eq!(
         claimant.after_append(AppendResult::NoQuorum),
         ClaimStep::TakeOver
--- a/crates/ladderstage/tests/engine_orders.rs
+++ b/crates/ladderstage/tests/engine_orders.rs
@@ -5,7 +5,7 @@
 
 use ladderstage::bundle::Bundle;
 use ladderstage::engine_orders::{
-    Action, Attempt, AttemptOutcome, EngineView, Order, WAVE_TIMEOUT, caretaker_rank, next_action,
+    Action, Attempt, AttemptOutcome, EngineView, Order, WAVE_TIMEOUT, order_sender_rank, next_action,
     orders, wave,
 };
 use proptest::prelude::*;
@@ -138,9 +138,9 @@
     let members: Vec<String> = (0..5).map(|index| format!("d{index}")).collect();
     let ranks = members
         .iter()
-        .filter_map(|own| caretaker_rank("e1", own, &members));
+        .filter_map(|own| order_sender_rank("e1", own, &members));
     assert_eq!(ranks.collect::<BTreeSet<_>>(), BTreeSet::from([0, 1]));
-    assert_eq!(caretaker_rank("e1", "d0", &["d0".to_owned()]), Some(0));
+    assert_eq!(order_sender_rank("e1", "d0", &["d0".to_owned()]), Some(0));
 }
 
 /// An engine that follows fences; some of its swaps fail, and a restart forgets the fence.
--- a/crates/ladderstage/tests/evidence.rs
+++ b/crates/ladderstage/tests/evidence.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use ladderstage::evidence::{Evidence, Learned};
+use ladderstage::evidence::{Evidence, EvidenceEffect};
 use proptest::prelude::*;
 
 #[derive(Debug, Clone)]
@@ -33,12 +33,12 @@
                     let as_of = Duration::from_millis(as_of);
                     said.push((revision, as_of));
                     highest_known = highest_known.max(revision);
-                    let learned = evidence.learn(revision, as_of);
-                    prop_assert_eq!(learned == Learned::Fetch { revision }, revision > before);
+                    let learned = evidence.observe_newest(revision, as_of);
+                    prop_assert_eq!(learned == EvidenceEffect::Fetch { revision }, revision > before);
                 }
                 Event::LearnOf { revision } => {
                     highest_known = highest_known.max(revision);
-                    evidence.learn_of(revision);
+                    evidence.observe_existence(revision);
                 }
                 Event::Advance { revision } => {
                     highest_known = highest_known.max(revision);
@@ -51,7 +51,7 @@
                 prop_assert!(said.iter().any(|(revision, as_of)| *revision == held && *as_of >= claimed));
                 prop_assert_eq!(highest_known, held);
             }
-            prop_assert_eq!(evidence.ahead(), (highest_known > held).then_some(highest_known));
+            prop_assert_eq!(evidence.newer_revision(), (highest_known > held).then_some(highest_known));
         }
     }
 }
@@ -61,13 +61,13 @@
     let mut evidence = Evidence::new();
     evidence.advance(1);
     assert_eq!(
-        evidence.learn(1, Duration::from_secs(5)),
-        Learned::Refreshed
+        evidence.observe_newest(1, Duration::from_secs(5)),
+        EvidenceEffect::Refreshed
     );
-    assert_eq!(evidence.learn(1, Duration::from_secs(4)), Learned::Ignored);
+    assert_eq!(evidence.observe_newest(1, Duration::from_secs(4)), EvidenceEffect::Ignored);
     assert_eq!(
-        evidence.learn(2, Duration::from_secs(6)),
-        Learned::Fetch { revision: 2 }
+        evidence.observe_newest(2, Duration::from_secs(6)),
+        EvidenceEffect::Fetch { revision: 2 }
     );
     assert_eq!(evidence.age(Duration::from_secs(7)), None);
     evidence.advance(2);
@@ -75,5 +75,5 @@
         evidence.age(Duration::from_secs(7)),
         Some(Duration::from_secs(1))
     );
-    assert_eq!(evidence.learn(1, Duration::from_secs(9)), Learned::Ignored);
+    assert_eq!(evidence.observe_newest(1, Duration::from_secs(9)), EvidenceEffect::Ignored);
 }
--- a/crates/ladderstage/tests/journal/rules.rs
+++ b/crates/ladderstage/tests/journal/rules.rs
@@ -6,7 +6,7 @@
 use crate::simulated_replica::{Outcome, SimulatedReplica, new_replica};
 use crate::support::{LOG, identity, quorum_of};
 use ladderstage::journal::heartbeat::HeartbeatTable;
-use ladderstage::journal::read::{LogRead, LogSurvey};
+use ladderstage::journal::read::{LogRead, LogListing};
 use ladderstage::journal::replica::{EntryChange, LogState, import, omit_known};
 use ladderstage::journal::writer::{LogWriterState, ReplicaWrite, SealProgress, Sealing};
 use ladderstage::journal::{EpochSource, Quorum, WriterEpoch};
@@ -285,7 +285,7 @@
     let at = Duration::from_secs;
     let open = || [LOG.to_owned()];
     let mut table = HeartbeatTable::default();
-    table.touch(LOG, at(100));
+    table.record_activity(LOG, at(100));
     assert!(table.orphaned(open(), at(101), timeout).is_empty());
     assert!(
         table.orphaned(open(), at(160), timeout).is_empty(),
@@ -301,11 +301,11 @@
     let at = Duration::from_secs;
     let open = || [("a".to_owned(), at(1)), ("b".to_owned(), longest)];
     let mut table = HeartbeatTable::default();
-    assert!(table.silent(open(), at(100), longest).is_empty());
-    assert_eq!(table.silent(open(), at(101), longest), ["a"]);
-    table.touch("a", at(101));
-    assert!(table.silent(open(), at(101), longest).is_empty());
-    assert_eq!(table.silent(open(), at(103), longest), ["a", "b"]);
+    assert!(table.orphaned_by_timeout(open(), at(100), longest).is_empty());
+    assert_eq!(table.orphaned_by_timeout(open(), at(101), longest), ["a"]);
+    table.record_activity("a", at(101));
+    assert!(table.orphaned_by_timeout(open(), at(101), longest).is_empty());
+    assert_eq!(table.orphaned_by_timeout(open(), at(103), longest), ["a", "b"]);
 }
 
 #[test]
@@ -345,7 +345,7 @@
         [reply(1, 9, 0), reply(2, 3, 5)],
         [reply(2, 3, 5), reply(1, 9, 0)],
     ] {
-        let mut survey = LogSurvey::new(quorum_of(1..=3));
+        let mut survey = LogListing::new(quorum_of(1..=3));
         replies.into_iter().for_each(|reply| {
             survey.on_reply(reply);
         });
--- a/crates/ladderstage/tests/journal/support.rs
+++ b/crates/ladderstage/tests/journal/support.rs
@@ -193,7 +193,7 @@
             .map(member_of)
             .collect();
         let lost = BTreeSet::from([replaced]);
-        let Some(joint) = replica_set::propose(&self.set, &lost, &spares) else {
+        let Some(joint) = replica_set::propose_replacement(&self.set, &lost, &spares) else {
             return;
         };
         self.replicas[index_of(replaced)].lost |= is_lost;
@@ -202,8 +202,8 @@
     }
 
     fn copy(&mut self, source: usize) {
-        let newcomers = replica_set::newcomers(&self.set);
-        let Some(newcomer) = newcomers.first().map(|member| index_of(member.replica_id)) else {
+        let joining_replicas = replica_set::joining_replicas(&self.set);
+        let Some(newcomer) = joining_replicas.first().map(|member| index_of(member.replica_id)) else {
             return;
         };
         let source = self.set.current[source % self.set.current.len()].replica_id;
--- a/crates/ladderstage/tests/membership.rs
+++ b/crates/ladderstage/tests/membership.rs
@@ -9,7 +9,7 @@
 
 const CONFIG: MembershipConfig = MembershipConfig {
     probe_interval: Duration::from_millis(500),
-    suspicion: Duration::from_secs(2),
+    suspicion_timeout: Duration::from_secs(2),
     seeds: 0,
 };
 
@@ -59,9 +59,9 @@
                 continue;
             };
             if answers(&target.node) {
-                membership.heard_from(&target.node, now);
-            } else if membership.missed(&target, now, &mut random).is_some() {
-                membership.probe_failed(&target, now);
+                membership.record_contact(&target.node, now);
+            } else if membership.on_missed_probe(&target, now, &mut random).is_some() {
+                membership.on_probe_failed(&target, now);
             }
         }
     }
@@ -73,7 +73,7 @@
     let mut membership = knowing(&["a", "b", "c", "d"]);
     let mut random = StdRng::seed_from_u64(1);
     for node in ["a", "b", "c", "d"] {
-        membership.heard_from(node, Duration::ZERO);
+        membership.record_contact(node, Duration::ZERO);
     }
     for _ in 0..5 {
         let mut probed = Vec::new();
@@ -93,15 +93,15 @@
 fn missed_probe_goes_through_three_others_and_then_suspects() {
     let mut membership = knowing(&["a", "b", "c", "d", "e"]);
     let mut random = StdRng::seed_from_u64(1);
-    let action = membership.missed(&member("a", 1), STEP, &mut random);
-    let Some(Action::ProbeThrough { target, helpers }) = action else {
+    let action = membership.on_missed_probe(&member("a", 1), STEP, &mut random);
+    let Some(Action::IndirectProbe { target, helpers }) = action else {
         panic!("unexpected {action:?}");
     };
     assert_eq!(target.node, "a");
     assert_eq!(helpers.len(), 3);
     assert!(helpers.iter().all(|helper| helper.node != "a"));
     assert_eq!(state(&membership, "a"), MemberState::ALIVE);
-    membership.probe_failed(&target, STEP);
+    membership.on_probe_failed(&target, STEP);
     assert_eq!(state(&membership, "a"), MemberState::SUSPECT);
 }
 
@@ -150,13 +150,13 @@
 #[test]
 fn suspected_member_hears_of_it_in_a_probe_and_refutes() {
     let mut membership = knowing(&["a", "b"]);
-    membership.probe_failed(&member("a", 1), STEP);
+    membership.on_probe_failed(&member("a", 1), STEP);
     let mut accused = Membership::new(member("a", 1), CONFIG);
     accused.merge(membership.updates_for("a"), STEP);
     membership.merge(accused.updates_for("own"), STEP);
     assert_eq!(state(&membership, "a"), MemberState::ALIVE);
     // The probe that failed before the refutation counts no more.
-    membership.probe_failed(&member("a", 1), STEP);
+    membership.on_probe_failed(&member("a", 1), STEP);
     assert_eq!(state(&membership, "a"), MemberState::ALIVE);
 }
 
@@ -186,7 +186,7 @@
 #[test]
 fn leaving_process_does_not_answer_for_ever_to_being_called_left() {
     let mut own = Membership::new(member("own", 1), CONFIG);
-    own.leave();
+    own.start_leaving();
     let left = in_state(member("own", 1), MemberState::LEFT, 5);
     assert_eq!(own.merge(vec![left], STEP), 0);
     assert_eq!(own.own().state, MemberState::LEAVING);
@@ -216,7 +216,7 @@
     let mut membership = knowing(&["a", "b"]);
     let mut random = StdRng::seed_from_u64(1);
     membership.tick(STEP, &mut random);
-    membership.probe_failed(&member("a", 1), STEP);
+    membership.on_probe_failed(&member("a", 1), STEP);
     membership.tick(Duration::from_secs(100), &mut random);
     assert_eq!(state(&membership, "a"), MemberState::SUSPECT);
 }
--- a/crates/ladderstage/tests/membership_convergence.rs
+++ b/crates/ladderstage/tests/membership_convergence.rs
@@ -8,7 +8,7 @@
 
 const CONFIG: MembershipConfig = MembershipConfig {
     probe_interval: Duration::from_millis(500),
-    suspicion: Duration::from_secs(2),
+    suspicion_timeout: Duration::from_secs(2),
     seeds: 0,
 };
 
--- a/crates/ladderstage/tests/region.rs
+++ b/crates/ladderstage/tests/region.rs
@@ -36,7 +36,7 @@
             Distance::SameMachine,
             Distance::SameZone,
             Distance::SameRegion,
-            Distance::Elsewhere
+            Distance::OtherRegion
         ]
     );
     assert!(distances.is_sorted());
@@ -46,7 +46,7 @@
 fn a_zone_that_the_settings_do_not_name_is_in_no_region() {
     let several = map(&[("a", "east"), ("b", "west")]);
     assert_eq!(several.region_of("c"), None);
-    assert_eq!(several.between_zones("a", "c"), Distance::Elsewhere);
+    assert_eq!(several.between_zones("a", "c"), Distance::OtherRegion);
     assert!(!allowed(&["east"]).permits(several.region_of("c")));
     assert!(AllowedRegions::default().permits(several.region_of("c")));
 }
@@ -54,11 +54,11 @@
 #[test]
 fn bounds_of_route_and_tenant_both_hold() {
     let (east, both) = (allowed(&["east"]), allowed(&["east", "west"]));
-    assert_eq!(both.and(&east), east);
-    assert_eq!(AllowedRegions::default().and(&east), east);
-    assert_eq!(east.and(&AllowedRegions::default()), east);
-    assert!(east.and(&allowed(&["west"])).is_nowhere());
-    assert!(!AllowedRegions::default().is_nowhere());
+    assert_eq!(both.intersect(&east), east);
+    assert_eq!(AllowedRegions::default().intersect(&east), east);
+    assert_eq!(east.intersect(&AllowedRegions::default()), east);
+    assert!(east.intersect(&allowed(&["west"])).allows_none());
+    assert!(!AllowedRegions::default().allows_none());
 }
 
 proptest! {
@@ -76,7 +76,7 @@
             .collect();
         let distance = RegionMap::new(named).between_zones(&from, &to);
         prop_assert_eq!(distance, RegionMap::default().between_zones(&from, &to));
-        prop_assert!(distance < Distance::Elsewhere);
+        prop_assert!(distance < Distance::OtherRegion);
     }
 
     #[test]
@@ -91,6 +91,6 @@
         };
         let (one, other) = (bounds(&one), bounds(&other));
         let region = region.as_deref();
-        prop_assert_eq!(one.and(&other).permits(region), one.permits(region) && other.permits(region));
+        prop_assert_eq!(one.intersect(&other).permits(region), one.permits(region) && other.permits(region));
     }
 }
--- a/crates/ladderstage/tests/retry.rs
+++ b/crates/ladderstage/tests/retry.rs
@@ -22,7 +22,7 @@
         Err(RetryRefusal::BudgetSpent)
     );
     for _ in 0..200 {
-        budget.note_first_try(now);
+        budget.record_first_attempt(now);
     }
     assert_eq!(spend_all(&mut budget, now), 30);
     let later = now + Duration::from_secs(11);
--- a/crates/ladderstage/tests/shard.rs
+++ b/crates/ladderstage/tests/shard.rs
@@ -198,7 +198,7 @@
                 assert_ne!(asked_after, self.cursor(), "the newest cursor superseded");
                 return;
             }
-            PullOutcome::NotYetKnown => {
+            PullOutcome::UnknownAnswer => {
                 assert!(!is_present, "the owner lost a committed answer");
                 return;
             }
