--- a/crates/daemon/src/bundles/mod.rs
+++ b/crates/daemon/src/bundles/mod.rs
@@ -20,8 +20,8 @@
 use tokio::task::JoinHandle;
 
 pub use parts::{
-    BundleDependencies, BundleStore, Peers, DEFAULT_ROLL_DEADLINE, ReplicaSetSource, WeightVersionSource,
-    replica_set_source,
+    BundleDependencies, BundleStore, DEFAULT_ROLL_DEADLINE, Peers, ReplicaSetSource,
+    WeightVersionSource, replica_set_source,
 };
 pub use proposal::ProposalState;
 pub use roll::{Refusal, RollOutcome};
@@ -84,7 +84,10 @@
 
 impl Bundles {
     /// Reads the bundle on this node's disk, if any, and starts watching the key-value service.
-    pub async fn start(settings: &Settings, parts: BundleDependencies) -> Result<Self, BundlesError> {
+    pub async fn start(
+        settings: &Settings,
+        parts: BundleDependencies,
+    ) -> Result<Self, BundlesError> {
         let trusted = TrustedKeys::from_hex(&settings.trusted_keys).map_err(BundlesError::Keys)?;
         let shared = Arc::new(Shared::new(settings, trusted, parts));
         shared.load().await?;
--- a/crates/daemon/src/bundles/receive.rs
+++ b/crates/daemon/src/bundles/receive.rs
@@ -100,7 +100,10 @@
         let Some(as_of) = self.instant(asked_at).checked_sub(age) else {
             return self.learn_revision(from, evidence.revision);
         };
-        let learned = self.state().evidence.observe_newest(evidence.revision, as_of);
+        let learned = self
+            .state()
+            .evidence
+            .observe_newest(evidence.revision, as_of);
         self.fetch_if_told(from, learned);
     }
 
--- a/crates/daemon/src/bundles/state.rs
+++ b/crates/daemon/src/bundles/state.rs
@@ -14,7 +14,7 @@
 use tokio::sync::watch;
 
 use super::metrics::BundleMetrics;
-use super::{BundleInForce, BundleDependencies, BundleStore, BundlesError, Peers};
+use super::{BundleDependencies, BundleInForce, BundleStore, BundlesError, Peers};
 use super::{ReplicaSetSource, WeightVersionSource};
 use crate::settings::Settings;
 
@@ -70,7 +70,11 @@
 }
 
 impl Shared {
-    pub(super) fn new(settings: &Settings, trusted: TrustedKeys, parts: BundleDependencies) -> Self {
+    pub(super) fn new(
+        settings: &Settings,
+        trusted: TrustedKeys,
+        parts: BundleDependencies,
+    ) -> Self {
         let timing = &settings.timing;
         Self {
             trusted,
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -14,8 +14,8 @@
 
 use crate::backends::Backends;
 use crate::bundles::{
-    BundleDependencies, BundleStore, Bundles, BundlesError, DEFAULT_ROLL_DEADLINE, WeightVersionSource,
-    replica_set_source,
+    BundleDependencies, BundleStore, Bundles, BundlesError, DEFAULT_ROLL_DEADLINE,
+    WeightVersionSource, replica_set_source,
 };
 use crate::drain::Drain;
 use crate::hooks::Hooks;
--- a/crates/daemon/src/shards/mod.rs
+++ b/crates/daemon/src/shards/mod.rs
@@ -46,7 +46,7 @@
 
 pub use metrics::ShardMetrics;
 pub use parts::{BundleSource, EnginePlace, EngineSource, ShardDependencies};
-pub use pulling::{PullError, StepPullResponse, StepPullRequest};
+pub use pulling::{PullError, StepPullRequest, StepPullResponse};
 pub use registry::ShardDescription;
 pub use step_index::{ShardStatus, StepStatus};
 pub use submission::{SubmitError, SubmittedStep};
--- a/crates/ladderstage/src/backend/entry.rs
+++ b/crates/ladderstage/src/backend/entry.rs
@@ -165,7 +165,12 @@
     }
 
     /// Takes in a report whose place in time is known.
-    pub(super) fn observe_report(&mut self, report: &Report, observed: ObservationInterval, version: u64) {
+    pub(super) fn observe_report(
+        &mut self,
+        report: &Report,
+        observed: ObservationInterval,
+        version: u64,
+    ) {
         match self.processes.observe(report, observed, version) {
             ReportEffect::Ignored => return,
             ReportEffect::Confirmed => {}
--- a/crates/ladderstage/src/bundle/check.rs
+++ b/crates/ladderstage/src/bundle/check.rs
@@ -77,7 +77,9 @@
 
 impl Checker<'_> {
     fn add(&mut self, path: &str, found: impl Into<String>, allowed: impl Into<String>) {
-        let finding = self.key_positions.finding(path, found.into(), allowed.into());
+        let finding = self
+            .key_positions
+            .finding(path, found.into(), allowed.into());
         self.findings.extend(finding);
     }
 
@@ -244,7 +246,9 @@
     /// Left out while a pool's own capacity is in doubt: what it would find might be an echo of that.
     fn check_capacity(&mut self, bundle: &Bundle) {
         let in_doubt = bundle.pools.iter().enumerate().any(|(index, pool)| {
-            let faulty = self.key_positions.is_faulty(&format!("pool[{index}].backends"));
+            let faulty = self
+                .key_positions
+                .is_faulty(&format!("pool[{index}].backends"));
             faulty || capacity(pool) == 0
         });
         if in_doubt || bundle.pools.is_empty() {
--- a/crates/ladderstage/src/document/mod.rs
+++ b/crates/ladderstage/src/document/mod.rs
@@ -4,8 +4,8 @@
 //! keys as they go and hand out what could be read. Cross-checks then add [`Finding`]s through [`KeyPositions`].
 
 mod finding;
-mod nearest;
 mod key_positions;
+mod nearest;
 mod table;
 mod value;
 
--- a/crates/ladderstage/src/document/table.rs
+++ b/crates/ladderstage/src/document/table.rs
@@ -40,7 +40,10 @@
 
     /// Adds a finding. A line with a syntax error gets no further ones: they would be echoes.
     fn add(&self, offset: usize, found: String, allowed: String) {
-        let finding = self.key_positions.borrow().finding_at(offset, found, allowed);
+        let finding = self
+            .key_positions
+            .borrow()
+            .finding_at(offset, found, allowed);
         let mut findings = self.findings.borrow_mut();
         let is_echo = self.broken && findings.iter().any(|other| other.line == finding.line);
         if !is_echo {
--- a/crates/ladderstage/src/evidence.rs
+++ b/crates/ladderstage/src/evidence.rs
@@ -52,7 +52,8 @@
 
     /// A newer revision that is known of, to be fetched.
     pub fn newer_revision(&self) -> Option<Revision> {
-        self.newer_revision.map(|newer_revision| newer_revision.revision)
+        self.newer_revision
+            .map(|newer_revision| newer_revision.revision)
     }
 
     /// The latest instant at which the revision held was known to be the newest. `None` if there is none, or
--- a/crates/ladderstage/src/membership/probing.rs
+++ b/crates/ladderstage/src/membership/probing.rs
@@ -90,7 +90,9 @@
     fn expire_suspicions(&mut self, now: Duration) {
         let patience = self.config.suspicion_timeout;
         for (node, entry) in &mut self.others {
-            let missed_for = entry.on_missed_probe.map(|on_missed_probe| now.saturating_sub(on_missed_probe));
+            let missed_for = entry
+                .on_missed_probe
+                .map(|on_missed_probe| now.saturating_sub(on_missed_probe));
             let state = match entry.member.state {
                 MemberState::SUSPECT if entry.age(now) >= patience => MemberState::DEAD,
                 MemberState::LEAVING if missed_for >= Some(patience) => MemberState::LEFT,
--- a/crates/ladderstage/tests/journal/support.rs
+++ b/crates/ladderstage/tests/journal/support.rs
@@ -203,7 +203,10 @@
 
     fn copy(&mut self, source: usize) {
         let joining_replicas = replica_set::joining_replicas(&self.set);
-        let Some(newcomer) = joining_replicas.first().map(|member| index_of(member.replica_id)) else {
+        let Some(newcomer) = joining_replicas
+            .first()
+            .map(|member| index_of(member.replica_id))
+        else {
             return;
         };
         let source = self.set.current[source % self.set.current.len()].replica_id;
