--- a/crates/front/src/backend/cold/mod.rs
+++ b/crates/front/src/backend/cold/mod.rs
@@ -1,9 +1,9 @@
-//! Cold instances, which bear few requests for some time after their start: which ones are cold, and what this node may send them.
+//! Cold instances, which can handle only few requests for some time after their start.
 
 mod limits;
 mod share;
 mod state;
 
-pub use limits::{ColdAllowance, ColdLimit, ColdLimits, PermitWants};
-pub use share::{PERMIT_LIFETIME, SEND_WINDOW, SendShare, SendTicket, WRITE_MARGIN};
-pub use state::{ColdState, Warmth};
+pub use limits::{ColdAllowance, ColdLimit, ColdLimits, PermitRequests};
+pub use share::{PERMIT_LIFETIME, SEND_WINDOW, SendBudget, SendTicket, WRITE_MARGIN};
+pub use state::{ColdState, ColdStatus};
--- a/crates/front/src/capacity/wanted.rs
+++ b/crates/front/src/capacity/desired.rs
@@ -1,4 +1,4 @@
-//! How many instances are wanted, as the store holds it.
+//! Desired capacity in its stored form.
 
 use std::collections::BTreeMap;
 
@@ -6,70 +6,70 @@
 
 use super::counts::{InstanceKind, InstancePool};
 
-/// What is wanted of one subject. An order names the sum.
+/// Desired instances of one pool; an order names the sum of `found` and `extra`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct CountWanted {
-    /// Instances that were there without an order of ours; no order goes below it.
+pub struct DesiredCount {
+    /// Instances that exist without an order; orders never go below this count.
     pub found: u32,
-    /// Instances beyond those.
+    /// Instances ordered beyond the found ones.
     #[serde(default)]
     pub extra: u32,
-    /// Whether anything was ever ordered; a later holder then sends the order again.
+    /// An order was sent at some time, so a later holder sends it again.
     #[serde(default)]
     pub is_ordered: bool,
 }
 
-impl CountWanted {
-    /// The count that an order names.
+impl DesiredCount {
+    /// Returns the total that an order names.
     pub fn desired(self) -> u32 {
         self.found + self.extra
     }
 }
 
-/// What is wanted in one zone.
+/// Desired instances in one zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct ZoneWanted {
-    /// Kept instances.
+pub struct ZoneCounts {
+    /// On-demand instances.
     #[serde(default)]
-    pub kept: CountWanted,
+    pub kept: DesiredCount,
     /// Preemptible instances.
     #[serde(default)]
-    pub preemptible: CountWanted,
+    pub preemptible: DesiredCount,
 }
 
-impl ZoneWanted {
-    fn of(&self, kind: InstanceKind) -> &CountWanted {
+impl ZoneCounts {
+    fn of(&self, kind: InstanceKind) -> &DesiredCount {
         match kind {
-            InstanceKind::Kept => &self.kept,
+            InstanceKind::OnDemand => &self.kept,
             InstanceKind::Preemptible => &self.preemptible,
         }
     }
 
-    fn of_mut(&mut self, kind: InstanceKind) -> &mut CountWanted {
+    fn of_mut(&mut self, kind: InstanceKind) -> &mut DesiredCount {
         match kind {
-            InstanceKind::Kept => &mut self.kept,
+            InstanceKind::OnDemand => &mut self.kept,
             InstanceKind::Preemptible => &mut self.preemptible,
         }
     }
 }
 
-/// What is wanted of all services that are scaled, by service and zone.
+/// Desired capacity of all scaled services, by service and zone.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct WantedCapacity {
-    services: BTreeMap<String, BTreeMap<String, ZoneWanted>>,
+pub struct DesiredCapacity {
+    services: BTreeMap<String, BTreeMap<String, ZoneCounts>>,
 }
 
-impl WantedCapacity {
-    /// What is wanted of a subject.
-    pub fn get(&self, pool: &InstancePool) -> CountWanted {
+impl DesiredCapacity {
+    /// Returns the desired instances of a pool.
+    pub fn get(&self, pool: &InstancePool) -> DesiredCount {
         let zones = self.services.get(pool.service.as_ref());
         let zone = zones.and_then(|zones| zones.get(pool.zone.as_ref()));
-        zone.map_or_else(CountWanted::default, |zone| *zone.of(pool.kind))
+        zone.map_or_else(DesiredCount::default, |zone| *zone.of(pool.kind))
     }
 
-    /// Changes what is wanted of a subject.
-    pub fn set(&mut self, pool: &InstancePool, count: CountWanted) {
-        if count == CountWanted::default() && !self.has_zone(pool) {
+    /// Sets the desired instances of a pool.
+    pub fn set(&mut self, pool: &InstancePool, count: DesiredCount) {
+        if count == DesiredCount::default() && !self.has_zone(pool) {
             return;
         }
         let zones = self.services.entry(pool.service.to_string());
@@ -77,23 +77,23 @@
         *zone.or_default().of_mut(pool.kind) = count;
     }
 
-    /// Whether anything is known of a service.
+    /// Returns true if the service has any entry.
     pub fn has_service(&self, service: &str) -> bool {
         self.services.contains_key(service)
     }
 
-    /// All subjects, sorted.
-    pub fn subjects(&self) -> impl Iterator<Item = (InstancePool, CountWanted)> + '_ {
-        const KINDS: [InstanceKind; 2] = [InstanceKind::Kept, InstanceKind::Preemptible];
+    /// Returns all pools in order.
+    pub fn pools(&self) -> impl Iterator<Item = (InstancePool, DesiredCount)> + '_ {
+        const KINDS: [InstanceKind; 2] = [InstanceKind::OnDemand, InstanceKind::Preemptible];
         self.services.iter().flat_map(|(service, zones)| {
-            zones.iter().flat_map(move |(zone, wanted)| {
+            zones.iter().flat_map(move |(zone, counts)| {
                 KINDS.into_iter().map(move |kind| {
                     let pool = InstancePool {
                         service: service.as_str().into(),
                         zone: zone.as_str().into(),
                         kind,
                     };
-                    (pool, *wanted.of(kind))
+                    (pool, *counts.of(kind))
                 })
             })
         })
--- a/crates/front/src/capacity/mod.rs
+++ b/crates/front/src/capacity/mod.rs
@@ -1,23 +1,24 @@
-//! Orders of capacity: instances that a service lost in one zone are ordered in others.
+//! Capacity orders: replaces instances that a service lost in one zone by instances in other zones.
 //!
-//! The plan is pure: [`counts`] tells what is there, [`losses`] what was lost, [`placement`] where a replacement goes, and [`planner`]
-//! puts them together into what is [`wanted`]. The holder of the orders lease first writes that to the store (it is then *fixed*) and
-//! then sends it ([`duty`]); [`outbox`] says which orders are due, and [`sink`] takes them.
+//! Planning has no side effects: [`counts`] counts the instances, [`losses`] tracks lost ones,
+//! [`placement`] chooses zones for replacements, and [`planner`] combines these into the
+//! [`desired`] capacity. [`controller`] runs on the holder of the orders lease: it persists the
+//! desired capacity and then sends the orders that [`outbox`] has due to a [`sink`].
 
+pub mod controller;
 pub mod counts;
-pub mod duty;
+pub mod desired;
 pub mod losses;
 pub mod outbox;
 pub mod placement;
 pub mod planner;
 pub mod sink;
-pub mod wanted;
 
-pub use counts::{InstanceKind, Present, InstancePool, count};
-pub use duty::CapacityController;
+pub use controller::CapacityController;
+pub use counts::{InstanceKind, InstancePool, PresentInstances, count_instances};
+pub use desired::{DesiredCapacity, DesiredCount};
 pub use losses::{LossReason, Losses};
 pub use outbox::Outbox;
-pub use placement::{Offer, place};
-pub use planner::{CapacityPlanner, FleetNow, LossNews, Plan};
+pub use placement::{ZoneOffer, place};
+pub use planner::{CapacityPlanner, FleetState, LossUpdate, Plan};
 pub use sink::{CapacityOrder, CapacityOrderError, CapacitySink};
-pub use wanted::{CountWanted, WantedCapacity};
--- a/crates/front/src/explain/steps.rs
+++ b/crates/front/src/explain/steps.rs
@@ -1,4 +1,4 @@
-//! How long the steps of trainers took and what each waited for, read from the log lines of all processes.
+//! Statistics of the trainers' steps, from the log lines of all processes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,128 +7,129 @@
 
 use super::line::LogLine;
 
-/// One step: a batch job and its way to the groups that its trainer waits for. Times are seconds; those of a step count from
-/// its acceptance.
+/// Progress of a trainer's step, which is a batch job. Times are in seconds from the job's
+/// acceptance.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct StepRow {
-    /// The job.
+    /// Id of the job.
     pub job: String,
-    /// Model that is trained.
+    /// Name of the trained model.
     pub model: String,
     /// Number of the step.
     pub step: u64,
-    /// When the job was accepted, since the first line.
+    /// Time of the job's acceptance since the first log line.
     pub accepted_at: f64,
     /// Oldest weight version that the job allows.
     pub min_version: u64,
-    /// Items handed in.
+    /// Number of submitted items.
     pub items: usize,
-    /// Items that an earlier job had too.
+    /// Number of items that an earlier job had too.
     pub carried: usize,
-    /// Groups that the trainer waits for.
+    /// Number of complete groups that the trainer requires.
     pub wanted_groups: usize,
-    /// When the first item started.
+    /// Time at which the first item started.
     pub first_start: Option<f64>,
-    /// When half of the items were done.
+    /// Time at which half of the items were done.
     pub half_done: Option<f64>,
-    /// When the wanted groups were whole.
+    /// Time at which the required groups were complete.
     pub wanted_done: Option<f64>,
-    /// When the job was ended.
+    /// Time at which the job ended.
     pub ended: Option<f64>,
-    /// The item that made the last wanted group whole.
+    /// Item that completed the last required group.
     pub last: Option<LastItem>,
-    /// Nodes that owned the job, one after the other.
+    /// Number of times that a node took over the job's log.
     pub owners: usize,
-    /// Starts that an instance refused.
+    /// Number of starts that an instance rejected.
     pub refused_starts: usize,
-    /// Runs that went on elsewhere.
+    /// Number of runs that migrated to another instance.
     pub moves: usize,
-    /// Runs at instances in other regions than the owner.
+    /// Number of runs at instances outside the owner's region.
     pub far_runs: usize,
 }
 
-/// The item that a step waited for.
+/// Item that a step waited for last.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct LastItem {
-    /// Its id.
+    /// Id of the item.
     pub id: String,
-    /// Events of its text.
+    /// Number of stream events of its text.
     pub events: u64,
-    /// Tokens that its client guessed.
+    /// Number of tokens that its client expected.
     pub guess: u64,
-    /// Runs that it took.
+    /// Number of runs.
     pub runs: usize,
-    /// When it first started.
+    /// Time at which it first started.
     pub started: f64,
-    /// When its text was whole.
+    /// Time at which its text was complete.
     pub whole: f64,
-    /// When it had its score, or was whole where nothing scores it.
+    /// Time at which it was scored, or complete if it is not scored.
     pub done: f64,
-    /// An earlier job had it too.
+    /// Whether an earlier job had it too.
     pub is_carried: bool,
 }
 
-/// What is known of one item of one job.
+/// Progress of an item of a job.
 #[derive(Default)]
-struct ItemTrace {
+struct ItemProgress {
     group: String,
     first_start: Option<f64>,
-    whole: Option<f64>,
-    scored: Option<f64>,
+    completed_at: Option<f64>,
+    scored_at: Option<f64>,
     has_reward_call: bool,
     events: u64,
     guess: u64,
     runs: usize,
 }
 
-impl ItemTrace {
+impl ItemProgress {
+    /// Returns the time at which the item was scored, or complete if it is not scored.
     fn done(&self) -> Option<f64> {
         if self.has_reward_call {
-            self.scored
+            self.scored_at
         } else {
-            self.whole
+            self.completed_at
         }
     }
 }
 
 #[derive(Default)]
-struct JobTrace {
+struct JobProgress {
     row: StepRow,
-    items: BTreeMap<String, ItemTrace>,
+    items: BTreeMap<String, ItemProgress>,
 }
 
-/// The steps in the order of their acceptance.
+/// Returns the steps in the order of their acceptance.
 pub fn steps(lines: &[LogLine]) -> Vec<StepRow> {
     let mut lines: Vec<&LogLine> = lines.iter().collect();
     lines.sort_by(|left, right| left.time.total_cmp(&right.time));
     let begin = lines.first().map_or(0.0, |line| line.time);
-    let mut jobs = BTreeMap::<String, JobTrace>::new();
+    let mut jobs = BTreeMap::<String, JobProgress>::new();
     for line in lines {
         if let Some(job) = line.fields.get("job") {
-            let trace = jobs.entry(job.clone()).or_default();
-            trace.take(job, line, begin);
+            let job_progress = jobs.entry(job.clone()).or_default();
+            job_progress.record_line(job, line, begin);
         }
     }
-    let mut traces: Vec<JobTrace> = jobs.into_values().collect();
-    traces.retain(|trace| trace.row.items > 0);
-    traces.sort_by(|left, right| left.row.accepted_at.total_cmp(&right.row.accepted_at));
+    let mut jobs_progress: Vec<JobProgress> = jobs.into_values().collect();
+    jobs_progress.retain(|job_progress| job_progress.row.items > 0);
+    jobs_progress.sort_by(|left, right| left.row.accepted_at.total_cmp(&right.row.accepted_at));
     let mut seen = BTreeSet::new();
     let mut rows = Vec::new();
-    for trace in traces {
-        let carried: BTreeSet<String> = trace
+    for job_progress in jobs_progress {
+        let carried: BTreeSet<String> = job_progress
             .items
             .keys()
             .filter(|item| seen.contains(*item))
             .cloned()
             .collect();
-        seen.extend(trace.items.keys().cloned());
-        rows.push(trace.into_row(&carried));
+        seen.extend(job_progress.items.keys().cloned());
+        rows.push(job_progress.into_row(&carried));
     }
     rows
 }
 
-impl JobTrace {
-    fn take(&mut self, job: &str, line: &LogLine, begin: f64) {
+impl JobProgress {
+    fn record_line(&mut self, job: &str, line: &LogLine, begin: f64) {
         let at = line.time - begin;
         match line.event.as_str() {
             "job_accepted" => {
@@ -144,19 +145,19 @@
             "job_ended" => {
                 self.row.ended.get_or_insert(at);
             }
-            "item_run" => self.take_run(line, at),
+            "item_run" => self.record_run(line, at),
             "reward_call" => {
                 let item = self.item(line);
                 item.has_reward_call = true;
                 if is_outcome(line, "scored") {
-                    item.scored.get_or_insert(at);
+                    item.scored_at.get_or_insert(at);
                 }
             }
             _ => {}
         }
     }
 
-    fn take_run(&mut self, line: &LogLine, at: f64) {
+    fn record_run(&mut self, line: &LogLine, at: f64) {
         if is_outcome(line, "not_taken") {
             self.row.refused_starts += 1;
         }
@@ -164,7 +165,7 @@
             self.row.moves += 1;
         }
         let distance = line.fields.get("distance");
-        if distance.is_some_and(|distance| distance == Distance::Elsewhere.label()) {
+        if distance.is_some_and(|distance| distance == Distance::OtherRegion.label()) {
             self.row.far_runs += 1;
         }
         let started = at - number(line, "elapsed_ms") as f64 / 1e3;
@@ -177,11 +178,11 @@
             item.first_start.get_or_insert(started);
         }
         if is_outcome(line, "complete") {
-            item.whole.get_or_insert(at);
+            item.completed_at.get_or_insert(at);
         }
     }
 
-    fn item(&mut self, line: &LogLine) -> &mut ItemTrace {
+    fn item(&mut self, line: &LogLine) -> &mut ItemProgress {
         let id = line.fields.get("item").cloned().unwrap_or_default();
         self.items.entry(id).or_default()
     }
@@ -192,11 +193,11 @@
         row.carried = carried.len();
         let starts = self.items.values().filter_map(|item| item.first_start);
         row.first_start = starts.min_by(f64::total_cmp).map(since);
-        let mut done: Vec<f64> = self.items.values().filter_map(ItemTrace::done).collect();
+        let mut done: Vec<f64> = self.items.values().filter_map(ItemProgress::done).collect();
         done.sort_by(f64::total_cmp);
         row.half_done = done.get(row.items / 2).copied().map(since);
         row.ended = row.ended.map(since);
-        if let Some((id, item)) = last_wanted(&self.items, carried, row.wanted_groups) {
+        if let Some((id, item)) = last_required_item(&self.items, carried, row.wanted_groups) {
             let done = item.done().map_or(0.0, since);
             row.wanted_done = Some(done);
             row.last = Some(LastItem {
@@ -205,7 +206,7 @@
                 guess: item.guess,
                 runs: item.runs,
                 started: item.first_start.map_or(0.0, since),
-                whole: item.whole.map_or(0.0, since),
+                whole: item.completed_at.map_or(0.0, since),
                 done,
                 is_carried: carried.contains(id),
             });
@@ -214,44 +215,49 @@
     }
 }
 
-/// The item that made the last wanted group whole: groups that came back all count, then those that were whole first.
-fn last_wanted<'a>(
-    items: &'a BTreeMap<String, ItemTrace>,
+/// Returns the item that completed the last required group. All groups with carried items are
+/// required; the others count in the order of their completion.
+fn last_required_item<'a>(
+    items: &'a BTreeMap<String, ItemProgress>,
     carried: &BTreeSet<String>,
-    wanted: usize,
-) -> Option<(&'a str, &'a ItemTrace)> {
-    let mut groups = BTreeMap::<&str, Vec<(&str, &ItemTrace)>>::new();
+    required: usize,
+) -> Option<(&'a str, &'a ItemProgress)> {
+    let mut groups = BTreeMap::<&str, Vec<(&str, &ItemProgress)>>::new();
     for (id, item) in items {
         groups.entry(&item.group).or_default().push((id, item));
     }
-    let is_whole =
-        |group: &Vec<(&str, &ItemTrace)>| group.iter().all(|(_, item)| item.done().is_some());
-    let last = |group: Vec<(&'a str, &'a ItemTrace)>| {
-        let by_done = |one: &(&str, &ItemTrace)| one.1.done().unwrap_or(f64::MAX);
+    let is_complete =
+        |group: &Vec<(&str, &ItemProgress)>| group.iter().all(|(_, item)| item.done().is_some());
+    let last_item = |group: Vec<(&'a str, &'a ItemProgress)>| {
+        let by_done = |one: &(&str, &ItemProgress)| one.1.done().unwrap_or(f64::MAX);
         group
             .into_iter()
             .max_by(|one, other| by_done(one).total_cmp(&by_done(other)))
     };
     let is_carried =
-        |group: &Vec<(&str, &ItemTrace)>| group.iter().any(|(id, _)| carried.contains(*id));
-    let (back, new): (Vec<_>, Vec<_>) = groups.into_values().partition(is_carried);
-    if !back.iter().all(is_whole) {
+        |group: &Vec<(&str, &ItemProgress)>| group.iter().any(|(id, _)| carried.contains(*id));
+    let (carried_groups, new_groups): (Vec<_>, Vec<_>) = groups.into_values().partition(is_carried);
+    if !carried_groups.iter().all(is_complete) {
         return None;
     }
-    let more = wanted.saturating_sub(back.len());
-    let mut ends: Vec<_> = new.into_iter().filter(is_whole).filter_map(last).collect();
-    ends.sort_by(|one, other| {
+    let missing_groups = required.saturating_sub(carried_groups.len());
+    let mut last_items: Vec<_> = new_groups
+        .into_iter()
+        .filter(is_complete)
+        .filter_map(last_item)
+        .collect();
+    last_items.sort_by(|one, other| {
         one.1
             .done()
             .unwrap_or(0.0)
             .total_cmp(&other.1.done().unwrap_or(0.0))
     });
-    if ends.len() < more {
+    if last_items.len() < missing_groups {
         return None;
     }
-    ends.truncate(more);
-    ends.extend(back.into_iter().filter_map(last));
-    ends.into_iter().max_by(|one, other| {
+    last_items.truncate(missing_groups);
+    last_items.extend(carried_groups.into_iter().filter_map(last_item));
+    last_items.into_iter().max_by(|one, other| {
         one.1
             .done()
             .unwrap_or(0.0)
@@ -270,7 +276,7 @@
         .is_some_and(|found| found == outcome)
 }
 
-/// The rows as a table.
+/// Formats the rows as a text table.
 pub fn render_table(rows: &[StepRow]) -> String {
     let mut text = String::from(
         "accepted  step  min  items  back  wanted   first    half  wanted   ended  owners  refused  moved    far  last item\n",
--- a/crates/front/src/orders/learnt.rs
+++ b/crates/front/src/orders/load_limit_store.rs
@@ -1,8 +1,5 @@
-//! What givers of orders have learnt of loads, in a lasting record: a giver that knows nothing, as after a kill of all nodes, goes on
-//! from it.
-//!
-//! Without it the limit of loads rose from two again, was at eight after 8 s, and went to 26 where the link bore ten, so that loads took
-//! 2.6 s instead of 1.0 s: the steps of those 15 s found no instance with their weights (log of a day with a closing kill).
+//! Persists the learned load limit, so that a leader without knowledge of its own, as after a
+//! restart of all nodes, does not start from the minimum and then overload the link.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,35 +9,35 @@
 use tokio::task::JoinSet;
 
 use super::load_limit::LoadLimit;
-use super::news::LearnedLoadLimit;
+use super::weight_updates::LearnedLoadLimit;
 use crate::coordination::Coordination;
 
-/// The record.
-const LEARNT_KEY: &str = "ladderstage/orders/learnt";
+/// Key of the stored limit.
+const LOAD_LIMIT_KEY: &str = "ladderstage/orders/learnt";
 
-/// Least time between two writes: each has its price, and the limit changes about every second while it rises.
-const WRITE_PAUSE: Duration = Duration::from_secs(3);
+/// Minimum interval between writes, as each is a charged call.
+const MIN_WRITE_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Longest wait for the record: a giver without it begins as the first one does.
-const READ_LIMIT: Duration = Duration::from_millis(500);
+/// Timeout of the read; without an answer a leader starts from the default limit.
+const READ_TIMEOUT: Duration = Duration::from_millis(500);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-struct LearntRecord {
-    /// Loads at once.
+struct LoadLimitRecord {
+    /// Maximum number of concurrent loads.
     limit: usize,
-    /// What a load takes with few others beside it.
+    /// Typical load time in milliseconds with few other loads at the same time.
     usual_ms: u64,
-    /// The limit is near what the link bears.
+    /// The limit is close to the capacity of the link.
     is_near: bool,
 }
 
-impl LearntRecord {
-    /// `None` before the first load.
+impl LoadLimitRecord {
+    /// Returns `None` before the first load finished.
     fn of(limit: &LoadLimit) -> Option<Self> {
         Some(Self {
             limit: limit.get(),
             usual_ms: limit.typical_load_time()?.as_millis() as u64,
-            is_near: limit.is_near(),
+            is_near: limit.is_near_capacity(),
         })
     }
 
@@ -50,15 +47,16 @@
     }
 }
 
-/// What a new giver goes on from: its own knowledge or what it was told, else the record; `None` if there is neither.
+/// Returns the load limit that a new leader starts from: the one known to this node, else the
+/// stored one; `None` if there is neither.
 pub async fn restore_load_limit(
-    learnt: &LearnedLoadLimit,
+    known: &LearnedLoadLimit,
     coordination: &dyn Coordination,
 ) -> Option<LoadLimit> {
-    if let Some(limit) = learnt.get() {
+    if let Some(limit) = known.get() {
         return Some(limit);
     }
-    let reading = tokio::time::timeout(READ_LIMIT, coordination.get(LEARNT_KEY));
+    let reading = tokio::time::timeout(READ_TIMEOUT, coordination.get(LOAD_LIMIT_KEY));
     let record = match reading.await {
         Ok(Ok(record)) => record?,
         Ok(Err(error)) => {
@@ -66,11 +64,11 @@
             return None;
         }
         Err(_) => {
-            log::warn!("event=learned_load_limit_read_failed cause=\"no answer in time\"");
+            log::warn!("event=learned_load_limit_read_failed cause=\"read timed out\"");
             return None;
         }
     };
-    match serde_json::from_slice::<LearntRecord>(&record.value) {
+    match serde_json::from_slice::<LoadLimitRecord>(&record.value) {
         Ok(record) => {
             log::info!(
                 "event=learned_load_limit_read limit={} usual_ms={} near={}",
@@ -87,23 +85,23 @@
     }
 }
 
-/// Writes the record now and then; nothing waits for it.
+/// Writes the learned load limit to the store in the background.
 #[derive(Debug, Default)]
 pub struct LoadLimitWriter {
-    written: Option<(LearntRecord, Instant)>,
+    written: Option<(LoadLimitRecord, Instant)>,
     writes: JoinSet<()>,
 }
 
 impl LoadLimitWriter {
-    /// Writes what is learnt if it has changed and the last write is some time ago.
+    /// Writes the limit if it changed and the last write is long enough ago.
     pub fn save(&mut self, limit: &LoadLimit, coordination: &Arc<dyn Coordination>) {
         while self.writes.try_join_next().is_some() {}
-        let Some(record) = LearntRecord::of(limit) else {
+        let Some(record) = LoadLimitRecord::of(limit) else {
             return;
         };
-        let is_known = |(written, at): (LearntRecord, Instant)| {
+        let is_known = |(written, at): (LoadLimitRecord, Instant)| {
             (written.limit, written.is_near) == (record.limit, record.is_near)
-                || at.elapsed() < WRITE_PAUSE
+                || at.elapsed() < MIN_WRITE_INTERVAL
         };
         if self.written.is_some_and(is_known) {
             return;
@@ -112,7 +110,7 @@
         let value = serde_json::to_vec(&record).unwrap_or_default();
         let coordination = Arc::clone(coordination);
         self.writes.spawn(async move {
-            if let Err(error) = coordination.put(LEARNT_KEY, value, None).await {
+            if let Err(error) = coordination.put(LOAD_LIMIT_KEY, value, None).await {
                 log::warn!("event=learned_load_limit_write_failed cause=\"{error}\"");
             }
         });
--- a/crates/front/tests/suspect_load.rs
+++ b/crates/front/tests/suspect_load.rs
@@ -1,9 +1,10 @@
-//! Plays the load of a day on which one request ends each instance that begins to run it, and counts what other callers get: which number
-//! of ends a content should be held back after.
+//! Simulates a service under load with one request that crashes each instance running it, to
+//! compare the number of crashes after which a content is held back.
 //!
-//! 13.8 requests a second of 25 ms, as a small pricing service has them; the deadly request comes twice a second, and ends its instance 7 to
-//! 126 ms after it began; an instance is back after 3 s. Requests are sent to two instances at most and come back once after a refusal or failure.
-//! Instances also end by themselves now and then.
+//! 13.8 requests per second of 25 ms each; the crashing request arrives twice a second and crashes
+//! its instance 7 to 126 ms after it started; an instance restarts within 3 s. A request is sent to
+//! at most two instances and retried once after a refusal or failure. Instances sometimes crash
+//! without a cause.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -16,28 +17,29 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-const DAY_MS: u64 = 100_000;
-const REQUEST_GAP_MS: u64 = 72;
-const DEADLY_GAP_MS: u64 = 500;
-const DEADLY: u64 = 0;
+const DURATION_MS: u64 = 100_000;
+const REQUEST_INTERVAL_MS: u64 = 72;
+const CRASHING_INTERVAL_MS: u64 = 500;
+const CRASHING_CONTENT: u64 = 0;
 const RESTART_MS: u64 = 3_000;
-const COME_BACK_MS: u64 = 300;
+const RETRY_DELAY_MS: u64 = 300;
 const SEEDS: u64 = 20;
 
-/// What happens next; times are milliseconds.
+/// Next event of the simulation; times are in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrives {
         content: u64,
-        tries: u32,
+        retries: u32,
         sent: u32,
     },
-    /// A run ends, if its instance still has the same start.
+    /// A run ends if its instance has not restarted since.
     RunEnds {
         run: u64,
     },
-    /// The instance ends under a deadly run, or by itself (no run).
-    InstanceEnds {
+    /// The instance crashes under the crashing request, or without a cause if `start` is
+    /// `u64::MAX`.
+    InstanceCrashes {
         instance: usize,
         start: u64,
     },
@@ -49,117 +51,124 @@
 #[derive(Debug, Clone, Copy)]
 struct Run {
     content: u64,
-    tries: u32,
+    retries: u32,
     sent: u32,
     instance: usize,
-    began_ms: u64,
+    started_ms: u64,
     is_watched: bool,
 }
 
-/// What callers and operators saw; the deadly request's own tries are left out.
+/// Results of all requests except the crashing one.
 #[derive(Debug, Default, Clone, Copy)]
 struct Outcome {
     sent: u32,
     served: u32,
-    /// Held back though they would have been served.
-    held: u32,
-    ends: u32,
+    /// Attempts that were held back although they would have been served.
+    held_back: u32,
+    crashes: u32,
 }
 
-/// What is played.
+/// Parameters of a simulation.
 #[derive(Debug, Clone, Copy)]
-struct Load {
+struct Scenario {
     instances: usize,
-    /// Ends after which a content is held back.
-    most_ends: usize,
-    /// Between ends that no request causes.
-    own_ends_gap_ms: u64,
+    /// Crashes after which a content is held back.
+    max_crashes: usize,
+    /// Milliseconds between crashes that no request causes.
+    unrelated_crash_interval_ms: u64,
     run_ms: u64,
-    /// Instances that one try is sent to at most.
+    /// Maximum number of instances that one attempt is sent to.
     attempts: u32,
 }
 
-impl Load {
-    /// Quotes before a service of so many instances.
-    fn quotes(instances: usize, most_ends: usize, own_ends_gap_ms: u64) -> Self {
+impl Scenario {
+    /// Live requests to a service with this many instances.
+    fn live_requests(
+        instances: usize,
+        max_crashes: usize,
+        unrelated_crash_interval_ms: u64,
+    ) -> Self {
         Self {
             instances,
-            most_ends,
-            own_ends_gap_ms,
+            max_crashes,
+            unrelated_crash_interval_ms,
             run_ms: 25,
             attempts: 2,
         }
     }
 
     /// Items of batch jobs with long texts.
-    fn items(most_ends: usize, own_ends_gap_ms: u64) -> Self {
+    fn items(max_crashes: usize, unrelated_crash_interval_ms: u64) -> Self {
         Self {
             instances: 45,
-            most_ends,
-            own_ends_gap_ms,
+            max_crashes,
+            unrelated_crash_interval_ms,
             run_ms: 7_000,
             attempts: u32::MAX,
         }
     }
 }
 
-struct Play {
-    load: Load,
+struct Simulation {
+    scenario: Scenario,
     ledger: SuspectLedger,
     base: Instant,
     random: StdRng,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
-    number: u64,
-    /// Start of each instance; `None` while it is down.
+    sequence: u64,
+    /// Start time of each instance; `None` while it is down.
     instances: Vec<Option<u64>>,
     runs: BTreeMap<u64, Run>,
     outcome: Outcome,
 }
 
-impl Play {
-    fn new(load: Load, seed: u64) -> Self {
-        let mut play = Self {
-            load,
-            ledger: SuspectLedger::new(Duration::from_millis(COME_BACK_MS)),
+impl Simulation {
+    fn new(scenario: Scenario, seed: u64) -> Self {
+        let mut simulation = Self {
+            scenario,
+            ledger: SuspectLedger::new(Duration::from_millis(RETRY_DELAY_MS)),
             base: Instant::now(),
             random: StdRng::seed_from_u64(seed),
             events: BinaryHeap::new(),
-            number: 0,
-            instances: vec![Some(0); load.instances],
+            sequence: 0,
+            instances: vec![Some(0); scenario.instances],
             runs: BTreeMap::new(),
             outcome: Outcome::default(),
         };
-        for (content, at) in (0..DAY_MS).step_by(REQUEST_GAP_MS as usize).enumerate() {
-            play.arrive(at, content as u64 + 1, 0, 0);
-            play.outcome.sent += 1;
+        for (content, at) in (0..DURATION_MS)
+            .step_by(REQUEST_INTERVAL_MS as usize)
+            .enumerate()
+        {
+            simulation.add_arrival(at, content as u64 + 1, 0, 0);
+            simulation.outcome.sent += 1;
         }
-        for at in (10_000..DAY_MS).step_by(DEADLY_GAP_MS as usize) {
-            play.arrive(at, DEADLY, 0, 0);
+        for at in (10_000..DURATION_MS).step_by(CRASHING_INTERVAL_MS as usize) {
+            simulation.add_arrival(at, CRASHING_CONTENT, 0, 0);
         }
-        for at in (5_000..DAY_MS).step_by(load.own_ends_gap_ms as usize) {
-            let instance = play.random.random_range(0..load.instances);
-            play.add(
+        for at in (5_000..DURATION_MS).step_by(scenario.unrelated_crash_interval_ms as usize) {
+            let instance = simulation.random.random_range(0..scenario.instances);
+            simulation.add(
                 at,
-                Event::InstanceEnds {
+                Event::InstanceCrashes {
                     instance,
                     start: u64::MAX,
                 },
             );
         }
-        play
+        simulation
     }
 
     fn add(&mut self, at: u64, event: Event) {
-        self.number += 1;
-        self.events.push(Reverse((at, self.number, event)));
+        self.sequence += 1;
+        self.events.push(Reverse((at, self.sequence, event)));
     }
 
-    fn arrive(&mut self, at: u64, content: u64, tries: u32, sent: u32) {
+    fn add_arrival(&mut self, at: u64, content: u64, retries: u32, sent: u32) {
         self.add(
             at,
             Event::Arrives {
                 content,
-                tries,
+                retries,
                 sent,
             },
         );
@@ -170,48 +179,50 @@
             match event {
                 Event::Arrives {
                     content,
-                    tries,
+                    retries,
                     sent,
-                } => self.begin(now, content, tries, sent),
+                } => self.start_run(now, content, retries, sent),
                 Event::RunEnds { run } => self.serve(run),
-                Event::InstanceEnds { instance, start } => self.end(now, instance, start),
+                Event::InstanceCrashes { instance, start } => {
+                    self.crash_instance(now, instance, start)
+                }
                 Event::Restarts { instance } => self.instances[instance] = Some(now),
             }
         }
         self.outcome
     }
 
-    fn begin(&mut self, now: u64, content: u64, tries: u32, sent: u32) {
-        let up: Vec<usize> = (0..self.instances.len())
+    fn start_run(&mut self, now: u64, content: u64, retries: u32, sent: u32) {
+        let running: Vec<usize> = (0..self.instances.len())
             .filter(|index| self.instances[*index].is_some())
             .collect();
-        if up.is_empty() || sent >= self.load.attempts {
-            return self.fail(now, content, tries, false);
+        if running.is_empty() || sent >= self.scenario.attempts {
+            return self.fail(now, content, retries, false);
         }
         let digest = ContentDigest::from_bits(content);
         let at = self.base + Duration::from_millis(now);
-        let admission = self.ledger.admit(digest, self.load.most_ends, at);
+        let admission = self.ledger.admit(digest, self.scenario.max_crashes, at);
         if matches!(admission, Admission::Held { .. }) {
-            return self.fail(now, content, tries, true);
+            return self.fail(now, content, retries, true);
         }
-        let instance = up[self.random.random_range(0..up.len())];
-        self.number += 1;
+        let instance = running[self.random.random_range(0..running.len())];
+        self.sequence += 1;
         let run = Run {
             content,
-            tries,
+            retries,
             sent: sent + 1,
             instance,
-            began_ms: now,
+            started_ms: now,
             is_watched: admission == Admission::Watched,
         };
-        let id = self.number;
+        let id = self.sequence;
         self.runs.insert(id, run);
-        if content == DEADLY {
+        if content == CRASHING_CONTENT {
             let start = self.instances[instance].unwrap();
             let at = now + self.random.random_range(7..=126);
-            self.add(at, Event::InstanceEnds { instance, start });
+            self.add(at, Event::InstanceCrashes { instance, start });
         } else {
-            self.add(now + self.load.run_ms, Event::RunEnds { run: id });
+            self.add(now + self.scenario.run_ms, Event::RunEnds { run: id });
         }
     }
 
@@ -221,103 +232,130 @@
         };
         let digest = ContentDigest::from_bits(run.content);
         if run.is_watched {
-            self.ledger.run_over(digest);
+            self.ledger.finish_run(digest);
         }
         self.ledger.clear(digest);
         self.outcome.served += 1;
     }
 
-    fn end(&mut self, now: u64, instance: usize, start: u64) {
-        let Some(present) = self.instances[instance] else {
+    fn crash_instance(&mut self, now: u64, instance: usize, start: u64) {
+        let Some(current) = self.instances[instance] else {
             return;
         };
-        if start != u64::MAX && start != present {
+        if start != u64::MAX && start != current {
             return;
         }
         self.instances[instance] = None;
-        self.outcome.ends += 1;
+        self.outcome.crashes += 1;
         self.add(now + RESTART_MS, Event::Restarts { instance });
-        let there = self.runs.iter().filter(|(_, run)| run.instance == instance);
-        let broken: Vec<(u64, Run)> = there.map(|(id, run)| (*id, *run)).collect();
+        let affected = self.runs.iter().filter(|(_, run)| run.instance == instance);
+        let broken: Vec<(u64, Run)> = affected.map(|(id, run)| (*id, *run)).collect();
         for (id, run) in broken {
             self.runs.remove(&id);
             let digest = ContentDigest::from_bits(run.content);
             let at = self.base + Duration::from_millis(now);
-            let began = self.base + Duration::from_millis(run.began_ms);
+            let started = self.base + Duration::from_millis(run.started_ms);
             self.ledger
-                .note_end(digest, &format!("{instance}@{present}"), began, at);
+                .record_crash(digest, &format!("{instance}@{current}"), started, at);
             if run.is_watched {
-                self.ledger.run_over(digest);
+                self.ledger.finish_run(digest);
             }
-            self.begin(now, run.content, run.tries, run.sent);
+            self.start_run(now, run.content, run.retries, run.sent);
         }
     }
 
-    fn fail(&mut self, now: u64, content: u64, tries: u32, is_held: bool) {
-        if content != DEADLY {
-            self.outcome.held += u32::from(is_held);
+    fn fail(&mut self, now: u64, content: u64, retries: u32, is_held: bool) {
+        if content != CRASHING_CONTENT {
+            self.outcome.held_back += u32::from(is_held);
         }
-        if tries == 0 {
-            self.arrive(now + COME_BACK_MS, content, 1, 0);
+        if retries == 0 {
+            self.add_arrival(now + RETRY_DELAY_MS, content, 1, 0);
         }
     }
 }
 
-/// Sums over all seeds.
-fn play(load: Load) -> Outcome {
-    let plays = (0..SEEDS).map(|seed| Play::new(load, seed).run());
-    let sum = plays.fold(Outcome::default(), |sum, one| Outcome {
+/// Returns the sum of the outcomes over all seeds.
+fn simulate(scenario: Scenario) -> Outcome {
+    let outcomes = (0..SEEDS).map(|seed| Simulation::new(scenario, seed).run());
+    let sum = outcomes.fold(Outcome::default(), |sum, one| Outcome {
         sent: sum.sent + one.sent,
         served: sum.served + one.served,
-        held: sum.held + one.held,
-        ends: sum.ends + one.ends,
+        held_back: sum.held_back + one.held_back,
+        crashes: sum.crashes + one.crashes,
     });
-    println!("{load:?} {sum:?}");
+    println!("{scenario:?} {sum:?}");
     sum
 }
 
-/// No bound: what was known of a try was forgotten with it.
-const NEVER: usize = usize::MAX;
+/// No content is ever held back.
+const NO_LIMIT: usize = usize::MAX;
 
-/// One end in ten seconds that no request causes: a bad day.
-const BAD_DAY_MS: u64 = 10_000;
+/// One crash in ten seconds without a cause.
+const RARE_CRASHES_MS: u64 = 10_000;
 
-/// One each half second: a fleet that falls over.
-const FALLING_FLEET_MS: u64 = 500;
+/// One crash in half a second without a cause.
+const FREQUENT_CRASHES_MS: u64 = 500;
 
 #[test]
-fn other_callers_are_served_far_better_than_without_a_bound() {
-    let [before, after] =
-        [NEVER, LIVE_MAX_CRASHES].map(|most| play(Load::quotes(3, most, BAD_DAY_MS)));
-    assert!(before.served * 2 < before.sent, "{before:?}");
-    assert!(after.served * 1_000 > after.sent * 999, "{after:?}");
+fn holding_back_the_crashing_request_lets_other_requests_succeed() {
+    let [without_limit, with_limit] = [NO_LIMIT, LIVE_MAX_CRASHES]
+        .map(|max_crashes| simulate(Scenario::live_requests(3, max_crashes, RARE_CRASHES_MS)));
+    assert!(
+        without_limit.served * 2 < without_limit.sent,
+        "{without_limit:?}"
+    );
+    assert!(
+        with_limit.served * 1_000 > with_limit.sent * 999,
+        "{with_limit:?}"
+    );
     for instances in [3, 45] {
-        let [before, after] =
-            [NEVER, LIVE_MAX_CRASHES].map(|most| play(Load::quotes(instances, most, BAD_DAY_MS)));
-        assert!(after.served >= before.served, "{before:?} {after:?}");
-        assert!(after.ends * 3 < before.ends, "{before:?} {after:?}");
+        let [without_limit, with_limit] = [NO_LIMIT, LIVE_MAX_CRASHES].map(|max_crashes| {
+            simulate(Scenario::live_requests(
+                instances,
+                max_crashes,
+                RARE_CRASHES_MS,
+            ))
+        });
+        assert!(
+            with_limit.served >= without_limit.served,
+            "{without_limit:?} {with_limit:?}"
+        );
+        assert!(
+            with_limit.crashes * 3 < without_limit.crashes,
+            "{without_limit:?} {with_limit:?}"
+        );
     }
 }
 
 #[test]
-fn few_live_requests_are_held_back_for_what_others_caused() {
+fn few_live_requests_are_held_back_for_crashes_with_other_causes() {
     for instances in [3, 45] {
-        for gap in [BAD_DAY_MS, FALLING_FLEET_MS] {
-            let [_, three, four] =
-                [LIVE_MAX_CRASHES, 3, 4].map(|most| play(Load::quotes(instances, most, gap)));
-            let chosen = play(Load::quotes(instances, LIVE_MAX_CRASHES, gap));
-            assert!(chosen.held * 1_000 <= chosen.sent, "{chosen:?}");
-            assert!(chosen.served >= three.served && three.served >= four.served);
+        for crash_interval_ms in [RARE_CRASHES_MS, FREQUENT_CRASHES_MS] {
+            let [_, three, four] = [LIVE_MAX_CRASHES, 3, 4].map(|max_crashes| {
+                simulate(Scenario::live_requests(
+                    instances,
+                    max_crashes,
+                    crash_interval_ms,
+                ))
+            });
+            let actual = simulate(Scenario::live_requests(
+                instances,
+                LIVE_MAX_CRASHES,
+                crash_interval_ms,
+            ));
+            assert!(actual.held_back * 1_000 <= actual.sent, "{actual:?}");
+            assert!(actual.served >= three.served && three.served >= four.served);
         }
     }
 }
 
 #[test]
-fn few_items_are_held_back_for_what_others_caused() {
-    for gap in [BAD_DAY_MS, 2_000, FALLING_FLEET_MS] {
-        let [two, chosen] = [2, ITEM_MAX_CRASHES].map(|most| play(Load::items(most, gap)));
-        assert!(chosen.held <= two.held, "{two:?} {chosen:?}");
-        assert!(chosen.served >= two.served, "{two:?} {chosen:?}");
-        assert!(chosen.served * 50 > chosen.sent * 49, "{chosen:?}");
+fn few_items_are_held_back_for_crashes_with_other_causes() {
+    for crash_interval_ms in [RARE_CRASHES_MS, 2_000, FREQUENT_CRASHES_MS] {
+        let [two, actual] = [2, ITEM_MAX_CRASHES]
+            .map(|max_crashes| simulate(Scenario::items(max_crashes, crash_interval_ms)));
+        assert!(actual.held_back <= two.held_back, "{two:?} {actual:?}");
+        assert!(actual.served >= two.served, "{two:?} {actual:?}");
+        assert!(actual.served * 50 > actual.sent * 49, "{actual:?}");
     }
 }
