--- a/crates/front/src/job/mod.rs
+++ b/crates/front/src/job/mod.rs
@@ -45,7 +45,7 @@
 pub use migration::{
     EventIntervals, expected_remaining_events, is_move_worthwhile, remaining_demand,
 };
-pub use preferred_owner::{home, preferred_owner_in_region};
+pub use preferred_owner::{preferred_owner, preferred_owner_in_region};
 pub use queue::EntryQueue;
 pub use reading::ReadError;
 pub use region_bounds::{RegionBoundsError, check_node_regions};
