--- a/crates/front/tests/cold_instances.rs
+++ b/crates/front/tests/cold_instances.rs
@@ -267,10 +267,10 @@
     let services = || BTreeSet::from(["service".to_owned()]);
     let roster = |cold_ms| {
         table.upsert(record("i-1", cold_ms));
-        Roster::of(&table, services(), 1, None)
+        Roster::from_table(&table, services(), 1, None)
     };
     let (cold, still_cold, warm) = (roster(3_000), roster(1_800), roster(0));
-    assert!(cold.is_same(&still_cold) && !still_cold.is_same(&warm));
+    assert!(cold.is_equivalent(&still_cold) && !still_cold.is_equivalent(&warm));
     let reader = limited_table();
     cold.apply(&reader);
     let instance = reader.get("i-1").unwrap();
