--- a/crates/front/src/backend/exchange.rs
+++ b/crates/front/src/backend/exchange.rs
@@ -27,7 +27,9 @@
 /// Head of a request to an instance.
 #[derive(Debug, Clone)]
 pub struct RequestHead {
+    /// HTTP method.
     pub method: Method,
+    /// Path and query.
     pub uri: Uri,
     /// All headers, hop-by-hop headers excluded.
     pub headers: HeaderMap,
@@ -69,8 +71,11 @@
 /// Head of a response whose body is still to be read.
 #[derive(Debug)]
 pub struct Reply {
+    /// HTTP status.
     pub status: StatusCode,
+    /// All headers of the instance.
     pub headers: HeaderMap,
+    /// Unread body.
     pub body: Incoming,
     pooled: PooledConnection,
 }
--- a/crates/front/src/dialect.rs
+++ b/crates/front/src/dialect.rs
@@ -109,8 +109,11 @@
 /// A call to one of an instance's own endpoints.
 #[derive(Debug, Clone)]
 pub struct InstanceCall {
+    /// HTTP method.
     pub method: Method,
+    /// Path without a query.
     pub path: &'static str,
+    /// Encoded body.
     pub body: Bytes,
 }
 
@@ -144,4 +147,5 @@
     fn order_call(&self, order: &VersionOrder) -> InstanceCall;
 }
 
+/// Reference-counted codec.
 pub type SharedCodec = Arc<dyn Codec>;
--- a/crates/front/src/ingress/mod.rs
+++ b/crates/front/src/ingress/mod.rs
@@ -67,6 +67,7 @@
     pub codec: SharedCodec,
     /// Contact with the store.
     pub nodes: Nodes,
+    /// Metrics of this process.
     pub metrics: Arc<Metrics>,
     /// Drain state and number of requests.
     pub state: Arc<IngressState>,
--- a/crates/front/src/live.rs
+++ b/crates/front/src/live.rs
@@ -54,6 +54,7 @@
 pub struct LiveRequest {
     /// Id of the client's attempt.
     pub attempt_id: HeaderValue,
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
@@ -94,9 +95,11 @@
 pub enum LiveAnswer {
     /// A complete response of an instance.
     Complete {
+        /// HTTP status.
         status: StatusCode,
         /// Headers without hop-by-hop ones.
         headers: HeaderMap,
+        /// Complete body.
         body: Bytes,
     },
     /// The start of a streamed response, whose run lasts until the stream ends.
@@ -160,6 +163,7 @@
     pub backends: BackendTable,
     /// Header names.
     pub codec: SharedCodec,
+    /// Metrics of this process.
     pub metrics: Arc<Metrics>,
     /// Counts requests that started to run.
     pub usage: UsageMeter,
--- a/crates/front/src/suspects/content.rs
+++ b/crates/front/src/suspects/content.rs
@@ -14,7 +14,9 @@
 pub struct RequestContent<'a> {
     /// Host without port.
     pub host: &'a str,
+    /// HTTP method.
     pub method: &'a str,
+    /// Path and query.
     pub path: &'a str,
     /// Name of the tenant, empty if there is none.
     pub tenant: &'a str,
--- a/crates/front/src/suspects/ledger.rs
+++ b/crates/front/src/suspects/ledger.rs
@@ -65,6 +65,7 @@
 /// State of a content before it was cleared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cleared {
+    /// Not suspected at this node.
     NotSuspected,
     /// Suspected at this node only.
     Local,
--- a/crates/front/src/suspects/mod.rs
+++ b/crates/front/src/suspects/mod.rs
@@ -31,12 +31,14 @@
 /// A live request or an item, by the ids in the log.
 #[derive(Debug, Clone, Copy)]
 pub enum RunSubject<'a> {
+    /// A live request.
     Request {
         /// Id of the client's attempt.
         id: &'a str,
         /// Name of its route.
         route: &'a str,
     },
+    /// An item of a batch job.
     Item {
         /// Id of the item.
         id: &'a str,
--- a/crates/front/src/tenant.rs
+++ b/crates/front/src/tenant.rs
@@ -78,6 +78,7 @@
     NoTenants,
     /// No tenant, on a route that needs no key.
     Anonymous,
+    /// The tenant that owns the API key.
     Tenant(Arc<Tenant>),
 }
 
