--- a/crates/front/tests/roster.rs
+++ b/crates/front/tests/roster.rs
@@ -859,7 +859,7 @@
             .backends
             .get("i-b")
             .unwrap()
-            .may_send(ladderstage_clock::Instant::now());
+            .check_send(ladderstage_clock::Instant::now());
         assert_eq!(held, Err(HoldReason::DrainsUnknown));
         store.set_faults("new", NodeFaults::default());
         new.until_may_send("i-b", true).await;
