--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -157,7 +157,7 @@
     metrics.add_store_calls(&options.store_calls);
     metrics.add_nodes(&nodes);
     metrics.add_discovery(inputs.backends.counters());
-    let (suspects, unshared) = Suspects::new(Arc::clone(&metrics));
+    let (suspects, updates) = Suspects::new(Arc::clone(&metrics));
     let jobs = JobRegistry::new(shared.job_context(&parts, &suspects));
     let permits = PermitIssuer::new(inputs.backends.gates().cold.clone());
     let hooks = JobHooks {
@@ -206,7 +206,7 @@
             nodes: nodes.clone(),
             coordination: Arc::clone(&coordination),
         };
-        async move { sharing.run(unshared).await }
+        async move { sharing.run(updates).await }
     });
     let suspension_task = tokio::spawn({
         let (coordination, metrics) = (Arc::clone(&coordination), Arc::clone(&metrics));
--- a/crates/front/src/program.rs
+++ b/crates/front/src/program.rs
@@ -145,9 +145,9 @@
         BundleEvidence::default()
     }
 
-    fn heartbeat_round(&self, asked_at: Instant, _evidence: Vec<BundleEvidence>, majority: bool) {
+    fn heartbeat_round(&self, sent_at: Instant, _evidence: Vec<BundleEvidence>, majority: bool) {
         if let Some(jobs) = self.jobs.as_ref().filter(|_| majority) {
-            jobs.on_confirmed(asked_at);
+            jobs.on_confirmed(sent_at);
         }
     }
 
