--- a/crates/ladderstage/src/admission/mod.rs
+++ b/crates/ladderstage/src/admission/mod.rs
@@ -1,4 +1,5 @@
-//! Concurrency limits per work class. A request is admitted or refused at once; none is queued.
+//! Concurrency limits per class of work. A request is admitted or refused immediately; nothing is
+//! queued.
 
 mod window;
 
@@ -9,41 +10,42 @@
 
 use crate::bundle::ClassSpec;
 
-/// Window over which completions and refusals are measured.
+/// Window over which completions and refusals are counted.
 const RATE_WINDOW: Duration = Duration::from_secs(10);
 
-/// Shortest hint, as `Retry-After` counts whole seconds.
+/// Minimum retry hint; `Retry-After` has a resolution of one second.
 pub const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Longest hint.
+/// Maximum retry hint.
 pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// Hint while nothing was completed within the window.
-const RETRY_AFTER_WITHOUT_RATE: Duration = Duration::from_secs(5);
+/// Retry hint if no request completed within the window.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// Why a request was not admitted.
+/// Reason why a request was not admitted.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum AdmissionError {
-    /// The bundle in force names no such class.
+    /// The bundle in force does not define the class.
     #[error("unknown class {class:?}")]
     UnknownClass {
-        /// Class that was asked for.
+        /// Requested class.
         class: String,
     },
-    /// The class, or what more important classes leave of the whole, is used up.
+    /// The class is at its limit, or the total is used up or reserved for more important classes.
     #[error("class {class:?} is at its limit")]
     Full {
-        /// Class that was asked for.
+        /// Requested class.
         class: String,
-        /// When a place is likely to be free.
+        /// Time after which a slot is likely to be free.
         retry_after: Duration,
     },
 }
 
-/// Requests in flight by class, against the limits of the bundle in force.
+/// Number of requests in flight by class, checked against the limits of the bundle in force.
 ///
-/// Invariant: a class never uses places that more important classes (smaller priority) may still claim, so those
-/// always find room for their whole limit as long as the total is at least the sum of theirs.
+/// Invariant: a class never uses slots that more important classes (smaller priority) may still
+/// claim. Each class can therefore reach its limit as long as the total covers its limit and those
+/// of all more important classes.
 #[derive(Debug)]
 pub struct Admission {
     total_limit: u32,
@@ -52,15 +54,15 @@
 
 #[derive(Debug)]
 struct Class {
-    /// `None`: dropped from the bundle while requests are in flight.
-    rule: Option<Rule>,
+    /// `None` if the class was removed from the bundle while its requests are in flight.
+    rule: Option<ClassRule>,
     in_flight: u32,
     completions: SlidingCounter,
     refusals: SlidingCounter,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Rule {
+struct ClassRule {
     priority: u32,
     limit: u32,
 }
@@ -75,18 +77,19 @@
         }
     }
 
-    /// Places that the class may still claim.
-    fn unused(&self) -> u32 {
+    /// Returns the number of further requests that the class limit allows.
+    fn unused_limit(&self) -> u32 {
         let limit = self.rule.map_or(0, |rule| rule.limit);
         limit.saturating_sub(self.in_flight)
     }
 
-    /// The time in which everyone refused lately, and this one, would find a place at the measured rate.
+    /// Counts a refusal and returns its retry hint: the time in which all recently refused requests
+    /// would find a slot at the measured completion rate.
     fn refuse(&mut self, now: Duration) -> Duration {
         self.refusals.add(now);
         let rate = self.completions.rate(now);
         if rate <= 0.0 {
-            return RETRY_AFTER_WITHOUT_RATE;
+            return DEFAULT_RETRY_AFTER;
         }
         let seconds = self.refusals.count(now) as f64 / rate;
         let longest = MAX_RETRY_AFTER.as_secs_f64();
@@ -95,7 +98,7 @@
 }
 
 impl Admission {
-    /// Admits up to `total_limit` requests of all classes together; no classes yet.
+    /// Creates a limiter of `total_limit` requests across all classes, without any class.
     pub fn new(total_limit: u32) -> Self {
         Self {
             total_limit,
@@ -103,25 +106,26 @@
         }
     }
 
-    /// Takes over the classes of a bundle; requests in flight stay counted.
+    /// Applies the classes of a bundle; requests in flight stay counted.
     pub fn configure(&mut self, classes: &[ClassSpec]) {
         for class in self.classes.values_mut() {
             class.rule = None;
         }
         for spec in classes {
             let class = self.classes.entry(spec.name.clone());
-            class.or_insert_with(Class::new).rule = Some(Rule {
+            class.or_insert_with(Class::new).rule = Some(ClassRule {
                 priority: spec.priority,
                 limit: spec.limit,
             });
         }
-        self.forget_unused();
+        self.remove_dropped_classes();
     }
 
-    /// Admits one request of a class. Every admitted request must be given back with [`Self::finish`].
+    /// Admits one request of a class. Every admitted request must be released with
+    /// [`Self::finish`].
     ///
     /// # Errors
-    /// [`AdmissionError`]; nothing is counted as in flight then.
+    /// [`AdmissionError`] if the request is refused; it is not counted as in flight.
     pub fn admit(&mut self, name: &str, now: Duration) -> Result<(), AdmissionError> {
         let available = self.available(name);
         let class = self
@@ -133,7 +137,7 @@
                 class: name.to_owned(),
             });
         };
-        if available == 0 || class.unused() == 0 {
+        if available == 0 || class.unused_limit() == 0 {
             return Err(AdmissionError::Full {
                 class: name.to_owned(),
                 retry_after: class.refuse(now),
@@ -143,21 +147,22 @@
         Ok(())
     }
 
-    /// Gives back the place of an admitted request.
+    /// Releases the slot of an admitted request.
     pub fn finish(&mut self, name: &str, now: Duration) {
         if let Some(class) = self.classes.get_mut(name) {
             class.in_flight = class.in_flight.saturating_sub(1);
             class.completions.add(now);
         }
-        self.forget_unused();
+        self.remove_dropped_classes();
     }
 
-    /// Requests of a class in flight.
+    /// Returns the number of requests of a class in flight.
     pub fn in_flight(&self, name: &str) -> u32 {
         self.classes.get(name).map_or(0, |class| class.in_flight)
     }
 
-    /// Places that requests in flight and more important classes leave.
+    /// Returns the number of slots left by requests in flight and by reservations for more
+    /// important classes.
     fn available(&self, name: &str) -> u32 {
         let Some(rule) = self.classes.get(name).and_then(|class| class.rule) else {
             return 0;
@@ -171,13 +176,13 @@
                     .rule
                     .is_some_and(|other| other.priority < rule.priority)
             })
-            .map(Class::unused)
+            .map(Class::unused_limit)
             .fold(0, u32::saturating_add);
         self.total_limit
             .saturating_sub(used.saturating_add(reserved))
     }
 
-    fn forget_unused(&mut self) {
+    fn remove_dropped_classes(&mut self) {
         self.classes
             .retain(|_, class| class.rule.is_some() || class.in_flight > 0);
     }
--- a/crates/ladderstage/src/admission/window.rs
+++ b/crates/ladderstage/src/admission/window.rs
@@ -1,23 +1,24 @@
-//! Counts events over a sliding window of time.
+//! Counter of events within a sliding time window.
 
 use std::time::Duration;
 
-/// Buckets that one window is cut into.
+/// Number of buckets per window.
 const BUCKETS: usize = 10;
 
-/// Events of the last window, in buckets of a tenth of it.
+/// Number of events within the last window, counted in buckets of a tenth of the window.
 ///
-/// Time is any `Duration` since one fixed moment; it must not run backwards (if it does, the newest bucket counts).
+/// Times are durations since a fixed origin and must not decrease; an earlier time counts towards
+/// the newest bucket.
 #[derive(Debug, Clone)]
 pub struct SlidingCounter {
     bucket_length: Duration,
     counts: [u64; BUCKETS],
-    /// Number of the newest bucket since the fixed moment.
+    /// Index of the newest bucket since the origin.
     newest: u128,
 }
 
 impl SlidingCounter {
-    /// A counter over windows of `window`, without events.
+    /// Creates an empty counter with the window length `window`.
     pub fn new(window: Duration) -> Self {
         let shortest = Duration::from_millis(1);
         Self {
@@ -33,13 +34,13 @@
         self.counts[slot(self.newest)] += 1;
     }
 
-    /// Events of the window that ends now.
+    /// Returns the number of events within the window that ends at `now`.
     pub fn count(&mut self, now: Duration) -> u64 {
         self.advance(now);
         self.counts.iter().sum()
     }
 
-    /// Events per second over the window that ends now.
+    /// Returns the events per second over the window that ends at `now`.
     pub fn rate(&mut self, now: Duration) -> f64 {
         let window = self.bucket_length.as_secs_f64() * BUCKETS as f64;
         self.count(now) as f64 / window
--- a/crates/ladderstage/src/backend/entry.rs
+++ b/crates/ladderstage/src/backend/entry.rs
@@ -1,8 +1,8 @@
-//! All that is known of one back end.
+//! State of one back end.
 
 use std::time::Duration;
 
-use super::health::{Health, Withheld};
+use super::health::{Health, HealthRejection};
 use super::listing::{Listing, Placement};
 use super::observation::{ListedBackend, Observed, Report};
 use super::policy::BackendPolicy;
@@ -10,34 +10,34 @@
 use super::traffic::Traffic;
 use crate::ids::ProcessId;
 
-/// Why a back end gets no new work now.
+/// Reason why a back end may not be given new work now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Unusable {
-    /// No list ever named it, so its address is unknown.
+    /// No machine list has named the back end, so its address is unknown.
     #[error("not in the machine list yet")]
     Unlisted,
-    /// Answers of the list have lacked it for the grace time.
+    /// The machine list has lacked the back end for the grace period.
     #[error("missing from the machine list")]
     Missing,
-    /// Its present process is leaving.
+    /// The current process is leaving.
     #[error("leaving")]
     Leaving,
-    /// The list or a refusal says leaving, though perhaps of an earlier process.
+    /// A machine list or a refusal reported a leaving process, possibly an earlier one.
     #[error("withheld: last said to be leaving")]
     Withheld,
-    /// There is no evidence younger than the bound.
+    /// No evidence is within the freshness bound.
     #[error("no fresh evidence")]
     Stale,
-    /// Own requests failed in a row.
+    /// Consecutive own requests failed.
     #[error("ejected after failures")]
     Ejected,
-    /// The one trial request after an ejection is under way.
+    /// The single trial request after an ejection is in flight.
     #[error("on trial after failures")]
     OnTrial,
-    /// It just refused because it was full.
+    /// The back end refused a request recently because it was full.
     #[error("refused just now")]
     Paused,
-    /// As much own work is there as the pool allows.
+    /// Own requests have reached the pool's concurrency.
     #[error("at the pool's concurrency")]
     Busy,
 }
@@ -48,11 +48,12 @@
     pub(super) processes: Processes,
     pub(super) health: Health,
     pub(super) traffic: Traffic,
-    /// Newest request that proved it alive.
+    /// Send time of the newest request that proved the back end alive.
     pub(super) evidence_at: Option<Duration>,
-    /// Evidence from before this is about another address.
-    evidence_floor: Duration,
-    /// A refusal may have spoken of this process or of the one before.
+    /// Evidence from before this time refers to another address.
+    evidence_not_before: Duration,
+    /// End of the exclusion after a refusal that may refer to the current process or the previous
+    /// one.
     withheld_until: Duration,
 }
 
@@ -81,7 +82,8 @@
         self.processes.leaving_since(version)
     }
 
-    /// Whether nothing is lost by forgetting it.
+    /// Returns whether the entry can be dropped: long missing from the list and without own
+    /// requests.
     pub(super) fn is_forgettable(&self, forget_after: Duration) -> bool {
         self.listing.missing_for() >= forget_after && self.traffic.in_flight() == 0
     }
@@ -93,11 +95,13 @@
         policy: &BackendPolicy,
     ) -> Result<(), Unusable> {
         self.check_presence(now, policy)?;
-        self.health.check(now).map_err(|withheld| match withheld {
-            Withheld::Ejected => Unusable::Ejected,
-            Withheld::OnTrial => Unusable::OnTrial,
-            Withheld::Paused => Unusable::Paused,
-        })?;
+        self.health
+            .check(now)
+            .map_err(|rejection| match rejection {
+                HealthRejection::Ejected => Unusable::Ejected,
+                HealthRejection::OnTrial => Unusable::OnTrial,
+                HealthRejection::Paused => Unusable::Paused,
+            })?;
         if self.traffic.in_flight() >= concurrency {
             return Err(Unusable::Busy);
         }
@@ -137,7 +141,7 @@
     ) -> bool {
         if self.listing.observe(listed, observed.sent_at) {
             self.evidence_at = None;
-            self.evidence_floor = observed.received_at;
+            self.evidence_not_before = observed.received_at;
         }
         if !listed.leaving {
             let replaced_at = self.processes.replaced_at();
@@ -146,11 +150,13 @@
             return false;
         }
         self.listing.observe_leaving(observed.sent_at);
-        self.list_speaks_of_current(observed.sent_at, policy) && self.processes.bar_current(version)
+        self.list_refers_to_current(observed.sent_at, policy)
+            && self.processes.mark_current_leaving(version)
     }
 
-    /// Whether a list of that time cannot speak of an earlier process: the present one was known `list_lag` before.
-    fn list_speaks_of_current(&self, sent_at: Duration, policy: &BackendPolicy) -> bool {
+    /// Returns whether a list of that time must refer to the current process, which was already
+    /// known `list_lag` before.
+    fn list_refers_to_current(&self, sent_at: Duration, policy: &BackendPolicy) -> bool {
         self.processes
             .current()
             .is_some_and(|current| current.first.received_at + policy.list_lag <= sent_at)
@@ -164,32 +170,32 @@
         self.listing.observe_missing(sent_at);
     }
 
-    /// Takes in a report whose place in time is known.
+    /// Applies a report with a known observation interval.
     pub(super) fn observe_report(&mut self, report: &Report, observed: Observed, version: u64) {
         match self.processes.observe(report, observed, version) {
             ReportEffect::Ignored => return,
             ReportEffect::Confirmed => {}
-            ReportEffect::Replaced => self.start_anew(),
+            ReportEffect::Replaced => self.reset_for_new_process(),
         }
-        self.note_evidence(observed.sent_at);
+        self.record_evidence(observed.sent_at);
     }
 
-    /// Takes in a report that may have been long on its way: it proves nothing but leaving.
-    pub(super) fn observe_hearsay(&mut self, report: &Report, version: u64) {
+    /// Applies a report of unknown age, which proves nothing except that the process is leaving.
+    pub(super) fn observe_undated_report(&mut self, report: &Report, version: u64) {
         self.processes.observe_load(report);
         if report.leaving {
-            self.processes.bar_leaving(report.process, version);
+            self.processes.mark_leaving(report.process, version);
         }
     }
 
-    /// Nothing that was learned of an earlier process holds for a new one.
-    fn start_anew(&mut self) {
+    /// Discards observations of an earlier process, which do not apply to a new one.
+    fn reset_for_new_process(&mut self) {
         self.evidence_at = None;
         self.health = Health::default();
     }
 
-    fn note_evidence(&mut self, sent_at: Duration) {
-        if sent_at >= self.evidence_floor {
+    fn record_evidence(&mut self, sent_at: Duration) {
+        if sent_at >= self.evidence_not_before {
             self.evidence_at = self.evidence_at.max(Some(sent_at));
         }
     }
@@ -204,11 +210,12 @@
         self.health.end(dispatch);
     }
 
-    /// A request was answered whole. Which one is not said, so the evidence is as old as the oldest under way.
+    /// Records that a request was answered completely. The caller does not say which one, so the
+    /// evidence is as old as the oldest request in flight.
     pub(super) fn note_success(&mut self) {
         self.health.succeed();
         if let Some(sent_at) = self.traffic.oldest() {
-            self.note_evidence(sent_at);
+            self.record_evidence(sent_at);
         }
     }
 
@@ -220,8 +227,9 @@
         self.health.refuse(now, policy, jitter);
     }
 
-    /// The back end itself refused a request because it is leaving. If all requests under way started after the
-    /// present process was seen, it speaks of that one; else perhaps of the one before.
+    /// Records that the back end refused a request because it is leaving. If all requests in flight
+    /// started after the current process was first seen, the refusal refers to that process;
+    /// otherwise it may refer to the previous one.
     pub(super) fn note_leaving(
         &mut self,
         now: Duration,
@@ -238,6 +246,6 @@
             self.withheld_until = now + policy.freshness;
             return false;
         }
-        self.processes.bar_current(version)
+        self.processes.mark_current_leaving(version)
     }
 }
--- a/crates/ladderstage/src/backend/gossip.rs
+++ b/crates/ladderstage/src/backend/gossip.rs
@@ -1,4 +1,4 @@
-//! What processes tell each other of back ends.
+//! Exchange of back-end reports between processes.
 
 use std::time::Duration;
 
@@ -11,22 +11,25 @@
 use super::view::age_ms;
 use crate::bundle::PoolKind;
 
-/// How reports of a peer came here.
+/// Way in which reports of a peer were received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GossipOrigin {
-    /// The peer sent them unasked. How long they were on their way is unknown (a frozen connection may deliver them
-    /// minutes late), so their ages mean nothing: they prove leaving, and may name a newer load of the known process.
+    /// Sent by the peer unrequested. Their transit time is unknown (a stalled connection may
+    /// deliver them minutes late), so their ages are meaningless: they prove that a process is
+    /// leaving, and may update the load of the known process.
     Pushed,
-    /// They answer a request of ours; their ages count from when it was sent.
+    /// Received in answer to an own request; their ages count from when it was sent.
     Pulled(Observed),
 }
 
 impl BackendTable {
-    /// Takes in what a peer knows.
+    /// Applies the reports of a peer.
     pub fn observe_gossip(&mut self, reports: &[BackendReport], origin: GossipOrigin) {
         for report in reports {
             match origin {
-                GossipOrigin::Pushed => self.observe_hearsay(&report.backend, &from_wire(report)),
+                GossipOrigin::Pushed => {
+                    self.observe_undated_report(&report.backend, &from_wire(report))
+                }
                 GossipOrigin::Pulled(observed) => self.observe_pulled(report, observed),
             }
         }
@@ -34,15 +37,15 @@
 
     fn observe_pulled(&mut self, report: &BackendReport, observed: Observed) {
         let backend = &report.backend;
-        self.received_whole(backend);
+        self.clear_full_report_request(backend);
         let placement = placement_from_wire(report);
         let sent_at = observed
             .sent_at
             .checked_sub(Duration::from_millis(report.age_ms));
-        // Neither a report from before the start of this process nor one of another address is evidence.
+        // A report from before the start of this process, or of another address, is not evidence.
         let (Some(sent_at), true) = (sent_at, self.agrees_on_address(backend, placement.as_ref()))
         else {
-            self.observe_hearsay(backend, &from_wire(report));
+            self.observe_undated_report(backend, &from_wire(report));
             return;
         };
         self.suggest_placement(backend, placement);
@@ -60,7 +63,7 @@
         }
     }
 
-    /// Leaving processes learned after `version` of this table, to be told to peers.
+    /// Returns the leaving processes learned after `version` of this table, for sending to peers.
     pub fn leaving_since(&self, version: u64) -> Vec<BackendReport> {
         self.entries()
             .flat_map(|(name, backend)| {
@@ -71,17 +74,18 @@
             .collect()
     }
 
-    /// Reports young enough to be evidence for a peer, and leaving processes; the answer to a peer that asks.
+    /// Returns the reports that are fresh enough to be evidence for a peer, and all leaving
+    /// processes; the answer to a peer's request.
     pub fn reports_for_peers(&self, now: Duration) -> Vec<BackendReport> {
         let oldest = now.saturating_sub(self.policy().freshness);
         let is_fresh = |backend: &Backend| backend.report_at().is_some_and(|at| at >= oldest);
         let fresh = self.entries().filter(|(_, backend)| is_fresh(backend));
-        let fresh = fresh.filter_map(|(name, _)| self.whole_report(name, now));
+        let fresh = fresh.filter_map(|(name, _)| self.full_report(name, now));
         self.leaving_since(0).into_iter().chain(fresh).collect()
     }
 
-    /// The last report of a back end whose address is known.
-    pub(super) fn whole_report(&self, name: &str, now: Duration) -> Option<BackendReport> {
+    /// Returns the last report of a back end with a known address.
+    pub(super) fn full_report(&self, name: &str, now: Duration) -> Option<BackendReport> {
         let backend = self.backend(name)?;
         let (report, placement) = (backend.report()?, backend.placement()?);
         let age_ms = age_ms(now, backend.report_at()?);
@@ -94,7 +98,7 @@
         backend: backend.to_owned(),
         process,
         leaving: true,
-        // No sign of life goes with it.
+        // The report carries no evidence that the back end is alive.
         age_ms: u64::MAX,
         ..BackendReport::default()
     }
--- a/crates/ladderstage/src/backend/health.rs
+++ b/crates/ladderstage/src/backend/health.rs
@@ -1,14 +1,14 @@
 //! Ejection of a back end after consecutive failures of own requests.
 //!
-//! `eject_after` failures in a row eject it for a jittered time that doubles with each ejection. After that, one
-//! request at a time may try it: a success clears everything, a failure ejects again. A refusal because it is full
-//! proves it alive and only pauses it for a moment.
+//! `eject_after` failures in a row eject it for a jittered time that doubles with each ejection.
+//! Afterwards one trial request at a time is allowed: a success resets the state, a failure ejects
+//! again. A refusal because the back end is full proves it alive and only pauses it briefly.
 
 use std::time::Duration;
 
 use super::policy::BackendPolicy;
 
-/// Highest power of two by which an ejection grows.
+/// Maximum number of doublings of the ejection time.
 const MAX_DOUBLINGS: u32 = 16;
 
 #[derive(Debug, Clone, Default)]
@@ -20,9 +20,9 @@
     trial: Option<u64>,
 }
 
-/// Why health allows no request now.
+/// Reason why no request is allowed now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Withheld {
+pub(super) enum HealthRejection {
     Ejected,
     OnTrial,
     Paused,
@@ -33,27 +33,27 @@
         self.failures
     }
 
-    pub(super) fn check(&self, now: Duration) -> Result<(), Withheld> {
+    pub(super) fn check(&self, now: Duration) -> Result<(), HealthRejection> {
         if self.is_ejected(now) {
-            return Err(Withheld::Ejected);
+            return Err(HealthRejection::Ejected);
         }
         if self.trial.is_some() {
-            return Err(Withheld::OnTrial);
+            return Err(HealthRejection::OnTrial);
         }
         if now < self.paused_until {
-            return Err(Withheld::Paused);
+            return Err(HealthRejection::Paused);
         }
         Ok(())
     }
 
-    /// A request starts; the first after an ejection is the trial.
+    /// Records the start of a request; the first one after an ejection is the trial.
     pub(super) fn begin(&mut self, dispatch: u64) {
         if self.ejected_until.is_some() && self.trial.is_none() {
             self.trial = Some(dispatch);
         }
     }
 
-    /// A request ended, whatever its outcome.
+    /// Records the end of a request, whatever its outcome.
     pub(super) fn end(&mut self, dispatch: u64) {
         if self.trial == Some(dispatch) {
             self.trial = None;
@@ -64,10 +64,10 @@
         *self = Self::default();
     }
 
-    /// `jitter` is uniform in [0, 1).
+    /// Records a failure; `jitter` is uniform in [0, 1).
     pub(super) fn fail(&mut self, now: Duration, policy: &BackendPolicy, jitter: f64) {
         if self.is_ejected(now) {
-            // Requests that were under way at the ejection do not lengthen it.
+            // Failures of requests that were in flight at the ejection do not extend it.
             return;
         }
         self.failures = self.failures.saturating_add(1);
@@ -97,7 +97,7 @@
     }
 }
 
-/// Between half and one and a half times `span`.
+/// Returns `span` scaled by a factor between 0.5 and 1.5.
 fn jittered(span: Duration, jitter: f64) -> Duration {
     span.mul_f64(0.5 + jitter.clamp(0.0, 1.0))
 }
--- a/crates/ladderstage/src/backend/listing.rs
+++ b/crates/ladderstage/src/backend/listing.rs
@@ -1,8 +1,9 @@
-//! What the machine list says of one back end.
+//! State of one back end according to the machine list.
 //!
-//! The list lags, by `list_lag` at most. Its "leaving" is sticky for a process that was already known that long
-//! before the answer. For a younger process it may speak of the one before, so it only withholds the back end: until
-//! a list says live after another process was seen, or lists have said live for `list_lag` without a break.
+//! The list lags by at most `list_lag`. Its "leaving" is permanent for a process that was known for
+//! that long before the answer. For a younger process the list may refer to the previous one, so it
+//! only withholds the back end, until a list reports it live after a new process was seen, or lists
+//! have reported it live for `list_lag` without interruption.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,12 +12,12 @@
 use super::policy::BackendPolicy;
 use crate::bundle::PoolKind;
 
-/// Where a back end is, by the last list that named it, or by a peer's while none did here.
+/// Location of a back end, from the last list that named it, or from a peer until a list does.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Placement {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Zone it runs in.
+    /// Zone in which it runs.
     pub zone: String,
     /// Kind of back end.
     pub kind: PoolKind,
@@ -24,9 +25,9 @@
 
 #[derive(Debug, Clone)]
 struct ListedLeaving {
-    /// When the first list that said so was asked for.
+    /// Request time of the first list that reported leaving.
     since: Duration,
-    /// First of an unbroken row of lists that said live.
+    /// Request time of the first list in the current uninterrupted series that reported live.
     live_since: Option<Duration>,
 }
 
@@ -43,24 +44,25 @@
         self.placement.as_ref()
     }
 
-    /// Whether lists have withheld it as leaving.
+    /// Returns whether the back end is withheld because a list reported it as leaving.
     pub(super) fn is_withheld(&self) -> bool {
         self.leaving.is_some()
     }
 
-    /// Whether answers of the list lacked it for the grace time. A list that stops answering changes nothing.
+    /// Returns whether lists have lacked the back end for the grace period. A list that stops
+    /// answering changes nothing.
     pub(super) fn is_missing(&self, policy: &BackendPolicy) -> bool {
         self.missing_for() >= policy.missing_grace
     }
 
-    /// How long answers of the list have lacked it.
+    /// Returns the time for which lists have lacked the back end.
     pub(super) fn missing_for(&self) -> Duration {
         self.missing_since.map_or(Duration::ZERO, |since| {
             self.last_list_at.saturating_sub(since)
         })
     }
 
-    /// Takes in a list's entry; answers whether the address changed.
+    /// Applies a list entry; returns whether the address changed.
     pub(super) fn observe(&mut self, listed: &ListedBackend, sent_at: Duration) -> bool {
         let moved = self
             .placement
@@ -76,7 +78,7 @@
         moved
     }
 
-    /// Another daemon's list has named it.
+    /// Sets the placement from a peer's list if no list has named the back end here.
     pub(super) fn suggest_placement(&mut self, placement: Placement) {
         self.placement.get_or_insert(placement);
     }
@@ -94,7 +96,8 @@
         leaving.live_since = None;
     }
 
-    /// The list says live; `replaced_at`: when the present process was first seen, if it replaced another.
+    /// Applies a list that reports the back end as live. `replaced_at` is when the current process
+    /// was first seen, if it replaced another one.
     pub(super) fn observe_live(
         &mut self,
         sent_at: Duration,
--- a/crates/ladderstage/src/backend/mod.rs
+++ b/crates/ladderstage/src/backend/mod.rs
@@ -1,14 +1,18 @@
-//! What is known of each back end, and whether it may be given new work.
+//! State of the back ends, and the decision whether they may be given new work.
 //!
 //! Rules:
-//! - **Positive freshness.** A back end is used only with evidence younger than `freshness`: a load report or a whole
-//!   answer to an own request. Its age counts from when the request was sent. A machine list that stops answering
-//!   takes nothing away while reports are fresh; a list that answers without the back end does, after a grace time.
-//! - **Leaving is sticky** for the process that was meant, from whichever source it was learned: its own report, a
-//!   peer, a refusal, the machine list (see `listing` for whom a lagging list means).
-//! - **A new process** counts only when its own report was certainly given after the last one of the process before.
-//! - **Failures in a row** eject for a growing time, then one request at a time may try (see `health`).
-//! - **Pushed gossip** may be arbitrarily late: it proves leaving, never life (see [`GossipOrigin`]).
+//! - **Freshness.** A back end is used only with evidence younger than `freshness`: a load report
+//!   or a complete answer to an own request. Its age counts from when the request was sent. A
+//!   machine list that stops answering excludes nothing while reports are fresh; a list that
+//!   answers without the back end excludes it after a grace period.
+//! - **Leaving is permanent** for the process concerned, whatever the source: its own report, a
+//!   peer, a refusal or the machine list (see `listing` for lagging lists).
+//! - **A new process** is accepted only if its own report was given after the last report of the
+//!   previous process.
+//! - **Consecutive failures** eject a back end for an increasing time; then one trial request at a
+//!   time is allowed (see `health`).
+//! - **Pushed gossip** may be arbitrarily late: it proves that a process is leaving, never that it
+//!   is alive (see [`GossipOrigin`]).
 
 mod description;
 mod entry;
@@ -31,7 +35,7 @@
 pub use observation::{ListedBackend, Observed, Report};
 pub use policy::BackendPolicy;
 pub use readers::{
-    READERS_PER_BACKEND, SELF_READ_MEMBERS, reads_reports, reports_spread_by_gossip,
+    MAX_DIRECT_READ_MEMBERS, READERS_PER_BACKEND, reads_reports, reports_spread_by_gossip,
 };
-pub use refresh::LEAST_GAIN;
+pub use refresh::MIN_AGE_GAIN;
 pub use table::{BackendTable, Dispatch};
--- a/crates/ladderstage/src/backend/observation.rs
+++ b/crates/ladderstage/src/backend/observation.rs
@@ -1,4 +1,4 @@
-//! What is learned about back ends, and when it held.
+//! Observations of back ends, with their times.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,47 +6,47 @@
 use crate::bundle::PoolKind;
 use crate::ids::{ProcessId, WeightVersion};
 
-/// Span within which an answer was given: after its request was sent and before it arrived. Both are times since
-/// the start of this process. Age is always reckoned from `sent_at`, order of two answers is certain only if one
-/// span ends before the other begins.
+/// Interval within which an answer was given: after its request was sent and before it arrived.
+/// Both are durations since the start of this process. Ages count from `sent_at`; the order of two
+/// answers is certain only if their intervals do not overlap.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Observed {
-    /// When the request was sent.
+    /// Time at which the request was sent.
     pub sent_at: Duration,
-    /// When the answer arrived.
+    /// Time at which the answer arrived.
     pub received_at: Duration,
 }
 
-/// A load report, as a back end gives it.
+/// A load report of a back end.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Report {
-    /// Process that gives it.
+    /// Process that sent the report.
     pub process: ProcessId,
-    /// Weight version it holds; 0 for applications.
+    /// Weight version that the process holds; 0 for applications.
     pub weight_version: WeightVersion,
     /// Requests running.
     pub running: u32,
     /// Requests waiting.
     pub waiting: u32,
-    /// Requests it runs side by side.
+    /// Maximum number of concurrent requests.
     pub capacity: u32,
-    /// Whether it is stopping.
+    /// Whether the process is stopping.
     pub leaving: bool,
-    /// Grows with each report of one process.
+    /// Sequence number; increases with each report of one process.
     pub sequence: u64,
 }
 
 /// A back end in the machine list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ListedBackend {
-    /// Its name.
+    /// Name of the back end.
     pub name: String,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Zone it runs in.
+    /// Zone in which it runs.
     pub zone: String,
     /// Kind of back end.
     pub kind: PoolKind,
-    /// Whether the list says that it is stopping.
+    /// Whether the list reports it as stopping.
     pub leaving: bool,
 }
--- a/crates/ladderstage/src/backend/policy.rs
+++ b/crates/ladderstage/src/backend/policy.rs
@@ -1,28 +1,28 @@
-//! Bounds by which back ends are judged.
+//! Limits for the use of back ends.
 
 use std::time::Duration;
 
-/// Bounds by which back ends are judged.
+/// Limits for the use of back ends.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendPolicy {
-    /// Oldest evidence with which a back end is given work.
+    /// Maximum age of the evidence with which a back end is given work.
     pub freshness: Duration,
-    /// How long a back end may be absent from answers of the machine list and still be used.
+    /// Time for which a back end may be missing from the machine list and still be used.
     pub missing_grace: Duration,
-    /// How far the machine list may lag behind the machines.
+    /// Maximum lag of the machine list behind the machines.
     pub list_lag: Duration,
-    /// Consecutive failures that eject a back end.
+    /// Number of consecutive failures that eject a back end.
     pub eject_after: u32,
-    /// First ejection; each further one takes twice as long.
+    /// Duration of the first ejection; doubles with each further one.
     pub eject_base: Duration,
-    /// Longest ejection, before jitter.
+    /// Maximum duration of an ejection, before jitter.
     pub eject_limit: Duration,
-    /// Pause after a back end refused because it was full.
+    /// Pause after a back end refused a request because it was full.
     pub refusal_pause: Duration,
 }
 
 impl BackendPolicy {
-    /// The usual bounds around a freshness bound.
+    /// Returns the default limits with the given freshness bound.
     pub fn with_freshness(freshness: Duration) -> Self {
         Self {
             freshness,
--- a/crates/ladderstage/src/backend/process.rs
+++ b/crates/ladderstage/src/backend/process.rs
@@ -1,7 +1,7 @@
-//! Which process a back end is, and which of its processes must get no new work.
+//! Tracks the current process of a back end and the processes that must get no new work.
 //!
-//! A process that was once learned to be leaving, or that another one replaced, is barred for good: process ids are
-//! random and never used twice.
+//! A process that is known to be leaving, or that was replaced by another one, is excluded
+//! permanently: process ids are random and never reused.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,47 +9,50 @@
 use super::observation::{Observed, Report};
 use crate::ids::ProcessId;
 
-/// Barred processes remembered for one back end. An older one has been replaced this many times over.
-const MAX_BARRED: usize = 32;
+/// Maximum number of excluded processes stored per back end. When one is dropped, this many later
+/// ones have replaced it.
+const MAX_EXCLUDED: usize = 32;
 
 #[derive(Debug, Clone)]
-struct BarredProcess {
+struct ExcludedProcess {
     process: ProcessId,
-    /// Version of the table at which it was learned that it is leaving; 0: it was only replaced.
+    /// Version of the table at which the process was found to be leaving; 0 if it was only
+    /// replaced.
     leaving_since_version: u64,
-    /// Another process was seen after it.
+    /// Whether another process was seen after it.
     replaced: bool,
 }
 
-/// The process that a back end is now, as far as known.
+/// The current process of a back end, as far as known.
 #[derive(Debug, Clone)]
 pub(super) struct CurrentProcess {
     pub(super) report: Report,
-    /// When the report with the highest sequence was asked for.
+    /// Request time of the report with the highest sequence number.
     pub(super) report_at: Duration,
-    /// Spans of the first and the last report.
+    /// Observation intervals of the first and the last report.
     pub(super) first: Observed,
     last: Observed,
 }
 
-/// What a report changed.
+/// Effect of a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReportEffect {
-    /// It comes from a process that was replaced, or its place in time is unclear.
+    /// The report is from a replaced process, or its order in time is unclear.
     Ignored,
-    /// It confirms the process that was known.
+    /// The report confirms the known process.
     Confirmed,
-    /// It is the first of a new process.
+    /// The report is the first one of a new process.
     Replaced,
 }
 
 #[derive(Debug, Clone, Default)]
 pub(super) struct Processes {
     current: Option<CurrentProcess>,
-    barred: VecDeque<BarredProcess>,
-    /// Leaving was learned before any process was: the first one seen is meant.
-    unnamed_leaving: bool,
-    /// When the first report of a process that replaced another was asked for.
+    excluded: VecDeque<ExcludedProcess>,
+    /// Whether the back end was reported as leaving before any process was known; this applies to
+    /// the first process seen.
+    first_process_is_leaving: bool,
+    /// Request time of the first report of the current process, if it replaced another one.
     replaced_at: Option<Duration>,
 }
 
@@ -66,32 +69,33 @@
         self.replaced_at
     }
 
-    /// Whether the present process is leaving, or the unknown one is.
+    /// Returns whether the current process is leaving, or the first one to be seen is.
     pub(super) fn is_leaving(&self) -> bool {
         match self.current_id() {
-            Some(process) => self.is_barred(process),
-            None => self.unnamed_leaving,
+            Some(process) => self.is_excluded(process),
+            None => self.first_process_is_leaving,
         }
     }
 
-    /// Takes in a report whose place in time is known. `version` is recorded if it tells of a new leaving process.
+    /// Applies a report with a known observation interval. `version` is recorded if the report
+    /// reveals a leaving process.
     pub(super) fn observe(
         &mut self,
         report: &Report,
         observed: Observed,
         version: u64,
     ) -> ReportEffect {
-        let effect = self.place(report, observed);
-        if effect == ReportEffect::Replaced && std::mem::take(&mut self.unnamed_leaving) {
-            self.bar_leaving(report.process, version);
+        let effect = self.classify(report, observed);
+        if effect == ReportEffect::Replaced && std::mem::take(&mut self.first_process_is_leaving) {
+            self.mark_leaving(report.process, version);
         }
         if report.leaving {
-            self.bar_leaving(report.process, version);
+            self.mark_leaving(report.process, version);
         }
         effect
     }
 
-    /// Takes the load of a report that may have been long on its way: it must be newer by its sequence.
+    /// Applies the load of a report of unknown age if its sequence number is higher.
     pub(super) fn observe_load(&mut self, report: &Report) {
         if let Some(current) = &mut self.current
             && current.report.process == report.process
@@ -101,37 +105,40 @@
         }
     }
 
-    /// Bars a process as leaving; answers whether that is news.
-    pub(super) fn bar_leaving(&mut self, process: ProcessId, version: u64) -> bool {
-        let barred = self.barred_entry(process);
-        let news = barred.leaving_since_version == 0;
-        if news {
-            barred.leaving_since_version = version;
+    /// Marks a process as leaving; returns whether this is new.
+    pub(super) fn mark_leaving(&mut self, process: ProcessId, version: u64) -> bool {
+        let excluded = self.excluded_entry(process);
+        let is_new = excluded.leaving_since_version == 0;
+        if is_new {
+            excluded.leaving_since_version = version;
         }
-        news
+        is_new
     }
 
-    /// Bars the present process as leaving, or the first one to be seen.
-    pub(super) fn bar_current(&mut self, version: u64) -> bool {
+    /// Marks the current process, or the first one to be seen, as leaving; returns whether this is
+    /// new.
+    pub(super) fn mark_current_leaving(&mut self, version: u64) -> bool {
         match self.current_id() {
-            Some(process) => self.bar_leaving(process, version),
-            None => !std::mem::replace(&mut self.unnamed_leaving, true),
+            Some(process) => self.mark_leaving(process, version),
+            None => !std::mem::replace(&mut self.first_process_is_leaving, true),
         }
     }
 
-    /// Leaving processes learned after `version`.
+    /// Returns the leaving processes learned after `version`.
     pub(super) fn leaving_since(&self, version: u64) -> impl Iterator<Item = ProcessId> + '_ {
-        self.barred
+        self.excluded
             .iter()
-            .filter(move |barred| barred.leaving_since_version > version)
-            .map(|barred| barred.process)
+            .filter(move |excluded| excluded.leaving_since_version > version)
+            .map(|excluded| excluded.process)
     }
 
-    fn is_barred(&self, process: ProcessId) -> bool {
-        self.barred.iter().any(|barred| barred.process == process)
+    fn is_excluded(&self, process: ProcessId) -> bool {
+        self.excluded
+            .iter()
+            .any(|excluded| excluded.process == process)
     }
 
-    fn place(&mut self, report: &Report, observed: Observed) -> ReportEffect {
+    fn classify(&mut self, report: &Report, observed: Observed) -> ReportEffect {
         let Some(current) = &mut self.current else {
             self.current = Some(CurrentProcess::new(report, observed));
             return ReportEffect::Replaced;
@@ -140,7 +147,8 @@
             current.confirm(report, observed);
             return ReportEffect::Confirmed;
         }
-        // Only an answer certainly given after the last one of the known process shows that it was replaced.
+        // Only a report requested after the last one of the known process arrived proves a
+        // replacement.
         if observed.sent_at <= current.last.received_at || self.is_replaced(report.process) {
             return ReportEffect::Ignored;
         }
@@ -149,50 +157,50 @@
     }
 
     fn is_replaced(&self, process: ProcessId) -> bool {
-        self.barred
+        self.excluded
             .iter()
-            .any(|barred| barred.process == process && barred.replaced)
+            .any(|excluded| excluded.process == process && excluded.replaced)
     }
 
     fn replace(&mut self, report: &Report, observed: Observed) {
         self.replaced_at = Some(observed.sent_at);
         let previous = self.current.replace(CurrentProcess::new(report, observed));
         if let Some(previous) = previous {
-            self.barred_entry(previous.report.process).replaced = true;
+            self.excluded_entry(previous.report.process).replaced = true;
         }
     }
 
-    /// The record of a barred process, made if need be.
-    fn barred_entry(&mut self, process: ProcessId) -> &mut BarredProcess {
+    /// Returns the record of an excluded process, creating it if needed.
+    fn excluded_entry(&mut self, process: ProcessId) -> &mut ExcludedProcess {
         let known = self
-            .barred
+            .excluded
             .iter()
-            .position(|barred| barred.process == process);
-        let index = known.unwrap_or_else(|| self.push_barred(process));
-        &mut self.barred[index]
+            .position(|excluded| excluded.process == process);
+        let index = known.unwrap_or_else(|| self.push_excluded(process));
+        &mut self.excluded[index]
     }
 
-    fn push_barred(&mut self, process: ProcessId) -> usize {
-        if self.barred.len() == MAX_BARRED {
-            self.drop_oldest_barred();
+    fn push_excluded(&mut self, process: ProcessId) -> usize {
+        if self.excluded.len() == MAX_EXCLUDED {
+            self.drop_oldest_excluded();
         }
-        self.barred.push_back(BarredProcess {
+        self.excluded.push_back(ExcludedProcess {
             process,
             leaving_since_version: 0,
             replaced: false,
         });
-        self.barred.len() - 1
+        self.excluded.len() - 1
     }
 
-    /// Forgets the oldest barred process, but never the present one.
-    fn drop_oldest_barred(&mut self) {
+    /// Drops the oldest excluded process that is not the current one.
+    fn drop_oldest_excluded(&mut self) {
         let current = self.current_id();
         let oldest = self
-            .barred
+            .excluded
             .iter()
-            .position(|barred| Some(barred.process) != current);
+            .position(|excluded| Some(excluded.process) != current);
         if let Some(index) = oldest {
-            self.barred.remove(index);
+            self.excluded.remove(index);
         }
     }
 }
--- a/crates/ladderstage/src/backend/readers.rs
+++ b/crates/ladderstage/src/backend/readers.rs
@@ -1,23 +1,24 @@
-//! Who reads a back end's load reports.
+//! Assignment of daemons that read a back end's load reports.
 //!
-//! Up to [`SELF_READ_MEMBERS`] daemons each reads the reports of all back ends itself: freshness then depends on no
-//! peer. Beyond that the readers of a back end are its two nearest by rendezvous hash, and the others ask peers.
-//! A wrong choice costs freshness, never safety.
+//! Up to [`MAX_DIRECT_READ_MEMBERS`] daemons each read the reports of all back ends directly, so
+//! that freshness does not depend on peers. With more members, the first two by rendezvous hash
+//! read a back end's reports, and the others request them from peers. A wrong assignment reduces
+//! freshness, never safety.
 
 use crate::routing::rendezvous;
 
-/// Most members with which each reads all reports itself.
-pub const SELF_READ_MEMBERS: usize = 8;
+/// Maximum number of members with which each reads all reports directly.
+pub const MAX_DIRECT_READ_MEMBERS: usize = 8;
 
-/// Readers of one back end's reports beyond that.
+/// Number of readers of one back end's reports with more members.
 pub const READERS_PER_BACKEND: usize = 2;
 
-/// Whether reports spread through peers, `members` counting this process.
+/// Returns whether reports spread through peers; `members` includes this process.
 pub fn reports_spread_by_gossip(members: usize) -> bool {
-    members > SELF_READ_MEMBERS
+    members > MAX_DIRECT_READ_MEMBERS
 }
 
-/// Whether the member `own` reads the reports of `backend` itself.
+/// Returns whether the member `own` reads the reports of `backend` directly.
 pub fn reads_reports(backend: &str, own: &str, members: &[String]) -> bool {
     if !reports_spread_by_gossip(members.len()) {
         return true;
--- a/crates/ladderstage/src/backend/refresh.rs
+++ b/crates/ladderstage/src/backend/refresh.rs
@@ -1,9 +1,10 @@
-//! Newer loads of back ends that both sides know, told in a few bytes each.
+//! Compact exchange of newer load reports between processes that know the same back ends.
 //!
-//! Two processes with one bundle name its back ends by their positions. The asker says how old its reports are; the
-//! answer holds only those that are fresher by [`LEAST_GAIN`]. A report without its process and address counts only
-//! if the fingerprint of both fits what the asker knows: it must not pass for one of another process, or of a
-//! back end that has moved. Where it does not fit, the asker wants the report whole the next time.
+//! Two processes with the same bundle identify its back ends by position. The request contains the
+//! ages of the asker's reports; the answer contains only reports that are newer by at least
+//! [`MIN_AGE_GAIN`]. These omit process and address and are accepted only if a fingerprint of both
+//! matches the asker's state, because they must not be taken for reports of another process or of a
+//! back end that has moved. On a mismatch, the asker requests the full report next time.
 
 use std::time::Duration;
 
@@ -15,15 +16,17 @@
 use super::view::age_ms;
 use crate::routing::rendezvous_score;
 
-/// Unit of the ages in a question.
+/// Unit of the ages in a request, in milliseconds.
 const AGE_UNIT_MS: u64 = 16;
-/// Stands in a question for a back end whose report is wanted whole.
-const WANTED_WHOLE: u8 = u8::MAX;
-/// A report is sent only if it is fresher by this much: each back end is then told at most this often.
-pub const LEAST_GAIN: Duration = Duration::from_millis(500);
+/// Age value in a request that asks for the full report.
+const REQUEST_FULL_REPORT: u8 = u8::MAX;
+/// Minimum age difference for a report to be sent, which limits how often each back end is
+/// reported.
+pub const MIN_AGE_GAIN: Duration = Duration::from_millis(500);
 
 impl BackendTable {
-    /// Ages of the last reports of these back ends, a byte each, for a question to a peer.
+    /// Returns the ages of the last reports of these back ends, one byte each, for a request to a
+    /// peer.
     pub fn known_ages<'a>(
         &self,
         names: impl IntoIterator<Item = &'a str>,
@@ -37,16 +40,16 @@
         let backend = self.backend(name);
         let known = backend.filter(|backend| fingerprint(backend).is_some());
         let Some(at) = known.and_then(Backend::report_at) else {
-            return WANTED_WHOLE;
+            return REQUEST_FULL_REPORT;
         };
-        if self.is_wanted_whole(name) {
-            return WANTED_WHOLE;
+        if self.needs_full_report(name) {
+            return REQUEST_FULL_REPORT;
         }
         let units = age_ms(now, at) / AGE_UNIT_MS;
-        u8::try_from(units).unwrap_or(WANTED_WHOLE)
+        u8::try_from(units).unwrap_or(REQUEST_FULL_REPORT)
     }
 
-    /// Answers a question about these back ends; `None` if it does not have one age for each of them.
+    /// Answers a peer's request about these back ends; `None` if the number of ages differs.
     pub fn refresh_for_peer<'a>(
         &self,
         names: impl ExactSizeIterator<Item = &'a str>,
@@ -66,13 +69,13 @@
             let Some(at) = backend.report_at().filter(|at| *at >= oldest) else {
                 continue;
             };
-            if *age == WANTED_WHOLE {
-                reports.extend(self.whole_report(name, now));
+            if *age == REQUEST_FULL_REPORT {
+                reports.extend(self.full_report(name, now));
                 continue;
             }
-            let theirs = Duration::from_millis(u64::from(*age) * AGE_UNIT_MS);
-            if now.saturating_sub(at) + LEAST_GAIN <= theirs {
-                push(&mut refresh, position, backend, age_ms(now, at));
+            let asker_age = Duration::from_millis(u64::from(*age) * AGE_UNIT_MS);
+            if now.saturating_sub(at) + MIN_AGE_GAIN <= asker_age {
+                push_item(&mut refresh, position, backend, age_ms(now, at));
             }
         }
         Some(BackendGossip {
@@ -82,7 +85,8 @@
         })
     }
 
-    /// Takes in the answer to a question about these back ends. Ages count from when it was sent.
+    /// Applies the answer to a request about these back ends. Ages count from when the request was
+    /// sent.
     pub fn observe_refresh(
         &mut self,
         names: &[&str],
@@ -90,7 +94,7 @@
         observed: Observed,
     ) {
         for index in 0..refresh.positions.len() {
-            let Some(item) = Item::read(refresh, index) else {
+            let Some(item) = RefreshItem::read(refresh, index) else {
                 return;
             };
             let name = usize::try_from(item.position).ok();
@@ -100,20 +104,20 @@
         }
     }
 
-    fn observe_item(&mut self, name: &str, item: &Item, observed: Observed) {
+    fn observe_item(&mut self, name: &str, item: &RefreshItem, observed: Observed) {
         let Some(backend) = self.backend(name) else {
             return;
         };
         let known = fingerprint(backend).zip(backend.report());
         let Some((_, last)) = known.filter(|(known, _)| *known == item.process) else {
-            self.want_whole(name);
+            self.request_full_report(name);
             return;
         };
         let report = Report {
             process: last.process,
             ..item.report.clone()
         };
-        // A report from before the start of this process is no evidence.
+        // A report from before the start of this process is not evidence.
         let age = Duration::from_millis(u64::from(item.age_ms));
         if let Some(sent_at) = observed.sent_at.checked_sub(age) {
             let observed = Observed {
@@ -125,16 +129,16 @@
     }
 }
 
-/// One back end's part of a refresh; the process of its report is left out.
-struct Item {
+/// Part of a refresh for one back end; `report.process` is not set.
+struct RefreshItem {
     position: u32,
     process: u32,
     age_ms: u32,
     report: Report,
 }
 
-impl Item {
-    /// `None` if one of the lists is too short.
+impl RefreshItem {
+    /// Reads the item at `index`; `None` if one of the lists is too short.
     fn read(refresh: &BackendRefresh, index: usize) -> Option<Self> {
         Some(Self {
             position: *refresh.positions.get(index)?,
@@ -153,7 +157,7 @@
     }
 }
 
-fn push(refresh: &mut BackendRefresh, position: usize, backend: &Backend, age_ms: u64) {
+fn push_item(refresh: &mut BackendRefresh, position: usize, backend: &Backend, age_ms: u64) {
     let (Some(report), Some(process)) = (backend.report(), fingerprint(backend)) else {
         return;
     };
@@ -171,8 +175,8 @@
     refresh.sequences.push(report.sequence);
 }
 
-/// Names the present process and the address of a back end; `None` while either is unknown. Half of a 64-bit hash of
-/// a random id: a wrong match is a matter of one in four thousand million.
+/// Returns a fingerprint of the current process and the address of a back end; `None` while either
+/// is unknown. Half of a 64-bit hash of a random id, so a false match has a probability of 2^-32.
 fn fingerprint(backend: &Backend) -> Option<u32> {
     let process = backend.report()?.process;
     let address = backend.placement()?.address.to_string();
--- a/crates/ladderstage/src/backend/table.rs
+++ b/crates/ladderstage/src/backend/table.rs
@@ -1,4 +1,4 @@
-//! The table of back ends.
+//! Table of all known back ends.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,19 +10,19 @@
 use super::policy::BackendPolicy;
 use crate::routing::Candidate;
 
-/// Back ends kept at most; further names are ignored.
+/// Maximum number of back ends; further names are ignored.
 const MAX_BACKENDS: usize = 20_000;
-/// A back end that answers of the machine list lacked for this long is forgotten.
+/// Time for which a back end must be missing from the machine list to be dropped.
 const FORGET_AFTER: Duration = Duration::from_secs(3_600);
 
-/// A request under way at a back end.
+/// A request in flight at a back end.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Dispatch {
     backend: String,
     number: u64,
 }
 
-/// All back ends that this process knows. Times are since its start.
+/// All back ends known to this process. Times are durations since its start.
 #[derive(Debug, Clone)]
 pub struct BackendTable {
     policy: BackendPolicy,
@@ -30,12 +30,13 @@
     last_list_at: Option<Duration>,
     next_dispatch: u64,
     version: u64,
-    /// Back ends whose process or address a peer knows otherwise.
-    wanted_whole: BTreeSet<String>,
+    /// Back ends whose full report must be requested because a peer reported a different process or
+    /// address.
+    full_report_requests: BTreeSet<String>,
 }
 
 impl BackendTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(policy: BackendPolicy) -> Self {
         Self {
             policy,
@@ -43,21 +44,21 @@
             last_list_at: None,
             next_dispatch: 1,
             version: 1,
-            wanted_whole: BTreeSet::new(),
+            full_report_requests: BTreeSet::new(),
         }
     }
 
-    /// Bounds in use.
+    /// Returns the limits in use.
     pub fn policy(&self) -> &BackendPolicy {
         &self.policy
     }
 
-    /// Grows whenever a leaving process is learned.
+    /// Returns the version, which increases whenever a leaving process is learned.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Takes in an answer of the machine list; one asked for before the last one is ignored.
+    /// Applies an answer of the machine list; an answer requested before the last one is ignored.
     pub fn observe_list(&mut self, machines: &[ListedBackend], observed: Observed) {
         if self
             .last_list_at
@@ -83,32 +84,33 @@
         }
         self.backends
             .retain(|_, backend| !backend.is_forgettable(FORGET_AFTER));
-        self.wanted_whole
+        self.full_report_requests
             .retain(|name| self.backends.contains_key(name));
     }
 
-    /// Takes in a report that this process read itself, or whose place in time is as certain.
+    /// Applies a report that this process read itself, or with an equally certain observation
+    /// interval.
     pub fn observe_report(&mut self, name: &str, report: &Report, observed: Observed) {
         self.change(name, |backend, version, _| {
             backend.observe_report(report, observed, version);
         });
     }
 
-    /// Takes a peer's word for where a back end is, while no list of our own has named it.
+    /// Sets the location of a back end from a peer, unless a list has named it here.
     pub(super) fn suggest_placement(&mut self, name: &str, placement: Option<Placement>) {
         if let Some(placement) = placement {
             self.change(name, |backend, _, _| backend.suggest_placement(placement));
         }
     }
 
-    /// Takes in a report of unknown age.
-    pub(super) fn observe_hearsay(&mut self, name: &str, report: &Report) {
+    /// Applies a report of unknown age.
+    pub(super) fn observe_undated_report(&mut self, name: &str, report: &Report) {
         self.change(name, |backend, version, _| {
-            backend.observe_hearsay(report, version);
+            backend.observe_undated_report(report, version);
         });
     }
 
-    /// A request starts; it counts until [`Self::end`].
+    /// Records the start of a request, which counts as in flight until [`Self::finish_request`].
     pub fn begin(&mut self, name: &str, now: Duration) -> Dispatch {
         let number = self.next_dispatch;
         self.next_dispatch += 1;
@@ -121,7 +123,10 @@
         }
     }
 
-    /// As [`Self::begin`], if the back end may be given new work now.
+    /// Like [`Self::start_request`], if the back end may be given new work now.
+    ///
+    /// # Errors
+    /// [`Unusable`] if it may not.
     pub fn try_begin(
         &mut self,
         name: &str,
@@ -132,48 +137,52 @@
         Ok(self.begin(name, now))
     }
 
-    /// A request ended, whatever its outcome.
+    /// Records the end of a request, whatever its outcome.
     pub fn end(&mut self, dispatch: &Dispatch) {
         if let Some(backend) = self.backends.get_mut(&dispatch.backend) {
             backend.end(dispatch.number);
         }
     }
 
-    /// A request was answered whole and has not ended yet.
+    /// Records that a request was answered completely. Call before [`Self::finish_request`].
     pub fn note_success(&mut self, name: &str) {
         if let Some(backend) = self.backends.get_mut(name) {
             backend.note_success();
         }
     }
 
-    /// A request failed. `jitter` is uniform in [0, 1).
+    /// Records that a request failed. `jitter` is uniform in [0, 1).
     pub fn note_failure(&mut self, name: &str, now: Duration, jitter: f64) {
         if let Some(backend) = self.backends.get_mut(name) {
             backend.note_failure(now, &self.policy, jitter);
         }
     }
 
-    /// The back end refused before running because it is full. `jitter` is uniform in [0, 1).
+    /// Records that the back end refused a request before running it because it is full. `jitter`
+    /// is uniform in [0, 1).
     pub fn note_refusal(&mut self, name: &str, now: Duration, jitter: f64) {
         if let Some(backend) = self.backends.get_mut(name) {
             backend.note_refusal(now, &self.policy, jitter);
         }
     }
 
-    /// The back end refused before running because it is leaving.
+    /// Records that the back end refused a request before running it because it is leaving.
     pub fn note_leaving(&mut self, name: &str, now: Duration) {
         self.change(name, |backend, version, policy| {
             backend.note_leaving(now, version, policy);
         });
     }
 
-    /// Whether a back end may be given new work now.
+    /// Checks whether a back end may be given new work now.
+    ///
+    /// # Errors
+    /// [`Unusable`] if it may not.
     pub fn check(&self, name: &str, concurrency: u32, now: Duration) -> Result<(), Unusable> {
         let backend = self.backends.get(name).ok_or(Unusable::Unlisted)?;
         backend.check(now, concurrency, &self.policy)
     }
 
-    /// Those of the named back ends that may be given new work now.
+    /// Returns the named back ends that may be given new work now.
     pub fn candidates(&self, names: &[String], concurrency: u32, now: Duration) -> Vec<Candidate> {
         names
             .iter()
@@ -182,12 +191,12 @@
             .collect()
     }
 
-    /// Where a back end is, if a list ever named it.
+    /// Returns the location of a back end, if known.
     pub fn placement(&self, name: &str) -> Option<&Placement> {
         self.backends.get(name)?.placement()
     }
 
-    /// The last report of a back end, if evidence of it is still fresh.
+    /// Returns the last report of a back end if there is fresh evidence of it.
     pub fn fresh_report(&self, name: &str, now: Duration) -> Option<&Report> {
         let backend = self.backends.get(name)?;
         let at = backend.evidence_at()?;
@@ -196,12 +205,12 @@
             .flatten()
     }
 
-    /// Whether the present process of a back end is known to be leaving.
+    /// Returns whether the current process of a back end is known to be leaving.
     pub fn is_leaving(&self, name: &str) -> bool {
         self.backends.get(name).is_some_and(Backend::is_leaving)
     }
 
-    /// All back ends, sorted by name; their pools are for the caller to fill in.
+    /// Returns descriptions of all back ends, sorted by name; the caller sets their pools.
     pub fn describe(&self, now: Duration) -> Vec<BackendDescription> {
         self.backends
             .iter()
@@ -213,19 +222,19 @@
         self.backends.get(name)
     }
 
-    pub(super) fn is_wanted_whole(&self, name: &str) -> bool {
-        self.wanted_whole.contains(name)
+    pub(super) fn needs_full_report(&self, name: &str) -> bool {
+        self.full_report_requests.contains(name)
     }
 
-    /// Notes that the next question is to ask for the whole report of a known back end.
-    pub(super) fn want_whole(&mut self, name: &str) {
+    /// Marks a known back end so that the next request to a peer asks for its full report.
+    pub(super) fn request_full_report(&mut self, name: &str) {
         if self.backends.contains_key(name) {
-            self.wanted_whole.insert(name.to_owned());
+            self.full_report_requests.insert(name.to_owned());
         }
     }
 
-    pub(super) fn received_whole(&mut self, name: &str) {
-        self.wanted_whole.remove(name);
+    pub(super) fn clear_full_report_request(&mut self, name: &str) {
+        self.full_report_requests.remove(name);
     }
 
     pub(super) fn entries(&self) -> impl Iterator<Item = (&str, &Backend)> {
@@ -234,7 +243,8 @@
             .map(|(name, backend)| (name.as_str(), backend))
     }
 
-    /// Applies an observation under the next version, which counts if leaving was learned by it.
+    /// Applies an observation with the next version, which takes effect if a leaving process was
+    /// learned.
     fn change(&mut self, name: &str, apply: impl FnOnce(&mut Backend, u64, &BackendPolicy)) {
         if !self.backends.contains_key(name) && self.backends.len() >= MAX_BACKENDS {
             return;
--- a/crates/ladderstage/src/backend/traffic.rs
+++ b/crates/ladderstage/src/backend/traffic.rs
@@ -1,11 +1,11 @@
-//! Own requests under way at a back end.
+//! Own requests in flight at a back end.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 #[derive(Debug, Clone, Default)]
 pub(super) struct Traffic {
-    /// Start of each request under way.
+    /// Start time of each request in flight.
     started: BTreeMap<u64, Duration>,
 }
 
@@ -22,7 +22,7 @@
         u32::try_from(self.started.len()).unwrap_or(u32::MAX)
     }
 
-    /// Requests under way that started at `time` or later.
+    /// Returns the number of requests in flight that started at `time` or later.
     pub(super) fn started_since(&self, time: Duration) -> u32 {
         let count = self
             .started
@@ -32,7 +32,7 @@
         u32::try_from(count).unwrap_or(u32::MAX)
     }
 
-    /// When the longest-running request under way started.
+    /// Returns the start time of the longest-running request in flight.
     pub(super) fn oldest(&self) -> Option<Duration> {
         self.started.values().min().copied()
     }
--- a/crates/ladderstage/src/backend/view.rs
+++ b/crates/ladderstage/src/backend/view.rs
@@ -1,4 +1,4 @@
-//! What choosers and operators see of a back end.
+//! Views of a back end for routing and for operators.
 
 use std::time::Duration;
 
@@ -62,7 +62,7 @@
     }
 }
 
-/// Age in whole milliseconds, rounded up so that it never looks younger.
+/// Returns the age in whole milliseconds, rounded up so that it is never understated.
 pub(super) fn age_ms(now: Duration, at: Duration) -> u64 {
     let nanos = now.saturating_sub(at).as_nanos();
     u64::try_from(nanos.div_ceil(1_000_000)).unwrap_or(u64::MAX)
--- a/crates/ladderstage/src/bundle/check.rs
+++ b/crates/ladderstage/src/bundle/check.rs
@@ -1,4 +1,4 @@
-//! Cross-checks: what no single value shows.
+//! Checks that involve several values of a bundle or data from outside it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,22 +7,23 @@
 use crate::document::{Finding, Places};
 use crate::ids::WeightVersion;
 
-/// Longest name of a pool, back end or class, in characters.
+/// Maximum length of the name of a pool, back end or class, in characters.
 const MAX_NAME_LENGTH: usize = 64;
 
-/// Weight versions that the weight store holds, by model pool. A pool that is not named is not checked.
+/// Weight versions in the weight store, by model pool. Pools that are not listed are not checked.
 pub type KnownVersions = BTreeMap<String, BTreeSet<WeightVersion>>;
 
-/// What a bundle is checked against besides itself.
+/// External data against which a bundle is checked.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct CheckContext<'c> {
-    /// The bundle in force.
+    /// Bundle in force.
     pub current: Option<&'c Bundle>,
-    /// Versions in the weight store, if it was asked.
+    /// Versions in the weight store, if it was queried.
     pub known_versions: Option<&'c KnownVersions>,
 }
 
-/// Checks a bundle that has no text, such as one made by a program. The findings carry no useful place.
+/// Checks a bundle without a source text, such as one built by a program. Positions in the findings
+/// are meaningless.
 pub fn check(
     bundle: &Bundle,
     current: Option<&Bundle>,
@@ -62,7 +63,7 @@
     for (index, pool) in bundle.pools.iter().enumerate() {
         let path = format!("pool[{index}]");
         checker.check_pool(&path, pool);
-        checker.check_pace(&path, pool, context.current);
+        checker.check_version_step(&path, pool, context.current);
         checker.check_known_version(&path, pool, context.known_versions);
     }
     checker.check_classes(bundle);
@@ -95,13 +96,13 @@
         }
     }
 
-    /// Names are parts of URLs, headers and log lines.
+    /// Restricts names to characters that are safe in URLs, headers and log lines.
     fn check_name(&mut self, path: &str, name: &str) {
         let is_plain = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
         let is_short = name.chars().count() <= MAX_NAME_LENGTH;
-        // Dots alone would lead elsewhere as part of a URL.
-        let is_dots = !name.is_empty() && name.chars().all(|letter| letter == '.');
-        if !is_short || is_dots || !name.chars().all(is_plain) {
+        // Names such as `..` would change the path of a URL.
+        let is_only_dots = !name.is_empty() && name.chars().all(|letter| letter == '.');
+        if !is_short || is_only_dots || !name.chars().all(is_plain) {
             let allowed = format!("up to {MAX_NAME_LENGTH} letters, digits, '-', '_' and '.'");
             self.add(path, format!("name {name:?}"), allowed);
         }
@@ -173,9 +174,9 @@
         }
     }
 
-    /// A bound above 0 promises that samples outlive a swap. One roll that skips more versions than the bound
-    /// allows breaks that promise for every sample under way; a bound of 0 promises nothing.
-    fn check_pace(&mut self, path: &str, pool: &PoolSpec, current: Option<&Bundle>) {
+    /// A bound above 0 guarantees that samples in progress survive a swap. A roll that skips more
+    /// versions than the bound breaks that guarantee; a bound of 0 gives none.
+    fn check_version_step(&mut self, path: &str, pool: &PoolSpec, current: Option<&Bundle>) {
         let before = current.and_then(|bundle| bundle.pool(&pool.name));
         let Some(before) = before else {
             return;
@@ -241,22 +242,23 @@
         }
     }
 
-    /// Left out while a pool's own capacity is in doubt: what it would find might be an echo of that.
+    /// Checks the sum of the class limits. Skipped if a pool's own capacity is invalid, because
+    /// findings would only repeat that error.
     fn check_capacity(&mut self, bundle: &Bundle) {
-        let in_doubt = bundle.pools.iter().enumerate().any(|(index, pool)| {
+        let has_invalid_pool = bundle.pools.iter().enumerate().any(|(index, pool)| {
             let faulty = self.places.is_faulty(&format!("pool[{index}].backends"));
             faulty || capacity(pool) == 0
         });
-        if in_doubt || bundle.pools.is_empty() {
+        if has_invalid_pool || bundle.pools.is_empty() {
             return;
         }
         let capacities = bundle.pools.iter().map(capacity);
         let capacity = capacities.fold(0_u64, u64::saturating_add);
         let mut admitted: u64 = 0;
         for (index, class) in bundle.classes.iter().enumerate() {
-            let fitted = admitted <= capacity;
+            let was_within = admitted <= capacity;
             admitted = admitted.saturating_add(u64::from(class.limit));
-            if fitted && admitted > capacity {
+            if was_within && admitted > capacity {
                 let found = format!("limit {}, which takes the sum to {admitted}", class.limit);
                 let allowed = format!(
                     "a sum of limits up to {capacity}, the back ends' concurrency in all pools together"
--- a/crates/ladderstage/src/bundle/difference.rs
+++ b/crates/ladderstage/src/bundle/difference.rs
@@ -1,4 +1,4 @@
-//! What changes from one bundle to another.
+//! Differences between two bundles.
 
 use std::collections::BTreeMap;
 
@@ -6,18 +6,18 @@
 
 use super::model::Bundle;
 
-/// One value that two bundles have differently.
+/// A value that differs between two bundles.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Difference {
     /// Path of the value, with pools and classes by name.
     pub path: String,
-    /// What the old bundle says; `None`: nothing.
+    /// Value in the old bundle, if any.
     pub old: Option<String>,
-    /// What the new bundle says; `None`: nothing.
+    /// Value in the new bundle, if any.
     pub new: Option<String>,
 }
 
-/// All values that differ, by path.
+/// Returns all values that differ, sorted by path.
 pub fn compare(old: &Bundle, new: &Bundle) -> Vec<Difference> {
     let old = values(old);
     let mut new = values(new);
--- a/crates/ladderstage/src/bundle/document.rs
+++ b/crates/ladderstage/src/bundle/document.rs
@@ -1,69 +1,72 @@
-//! Reads a bundle's text.
+//! Parses the text of a bundle.
 
 use toml::de::DeValue;
 
 use super::check::{self, CheckContext};
 use super::model::{Bundle, ClassSpec, Objective, PoolKind, PoolSpec};
-use crate::document::{self, Finding, FromToml, Reading, Table};
+use crate::document::{self, Finding, FromToml, ParsedDocument, Table};
 use crate::ids::Revision;
 
-/// Longest text of a bundle in bytes.
+/// Maximum length of a bundle's text in bytes.
 pub const MAX_TEXT_BYTES: usize = 256 * 1024;
 
-/// Name of the file in findings when the text came from none.
-const UNNAMED: &str = "bundle";
+/// File name in findings if the text did not come from a file.
+const DEFAULT_FILE_NAME: &str = "bundle";
 
-/// Reads and checks a bundle's text by itself. The error holds all findings, by place.
+/// Parses and checks a bundle's text without external data.
+///
+/// # Errors
+/// All findings, sorted by position.
 pub fn parse(text: &str) -> Result<Bundle, Vec<Finding>> {
-    parse_file(UNNAMED, text)
+    parse_file(DEFAULT_FILE_NAME, text)
 }
 
-/// Like [`parse`]; the findings name `file`.
+/// Like [`parse`], with `file` as the file name in findings.
 pub fn parse_file(file: &str, text: &str) -> Result<Bundle, Vec<Finding>> {
     let document = BundleDocument::read(file, text);
     let findings = document.check(&CheckContext::default());
     if findings.is_empty() {
-        return Ok(document.reading.value);
+        return Ok(document.parsed.value);
     }
     Err(findings)
 }
 
-/// A bundle's text as far as it could be read.
+/// The parsed text of a bundle, possibly with findings.
 #[derive(Debug, Clone)]
 pub struct BundleDocument {
-    reading: Reading<Bundle>,
+    parsed: ParsedDocument<Bundle>,
 }
 
 impl BundleDocument {
-    /// Reads a text; never fails, as what is wrong becomes findings.
+    /// Parses a text. Never fails; errors become findings.
     pub fn read(file: &str, text: &str) -> Self {
         if text.len() > MAX_TEXT_BYTES {
             return Self::too_long(file, text.len());
         }
-        let reading = document::read(file, text, read_bundle);
-        Self { reading }
+        let parsed = document::read(file, text, read_bundle);
+        Self { parsed }
     }
 
     fn too_long(file: &str, length: usize) -> Self {
-        let mut reading = document::read(file, "", read_bundle);
+        let mut parsed = document::read(file, "", read_bundle);
         let found = format!("{length} bytes");
         let allowed = format!("up to {MAX_TEXT_BYTES} bytes");
-        reading.findings = reading
+        parsed.findings = parsed
             .places
             .finding("", found, allowed)
             .into_iter()
             .collect();
-        reading.well_formed = false;
-        Self { reading }
+        parsed.well_formed = false;
+        Self { parsed }
     }
 
-    /// All findings: those of reading and those of the cross-checks, by place.
+    /// Returns all findings of parsing and of the cross-checks, sorted by position.
     pub fn check(&self, context: &CheckContext<'_>) -> Vec<Finding> {
-        let mut findings = self.reading.findings.clone();
-        if self.reading.well_formed {
+        let mut findings = self.parsed.findings.clone();
+        if self.parsed.well_formed {
             findings.extend(check::cross_check(
-                &self.reading.value,
-                &self.reading.places,
+                &self.parsed.value,
+                &self.parsed.places,
                 context,
             ));
         }
@@ -71,26 +74,29 @@
         findings
     }
 
-    /// What could be read; values with findings have defaults.
+    /// Returns the parsed bundle; values with findings have defaults.
     pub fn bundle(&self) -> &Bundle {
-        &self.reading.value
+        &self.parsed.value
     }
 
-    /// The revision that the text names; `None` if it names none that is valid.
+    /// Returns the revision in the text; `None` if it is missing or invalid.
     pub fn revision(&self) -> Option<Revision> {
-        let revision = self.reading.value.revision;
+        let revision = self.parsed.value.revision;
         (revision > 0).then_some(revision)
     }
 
-    /// The bundle if the text could be read whole, cross-checks aside; else what was found.
+    /// Returns the bundle without cross-checks.
     ///
-    /// Daemons that are handed an accepted bundle use this: they must not refuse what was accepted elsewhere
-    /// because their own cross-checks see it differently.
+    /// Daemons use this for bundles that were accepted elsewhere: they must not refuse them because
+    /// their own cross-checks have different external data.
+    ///
+    /// # Errors
+    /// The findings of parsing, if there are any.
     pub fn into_bundle(self) -> Result<Bundle, Vec<Finding>> {
-        if self.reading.findings.is_empty() {
-            return Ok(self.reading.value);
+        if self.parsed.findings.is_empty() {
+            return Ok(self.parsed.value);
         }
-        Err(self.reading.findings)
+        Err(self.parsed.findings)
     }
 }
 
--- a/crates/ladderstage/src/bundle/key.rs
+++ b/crates/ladderstage/src/bundle/key.rs
@@ -1,11 +1,11 @@
-//! Keys that sign bundles and keys that are trusted to.
+//! Keys that sign bundles, and trusted public keys.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use ed25519_dalek::{SigningKey, VerifyingKey};
 
-/// A key that cannot be used.
+/// Error about an unusable key.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum KeyError {
     /// The text is not 64 hexadecimal digits.
@@ -14,15 +14,15 @@
         /// Name of the key.
         key_id: String,
     },
-    /// The bytes are no public key of ed25519, or one that verifies forged signatures.
-    #[error("key `{key_id}` is no usable ed25519 public key")]
-    NotAKey {
+    /// The bytes are not an ed25519 public key, or are a weak key that accepts forged signatures.
+    #[error("key `{key_id}` is not a usable ed25519 public key")]
+    InvalidPublicKey {
         /// Name of the key.
         key_id: String,
     },
 }
 
-/// A private key with its name. Its debug form hides the secret.
+/// A named private key. Its debug form hides the secret.
 #[derive(Clone)]
 pub struct BundleKey {
     key_id: String,
@@ -39,7 +39,8 @@
 }
 
 impl BundleKey {
-    /// A key from 32 secret bytes, which the caller draws from the system's source of randomness.
+    /// Creates a key from 32 secret bytes, which the caller draws from the system's source of
+    /// randomness.
     pub fn from_secret(key_id: &str, secret: &[u8; 32]) -> Self {
         Self {
             key_id: key_id.to_owned(),
@@ -47,22 +48,22 @@
         }
     }
 
-    /// A key from its secret in hexadecimal.
+    /// Creates a key from its secret in hexadecimal.
     pub fn from_secret_hex(key_id: &str, secret: &str) -> Result<Self, KeyError> {
         Ok(Self::from_secret(key_id, &decode(key_id, secret)?))
     }
 
-    /// Name of the key.
+    /// Returns the name of the key.
     pub fn key_id(&self) -> &str {
         &self.key_id
     }
 
-    /// The secret in hexadecimal, for the key file only.
+    /// Returns the secret in hexadecimal, for the key file only.
     pub fn secret_hex(&self) -> String {
         hex::encode(self.signing.to_bytes())
     }
 
-    /// The public key in hexadecimal, as daemons' settings name it.
+    /// Returns the public key in hexadecimal, as used in the daemons' settings.
     pub fn public_hex(&self) -> String {
         hex::encode(self.signing.verifying_key().to_bytes())
     }
@@ -72,14 +73,18 @@
     }
 }
 
-/// Public keys that may sign bundles, by key id. Several are trusted at once while keys rotate.
+/// Public keys whose signatures on bundles are trusted, by key id. Several are trusted during a key
+/// rotation.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct TrustedKeys {
     keys: BTreeMap<String, VerifyingKey>,
 }
 
 impl TrustedKeys {
-    /// Reads public keys in hexadecimal by key id; all errors are told.
+    /// Parses public keys in hexadecimal by key id.
+    ///
+    /// # Errors
+    /// The errors of all invalid keys.
     pub fn from_hex(keys: &BTreeMap<String, String>) -> Result<Self, Vec<KeyError>> {
         let mut trusted = Self::default();
         let mut errors = Vec::new();
@@ -95,7 +100,7 @@
         Err(errors)
     }
 
-    /// Names of the keys.
+    /// Returns the names of the keys.
     pub fn key_ids(&self) -> impl Iterator<Item = &str> {
         self.keys.keys().map(String::as_str)
     }
@@ -109,7 +114,7 @@
     let bytes = decode(key_id, text)?;
     let key = VerifyingKey::from_bytes(&bytes).ok();
     key.filter(|key| !key.is_weak())
-        .ok_or_else(|| KeyError::NotAKey {
+        .ok_or_else(|| KeyError::InvalidPublicKey {
             key_id: key_id.to_owned(),
         })
 }
--- a/crates/ladderstage/src/bundle/mod.rs
+++ b/crates/ladderstage/src/bundle/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' bundle: its model, parsing with collected findings, checks and signatures.
+//! Bundles written by operators: model, parsing with all findings, checks and signatures.
 
 mod check;
 mod difference;
@@ -16,8 +16,8 @@
 
 pub use crate::document::Finding;
 
-/// The class of live callers, in every bundle.
+/// Class of live callers, required in every bundle.
 pub const LIVE_CLASS: &str = "live";
 
-/// The class of rollout samples, in every bundle.
+/// Class of rollout samples, required in every bundle.
 pub const ROLLOUT_CLASS: &str = "rollout";
--- a/crates/ladderstage/src/bundle/model.rs
+++ b/crates/ladderstage/src/bundle/model.rs
@@ -1,4 +1,4 @@
-//! What a bundle says.
+//! Data model of a bundle.
 
 use std::collections::BTreeMap;
 
@@ -6,18 +6,18 @@
 
 use crate::ids::{Revision, WeightVersion};
 
-/// What the schedule favours when both cannot be had.
+/// Scheduling objective if fresh samples and busy trainers conflict.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Objective {
-    /// Fresh samples before busy trainers.
+    /// Prefer fresh samples over busy trainers.
     #[default]
     Staleness,
-    /// Busy trainers before fresh samples.
+    /// Prefer busy trainers over fresh samples.
     TrainerIdle,
 }
 
-/// What kind of back end a pool holds.
+/// Kind of the back ends in a pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PoolKind {
@@ -27,42 +27,42 @@
     Application,
 }
 
-/// One pool of back ends.
+/// A pool of back ends.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PoolSpec {
-    /// Name that callers use (`model` of a completion, path part of an application request).
+    /// Name that callers use (`model` of a completion, path segment of an application request).
     pub name: String,
-    /// Kind of its back ends.
+    /// Kind of the back ends.
     pub kind: PoolKind,
-    /// Names of its back ends in the machine list.
+    /// Names of the back ends in the machine list.
     pub backends: Vec<String>,
-    /// Weight version that its engines should hold; 0 for applications.
+    /// Weight version that the engines should hold; 0 for applications.
     #[serde(default)]
     pub weight_version: WeightVersion,
-    /// How many versions a delivered sample may lie behind `weight_version`.
+    /// Maximum number of versions by which a delivered sample may be behind `weight_version`.
     #[serde(default)]
     pub staleness_bound: u64,
-    /// How old in seconds a delivered sample's first token may be; none: any age.
+    /// Maximum age of a delivered sample's first token in seconds; unlimited if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub staleness_bound_seconds: Option<u64>,
-    /// Requests that one back end is given at a time.
+    /// Maximum number of concurrent requests per back end.
     pub concurrency: u32,
 }
 
-/// One class of work.
+/// A class of work.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassSpec {
-    /// Name that callers give in `Ladderstage-Class`; `live` and `rollout` are always there.
+    /// Name that callers give in `Ladderstage-Class`; `live` and `rollout` always exist.
     pub name: String,
-    /// Smaller goes first.
+    /// Priority; smaller values are more important.
     pub priority: u32,
-    /// Requests in flight that one daemon admits.
+    /// Maximum number of requests in flight per daemon.
     pub limit: u32,
-    /// Deadline in milliseconds for requests that name none.
+    /// Deadline in milliseconds for requests without one.
     pub deadline_ms: u64,
-    /// Retries allowed, as a share of first tries in percent.
+    /// Retry budget in percent of the first attempts.
     #[serde(default)]
     pub retry_budget_percent: u32,
 }
@@ -71,9 +71,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bundle {
-    /// Number of this bundle; each roll takes the successor.
+    /// Revision; each roll uses the successor of the previous one.
     pub revision: Revision,
-    /// What the schedule favours.
+    /// Scheduling objective.
     #[serde(default)]
     pub objective: Objective,
     /// Pools of back ends.
@@ -82,23 +82,23 @@
     /// Classes of work.
     #[serde(rename = "class", default)]
     pub classes: Vec<ClassSpec>,
-    /// Free notes for operators.
+    /// Free-form notes for operators.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub notes: BTreeMap<String, String>,
 }
 
 impl Bundle {
-    /// The pool of that name.
+    /// Returns the pool with this name.
     pub fn pool(&self, name: &str) -> Option<&PoolSpec> {
         self.pools.iter().find(|pool| pool.name == name)
     }
 
-    /// The class of that name.
+    /// Returns the class with this name.
     pub fn class(&self, name: &str) -> Option<&ClassSpec> {
         self.classes.iter().find(|class| class.name == name)
     }
 
-    /// The pool that a back end belongs to.
+    /// Returns the pool that contains a back end.
     pub fn pool_of_backend(&self, backend: &str) -> Option<&PoolSpec> {
         self.pools
             .iter()
--- a/crates/ladderstage/src/bundle/signature.rs
+++ b/crates/ladderstage/src/bundle/signature.rs
@@ -12,37 +12,38 @@
 use super::model::Bundle;
 use crate::document::Finding;
 
-/// Put before the text that is signed, so that a signature made for something else never fits a bundle.
+/// Prefix of the signed bytes, so that signatures made for other purposes are not valid for
+/// bundles.
 const SIGNATURE_CONTEXT: &[u8] = b"ladderstage bundle v1\0";
 
-/// Most signatures that a bundle may carry.
+/// Maximum number of signatures of a bundle.
 const MAX_SIGNATURES: usize = 16;
 
-/// Why a signed bundle is not to be trusted.
+/// Reason why a signed bundle is refused.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum BundleError {
     /// No signature is by a trusted key.
     #[error("no signature by a trusted key; signed by: {}", .key_ids.join(", "))]
     NotTrusted {
-        /// Key ids that the signatures name.
+        /// Key ids of the signatures.
         key_ids: Vec<String>,
     },
-    /// A signature names a trusted key and does not fit the text.
+    /// A signature by a trusted key does not match the text.
     #[error("the signature by key `{key_id}` does not fit the text")]
     BadSignature {
-        /// Key id that the signature names.
+        /// Key id of the signature.
         key_id: String,
     },
-    /// The message is too large to be a bundle.
+    /// The text or the number of signatures exceeds its limit.
     #[error("over {MAX_TEXT_BYTES} bytes of text or {MAX_SIGNATURES} signatures")]
     TooLarge,
     /// The text is not UTF-8.
     #[error("the text is not UTF-8 from byte {valid_up_to}")]
-    NotText {
-        /// Bytes before the first wrong one.
+    NotUtf8 {
+        /// Offset of the first invalid byte.
         valid_up_to: usize,
     },
-    /// The text cannot be read.
+    /// The text cannot be parsed.
     #[error("{} findings, first: {}", .0.len(), .0.first().map(ToString::to_string).unwrap_or_default())]
     Findings(Vec<Finding>),
 }
@@ -57,7 +58,7 @@
     }
 }
 
-/// The digest of a bundle's text.
+/// Returns the digest of a bundle's text.
 pub fn digest(text: &[u8]) -> Digest {
     Digest(Sha256::digest(text).into())
 }
@@ -71,16 +72,21 @@
     }
 }
 
-/// Verifies the signatures, then reads the text; cross-checks are not made (see [`BundleDocument::into_bundle`]).
+/// Verifies the signatures, then parses the text without cross-checks (see
+/// [`BundleDocument::into_bundle`]).
 ///
-/// One trusted signature is enough, and signatures by unknown keys do no harm, so that keys can be rotated. A wrong
-/// signature in the name of a trusted key refuses the bundle whatever else it carries.
+/// One trusted signature is enough, and signatures by unknown keys are ignored, so that keys can be
+/// rotated. A wrong signature under the id of a trusted key refuses the bundle even if other
+/// signatures are valid.
+///
+/// # Errors
+/// [`BundleError`] if the bundle is refused.
 pub fn verify(signed: &SignedBundle, trusted: &TrustedKeys) -> Result<Bundle, BundleError> {
     if signed.text.len() > MAX_TEXT_BYTES || signed.signatures.len() > MAX_SIGNATURES {
         return Err(BundleError::TooLarge);
     }
     verify_signatures(signed, trusted)?;
-    let text = std::str::from_utf8(&signed.text).map_err(|error| BundleError::NotText {
+    let text = std::str::from_utf8(&signed.text).map_err(|error| BundleError::NotUtf8 {
         valid_up_to: error.valid_up_to(),
     })?;
     BundleDocument::read("bundle", text)
--- a/crates/ladderstage/src/claim.rs
+++ b/crates/ladderstage/src/claim.rs
@@ -1,30 +1,33 @@
-//! At-most-once claims: one register per idempotency key, folded from its log in the journal.
+//! At-most-once claims: one register per idempotency key, computed from the key's log in the
+//! journal.
 //!
-//! A claimant takes the log over, appends [`Claimed`], and dispatches only once a majority holds that entry as the
-//! first open claim. Taking over fences every earlier writer, so what a take-over returns is certain: an entry that
-//! it does not return can never be committed later. Hence a claimant whose append got no answer takes over again
-//! and dispatches only if its own claim is there.
+//! A claimant takes over the log, appends [`Claimed`], and dispatches only once a majority stores
+//! that entry as the first open claim. A takeover fences every earlier writer, so its result is
+//! final: an entry that it does not return can never be committed later. A claimant whose append
+//! got no answer therefore takes over again and dispatches only if the log then contains its own
+//! claim.
 
 use ladderstage_wire::messages::mod_ClaimEntry::OneOfkind;
 use ladderstage_wire::messages::{ClaimEntry, ClaimOutcome, Claimed};
 
-/// Take-overs after the first one until a claimant gives up.
+/// Maximum number of takeovers after the first one before the request is refused.
 const MAX_TAKE_OVER_RETRIES: u32 = 6;
 
-/// `ClaimOutcome::status` of a claim whose request certainly did not run; the key may be claimed again.
+/// `ClaimOutcome::status` of a claim whose request did not run; the key may be claimed again.
 const STATUS_RELEASED: u32 = 0;
 
-/// `ClaimOutcome::status` of a claim whose request may have run without an answer. No HTTP status is below 100.
+/// `ClaimOutcome::status` of a claim whose request may have run without an answer. Distinct from
+/// every HTTP status, which are 100 or higher.
 const STATUS_UNKNOWN: u32 = 1;
 
-/// How a claimed request ended.
+/// Final outcome of a claimed request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Settlement {
-    /// It ran and was answered.
+    /// The request ran and was answered.
     Answered(ClaimOutcome),
-    /// It may have run; its answer is lost.
+    /// The request may have run; its answer is lost.
     Unknown,
-    /// It certainly did not run and never will under this claim.
+    /// The request did not run and never will under this claim.
     Released,
 }
 
@@ -37,7 +40,7 @@
         }
     }
 
-    /// The log entry that records it.
+    /// Returns the log entry that records the outcome.
     pub fn into_entry(self) -> ClaimEntry {
         let with_status = |status| ClaimOutcome {
             status,
@@ -54,25 +57,25 @@
     }
 }
 
-/// What a key's log says.
+/// State of a key, computed from its log.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub enum ClaimState {
-    /// Nobody holds the key.
+    /// No claim is open or settled.
     #[default]
     Unclaimed,
-    /// Claimed; the request may be running, or its claimant is gone.
+    /// Claimed; the request may be running, or its claimant may have crashed.
     Claimed(Claimed),
-    /// Claimed and settled for good.
+    /// Claimed, with a final outcome.
     Settled(Claimed, Settlement),
 }
 
 impl ClaimState {
-    /// The state after all entries of a log.
+    /// Returns the state after all entries of a log.
     pub fn fold<'a>(entries: impl IntoIterator<Item = &'a ClaimEntry>) -> Self {
         entries.into_iter().fold(Self::default(), Self::apply)
     }
 
-    /// The state after one more entry. An entry that contradicts earlier ones is ignored.
+    /// Returns the state after one more entry. An entry that contradicts earlier ones is ignored.
     fn apply(self, entry: &ClaimEntry) -> Self {
         match (self, &entry.kind) {
             (Self::Unclaimed, OneOfkind::claimed(claimed)) => Self::Claimed(claimed.clone()),
@@ -86,76 +89,80 @@
         }
     }
 
-    /// Whether `claimant` holds the key and its outcome is still to be recorded.
+    /// Returns whether `claimant` holds the key and its outcome is not recorded yet.
     pub fn is_open_for(&self, claimant: u64) -> bool {
         matches!(self, Self::Claimed(claimed) if claimed.claimant == claimant)
     }
 }
 
-/// What a take-over of the key's log gave.
+/// Result of taking over a key's log.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TakeOverResult {
-    /// The log is ours until fenced; it says this.
+    /// The log is owned until another writer fences it; holds the state read from it.
     Taken(ClaimState),
     /// Another writer has a higher epoch.
     Fenced,
-    /// The key was settled so long ago that its outcome is no longer kept.
+    /// The key was settled long ago and its outcome has been dropped.
     Retired,
     /// No majority answered in time.
     NoQuorum,
 }
 
-/// What appending the claim gave.
+/// Result of appending the claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AppendResult {
-    /// A majority holds it.
+    /// A majority has stored the entry.
     Committed,
-    /// Another writer has taken the log; whether the entry survived is unknown.
+    /// Another writer has taken over the log; the entry may or may not survive.
     Fenced,
-    /// No majority answered in time; whether the entry survives is unknown.
+    /// No majority answered in time; the entry may or may not survive.
     NoQuorum,
 }
 
-/// Final answer to a request that was not dispatched.
+/// Final answer to a request that is not dispatched.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ClaimRefusal {
-    /// An earlier request of this key was answered: give that answer.
+    /// An earlier request with this key was answered: repeat that answer.
     Replay(ClaimOutcome),
-    /// An earlier request of this key may be running or have run, or it is not known who holds the key.
+    /// An earlier request with this key may be running or have run, or the key's holder is unknown.
     Unknown,
-    /// Nothing was dispatched and nothing was claimed for this request.
+    /// Nothing was dispatched and the key was not claimed for this request.
     NotRun,
     /// The key was used for a different request.
     KeyReused,
 }
 
-/// What a claimant does next.
+/// Next step of a claimant.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ClaimStep {
-    /// Take over the log, after a jittered back-off if it was tried before, and a look at it if that can be had.
+    /// Take over the log. On a retry, back off with jitter first; if possible, read the log without
+    /// fencing before taking it over.
     TakeOver,
-    /// Append this entry to the log just taken over.
+    /// Append this entry to the log that was just taken over.
     Append(ClaimEntry),
-    /// The claim is ours and committed: dispatch, once.
+    /// The claim is committed: dispatch the request, once.
     Dispatch,
     /// Answer without dispatching.
     Refuse(ClaimRefusal),
 }
 
-/// One request's way to its claim. Feed each result in; each step follows from the last.
+/// State machine by which one request claims its key. The caller performs each step and passes in
+/// its result.
 #[derive(Debug, Clone)]
 pub struct Claimant {
     own: Claimed,
     retries: u32,
-    /// An append of our claim was attempted and not confirmed.
+    /// An append of this claimant's entry was attempted and not confirmed.
     may_have_claimed: bool,
-    /// Another writer was met.
-    met_rival: bool,
+    /// Another writer has fenced this one.
+    saw_other_writer: bool,
 }
 
 impl Claimant {
-    /// `id` is random and never used by another request; `request_digest` tells different requests apart.
-    /// The first step is [`ClaimStep::TakeOver`].
+    /// Creates a claimant whose first step is [`ClaimStep::TakeOver`].
+    ///
+    /// `id` is random and unique among requests; `request_digest` distinguishes different requests
+    /// with one key.
     pub fn new(id: u64, request_digest: Vec<u8>) -> Self {
         Self {
             own: Claimed {
@@ -164,19 +171,20 @@
             },
             retries: 0,
             may_have_claimed: false,
-            met_rival: false,
+            saw_other_writer: false,
         }
     }
 
-    /// The claimant's id.
+    /// Returns the claimant's id.
     pub fn id(&self) -> u64 {
         self.own.claimant
     }
 
-    /// The step after a look at the log that fenced nobody and may show entries that are not committed.
+    /// Returns the step after reading the log without fencing its writer, which may show
+    /// uncommitted entries.
     ///
-    /// Seeing another's claim of the same request is enough to answer `unknown`; taking the log over would only
-    /// hinder that claimant. All else needs the certainty of a take-over.
+    /// Another request's claim of the same content is enough to answer `unknown`: a takeover would
+    /// only disturb that claimant. All other states need the certainty of a takeover.
     pub fn after_look(&self, state: &ClaimState) -> ClaimStep {
         match state {
             ClaimState::Claimed(claimed)
@@ -189,37 +197,37 @@
         }
     }
 
-    /// How often the log was tried to be taken over again.
+    /// Returns the number of takeovers after the first one.
     pub fn retries(&self) -> u32 {
         self.retries
     }
 
-    /// The step after a take-over.
+    /// Returns the step after a takeover.
     pub fn after_take_over(&mut self, result: TakeOverResult) -> ClaimStep {
         match result {
-            TakeOverResult::Taken(state) => self.after_read(state),
+            TakeOverResult::Taken(state) => self.after_acquired(state),
             TakeOverResult::Fenced => {
-                self.met_rival = true;
-                self.try_again()
+                self.saw_other_writer = true;
+                self.retry()
             }
             TakeOverResult::Retired => ClaimStep::Refuse(ClaimRefusal::Unknown),
-            TakeOverResult::NoQuorum => self.give_up(),
+            TakeOverResult::NoQuorum => self.refuse(),
         }
     }
 
-    /// The step after appending the claim.
+    /// Returns the step after appending the claim.
     pub fn after_append(&mut self, result: AppendResult) -> ClaimStep {
         match result {
             AppendResult::Committed => ClaimStep::Dispatch,
             AppendResult::Fenced => {
-                self.met_rival = true;
-                self.try_again()
+                self.saw_other_writer = true;
+                self.retry()
             }
-            AppendResult::NoQuorum => self.try_again(),
+            AppendResult::NoQuorum => self.retry(),
         }
     }
 
-    fn after_read(&mut self, state: ClaimState) -> ClaimStep {
+    fn after_acquired(&mut self, state: ClaimState) -> ClaimStep {
         match state {
             ClaimState::Unclaimed => {
                 self.may_have_claimed = true;
@@ -227,7 +235,7 @@
                     kind: OneOfkind::claimed(self.own.clone()),
                 })
             }
-            // The take-over has installed the entry at a majority, and nobody else dispatches under our id.
+            // The takeover has stored the entry at a majority, and no other request uses this id.
             ClaimState::Claimed(claimed) if claimed.claimant == self.own.claimant => {
                 ClaimStep::Dispatch
             }
@@ -245,17 +253,18 @@
         }
     }
 
-    fn try_again(&mut self) -> ClaimStep {
+    fn retry(&mut self) -> ClaimStep {
         if self.retries >= MAX_TAKE_OVER_RETRIES {
-            return self.give_up();
+            return self.refuse();
         }
         self.retries += 1;
         ClaimStep::TakeOver
     }
 
-    /// Not run is said only where neither we nor a rival we met can hold the key.
-    fn give_up(&self) -> ClaimStep {
-        let refusal = if self.may_have_claimed || self.met_rival {
+    /// Refuses the request. `NotRun` is allowed only if neither this claimant nor another writer
+    /// may hold the key.
+    fn refuse(&self) -> ClaimStep {
+        let refusal = if self.may_have_claimed || self.saw_other_writer {
             ClaimRefusal::Unknown
         } else {
             ClaimRefusal::NotRun
--- a/crates/ladderstage/src/document/finding.rs
+++ b/crates/ladderstage/src/document/finding.rs
@@ -1,21 +1,21 @@
-//! One thing wrong with a file.
+//! Findings about a file.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// One thing wrong with a file, and what would be right.
+/// An error in a file, with the allowed values.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finding {
-    /// File as the user named it, or what stands in for one.
+    /// File as named by the user, or a placeholder.
     pub file: String,
-    /// Line from 1; 0 if it has no place in the file.
+    /// Line from 1; 0 if there is no position.
     pub line: u32,
-    /// Column in characters from 1; 0 if it has no place in the file.
+    /// Column in characters from 1; 0 if there is no position.
     pub column: u32,
-    /// What stands there.
+    /// Value or condition that was found.
     pub found: String,
-    /// What may stand there.
+    /// Allowed values.
     pub allowed: String,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// Orders findings by place.
+/// Sorts findings by position.
 pub(crate) fn sort(findings: &mut [Finding]) {
     findings.sort_by_key(|finding| (finding.line, finding.column));
 }
--- a/crates/ladderstage/src/document/mod.rs
+++ b/crates/ladderstage/src/document/mod.rs
@@ -1,7 +1,8 @@
-//! TOML documents read with every finding of a file in one run, each with its place.
+//! Reads TOML documents and reports all findings of a file in one run, each with its position.
 //!
-//! [`read`] walks a document through [`Table`]s, which note wrong types and values, missing keys and unknown
-//! keys as they go and hand out what could be read. Cross-checks then add [`Finding`]s through [`Places`].
+//! [`read`] walks a document through [`Table`]s, which record wrong types and values, missing keys
+//! and unknown keys, and return every value that could be read. Cross-checks then add [`Finding`]s
+//! through [`KeyPositions`].
 
 mod finding;
 mod nearest;
@@ -18,21 +19,25 @@
 
 use table::Report;
 
-/// What was read from a document. `value` is best effort as long as there are findings.
+/// Result of reading a document. `value` is best effort if there are findings.
 #[derive(Debug, Clone)]
-pub struct Reading<T> {
-    /// What the reader made of the document.
+pub struct ParsedDocument<T> {
+    /// Value built by the reader.
     pub value: T,
-    /// Everything wrong so far, by place.
+    /// Findings so far, sorted by position.
     pub findings: Vec<Finding>,
-    /// Where each key stands.
+    /// Position of each key.
     pub places: Places,
-    /// Whether the text is TOML at all; without it, cross-checks would report echoes.
+    /// Whether the text is valid TOML; if not, cross-checks would only report follow-up errors.
     pub well_formed: bool,
 }
 
-/// Reads `text`, which came from `file` (a name for the findings only).
-pub fn read<T>(file: &str, text: &str, reader: impl FnOnce(&mut Table<'_>) -> T) -> Reading<T> {
+/// Reads `text`; `file` is its name in findings.
+pub fn read<T>(
+    file: &str,
+    text: &str,
+    reader: impl FnOnce(&mut Table<'_>) -> T,
+) -> ParsedDocument<T> {
     let (root, errors) = DeTable::parse_recoverable(text);
     let report = Report::new(Places::new(file, text), !errors.is_empty());
     for error in &errors {
@@ -43,7 +48,7 @@
     table.finish();
     let (mut findings, places) = report.into_parts();
     finding::sort(&mut findings);
-    Reading {
+    ParsedDocument {
         value,
         findings,
         places,
--- a/crates/ladderstage/src/document/nearest.rs
+++ b/crates/ladderstage/src/document/nearest.rs
@@ -1,9 +1,9 @@
-//! The known name nearest to a misspelt one.
+//! Suggests a known name for a misspelt one.
 
-/// Largest edit distance at which a name is still offered.
+/// Maximum edit distance of a suggestion.
 const MAX_DISTANCE: usize = 4;
 
-/// The known name with the smallest edit distance, if it is close enough to be meant.
+/// Returns the known name with the smallest edit distance, if it is within the limit.
 pub(super) fn nearest<'k>(name: &str, known: &[&'k str]) -> Option<&'k str> {
     let limit = MAX_DISTANCE.min(name.chars().count() / 2 + 1);
     let distances = known
@@ -15,7 +15,7 @@
         .map(|(_, name)| name)
 }
 
-/// Levenshtein distance in characters, one row at a time.
+/// Returns the Levenshtein distance in characters, computed one row at a time.
 fn distance(left: &str, right: &str) -> usize {
     let right: Vec<char> = right.chars().collect();
     let mut row: Vec<usize> = (0..=right.len()).collect();
--- a/crates/ladderstage/src/document/places.rs
+++ b/crates/ladderstage/src/document/places.rs
@@ -1,17 +1,17 @@
-//! Where the keys of a document stand.
+//! Positions of the keys of a document.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::Finding;
 
-/// A place in a file, from 1.
+/// Position in a file, from 1.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Position {
     line: u32,
     column: u32,
 }
 
-/// Where each key of a document stands, by path such as `pool[0].backends[2]`.
+/// Position of each key of a document, by path such as `pool[0].backends[2]`.
 #[derive(Debug, Clone)]
 pub struct Places {
     file: String,
@@ -32,8 +32,8 @@
         }
     }
 
-    /// A finding at `path`, or at the nearest enclosing key that the document has.
-    /// `None` if something was already found at that very path: one mistake gives one finding.
+    /// Returns a finding at `path`, or at the closest enclosing key of the document. `None` if
+    /// there is already a finding at this path, so that one mistake yields one finding.
     pub fn finding(&self, path: &str, found: String, allowed: String) -> Option<Finding> {
         if self.is_faulty(path) {
             return None;
@@ -48,12 +48,12 @@
         })
     }
 
-    /// Whether something was found at that very path while the document was read.
+    /// Returns whether reading the document yielded a finding at this path.
     pub fn is_faulty(&self, path: &str) -> bool {
         self.faulty.contains(path)
     }
 
-    pub(super) fn note(&mut self, path: &str, offset: usize) {
+    pub(super) fn record_position(&mut self, path: &str, offset: usize) {
         let position = self.locate(offset);
         self.positions.insert(path.to_owned(), position);
     }
--- a/crates/ladderstage/src/document/table.rs
+++ b/crates/ladderstage/src/document/table.rs
@@ -1,4 +1,4 @@
-//! One table of a document as it is read.
+//! Reader for a table of a document.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -10,21 +10,21 @@
 use super::value::{describe, shorten};
 use super::{Finding, FromToml, Places};
 
-/// Findings and places collected while a document is read.
+/// Findings and key positions collected while a document is read.
 #[derive(Debug)]
 pub(super) struct Report {
     places: RefCell<Places>,
     findings: RefCell<Vec<Finding>>,
-    /// Broken TOML may hide keys, so absent ones are not reported.
-    broken: bool,
+    /// Whether the text has syntax errors; these may hide keys, so missing keys are not reported.
+    has_syntax_errors: bool,
 }
 
 impl Report {
-    pub(super) fn new(places: Places, broken: bool) -> Self {
+    pub(super) fn new(places: Places, has_syntax_errors: bool) -> Self {
         Self {
             places: RefCell::new(places),
             findings: RefCell::default(),
-            broken,
+            has_syntax_errors,
         }
     }
 
@@ -38,12 +38,14 @@
         self.add(offset, found, "TOML 1.0".to_owned());
     }
 
-    /// Adds a finding. A line with a syntax error gets no further ones: they would be echoes.
+    /// Adds a finding. A line with a syntax error gets no further findings, as they would be
+    /// follow-up errors.
     fn add(&self, offset: usize, found: String, allowed: String) {
         let finding = self.places.borrow().finding_at(offset, found, allowed);
         let mut findings = self.findings.borrow_mut();
-        let is_echo = self.broken && findings.iter().any(|other| other.line == finding.line);
-        if !is_echo {
+        let is_follow_up =
+            self.has_syntax_errors && findings.iter().any(|other| other.line == finding.line);
+        if !is_follow_up {
             findings.push(finding);
         }
     }
@@ -61,7 +63,7 @@
     }
 }
 
-/// A table being read. Keys that nobody asked for become findings when reading ends.
+/// A table being read. Keys that the reader did not query become findings when reading ends.
 #[derive(Debug)]
 pub struct Table<'d> {
     report: &'d Report,
@@ -80,13 +82,13 @@
         }
     }
 
-    /// The value of a key that may be absent; a wrong value is a finding and gives `None`.
+    /// Returns the value of an optional key; a wrong value is reported and yields `None`.
     pub fn optional<T: FromToml>(&mut self, key: &'static str) -> Option<T> {
-        let (path, value) = self.take(key)?;
+        let (path, value) = self.read_key(key)?;
         self.convert(&path, value)
     }
 
-    /// The value of a key that must be there; absence is a finding too.
+    /// Returns the value of a required key; a missing or wrong value is reported.
     pub fn required<T: FromToml>(&mut self, key: &'static str) -> Option<T> {
         if !self.has(key) {
             self.known.push(key);
@@ -96,10 +98,10 @@
         self.optional(key)
     }
 
-    /// The elements of an array; a wrong element is a finding and left out.
-    /// Paths count the elements that are handed out.
+    /// Returns the elements of an array; wrong elements are reported and left out. Paths count the
+    /// returned elements only.
     pub fn list<T: FromToml>(&mut self, key: &'static str) -> Vec<T> {
-        let Some((path, value)) = self.take(key) else {
+        let Some((path, value)) = self.read_key(key) else {
             return Vec::new();
         };
         let Some(array) = value.get_ref().as_array() else {
@@ -113,21 +115,21 @@
                 self.report.reject(&path, element, T::ALLOWED);
                 continue;
             };
-            self.note(&format!("{path}[{}]", list.len()), element.span().start);
+            self.record_position(&format!("{path}[{}]", list.len()), element.span().start);
             list.push(converted);
         }
         list
     }
 
-    /// A table with free keys.
+    /// Returns a table with arbitrary keys.
     pub fn map<T: FromToml>(&mut self, key: &'static str) -> BTreeMap<String, T> {
-        let Some((path, entries)) = self.take_table(key) else {
+        let Some((path, entries)) = self.read_table(key) else {
             return BTreeMap::new();
         };
         let mut map = BTreeMap::new();
         for (name, value) in entries {
             let path = format!("{path}.{}", name.get_ref());
-            self.note(&path, value.span().start);
+            self.record_position(&path, value.span().start);
             if let Some(value) = self.convert(&path, value) {
                 map.insert(name.get_ref().to_string(), value);
             }
@@ -135,27 +137,27 @@
         map
     }
 
-    /// A table with known keys; `None` if it is absent or no table.
+    /// Reads a table with known keys; `None` if it is missing or not a table.
     pub fn table<T>(
         &mut self,
         key: &'static str,
         reader: impl FnOnce(&mut Table<'_>) -> T,
     ) -> Option<T> {
-        let (path, entries) = self.take_table(key)?;
+        let (path, entries) = self.read_table(key)?;
         let mut table = Table::new(self.report, entries, path);
         let value = reader(&mut table);
         table.finish();
         Some(value)
     }
 
-    /// An array of tables with known keys; an element that is no table is a finding and left out.
-    /// Paths count the elements that are handed out.
+    /// Reads an array of tables with known keys; elements that are not tables are reported and left
+    /// out. Paths count the returned elements only.
     pub fn tables<T>(
         &mut self,
         key: &'static str,
         mut reader: impl FnMut(&mut Table<'_>) -> T,
     ) -> Vec<T> {
-        let Some((path, value)) = self.take(key) else {
+        let Some((path, value)) = self.read_key(key) else {
             return Vec::new();
         };
         let Some(array) = value.get_ref().as_array() else {
@@ -170,7 +172,7 @@
                 continue;
             };
             let path = format!("{path}[{}]", items.len());
-            self.note(&path, element.span().start);
+            self.record_position(&path, element.span().start);
             let mut table = Table::new(self.report, entries, path);
             items.push(reader(&mut table));
             table.finish();
@@ -203,16 +205,16 @@
         self.entries.contains_key(key)
     }
 
-    fn take(&mut self, key: &'static str) -> Option<(String, &'d Spanned<DeValue<'d>>)> {
+    fn read_key(&mut self, key: &'static str) -> Option<(String, &'d Spanned<DeValue<'d>>)> {
         self.known.push(key);
         let value = self.entries.get(key)?;
         let path = self.path_of(key);
-        self.note(&path, value.span().start);
+        self.record_position(&path, value.span().start);
         Some((path, value))
     }
 
-    fn take_table(&mut self, key: &'static str) -> Option<(String, &'d DeTable<'d>)> {
-        let (path, value) = self.take(key)?;
+    fn read_table(&mut self, key: &'static str) -> Option<(String, &'d DeTable<'d>)> {
+        let (path, value) = self.read_key(key)?;
         let entries = value.get_ref().as_table();
         if entries.is_none() {
             self.report.reject(&path, value, "a table");
@@ -230,7 +232,7 @@
 
     fn report_missing(&self, key: &str, allowed: &str) {
         let path = self.path_of(key);
-        if !self.report.broken {
+        if !self.report.has_syntax_errors {
             let found = format!("no key `{key}`");
             self.report
                 .add_at(&path, found, format!("`{key}` with {allowed}"));
@@ -238,8 +240,11 @@
         self.report.places.borrow_mut().mark_faulty(&path);
     }
 
-    fn note(&self, path: &str, offset: usize) {
-        self.report.places.borrow_mut().note(path, offset);
+    fn record_position(&self, path: &str, offset: usize) {
+        self.report
+            .places
+            .borrow_mut()
+            .record_position(path, offset);
     }
 
     fn path_of(&self, key: &str) -> String {
--- a/crates/ladderstage/src/document/value.rs
+++ b/crates/ladderstage/src/document/value.rs
@@ -1,4 +1,4 @@
-//! Values that can be read from TOML, with words for what is allowed.
+//! Conversion of TOML values, with descriptions of the allowed values.
 
 use std::net::SocketAddr;
 use std::num::NonZeroU64;
@@ -6,15 +6,15 @@
 
 use toml::de::{DeInteger, DeValue};
 
-/// Longest piece of a value that a finding repeats, in characters.
-const SHOWN_CHARACTERS: usize = 60;
+/// Maximum number of characters of a value that a finding shows.
+const MAX_SHOWN_CHARACTERS: usize = 60;
 
-/// A value that one TOML value can give.
+/// A type that can be read from a single TOML value.
 pub trait FromToml: Sized {
-    /// What is allowed, for findings.
+    /// Description of the allowed values, for findings.
     const ALLOWED: &'static str;
 
-    /// Reads the value; `None` if it is not allowed.
+    /// Converts the value; `None` if it is not allowed.
     fn from_toml(value: &DeValue<'_>) -> Option<Self>;
 }
 
@@ -78,7 +78,7 @@
     }
 }
 
-/// Words for a value that was found.
+/// Returns a description of a value that was found.
 pub(super) fn describe(value: &DeValue<'_>) -> String {
     match value {
         DeValue::String(text) => format!("string {:?}", shorten(text)),
@@ -89,9 +89,9 @@
     }
 }
 
-/// The start of a text, with a mark if it goes on.
+/// Returns the start of a text, with an ellipsis if it was cut.
 pub(super) fn shorten(text: &str) -> String {
-    match text.char_indices().nth(SHOWN_CHARACTERS) {
+    match text.char_indices().nth(MAX_SHOWN_CHARACTERS) {
         None => text.to_owned(),
         Some((end, _)) => format!("{}…", &text[..end]),
     }
--- a/crates/ladderstage/src/engine_orders/attempt.rs
+++ b/crates/ladderstage/src/engine_orders/attempt.rs
@@ -1,48 +1,49 @@
-//! When to send an order, and when to send it again.
+//! Decides when to send an order and when to repeat it.
 
 use std::time::Duration;
 
 use super::{EngineView, Order};
 use crate::ids::{ProcessId, Revision};
 
-/// Wait before an order is sent a second time; it doubles with each attempt.
-const RETRY_BASE: Duration = Duration::from_secs(1);
-/// Longest wait, before jitter.
-const RETRY_LIMIT: Duration = Duration::from_secs(30);
-/// Highest power of two by which the wait grows.
+/// Delay before an order is sent a second time; doubles with each attempt.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Maximum delay, before jitter.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(30);
+/// Maximum number of doublings of the delay.
 const MAX_DOUBLINGS: u32 = 8;
 
-/// What came of sending an order.
+/// Result of sending an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The engine said that it will try. Nothing is done yet.
+    /// The engine accepted the order; it has not applied it yet.
     Accepted,
-    /// The engine has seen the order of a newer bundle.
+    /// The engine has received an order of a newer bundle.
     Fenced {
-        /// Highest fence it has seen.
+        /// Highest fence that the engine has received.
         fence: Revision,
     },
     /// No answer, or an error.
     Failed,
 }
 
-/// The last time an order was sent to an engine.
+/// Last attempt to send an order to an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Attempt {
-    /// Process that was meant.
+    /// Process to which the order was sent.
     pub process: ProcessId,
     /// Fence of the order.
     pub fence: Revision,
-    /// How often this order was sent to this process.
+    /// Number of times this order was sent to this process.
     pub count: u32,
-    /// What came of it.
+    /// Result of the attempt.
     pub outcome: AttemptOutcome,
-    /// Earliest time to send it again.
+    /// Earliest time to send the order again.
     pub retry_at: Duration,
 }
 
 impl Attempt {
-    /// Records an attempt that ended at `now`; `previous` is the one before. `jitter` is uniform in [0, 1).
+    /// Creates the record of an attempt that ended at `now`; `previous` is the attempt before it.
+    /// `jitter` is uniform in [0, 1).
     pub fn record(
         order: &Order,
         process: ProcessId,
@@ -63,31 +64,31 @@
         }
     }
 
-    /// Whether it was this order and this process.
+    /// Returns whether the attempt sent this order to this process.
     pub fn is_for(&self, order: &Order, process: ProcessId) -> bool {
         self.fence == order.fence && self.process == process
     }
 }
 
-/// What to do about an order now.
+/// Next action for an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Action {
-    /// The engine reports the version.
+    /// The engine reports the ordered version.
     #[error("done")]
     Done,
-    /// Send it.
+    /// Send the order.
     #[error("due")]
     Send,
-    /// It was sent; give the engine until then.
+    /// The order was sent; wait for the engine.
     #[error("sent")]
     Wait {
-        /// When to look at it again.
+        /// Time of the next attempt.
         until: Duration,
     },
     /// Other engines of the pool swap first.
     #[error("in a later wave")]
     LaterWave,
-    /// No fresh report tells what the engine holds.
+    /// No fresh report of the engine is available.
     #[error("no fresh report")]
     Unreported,
     /// The engine follows a newer bundle than the one in force here.
@@ -95,7 +96,8 @@
     Superseded,
 }
 
-/// Decides about one order. `engine` is the last fresh report, `in_wave` whether the engine may swap now.
+/// Decides the next action for an order. `engine` is the last fresh report; `in_wave` is whether
+/// the engine may swap now.
 pub fn next_action(
     order: &Order,
     engine: Option<EngineView>,
@@ -109,7 +111,7 @@
     if engine.weight_version == order.weight_version {
         return Action::Done;
     }
-    // Attempts with another order or towards another process say nothing about this one.
+    // Attempts with another order or to another process do not count.
     let last = last.filter(|attempt| attempt.is_for(order, engine.process));
     match last {
         Some(attempt) if is_superseded(attempt, order) => Action::Superseded,
@@ -125,9 +127,9 @@
     matches!(attempt.outcome, AttemptOutcome::Fenced { fence } if fence > order.fence)
 }
 
-/// Between half and one and a half times the doubled base.
+/// Returns the doubled delay, scaled by a factor between 0.5 and 1.5.
 fn backoff(earlier: u32, jitter: f64) -> Duration {
     let factor = 1 << earlier.min(MAX_DOUBLINGS);
-    let wait = (RETRY_BASE * factor).min(RETRY_LIMIT);
+    let wait = (INITIAL_RETRY_DELAY * factor).min(MAX_RETRY_DELAY);
     wait.mul_f64(0.5 + jitter.clamp(0.0, 1.0))
 }
--- a/crates/ladderstage/src/engine_orders/order.rs
+++ b/crates/ladderstage/src/engine_orders/order.rs
@@ -1,4 +1,4 @@
-//! What the bundle orders, and who sends it.
+//! Orders that follow from a bundle, and the daemons that send them.
 
 use std::time::Duration;
 
@@ -6,26 +6,27 @@
 use crate::ids::{Revision, WeightVersion};
 use crate::routing::rendezvous;
 
-/// Daemons that look after one engine.
-pub const CARETAKERS_PER_ENGINE: usize = 2;
-/// How long the second caretaker leaves a new bundle's orders to the first: the weight store is rate-limited, and an
-/// engine may load anew for each order.
+/// Number of daemons that send the orders of one engine.
+pub const ORDER_SENDERS_PER_ENGINE: usize = 2;
+/// Time for which the second sender leaves a new bundle's orders to the first. The weight store is
+/// rate-limited, and an engine may reload the weights for each order.
 pub const STANDBY_DELAY: Duration = Duration::from_secs(2);
 
 /// An order to one engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
-    /// Engine's name in the machine list.
+    /// Name of the engine in the machine list.
     pub backend: String,
-    /// Model to hold: the pool's name.
+    /// Model to hold, which is the name of the pool.
     pub model: String,
     /// Weight version to hold.
     pub weight_version: WeightVersion,
-    /// Revision of the bundle that orders it.
+    /// Revision of the bundle.
     pub fence: Revision,
 }
 
-/// All orders that follow from a bundle, in its order. Pools without a weight version order nothing.
+/// Returns all orders that follow from a bundle, in bundle order. Pools without a weight version
+/// have none.
 pub fn orders(bundle: &Bundle) -> Vec<Order> {
     bundle
         .pools
@@ -42,11 +43,12 @@
         .collect()
 }
 
-/// Rank of `own` among the caretakers of an engine, 0 first; `None`: others look after it.
+/// Returns the rank of `own` among the daemons that send an engine's orders, from 0; `None` if it
+/// is not one of them.
 pub fn caretaker_rank(backend: &str, own: &str, members: &[String]) -> Option<usize> {
     let key = format!("engine-caretaker/{backend}");
     rendezvous(key.as_bytes(), members.iter().map(String::as_str))
         .into_iter()
-        .take(CARETAKERS_PER_ENGINE)
-        .position(|caretaker| caretaker == own)
+        .take(ORDER_SENDERS_PER_ENGINE)
+        .position(|sender| sender == own)
 }
--- a/crates/ladderstage/src/engine_orders/wave.rs
+++ b/crates/ladderstage/src/engine_orders/wave.rs
@@ -1,8 +1,10 @@
-//! Which engines of a pool may swap now.
+//! Selection of the engines of a pool that may swap weights now.
 //!
-//! At most a share of a pool swaps at a time, so that the others go on working. The wave is the first engines by name
-//! that do not report the wanted version yet: daemons with the same reports choose the same, without talking. Engines
-//! that swapped leave it by their report. Ones that never do cannot hold up the rest: the wave widens with time.
+//! Only a share of a pool swaps at a time, so that the other engines continue to serve. The wave
+//! consists of the first engines by name that do not report the ordered version yet: daemons with
+//! the same reports select the same engines without coordination. Engines leave the wave by
+//! reporting the version. The wave widens over time, so that engines that never do cannot block the
+//! rest.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,24 +12,26 @@
 use super::Order;
 use crate::ids::{ProcessId, WeightVersion};
 
-/// Share of a pool that swaps at a time, in percent; one engine at least.
+/// Share of a pool that swaps at a time, in percent; at least one engine.
 pub const WAVE_SHARE_PERCENT: usize = 34;
-/// After each such time since the bundle came into force, the wave widens by its first size.
+/// Interval after which the wave widens by its initial size, counted from when the bundle came into
+/// force.
 pub const WAVE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// An engine by its last fresh report.
+/// State of an engine by its last fresh report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineView {
-    /// Process that reports.
+    /// Process that sent the report.
     pub process: ProcessId,
-    /// Weight version it holds.
+    /// Weight version that the engine holds.
     pub weight_version: WeightVersion,
-    /// Whether nothing runs or waits there; such an engine swaps outside the waves.
+    /// Whether no request runs or waits there; an idle engine swaps regardless of the wave.
     pub idle: bool,
 }
 
-/// Names of the engines that may swap now. `pool` are the orders of one pool, `view` gives an engine's last fresh
-/// report; one without takes no place. `in_force_for` is how long this process has had the bundle.
+/// Returns the names of the engines that may swap now. `pool` holds the orders of one pool, and
+/// `view` returns an engine's last fresh report; engines without one are left out. `in_force_for`
+/// is the time for which this process has had the bundle.
 pub fn wave(
     pool: &[Order],
     view: impl Fn(&str) -> Option<EngineView>,
--- a/crates/ladderstage/src/evidence.rs
+++ b/crates/ladderstage/src/evidence.rs
@@ -1,62 +1,64 @@
-//! How recently the bundle in force was known to be the newest.
+//! Tracks how recently the bundle in force was known to be the newest one.
 //!
-//! Instants are durations since an origin that the caller fixes once a process start. Each source says: "revision R
-//! was the newest at instant T". The state keeps, for the revision it holds, the latest such instant.
+//! Instants are durations since an origin that the caller fixes at process start. Each source
+//! states that revision R was the newest at instant T; the latest such instant is kept for the
+//! revision held.
 
 use std::time::Duration;
 
 use crate::ids::Revision;
 
-/// What a piece of evidence calls for.
+/// Effect of a piece of evidence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Learned {
     /// The revision held was the newest at that instant.
     Refreshed,
-    /// It is about a lower revision or says nothing new.
+    /// The evidence is about a lower revision or adds nothing.
     Ignored,
-    /// There is a newer bundle than the one held: fetch it.
+    /// A newer bundle than the one held exists and must be fetched.
     Fetch {
-        /// Its revision.
+        /// Revision of the newer bundle.
         revision: Revision,
     },
 }
 
-/// Evidence for the bundle that a process holds.
+/// Evidence about the bundle that a process holds.
 ///
-/// Invariants: the revision never decreases, and the instant is never later than one that a source gave for
-/// that very revision.
+/// Invariants: the revision never decreases, and the instant is never later than one that a source
+/// gave for this revision.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Evidence {
     held: Revision,
     newest_as_of: Option<Duration>,
-    ahead: Option<Ahead>,
+    ahead: Option<NewerRevision>,
 }
 
-/// A newer revision that is known of but not held yet.
+/// A newer revision that is known but not held yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Ahead {
+struct NewerRevision {
     revision: Revision,
     newest_as_of: Option<Duration>,
 }
 
 impl Evidence {
-    /// Nothing held (revision 0) and nothing known.
+    /// Creates the state of a process without a bundle (revision 0).
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The revision held; 0: none.
+    /// Returns the revision held; 0 means none.
     pub fn revision(&self) -> Revision {
         self.held
     }
 
-    /// A newer revision that is known of, to be fetched.
+    /// Returns the newer revision that must be fetched, if one is known.
     pub fn ahead(&self) -> Option<Revision> {
         self.ahead.map(|ahead| ahead.revision)
     }
 
-    /// The latest instant at which the revision held was known to be the newest. `None` if there is none, or
-    /// once a newer one is known of: from then on the one held may not be delivered under.
+    /// Returns the latest instant at which the revision held was known to be the newest. `None` if
+    /// there is no such instant or a newer revision is known: nothing may then be delivered under
+    /// the revision held.
     pub fn newest_as_of(&self) -> Option<Duration> {
         if self.ahead.is_some() {
             return None;
@@ -64,13 +66,14 @@
         self.newest_as_of
     }
 
-    /// Age of the evidence at `now`; `None` as for [`Self::newest_as_of`].
+    /// Returns the age of the evidence at `now`; `None` as for [`Self::newest_as_of`].
     pub fn age(&self, now: Duration) -> Option<Duration> {
         self.newest_as_of()
             .map(|instant| now.saturating_sub(instant))
     }
 
-    /// A verified bundle of this revision is at hand. Returns whether it is newer than the one held.
+    /// Records that a verified bundle of this revision is held. Returns whether it is newer than
+    /// the previous one.
     pub fn advance(&mut self, revision: Revision) -> bool {
         if revision <= self.held {
             return false;
@@ -88,12 +91,12 @@
         true
     }
 
-    /// A source says that `revision` was the newest at the instant `as_of`.
+    /// Records that `revision` was the newest one at the instant `as_of`.
     pub fn learn(&mut self, revision: Revision, as_of: Duration) -> Learned {
         self.merge(revision, Some(as_of))
     }
 
-    /// A source says that `revision` exists, but not as of when it was the newest.
+    /// Records that `revision` exists, without an instant at which it was the newest.
     pub fn learn_of(&mut self, revision: Revision) -> Learned {
         self.merge(revision, None)
     }
@@ -112,13 +115,13 @@
                 Learned::Ignored
             };
         }
-        let newer = Ahead {
+        let newer = NewerRevision {
             revision,
             newest_as_of: as_of,
         };
         self.ahead = Some(match self.ahead {
             Some(known) if known.revision > revision => known,
-            Some(known) if known.revision == revision => Ahead {
+            Some(known) if known.revision == revision => NewerRevision {
                 revision,
                 newest_as_of: known.newest_as_of.max(as_of),
             },
--- a/crates/ladderstage/src/ids.rs
+++ b/crates/ladderstage/src/ids.rs
@@ -2,19 +2,19 @@
 
 use std::fmt;
 
-/// Name of a daemon from its settings; stays the same over restarts.
+/// Name of a daemon from its settings; unchanged by restarts.
 pub type NodeName = String;
 
-/// Random number of one process start; never 0.
+/// Random identifier of one process run; never 0.
 pub type ProcessId = u64;
 
-/// Revision of a bundle; the first is 1, 0 means none.
+/// Revision of a bundle. The first is 1; 0 means none.
 pub type Revision = u64;
 
-/// Weight version of a model as engines report it.
+/// Weight version of a model as reported by engines.
 pub type WeightVersion = u64;
 
-/// Most slots that one shard of a step holds.
+/// Maximum number of slots in one shard of a step.
 pub const SLOTS_PER_SHARD: u32 = 128;
 
 /// Identity of one shard of a trainer's step.
@@ -29,7 +29,7 @@
 }
 
 impl ShardKey {
-    /// Name of the shard's log in the journal.
+    /// Returns the name of the shard's log in the journal.
     pub fn log(&self) -> String {
         format!(
             "{}{}",
@@ -38,12 +38,12 @@
         )
     }
 
-    /// Prefix shared by the logs of all shards of a step.
+    /// Returns the name prefix shared by the logs of all shards of a step.
     pub fn step_prefix(trainer: &str, step: u64) -> String {
         format!("shard/{trainer}/{step}/")
     }
 
-    /// Reads a key back from a log name; `None` if the log is not a shard's.
+    /// Parses a log name; `None` if the log does not belong to a shard.
     pub fn from_log(log: &str) -> Option<Self> {
         let mut parts = log.strip_prefix("shard/")?.rsplitn(3, '/');
         let shard = parts.next()?.parse().ok()?;
--- a/crates/ladderstage/src/journal/epoch.rs
+++ b/crates/ladderstage/src/journal/epoch.rs
@@ -1,10 +1,10 @@
-//! Order of writers' epochs, and how a process makes new ones.
+//! Epochs of log writers.
 
 use ladderstage_wire::messages::Epoch;
 
 use crate::ids::ProcessId;
 
-/// An epoch in its order: by round, then by owner. The default is below every writer's epoch.
+/// Epoch of a writer, ordered by round, then by owner. The default is below every writer's epoch.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WriterEpoch {
     /// Raised by each new writer of a log.
@@ -14,12 +14,12 @@
 }
 
 impl WriterEpoch {
-    /// Whether no writer has this epoch.
+    /// Returns whether this is the default epoch, which no writer has.
     pub fn is_none(self) -> bool {
         self == Self::default()
     }
 
-    /// The wire form.
+    /// Converts to the wire form.
     pub fn to_wire(self) -> Option<Epoch> {
         Some(Epoch {
             round: self.round,
@@ -43,8 +43,8 @@
     }
 }
 
-/// Makes the epochs of one process. No two are equal, also when several writers of the same process seal the
-/// same log, since every epoch has a round of its own.
+/// Generates the epochs of one process. All generated epochs differ because each has its own round,
+/// even when several writers of the process seal the same log.
 #[derive(Debug, Clone)]
 pub struct EpochSource {
     owner: ProcessId,
@@ -52,7 +52,7 @@
 }
 
 impl EpochSource {
-    /// A source for the process `owner`.
+    /// Creates the source of the process `owner`.
     pub fn new(owner: ProcessId) -> Self {
         Self {
             owner,
@@ -60,12 +60,12 @@
         }
     }
 
-    /// Notes an epoch that a replica promised, so that the next one is above it.
+    /// Raises the next epoch above `epoch`, which a replica has promised.
     pub fn observe(&mut self, epoch: WriterEpoch) {
         self.highest_round = self.highest_round.max(epoch.round);
     }
 
-    /// An epoch above all made or observed so far; `None` once the rounds are used up.
+    /// Returns an epoch above all generated and observed ones; `None` once the rounds are used up.
     pub fn next_epoch(&mut self) -> Option<WriterEpoch> {
         self.highest_round = self.highest_round.checked_add(1)?;
         Some(WriterEpoch {
--- a/crates/ladderstage/src/journal/heartbeat.rs
+++ b/crates/ladderstage/src/journal/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Which writers a replica has heard from lately.
+//! Detection of logs whose writer stopped sending heartbeats.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,16 +8,17 @@
 use super::epoch::WriterEpoch;
 use super::replica::LogState;
 
-/// When each open log's writer was last heard. Times are since any fixed instant of the process.
+/// Time of the last sign of life of each open log's writer. Times are durations since a fixed
+/// origin of the process.
 #[derive(Debug, Clone, Default)]
 pub struct HeartbeatTable {
-    heard_at: HashMap<String, Duration>,
-    looked_at: Option<Duration>,
+    last_heartbeat: HashMap<String, Duration>,
+    last_check: Option<Duration>,
 }
 
 impl HeartbeatTable {
-    /// Records a heartbeat for one log; returns whether a higher epoch has taken that log here.
-    /// Only the writer of the promised epoch counts as tending it.
+    /// Records a heartbeat for one log. Returns whether this replica has promised a higher epoch
+    /// for it. Only a heartbeat of the promised epoch counts as activity.
     pub fn record(&mut self, owned: &OwnedLog, state: Option<&LogState>, now: Duration) -> bool {
         let Some(state) = state else {
             return false;
@@ -32,21 +33,22 @@
         false
     }
 
-    /// Records that a writer of the log was heard through a seal, an install or an append.
+    /// Records a seal, an install or an append by a writer of the log.
     pub fn touch(&mut self, log: &str, now: Duration) {
-        match self.heard_at.get_mut(log) {
-            Some(heard_at) => *heard_at = now,
+        match self.last_heartbeat.get_mut(log) {
+            Some(last_heartbeat) => *last_heartbeat = now,
             None => {
-                self.heard_at.insert(log.to_owned(), now);
+                self.last_heartbeat.insert(log.to_owned(), now);
             }
         }
     }
 
-    /// The logs among `open` whose writer was silent for `timeout`. A log that is seen for the first time counts
-    /// as heard now, so that after a restart writers have time to be heard; logs not in `open` are forgotten.
+    /// Returns the logs in `open` without activity for `timeout`. A log that is seen for the first
+    /// time counts as active now, which gives writers time after a restart of the replica. Logs not
+    /// in `open` are dropped.
     ///
-    /// A replica that did not look for longer than `timeout` was paused itself: it could hear nobody, so all count as heard now.
-    /// Call several times per `timeout`.
+    /// If the previous call is longer ago than `timeout`, this replica was itself paused and could
+    /// not receive heartbeats: all logs then count as active now. Call several times per `timeout`.
     pub fn orphaned(
         &mut self,
         open: impl IntoIterator<Item = String>,
@@ -57,28 +59,28 @@
         self.silent(open, now, timeout)
     }
 
-    /// As [`HeartbeatTable::orphaned`], with a timeout of each log's own, `longest` at most.
+    /// Like [`HeartbeatTable::orphaned`], with a timeout per log of at most `max_timeout`.
     pub fn silent(
         &mut self,
         open: impl IntoIterator<Item = (String, Duration)>,
         now: Duration,
-        longest: Duration,
+        max_timeout: Duration,
     ) -> Vec<String> {
         let was_paused = self
-            .looked_at
+            .last_check
             .replace(now)
-            .is_some_and(|looked_at| now.saturating_sub(looked_at) > longest);
-        let mut known = std::mem::take(&mut self.heard_at);
+            .is_some_and(|last_check| now.saturating_sub(last_check) > max_timeout);
+        let mut known = std::mem::take(&mut self.last_heartbeat);
         if was_paused {
             known.clear();
         }
         let mut orphaned = Vec::new();
         for (log, timeout) in open {
-            let heard_at = known.remove(&log).unwrap_or(now);
-            if now.saturating_sub(heard_at) >= timeout {
+            let last_heartbeat = known.remove(&log).unwrap_or(now);
+            if now.saturating_sub(last_heartbeat) >= timeout {
                 orphaned.push(log.clone());
             }
-            self.heard_at.insert(log, heard_at);
+            self.last_heartbeat.insert(log, last_heartbeat);
         }
         orphaned
     }
--- a/crates/ladderstage/src/journal/mod.rs
+++ b/crates/ladderstage/src/journal/mod.rs
@@ -1,8 +1,9 @@
 //! Replicated logs with epoch-fenced writers.
 //!
-//! [`replica`] holds the rules by which a replica answers, [`writer`] the side that seals, installs and
-//! appends, [`quorum`] counts replicas, [`replica_set`] changes them, [`heartbeat`] tells which logs nobody
-//! tends. `docs/DESIGN.md` argues why no committed entry is lost.
+//! [`replica`] holds the rules by which replicas answer, [`writer`] the side that seals, installs
+//! and appends, [`quorum`] counts replicas, [`replica_set`] changes the replica set, and
+//! [`heartbeat`] detects logs without an active writer. `docs/DESIGN.md` argues why no committed
+//! entry is lost.
 
 pub mod epoch;
 pub mod heartbeat;
--- a/crates/ladderstage/src/journal/quorum.rs
+++ b/crates/ladderstage/src/journal/quorum.rs
@@ -1,14 +1,14 @@
-//! Which sets of replicas decide.
+//! Quorums of a replica set.
 
 use std::collections::BTreeSet;
 
 use ladderstage_wire::messages::{ReplicaMember, ReplicaSet};
 
-/// Id of a replica's disk; a folder that came back empty has another. 0 names none.
+/// Id of a replica's disk. A data directory that was recreated has a new id; 0 means none.
 pub type ReplicaId = u64;
 
-/// Counts the replicas of one replica set. Only replica ids count, never node names: a node whose disk was lost
-/// answers with an id that is no member.
+/// Quorums of one replica set. Only replica ids count, never node names: a node that lost its disk
+/// answers with an id that is not a member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Quorum {
     version: u64,
@@ -17,7 +17,7 @@
 }
 
 impl Quorum {
-    /// The quorums of `set`: a majority of `current` and, unless it is empty, of `next`.
+    /// Creates the quorums of `set`: a majority of `current` and, unless it is empty, of `next`.
     pub fn new(set: &ReplicaSet) -> Self {
         Self {
             version: set.version,
@@ -26,41 +26,42 @@
         }
     }
 
-    /// Version of the replica set.
+    /// Returns the version of the replica set.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Ids of all replicas, of both sets while there are two.
+    /// Returns the ids of all replicas in `current` and `next`.
     pub fn replicas(&self) -> BTreeSet<ReplicaId> {
         self.current.union(&self.next).copied().collect()
     }
 
-    /// Whether the replica counts in any of the sets.
+    /// Returns whether the replica is in `current` or `next`.
     pub fn contains(&self, replica: ReplicaId) -> bool {
         self.current.contains(&replica) || self.next.contains(&replica)
     }
 
-    /// Whether `replicas` holds a quorum.
+    /// Returns whether `replicas` contains a quorum.
     pub fn is_met_by(&self, replicas: &BTreeSet<ReplicaId>) -> bool {
         has_majority(&self.current, replicas)
             && (self.next.is_empty() || has_majority(&self.next, replicas))
     }
 
-    /// Whether `replicas` meet every quorum of the current set: what any quorum holds, one of them holds.
+    /// Returns whether `replicas` intersects every quorum of the current set, so that one of them
+    /// holds whatever any quorum holds.
     pub fn is_covered_by(&self, replicas: &BTreeSet<ReplicaId>) -> bool {
         let quorum = self.current.len() / 2 + 1;
         self.current.intersection(replicas).count() + quorum > self.current.len()
     }
 
-    /// Whether no quorum is left without the replicas in `lost`.
+    /// Returns whether no quorum can be formed without the replicas in `lost`.
     pub fn is_blocked_by(&self, lost: &BTreeSet<ReplicaId>) -> bool {
         let remaining = self.replicas().difference(lost).copied().collect();
         !self.is_met_by(&remaining)
     }
 }
 
-/// All members of a replica set, each once.
+/// Returns all members of a replica set, each once.
 pub fn members(set: &ReplicaSet) -> Vec<ReplicaMember> {
     let mut seen = BTreeSet::new();
     set.current
--- a/crates/ladderstage/src/journal/read.rs
+++ b/crates/ladderstage/src/journal/read.rs
@@ -1,4 +1,4 @@
-//! Reading a log from a quorum without fencing its writer.
+//! Reads logs from a quorum without fencing their writers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,7 +7,7 @@
 use super::epoch::WriterEpoch;
 use super::quorum::Quorum;
 
-/// Gathers answers to one read.
+/// Collects the answers to a read of one log.
 #[derive(Debug, Clone)]
 pub struct LogRead {
     quorum: Quorum,
@@ -16,7 +16,7 @@
 }
 
 impl LogRead {
-    /// A read from the replicas of `quorum`.
+    /// Creates a read from the replicas of `quorum`.
     pub fn new(quorum: Quorum) -> Self {
         Self {
             quorum,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Takes one answer; returns whether a quorum has answered.
+    /// Adds an answer; returns whether a quorum has answered.
     pub fn on_reply(&mut self, reply: ReadLogReply) -> bool {
         if self.quorum.contains(reply.replica_id) && self.answered.insert(reply.replica_id) {
             self.keep_newest(reply);
@@ -33,7 +33,7 @@
         self.quorum.is_met_by(&self.answered)
     }
 
-    /// The newest log among the answers; `None` if no replica has it.
+    /// Returns the newest log among the answers; `None` if no replica has it.
     pub fn into_newest(self) -> Option<ReadLogReply> {
         self.newest
     }
@@ -57,7 +57,8 @@
     (epoch, reply.retired, reply.entries.len())
 }
 
-/// Gathers descriptions of logs; keeps of each the newest promise, and that somebody holds entries of it.
+/// Collects descriptions of logs: for each log, that of the newest promise, the greatest length,
+/// and whether any replica reports it closed.
 #[derive(Debug, Clone)]
 pub struct LogSurvey {
     quorum: Quorum,
@@ -66,7 +67,7 @@
 }
 
 impl LogSurvey {
-    /// A survey of the replicas of `quorum`.
+    /// Creates a listing from the replicas of `quorum`.
     pub fn new(quorum: Quorum) -> Self {
         Self {
             quorum,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Takes one answer; returns whether a quorum has answered.
+    /// Adds an answer; returns whether a quorum has answered.
     pub fn on_reply(&mut self, reply: DescribeLogsReply) -> bool {
         if self.quorum.contains(reply.replica_id) && self.answered.insert(reply.replica_id) {
             reply.logs.into_iter().for_each(|log| self.keep_newest(log));
@@ -83,7 +84,7 @@
         self.quorum.is_met_by(&self.answered)
     }
 
-    /// The newest description of each log, sorted by name.
+    /// Returns the newest description of each log, sorted by name.
     pub fn into_logs(self) -> Vec<LogDescription> {
         self.logs.into_values().collect()
     }
@@ -97,7 +98,8 @@
             self.logs.insert(description.log.clone(), description);
             return;
         };
-        // The replica with the newest promise need not hold the log: the writer that has the promise may have given up.
+        // The replica with the newest promise may lack the log, as its writer may have stopped
+        // after sealing.
         let length = known.length.max(description.length);
         let closed = known.closed || description.closed;
         if rank(&description) > rank(known) {
--- a/crates/ladderstage/src/journal/replica.rs
+++ b/crates/ladderstage/src/journal/replica.rs
@@ -1,7 +1,7 @@
-//! The rules by which a replica answers writers.
+//! Rules by which a replica answers writers.
 //!
-//! Each function looks at a log's state and a message and says what to store and what to answer. The caller
-//! stores first and answers only once that is durable.
+//! Each function maps a log's state and a message to the changes to store and the answer. The
+//! caller sends the answer only after the changes are durable.
 
 use ladderstage_wire::messages::mod_WriteReply::Outcome;
 use ladderstage_wire::messages::{
@@ -11,38 +11,38 @@
 use super::epoch::WriterEpoch;
 use super::quorum::ReplicaId;
 
-/// What a replica keeps of one log besides its entries.
+/// State of one log at a replica, without its entries.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct LogState {
-    /// Lower epochs are refused.
+    /// Promised epoch; lower epochs are refused.
     pub promised: WriterEpoch,
-    /// Epoch whose writer installed the log; none if no writer did. Never above `promised`.
+    /// Epoch of the writer that installed the log; the default if none did. Never above `promised`.
     pub log_epoch: WriterEpoch,
     /// Node of the promised epoch's writer.
     pub owner_node: String,
-    /// Number of entries, also of those no longer kept.
+    /// Number of entries, including those no longer stored.
     pub length: u64,
-    /// The writer finished the log.
+    /// Whether the writer has finished the log.
     pub closed: bool,
-    /// Only the first entry is kept.
+    /// Whether only the first entry is still stored.
     pub retired: bool,
 }
 
-/// How stored entries change.
+/// Change to the stored entries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EntryChange {
-    /// They stay as they are.
+    /// Leave the entries unchanged.
     Keep,
-    /// The message's entries take the place of all.
+    /// Replace all entries with those of the message.
     Replace,
-    /// The message's entries take the place of those from position `kept` on.
+    /// Replace the entries from position `kept` on with those of the message.
     ReplaceFrom {
-        /// How many of the stored entries stay.
+        /// Number of stored entries that stay.
         kept: u64,
     },
-    /// The message's entries from position `skip` on follow the stored ones.
+    /// Append the message's entries from position `skip` on.
     Extend {
-        /// How many of the message's entries are already stored.
+        /// Number of the message's entries that are already stored.
         skip: usize,
     },
 }
@@ -50,21 +50,21 @@
 /// A replica's decision about one message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Decision {
-    /// What to answer once `state` and `entries` are durable.
+    /// Answer to send once `state` and `entries` are durable.
     pub outcome: Outcome,
-    /// The log's state from now on.
+    /// New state of the log.
     pub state: LogState,
-    /// How the entries change.
+    /// Change to the stored entries.
     pub entries: EntryChange,
 }
 
 impl Decision {
-    /// Whether nothing is to be stored.
+    /// Returns whether the decision requires no write, given the state `before` it.
     pub fn changes_nothing(&self, before: &LogState) -> bool {
         self.entries == EntryChange::Keep && self.state == *before
     }
 
-    /// The answer to an install or an append.
+    /// Returns the answer to an install or an append.
     pub fn write_reply(&self, replica_id: ReplicaId) -> WriteReply {
         WriteReply {
             replica_id,
@@ -76,12 +76,12 @@
 }
 
 impl LogState {
-    /// Whether a writer should be tending the log.
+    /// Returns whether the log should have an active writer.
     pub fn needs_owner(&self) -> bool {
         self.length > 0 && !self.closed && !self.retired
     }
 
-    /// What operators and new owners are told of the log.
+    /// Returns the description of the log for operators and new owners.
     pub fn describe(&self, log: &str) -> LogDescription {
         LogDescription {
             log: log.to_owned(),
@@ -93,7 +93,7 @@
     }
 }
 
-/// Promises to refuse epochs below the message's, unless a higher one was promised.
+/// Promises to refuse epochs below the message's epoch, unless a higher one has been promised.
 pub fn seal(state: &LogState, request: &Seal) -> Decision {
     let epoch = WriterEpoch::from(&request.epoch);
     if epoch < state.promised || epoch.is_none() {
@@ -109,8 +109,9 @@
     }
 }
 
-/// Replaces the log, or the part of it that follows entries which the replica holds already. Under the epoch it was already
-/// installed by, a log never gets shorter: such a message was delayed or doubled, and entries appended since may be committed.
+/// Replaces the log, or the part of it after entries that the replica already holds. Under an epoch
+/// that has installed it before, a log never gets shorter: such a message is delayed or duplicated,
+/// and entries appended since may be committed.
 pub fn install(state: &LogState, request: &Install) -> Decision {
     let epoch = WriterEpoch::from(&request.epoch);
     if epoch < state.promised || epoch.is_none() {
@@ -142,15 +143,16 @@
     }
 }
 
-/// Whether the replica holds the entries that an install leaves out. Two logs of one epoch are prefixes of what that epoch's
-/// only writer wrote, so epoch and length decide.
+/// Returns whether the replica holds the entries that an install leaves out. Two logs of one epoch
+/// are prefixes of what that epoch's only writer wrote, so comparing epoch and length suffices.
 fn holds(state: &LogState, request: &Install, epoch: WriterEpoch) -> bool {
     let kept_epoch = WriterEpoch::from(&request.kept_epoch);
     let is_same_log = state.log_epoch == kept_epoch || state.log_epoch == epoch;
     is_same_log && state.length >= request.kept_length && !state.retired
 }
 
-/// Appends to a log that was installed under this very epoch. Entries that are already there are acknowledged again.
+/// Appends to a log that was installed under the same epoch. Entries that are already stored are
+/// acknowledged again.
 pub fn append(state: &LogState, request: &Append) -> Decision {
     let epoch = WriterEpoch::from(&request.epoch);
     if epoch < state.promised || epoch.is_none() {
@@ -187,13 +189,13 @@
     }
 }
 
-/// Whether a copy of a log takes the place of one of epoch `log_epoch` with `length` entries.
+/// Returns whether a copy of a log supersedes one with `log_epoch`, `retired` and `length`.
 fn is_newer(exported: &ExportedLog, log_epoch: WriterEpoch, retired: bool, length: u64) -> bool {
     let exported_epoch = WriterEpoch::from(&exported.log_epoch);
     (exported_epoch, exported.retired, exported.length) > (log_epoch, retired, length)
 }
 
-/// Leaves the entries out of a copy for a replica that holds the log as `known`, which is as new.
+/// Removes the entries from a copy if the receiving replica's log `known` is at least as new.
 pub fn omit_known(exported: &mut ExportedLog, known: &KnownLog) {
     let log_epoch = WriterEpoch::from(&known.log_epoch);
     if !is_newer(exported, log_epoch, known.retired, known.length) {
@@ -201,11 +203,13 @@
     }
 }
 
-/// Takes in a log that was copied from another replica. Promises only rise, and an older copy changes nothing else.
+/// Imports a log copied from another replica. The promise never decreases; an older copy changes
+/// nothing else.
 pub fn import(state: &LogState, exported: &ExportedLog) -> Decision {
     let log_epoch = WriterEpoch::from(&exported.log_epoch);
     let promised = WriterEpoch::from(&exported.promised).max(log_epoch);
-    // Entries are left out where this replica said that it is as new: it never holds an older state than it told.
+    // The source omits entries if this replica reported a state at least as new; its state never
+    // becomes older than reported.
     let is_whole = exported.retired || exported.entries.len() as u64 == exported.length;
     let is_newer = is_whole && is_newer(exported, state.log_epoch, state.retired, state.length);
     let mut after = state.clone();
--- a/crates/ladderstage/src/journal/replica_set.rs
+++ b/crates/ladderstage/src/journal/replica_set.rs
@@ -1,9 +1,11 @@
-//! Changes of the replica set: one member at a time, through a joint set of which both halves must agree.
+//! Changes of the replica set: one member at a time, through a joint set in which both halves must
+//! agree.
 //!
-//! The first swap makes the joint set: `current` as it was, `next` with the new replica in the place of the lost
-//! one. Writers then need majorities of both. The new replica fences the current replicas against older sets and
-//! copies the logs of a majority of them; the second swap makes `next` the current set. Since the sets differ by one
-//! replica, whatever a majority of the old one held is then held by a majority of the new one.
+//! The first update creates the joint set: `current` is unchanged, and `next` has the new replica
+//! in place of the lost one. Writers then need majorities of both. The new replica fences the
+//! current replicas against older sets and copies the logs of a majority of them; the second update
+//! makes `next` the current set. Because the sets differ by one replica, everything held by a
+//! majority of the old set is then held by a majority of the new one.
 
 use std::collections::BTreeSet;
 
@@ -11,29 +13,37 @@
 
 use super::quorum::ReplicaId;
 
-/// Why a replica does not take part in a writer's replica set.
+/// Reason why a replica refuses a message under a replica set version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SetRefusal {
-    /// It knows no set yet.
+    /// The replica does not know any set yet.
     Unknown,
-    /// It knows a newer set.
+    /// The replica knows a newer set.
     Stale {
-        /// Version that it knows.
+        /// Version that the replica knows.
         known: u64,
     },
-    /// The set that it knows does not name it.
+    /// The set that the replica knows does not contain it.
     NotAMember {
-        /// Version that it knows.
+        /// Version that the replica knows.
         known: u64,
     },
 }
 
-/// Whether the replica `own`, which knows the set `known`, accepts a message under version `asked`. A newer version
-/// than the known one is accepted: the fence against older ones is what counts.
-pub fn accepts(known: Option<&ReplicaSet>, own: ReplicaId, asked: u64) -> Result<(), SetRefusal> {
+/// Checks whether the replica `own`, which knows the set `known`, accepts a message under
+/// `request_version`. Versions newer than the known one are accepted; the check only fences older
+/// ones.
+///
+/// # Errors
+/// [`SetRefusal`] if the message is refused.
+pub fn accepts(
+    known: Option<&ReplicaSet>,
+    own: ReplicaId,
+    request_version: u64,
+) -> Result<(), SetRefusal> {
     let set = known.ok_or(SetRefusal::Unknown)?;
     let known = set.version;
-    if asked < known {
+    if request_version < known {
         return Err(SetRefusal::Stale { known });
     }
     if contains(&set.current, own) || contains(&set.next, own) {
@@ -43,7 +53,8 @@
     }
 }
 
-/// The first set of a new journal; `None` while it would have no replica or one without an id.
+/// Returns the first set of a new journal; `None` if it would be empty or contain a missing or
+/// duplicate id.
 pub fn first(members: Vec<ReplicaMember>) -> Option<ReplicaSet> {
     let ids: BTreeSet<ReplicaId> = members.iter().map(|member| member.replica_id).collect();
     let is_valid = !members.is_empty() && !ids.contains(&0) && ids.len() == members.len();
@@ -54,15 +65,16 @@
     })
 }
 
-/// Replicas of `next` that must copy the logs before `next` can become current.
+/// Returns the replicas of `next` that must copy the logs before `next` can become current.
 pub fn newcomers(set: &ReplicaSet) -> Vec<&ReplicaMember> {
     let is_current = |member: &ReplicaMember| contains(&set.current, member.replica_id);
     let next = set.next.iter();
     next.filter(|member| !is_current(member)).collect()
 }
 
-/// The set that follows `set` once a newcomer has to be brought in for a replica in `lost`; `None` if none is lost
-/// or no spare is left. A lost newcomer is replaced first; without a spare for it the change is taken back.
+/// Returns the set after `set` that brings in a spare for a replica in `lost`; `None` if no replica
+/// is lost or no spare is available. A lost joining replica is replaced first; without a spare for
+/// it, the change is rolled back.
 pub fn propose(
     set: &ReplicaSet,
     lost: &BTreeSet<ReplicaId>,
@@ -84,7 +96,8 @@
         });
     }
     if shrinks(set) {
-        // The replica that was to leave copies its logs to all others; if one of them is lost on the way, it stays in the set.
+        // The leaving replica copies its logs to all others. If one of them is lost meanwhile, the
+        // leaving replica stays in the set.
         return is_any_lost(set, lost).then(|| ReplicaSet {
             version,
             current,
@@ -106,16 +119,21 @@
     })
 }
 
-/// The set that follows `set` when a replica leaves and no spare takes its place; `None` while `set` is joint, or if fewer
-/// than `least` would stay.
-pub fn propose_without(set: &ReplicaSet, leaver: ReplicaId, least: usize) -> Option<ReplicaSet> {
+/// Returns the set after `set` that removes a replica without a replacement; `None` if `set` is
+/// joint or fewer than `min_count` replicas would remain.
+pub fn propose_without(
+    set: &ReplicaSet,
+    leaving: ReplicaId,
+    min_count: usize,
+) -> Option<ReplicaSet> {
     let next: Vec<ReplicaMember> = set
         .current
         .iter()
-        .filter(|member| member.replica_id != leaver)
+        .filter(|member| member.replica_id != leaving)
         .cloned()
         .collect();
-    let is_possible = set.next.is_empty() && next.len() >= least && next.len() < set.current.len();
+    let is_possible =
+        set.next.is_empty() && next.len() >= min_count && next.len() < set.current.len();
     is_possible.then(|| ReplicaSet {
         version: set.version + 1,
         current: set.current.clone(),
@@ -123,13 +141,14 @@
     })
 }
 
-/// The set that follows `set` when it is smaller than `wanted` and a spare is there; `None` while `set` is joint.
+/// Returns the set after `set` that adds a spare; `None` if `set` is joint, already has
+/// `target_count` replicas, or there is no spare.
 pub fn propose_with(
     set: &ReplicaSet,
-    wanted: usize,
+    target_count: usize,
     spares: &[ReplicaMember],
 ) -> Option<ReplicaSet> {
-    if !set.next.is_empty() || set.current.len() >= wanted {
+    if !set.next.is_empty() || set.current.len() >= target_count {
         return None;
     }
     let spare = spares
@@ -144,21 +163,25 @@
     })
 }
 
-/// Whether a joint set only leaves replicas out: then the leavers copy their logs to those that stay.
+/// Returns whether `set` is a joint set that only removes replicas. The leaving replicas then copy
+/// their logs to the remaining ones.
 pub fn shrinks(set: &ReplicaSet) -> bool {
     !set.next.is_empty() && newcomers(set).is_empty()
 }
 
-/// Replicas of the current set that the next one leaves out.
-pub fn leavers(set: &ReplicaSet) -> Vec<&ReplicaMember> {
+/// Returns the replicas of the current set that are not in the next one.
+pub fn leaving_replicas(set: &ReplicaSet) -> Vec<&ReplicaMember> {
     let is_left_out = |member: &&ReplicaMember| !contains(&set.next, member.replica_id);
     set.current.iter().filter(is_left_out).collect()
 }
 
-/// Whether the replica `own` is one that a joint set only leaves out.
+/// Returns whether `set` is a joint set that only removes replicas and `own` is one of them.
 pub fn is_shrunk_by(set: &ReplicaSet, own: ReplicaId) -> bool {
-    let leavers = leavers(set);
-    shrinks(set) && leavers.iter().any(|member| member.replica_id == own)
+    let leaving_replicas = leaving_replicas(set);
+    shrinks(set)
+        && leaving_replicas
+            .iter()
+            .any(|member| member.replica_id == own)
 }
 
 fn is_any_lost(set: &ReplicaSet, lost: &BTreeSet<ReplicaId>) -> bool {
@@ -166,7 +189,8 @@
     members.any(|member| lost.contains(&member.replica_id))
 }
 
-/// The set after the newcomers of a joint set have copied everything; `None` if `set` is not joint.
+/// Returns the set after a joint set whose joining replicas have copied all logs; `None` if `set`
+/// is not joint.
 pub fn complete(set: &ReplicaSet) -> Option<ReplicaSet> {
     (!set.next.is_empty()).then(|| ReplicaSet {
         version: set.version + 1,
--- a/crates/ladderstage/src/journal/writer.rs
+++ b/crates/ladderstage/src/journal/writer.rs
@@ -1,4 +1,5 @@
-//! The writer's side of one log: seal a quorum, read the newest log found there, install it where it is missing, append.
+//! Writer side of one log: seals a quorum, reads the newest log found, installs it where it is
+//! missing, and appends.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,29 +11,30 @@
 use super::epoch::WriterEpoch;
 use super::quorum::{Quorum, ReplicaId};
 
-/// What names a writer to the replicas.
+/// Identity of a writer towards the replicas.
 #[derive(Debug, Clone)]
 pub struct WriterIdentity {
-    /// Log that it writes.
+    /// Name of the log.
     pub log: String,
-    /// Its epoch; no other writer has the same.
+    /// Epoch of the writer, unique among writers.
     pub epoch: WriterEpoch,
-    /// Node that it runs at.
+    /// Node on which the writer runs.
     pub node: String,
 }
 
-/// Where sealing stands.
+/// Progress of sealing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SealProgress {
     /// No quorum has answered yet.
     Waiting,
-    /// A quorum promised.
+    /// A quorum has promised.
     Sealed,
-    /// No quorum is left that could promise: at least one replica promised this higher epoch to another writer.
+    /// No quorum can promise any more: at least one replica has promised this higher epoch to
+    /// another writer.
     Fenced(WriterEpoch),
 }
 
-/// A writer that gathers promises.
+/// A writer that collects promises.
 #[derive(Debug, Clone)]
 pub struct Sealing {
     identity: WriterIdentity,
@@ -42,11 +44,12 @@
     highest: WriterEpoch,
 }
 
-/// What one replica holds of a log.
+/// State of a log at one replica.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct FoundLog {
     epoch: WriterEpoch,
-    /// A retired log was finished by the writer of its epoch, so no other log of that epoch holds more.
+    /// A retired log was finished by the writer of its epoch, so no other log of that epoch has
+    /// more entries.
     is_retired: bool,
     length: u64,
 }
@@ -63,7 +66,7 @@
         }
     }
 
-    /// The message for every replica.
+    /// Returns the message for every replica.
     pub fn request(&self) -> Seal {
         Seal {
             replica_set_version: self.quorum.version(),
@@ -74,7 +77,7 @@
         }
     }
 
-    /// Takes one answer.
+    /// Applies the answer of one replica.
     pub fn on_reply(&mut self, reply: &SealReply) -> SealProgress {
         if self.quorum.contains(reply.replica_id) {
             self.count(reply);
@@ -82,17 +85,17 @@
         self.progress()
     }
 
-    /// Highest epoch that a replica had promised to another writer.
+    /// Returns the highest epoch that a refusing replica has promised to another writer.
     pub fn highest_promised(&self) -> WriterEpoch {
         self.highest
     }
 
-    /// Whether the adopted log was retired; such a log takes no writer.
+    /// Returns whether the newest log found is retired; such a log accepts no writer.
     pub fn is_retired(&self) -> bool {
         self.newest().is_retired
     }
 
-    /// Goes on to reading the newest log found. Call once [`SealProgress::Sealed`] was reached.
+    /// Continues with reading the newest log found. Call only after [`SealProgress::Sealed`].
     pub fn into_sealed(self) -> SealedLog {
         SealedLog {
             newest: self.newest(),
@@ -112,7 +115,7 @@
             self.refused.insert(reply.replica_id);
             return;
         }
-        // A replica of an earlier version tells its entries and no length.
+        // Replicas of earlier versions send their entries and no length.
         let length = reply.length.max(reply.entries.len() as u64);
         let found = FoundLog {
             epoch: WriterEpoch::from(&reply.log_epoch),
@@ -134,7 +137,8 @@
     }
 }
 
-/// A log that a quorum has sealed; its newest entries are read next, at one replica that holds them.
+/// A log that a quorum has sealed. Its newest entries are read next, from one replica that holds
+/// them.
 #[derive(Debug, Clone)]
 pub struct SealedLog {
     identity: WriterIdentity,
@@ -144,12 +148,12 @@
 }
 
 impl SealedLog {
-    /// Whether there is nothing to be read.
+    /// Returns whether the newest log has no entries to read.
     pub fn is_empty(&self) -> bool {
         self.newest.length == 0
     }
 
-    /// Replicas that hold the newest log.
+    /// Returns the replicas that hold the newest log.
     pub fn sources(&self) -> BTreeSet<ReplicaId> {
         let holders = self.found.iter();
         holders
@@ -158,7 +162,8 @@
             .collect()
     }
 
-    /// Whether an answer of one of the sources is the newest log: no other writer has touched it since it was sealed.
+    /// Returns whether an answer of one of the sources is the newest log, unchanged since it was
+    /// sealed.
     pub fn is_newest(&self, reply: &ReadLogReply) -> bool {
         self.sources().contains(&reply.replica_id)
             && WriterEpoch::from(&reply.promised) == self.identity.epoch
@@ -166,7 +171,8 @@
             && reply.entries.len() as u64 == self.newest.length
     }
 
-    /// Entries of the newest log that a replica holds. One that has not answered yet is taken to hold all; it says if not.
+    /// Returns the number of entries of the newest log that a replica holds. A replica that has not
+    /// answered yet is assumed to hold all; it asks for an install otherwise.
     fn kept_by(&self, replica: ReplicaId) -> u64 {
         match self.found.get(&replica) {
             Some(found) if found.epoch == self.newest.epoch => found.length,
@@ -175,24 +181,24 @@
         }
     }
 
-    /// Goes on to installing the log; `entries` are those of an answer that [`SealedLog::is_newest`] accepted, or none if
-    /// the log is empty.
+    /// Continues with installing the log. `entries` are those of an answer that
+    /// [`SealedLog::is_newest`] accepted, or empty if the log is empty.
     pub fn into_writer(self, entries: Vec<LogEntry>) -> LogWriterState {
         LogWriterState::new(self, entries)
     }
 }
 
-/// One message to one replica.
+/// Message to one replica.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ReplicaWrite {
-    /// Replace the replica's log.
+    /// Replaces the replica's log.
     Install(Install),
-    /// Follow what the replica already holds of this epoch.
+    /// Appends to the entries that the replica holds under this epoch.
     Append(Append),
 }
 
 impl ReplicaWrite {
-    /// Number of entries that the replica holds once it stored this.
+    /// Returns the number of entries that the replica holds after storing this message.
     pub fn end(&self) -> u64 {
         match self {
             Self::Install(install) => install.kept_length + install.entries.len() as u64,
@@ -205,26 +211,28 @@
     }
 }
 
-/// What the writer knows of one replica.
+/// The writer's view of one replica.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct ReplicaProgress {
-    /// Entries held under the writer's epoch; `None`: the log must be installed first.
+    /// Number of entries held under the writer's epoch; `None` if the log must be installed first.
     held: Option<u64>,
-    /// Entries that the replica holds, or is taken to hold, of the log that was adopted; an install leaves them out.
+    /// Number of entries of the adopted log that the replica holds or is assumed to hold; an
+    /// install leaves them out.
     kept: u64,
     closed: bool,
     fenced: bool,
 }
 
-/// A writer that holds the promises of a quorum. Entries are only ever added, so one index of one epoch never has
-/// two contents; a write without a quorum is repeated as it was, or the writer is given up.
+/// A writer with the promises of a quorum. Entries are only ever added, so an index of one epoch
+/// never has two contents. A write without a quorum is repeated unchanged, or the writer is
+/// abandoned.
 #[derive(Debug, Clone)]
 pub struct LogWriterState {
     identity: WriterIdentity,
     quorum: Quorum,
     entries: Vec<LogEntry>,
     closed: bool,
-    /// Epoch of the log that was adopted.
+    /// Epoch of the adopted log.
     adopted_epoch: WriterEpoch,
     progress: BTreeMap<ReplicaId, ReplicaProgress>,
 }
@@ -251,28 +259,29 @@
         }
     }
 
-    /// What names this writer.
+    /// Returns the identity of this writer.
     pub fn identity(&self) -> &WriterIdentity {
         &self.identity
     }
 
-    /// The replicas that decide.
+    /// Returns the quorum that commits entries.
     pub fn quorum(&self) -> &Quorum {
         &self.quorum
     }
 
-    /// The whole log, with entries that are not committed yet.
+    /// Returns the complete log, including entries that are not committed yet.
     pub fn entries(&self) -> &[LogEntry] {
         &self.entries
     }
 
-    /// Adds entries to be stored; `closes` marks the log finished.
+    /// Adds entries to store; `closes` marks the log as finished.
     pub fn add(&mut self, entries: Vec<LogEntry>, closes: bool) {
         self.entries.extend(entries);
         self.closed |= closes;
     }
 
-    /// What the replica needs next; `None` when it holds everything or has refused this epoch for good.
+    /// Returns the next message for the replica; `None` if it holds everything or has fenced this
+    /// epoch.
     pub fn next_write(&self, replica: ReplicaId) -> Option<ReplicaWrite> {
         let progress = self.progress.get(&replica)?;
         if progress.fenced {
@@ -285,7 +294,7 @@
         is_behind.then(|| ReplicaWrite::Append(self.append_from(held)))
     }
 
-    /// Takes the answer of `replica` to `sent`. Answers under another replica id are ignored.
+    /// Applies the answer of `replica` to `sent`. Answers with another replica id are ignored.
     pub fn on_reply(&mut self, replica: ReplicaId, sent: &ReplicaWrite, reply: &WriteReply) {
         if reply.replica_id != replica {
             return;
@@ -304,7 +313,7 @@
         }
     }
 
-    /// Notes that the replica needs the whole log, as it cannot tell what it holds of it.
+    /// Records that the replica needs the complete log because it cannot determine what it holds.
     pub fn on_whole_log_needed(&mut self, replica: ReplicaId) {
         if let Some(progress) = self.progress.get_mut(&replica) {
             progress.held = None;
@@ -312,26 +321,27 @@
         }
     }
 
-    /// Notes that the replica refuses this writer for good, as when its replica set is newer.
+    /// Records that the replica refuses this writer permanently, for example because it knows a
+    /// newer replica set.
     pub fn on_fenced(&mut self, replica: ReplicaId) {
         if let Some(progress) = self.progress.get_mut(&replica) {
             progress.fenced = true;
         }
     }
 
-    /// Whether a quorum holds everything that was added, and the close if there was one.
+    /// Returns whether a quorum holds all added entries, and the close if the log is finished.
     pub fn is_committed(&self) -> bool {
         self.quorum.is_met_by(&self.holders())
     }
 
-    /// Whether everything that was added can be committed only by replicas that are not in `active`, those that
-    /// an answer is still awaited from.
+    /// Returns whether no quorum can be formed from the replicas that hold all added entries and
+    /// those in `active`, whose answers are still awaited.
     pub fn is_stuck_without(&self, active: &BTreeSet<ReplicaId>) -> bool {
         let reachable = self.holders().union(active).copied().collect();
         !self.quorum.is_met_by(&reachable)
     }
 
-    /// Whether no quorum can accept anything from this writer any more.
+    /// Returns whether no quorum can accept writes from this writer any more.
     pub fn is_fenced(&self) -> bool {
         let fenced = self.replicas_where(|progress| progress.fenced);
         self.quorum.is_blocked_by(&fenced)
--- a/crates/ladderstage/src/lib.rs
+++ b/crates/ladderstage/src/lib.rs
@@ -1,7 +1,8 @@
-//! Coordination parts of ladderstage, for its daemons and for others to embed.
+//! Coordination logic of ladderstage, for its daemons and for embedding.
 //!
-//! Every module holds decisions as plain state machines: messages, time, ids and random numbers come in as
-//! arguments, actions come out as values. Nothing here opens a socket, reads a clock or starts a task.
+//! Every module is a plain state machine: messages, time, identifiers and random numbers are
+//! arguments, actions are return values. Nothing in this crate opens a socket, reads a clock or
+//! starts a task.
 
 pub mod admission;
 pub mod backend;
--- a/crates/ladderstage/src/membership/action.rs
+++ b/crates/ladderstage/src/membership/action.rs
@@ -1,36 +1,40 @@
-//! What the state machine asks its owner to do.
+//! Actions that the state machine requests from its owner.
 
 use ladderstage_wire::messages::Member;
 
 use crate::ids::NodeName;
 
-/// Something to do on the network.
+/// A network operation to perform.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Ping the member. Answered: `Membership::heard_from`; not: `Membership::missed`.
+    /// Ping the member. On an answer call
+    /// [`Membership::record_contact`](super::Membership::record_contact), otherwise
+    /// [`Membership::on_missed_probe`](super::Membership::on_missed_probe).
     Probe {
-        /// Whom to ping.
+        /// Member to ping.
         target: Member,
     },
-    /// Ask the helpers to ping the member. One reached it: `Membership::heard_from`; none: `Membership::probe_failed`.
+    /// Ask the helpers to ping the member. If one reached it call
+    /// [`Membership::record_contact`](super::Membership::record_contact), otherwise
+    /// [`Membership::on_probe_failed`](super::Membership::on_probe_failed).
     ProbeThrough {
-        /// Whom to ping.
+        /// Member to ping.
         target: Member,
-        /// Through whom.
+        /// Members that ping on behalf of this node.
         helpers: Vec<Member>,
     },
     /// Exchange the full state.
     Sync {
-        /// With whom.
+        /// Peer of the exchange.
         target: SyncTarget,
     },
 }
 
-/// Whom to exchange the full state with.
+/// Peer of a full-state exchange.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SyncTarget {
     /// A known member.
     Member(NodeName),
-    /// Any address of the settings' seeds.
+    /// Any seed address from the settings.
     Seed,
 }
--- a/crates/ladderstage/src/membership/config.rs
+++ b/crates/ladderstage/src/membership/config.rs
@@ -1,68 +1,70 @@
-//! Intervals and bounds.
+//! Intervals and limits of the membership protocol.
 
 use std::time::Duration;
 
-/// Members that probe a member on behalf of one that it did not answer.
+/// Number of helpers that probe a member indirectly after a missed probe.
 pub const INDIRECT_PROBES: usize = 3;
 
-/// Entries that one probe or answer carries, the sender's own included.
+/// Maximum number of entries in one probe or answer, including the sender's own.
 pub const UPDATES_PER_MESSAGE: usize = 8;
 
-/// Each update is sent this many times the logarithm of the number of members.
+/// Factor by which the logarithm of the member count is multiplied to get the number of times an
+/// update is sent.
 pub const RETRANSMIT_FACTOR: u32 = 3;
 
-/// Between exchanges of the full state with a random member.
+/// Interval between exchanges of the full state with a random member.
 pub const SYNC_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Between exchanges of the full state while few members are known.
+/// Interval between exchanges of the full state while few members are known.
 pub const JOIN_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Of this many exchanges, one goes to a seed also when many members are known, so that partitions that have
-/// forgotten each other merge.
+/// One in this many exchanges goes to a seed even if many members are known, so that partitions
+/// that have dropped each other merge.
 pub const SEED_SYNC_ONE_IN: u32 = 8;
 
-/// A dead member, or one that left, is forgotten after this long.
+/// Time after which a dead member, or one that left, is dropped.
 pub const FORGET_AFTER: Duration = Duration::from_secs(3600);
 
-/// A dead member, or one that left, is left out of full states after this long, so that members that have
-/// forgotten it do not learn it again from one that is about to.
-pub const SPREAD_GONE_FOR: Duration = Duration::from_secs(1800);
+/// Time after which a dead member, or one that left, is omitted from full states, so that a node
+/// that has dropped it does not learn of it again.
+pub const SHARE_GONE_FOR: Duration = Duration::from_secs(1800);
 
-/// A dead member counts in the rule of isolation for this long.
-pub const DEAD_COUNTS_FOR: Duration = Duration::from_secs(600);
+/// Time during which a dead member counts in the isolation rule.
+pub const DEAD_COUNTED_FOR: Duration = Duration::from_secs(600);
 
-/// At each tick, one of this many times a dead member is probed too.
+/// A dead member is probed on average once in this many ticks.
 pub const DEAD_PROBE_ONE_IN: u32 = 4;
 
-/// Members probed at a tick when at least half of them are silent.
+/// Number of members probed per tick if at least half of them are silent.
 pub const PROBES_HALF_SILENT: usize = 16;
 
-/// Members probed at a tick when at least an eighth of them are silent.
+/// Number of members probed per tick if at least an eighth of them are silent.
 pub const PROBES_SOME_SILENT: usize = 4;
 
-/// A member is silent when nothing was heard from it for this many rounds of probing.
+/// Number of probing rounds without contact after which a member is silent.
 pub const SILENT_ROUNDS: u32 = 3;
 
-/// A member is not silent yet within this many times the suspicion time, however short a round is.
-pub const SILENT_SUSPICIONS: u32 = 2;
+/// Minimum silence timeout as a multiple of the suspicion timeout, for short probing rounds.
+pub const SILENT_SUSPICION_TIMEOUTS: u32 = 2;
 
-/// A process this young that hears of another process of its name takes the name; an older one lets it go. So a
-/// restart wins also when the machine's clock was set back, and a process that wakes from a long pause does not.
-pub const CLAIM_NAME_WITHIN: Duration = Duration::from_secs(60);
+/// Process age up to which a process claims its name from another process of the same name; an
+/// older one yields it. A restart therefore wins even if the machine's clock was set back, and a
+/// process that resumes after a long pause does not.
+pub const NAME_CLAIM_WINDOW: Duration = Duration::from_secs(60);
 
-/// Members known at most; news of further ones is dropped.
+/// Maximum number of known members; updates about further ones are dropped.
 pub const MAX_MEMBERS: usize = 4096;
 
-/// Longest node name in bytes.
+/// Maximum length of a node name in bytes.
 pub const MAX_NODE_NAME_BYTES: usize = 255;
 
-/// Intervals that the settings give.
+/// Intervals from the settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MembershipConfig {
-    /// Between ticks.
+    /// Interval between ticks.
     pub probe_interval: Duration,
-    /// How long a suspect member has to refute.
+    /// Time that a suspect member has to refute before it counts as dead.
     pub suspicion: Duration,
-    /// Addresses of the settings to join through.
+    /// Number of seed addresses in the settings.
     pub seeds: usize,
 }
--- a/crates/ladderstage/src/membership/entry.rs
+++ b/crates/ladderstage/src/membership/entry.rs
@@ -1,4 +1,4 @@
-//! One other member with this node's own observations of it.
+//! Entry of another member with this node's observations of it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,16 +7,16 @@
 
 use super::config::MAX_NODE_NAME_BYTES;
 
-/// One other member.
+/// Another member.
 #[derive(Debug, Clone)]
 pub(super) struct Entry {
     pub member: Member,
-    /// When the state became known here.
+    /// Time at which this node learned of the state.
     pub since: Duration,
-    /// When this process last answered or called.
-    pub heard: Option<Duration>,
-    /// When it first missed a probe, directly and through helpers, since it was last heard.
-    pub missed: Option<Duration>,
+    /// Time of the last answer or call from this process.
+    pub last_contact: Option<Duration>,
+    /// Time of the first probe missed, directly and indirectly, since the last contact.
+    pub missed_since: Option<Duration>,
 }
 
 impl Entry {
@@ -24,17 +24,18 @@
         Self {
             member,
             since: now,
-            heard: None,
-            missed: None,
+            last_contact: None,
+            missed_since: None,
         }
     }
 
-    /// Takes a newer entry; observations of an earlier process say nothing of a later one.
+    /// Replaces the entry with a newer one. Observations of an earlier process do not apply to a
+    /// later one.
     pub fn replace(&mut self, member: Member, now: Duration) {
         let same_process = self.member.process == member.process;
         if !same_process {
-            self.heard = None;
-            self.missed = None;
+            self.last_contact = None;
+            self.missed_since = None;
         }
         if !same_process || self.member.state != member.state {
             self.since = now;
@@ -47,7 +48,7 @@
         self.since = now;
     }
 
-    /// Whether it still answers, as far as the others know.
+    /// Returns whether the member is alive, suspect or leaving.
     pub fn is_present(&self) -> bool {
         matches!(
             self.member.state,
@@ -55,7 +56,7 @@
         )
     }
 
-    /// Dead or left.
+    /// Returns whether the member is dead or has left.
     pub fn is_gone(&self) -> bool {
         !self.is_present()
     }
@@ -64,21 +65,23 @@
         self.member.state == MemberState::DEAD
     }
 
-    /// How long its state has been known here.
+    /// Returns the time since this node learned of the state.
     pub fn age(&self, now: Duration) -> Duration {
         now.saturating_sub(self.since)
     }
 
-    /// Whether nothing was heard from it for `bound`, or it missed its last probe.
+    /// Returns whether there was no contact for longer than `bound`, or the last probe was missed.
     pub fn is_silent(&self, now: Duration, bound: Duration) -> bool {
-        match self.heard {
-            Some(heard) => self.missed.is_some() || now.saturating_sub(heard) > bound,
+        match self.last_contact {
+            Some(last_contact) => {
+                self.missed_since.is_some() || now.saturating_sub(last_contact) > bound
+            }
             None => true,
         }
     }
 }
 
-/// Whether an entry that came from elsewhere can be used at all.
+/// Returns whether an entry received from another node is valid.
 pub(super) fn is_well_formed(member: &Member) -> bool {
     let named = !member.node.is_empty() && member.node.len() <= MAX_NODE_NAME_BYTES;
     named && member.process != 0 && member.peer_address.parse::<SocketAddr>().is_ok()
--- a/crates/ladderstage/src/membership/isolation.rs
+++ b/crates/ladderstage/src/membership/isolation.rs
@@ -1,21 +1,23 @@
-//! Whether this node is cut off from its region.
+//! Detects whether this node is partitioned from its region.
 
 use std::time::Duration;
 
 use super::Membership;
-use super::config::{DEAD_COUNTS_FOR, SILENT_ROUNDS, SILENT_SUSPICIONS};
+use super::config::{DEAD_COUNTED_FOR, SILENT_ROUNDS, SILENT_SUSPICION_TIMEOUTS};
 use super::entry::Entry;
 
 impl Membership {
-    /// Whether this node should take no new work because it is cut off from its region.
+    /// Returns whether this node should accept no new work because it is partitioned from its
+    /// region.
     ///
-    /// Counted are the members of its region: itself, those that are alive, suspect or leaving, and for
-    /// ten minutes (`DEAD_COUNTS_FOR`) those found dead; not those that left as planned. It is isolated when
-    /// others are counted and fewer than a majority of the counted, itself included, are reachable. A member is
-    /// reachable if it answered or called within [`silence_bound`](Self::silence_bound) and has not missed a probe
-    /// (directly and through helpers) since.
+    /// The rule counts this node and the members of its region that are alive, suspect, leaving, or
+    /// dead for less than ten minutes (`DEAD_COUNTED_FOR`); members that left as planned do not
+    /// count. The node is isolated if it counts other members and fewer than a majority, including
+    /// itself, are reachable. A member is reachable if it answered or called within
+    /// [`silence_timeout`](Self::silence_timeout) and has not missed a probe (directly and
+    /// indirectly) since.
     pub fn is_isolated(&self, now: Duration) -> bool {
-        let bound = self.silence_bound();
+        let bound = self.silence_timeout();
         let counted: Vec<_> = self.counted_in_region(now).collect();
         let reachable = counted
             .iter()
@@ -26,12 +28,12 @@
         members > 1 && reachable + 1 < majority
     }
 
-    /// How long a member may say nothing before it counts as silent: three rounds of probing, and at least twice the
-    /// suspicion time.
-    pub fn silence_bound(&self) -> Duration {
+    /// Returns the time without contact after which a member counts as silent: three rounds of
+    /// probing, and at least twice the suspicion timeout.
+    pub fn silence_timeout(&self) -> Duration {
         let others = self.present().count().max(1) as u32;
         let round = self.config.probe_interval * others;
-        let shortest = self.config.suspicion * SILENT_SUSPICIONS;
+        let shortest = self.config.suspicion * SILENT_SUSPICION_TIMEOUTS;
         shortest.max(round * SILENT_ROUNDS)
     }
 
@@ -44,5 +46,5 @@
 }
 
 fn counts(entry: &Entry, now: Duration) -> bool {
-    entry.is_present() || entry.is_dead() && entry.age(now) < DEAD_COUNTS_FOR
+    entry.is_present() || entry.is_dead() && entry.age(now) < DEAD_COUNTED_FOR
 }
--- a/crates/ladderstage/src/membership/mod.rs
+++ b/crates/ladderstage/src/membership/mod.rs
@@ -1,11 +1,12 @@
 //! SWIM-style membership with incarnations and suspicion.
 //!
-//! Each member probes the others in shuffled round robin. One that answers neither directly nor through helpers is
-//! suspected, and dead unless it refutes in time by raising its own incarnation. News travels piggybacked on probes
-//! and their answers; a rare exchange of the full state with a random member or a seed mends what was lost. Which of
-//! two entries of a node counts is decided by [`Precedence`].
+//! Each member probes the others in shuffled round robin. A member that answers neither directly
+//! nor through helpers is suspected, and declared dead unless it refutes in time by raising its own
+//! incarnation. Updates are piggybacked on probes and their answers; a periodic exchange of the
+//! full state with a random member or a seed repairs lost updates. [`Precedence`] decides between
+//! two entries of a node.
 //!
-//! Membership is a hint. Nothing here may be what a safety guarantee rests on.
+//! Membership is a hint; no safety guarantee may depend on it.
 
 mod action;
 mod config;
