--- a/crates/ladderstage/src/membership/probing.rs
+++ b/crates/ladderstage/src/membership/probing.rs
@@ -1,4 +1,4 @@
-//! Which members are probed, suspected, given up and forgotten, and when.
+//! Probing of members, and the timeouts by which they are suspected, declared dead and dropped.
 
 use std::time::Duration;
 
@@ -15,9 +15,9 @@
 use crate::ids::NodeName;
 
 impl Membership {
-    /// Lets time pass; call it about every `probe_interval`. Returns what to do now.
+    /// Advances time and returns the actions that are due. Call about every `probe_interval`.
     pub fn tick<R: Rng + ?Sized>(&mut self, now: Duration, random: &mut R) -> Vec<Action> {
-        self.excuse_own_pause(now);
+        self.restart_timers_after_own_pause(now);
         self.expire_suspicions(now);
         self.forget_gone(now);
         let mut actions = self.probes(now, random);
@@ -26,8 +26,8 @@
         actions
     }
 
-    /// The member did not answer a ping: ask others to try, or, with no others, the probe has failed. A member that
-    /// is dead or has left anyway is not asked after.
+    /// Handles a member's missing answer to a ping. Returns an indirect probe; if there are no
+    /// helpers, the probe has failed. Members that are dead or have left are not probed indirectly.
     pub fn missed<R: Rng + ?Sized>(
         &mut self,
         target: &Member,
@@ -55,8 +55,8 @@
         Some(Action::ProbeThrough { target, helpers })
     }
 
-    /// The member was reached neither directly nor through others. An alive one is suspected from now on; a
-    /// leaving one is given the same time and then counts as left.
+    /// Handles a member that was reached neither directly nor indirectly. An alive member becomes
+    /// suspect; a leaving one counts as left after the same timeout.
     pub fn probe_failed(&mut self, target: &Member, now: Duration) {
         let Some(entry) = self.others.get_mut(&target.node) else {
             return;
@@ -64,8 +64,8 @@
         if entry.member.process != target.process {
             return;
         }
-        entry.missed.get_or_insert(now);
-        // A refutation that came meanwhile stands.
+        entry.missed_since.get_or_insert(now);
+        // A refutation received meanwhile takes precedence.
         if entry.member.state == MemberState::ALIVE
             && entry.member.incarnation == target.incarnation
         {
@@ -74,8 +74,9 @@
         }
     }
 
-    /// A process that slept itself has heard no refutations: suspicions start anew.
-    fn excuse_own_pause(&mut self, now: Duration) {
+    /// Restarts all suspicion timeouts after a pause of this process, which cannot have received
+    /// refutations during it.
+    fn restart_timers_after_own_pause(&mut self, now: Duration) {
         let pause = now.saturating_sub(self.last_tick);
         self.last_tick = now;
         if pause < self.config.suspicion / 2 {
@@ -83,17 +84,17 @@
         }
         for entry in self.others.values_mut().filter(|entry| entry.is_present()) {
             entry.since = now;
-            entry.missed = entry.missed.map(|_| now);
+            entry.missed_since = entry.missed_since.map(|_| now);
         }
     }
 
     fn expire_suspicions(&mut self, now: Duration) {
-        let patience = self.config.suspicion;
+        let timeout = self.config.suspicion;
         for (node, entry) in &mut self.others {
-            let missed_for = entry.missed.map(|missed| now.saturating_sub(missed));
+            let missed_for = entry.missed_since.map(|missed| now.saturating_sub(missed));
             let state = match entry.member.state {
-                MemberState::SUSPECT if entry.age(now) >= patience => MemberState::DEAD,
-                MemberState::LEAVING if missed_for >= Some(patience) => MemberState::LEFT,
+                MemberState::SUSPECT if entry.age(now) >= timeout => MemberState::DEAD,
+                MemberState::LEAVING if missed_for >= Some(timeout) => MemberState::LEFT,
                 _ => continue,
             };
             entry.set_state(state, now);
@@ -127,9 +128,10 @@
             .collect()
     }
 
-    /// More probes the more members are silent, so that isolation and its end show soon.
+    /// Returns the number of members to probe now. It grows with the share of silent members, so
+    /// that isolation and its end are detected soon.
     fn probes_due(&self, now: Duration) -> usize {
-        let bound = self.silence_bound();
+        let bound = self.silence_timeout();
         let present = self.present().count();
         let silent = self
             .present()
@@ -143,7 +145,7 @@
         }
     }
 
-    /// The next member of the round; each round is shuffled anew.
+    /// Returns the next member of the round; each round is shuffled again.
     fn next_target<R: Rng + ?Sized>(&mut self, random: &mut R) -> Option<Member> {
         if self.round.is_empty() {
             let mut round: Vec<NodeName> = self.present_names().collect();
@@ -160,7 +162,8 @@
         None
     }
 
-    /// Now and then one dead member, always if nobody else is left, so that healed partitions merge.
+    /// Occasionally probes a dead member, and always if no other member is present, so that healed
+    /// partitions merge.
     fn dead_probe<R: Rng + ?Sized>(&self, random: &mut R) -> Option<Action> {
         let alone = self.present().next().is_none();
         if !alone && random.random_range(0..DEAD_PROBE_ONE_IN) != 0 {
--- a/crates/ladderstage/src/membership/state.rs
+++ b/crates/ladderstage/src/membership/state.rs
@@ -1,4 +1,4 @@
-//! The members known to one node.
+//! State of the membership protocol at one node.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,31 +6,31 @@
 use ladderstage_wire::messages::{Member, MemberState};
 
 use super::MembershipConfig;
-use super::config::{CLAIM_NAME_WITHIN, MAX_MEMBERS, SPREAD_GONE_FOR, UPDATES_PER_MESSAGE};
+use super::config::{MAX_MEMBERS, NAME_CLAIM_WINDOW, SHARE_GONE_FOR, UPDATES_PER_MESSAGE};
 use super::entry::{Entry, is_well_formed};
 use super::precedence::{Precedence, is_later_process, supersedes};
 use super::updates::PendingUpdates;
 use crate::ids::NodeName;
 
-/// The members known to one node. Instants are durations since the start of its process.
+/// Members known to one node. Instants are durations since the start of its process.
 ///
-/// Invariants: `others` never holds this node's own name; the entry of each other node has the greatest
-/// [`Precedence`](super::Precedence) of all that were merged and not forgotten since; this node's own entry is
-/// ALIVE, LEAVING or LEFT and only moves forward.
+/// Invariants: `others` never contains this node's own name; the entry of each other node has the
+/// greatest [`Precedence`](super::Precedence) of all entries merged and not dropped since; this
+/// node's own entry is ALIVE, LEAVING or LEFT and only moves forward.
 #[derive(Debug, Clone)]
 pub struct Membership {
     pub(super) config: MembershipConfig,
     pub(super) own: Member,
     pub(super) others: BTreeMap<NodeName, Entry>,
     pub(super) updates: PendingUpdates,
-    /// Members still to be probed in this round, in reverse order.
+    /// Members still to probe in this round, in reverse order.
     pub(super) round: Vec<NodeName>,
     pub(super) next_sync: Duration,
     pub(super) last_tick: Duration,
 }
 
 impl Membership {
-    /// A node that knows only itself. `own` should be ALIVE.
+    /// Creates the state of a node that knows only itself. `own` should be ALIVE.
     pub fn new(own: Member, config: MembershipConfig) -> Self {
         let mut updates = PendingUpdates::default();
         updates.changed(&own.node);
@@ -45,12 +45,12 @@
         }
     }
 
-    /// This node's own entry.
+    /// Returns this node's own entry.
     pub fn own(&self) -> &Member {
         &self.own
     }
 
-    /// All members, this node included, sorted by name.
+    /// Returns all members including this node, sorted by name.
     pub fn all(&self) -> Vec<Member> {
         let others = self.others.values().map(|entry| entry.member.clone());
         let mut members: Vec<_> = others.chain([self.own.clone()]).collect();
@@ -58,7 +58,7 @@
         members
     }
 
-    /// The entry of a node, this one included.
+    /// Returns the entry of a node, which may be this one.
     pub fn find(&self, node: &str) -> Option<&Member> {
         if node == self.own.node {
             return Some(&self.own);
@@ -66,36 +66,36 @@
         self.others.get(node).map(|entry| &entry.member)
     }
 
-    /// The member answered or called.
+    /// Records that the member answered or called.
     pub fn heard_from(&mut self, node: &str, now: Duration) {
         if let Some(entry) = self.others.get_mut(node) {
-            entry.heard = Some(now);
-            entry.missed = None;
+            entry.last_contact = Some(now);
+            entry.missed_since = None;
         }
     }
 
-    /// Takes entries from another node. Returns how many were news.
+    /// Merges entries from another node. Returns the number of entries that changed the state.
     pub fn merge(&mut self, members: Vec<Member>, now: Duration) -> usize {
-        let mut news = 0;
+        let mut applied = 0;
         for member in members {
             if is_well_formed(&member) && self.merge_one(member, now) {
-                news += 1;
+                applied += 1;
             }
         }
-        news
+        applied
     }
 
-    /// Entries to send along with a message to `peer`: this node's own, the peer's if others doubt it (so that it can
-    /// refute), then the latest news.
+    /// Returns the entries to send with a message to `peer`: this node's own, the peer's if it is
+    /// not alive (so that the peer can refute), then the most recent updates.
     pub fn updates_for(&mut self, peer: &str) -> Vec<Member> {
         let mut nodes = vec![self.own.node.clone()];
         let doubted = |entry: &&Entry| entry.member.state != MemberState::ALIVE;
         if self.others.get(peer).filter(doubted).is_some() {
             nodes.push(peer.to_owned());
         }
-        let room = UPDATES_PER_MESSAGE - nodes.len();
+        let free_slots = UPDATES_PER_MESSAGE - nodes.len();
         let members = self.others.len() + 1;
-        for node in self.updates.pick(room, members) {
+        for node in self.updates.pick(free_slots, members) {
             if !nodes.contains(&node) {
                 nodes.push(node);
             }
@@ -107,15 +107,15 @@
             .collect()
     }
 
-    /// Entries for an exchange of the full state; members gone for long are left out.
+    /// Returns the entries for an exchange of the full state; members gone for long are omitted.
     pub fn full_state(&self, now: Duration) -> Vec<Member> {
-        let spread = |entry: &&Entry| entry.is_present() || entry.age(now) < SPREAD_GONE_FOR;
-        let others = self.others.values().filter(spread);
+        let is_shared = |entry: &&Entry| entry.is_present() || entry.age(now) < SHARE_GONE_FOR;
+        let others = self.others.values().filter(is_shared);
         let others = others.map(|entry| entry.member.clone());
         [self.own.clone()].into_iter().chain(others).collect()
     }
 
-    /// Changes the replica id that this node tells.
+    /// Changes the replica id that this node announces.
     pub fn set_replica_id(&mut self, replica_id: u64) {
         if self.own.replica_id != replica_id {
             self.own.replica_id = replica_id;
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Changes the address for callers that this node tells.
+    /// Changes the address for callers that this node announces.
     pub fn set_http_address(&mut self, http_address: String) {
         if self.own.http_address != http_address {
             self.own.http_address = http_address;
@@ -131,17 +131,17 @@
         }
     }
 
-    /// This process starts its planned stop. There is no way back for it.
+    /// Starts the planned stop of this process, which cannot be undone.
     pub fn leave(&mut self) {
         self.leave_as(MemberState::LEAVING);
     }
 
-    /// This process has ended its planned stop.
+    /// Marks the planned stop of this process as finished.
     pub fn left(&mut self) {
         self.leave_as(MemberState::LEFT);
     }
 
-    /// Members besides this node that are not dead and have not left.
+    /// Returns the other members that are not dead and have not left.
     pub(super) fn present(&self) -> impl Iterator<Item = &Entry> {
         self.others.values().filter(|entry| entry.is_present())
     }
@@ -161,13 +161,13 @@
 
     fn merge_one(&mut self, member: Member, now: Duration) -> bool {
         if member.node == self.own.node {
-            return self.hear_of_self(&member, now);
+            return self.merge_own_entry(&member, now);
         }
         let node = member.node.clone();
-        let has_room = self.others.len() < MAX_MEMBERS;
+        let has_capacity = self.others.len() < MAX_MEMBERS;
         match self.others.get_mut(&node) {
             Some(entry) if supersedes(&member, &entry.member) => entry.replace(member, now),
-            None if has_room => {
+            None if has_capacity => {
                 self.others.insert(node.clone(), Entry::new(member, now));
             }
             _ => return false,
@@ -176,26 +176,27 @@
         true
     }
 
-    /// Refutes what others say wrongly of this process, and takes its name from an earlier process.
-    fn hear_of_self(&mut self, said: &Member, now: Duration) -> bool {
-        if said.process != self.own.process {
-            let takes_name = is_later_process(said, &self.own) && now < CLAIM_NAME_WITHIN;
-            if takes_name {
-                self.own.started_unix_ms = said.started_unix_ms.saturating_add(1);
+    /// Merges an entry about this node: refutes wrong claims about this process, and claims the
+    /// name from an earlier process.
+    fn merge_own_entry(&mut self, update: &Member, now: Duration) -> bool {
+        if update.process != self.own.process {
+            let claims_name = is_later_process(update, &self.own) && now < NAME_CLAIM_WINDOW;
+            if claims_name {
+                self.own.started_unix_ms = update.started_unix_ms.saturating_add(1);
                 self.updates.changed(&self.own.node);
             }
-            return takes_name;
+            return claims_name;
         }
-        let is_doubt = supersedes(said, &self.own);
-        // A stop is never refuted: others may count a silent leaving process as left.
-        let can_refute = Precedence::of(said).phase() <= Precedence::of(&self.own).phase();
-        if is_doubt && can_refute {
-            self.raise_incarnation(said.incarnation);
+        let contradicts = supersedes(update, &self.own);
+        // A stop is never refuted: others may mark a silent leaving process as left.
+        let can_refute = Precedence::of(update).phase() <= Precedence::of(&self.own).phase();
+        if contradicts && can_refute {
+            self.raise_incarnation(update.incarnation);
         }
-        is_doubt && can_refute
+        contradicts && can_refute
     }
 
-    /// Puts this node's entry above everything that was said of it up to `incarnation`.
+    /// Raises this node's entry above all entries up to `incarnation`.
     fn raise_incarnation(&mut self, incarnation: u64) {
         let highest = incarnation.max(self.own.incarnation);
         self.own.incarnation = highest.saturating_add(1);
--- a/crates/ladderstage/src/membership/updates.rs
+++ b/crates/ladderstage/src/membership/updates.rs
@@ -1,28 +1,28 @@
-//! News that is still to be passed on.
+//! Updates that still have to be sent.
 
 use std::collections::BTreeMap;
 
 use super::config::RETRANSMIT_FACTOR;
 use crate::ids::NodeName;
 
-/// Nodes whose entries changed lately, and how often each was passed on since.
+/// Nodes whose entries changed recently, with the number of times each was sent since.
 #[derive(Debug, Clone, Default)]
 pub(super) struct PendingUpdates {
     sent: BTreeMap<NodeName, u32>,
 }
 
 impl PendingUpdates {
-    /// The node's entry has changed.
+    /// Marks the node's entry as changed.
     pub fn changed(&mut self, node: &str) {
         self.sent.insert(node.to_owned(), 0);
     }
 
-    /// Nothing of the node is passed on any more.
+    /// Stops sending updates about the node.
     pub fn forget(&mut self, node: &str) {
         self.sent.remove(node);
     }
 
-    /// Picks up to `count` nodes for one message, those sent least first, and counts them as sent.
+    /// Selects up to `count` nodes for one message, least-sent first, and counts them as sent.
     pub fn pick(&mut self, count: usize, members: usize) -> Vec<NodeName> {
         let mut waiting: Vec<_> = self
             .sent
@@ -48,7 +48,7 @@
     }
 }
 
-/// How often each update is sent among that many members.
+/// Returns the number of times each update is sent among `members` members.
 fn retransmissions(members: usize) -> u32 {
     let doublings = usize::BITS - members.leading_zeros();
     RETRANSMIT_FACTOR * doublings.max(1)
--- a/crates/ladderstage/src/region.rs
+++ b/crates/ladderstage/src/region.rs
@@ -1,24 +1,25 @@
-//! Regions: which one each zone lies in, how far two places are from each other, and where work may be served.
+//! Mapping from zones to regions, distances between places, and the regions in which work may be
+//! served.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::sync::{Arc, Mutex};
 
-/// How far a place is from another one, the nearest first.
+/// Distance between two places, in ascending order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Distance {
-    /// It is the same machine.
+    /// The same machine.
     SameMachine,
-    /// Both are in one zone.
+    /// Different machines in one zone.
     SameZone,
-    /// Both are in one region, or there are no regions.
+    /// Different zones in one region, or no regions are configured.
     SameRegion,
-    /// They are in different regions, or the region of one is not known.
+    /// Different regions, or one of the regions is unknown.
     Elsewhere,
 }
 
 impl Distance {
-    /// Between two places.
+    /// Returns the distance between two places.
     pub fn between(from: &Place<'_>, to: &Place<'_>) -> Self {
         if !from.node.is_empty() && from.node == to.node {
             Self::SameMachine
@@ -31,7 +32,7 @@
         }
     }
 
-    /// Label of metrics and word in logs.
+    /// Returns the label used in metrics and log lines.
     pub fn label(self) -> &'static str {
         match self {
             Self::SameMachine => "machine",
@@ -48,18 +49,18 @@
     }
 }
 
-/// Where something runs.
+/// Location of a node or back end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Place<'a> {
-    /// Name of its node; empty: it is no node.
+    /// Node name; empty if the place is not a node.
     pub node: &'a str,
-    /// Its zone.
+    /// Zone.
     pub zone: &'a str,
-    /// Its region; empty: none.
+    /// Region; empty means none.
     pub region: &'a str,
 }
 
-/// The regions of the zones, as the deployment's settings tell them. Cheap to clone.
+/// Region of each zone, from the deployment's settings. Cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub struct RegionMap {
     shared: Arc<Regions>,
@@ -69,12 +70,12 @@
 struct Regions {
     by_zone: BTreeMap<Arc<str>, Arc<str>>,
     has_several: bool,
-    /// Zones without a region that were logged.
+    /// Zones without a region that have been logged.
     logged: Mutex<BTreeSet<String>>,
 }
 
 impl RegionMap {
-    /// The regions by zone.
+    /// Creates a map from zone to region.
     pub fn new(by_zone: BTreeMap<Arc<str>, Arc<str>>) -> Self {
         let regions: BTreeSet<&Arc<str>> = by_zone.values().collect();
         let has_several = regions.len() > 1;
@@ -87,18 +88,20 @@
         }
     }
 
-    /// Whether there are two regions or more: only then is anything farther away than another zone.
+    /// Returns whether there are at least two regions, so that a distance beyond another zone
+    /// exists.
     pub fn has_several(&self) -> bool {
         self.shared.has_several
     }
 
-    /// Whether any zone lies in a region of this name.
+    /// Returns whether any zone belongs to the region `name`.
     pub fn has_region(&self, name: &str) -> bool {
         let mut regions = self.shared.by_zone.values();
         regions.any(|region| region.as_ref() == name)
     }
 
-    /// Region of a zone; `None` if the settings do not name it, which is logged once.
+    /// Returns the region of a zone; `None` if the settings do not name the zone, which is logged
+    /// once.
     pub fn region_of(&self, zone: &str) -> Option<&str> {
         let region = self.shared.by_zone.get(zone);
         if region.is_none() && !self.shared.by_zone.is_empty() {
@@ -107,7 +110,7 @@
         region.map(AsRef::as_ref)
     }
 
-    /// How far one zone is from another.
+    /// Returns the distance between two zones.
     pub fn between_zones(&self, from: &str, to: &str) -> Distance {
         let place = |zone| Place {
             node: "",
@@ -117,8 +120,9 @@
         Distance::between(&place(from), &place(to))
     }
 
-    /// Region of a zone for computing distances: empty for all zones unless there are two regions or more, so that a zone that the
-    /// settings do not name is then no farther away than any other.
+    /// Returns the region of a zone for computing distances. Empty for all zones unless there are
+    /// at least two regions, so that a zone missing from the settings is then no farther away than
+    /// any other zone.
     pub fn region_for_distance(&self, zone: &str) -> &str {
         if !self.has_several() {
             return "";
@@ -138,32 +142,32 @@
     }
 }
 
-/// Regions in which a request may be served and its body kept. Cheap to clone.
+/// Regions in which a request may be served and its body stored. Cheap to clone.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct AllowedRegions {
-    /// `None`: all.
+    /// `None` allows all regions.
     names: Option<Arc<BTreeSet<Arc<str>>>>,
 }
 
 impl AllowedRegions {
-    /// These regions and no other.
+    /// Allows only the regions `names`.
     pub fn only(names: impl IntoIterator<Item = Arc<str>>) -> Self {
         Self {
             names: Some(Arc::new(names.into_iter().collect())),
         }
     }
 
-    /// Whether regions do not matter.
+    /// Returns whether every region is allowed, including unknown ones.
     pub fn is_all(&self) -> bool {
         self.names.is_none()
     }
 
-    /// Whether nothing is allowed anywhere.
+    /// Returns whether no region is allowed.
     pub fn is_nowhere(&self) -> bool {
         self.names.as_ref().is_some_and(|names| names.is_empty())
     }
 
-    /// Regions that both allow.
+    /// Returns the regions that both `self` and `other` allow.
     pub fn and(&self, other: &Self) -> Self {
         match (&self.names, &other.names) {
             (None, _) => other.clone(),
@@ -172,7 +176,8 @@
         }
     }
 
-    /// Whether a region is allowed; one that is not known is so only where all are.
+    /// Returns whether `region` is allowed. An unknown region (`None`) is allowed only if all
+    /// regions are.
     pub fn permits(&self, region: Option<&str>) -> bool {
         match &self.names {
             None => true,
@@ -180,7 +185,7 @@
         }
     }
 
-    /// The names; none where all are allowed.
+    /// Returns the names of the allowed regions; empty if all are allowed.
     pub fn names(&self) -> impl Iterator<Item = &str> {
         self.names
             .iter()
--- a/crates/ladderstage/src/retry.rs
+++ b/crates/ladderstage/src/retry.rs
@@ -1,34 +1,36 @@
-//! Retry budgets: retries are a bounded share of the first tries, so that a failing pool is not flooded by them.
+//! Retry budgets limit retries to a share of the first attempts, so that retries cannot overload a
+//! failing pool.
 
 use std::time::Duration;
 
 use crate::admission::SlidingCounter;
 
-/// Window over which first tries and retries are compared.
+/// Window over which first attempts and retries are counted.
 const BUDGET_WINDOW: Duration = Duration::from_secs(10);
 
-/// Retries allowed within a window whatever the first tries, so that a quiet pool can still repeat one.
-const FLOOR_PER_WINDOW: u64 = 10;
+/// Retries allowed within a window regardless of the number of first attempts, so that pools with
+/// little traffic can retry.
+const MIN_RETRIES_PER_WINDOW: u64 = 10;
 
-/// Retries of one request at most.
+/// Maximum number of retries of one request.
 pub const MAX_RETRIES_PER_REQUEST: u32 = 5;
 
-/// A retry that has less time than this before its deadline is not worth its load.
-const MIN_REMAINING: Duration = Duration::from_millis(50);
+/// Minimum time before the deadline for a retry to be worth its load.
+const MIN_REMAINING_TIME: Duration = Duration::from_millis(50);
 
-/// Longest wait before the first retry; doubled for each further one.
-const FIRST_BACKOFF: Duration = Duration::from_millis(10);
+/// Maximum backoff before the first retry; doubles with each further retry.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(10);
 
-/// Why a request may not be tried again.
+/// Reason why a request may not be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum RetryRefusal {
-    /// Too many retries among the requests of the last window.
+    /// The retries within the last window have used up the budget.
     #[error("retry budget spent")]
     BudgetSpent,
-    /// This request was retried [`MAX_RETRIES_PER_REQUEST`] times already.
+    /// This request has been retried [`MAX_RETRIES_PER_REQUEST`] times.
     #[error("retried too often")]
-    TooOften,
-    /// Too little time is left.
+    RetryLimitReached,
+    /// Too little time is left before the deadline.
     #[error("deadline too close")]
     DeadlineTooClose,
 }
@@ -37,35 +39,35 @@
 #[derive(Debug)]
 pub struct RetryBudget {
     percent: u32,
-    first_tries: SlidingCounter,
+    first_attempts: SlidingCounter,
     retries: SlidingCounter,
 }
 
 impl RetryBudget {
-    /// A budget of `percent` retries for each hundred first tries, and a small floor.
+    /// Creates a budget of `percent` retries per hundred first attempts, with a small minimum.
     pub fn new(percent: u32) -> Self {
         Self {
             percent,
-            first_tries: SlidingCounter::new(BUDGET_WINDOW),
+            first_attempts: SlidingCounter::new(BUDGET_WINDOW),
             retries: SlidingCounter::new(BUDGET_WINDOW),
         }
     }
 
-    /// Takes over the share of a new bundle; what was counted stays.
+    /// Applies the percentage of a new bundle; past counts are kept.
     pub fn set_percent(&mut self, percent: u32) {
         self.percent = percent;
     }
 
-    /// Counts a first try.
+    /// Counts a first attempt.
     pub fn note_first_try(&mut self, now: Duration) {
-        self.first_tries.add(now);
+        self.first_attempts.add(now);
     }
 
-    /// Spends one retry for a request that was retried `retries` times before and has `remaining` time left.
-    /// Returns how long to wait first; `random` is from 0 to 1.
+    /// Spends one retry for a request that was retried `retries` times before and has `remaining`
+    /// time left. Returns the backoff before the retry; `random` is in [0, 1].
     ///
     /// # Errors
-    /// [`RetryRefusal`]; nothing is spent then.
+    /// [`RetryRefusal`] if no retry is allowed; the budget is unchanged.
     pub fn spend(
         &mut self,
         now: Duration,
@@ -74,11 +76,11 @@
         random: f64,
     ) -> Result<Duration, RetryRefusal> {
         if retries >= MAX_RETRIES_PER_REQUEST {
-            return Err(RetryRefusal::TooOften);
+            return Err(RetryRefusal::RetryLimitReached);
         }
-        let longest = FIRST_BACKOFF * 2u32.pow(retries);
+        let longest = INITIAL_BACKOFF * 2u32.pow(retries);
         let wait = longest.mul_f64(random.clamp(0.0, 1.0));
-        if remaining < wait + MIN_REMAINING {
+        if remaining < wait + MIN_REMAINING_TIME {
             return Err(RetryRefusal::DeadlineTooClose);
         }
         if self.retries.count(now) >= self.allowance(now) {
@@ -88,9 +90,9 @@
         Ok(wait)
     }
 
-    /// Retries allowed within the window that ends now.
+    /// Returns the retries allowed within the window that ends at `now`.
     fn allowance(&mut self, now: Duration) -> u64 {
-        let share = self.first_tries.count(now) * u64::from(self.percent) / 100;
-        share.max(FLOOR_PER_WINDOW)
+        let share = self.first_attempts.count(now) * u64::from(self.percent) / 100;
+        share.max(MIN_RETRIES_PER_WINDOW)
     }
 }
--- a/crates/ladderstage/src/routing/choice.rs
+++ b/crates/ladderstage/src/routing/choice.rs
@@ -1,32 +1,35 @@
-//! Which candidate a request goes to.
+//! Selection of the candidate that serves a request.
 
 use std::time::Duration;
 
 use super::{Candidate, rendezvous_score};
 
-/// Oldest load report that is believed; beyond it only own requests under way count.
-pub const REPORT_TRUST: Duration = Duration::from_millis(1_000);
+/// Maximum age of a load report that is used; beyond it, only requests of this process count as
+/// load.
+pub const MAX_REPORT_AGE: Duration = Duration::from_millis(1_000);
 
-/// Cost of one full back end: as many requests as its capacity.
-const FULL: u64 = 1_000;
-/// Added for a back end in another zone: a twentieth of its capacity.
-const OTHER_ZONE: u64 = 50;
-/// A back end keeps a prompt prefix up to this share of the mean load, in percent (consistent hashing with bounded loads).
+/// Cost of a back end that serves as many requests as its capacity.
+const FULL_LOAD_COST: u64 = 1_000;
+/// Surcharge for a back end in another zone: a twentieth of its capacity.
+const OTHER_ZONE_COST: u64 = 50;
+/// Maximum load of a back end for prefix affinity, in percent of the mean load (consistent hashing
+/// with bounded loads).
 const AFFINITY_LOAD_PERCENT: u64 = 125;
 
-/// What a choice takes into account besides the candidates.
+/// Inputs of a choice besides the candidates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ChoiceOptions<'a> {
     /// Zone of the choosing process.
     pub zone: &'a str,
-    /// Start of the prompt; requests with equal ones go to the same back end while its load allows.
+    /// Start of the prompt. Requests with equal prefixes go to the same back end while its load
+    /// allows.
     pub prefix: Option<&'a [u8]>,
 }
 
-/// Requests at a candidate as best known: the last report and own dispatches since, or, if that report is older
-/// than [`REPORT_TRUST`], own requests under way.
+/// Returns the number of requests at a candidate: the last report plus own requests sent since, or
+/// only own requests in flight if that report is older than [`MAX_REPORT_AGE`].
 pub fn load(candidate: &Candidate) -> u64 {
-    if candidate.report_age > REPORT_TRUST {
+    if candidate.report_age > MAX_REPORT_AGE {
         return u64::from(candidate.own_in_flight);
     }
     u64::from(candidate.running)
@@ -34,22 +37,22 @@
         + u64::from(candidate.dispatched_since_report)
 }
 
-/// Cost of giving a candidate one more request, in thousandths of its capacity: its load with that request, and a
-/// small surcharge in another zone.
+/// Returns the cost of giving a candidate one more request, in thousandths of its capacity: the
+/// load including that request, plus a surcharge for another zone.
 pub fn cost(candidate: &Candidate, zone: &str) -> u64 {
     let capacity = u64::from(candidate.capacity.max(1));
     let surcharge = if candidate.zone == zone {
         0
     } else {
-        OTHER_ZONE
+        OTHER_ZONE_COST
     };
-    (load(candidate) + 1) * FULL / capacity + surcharge
+    (load(candidate) + 1) * FULL_LOAD_COST / capacity + surcharge
 }
 
-/// Index of the candidate to use; `None` only if there are none.
+/// Returns the index of the candidate to use; `None` only if there are no candidates.
 ///
-/// With a prefix it is the first by rendezvous hash whose load is within bounds; else the cheapest by [`cost`].
-/// `random` decides among equally cheap ones.
+/// With a prefix, this is the first candidate by rendezvous hash whose load is within bounds;
+/// otherwise the cheapest by [`cost`]. `random` selects among candidates of equal cost.
 pub fn choose(candidates: &[Candidate], options: &ChoiceOptions<'_>, random: u64) -> Option<usize> {
     options
         .prefix
@@ -57,7 +60,8 @@
         .or_else(|| choose_cheapest(candidates, options.zone, random))
 }
 
-/// The best-ranked candidate for the prefix that is neither full nor loaded far above the mean.
+/// Returns the best-ranked candidate for the prefix that is neither full nor loaded far above the
+/// mean.
 fn choose_by_prefix(candidates: &[Candidate], prefix: &[u8]) -> Option<usize> {
     let bound = affinity_bound(candidates);
     candidates
@@ -69,7 +73,8 @@
         .map(|(index, _)| index)
 }
 
-/// First load that is too high for prefix affinity: the share of the mean after one more request, rounded up.
+/// Returns the lowest load that is too high for prefix affinity: the allowed share of the mean load
+/// after one more request, rounded up.
 fn affinity_bound(candidates: &[Candidate]) -> u64 {
     let total: u64 = candidates.iter().map(load).sum();
     let count = candidates.len().max(1) as u64;
--- a/crates/ladderstage/src/routing/mod.rs
+++ b/crates/ladderstage/src/routing/mod.rs
@@ -1,10 +1,10 @@
-//! Choice of a back end for a request, and rendezvous hashing for every choice that several processes must make
-//! alike (shard owners, readers of load reports, who looks after an engine).
+//! Choice of a back end for a request, and rendezvous hashing for choices on which several
+//! processes must agree (shard owners, readers of load reports, senders of engine orders).
 
 mod candidate;
 mod choice;
 mod rendezvous;
 
 pub use candidate::Candidate;
-pub use choice::{ChoiceOptions, REPORT_TRUST, choose, cost, load};
+pub use choice::{ChoiceOptions, MAX_REPORT_AGE, choose, cost, load};
 pub use rendezvous::{rendezvous, rendezvous_first, rendezvous_score};
--- a/crates/ladderstage/src/routing/rendezvous.rs
+++ b/crates/ladderstage/src/routing/rendezvous.rs
@@ -1,16 +1,17 @@
 //! Rendezvous (highest random weight) hashing.
 //!
-//! Every process that knows the same names ranks them alike for a key, and adding or removing a name moves only the
-//! keys of that name. The hash is the project's own so that it stays the same over releases of compilers and
-//! libraries: 64-bit FNV-1a over key, a separator byte and name, then the 64-bit finalizer of MurmurHash3, as FNV
-//! alone leaves the high bits poorly mixed.
+//! All processes that know the same names rank them identically for a key, and adding or removing a
+//! name moves only the keys of that name. The hash is implemented here so that it is stable across
+//! compiler and library releases: 64-bit FNV-1a over key, separator byte and name, followed by the
+//! 64-bit finalizer of MurmurHash3 because FNV-1a mixes the high bits poorly.
 
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
-/// Not a byte of UTF-8 text, so that key and name cannot run into each other.
+/// Not a byte of UTF-8 text, which keeps key and name apart.
 const SEPARATOR: u8 = 0xff;
 
-/// Weight of `name` for `key`; the highest wins. Stable across versions and machines.
+/// Returns the score of `name` for `key`; the highest score wins. Stable across versions and
+/// machines.
 pub fn rendezvous_score(key: &[u8], name: &str) -> u64 {
     let bytes = key
         .iter()
@@ -22,7 +23,7 @@
     finalize(hash)
 }
 
-/// The names ranked for `key`, best first. Equal scores go by name.
+/// Returns the names ranked for `key`, best first; equal scores are ordered by name.
 pub fn rendezvous<'a>(key: &[u8], names: impl IntoIterator<Item = &'a str>) -> Vec<&'a str> {
     let mut scored: Vec<(u64, &str)> = names
         .into_iter()
@@ -32,7 +33,7 @@
     scored.into_iter().map(|(_, name)| name).collect()
 }
 
-/// The first of [`rendezvous`], without ranking the others.
+/// Returns the first name of [`rendezvous`] without ranking the others.
 pub fn rendezvous_first<'a>(
     key: &[u8],
     names: impl IntoIterator<Item = &'a str>,
--- a/crates/ladderstage/src/shard/attempts.rs
+++ b/crates/ladderstage/src/shard/attempts.rs
@@ -1,4 +1,4 @@
-//! Which slots need an attempt, and whether a generated sample is still wanted.
+//! Selection of slots that need an attempt, and acceptance of generated samples.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -9,19 +9,20 @@
 use super::{AttemptId, SampleAges, ShardState};
 use crate::staleness::StalenessBound;
 
-/// An attempt that should be run.
+/// An attempt to run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptNeeded {
     /// Slot and number of the attempt.
     pub id: AttemptId,
-    /// An earlier attempt went stale: this one goes ahead of all others.
+    /// Whether an earlier attempt of the slot became stale; such attempts run before all others.
     pub regenerates: bool,
-    /// Expected length in tokens; the largest allowed one when the trainer named none.
+    /// Expected length in tokens; the maximum length if the trainer gave none.
     pub expected_tokens: u32,
 }
 
 impl ShardState {
-    /// Attempts to run for slots that are not `in_flight`: regenerated ones first, then the longest expected.
+    /// Returns the attempts to run for slots that are not `in_flight`: regenerations first, then by
+    /// descending expected length.
     pub fn attempts_needed(&self, in_flight: &BTreeSet<u32>) -> Vec<AttemptNeeded> {
         let Some(spec) = &self.spec else {
             return Vec::new();
@@ -49,14 +50,15 @@
         needed
     }
 
-    /// Whether the slot still waits for an attempt.
+    /// Returns whether the slot is neither settled nor holds a live attempt.
     pub fn needs_attempt(&self, slot: u32) -> bool {
         self.slot(slot)
             .is_some_and(|slot| slot.settled.is_none() && !slot.has_live_attempt())
     }
 
-    /// The entry that commits a generated sample; `None` if its slot is settled, has a live attempt or is unknown.
-    /// The prompt and the names are left out: the spec keeps them.
+    /// Returns the entry that commits a generated sample; `None` if its slot is settled, has a live
+    /// attempt or is unknown. The prompt, trainer and step are left out because the spec holds
+    /// them.
     pub fn accept(&self, sample: &Sample) -> Option<ShardEntry> {
         let slot = self.slot(sample.slot)?;
         if !self.needs_attempt(sample.slot) || slot.attempts.contains_key(&sample.attempt) {
@@ -73,7 +75,7 @@
         })
     }
 
-    /// Entries that give up the committed attempts which the bound no longer admits.
+    /// Returns entries that discard the committed attempts which the bound no longer admits.
     pub fn stale_entries(&self, bound: &StalenessBound, ages: &dyn SampleAges) -> Vec<ShardEntry> {
         self.commit_order
             .iter()
--- a/crates/ladderstage/src/shard/cursor.rs
+++ b/crates/ladderstage/src/shard/cursor.rs
@@ -1,51 +1,52 @@
-//! The trainer's cursor over all shards of a step.
+//! Trainer cursor over all shards of a step.
 
 use std::collections::BTreeMap;
 
 use sha2::{Digest, Sha256};
 
-/// Bytes of the checksum in a cursor.
+/// Length of the checksum in a cursor, in bytes.
 const CHECKSUM_BYTES: usize = 6;
 
-/// Longest cursor that is read, in bytes.
+/// Maximum length of an accepted cursor, in bytes.
 const MAX_CURSOR_BYTES: usize = 16 * 1024;
 
-/// Per shard, the last answer that the trainer took. Shards that it took nothing from are left out.
+/// The last answer that the trainer received from each shard; shards without one are omitted.
 ///
-/// Its text form is opaque to trainers: `shard-answer` pairs and a checksum that binds them to the step.
+/// The text form is opaque to trainers: `shard-answer` pairs and a checksum that binds them to the
+/// step.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct StepCursor {
     positions: BTreeMap<u32, u64>,
 }
 
-/// A text that is no cursor of the step.
+/// Reason why a text is not a cursor of the step.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum CursorError {
-    /// Longer than any cursor.
+    /// The text exceeds the maximum length.
     #[error("cursor of {0} bytes is over the limit of {MAX_CURSOR_BYTES}")]
     TooLong(usize),
-    /// The checksum is missing, damaged, or that of another step's cursor.
+    /// The checksum is missing, wrong, or that of another step's cursor.
     #[error("cursor is damaged or belongs to another step")]
     Checksum,
-    /// A pair is not `shard-answer`, or a shard is named twice.
+    /// A pair is not `shard-answer`, or a shard occurs twice.
     #[error("cursor has a malformed position `{0}`")]
     Position(String),
 }
 
 impl StepCursor {
-    /// The last answer taken from a shard; 0: none.
+    /// Returns the last answer received from a shard; 0 means none.
     pub fn position(&self, shard: u32) -> u64 {
         self.positions.get(&shard).copied().unwrap_or(0)
     }
 
-    /// The trainer is being given this answer of a shard.
+    /// Records that the trainer is sent this answer of a shard.
     pub fn advance(&mut self, shard: u32, answer: u64) {
         if answer > 0 {
             self.positions.insert(shard, answer);
         }
     }
 
-    /// Text form; empty before the first answer.
+    /// Returns the text form; empty before the first answer.
     pub fn encode(&self, trainer: &str, step: u64) -> String {
         if self.positions.is_empty() {
             return String::new();
@@ -60,10 +61,10 @@
         format!("{body}.{checksum}")
     }
 
-    /// Reads the text form; the empty text is the start.
+    /// Parses the text form; the empty text is the start of the step.
     ///
     /// # Errors
-    /// [`CursorError`] if it is not a cursor of this trainer's step.
+    /// [`CursorError`] if the text is not a cursor of this trainer's step.
     pub fn parse(trainer: &str, step: u64, text: &str) -> Result<Self, CursorError> {
         if text.is_empty() {
             return Ok(Self::default());
--- a/crates/ladderstage/src/shard/mod.rs
+++ b/crates/ladderstage/src/shard/mod.rs
@@ -1,12 +1,13 @@
-//! One shard of a trainer's step: slots, attempts, hand-outs and acknowledgements.
+//! One shard of a trainer's step: slots, attempts, answers to the trainer and acknowledgements.
 //!
-//! [`ShardState`] is a pure fold over the committed entries of the shard's log. Decisions on top of it name the entries
-//! that must be committed before their effect may leave the process:
+//! [`ShardState`] is computed from the committed entries of the shard's log alone. Its decisions
+//! return the entries that must be committed before their effect may leave the process:
 //!
-//! - [`ShardState::attempts_needed`]: which slots need an attempt, and in which order;
-//! - [`ShardState::accept`]: whether a generated sample is still wanted;
-//! - [`ShardState::stale_entries`]: committed attempts to give up after a roll;
-//! - [`ShardState::pull`]: what a trainer's cursor acknowledges and what it is handed next.
+//! - [`ShardState::attempts_needed`] lists the slots that need an attempt, in order;
+//! - [`ShardState::accept`] decides whether to commit a generated sample;
+//! - [`ShardState::stale_entries`] discards committed attempts that a roll made stale;
+//! - [`ShardState::pull`] acknowledges the answer named by a trainer's cursor and returns the next
+//!   one.
 
 mod attempts;
 mod cursor;
--- a/crates/ladderstage/src/shard/pull.rs
+++ b/crates/ladderstage/src/shard/pull.rs
@@ -1,4 +1,4 @@
-//! What a trainer's cursor acknowledges, and what it is handed next.
+//! Handling of trainer pulls: acknowledges the previous answer and selects the next one.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,47 +11,49 @@
 use super::{AttemptId, ShardState};
 use crate::staleness::StalenessBound;
 
-/// How old committed samples are, as far as their owner knows.
+/// Ages of committed samples as known to the shard's owner.
 pub trait SampleAges {
-    /// Time since the first token of an attempt; `None`: unknown, as after a takeover.
+    /// Returns the time since the first token of an attempt; `None` if unknown, as after a
+    /// takeover.
     fn age(&self, id: AttemptId) -> Option<Duration>;
 }
 
-/// One question of a trainer.
+/// A pull request of a trainer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Pull {
-    /// The answer that it took last; 0: none.
+    /// Last answer that the trainer received; 0 means none.
     pub after_answer: u64,
-    /// Most samples that it wants; 0 counts as 1.
+    /// Maximum number of samples to return; 0 counts as 1.
     pub max_samples: usize,
 }
 
-/// What to journal, and what to reply once that is committed.
+/// Entries to commit and the reply to send afterwards.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PullDecision {
-    /// Entries that must be committed before the reply leaves.
+    /// Entries that must be committed before the reply is sent.
     pub entries: Vec<ShardEntry>,
-    /// The reply.
+    /// Reply to the trainer.
     pub outcome: PullOutcome,
 }
 
-/// Reply to one question of a trainer.
+/// Reply to a pull request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PullOutcome {
-    /// Samples to hand out, in commit order.
+    /// Samples to deliver, in commit order.
     Answer {
-        /// Acknowledges these samples when it comes back as `after_answer`.
+        /// Id of the answer; acknowledges its samples when it is returned as `after_answer`.
         answer: u64,
-        /// What is handed out.
+        /// Delivered samples.
         samples: Vec<AttemptId>,
     },
-    /// Nothing fresh yet.
+    /// No fresh sample is available yet.
     Wait,
     /// Every slot is settled.
     Complete,
-    /// Another answer was acknowledged instead of the one asked after.
+    /// Another answer was acknowledged instead of the one that the pull refers to.
     Superseded,
-    /// The answer asked after is newer than this state: its reader is not the owner (any more).
+    /// The answer that the pull refers to is newer than this state, so this process is not, or is
+    /// no longer, the owner.
     NotYetKnown,
 }
 
@@ -65,17 +67,19 @@
 }
 
 impl ShardState {
-    /// Decides on a trainer's question. Nothing in the reply is stale against `bound`.
+    /// Decides on a pull. The reply contains no sample that is stale under `bound`.
     pub fn pull(&self, pull: Pull, bound: &StalenessBound, ages: &dyn SampleAges) -> PullDecision {
         if pull.after_answer == self.acknowledged {
-            return self.pull_on_path(pull, None, bound, ages);
+            return self.pull_from(pull, None, bound, ages);
         }
-        let taken = self
-            .open_answers
+        let acknowledged_answer = self
+            .unacknowledged_answers
             .iter()
             .find(|answer| answer.id == pull.after_answer);
-        match taken {
-            Some(taken) => self.pull_on_path(pull, Some(taken), bound, ages),
+        match acknowledged_answer {
+            Some(acknowledged_answer) => {
+                self.pull_from(pull, Some(acknowledged_answer), bound, ages)
+            }
             None if pull.after_answer > self.last_answer => {
                 PullDecision::without_entries(PullOutcome::NotYetKnown)
             }
@@ -83,34 +87,34 @@
         }
     }
 
-    fn pull_on_path(
+    fn pull_from(
         &self,
         pull: Pull,
-        taken: Option<&Answer>,
+        acknowledged_answer: Option<&Answer>,
         bound: &StalenessBound,
         ages: &dyn SampleAges,
     ) -> PullDecision {
         let max_samples = pull.max_samples.max(1);
         let mut entries = Vec::new();
-        if let Some(taken) = taken {
-            entries.push(acknowledged(taken.id));
+        if let Some(acknowledged_answer) = acknowledged_answer {
+            entries.push(acknowledged(acknowledged_answer.id));
         }
-        let waiting = self.waiting_after(taken);
-        let (fresh, stale): (Vec<_>, Vec<_>) = waiting
+        let deliverable = self.deliverable_after(acknowledged_answer);
+        let (fresh, stale): (Vec<_>, Vec<_>) = deliverable
             .into_iter()
             .partition(|id| self.is_fresh(*id, bound, ages));
         entries.extend(stale.into_iter().map(discarded));
-        let repeated = match taken {
-            // No answer can follow one that was not acknowledged before.
+        let repeated = match acknowledged_answer {
+            // No answer can follow one that is only acknowledged now.
             Some(_) => None,
-            None => self.open_answer(max_samples, &fresh),
+            None => self.reusable_answer(max_samples, &fresh),
         };
         let outcome = match repeated {
             Some(open) => PullOutcome::Answer {
                 answer: open.id,
                 samples: open.samples.clone(),
             },
-            None => self.new_answer(fresh, taken, max_samples),
+            None => self.new_answer(fresh, acknowledged_answer, max_samples),
         };
         if let PullOutcome::Answer { answer, samples } = &outcome
             && *answer > self.last_answer
@@ -120,9 +124,10 @@
         PullDecision { entries, outcome }
     }
 
-    /// Live attempts of unsettled slots in commit order, without the slots that `taken` settles.
-    fn waiting_after(&self, taken: Option<&Answer>) -> Vec<AttemptId> {
-        let settled: BTreeSet<u32> = taken
+    /// Returns the live attempts of unsettled slots in commit order, without the slots that
+    /// `acknowledged_answer` settles.
+    fn deliverable_after(&self, acknowledged_answer: Option<&Answer>) -> Vec<AttemptId> {
+        let settled: BTreeSet<u32> = acknowledged_answer
             .into_iter()
             .flat_map(|answer| answer.samples.iter())
             .map(|id| id.slot)
@@ -134,10 +139,11 @@
             .collect()
     }
 
-    /// The newest open answer that fits and is wholly fresh.
-    fn open_answer(&self, max_samples: usize, fresh: &[AttemptId]) -> Option<&Answer> {
+    /// Returns the newest unacknowledged answer that has at most `max_samples` samples, all of them
+    /// fresh.
+    fn reusable_answer(&self, max_samples: usize, fresh: &[AttemptId]) -> Option<&Answer> {
         let fresh: BTreeSet<AttemptId> = fresh.iter().copied().collect();
-        self.open_answers.iter().rev().find(|answer| {
+        self.unacknowledged_answers.iter().rev().find(|answer| {
             answer.samples.len() <= max_samples
                 && answer.samples.iter().all(|id| fresh.contains(id))
         })
@@ -146,11 +152,11 @@
     fn new_answer(
         &self,
         mut fresh: Vec<AttemptId>,
-        taken: Option<&Answer>,
+        acknowledged_answer: Option<&Answer>,
         max_samples: usize,
     ) -> PullOutcome {
         if fresh.is_empty() {
-            return match self.is_complete_after(taken) {
+            return match self.is_complete_after(acknowledged_answer) {
                 true => PullOutcome::Complete,
                 false => PullOutcome::Wait,
             };
@@ -162,12 +168,14 @@
         }
     }
 
-    fn is_complete_after(&self, taken: Option<&Answer>) -> bool {
+    fn is_complete_after(&self, acknowledged_answer: Option<&Answer>) -> bool {
         let Some(spec) = &self.spec else {
             return false;
         };
-        let settles =
-            |slot: u32| taken.is_some_and(|answer| answer.samples.iter().any(|id| id.slot == slot));
+        let settles = |slot: u32| {
+            acknowledged_answer
+                .is_some_and(|answer| answer.samples.iter().any(|id| id.slot == slot))
+        };
         self.slots
             .iter()
             .enumerate()
--- a/crates/ladderstage/src/shard/state.rs
+++ b/crates/ladderstage/src/shard/state.rs
@@ -1,11 +1,11 @@
-//! The fold over a shard's log.
+//! State of a shard, computed from its log.
 
 use std::collections::BTreeMap;
 
 use ladderstage_wire::messages::mod_ShardEntry::OneOfkind as Kind;
 use ladderstage_wire::messages::{HandOut, Sample, ShardEntry, ShardSpec, SlotAttempt};
 
-/// One attempt at one slot.
+/// Identity of one attempt at one slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId {
     /// Slot within the step.
@@ -32,26 +32,26 @@
     }
 }
 
-/// State of a shard after some prefix of its log.
+/// State of a shard after a prefix of its log.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ShardState {
     pub(super) spec: Option<ShardSpec>,
     pub(super) slots: Vec<Slot>,
-    /// Committed attempts in the order of their commits.
+    /// Committed attempts in commit order.
     pub(super) commit_order: Vec<AttemptId>,
     /// Answers that follow the acknowledged one, oldest first.
-    pub(super) open_answers: Vec<Answer>,
-    /// The last acknowledged answer; 0: none.
+    pub(super) unacknowledged_answers: Vec<Answer>,
+    /// Last acknowledged answer; 0 means none.
     pub(super) acknowledged: u64,
-    /// Highest answer id handed out.
+    /// Highest answer id sent.
     pub(super) last_answer: u64,
 }
 
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(super) struct Slot {
-    /// Committed attempts; emptied once the slot is settled.
+    /// Committed attempts by number; cleared once the slot is settled.
     pub(super) attempts: BTreeMap<u32, Attempt>,
-    /// The attempt that the trainer acknowledged.
+    /// Number of the attempt that the trainer acknowledged.
     pub(super) settled: Option<u32>,
 }
 
@@ -74,7 +74,7 @@
 }
 
 impl ShardState {
-    /// The state after these entries.
+    /// Returns the state after these entries.
     pub fn from_entries<'a>(entries: impl IntoIterator<Item = &'a ShardEntry>) -> Self {
         let mut state = Self::default();
         for entry in entries {
@@ -83,7 +83,8 @@
         state
     }
 
-    /// Applies one committed entry. An entry that contradicts earlier ones changes nothing and gives `false`.
+    /// Applies one committed entry. Returns `false` and changes nothing if the entry contradicts
+    /// earlier ones.
     pub fn apply(&mut self, entry: &ShardEntry) -> bool {
         match &entry.kind {
             Kind::opened(spec) => self.apply_opened(spec),
@@ -98,22 +99,22 @@
         }
     }
 
-    /// What the shard holds, once it is opened.
+    /// Returns the spec of the shard once it is opened.
     pub fn spec(&self) -> Option<&ShardSpec> {
         self.spec.as_ref()
     }
 
-    /// The last acknowledged answer; 0: none.
+    /// Returns the last acknowledged answer; 0 means none.
     pub fn acknowledged(&self) -> u64 {
         self.acknowledged
     }
 
-    /// Whether every slot is settled.
+    /// Returns whether every slot is settled.
     pub fn is_complete(&self) -> bool {
         self.spec.is_some() && self.slots.iter().all(|slot| slot.settled.is_some())
     }
 
-    /// How many slots are settled.
+    /// Returns the number of settled slots.
     pub fn settled_count(&self) -> usize {
         self.slots
             .iter()
@@ -121,7 +122,7 @@
             .count()
     }
 
-    /// How many slots wait, committed, for the trainer.
+    /// Returns the number of slots with a committed sample that the trainer has not acknowledged.
     pub fn committed_count(&self) -> usize {
         self.slots
             .iter()
@@ -129,7 +130,8 @@
             .count()
     }
 
-    /// A committed sample of an unsettled slot, with the names and the prompt that the log keeps once in the spec.
+    /// Returns a committed sample of an unsettled slot, completed with the trainer, step and prompt
+    /// from the spec.
     pub fn sample(&self, id: AttemptId) -> Option<Sample> {
         let spec = self.spec.as_ref()?;
         let index = self.slot_index(id.slot)?;
@@ -198,7 +200,7 @@
             return false;
         }
         self.last_answer = hand_out.answer;
-        self.open_answers.push(Answer {
+        self.unacknowledged_answers.push(Answer {
             id: hand_out.answer,
             samples,
         });
@@ -206,15 +208,20 @@
     }
 
     fn apply_acknowledged(&mut self, answer: u64) -> bool {
-        let Some(position) = self.open_answers.iter().position(|open| open.id == answer) else {
+        let Some(position) = self
+            .unacknowledged_answers
+            .iter()
+            .position(|open| open.id == answer)
+        else {
             return false;
         };
-        let taken = self.open_answers.swap_remove(position);
-        for id in &taken.samples {
+        let acknowledged_answer = self.unacknowledged_answers.swap_remove(position);
+        for id in &acknowledged_answer.samples {
             self.settle(*id);
         }
-        // Siblings of the acknowledged answer are off its path: their other samples may be handed out again.
-        self.open_answers.clear();
+        // Other answers with the same base can no longer be acknowledged; their remaining samples
+        // may be delivered again.
+        self.unacknowledged_answers.clear();
         self.acknowledged = answer;
         let slots = &self.slots;
         let first = self.spec.as_ref().map_or(0, |spec| spec.first_slot);
@@ -223,7 +230,8 @@
         true
     }
 
-    /// The trainer took this attempt, even if it was discarded meanwhile: the first acknowledged one counts.
+    /// Settles the slot with the attempt that the trainer received, even if it was discarded
+    /// meanwhile. The first acknowledged attempt counts.
     fn settle(&mut self, id: AttemptId) {
         let Some(index) = self.slot_index(id.slot) else {
             return;
--- a/crates/ladderstage/src/staleness.rs
+++ b/crates/ladderstage/src/staleness.rs
@@ -1,7 +1,8 @@
-//! The staleness bound of a sample.
+//! Staleness bound of samples.
 //!
-//! A sample is as old as its oldest segment. The version comes from what the engine named in each chunk, never from
-//! what was ordered. Ages are durations since the sample's first token, never clock times.
+//! A sample is as old as its oldest segment. Versions are those that the engine reported with each
+//! chunk, never the ordered ones. Ages are durations since the sample's first token, never
+//! wall-clock times.
 
 use std::time::Duration;
 
@@ -10,19 +11,19 @@
 use crate::bundle::PoolSpec;
 use crate::ids::WeightVersion;
 
-/// What a pool of the bundle in force asks of a delivered sample.
+/// Staleness limits that a pool of the bundle in force sets for delivered samples.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StalenessBound {
     /// Weight version in force.
     pub weight_version: WeightVersion,
-    /// How many versions the oldest segment may lie behind it.
+    /// Maximum number of versions between the oldest segment and the version in force.
     pub versions: u64,
-    /// Largest age of the first token; `None`: any age.
+    /// Maximum age of the first token; `None` means unlimited.
     pub age: Option<Duration>,
 }
 
 impl StalenessBound {
-    /// The bound that a pool sets.
+    /// Returns the bound of a pool.
     pub fn of(pool: &PoolSpec) -> Self {
         Self {
             weight_version: pool.weight_version,
@@ -31,15 +32,16 @@
         }
     }
 
-    /// Whether a sample with these segments may be delivered.
+    /// Returns whether a sample with these segments may be delivered.
     ///
-    /// `age` is the time since its first token; `None` means unknown, which counts as too old if there is an age bound.
-    /// A sample from a newer version than the one in force is fresh. One without segments names no version and is not.
+    /// `age` is the time since the first token; an unknown age (`None`) exceeds any age bound.
+    /// Segments newer than the version in force are fresh. A sample without segments has no version
+    /// and is refused.
     pub fn admits(&self, segments: &[Segment], age: Option<Duration>) -> bool {
         self.admits_versions(segments) && self.admits_age(age)
     }
 
-    /// The version half of [`admits`](Self::admits).
+    /// Returns whether the segments are within the version bound of [`admits`](Self::admits).
     pub fn admits_versions(&self, segments: &[Segment]) -> bool {
         let Some(oldest) = oldest_version(segments) else {
             return false;
@@ -56,12 +58,13 @@
     }
 }
 
-/// The oldest weight version among the segments; `None` without segments.
+/// Returns the oldest weight version among the segments; `None` if there are none.
 pub fn oldest_version(segments: &[Segment]) -> Option<WeightVersion> {
     segments.iter().map(|segment| segment.weight_version).min()
 }
 
-/// Adds tokens of one version to the end of the segments, merging equal neighbours.
+/// Appends tokens of one version to the segments, extending the last segment if it has the same
+/// version.
 pub fn append_tokens(segments: &mut Vec<Segment>, weight_version: WeightVersion, tokens: u32) {
     match segments.last_mut() {
         Some(last) if last.weight_version == weight_version => {
--- a/crates/ladderstage/tests/backend.rs
+++ b/crates/ladderstage/tests/backend.rs
@@ -237,13 +237,13 @@
 
 /// What an observer of all events may conclude at most.
 #[derive(Default)]
-struct Knowledge {
+struct ModelKnowledge {
     leaving: BTreeSet<u64>,
     newest_evidence: Option<u64>,
 }
 
-impl Knowledge {
-    fn learn(&mut self, process: u64, leaving: bool) {
+impl ModelKnowledge {
+    fn observe_leaving(&mut self, process: u64, leaving: bool) {
         if leaving {
             self.leaving.insert(process);
         }
@@ -254,7 +254,13 @@
     }
 }
 
-fn apply(table: &mut BackendTable, knowledge: &mut Knowledge, event: &Event, now: u64, step: u64) {
+fn apply(
+    table: &mut BackendTable,
+    knowledge: &mut ModelKnowledge,
+    event: &Event,
+    now: u64,
+    step: u64,
+) {
     match *event {
         Event::OwnReport {
             process,
@@ -263,7 +269,7 @@
         } => {
             let sent = now.saturating_sub(delay);
             table.observe_report(NAME, &report(process, step, leaving), at(sent, now));
-            knowledge.learn(process, leaving);
+            knowledge.observe_leaving(process, leaving);
             knowledge.evidence(sent);
         }
         Event::Pushed {
@@ -272,7 +278,7 @@
             age,
         } => {
             table.observe_gossip(&gossip(process, leaving, age), GossipOrigin::Pushed);
-            knowledge.learn(process, leaving);
+            knowledge.observe_leaving(process, leaving);
         }
         Event::Pulled {
             process,
@@ -283,7 +289,7 @@
             let sent = now.saturating_sub(delay);
             let origin = GossipOrigin::Pulled(at(sent, now));
             table.observe_gossip(&gossip(process, leaving, age), origin);
-            knowledge.learn(process, leaving);
+            knowledge.observe_leaving(process, leaving);
             if sent >= age {
                 knowledge.evidence(sent - age);
             }
@@ -318,7 +324,7 @@
         events in prop::collection::vec((event(), 0..1_500_u64), 1..60),
     ) {
         let mut table = BackendTable::new(BackendPolicy::with_freshness(ms(FRESHNESS)));
-        let mut knowledge = Knowledge::default();
+        let mut knowledge = ModelKnowledge::default();
         let mut now = 1_000;
         for (step, (event, pause)) in events.iter().enumerate() {
             apply(&mut table, &mut knowledge, event, now, step as u64);
--- a/crates/ladderstage/tests/backend_refresh.rs
+++ b/crates/ladderstage/tests/backend_refresh.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use ladderstage::backend::{
-    BackendPolicy, BackendTable, GossipOrigin, LEAST_GAIN, ListedBackend, Observed, Report,
+    BackendPolicy, BackendTable, GossipOrigin, ListedBackend, MIN_AGE_GAIN, Observed, Report,
 };
 use ladderstage::bundle::PoolKind;
 use ladderstage_wire::messages::{BackendGossip, BackendRefresh};
@@ -61,7 +61,7 @@
     answer.unwrap()
 }
 
-fn take(asker: &mut BackendTable, answer: &BackendGossip, observed: Observed) {
+fn apply(asker: &mut BackendTable, answer: &BackendGossip, observed: Observed) {
     asker.observe_gossip(&answer.reports, GossipOrigin::Pulled(observed));
     for refresh in &answer.refreshes {
         asker.observe_refresh(&NAMES, refresh, observed);
@@ -78,12 +78,12 @@
     let mut asker = listed(PORT);
     let first = ask(&asker, &reader(PORT, PROCESS, 1, 1_000), 1_100);
     assert_eq!(first.reports.len(), 1);
-    take(&mut asker, &first, at(1_100, 1_110));
+    apply(&mut asker, &first, at(1_100, 1_110));
     assert_eq!(sequence(&asker, 1_110), Some(1));
 
     let second = ask(&asker, &reader(PORT, PROCESS, 9, 3_000), 3_100);
     assert!(second.reports.is_empty());
-    take(&mut asker, &second, at(3_100, 3_400));
+    apply(&mut asker, &second, at(3_100, 3_400));
     assert_eq!(sequence(&asker, 3_400), Some(9));
     // Evidence dates from the send of the question minus the age told in the answer.
     assert_eq!(sequence(&asker, 5_000), Some(9));
@@ -92,10 +92,10 @@
 
 #[test]
 fn a_report_that_is_hardly_fresher_is_not_told() {
-    let gain = u64::try_from(LEAST_GAIN.as_millis()).unwrap();
+    let gain = u64::try_from(MIN_AGE_GAIN.as_millis()).unwrap();
     let asker = reader(PORT, PROCESS, 1, 1_000);
-    let hardly = ask(&asker, &reader(PORT, PROCESS, 2, 1_000 + gain - 1), 1_800);
-    assert!(hardly.refreshes[0].positions.is_empty());
+    let barely_newer = ask(&asker, &reader(PORT, PROCESS, 2, 1_000 + gain - 1), 1_800);
+    assert!(barely_newer.refreshes[0].positions.is_empty());
     let enough = ask(&asker, &reader(PORT, PROCESS, 2, 1_000 + gain + 20), 1_800);
     assert_eq!(enough.refreshes[0].positions, [0]);
 }
@@ -109,7 +109,7 @@
         let mut asker = reader(PORT, PROCESS, 1, 1_000);
         let answer = ask(&asker, &other, 4_100);
         assert_eq!(answer.refreshes[0].positions, [0]);
-        take(&mut asker, &answer, at(4_100, 4_110));
+        apply(&mut asker, &answer, at(4_100, 4_110));
         assert_eq!(sequence(&asker, 4_110), None);
         // It is asked for whole the next time.
         assert_eq!(ask(&asker, &other, 4_200).reports.len(), 1);
--- a/crates/ladderstage/tests/claim.rs
+++ b/crates/ladderstage/tests/claim.rs
@@ -15,8 +15,8 @@
 }
 
 impl ModelLog {
-    fn take_over(&mut self, luck: u8) -> TakeOverResult {
-        match luck % 8 {
+    fn take_over(&mut self, choice: u8) -> TakeOverResult {
+        match choice % 8 {
             0 => return TakeOverResult::Fenced,
             1 => return TakeOverResult::NoQuorum,
             2 => {
@@ -32,21 +32,21 @@
     }
 
     /// What a reader sees, who may or may not meet the replica that holds the undecided entry.
-    fn look(&self, luck: u8) -> ClaimState {
-        let undecided = self.undecided.iter().filter(|_| luck % 2 == 0);
+    fn read_unfenced(&self, choice: u8) -> ClaimState {
+        let undecided = self.undecided.iter().filter(|_| choice % 2 == 0);
         ClaimState::fold(self.committed.iter().chain(undecided))
     }
 
-    fn append(&mut self, epoch: u64, entry: ClaimEntry, luck: u8) -> AppendResult {
+    fn append(&mut self, epoch: u64, entry: ClaimEntry, choice: u8) -> AppendResult {
         if epoch != self.epoch {
-            let fenced = luck % 2 == 0;
+            let fenced = choice % 2 == 0;
             return if fenced {
                 AppendResult::Fenced
             } else {
                 AppendResult::NoQuorum
             };
         }
-        match luck % 6 {
+        match choice % 6 {
             0 => {}
             1 => self.undecided = Some(entry),
             2 => self.committed.push(entry),
@@ -74,7 +74,7 @@
     ran: bool,
     refusal: Option<ClaimRefusal>,
     /// It looked at the log before this take-over.
-    looked: bool,
+    has_read_unfenced: bool,
 }
 
 impl Actor {
@@ -85,23 +85,25 @@
             phase: Phase::Claiming(ClaimStep::TakeOver),
             ran: false,
             refusal: None,
-            looked: false,
+            has_read_unfenced: false,
         }
     }
 
-    fn step(&mut self, log: &mut ModelLog, luck: u8) {
+    fn step(&mut self, log: &mut ModelLog, choice: u8) {
         self.phase = match std::mem::replace(&mut self.phase, Phase::Done) {
-            Phase::Claiming(ClaimStep::TakeOver) if !std::mem::replace(&mut self.looked, true) => {
-                Phase::Claiming(self.claimant.after_look(&log.look(luck)))
+            Phase::Claiming(ClaimStep::TakeOver)
+                if !std::mem::replace(&mut self.has_read_unfenced, true) =>
+            {
+                Phase::Claiming(self.claimant.after_look(&log.read_unfenced(choice)))
             }
             Phase::Claiming(ClaimStep::TakeOver) => {
-                self.looked = false;
-                let result = log.take_over(luck);
+                self.has_read_unfenced = false;
+                let result = log.take_over(choice);
                 self.epoch = log.epoch;
                 Phase::Claiming(self.claimant.after_take_over(result))
             }
             Phase::Claiming(ClaimStep::Append(entry)) => {
-                let result = log.append(self.epoch, entry, luck);
+                let result = log.append(self.epoch, entry, choice);
                 Phase::Claiming(self.claimant.after_append(result))
             }
             Phase::Claiming(ClaimStep::Dispatch) => Phase::Running,
@@ -109,11 +111,11 @@
                 self.refusal = Some(refusal);
                 Phase::Done
             }
-            Phase::Running => self.run(luck),
-            Phase::Settling(settlement, None) => self.reopen(log, settlement, luck),
+            Phase::Running => self.run(choice),
+            Phase::Settling(settlement, None) => self.reopen(log, settlement, choice),
             Phase::Settling(settlement, Some(epoch)) => {
                 let entry = settlement.clone().into_entry();
-                match log.append(epoch, entry, luck) {
+                match log.append(epoch, entry, choice) {
                     AppendResult::Committed => Phase::Done,
                     _ => Phase::Settling(settlement, None),
                 }
@@ -122,8 +124,8 @@
         };
     }
 
-    fn run(&mut self, luck: u8) -> Phase {
-        let settlement = match luck % 3 {
+    fn run(&mut self, choice: u8) -> Phase {
+        let settlement = match choice % 3 {
             0 => Settlement::Released,
             1 => Settlement::Unknown,
             _ => Settlement::Answered(answer(self.claimant.id())),
@@ -132,8 +134,8 @@
         Phase::Settling(settlement, Some(self.epoch))
     }
 
-    fn reopen(&mut self, log: &mut ModelLog, settlement: Settlement, luck: u8) -> Phase {
-        match log.take_over(luck) {
+    fn reopen(&mut self, log: &mut ModelLog, settlement: Settlement, choice: u8) -> Phase {
+        match log.take_over(choice) {
             TakeOverResult::Taken(state) if state.is_open_for(self.claimant.id()) => {
                 Phase::Settling(settlement, Some(log.epoch))
             }
@@ -163,11 +165,11 @@
     fn one_key_runs_at_most_once(schedule in prop::collection::vec((0usize..3, any::<u8>()), 0..60)) {
         let mut log = ModelLog::default();
         let mut actors: Vec<Actor> = (1..=3).map(|id| Actor::new(id, 7)).collect();
-        for (index, luck) in schedule {
-            actors[index].step(&mut log, luck);
-            let at_once = actors.iter().filter(|actor| actor.is_running()).count();
+        for (index, choice) in schedule {
+            actors[index].step(&mut log, choice);
+            let running = actors.iter().filter(|actor| actor.is_running()).count();
             let ran = actors.iter().filter(|actor| actor.ran).count();
-            prop_assert!(at_once + ran <= 1, "{at_once} running, {ran} ran");
+            prop_assert!(running + ran <= 1, "{running} running, {ran} ran");
         }
         for actor in &actors {
             if let Some(ClaimRefusal::Replay(outcome)) = &actor.refusal {
@@ -179,10 +181,10 @@
 }
 
 /// Runs one actor on a log whose calls all succeed.
-fn run_alone(log: &mut ModelLog, mut actor: Actor, run_luck: u8) -> Actor {
+fn run_alone(log: &mut ModelLog, mut actor: Actor, run_choice: u8) -> Actor {
     for _ in 0..10 {
-        let luck = if actor.is_running() { run_luck } else { 5 };
-        actor.step(log, luck);
+        let choice = if actor.is_running() { run_choice } else { 5 };
+        actor.step(log, choice);
     }
     actor
 }
--- a/crates/ladderstage/tests/engine_orders.rs
+++ b/crates/ladderstage/tests/engine_orders.rs
@@ -152,7 +152,7 @@
 }
 
 impl Engine {
-    fn take(&mut self, order: &Order, swap_works: bool) -> AttemptOutcome {
+    fn apply(&mut self, order: &Order, swap_works: bool) -> AttemptOutcome {
         if order.fence < self.fence {
             return AttemptOutcome::Fenced { fence: self.fence };
         }
@@ -166,12 +166,12 @@
 
 /// A daemon that looks after the engine under the bundle it knows.
 #[derive(Default)]
-struct Caretaker {
+struct OrderSender {
     revision: u64,
     last: Option<Attempt>,
 }
 
-impl Caretaker {
+impl OrderSender {
     fn act(&mut self, engine: &mut Engine, now: Duration, swap_works: bool) {
         let known = Bundle {
             revision: self.revision,
@@ -185,7 +185,7 @@
             idle: true,
         };
         if next_action(&order, Some(view), true, self.last.as_ref(), now) == Action::Send {
-            let outcome = engine.take(&order, swap_works);
+            let outcome = engine.apply(&order, swap_works);
             let last = self.last.as_ref();
             self.last = Some(Attempt::record(
                 &order,
@@ -207,22 +207,22 @@
         events in prop::collection::vec((0..2_usize, 0..6_u64, prop::bool::ANY, 0..8_u8), 0..40),
     ) {
         let mut engine = Engine { process: 1, ..Engine::default() };
-        let mut caretakers = [Caretaker::default(), Caretaker::default()];
+        let mut senders = [OrderSender::default(), OrderSender::default()];
         let mut now = Duration::ZERO;
-        for (who, revision, swap_works, kind) in events {
+        for (sender_index, revision, swap_works, kind) in events {
             now += Duration::from_millis(700);
-            caretakers[who].revision = caretakers[who].revision.max(revision);
+            senders[sender_index].revision = senders[sender_index].revision.max(revision);
             if kind == 0 {
                 engine = Engine { process: engine.process + 1, ..Engine::default() };
             }
-            caretakers[who].act(&mut engine, now, swap_works);
+            senders[sender_index].act(&mut engine, now, swap_works);
         }
-        for caretaker in &mut caretakers {
-            caretaker.revision = 6;
+        for sender in &mut senders {
+            sender.revision = 6;
         }
         for round in 0..4 {
             now += secs(60);
-            caretakers[round % 2].act(&mut engine, now, true);
+            senders[round % 2].act(&mut engine, now, true);
             prop_assert_eq!(engine.weight_version, 106);
         }
     }
--- a/crates/ladderstage/tests/journal/rules.rs
+++ b/crates/ladderstage/tests/journal/rules.rs
@@ -35,7 +35,7 @@
     sealed.into_writer(reply.entries)
 }
 
-fn pump(writer: &mut LogWriterState, replica: &mut SimulatedReplica) -> Vec<ReplicaWrite> {
+fn write_all(writer: &mut LogWriterState, replica: &mut SimulatedReplica) -> Vec<ReplicaWrite> {
     let mut sent = Vec::new();
     while let Some(write) = writer.next_write(replica.id) {
         let reply = replica.write(&write);
@@ -83,9 +83,9 @@
 fn a_delayed_install_does_not_take_back_later_entries() {
     let mut replica = new_replica(1);
     let mut writer = sealed_writer(epoch(1, 1), &mut replica);
-    let install = pump(&mut writer, &mut replica).remove(0);
+    let install = write_all(&mut writer, &mut replica).remove(0);
     writer.add(vec![entry("a")], false);
-    pump(&mut writer, &mut replica);
+    write_all(&mut writer, &mut replica);
     assert!(writer.is_committed());
     assert_eq!(replica.write(&install).outcome, Outcome::STORED);
     assert_eq!(replica.entries, [entry("a")]);
@@ -95,10 +95,10 @@
 fn a_paused_writer_is_fenced_after_a_seal_alone() {
     let mut replica = new_replica(1);
     let mut paused = sealed_writer(epoch(1, 1), &mut replica);
-    pump(&mut paused, &mut replica);
+    write_all(&mut paused, &mut replica);
     sealed_writer(epoch(2, 2), &mut replica);
     paused.add(vec![entry("late")], false);
-    pump(&mut paused, &mut replica);
+    write_all(&mut paused, &mut replica);
     assert!(paused.is_fenced());
     assert!(!paused.is_committed());
     assert!(replica.entries.is_empty());
@@ -109,9 +109,9 @@
     let mut replica = new_replica(1);
     let mut writer = sealed_writer(epoch(1, 1), &mut replica);
     writer.add(vec![entry("a")], false);
-    pump(&mut writer, &mut replica);
+    write_all(&mut writer, &mut replica);
     writer.add(vec![entry("b"), entry("c")], true);
-    let sent = pump(&mut writer, &mut replica);
+    let sent = write_all(&mut writer, &mut replica);
     assert_eq!(replica.write(&sent[0]).outcome, Outcome::STORED);
     assert_eq!(replica.entries, [entry("a"), entry("b"), entry("c")]);
     assert!(replica.state.closed && !replica.state.needs_owner());
@@ -121,12 +121,12 @@
 fn an_append_behind_missing_entries_asks_for_an_install() {
     let mut complete = new_replica(1);
     let mut writer = sealed_writer(epoch(1, 1), &mut complete);
-    pump(&mut writer, &mut complete);
+    write_all(&mut writer, &mut complete);
     let appends: Vec<_> = ["a", "b"]
         .into_iter()
         .flat_map(|text| {
             writer.add(vec![entry(text)], false);
-            pump(&mut writer, &mut complete)
+            write_all(&mut writer, &mut complete)
         })
         .collect();
     let mut sealed_only = new_replica(1);
@@ -135,7 +135,7 @@
     assert_eq!(reply.outcome, Outcome::NEEDS_INSTALL, "never installed");
     let mut installed = new_replica(1);
     let mut other = sealed_writer(epoch(1, 1), &mut installed);
-    pump(&mut other, &mut installed);
+    write_all(&mut other, &mut installed);
     let reply = installed.write(&appends[1]);
     assert_eq!(reply.outcome, Outcome::NEEDS_INSTALL, "lacks an entry");
 }
@@ -170,15 +170,15 @@
     let mut first = writer_over_three(epoch(1, 1), &mut replicas);
     first.add(vec![entry("a"), entry("b")], false);
     for replica in &mut replicas {
-        pump(&mut first, replica);
+        write_all(&mut first, replica);
     }
     first.add(vec![entry("c")], false);
-    pump(&mut first, &mut replicas[0]);
+    write_all(&mut first, &mut replicas[0]);
     let mut second = writer_over_three(epoch(2, 2), &mut replicas);
     assert_eq!(second.entries(), [entry("a"), entry("b"), entry("c")]);
     let sent: Vec<usize> = replicas
         .iter_mut()
-        .map(|replica| sent_entries(&pump(&mut second, replica)))
+        .map(|replica| sent_entries(&write_all(&mut second, replica)))
         .collect();
     assert_eq!(
         sent,
@@ -195,15 +195,15 @@
 #[test]
 fn entries_of_another_epoch_are_never_kept() {
     let mut replicas = [1, 2, 3].map(new_replica);
-    let mut lost = writer_over_three(epoch(1, 1), &mut replicas);
-    lost.add(vec![entry("x"), entry("y")], false);
-    pump(&mut lost, &mut replicas[2]);
+    let mut former = writer_over_three(epoch(1, 1), &mut replicas);
+    former.add(vec![entry("x"), entry("y")], false);
+    write_all(&mut former, &mut replicas[2]);
     let mut writer = writer_over_three(epoch(2, 2), &mut replicas);
     writer.add(vec![entry("a"), entry("b")], false);
-    pump(&mut writer, &mut replicas[0]);
-    pump(&mut writer, &mut replicas[1]);
+    write_all(&mut writer, &mut replicas[0]);
+    write_all(&mut writer, &mut replicas[1]);
     let mut next = writer_over_three(epoch(3, 3), &mut replicas);
-    pump(&mut next, &mut replicas[2]);
+    write_all(&mut next, &mut replicas[2]);
     assert_eq!(replicas[2].entries, [entry("a"), entry("b")]);
 }
 
@@ -212,7 +212,7 @@
     let mut replica = new_replica(1);
     let mut writer = sealed_writer(epoch(1, 1), &mut replica);
     writer.add(vec![entry("a")], false);
-    pump(&mut writer, &mut replica);
+    write_all(&mut writer, &mut replica);
     let mut sealing = Sealing::new(identity(epoch(2, 2)), quorum_of(1..=1));
     sealing.on_reply(&replica.seal(&sealing.request()));
     let sealed = sealing.into_sealed();
@@ -297,15 +297,15 @@
 
 #[test]
 fn each_log_may_be_silent_for_a_time_of_its_own() {
-    let longest = Duration::from_secs(3);
+    let max_timeout = Duration::from_secs(3);
     let at = Duration::from_secs;
-    let open = || [("a".to_owned(), at(1)), ("b".to_owned(), longest)];
+    let open = || [("a".to_owned(), at(1)), ("b".to_owned(), max_timeout)];
     let mut table = HeartbeatTable::default();
-    assert!(table.silent(open(), at(100), longest).is_empty());
-    assert_eq!(table.silent(open(), at(101), longest), ["a"]);
+    assert!(table.silent(open(), at(100), max_timeout).is_empty());
+    assert_eq!(table.silent(open(), at(101), max_timeout), ["a"]);
     table.touch("a", at(101));
-    assert!(table.silent(open(), at(101), longest).is_empty());
-    assert_eq!(table.silent(open(), at(103), longest), ["a", "b"]);
+    assert!(table.silent(open(), at(101), max_timeout).is_empty());
+    assert_eq!(table.silent(open(), at(103), max_timeout), ["a", "b"]);
 }
 
 #[test]
--- a/crates/ladderstage/tests/retry.rs
+++ b/crates/ladderstage/tests/retry.rs
@@ -36,5 +36,5 @@
     let refused = budget.spend(Duration::ZERO, 0, soon, 0.0);
     assert_eq!(refused, Err(RetryRefusal::DeadlineTooClose));
     let refused = budget.spend(Duration::ZERO, MAX_RETRIES_PER_REQUEST, PLENTY, 0.0);
-    assert_eq!(refused, Err(RetryRefusal::TooOften));
+    assert_eq!(refused, Err(RetryRefusal::RetryLimitReached));
 }
--- a/crates/ladderstage/tests/routing.rs
+++ b/crates/ladderstage/tests/routing.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ladderstage::routing::{
-    Candidate, ChoiceOptions, REPORT_TRUST, choose, cost, load, rendezvous, rendezvous_first,
+    Candidate, ChoiceOptions, MAX_REPORT_AGE, choose, cost, load, rendezvous, rendezvous_first,
     rendezvous_score,
 };
 
@@ -77,7 +77,7 @@
     old.own_in_flight = 2;
     old.dispatched_since_report = 1;
     assert_eq!(load(&old), 8);
-    old.report_age = REPORT_TRUST + Duration::from_millis(1);
+    old.report_age = MAX_REPORT_AGE + Duration::from_millis(1);
     assert_eq!(load(&old), 2);
     assert!(cost(&old, "x") < cost(&old, "y"));
 }
--- a/crates/ladderstage/tests/shard.rs
+++ b/crates/ladderstage/tests/shard.rs
@@ -112,31 +112,31 @@
     complete: bool,
 }
 
-struct World {
+struct Model {
     log: Vec<ShardEntry>,
     /// Owners' states, the present one last; the others are paused and know nothing of later entries.
     owners: Vec<ShardState>,
     /// Entries whose append ended without a quorum.
-    in_doubt: Vec<ShardEntry>,
+    uncommitted: Vec<ShardEntry>,
     bound: StalenessBound,
-    on_the_way: Vec<Response>,
+    in_transit: Vec<Response>,
     /// Cursors that the trainer ever held, the present one last.
     cursors: Vec<u64>,
-    taken: BTreeMap<u32, u32>,
+    received: BTreeMap<u32, u32>,
     complete: bool,
 }
 
-impl World {
+impl Model {
     fn new() -> Self {
         let log = vec![opened(SLOTS)];
         Self {
             owners: vec![ShardState::from_entries(&log)],
             log,
-            in_doubt: Vec::new(),
+            uncommitted: Vec::new(),
             bound: bound(10, 1),
-            on_the_way: Vec::new(),
+            in_transit: Vec::new(),
             cursors: vec![0],
-            taken: BTreeMap::new(),
+            received: BTreeMap::new(),
             complete: false,
         }
     }
@@ -150,7 +150,7 @@
     }
 
     fn commit(&mut self, entries: Vec<ShardEntry>) {
-        let entries = [std::mem::take(&mut self.in_doubt), entries].concat();
+        let entries = [std::mem::take(&mut self.uncommitted), entries].concat();
         for entry in entries {
             assert!(self.owners.last_mut().unwrap().apply(&entry), "{entry:?}");
             self.log.push(entry);
@@ -185,7 +185,7 @@
             return; // fenced
         }
         if fate == Fate::Uncommitted {
-            self.in_doubt = decision.entries;
+            self.uncommitted = decision.entries;
             return;
         }
         if !decision.entries.is_empty() {
@@ -210,39 +210,39 @@
             assert!(self.bound.admits_versions(&sample.segments), "stale {id:?}");
         }
         let complete = samples.is_empty();
-        self.on_the_way.push(Response {
+        self.in_transit.push(Response {
             asked_after,
             answer,
             samples,
             complete,
         });
         if fate == Fate::Arrives {
-            self.arrive(self.on_the_way.len() - 1);
+            self.arrive(self.in_transit.len() - 1);
         }
     }
 
     /// The trainer takes one response per cursor; it may see the same one again.
     fn arrive(&mut self, pick: usize) {
-        let Some(response) = self.on_the_way.get(pick) else {
+        let Some(response) = self.in_transit.get(pick) else {
             return;
         };
         if response.asked_after != self.cursor() {
             return;
         }
         if response.complete {
-            assert_eq!(self.taken.len(), SLOTS as usize, "complete too early");
+            assert_eq!(self.received.len(), SLOTS as usize, "complete too early");
             self.complete = true;
             return;
         }
         for id in &response.samples {
-            let earlier = self.taken.insert(id.slot, id.attempt);
+            let earlier = self.received.insert(id.slot, id.attempt);
             assert_eq!(earlier, None, "slot {} taken twice", id.slot);
         }
         self.cursors.push(response.answer);
     }
 
     fn take_over(&mut self, surviving: usize) {
-        let tail = std::mem::take(&mut self.in_doubt);
+        let tail = std::mem::take(&mut self.uncommitted);
         self.log.extend(tail.into_iter().take(surviving));
         self.owners.push(ShardState::from_entries(&self.log));
     }
@@ -259,7 +259,7 @@
             Step::Arrive { pick } => self.arrive(pick),
             Step::Roll { versions } => {
                 self.bound = bound(self.bound.weight_version + 1, versions);
-                if self.in_doubt.is_empty() {
+                if self.uncommitted.is_empty() {
                     let stale = self.owner().stale_entries(&self.bound, &NoAges);
                     self.commit(stale);
                 }
@@ -283,25 +283,25 @@
 
     #[test]
     fn every_slot_is_taken_exactly_once(steps in steps()) {
-        let mut world = World::new();
+        let mut model = Model::new();
         for step in steps {
-            world.run(step);
+            model.run(step);
         }
-        world.finish();
-        prop_assert_eq!(world.taken.len(), SLOTS as usize);
-        prop_assert_eq!(ShardState::from_entries(&world.log), world.owner().clone());
+        model.finish();
+        prop_assert_eq!(model.received.len(), SLOTS as usize);
+        prop_assert_eq!(ShardState::from_entries(&model.log), model.owner().clone());
     }
 
     /// Whatever a log holds, folding it twice gives the same, and a slot is settled once.
     #[test]
     fn contradicting_entries_change_nothing(steps in steps()) {
-        let mut world = World::new();
+        let mut model = Model::new();
         for step in steps {
-            world.run(step);
+            model.run(step);
         }
-        let mut state = ShardState::from_entries(&world.log);
+        let mut state = ShardState::from_entries(&model.log);
         let before = state.clone();
-        for entry in &world.log {
+        for entry in &model.log {
             prop_assert!(!state.apply(entry), "applied twice: {:?}", entry);
         }
         prop_assert_eq!(state, before);
@@ -315,7 +315,7 @@
     assert!(state.apply(&entry));
 }
 
-fn asked(state: &mut ShardState, after_answer: u64, in_force: u64) -> PullOutcome {
+fn pull_and_commit(state: &mut ShardState, after_answer: u64, in_force: u64) -> PullOutcome {
     let pull = Pull {
         after_answer,
         max_samples: 10,
@@ -332,33 +332,36 @@
     let mut state = ShardState::from_entries(&[opened(3)]);
     committed(&mut state, FIRST_SLOT + 2, 1);
     committed(&mut state, FIRST_SLOT, 1);
-    let first = asked(&mut state, 0, 1);
+    let first = pull_and_commit(&mut state, 0, 1);
     let PullOutcome::Answer { answer, samples } = &first else {
         panic!("{first:?}");
     };
     let slots: Vec<u32> = samples.iter().map(|id| id.slot).collect();
     assert_eq!(slots, [FIRST_SLOT + 2, FIRST_SLOT]);
     committed(&mut state, FIRST_SLOT + 1, 1);
-    assert_eq!(asked(&mut state, 0, 1), first);
+    assert_eq!(pull_and_commit(&mut state, 0, 1), first);
     assert!(matches!(
-        asked(&mut state, *answer, 1),
+        pull_and_commit(&mut state, *answer, 1),
         PullOutcome::Answer { .. }
     ));
-    assert_eq!(asked(&mut state, 0, 1), PullOutcome::Superseded);
+    assert_eq!(pull_and_commit(&mut state, 0, 1), PullOutcome::Superseded);
 }
 
 #[test]
 fn an_attempt_taken_before_it_was_replaced_counts() {
     let mut state = ShardState::from_entries(&[opened(1)]);
     committed(&mut state, FIRST_SLOT, 1);
-    let PullOutcome::Answer { answer, .. } = asked(&mut state, 0, 1) else {
+    let PullOutcome::Answer { answer, .. } = pull_and_commit(&mut state, 0, 1) else {
         panic!("no answer");
     };
-    assert_eq!(asked(&mut state, 0, 2), PullOutcome::Wait);
+    assert_eq!(pull_and_commit(&mut state, 0, 2), PullOutcome::Wait);
     let needed = state.attempts_needed(&BTreeSet::new());
     assert!(needed[0].regenerates);
     committed(&mut state, FIRST_SLOT, 2);
-    assert_eq!(asked(&mut state, answer, 2), PullOutcome::Complete);
+    assert_eq!(
+        pull_and_commit(&mut state, answer, 2),
+        PullOutcome::Complete
+    );
     assert!(state.is_complete());
 }
 
@@ -379,11 +382,11 @@
 
 #[test]
 fn a_step_is_split_whole() {
-    let whole = ShardSpec {
+    let spec = ShardSpec {
         samples: vec![SampleSpec::default(); 300],
         ..ShardSpec::default()
     };
-    let shards = split_step(&whole);
+    let shards = split_step(&spec);
     let sizes: Vec<(u32, usize)> = shards
         .iter()
         .map(|shard| (shard.first_slot, shard.samples.len()))
@@ -396,17 +399,20 @@
 fn only_one_of_two_answers_on_one_base_is_acknowledged() {
     let mut state = ShardState::from_entries(&[opened(2)]);
     committed(&mut state, FIRST_SLOT, 1);
-    let PullOutcome::Answer { answer: first, .. } = asked(&mut state, 0, 1) else {
+    let PullOutcome::Answer { answer: first, .. } = pull_and_commit(&mut state, 0, 1) else {
         panic!("no answer");
     };
     for entry in state.stale_entries(&bound(2, 0), &NoAges) {
         assert!(state.apply(&entry));
     }
     committed(&mut state, FIRST_SLOT + 1, 2);
-    let PullOutcome::Answer { answer: second, .. } = asked(&mut state, 0, 2) else {
+    let PullOutcome::Answer { answer: second, .. } = pull_and_commit(&mut state, 0, 2) else {
         panic!("no answer");
     };
     assert!(second > first);
-    asked(&mut state, second, 2);
-    assert_eq!(asked(&mut state, first, 2), PullOutcome::Superseded);
+    pull_and_commit(&mut state, second, 2);
+    assert_eq!(
+        pull_and_commit(&mut state, first, 2),
+        PullOutcome::Superseded
+    );
 }
