--- a/crates/ladderstage/src/backend/entry.rs
+++ b/crates/ladderstage/src/backend/entry.rs
@@ -181,7 +181,7 @@
     }
 
     /// Applies a report of unknown age, which proves nothing except that the process is leaving.
-    pub(super) fn observe_undated_report(&mut self, report: &Report, version: u64) {
+    pub(super) fn observe_undated(&mut self, report: &Report, version: u64) {
         self.processes.observe_load(report);
         if report.leaving {
             self.processes.mark_leaving(report.process, version);
--- a/crates/ladderstage/src/backend/gossip.rs
+++ b/crates/ladderstage/src/backend/gossip.rs
@@ -27,9 +27,7 @@
     pub fn observe_gossip(&mut self, reports: &[BackendReport], origin: GossipOrigin) {
         for report in reports {
             match origin {
-                GossipOrigin::Pushed => {
-                    self.observe_undated_report(&report.backend, &from_wire(report))
-                }
+                GossipOrigin::Pushed => self.observe_undated(&report.backend, &from_wire(report)),
                 GossipOrigin::Pulled(observed) => self.observe_pulled(report, observed),
             }
         }
@@ -45,7 +43,7 @@
         // A report from before the start of this process, or of another address, is not evidence.
         let (Some(sent_at), true) = (sent_at, self.agrees_on_address(backend, placement.as_ref()))
         else {
-            self.observe_undated_report(backend, &from_wire(report));
+            self.observe_undated(backend, &from_wire(report));
             return;
         };
         self.suggest_placement(backend, placement);
--- a/crates/ladderstage/src/backend/table.rs
+++ b/crates/ladderstage/src/backend/table.rs
@@ -104,9 +104,9 @@
     }
 
     /// Applies a report of unknown age.
-    pub(super) fn observe_undated_report(&mut self, name: &str, report: &Report) {
+    pub(super) fn observe_undated(&mut self, name: &str, report: &Report) {
         self.change(name, |backend, version, _| {
-            backend.observe_undated_report(report, version);
+            backend.observe_undated(report, version);
         });
     }
 
--- a/crates/ladderstage/src/membership/entry.rs
+++ b/crates/ladderstage/src/membership/entry.rs
@@ -73,9 +73,7 @@
     /// Returns whether there was no contact for longer than `bound`, or the last probe was missed.
     pub fn is_silent(&self, now: Duration, bound: Duration) -> bool {
         match self.last_contact {
-            Some(last_contact) => {
-                self.missed_since.is_some() || now.saturating_sub(last_contact) > bound
-            }
+            Some(at) => self.missed_since.is_some() || now.saturating_sub(at) > bound,
             None => true,
         }
     }
--- a/crates/ladderstage/src/retry.rs
+++ b/crates/ladderstage/src/retry.rs
@@ -28,7 +28,7 @@
     #[error("retry budget spent")]
     BudgetSpent,
     /// This request has been retried [`MAX_RETRIES_PER_REQUEST`] times.
-    #[error("retried too often")]
+    #[error("retry limit reached")]
     RetryLimitReached,
     /// Too little time is left before the deadline.
     #[error("deadline too close")]
--- a/crates/ladderstage/src/shard/pull.rs
+++ b/crates/ladderstage/src/shard/pull.rs
@@ -72,14 +72,12 @@
         if pull.after_answer == self.acknowledged {
             return self.pull_from(pull, None, bound, ages);
         }
-        let acknowledged_answer = self
+        let acked = self
             .unacknowledged_answers
             .iter()
             .find(|answer| answer.id == pull.after_answer);
-        match acknowledged_answer {
-            Some(acknowledged_answer) => {
-                self.pull_from(pull, Some(acknowledged_answer), bound, ages)
-            }
+        match acked {
+            Some(acked) => self.pull_from(pull, Some(acked), bound, ages),
             None if pull.after_answer > self.last_answer => {
                 PullDecision::without_entries(PullOutcome::NotYetKnown)
             }
@@ -90,21 +88,21 @@
     fn pull_from(
         &self,
         pull: Pull,
-        acknowledged_answer: Option<&Answer>,
+        acked: Option<&Answer>,
         bound: &StalenessBound,
         ages: &dyn SampleAges,
     ) -> PullDecision {
         let max_samples = pull.max_samples.max(1);
         let mut entries = Vec::new();
-        if let Some(acknowledged_answer) = acknowledged_answer {
-            entries.push(acknowledged(acknowledged_answer.id));
+        if let Some(acked) = acked {
+            entries.push(acknowledged(acked.id));
         }
-        let deliverable = self.deliverable_after(acknowledged_answer);
+        let deliverable = self.deliverable_after(acked);
         let (fresh, stale): (Vec<_>, Vec<_>) = deliverable
             .into_iter()
             .partition(|id| self.is_fresh(*id, bound, ages));
         entries.extend(stale.into_iter().map(discarded));
-        let repeated = match acknowledged_answer {
+        let repeated = match acked {
             // No answer can follow one that is only acknowledged now.
             Some(_) => None,
             None => self.reusable_answer(max_samples, &fresh),
@@ -114,7 +112,7 @@
                 answer: open.id,
                 samples: open.samples.clone(),
             },
-            None => self.new_answer(fresh, acknowledged_answer, max_samples),
+            None => self.new_answer(fresh, acked, max_samples),
         };
         if let PullOutcome::Answer { answer, samples } = &outcome
             && *answer > self.last_answer
@@ -125,9 +123,9 @@
     }
 
     /// Returns the live attempts of unsettled slots in commit order, without the slots that
-    /// `acknowledged_answer` settles.
-    fn deliverable_after(&self, acknowledged_answer: Option<&Answer>) -> Vec<AttemptId> {
-        let settled: BTreeSet<u32> = acknowledged_answer
+    /// `acked` settles.
+    fn deliverable_after(&self, acked: Option<&Answer>) -> Vec<AttemptId> {
+        let settled: BTreeSet<u32> = acked
             .into_iter()
             .flat_map(|answer| answer.samples.iter())
             .map(|id| id.slot)
@@ -152,11 +150,11 @@
     fn new_answer(
         &self,
         mut fresh: Vec<AttemptId>,
-        acknowledged_answer: Option<&Answer>,
+        acked: Option<&Answer>,
         max_samples: usize,
     ) -> PullOutcome {
         if fresh.is_empty() {
-            return match self.is_complete_after(acknowledged_answer) {
+            return match self.is_complete_after(acked) {
                 true => PullOutcome::Complete,
                 false => PullOutcome::Wait,
             };
@@ -168,14 +166,12 @@
         }
     }
 
-    fn is_complete_after(&self, acknowledged_answer: Option<&Answer>) -> bool {
+    fn is_complete_after(&self, acked: Option<&Answer>) -> bool {
         let Some(spec) = &self.spec else {
             return false;
         };
-        let settles = |slot: u32| {
-            acknowledged_answer
-                .is_some_and(|answer| answer.samples.iter().any(|id| id.slot == slot))
-        };
+        let settles =
+            |slot: u32| acked.is_some_and(|answer| answer.samples.iter().any(|id| id.slot == slot));
         self.slots
             .iter()
             .enumerate()
--- a/crates/ladderstage/tests/admission.rs
+++ b/crates/ladderstage/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission limits, priorities and the hint of when to come back.
+//! Admission limits, priorities and retry hints.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_less_important_class_leaves_room_for_the_important_one() {
+fn a_less_important_class_leaves_slots_for_the_important_one() {
     let classes = [class("live", 0, 3), class("batch", 5, 10)];
     let mut admission = admission(5, &classes);
     let now = Duration::ZERO;
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn the_hint_follows_the_measured_rate() {
+fn retry_hint_follows_the_completion_rate() {
     let mut admission = admission(100, &[class("live", 0, 1)]);
     let start = Duration::from_secs(100);
     for step in 0..20 {
@@ -52,14 +52,15 @@
         Err(AdmissionError::Full { retry_after, .. }) => retry_after,
         other => panic!("{other:?}"),
     };
-    // Two a second: the tenth refused request finds a place after about five seconds.
+    // At two completions per second, the tenth refused request finds a slot after about five
+    // seconds.
     let hints: Vec<Duration> = (0..10).map(|_| refuse()).collect();
     assert_eq!(hints[0], MIN_RETRY_AFTER);
     assert_eq!(hints[9], Duration::from_secs(5));
 }
 
 #[test]
-fn an_unknown_class_is_named() {
+fn an_unknown_class_is_reported_by_name() {
     let error = admission(1, &[]).admit("x", Duration::ZERO).unwrap_err();
     assert_eq!(
         error,
--- a/crates/ladderstage/tests/backend.rs
+++ b/crates/ladderstage/tests/backend.rs
@@ -1,4 +1,4 @@
-//! Which back ends may be given new work.
+//! Decision whether back ends may be given new work.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -56,7 +56,7 @@
     }]
 }
 
-/// A table that knows process 1 from a list and a report at time 0.
+/// Returns a table that knows process 1 from a list and a report at time 0.
 fn table() -> BackendTable {
     let mut table = BackendTable::new(BackendPolicy::with_freshness(ms(FRESHNESS)));
     table.observe_list(&listed(false), at(0, 1));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn evidence_counts_from_when_it_was_asked_for() {
+fn evidence_age_counts_from_its_request() {
     let mut table = table();
     assert_eq!(check(&table, FRESHNESS), Ok(()));
     assert_eq!(check(&table, FRESHNESS + 1), Err(Unusable::Stale));
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn pushed_gossip_proves_leaving_but_not_life() {
+fn pushed_gossip_proves_leaving_but_not_liveness() {
     let mut table = table();
     table.observe_gossip(&gossip(1, false, 0), GossipOrigin::Pushed);
     assert_eq!(check(&table, 3_000), Err(Unusable::Stale));
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_list_outage_takes_nothing_away_but_absence_does() {
+fn a_list_outage_excludes_nothing_but_absence_from_the_list_does() {
     let mut table = table();
     table.observe_report(NAME, &report(1, 2, false), at(60_000, 60_001));
     assert_eq!(check(&table, 60_001), Ok(()));
@@ -114,14 +114,14 @@
 }
 
 #[test]
-fn a_late_list_bars_the_process_it_must_mean_and_only_withholds_a_younger_one() {
+fn a_lagging_list_excludes_an_old_process_and_only_withholds_a_younger_one() {
     let mut table = table();
     table.observe_list(&listed(true), at(LIST_LAG + 1, LIST_LAG + 2));
     table.observe_list(&listed(false), at(LIST_LAG + 3, LIST_LAG + 4));
     table.observe_report(NAME, &report(1, 2, false), at(LIST_LAG + 5, LIST_LAG + 6));
     assert_eq!(check(&table, LIST_LAG + 6), Err(Unusable::Leaving));
 
-    // The next process starts, and only now does the list tell once more of the first one's end.
+    // The next process starts, and the lagging list reports the first one as leaving again.
     table.observe_report(NAME, &report(2, 1, false), at(20_000, 20_001));
     table.observe_list(&listed(false), at(20_002, 20_003));
     assert_eq!(check(&table, 20_003), Ok(()));
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_new_process_counts_only_when_certainly_seen_later() {
+fn a_new_process_is_accepted_only_if_reported_after_the_previous_one() {
     let mut table = table();
     table.note_leaving(NAME, ms(5));
     table.observe_report(NAME, &report(2, 1, false), at(1, 10));
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn failures_in_a_row_eject_and_then_one_request_may_try() {
+fn consecutive_failures_eject_and_then_allow_one_trial_request() {
     let mut table = table();
     for _ in 0..3 {
         assert_eq!(check(&table, 10), Ok(()));
@@ -167,18 +167,18 @@
     assert_eq!(check(&table, 1_509), Err(Unusable::Ejected));
     let trial = table
         .try_begin(NAME, 10, ms(1_510))
-        .expect("twice as long, then over");
+        .expect("the second ejection, twice as long, is over");
     table.note_success(NAME);
     table.end(&trial);
     assert_eq!(check(&table, 1_511), Ok(()));
 }
 
 #[test]
-fn own_work_is_bounded_and_counted_since_the_report() {
+fn own_requests_are_limited_and_counted_since_the_report() {
     let mut table = table();
     let first = table.try_begin(NAME, 2, ms(10)).expect("free");
     table.observe_report(NAME, &report(1, 2, false), at(20, 21));
-    table.try_begin(NAME, 2, ms(30)).expect("one place left");
+    table.try_begin(NAME, 2, ms(30)).expect("one slot left");
     assert_eq!(table.try_begin(NAME, 2, ms(30)), Err(Unusable::Busy));
     table.end(&first);
     let candidates = table.candidates(&[NAME.to_owned()], 2, ms(40));
@@ -235,7 +235,7 @@
     ]
 }
 
-/// What an observer of all events may conclude at most.
+/// The most that an observer of all events may conclude.
 #[derive(Default)]
 struct ModelKnowledge {
     leaving: BTreeSet<u64>,
@@ -317,10 +317,10 @@
 }
 
 proptest! {
-    /// Once a process was learned to be leaving, nothing that arrives later makes it usable; and nothing is usable
-    /// on evidence older than the bound, in whatever order and however late observations arrive.
+    /// Guards against late or reordered observations that make a leaving process usable again, or
+    /// keep a back end usable beyond the freshness bound.
     #[test]
-    fn no_interleaving_revives_a_leaving_process_or_outlives_evidence(
+    fn no_interleaving_uses_a_leaving_process_or_stale_evidence(
         events in prop::collection::vec((event(), 0..1_500_u64), 1..60),
     ) {
         let mut table = BackendTable::new(BackendPolicy::with_freshness(ms(FRESHNESS)));
@@ -332,7 +332,7 @@
                 let usable = table.candidates(&[NAME.to_owned()], 10, ms(later));
                 for candidate in usable {
                     prop_assert!(!knowledge.leaving.contains(&candidate.process));
-                    let evidence = knowledge.newest_evidence.expect("usable without any evidence");
+                    let evidence = knowledge.newest_evidence.expect("usable back end has evidence");
                     prop_assert!(later.saturating_sub(evidence) <= FRESHNESS);
                 }
             }
--- a/crates/ladderstage/tests/backend_refresh.rs
+++ b/crates/ladderstage/tests/backend_refresh.rs
@@ -1,4 +1,4 @@
-//! Reports told in short between two processes that know the same back ends.
+//! Compact exchange of load reports between processes that know the same back ends.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -32,7 +32,7 @@
     }
 }
 
-/// A table that was told by the list that both back ends are at this port.
+/// Returns a table with both back ends listed at `port`.
 fn listed(port: u16) -> BackendTable {
     let mut table = BackendTable::new(BackendPolicy::with_freshness(FRESHNESS));
     let machine = |name: &str| ListedBackend {
@@ -46,7 +46,7 @@
     table
 }
 
-/// A table that read this process's report at that time.
+/// Returns a table with a report of `process` that was requested at `sent_ms`.
 fn reader(port: u16, process: u64, sequence: u64, sent_ms: u64) -> BackendTable {
     let mut table = listed(port);
     let observed = at(sent_ms, sent_ms + 1);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_report_is_told_whole_first_and_in_short_after() {
+fn a_report_is_sent_in_full_first_and_compactly_afterwards() {
     let mut asker = listed(PORT);
     let first = ask(&asker, &reader(PORT, PROCESS, 1, 1_000), 1_100);
     assert_eq!(first.reports.len(), 1);
@@ -85,13 +85,13 @@
     assert!(second.reports.is_empty());
     apply(&mut asker, &second, at(3_100, 3_400));
     assert_eq!(sequence(&asker, 3_400), Some(9));
-    // Evidence dates from the send of the question minus the age told in the answer.
+    // Evidence dates from the time of the request minus the age in the answer.
     assert_eq!(sequence(&asker, 5_000), Some(9));
     assert_eq!(sequence(&asker, 5_001), None);
 }
 
 #[test]
-fn a_report_that_is_hardly_fresher_is_not_told() {
+fn a_barely_newer_report_is_not_sent() {
     let gain = u64::try_from(MIN_AGE_GAIN.as_millis()).unwrap();
     let asker = reader(PORT, PROCESS, 1, 1_000);
     let barely_newer = ask(&asker, &reader(PORT, PROCESS, 2, 1_000 + gain - 1), 1_800);
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_short_report_of_another_process_or_address_is_no_evidence() {
+fn a_compact_report_of_another_process_or_address_is_not_evidence() {
     for other in [
         reader(PORT, PROCESS + 1, 9, 4_000),
         reader(PORT + 1, PROCESS, 9, 4_000),
@@ -111,7 +111,7 @@
         assert_eq!(answer.refreshes[0].positions, [0]);
         apply(&mut asker, &answer, at(4_100, 4_110));
         assert_eq!(sequence(&asker, 4_110), None);
-        // It is asked for whole the next time.
+        // The full report is requested the next time.
         assert_eq!(ask(&asker, &other, 4_200).reports.len(), 1);
     }
 }
--- a/crates/ladderstage/tests/bundle_document.rs
+++ b/crates/ladderstage/tests/bundle_document.rs
@@ -1,4 +1,4 @@
-//! Reading and checking bundles: all findings of a file in one run, each with its place.
+//! Parsing and checking of bundles: all findings of a file in one run, each with its position.
 
 use ladderstage::bundle::{
     Bundle, BundleDocument, CheckContext, Finding, KnownVersions, check, compare, parse, parse_file,
@@ -45,7 +45,8 @@
     parse_file("b.toml", text).expect_err("there are findings")
 }
 
-/// The one finding of the good text with one piece of it replaced, as `line:column found`.
+/// Returns the only finding after replacing `old` by `new` in the valid text, as `line:column
+/// found`.
 fn finding_after(old: &str, new: &str) -> String {
     assert!(GOOD.contains(old), "{old}");
     let findings = findings_of(&GOOD.replacen(old, new, 1));
@@ -55,7 +56,7 @@
 }
 
 #[test]
-fn six_mistakes_yield_six_findings_with_places_in_one_run() {
+fn six_mistakes_yield_six_findings_with_positions_in_one_run() {
     let text = r#"revision = "one"
 objektive = "staleness"
 
@@ -92,7 +93,7 @@
 }
 
 #[test]
-fn each_mistake_is_found_where_it_stands() {
+fn each_mistake_is_reported_at_its_position() {
     let cases = [
         ("revision = 1", "revision = 0", "2:12 revision 0"),
         ("revision = 1\n", "", "1:1 no key `revision`"),
@@ -225,7 +226,7 @@
         let _ = parse(&text);
     }
 
-    /// Damage to a good text gives findings or another bundle, and every finding has a place.
+    /// Damaged text yields findings with positions, or another valid bundle.
     #[test]
     fn damaged_text_never_panics(position in 0..GOOD.len(), piece in "[\\[\\]=\"\n0-9a-z.{},]{0,6}", cut in 0..20_usize) {
         let end = (position + cut).min(GOOD.len());
--- a/crates/ladderstage/tests/bundle_signature.rs
+++ b/crates/ladderstage/tests/bundle_signature.rs
@@ -1,4 +1,4 @@
-//! Signatures of bundles: which are trusted, which are refused and why.
+//! Bundle signatures: trusted, missing, wrong and by unknown keys.
 
 use std::collections::BTreeMap;
 
@@ -80,10 +80,10 @@
 }
 
 #[test]
-fn unusable_public_keys_are_all_told() {
+fn all_unusable_public_keys_are_reported() {
     let keys: BTreeMap<String, String> = [
         ("short".to_owned(), "00ff".to_owned()),
-        // A point of small order verifies signatures that nobody made.
+        // A point of small order accepts forged signatures.
         ("weak".to_owned(), format!("01{}", "0".repeat(62))),
     ]
     .into();
--- a/crates/ladderstage/tests/claim.rs
+++ b/crates/ladderstage/tests/claim.rs
@@ -1,4 +1,5 @@
-//! At-most-once claims: whatever the journal answers, and in whatever order, one key's request runs at most once.
+//! At-most-once claims: whatever the journal answers, and in any order, one key's request runs at
+//! most once.
 
 use ladderstage::claim::{
     AppendResult, ClaimRefusal, ClaimState, ClaimStep, Claimant, Settlement, TakeOverResult,
@@ -6,7 +7,7 @@
 use ladderstage_wire::messages::{ClaimEntry, ClaimOutcome};
 use proptest::prelude::*;
 
-/// One log as its writers see it: an append without an answer stays undecided until the next take-over.
+/// Model of a log: an append without an answer stays undecided until the next takeover.
 #[derive(Default)]
 struct ModelLog {
     epoch: u64,
@@ -23,7 +24,7 @@
                 self.epoch += 1;
                 return TakeOverResult::NoQuorum;
             }
-            // A replica of the majority that answered had the undecided entry.
+            // A replica of the majority that answered holds the undecided entry.
             3..=5 => self.committed.extend(self.undecided.take()),
             _ => self.undecided = None,
         }
@@ -31,7 +32,8 @@
         TakeOverResult::Taken(ClaimState::fold(&self.committed))
     }
 
-    /// What a reader sees, who may or may not meet the replica that holds the undecided entry.
+    /// Returns the state for a reader, whose quorum may or may not include the replica with the
+    /// undecided entry.
     fn read_unfenced(&self, choice: u8) -> ClaimState {
         let undecided = self.undecided.iter().filter(|_| choice % 2 == 0);
         ClaimState::fold(self.committed.iter().chain(undecided))
@@ -62,7 +64,7 @@
 enum Phase {
     Claiming(ClaimStep),
     Running,
-    /// Recording how the request ended, through the log taken over at this epoch, if any.
+    /// Recording the outcome, through the log taken over at this epoch, if any.
     Settling(Settlement, Option<u64>),
     Done,
 }
@@ -73,7 +75,7 @@
     phase: Phase,
     ran: bool,
     refusal: Option<ClaimRefusal>,
-    /// It looked at the log before this take-over.
+    /// Whether the actor has read the log without fencing before this takeover.
     has_read_unfenced: bool,
 }
 
@@ -180,7 +182,7 @@
     }
 }
 
-/// Runs one actor on a log whose calls all succeed.
+/// Runs one actor on a log on which all calls succeed.
 fn run_alone(log: &mut ModelLog, mut actor: Actor, run_choice: u8) -> Actor {
     for _ in 0..10 {
         let choice = if actor.is_running() { run_choice } else { 5 };
@@ -190,7 +192,7 @@
 }
 
 #[test]
-fn a_second_request_reads_what_became_of_the_first() {
+fn a_second_request_gets_the_outcome_of_the_first() {
     let mut log = ModelLog::default();
     let released = run_alone(&mut log, Actor::new(1, 7), 0);
     assert!(!released.ran);
@@ -203,7 +205,7 @@
 }
 
 #[test]
-fn not_run_is_not_said_once_the_claim_may_stand() {
+fn not_run_is_never_answered_once_the_claim_may_be_stored() {
     let mut claimant = Claimant::new(1, vec![7]);
     let refuse = |refusal| ClaimStep::Refuse(refusal);
     let mut untouched = claimant.clone();
--- a/crates/ladderstage/tests/engine_orders.rs
+++ b/crates/ladderstage/tests/engine_orders.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn an_order_is_done_by_report_and_repeated_until_then() {
+fn an_order_is_repeated_until_the_engine_reports_the_version() {
     let order = &orders(&bundle())[0];
     let accepted = Attempt::record(order, 1, None, AttemptOutcome::Accepted, secs(10), 0.5);
     let act = |engine, last, now| next_action(order, engine, true, last, now);
@@ -71,7 +71,7 @@
         act(Some(view(3, false)), Some(&accepted), secs(11)),
         Action::Done
     );
-    // A new process has not heard of it.
+    // A new process has not received the order.
     let restarted = EngineView {
         process: 2,
         ..view(2, false)
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_newer_fence_ends_the_attempts_of_this_order() {
+fn a_newer_fence_supersedes_an_order() {
     let order = &orders(&bundle())[0];
     let outcome = AttemptOutcome::Fenced { fence: 8 };
     let fenced = Attempt::record(order, 1, None, outcome, secs(1), 0.5);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn waves_take_a_share_skip_silent_engines_and_widen() {
+fn waves_select_a_share_skip_engines_without_reports_and_widen() {
     let orders = orders(&bundle());
     let busy = |_: &str| Some(view(2, false));
     assert_eq!(wave(&orders, busy, secs(0)), BTreeSet::from(["e1", "e2"]));
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn each_engine_has_two_caretakers() {
+fn each_engine_has_two_order_senders() {
     let members: Vec<String> = (0..5).map(|index| format!("d{index}")).collect();
     let ranks = members
         .iter()
@@ -143,7 +143,7 @@
     assert_eq!(caretaker_rank("e1", "d0", &["d0".to_owned()]), Some(0));
 }
 
-/// An engine that follows fences; some of its swaps fail, and a restart forgets the fence.
+/// An engine that obeys fences. Swaps may fail, and a restart resets the fence.
 #[derive(Default)]
 struct Engine {
     process: u64,
@@ -164,7 +164,7 @@
     }
 }
 
-/// A daemon that looks after the engine under the bundle it knows.
+/// A daemon that sends the engine's orders under the bundle that it knows.
 #[derive(Default)]
 struct OrderSender {
     revision: u64,
@@ -200,10 +200,10 @@
 }
 
 proptest! {
-    /// Two caretakers that learn of bundles at different times, failed swaps and restarts: once both know the newest
-    /// bundle, the engine comes to hold its version and keeps it.
+    /// Two senders learn of bundles at different times, while swaps fail and engines restart. Once
+    /// both know the newest bundle, the engine must hold its version permanently.
     #[test]
-    fn caretakers_that_disagree_converge_on_the_newest_bundle(
+    fn disagreeing_order_senders_converge_on_the_newest_bundle(
         events in prop::collection::vec((0..2_usize, 0..6_u64, prop::bool::ANY, 0..8_u8), 0..40),
     ) {
         let mut engine = Engine { process: 1, ..Engine::default() };
--- a/crates/ladderstage/tests/evidence.rs
+++ b/crates/ladderstage/tests/evidence.rs
@@ -1,4 +1,4 @@
-//! Evidence of the newest bundle against a model that remembers all that was ever said.
+//! Evidence of the newest bundle, checked against a model that stores all statements.
 
 use std::time::Duration;
 
--- a/crates/ladderstage/tests/journal/interleavings.rs
+++ b/crates/ladderstage/tests/journal/interleavings.rs
@@ -1,4 +1,5 @@
-//! Several writers and replicas of one log under arbitrary delivery, loss, duplication, pauses and restarts.
+//! Several writers and replicas of one log under arbitrary delivery, loss, duplication, pauses and
+//! restarts.
 
 use crate::support::{Simulation, Step};
 use proptest::prelude::*;
@@ -17,7 +18,7 @@
     ]
 }
 
-/// As [`step`], with replicas being replaced.
+/// Like [`step`], with replacements of replicas.
 fn step_with_replacement() -> impl Strategy<Value = Step> {
     let number = any::<usize>;
     prop_oneof![
@@ -64,8 +65,8 @@
     }
 }
 
-/// Guards the tests above against proving nothing: most interleavings must commit something, and many of those with
-/// replacements must finish one and commit on.
+/// Guards against interleavings that exercise nothing: most must commit entries, and many with
+/// replacements must commit after one has completed.
 #[test]
 fn interleavings_commit_and_replace() {
     let mut runner = proptest::test_runner::TestRunner::deterministic();
--- a/crates/ladderstage/tests/journal/rules.rs
+++ b/crates/ladderstage/tests/journal/rules.rs
@@ -1,4 +1,4 @@
-//! Single rules of the journal: epochs, quorums, replica answers, heartbeats, reads.
+//! Individual rules of the journal: epochs, quorums, replica answers, heartbeats and reads.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_delayed_install_does_not_take_back_later_entries() {
+fn a_delayed_install_does_not_remove_later_entries() {
     let mut replica = new_replica(1);
     let mut writer = sealed_writer(epoch(1, 1), &mut replica);
     let install = write_all(&mut writer, &mut replica).remove(0);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_paused_writer_is_fenced_after_a_seal_alone() {
+fn a_seal_alone_fences_a_paused_writer() {
     let mut replica = new_replica(1);
     let mut paused = sealed_writer(epoch(1, 1), &mut replica);
     write_all(&mut paused, &mut replica);
@@ -132,15 +132,19 @@
     let mut sealed_only = new_replica(1);
     sealed_writer(epoch(1, 1), &mut sealed_only);
     let reply = sealed_only.write(&appends[0]);
-    assert_eq!(reply.outcome, Outcome::NEEDS_INSTALL, "never installed");
+    assert_eq!(
+        reply.outcome,
+        Outcome::NEEDS_INSTALL,
+        "the log was never installed"
+    );
     let mut installed = new_replica(1);
     let mut other = sealed_writer(epoch(1, 1), &mut installed);
     write_all(&mut other, &mut installed);
     let reply = installed.write(&appends[1]);
-    assert_eq!(reply.outcome, Outcome::NEEDS_INSTALL, "lacks an entry");
+    assert_eq!(reply.outcome, Outcome::NEEDS_INSTALL, "an entry is missing");
 }
 
-/// A writer of `epoch` over three replicas, sealed at the first two.
+/// Returns a writer of `epoch` over three replicas, sealed at the first two.
 fn writer_over_three(epoch: WriterEpoch, replicas: &mut [SimulatedReplica]) -> LogWriterState {
     let mut sealing = Sealing::new(identity(epoch), quorum_of(1..=3));
     let request = sealing.request();
@@ -165,7 +169,7 @@
 }
 
 #[test]
-fn a_take_over_sends_a_replica_only_what_it_lacks() {
+fn a_takeover_sends_a_replica_only_missing_entries() {
     let mut replicas = [1, 2, 3].map(new_replica);
     let mut first = writer_over_three(epoch(1, 1), &mut replicas);
     first.add(vec![entry("a"), entry("b")], false);
@@ -183,7 +187,7 @@
     assert_eq!(
         sent,
         [0, 1, 3],
-        "holds all, lacks one, was not asked and lacks one"
+        "holds all entries, lacks one, was not sealed"
     );
     assert!(second.is_committed());
     for replica in &replicas {
@@ -222,7 +226,7 @@
 }
 
 #[test]
-fn an_answer_under_another_replica_id_counts_for_nothing() {
+fn an_answer_with_another_replica_id_is_ignored() {
     let mut replica = new_replica(1);
     let mut writer = sealed_writer(epoch(1, 1), &mut replica);
     let write = writer.next_write(1).unwrap();
@@ -252,7 +256,7 @@
 }
 
 #[test]
-fn untended_logs_are_those_whose_owner_fell_silent() {
+fn logs_without_heartbeats_are_orphaned() {
     let timeout = Duration::from_secs(2);
     let at = Duration::from_secs;
     let state = LogState {
@@ -267,20 +271,20 @@
     let mut table = HeartbeatTable::default();
     assert!(
         table.orphaned(open(), at(100), timeout).is_empty(),
-        "a restart gives owners time"
+        "owners get time after a restart of the replica"
     );
     assert!(!table.record(&owned(1), Some(&state), at(101)));
     assert!(table.orphaned(open(), at(102), timeout).is_empty());
     assert!(
         table.record(&owned(0), Some(&state), at(103)),
-        "a lower epoch is told that it is fenced"
+        "a lower epoch is reported as fenced"
     );
     assert_eq!(table.orphaned(open(), at(103), timeout), [LOG]);
     assert!(table.orphaned([], at(103), timeout).is_empty());
 }
 
 #[test]
-fn a_paused_replica_calls_no_log_untended_before_its_owner_had_time_to_be_heard() {
+fn a_paused_replica_gives_owners_time_before_declaring_logs_orphaned() {
     let timeout = Duration::from_secs(2);
     let at = Duration::from_secs;
     let open = || [LOG.to_owned()];
@@ -289,14 +293,14 @@
     assert!(table.orphaned(open(), at(101), timeout).is_empty());
     assert!(
         table.orphaned(open(), at(160), timeout).is_empty(),
-        "the replica was paused from 101 to 160 and heard nobody"
+        "the replica was paused from 101 to 160 and received no heartbeats"
     );
     assert!(table.orphaned(open(), at(161), timeout).is_empty());
     assert_eq!(table.orphaned(open(), at(162), timeout), [LOG]);
 }
 
 #[test]
-fn each_log_may_be_silent_for_a_time_of_its_own() {
+fn each_log_has_its_own_heartbeat_timeout() {
     let max_timeout = Duration::from_secs(3);
     let at = Duration::from_secs;
     let open = || [("a".to_owned(), at(1)), ("b".to_owned(), max_timeout)];
@@ -328,7 +332,8 @@
     assert!(unknown.into_newest().is_none());
 }
 
-/// A replica may have promised a higher epoch to a writer that then gave up, and hold nothing of the log itself.
+/// A replica without the log may have promised a higher epoch to a writer that stopped after
+/// sealing.
 #[test]
 fn a_promise_to_another_writer_does_not_hide_a_log() {
     let reply = |replica_id, round, length| DescribeLogsReply {
@@ -358,7 +363,7 @@
 }
 
 #[test]
-fn a_copy_leaves_out_what_the_asker_holds_and_never_takes_its_place() {
+fn a_copy_omits_entries_the_receiver_holds_and_never_replaces_newer_ones() {
     let exported = |round, entries: u64| ExportedLog {
         log: LOG.to_owned(),
         promised: epoch(9, 1).to_wire(),
@@ -390,5 +395,5 @@
     let mut behind = exported(5, 2);
     omit_known(&mut behind, &known);
     let decision = import(&LogState::default(), &behind);
-    assert_eq!(decision.entries, EntryChange::Keep, "nothing is lost by it");
+    assert_eq!(decision.entries, EntryChange::Keep, "entries are kept");
 }
--- a/crates/ladderstage/tests/journal/simulated_replica.rs
+++ b/crates/ladderstage/tests/journal/simulated_replica.rs
@@ -1,4 +1,4 @@
-//! One replica, in memory.
+//! In-memory replica.
 
 use ladderstage::journal::replica::{self, Decision, EntryChange, LogState};
 use ladderstage::journal::replica_set;
@@ -8,15 +8,15 @@
     ExportedLog, LogEntry, ReadLogReply, ReplicaMember, ReplicaSet, Seal, SealReply, WriteReply,
 };
 
-/// A replica with its durable state only, so that a restart changes nothing but messages under way.
+/// The durable state of a replica. A restart therefore only affects messages in transit.
 #[derive(Debug, Clone, Default)]
 pub struct SimulatedReplica {
     pub id: u64,
     pub state: LogState,
     pub entries: Vec<LogEntry>,
-    /// Its set; without one it accepts nothing.
+    /// Replica set known to the replica; without one it accepts nothing.
     pub set: Option<ReplicaSet>,
-    /// Its disk is gone for good.
+    /// Whether its disk is permanently lost.
     pub lost: bool,
 }
 
--- a/crates/ladderstage/tests/journal/support.rs
+++ b/crates/ladderstage/tests/journal/support.rs
@@ -1,4 +1,4 @@
-//! Writers and a network for the journal's property tests, all in memory.
+//! In-memory writers and network for the journal's property tests.
 
 use std::collections::BTreeSet;
 
@@ -11,7 +11,7 @@
 
 use crate::simulated_replica::{SimulatedReplica, member_of, new_replica};
 
-/// Spare replicas that may take the place of others.
+/// Number of spare replicas that may replace others.
 const SPARES: u64 = 2;
 
 pub const LOG: &str = "shard/trainer/1/0";
@@ -24,7 +24,7 @@
     Writing(LogWriterState),
 }
 
-/// A writer process; `generation` counts its take-overs.
+/// A writer process; `generation` counts its takeovers.
 #[derive(Debug)]
 struct SimulatedWriter {
     epochs: EpochSource,
@@ -45,7 +45,7 @@
 }
 
 impl Message {
-    /// Replica set version of a request.
+    /// Returns the replica set version of a request.
     fn version(&self) -> Option<u64> {
         match self {
             Self::Seal(seal) => Some(seal.replica_set_version),
@@ -64,7 +64,7 @@
     message: Message,
 }
 
-/// One step of an interleaving; numbers are taken modulo what there is.
+/// One step of an interleaving; indexes are taken modulo the number of items.
 #[derive(Debug, Clone)]
 pub enum Step {
     TakeOver {
@@ -89,7 +89,7 @@
     RestartReplica {
         replica: usize,
     },
-    /// Asks for another disk in the place of one, which is lost at that moment or lives on.
+    /// Requests a replacement for a replica, which is lost at that moment or continues to run.
     Replace {
         member: usize,
         is_lost: bool,
@@ -100,21 +100,21 @@
     FenceReplica {
         replica: usize,
     },
-    /// The newcomer fences a current replica and copies its log.
+    /// The joining replica fences a current replica and copies its log.
     Copy {
         source: usize,
     },
     CompleteReplacement,
 }
 
-/// The whole simulation, with the entries that any writer has known to be committed.
+/// The simulation, with the entries known to be committed by any writer.
 #[derive(Debug)]
 pub struct Simulation {
     pub replicas: Vec<SimulatedReplica>,
     pub committed: Vec<LogEntry>,
-    /// The set in the key-value service.
+    /// Replica set stored in the key-value service.
     pub set: ReplicaSet,
-    /// Replicas that the newcomer has copied under `set`.
+    /// Replicas that the joining replica has copied under `set`.
     copied: BTreeSet<u64>,
     writers: Vec<SimulatedWriter>,
     network: Vec<Envelope>,
@@ -180,7 +180,7 @@
         }
     }
 
-    /// One replica at a time is lost, and only as long as a spare is left.
+    /// Replaces one replica at a time, and only while a spare is left.
     fn replace(&mut self, member: usize, is_lost: bool) {
         if !self.set.next.is_empty() {
             return;
@@ -229,7 +229,7 @@
         }
     }
 
-    /// A last writer that seals any quorum must find every committed entry.
+    /// Checks that a writer sealing any quorum finds every committed entry.
     pub fn check_every_quorum(&self) {
         let quorum = Quorum::new(&self.set);
         for subset in 0u32..1 << self.replicas.len() {
@@ -242,7 +242,7 @@
             let found = self.adopt_from(&asked);
             assert!(
                 found.starts_with(&self.committed),
-                "lost: replicas {ids:?} know {} of {} committed entries",
+                "lost entries: replicas {ids:?} hold {} of {} committed entries",
                 common_prefix(&found, &self.committed),
                 self.committed.len()
             );
@@ -264,7 +264,10 @@
         let sealed = sealing.into_sealed();
         let sources = sealed.sources();
         let source = asked.iter().find(|replica| sources.contains(&replica.id));
-        source.expect("a holder of the newest log").entries.clone()
+        source
+            .expect("a replica holds the newest log")
+            .entries
+            .clone()
     }
 
     fn take_over(&mut self, index: usize) {
@@ -390,7 +393,7 @@
         assert_eq!(
             entries[..shared],
             self.committed[..shared],
-            "two contents committed at one index"
+            "different entries committed at one index"
         );
         self.committed.extend_from_slice(&entries[shared..]);
     }
--- a/crates/ladderstage/tests/membership.rs
+++ b/crates/ladderstage/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership: precedence, probing, refutation, planned stops, isolation.
+//! Membership: precedence, probing, refutation, planned stops and isolation.
 
 use std::time::Duration;
 
@@ -43,7 +43,7 @@
     membership.find(node).expect("known").state
 }
 
-/// Runs ticks for `length`; `answers` says which nodes answer, directly or through others.
+/// Runs ticks for `length`; `answers` returns whether a node answers, directly or indirectly.
 fn run(
     membership: &mut Membership,
     from: Duration,
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn missed_probe_goes_through_three_others_and_then_suspects() {
+fn missed_probe_is_repeated_through_three_helpers_before_suspicion() {
     let mut membership = knowing(&["a", "b", "c", "d", "e"]);
     let mut random = StdRng::seed_from_u64(1);
     let action = membership.missed(&member("a", 1), STEP, &mut random);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn silent_member_dies_after_the_suspicion_and_is_forgotten_in_the_end() {
+fn silent_member_is_declared_dead_and_later_dropped() {
     let mut membership = knowing(&["a", "b"]);
     let now = run(
         &mut membership,
@@ -120,7 +120,11 @@
     let now = run(&mut membership, now, Duration::from_secs(1900), |node| {
         node == "b"
     });
-    assert_eq!(membership.full_state(now).len(), 2, "no longer spread");
+    assert_eq!(
+        membership.full_state(now).len(),
+        2,
+        "no longer in the full state"
+    );
     assert!(membership.find("a").is_some());
     run(&mut membership, now, Duration::from_secs(1900), |node| {
         node == "b"
@@ -148,14 +152,14 @@
 }
 
 #[test]
-fn suspected_member_hears_of_it_in_a_probe_and_refutes() {
+fn suspected_member_learns_of_it_from_a_probe_and_refutes() {
     let mut membership = knowing(&["a", "b"]);
     membership.probe_failed(&member("a", 1), STEP);
     let mut accused = Membership::new(member("a", 1), CONFIG);
     accused.merge(membership.updates_for("a"), STEP);
     membership.merge(accused.updates_for("own"), STEP);
     assert_eq!(state(&membership, "a"), MemberState::ALIVE);
-    // The probe that failed before the refutation counts no more.
+    // The probe that failed before the refutation no longer counts.
     membership.probe_failed(&member("a", 1), STEP);
     assert_eq!(state(&membership, "a"), MemberState::ALIVE);
 }
@@ -184,7 +188,7 @@
 }
 
 #[test]
-fn leaving_process_does_not_answer_for_ever_to_being_called_left() {
+fn leaving_process_does_not_refute_being_marked_as_left() {
     let mut own = Membership::new(member("own", 1), CONFIG);
     own.leave();
     let left = in_state(member("own", 1), MemberState::LEFT, 5);
@@ -193,7 +197,7 @@
 }
 
 #[test]
-fn restart_takes_its_name_also_after_its_clock_went_back() {
+fn restart_claims_its_name_after_the_clock_was_set_back() {
     let mut restarted = Membership::new(member("own", 3), CONFIG);
     let mut earlier = member("own", 9);
     earlier.started_unix_ms = 1_000_000;
@@ -205,14 +209,14 @@
 }
 
 #[test]
-fn process_that_wakes_late_leaves_its_name_to_the_later_one() {
+fn paused_process_yields_its_name_to_a_later_one() {
     let mut woken = Membership::new(member("own", 1), CONFIG);
     let news = woken.merge(vec![member("own", 2)], Duration::from_secs(120));
     assert_eq!((news, woken.own().started_unix_ms), (0, 1));
 }
 
 #[test]
-fn own_pause_lets_suspects_refute_anew() {
+fn own_pause_restarts_the_suspicion_timeout() {
     let mut membership = knowing(&["a", "b"]);
     let mut random = StdRng::seed_from_u64(1);
     membership.tick(STEP, &mut random);
@@ -222,7 +226,7 @@
 }
 
 #[test]
-fn seeds_are_asked_while_few_are_known() {
+fn seeds_are_contacted_while_few_members_are_known() {
     let config = MembershipConfig { seeds: 2, ..CONFIG };
     let mut membership = Membership::new(member("own", 1), config);
     let mut random = StdRng::seed_from_u64(1);
@@ -244,17 +248,17 @@
     let mut elsewhere = member("c", 1);
     elsewhere.region = "s".to_owned();
     membership.merge(vec![elsewhere], Duration::ZERO);
-    assert!(membership.is_isolated(STEP), "nobody was heard yet");
+    assert!(membership.is_isolated(STEP), "no member has answered yet");
     let now = run(&mut membership, STEP, Duration::from_secs(10), |node| {
         node != "a"
     });
-    assert!(!membership.is_isolated(now), "two of three");
+    assert!(!membership.is_isolated(now), "two of three are reachable");
     let now = run(&mut membership, now, Duration::from_secs(10), |node| {
         node == "c"
     });
-    assert!(membership.is_isolated(now), "the dead count");
+    assert!(membership.is_isolated(now), "dead members count");
     let now = run(&mut membership, now, Duration::from_secs(5), |_| true);
-    assert!(!membership.is_isolated(now), "dead ones answered again");
+    assert!(!membership.is_isolated(now), "dead members answered again");
     let left = in_state(member("a", 1), MemberState::LEFT, 0);
     membership.merge(vec![left], now);
     let left = in_state(member("b", 1), MemberState::LEFT, 0);
@@ -263,7 +267,7 @@
 }
 
 #[test]
-fn isolation_of_one_among_many_shows_within_seconds() {
+fn isolation_among_many_members_is_detected_within_90_seconds() {
     let names: Vec<_> = (0..349).map(|number| format!("n{number}")).collect();
     let names: Vec<_> = names.iter().map(String::as_str).collect();
     let mut membership = knowing(&names);
--- a/crates/ladderstage/tests/membership_convergence.rs
+++ b/crates/ladderstage/tests/membership_convergence.rs
@@ -1,4 +1,4 @@
-//! Members that have seen the same entries agree, in whatever order, however often and with whatever losses.
+//! Members that have received the same entries agree, regardless of order, repetition and losses.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
         incarnation,
         state,
         peer_address: "127.0.0.1:1".to_owned(),
-        // Two processes may have started in the same millisecond.
+        // Two processes may start in the same millisecond.
         started_unix_ms: process / 2,
         ..Member::default()
     }
@@ -64,7 +64,7 @@
     }
 
     #[test]
-    fn losses_are_mended_by_one_exchange_of_the_full_state(
+    fn lost_updates_are_repaired_by_one_exchange_of_the_full_state(
         updates in prop::collection::vec((any_update(), any::<bool>(), any::<bool>()), 0..40),
     ) {
         let (mut first, mut second) = (observer("x"), observer("y"));
@@ -100,9 +100,9 @@
         }
     }
 
-    /// Entries said of the live process are of its past or doubts; it always has the last word.
+    /// Guards against a live member staying dead: it refutes every claim about itself.
     #[test]
-    fn live_member_that_hears_of_its_death_is_alive_in_the_end(
+    fn live_member_refutes_its_reported_death(
         said in prop::collection::vec((0..9_u64, 0..3_usize, any::<bool>(), any::<bool>()), 0..40),
     ) {
         let doubts = [MemberState::ALIVE, MemberState::SUSPECT, MemberState::DEAD];
@@ -116,7 +116,7 @@
                 accused.merge(vec![update], NOW);
             }
         }
-        // One probe: the ping carries what the witness thinks, the answer carries the refutation.
+        // One probe: the ping carries the witness's view, the answer carries the refutation.
         accused.merge(witness.updates_for("a"), NOW);
         witness.merge(accused.updates_for("x"), NOW);
         prop_assert_eq!(witness.find("a"), Some(accused.own()));
--- a/crates/ladderstage/tests/region.rs
+++ b/crates/ladderstage/tests/region.rs
@@ -1,4 +1,4 @@
-//! How far places are from each other, and where work may be served.
+//! Distances between places, and regions in which work may be served.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn the_nearest_comes_first() {
+fn distances_are_ordered_from_near_to_far() {
     let place = |node, zone, region| Place { node, zone, region };
     let here = place("n", "z", "r");
     let others = [
@@ -62,7 +62,7 @@
 }
 
 proptest! {
-    /// Deployments with one region, or without any, know no greater distance than between two zones.
+    /// With one region, or none, no distance exceeds that between two zones.
     #[test]
     fn one_region_is_like_none(
         zones in prop::collection::btree_set("[a-e]", 0..5),
@@ -80,7 +80,7 @@
     }
 
     #[test]
-    fn what_both_permit_is_permitted(
+    fn the_intersection_permits_what_both_permit(
         one in prop::option::of(prop::collection::vec("[a-d]", 0..4)),
         other in prop::option::of(prop::collection::vec("[a-d]", 0..4)),
         region in prop::option::of("[a-e]"),
--- a/crates/ladderstage/tests/retry.rs
+++ b/crates/ladderstage/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retry budgets stay a share of the first tries.
+//! Retry budgets limit retries to a share of the first attempts.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn retries_are_a_share_of_first_tries_with_a_floor() {
+fn retries_are_a_share_of_first_attempts_with_a_minimum() {
     let mut budget = RetryBudget::new(20);
     let now = Duration::from_secs(60);
     assert_eq!(spend_all(&mut budget, now), 10);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_retry_that_cannot_end_in_time_is_refused() {
+fn a_retry_without_enough_time_left_is_refused() {
     let mut budget = RetryBudget::new(20);
     let soon = Duration::from_millis(20);
     let refused = budget.spend(Duration::ZERO, 0, soon, 0.0);
--- a/crates/ladderstage/tests/routing.rs
+++ b/crates/ladderstage/tests/routing.rs
@@ -25,7 +25,8 @@
 
 #[test]
 fn the_rendezvous_hash_never_changes() {
-    // From an independent reckoning of the documented hash: daemons of different versions must agree.
+    // Expected values were computed independently; daemons of different versions must agree on
+    // them.
     assert_eq!(rendezvous_score(b"", ""), 0x1bbd5c813c69a8d7);
     assert_eq!(
         rendezvous_score(b"shard/karm/7/0", "daemon-1"),
@@ -52,7 +53,7 @@
 }
 
 #[test]
-fn the_least_loaded_near_one_wins_and_equals_are_drawn() {
+fn the_cheapest_candidate_wins_and_ties_are_broken_randomly() {
     let candidates = [
         candidate("a", "x", 3),
         candidate("b", "y", 1),
@@ -72,7 +73,7 @@
 }
 
 #[test]
-fn an_old_report_is_not_believed() {
+fn an_old_report_is_not_used() {
     let mut old = candidate("a", "x", 7);
     old.own_in_flight = 2;
     old.dispatched_since_report = 1;
--- a/crates/ladderstage/tests/shard.rs
+++ b/crates/ladderstage/tests/shard.rs
@@ -1,4 +1,4 @@
-//! Exactly-once delivery of a shard through losses, duplicates, rolls and takeovers.
+//! Exactly-once delivery of a shard despite losses, duplicates, rolls and takeovers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -55,26 +55,27 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    /// The owner runs the next attempt; its version lies this far from the one in force.
+    /// The owner runs the next attempt with a version `lag` away from the one in force.
     Generate {
         pick: usize,
         lag: i8,
     },
-    /// A pull with some cursor that the trainer ever held (0: the newest) at some owner (0: the present one).
+    /// A pull with a cursor that the trainer has held (0 is the newest) at one of the owners (0 is
+    /// the current one).
     Pull {
         cursor: usize,
         owner: usize,
         max: usize,
         fate: Fate,
     },
-    /// A response on its way arrives.
+    /// A response in transit arrives.
     Arrive {
         pick: usize,
     },
     Roll {
         versions: u64,
     },
-    /// A new owner takes over; a prefix of what the old one had not committed may survive.
+    /// A new owner takes over; a prefix of the previous owner's uncommitted entries may survive.
     TakeOver {
         surviving: usize,
     },
@@ -114,13 +115,14 @@
 
 struct Model {
     log: Vec<ShardEntry>,
-    /// Owners' states, the present one last; the others are paused and know nothing of later entries.
+    /// States of the owners, the current one last; the others are paused and have not seen later
+    /// entries.
     owners: Vec<ShardState>,
     /// Entries whose append ended without a quorum.
     uncommitted: Vec<ShardEntry>,
     bound: StalenessBound,
     in_transit: Vec<Response>,
-    /// Cursors that the trainer ever held, the present one last.
+    /// Cursors that the trainer has held, the current one last.
     cursors: Vec<u64>,
     received: BTreeMap<u32, u32>,
     complete: bool,
@@ -195,18 +197,24 @@
             PullOutcome::Answer { answer, samples } => (answer, samples),
             PullOutcome::Complete => (asked_after, Vec::new()),
             PullOutcome::Superseded => {
-                assert_ne!(asked_after, self.cursor(), "the newest cursor superseded");
+                assert_ne!(
+                    asked_after,
+                    self.cursor(),
+                    "the newest cursor is superseded"
+                );
                 return;
             }
             PullOutcome::NotYetKnown => {
-                assert!(!is_present, "the owner lost a committed answer");
+                assert!(!is_present, "the current owner lacks a committed answer");
                 return;
             }
             PullOutcome::Wait => return,
         };
         assert!(samples.len() <= max);
         for id in &samples {
-            let sample = self.owners[index].sample(*id).expect("held by the owner");
+            let sample = self.owners[index]
+                .sample(*id)
+                .expect("the owner holds the sample");
             assert!(self.bound.admits_versions(&sample.segments), "stale {id:?}");
         }
         let complete = samples.is_empty();
@@ -221,7 +229,7 @@
         }
     }
 
-    /// The trainer takes one response per cursor; it may see the same one again.
+    /// Delivers a response. The trainer accepts one response per cursor; duplicates may arrive.
     fn arrive(&mut self, pick: usize) {
         let Some(response) = self.in_transit.get(pick) else {
             return;
@@ -230,13 +238,17 @@
             return;
         }
         if response.complete {
-            assert_eq!(self.received.len(), SLOTS as usize, "complete too early");
+            assert_eq!(
+                self.received.len(),
+                SLOTS as usize,
+                "complete before all slots were received"
+            );
             self.complete = true;
             return;
         }
         for id in &response.samples {
             let earlier = self.received.insert(id.slot, id.attempt);
-            assert_eq!(earlier, None, "slot {} taken twice", id.slot);
+            assert_eq!(earlier, None, "slot {} received twice", id.slot);
         }
         self.cursors.push(response.answer);
     }
@@ -268,7 +280,7 @@
         }
     }
 
-    /// Without further faults the trainer gets the rest.
+    /// Runs without faults until the trainer has received all samples.
     fn finish(&mut self) {
         for _ in 0..4 * SLOTS {
             self.generate(0, 0);
@@ -282,7 +294,7 @@
     #![proptest_config(ProptestConfig { cases: 2_000, ..ProptestConfig::default() })]
 
     #[test]
-    fn every_slot_is_taken_exactly_once(steps in steps()) {
+    fn every_slot_is_received_exactly_once(steps in steps()) {
         let mut model = Model::new();
         for step in steps {
             model.run(step);
@@ -292,7 +304,7 @@
         prop_assert_eq!(ShardState::from_entries(&model.log), model.owner().clone());
     }
 
-    /// Whatever a log holds, folding it twice gives the same, and a slot is settled once.
+    /// Guards against duplicated log entries: applying a log twice must give the same state.
     #[test]
     fn contradicting_entries_change_nothing(steps in steps()) {
         let mut model = Model::new();
@@ -328,7 +340,7 @@
 }
 
 #[test]
-fn samples_leave_in_commit_order_and_repeat_until_acknowledged() {
+fn samples_are_delivered_in_commit_order_and_repeated_until_acknowledged() {
     let mut state = ShardState::from_entries(&[opened(3)]);
     committed(&mut state, FIRST_SLOT + 2, 1);
     committed(&mut state, FIRST_SLOT, 1);
@@ -348,7 +360,7 @@
 }
 
 #[test]
-fn an_attempt_taken_before_it_was_replaced_counts() {
+fn an_attempt_received_before_its_replacement_counts() {
     let mut state = ShardState::from_entries(&[opened(1)]);
     committed(&mut state, FIRST_SLOT, 1);
     let PullOutcome::Answer { answer, .. } = pull_and_commit(&mut state, 0, 1) else {
@@ -381,7 +393,7 @@
 }
 
 #[test]
-fn a_step_is_split_whole() {
+fn splitting_a_step_keeps_all_samples() {
     let spec = ShardSpec {
         samples: vec![SampleSpec::default(); 300],
         ..ShardSpec::default()
--- a/crates/ladderstage/tests/shard_cursor.rs
+++ b/crates/ladderstage/tests/shard_cursor.rs
@@ -1,4 +1,4 @@
-//! The trainer's cursor as text.
+//! Text form of the trainer's cursor.
 
 use ladderstage::shard::{CursorError, StepCursor};
 use proptest::prelude::*;
--- a/crates/ladderstage/tests/staleness.rs
+++ b/crates/ladderstage/tests/staleness.rs
@@ -1,4 +1,4 @@
-//! The staleness bound.
+//! Staleness bound of samples.
 
 use std::time::Duration;
 
