--- a/crates/ladderstage/src/backend/entry.rs
+++ b/crates/ladderstage/src/backend/entry.rs
@@ -84,8 +84,8 @@
 
     /// Returns whether the entry can be dropped: long missing from the list and without own
     /// requests.
-    pub(super) fn is_forgettable(&self, forget_after: Duration) -> bool {
-        self.listing.missing_for() >= forget_after && self.traffic.in_flight() == 0
+    pub(super) fn is_removable(&self, remove_after: Duration) -> bool {
+        self.listing.missing_for() >= remove_after && self.traffic.in_flight() == 0
     }
 
     pub(super) fn check(
--- a/crates/ladderstage/src/backend/refresh.rs
+++ b/crates/ladderstage/src/backend/refresh.rs
@@ -3,7 +3,7 @@
 //! Two processes with the same bundle identify its back ends by position. The request contains the
 //! ages of the asker's reports; the answer contains only reports that are newer by at least
 //! [`MIN_AGE_GAIN`]. These omit process and address and are accepted only if a fingerprint of both
-//! matches the asker's state, because they must not be taken for reports of another process or of a
+//! matches the asker's state, because they must not be mistaken for reports of another process or of a
 //! back end that has moved. On a mismatch, the asker requests the full report next time.
 
 use std::time::Duration;
--- a/crates/ladderstage/src/backend/table.rs
+++ b/crates/ladderstage/src/backend/table.rs
@@ -13,7 +13,7 @@
 /// Maximum number of back ends; further names are ignored.
 const MAX_BACKENDS: usize = 20_000;
 /// Time for which a back end must be missing from the machine list to be dropped.
-const FORGET_AFTER: Duration = Duration::from_secs(3_600);
+const REMOVE_AFTER: Duration = Duration::from_secs(3_600);
 
 /// A request in flight at a back end.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -83,7 +83,7 @@
             }
         }
         self.backends
-            .retain(|_, backend| !backend.is_forgettable(FORGET_AFTER));
+            .retain(|_, backend| !backend.is_removable(REMOVE_AFTER));
         self.full_report_requests
             .retain(|name| self.backends.contains_key(name));
     }
--- a/crates/ladderstage/src/bundle/check.rs
+++ b/crates/ladderstage/src/bundle/check.rs
@@ -190,7 +190,7 @@
             "staleness bound {bound}, while this roll moves the weight version by {skipped} (from {} to {})",
             before.weight_version, pool.weight_version
         );
-        let allowed = format!("{skipped} or more, or 0 to give up every sample under way");
+        let allowed = format!("{skipped} or more, or 0 to discard every sample in progress");
         self.add(&format!("{path}.staleness_bound"), found, allowed);
     }
 
--- a/crates/ladderstage/src/bundle/signature.rs
+++ b/crates/ladderstage/src/bundle/signature.rs
@@ -35,7 +35,7 @@
         key_id: String,
     },
     /// The text or the number of signatures exceeds its limit.
-    #[error("over {MAX_TEXT_BYTES} bytes of text or {MAX_SIGNATURES} signatures")]
+    #[error("bundle exceeds {MAX_TEXT_BYTES} bytes of text or {MAX_SIGNATURES} signatures")]
     TooLarge,
     /// The text is not UTF-8.
     #[error("the text is not UTF-8 from byte {valid_up_to}")]
--- a/crates/ladderstage/src/journal/heartbeat.rs
+++ b/crates/ladderstage/src/journal/heartbeat.rs
@@ -8,7 +8,7 @@
 use super::epoch::WriterEpoch;
 use super::replica::LogState;
 
-/// Time of the last sign of life of each open log's writer. Times are durations since a fixed
+/// Time of the last activity of each open log's writer. Times are durations since a fixed
 /// origin of the process.
 #[derive(Debug, Clone, Default)]
 pub struct HeartbeatTable {
--- a/crates/ladderstage/src/membership/config.rs
+++ b/crates/ladderstage/src/membership/config.rs
@@ -23,7 +23,7 @@
 pub const SEED_SYNC_ONE_IN: u32 = 8;
 
 /// Time after which a dead member, or one that left, is dropped.
-pub const FORGET_AFTER: Duration = Duration::from_secs(3600);
+pub const REMOVE_AFTER: Duration = Duration::from_secs(3600);
 
 /// Time after which a dead member, or one that left, is omitted from full states, so that a node
 /// that has dropped it does not learn of it again.
--- a/crates/ladderstage/src/membership/probing.rs
+++ b/crates/ladderstage/src/membership/probing.rs
@@ -7,8 +7,8 @@
 use rand::{Rng, RngExt};
 
 use super::config::{
-    DEAD_PROBE_ONE_IN, FORGET_AFTER, INDIRECT_PROBES, JOIN_INTERVAL, PROBES_HALF_SILENT,
-    PROBES_SOME_SILENT, SEED_SYNC_ONE_IN, SYNC_INTERVAL,
+    DEAD_PROBE_ONE_IN, INDIRECT_PROBES, JOIN_INTERVAL, PROBES_HALF_SILENT, PROBES_SOME_SILENT,
+    REMOVE_AFTER, SEED_SYNC_ONE_IN, SYNC_INTERVAL,
 };
 use super::entry::Entry;
 use super::{Action, Membership, SyncTarget};
@@ -19,7 +19,7 @@
     pub fn tick<R: Rng + ?Sized>(&mut self, now: Duration, random: &mut R) -> Vec<Action> {
         self.restart_timers_after_own_pause(now);
         self.expire_suspicions(now);
-        self.forget_gone(now);
+        self.remove_expired(now);
         let mut actions = self.probes(now, random);
         actions.extend(self.dead_probe(random));
         actions.extend(self.sync(now, random));
@@ -102,12 +102,12 @@
         }
     }
 
-    fn forget_gone(&mut self, now: Duration) {
-        let forgotten = |entry: &Entry| entry.is_gone() && entry.age(now) >= FORGET_AFTER;
-        for (node, _) in self.others.iter().filter(|(_, entry)| forgotten(entry)) {
+    fn remove_expired(&mut self, now: Duration) {
+        let is_expired = |entry: &Entry| entry.is_gone() && entry.age(now) >= REMOVE_AFTER;
+        for (node, _) in self.others.iter().filter(|(_, entry)| is_expired(entry)) {
             self.updates.forget(node);
         }
-        self.others.retain(|_, entry| !forgotten(entry));
+        self.others.retain(|_, entry| !is_expired(entry));
     }
 
     fn probes<R: Rng + ?Sized>(&mut self, now: Duration, random: &mut R) -> Vec<Action> {
--- a/crates/ladderstage/tests/bundle_document.rs
+++ b/crates/ladderstage/tests/bundle_document.rs
@@ -79,12 +79,12 @@
 deadline_ms = 1000
 "#;
     let findings = findings_of(text);
-    let places: Vec<_> = findings
+    let positions: Vec<_> = findings
         .iter()
         .map(|finding| (finding.line, finding.column))
         .collect();
     let expected = [(1, 12), (2, 1), (6, 8), (7, 12), (8, 15), (12, 12)];
-    assert_eq!(places, expected, "{findings:#?}");
+    assert_eq!(positions, expected, "{findings:#?}");
     assert_eq!(
         findings[1].to_string(),
         "b.toml:2:1: found unknown key `objektive`; allowed: `objective`?"
--- a/crates/ladderstage/tests/evidence.rs
+++ b/crates/ladderstage/tests/evidence.rs
@@ -7,15 +7,16 @@
 
 #[derive(Debug, Clone)]
 enum Event {
-    Learn { revision: u64, as_of: u64 },
-    LearnOf { revision: u64 },
+    ObserveNewest { revision: u64, as_of: u64 },
+    ObserveExistence { revision: u64 },
     Advance { revision: u64 },
 }
 
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        (0..6_u64, 0..100_u64).prop_map(|(revision, as_of)| Event::Learn { revision, as_of }),
-        (0..6_u64).prop_map(|revision| Event::LearnOf { revision }),
+        (0..6_u64, 0..100_u64)
+            .prop_map(|(revision, as_of)| Event::ObserveNewest { revision, as_of }),
+        (0..6_u64).prop_map(|revision| Event::ObserveExistence { revision }),
         (0..6_u64).prop_map(|revision| Event::Advance { revision }),
     ]
 }
@@ -24,19 +25,19 @@
     #[test]
     fn never_claims_more_than_its_sources(events in proptest::collection::vec(event(), 0..60)) {
         let mut evidence = Evidence::new();
-        let mut said: Vec<(u64, Duration)> = Vec::new();
+        let mut statements: Vec<(u64, Duration)> = Vec::new();
         let mut highest_known = 0;
         for event in events {
             let before = evidence.revision();
             match event {
-                Event::Learn { revision, as_of } => {
+                Event::ObserveNewest { revision, as_of } => {
                     let as_of = Duration::from_millis(as_of);
-                    said.push((revision, as_of));
+                    statements.push((revision, as_of));
                     highest_known = highest_known.max(revision);
                     let learned = evidence.learn(revision, as_of);
                     prop_assert_eq!(learned == Learned::Fetch { revision }, revision > before);
                 }
-                Event::LearnOf { revision } => {
+                Event::ObserveExistence { revision } => {
                     highest_known = highest_known.max(revision);
                     evidence.learn_of(revision);
                 }
@@ -48,7 +49,7 @@
             let held = evidence.revision();
             prop_assert!(held >= before);
             if let Some(claimed) = evidence.newest_as_of() {
-                prop_assert!(said.iter().any(|(revision, as_of)| *revision == held && *as_of >= claimed));
+                prop_assert!(statements.iter().any(|(revision, as_of)| *revision == held && *as_of >= claimed));
                 prop_assert_eq!(highest_known, held);
             }
             prop_assert_eq!(evidence.ahead(), (highest_known > held).then_some(highest_known));
--- a/crates/ladderstage/tests/journal/support.rs
+++ b/crates/ladderstage/tests/journal/support.rs
@@ -234,12 +234,12 @@
         let quorum = Quorum::new(&self.set);
         for subset in 0u32..1 << self.replicas.len() {
             let is_in = |replica: &&SimulatedReplica| subset & (1 << index_of(replica.id)) != 0;
-            let asked: Vec<_> = self.replicas.iter().filter(is_in).collect();
-            let ids = asked.iter().map(|replica| replica.id).collect();
-            if asked.iter().any(|replica| replica.lost) || !quorum.is_met_by(&ids) {
+            let participants: Vec<_> = self.replicas.iter().filter(is_in).collect();
+            let ids = participants.iter().map(|replica| replica.id).collect();
+            if participants.iter().any(|replica| replica.lost) || !quorum.is_met_by(&ids) {
                 continue;
             }
-            let found = self.adopt_from(&asked);
+            let found = self.adopt_from(&participants);
             assert!(
                 found.starts_with(&self.committed),
                 "lost entries: replicas {ids:?} hold {} of {} committed entries",
@@ -249,7 +249,7 @@
         }
     }
 
-    fn adopt_from(&self, asked: &[&SimulatedReplica]) -> Vec<LogEntry> {
+    fn adopt_from(&self, participants: &[&SimulatedReplica]) -> Vec<LogEntry> {
         let epoch = WriterEpoch {
             round: u64::MAX,
             owner: 99,
@@ -257,13 +257,15 @@
         let mut sealing = Sealing::new(identity(epoch), Quorum::new(&self.set));
         let request = sealing.request();
         let mut progress = SealProgress::Waiting;
-        for replica in asked {
+        for replica in participants {
             progress = sealing.on_reply(&(*replica).clone().seal(&request));
         }
         assert_eq!(progress, SealProgress::Sealed);
         let sealed = sealing.into_sealed();
         let sources = sealed.sources();
-        let source = asked.iter().find(|replica| sources.contains(&replica.id));
+        let source = participants
+            .iter()
+            .find(|replica| sources.contains(&replica.id));
         source
             .expect("a replica holds the newest log")
             .entries
--- a/crates/ladderstage/tests/membership.rs
+++ b/crates/ladderstage/tests/membership.rs
@@ -32,7 +32,7 @@
     member
 }
 
-fn knowing(others: &[&str]) -> Membership {
+fn membership_of(others: &[&str]) -> Membership {
     let mut membership = Membership::new(member("own", 1), CONFIG);
     let others = others.iter().map(|node| member(node, 1)).collect();
     membership.merge(others, Duration::ZERO);
@@ -70,7 +70,7 @@
 
 #[test]
 fn every_member_is_probed_once_a_round() {
-    let mut membership = knowing(&["a", "b", "c", "d"]);
+    let mut membership = membership_of(&["a", "b", "c", "d"]);
     let mut random = StdRng::seed_from_u64(1);
     for node in ["a", "b", "c", "d"] {
         membership.heard_from(node, Duration::ZERO);
@@ -91,7 +91,7 @@
 
 #[test]
 fn missed_probe_is_repeated_through_three_helpers_before_suspicion() {
-    let mut membership = knowing(&["a", "b", "c", "d", "e"]);
+    let mut membership = membership_of(&["a", "b", "c", "d", "e"]);
     let mut random = StdRng::seed_from_u64(1);
     let action = membership.missed(&member("a", 1), STEP, &mut random);
     let Some(Action::ProbeThrough { target, helpers }) = action else {
@@ -107,7 +107,7 @@
 
 #[test]
 fn silent_member_is_declared_dead_and_later_dropped() {
-    let mut membership = knowing(&["a", "b"]);
+    let mut membership = membership_of(&["a", "b"]);
     let now = run(
         &mut membership,
         Duration::ZERO,
@@ -134,7 +134,7 @@
 
 #[test]
 fn dead_members_are_still_probed() {
-    let mut membership = knowing(&["a", "b"]);
+    let mut membership = membership_of(&["a", "b"]);
     let now = run(
         &mut membership,
         Duration::ZERO,
@@ -153,7 +153,7 @@
 
 #[test]
 fn suspected_member_learns_of_it_from_a_probe_and_refutes() {
-    let mut membership = knowing(&["a", "b"]);
+    let mut membership = membership_of(&["a", "b"]);
     membership.probe_failed(&member("a", 1), STEP);
     let mut accused = Membership::new(member("a", 1), CONFIG);
     accused.merge(membership.updates_for("a"), STEP);
@@ -166,7 +166,7 @@
 
 #[test]
 fn leaving_member_that_falls_silent_has_left() {
-    let mut membership = knowing(&["a", "b"]);
+    let mut membership = membership_of(&["a", "b"]);
     let leaving = in_state(member("a", 1), MemberState::LEAVING, 0);
     membership.merge(vec![leaving], Duration::ZERO);
     let now = run(
@@ -210,14 +210,14 @@
 
 #[test]
 fn paused_process_yields_its_name_to_a_later_one() {
-    let mut woken = Membership::new(member("own", 1), CONFIG);
-    let news = woken.merge(vec![member("own", 2)], Duration::from_secs(120));
-    assert_eq!((news, woken.own().started_unix_ms), (0, 1));
+    let mut paused = Membership::new(member("own", 1), CONFIG);
+    let changed = paused.merge(vec![member("own", 2)], Duration::from_secs(120));
+    assert_eq!((changed, paused.own().started_unix_ms), (0, 1));
 }
 
 #[test]
 fn own_pause_restarts_the_suspicion_timeout() {
-    let mut membership = knowing(&["a", "b"]);
+    let mut membership = membership_of(&["a", "b"]);
     let mut random = StdRng::seed_from_u64(1);
     membership.tick(STEP, &mut random);
     membership.probe_failed(&member("a", 1), STEP);
@@ -242,9 +242,9 @@
 
 #[test]
 fn isolation_is_losing_the_majority_of_the_region() {
-    let alone = knowing(&[]);
+    let alone = membership_of(&[]);
     assert!(!alone.is_isolated(STEP));
-    let mut membership = knowing(&["a", "b"]);
+    let mut membership = membership_of(&["a", "b"]);
     let mut elsewhere = member("c", 1);
     elsewhere.region = "s".to_owned();
     membership.merge(vec![elsewhere], Duration::ZERO);
@@ -270,7 +270,7 @@
 fn isolation_among_many_members_is_detected_within_90_seconds() {
     let names: Vec<_> = (0..349).map(|number| format!("n{number}")).collect();
     let names: Vec<_> = names.iter().map(String::as_str).collect();
-    let mut membership = knowing(&names);
+    let mut membership = membership_of(&names);
     let now = run(
         &mut membership,
         Duration::ZERO,
@@ -288,7 +288,7 @@
 fn messages_carry_eight_updates_and_each_a_limited_number_of_times() {
     let names: Vec<_> = (0..30).map(|number| format!("n{number:02}")).collect();
     let names: Vec<_> = names.iter().map(String::as_str).collect();
-    let mut membership = knowing(&names);
+    let mut membership = membership_of(&names);
     let mut sent = 0;
     for _ in 0..200 {
         let updates = membership.updates_for("n00");
@@ -300,7 +300,7 @@
 
 #[test]
 fn unusable_entries_are_ignored() {
-    let mut membership = knowing(&[]);
+    let mut membership = membership_of(&[]);
     let mut no_address = member("a", 1);
     no_address.peer_address = "elsewhere".to_owned();
     let no_process = member("b", 0);
--- a/crates/ladderstage/tests/membership_convergence.rs
+++ b/crates/ladderstage/tests/membership_convergence.rs
@@ -95,28 +95,28 @@
         for update in after {
             membership.merge(vec![update], NOW);
             let known = membership.find("a").expect("known");
-            let gone_on = matches!(known.state, MemberState::LEAVING | MemberState::LEFT);
-            prop_assert!(known.process != process || gone_on);
+            let is_stopping = matches!(known.state, MemberState::LEAVING | MemberState::LEFT);
+            prop_assert!(known.process != process || is_stopping);
         }
     }
 
     /// Guards against a live member staying dead: it refutes every claim about itself.
     #[test]
     fn live_member_refutes_its_reported_death(
-        said in prop::collection::vec((0..9_u64, 0..3_usize, any::<bool>(), any::<bool>()), 0..40),
+        claims in prop::collection::vec((0..9_u64, 0..3_usize, any::<bool>(), any::<bool>()), 0..40),
     ) {
-        let doubts = [MemberState::ALIVE, MemberState::SUSPECT, MemberState::DEAD];
+        let states = [MemberState::ALIVE, MemberState::SUSPECT, MemberState::DEAD];
         let (mut accused, mut witness) = (observer("a"), observer("x"));
-        for (incarnation, doubt, accused_hears, witness_hears) in said {
-            let update = member("a", 1, incarnation, doubts[doubt]);
-            if witness_hears {
+        for (incarnation, state_index, reaches_accused, reaches_witness) in claims {
+            let update = member("a", 1, incarnation, states[state_index]);
+            if reaches_witness {
                 witness.merge(vec![update.clone()], NOW);
             }
-            if accused_hears {
+            if reaches_accused {
                 accused.merge(vec![update], NOW);
             }
         }
-        // One probe: the ping carries the witness's view, the answer carries the refutation.
+        // A single probe suffices: the ping carries the witness's view, the answer the refutation.
         accused.merge(witness.updates_for("a"), NOW);
         witness.merge(accused.updates_for("x"), NOW);
         prop_assert_eq!(witness.find("a"), Some(accused.own()));
