--- a/crates/ladderstage/src/membership/probing.rs
+++ b/crates/ladderstage/src/membership/probing.rs
@@ -105,7 +105,7 @@
     fn remove_expired(&mut self, now: Duration) {
         let is_expired = |entry: &Entry| entry.is_gone() && entry.age(now) >= REMOVE_AFTER;
         for (node, _) in self.others.iter().filter(|(_, entry)| is_expired(entry)) {
-            self.updates.forget(node);
+            self.updates.discard(node);
         }
         self.others.retain(|_, entry| !is_expired(entry));
     }
--- a/crates/ladderstage/src/membership/updates.rs
+++ b/crates/ladderstage/src/membership/updates.rs
@@ -18,7 +18,7 @@
     }
 
     /// Stops sending updates about the node.
-    pub fn forget(&mut self, node: &str) {
+    pub fn discard(&mut self, node: &str) {
         self.sent.remove(node);
     }
 
