--- a/crates/ladderstage/src/evidence.rs
+++ b/crates/ladderstage/src/evidence.rs
@@ -53,7 +53,7 @@
 
     /// Returns the newer revision that must be fetched, if one is known.
     pub fn ahead(&self) -> Option<Revision> {
-        self.ahead.map(|ahead| ahead.revision)
+        self.ahead.map(|newer| newer.revision)
     }
 
     /// Returns the latest instant at which the revision held was known to be the newest. `None` if
@@ -80,12 +80,12 @@
         }
         self.held = revision;
         self.newest_as_of = None;
-        if let Some(ahead) = self.ahead
-            && ahead.revision <= revision
+        if let Some(newer) = self.ahead
+            && newer.revision <= revision
         {
             self.ahead = None;
-            if ahead.revision == revision {
-                self.newest_as_of = ahead.newest_as_of;
+            if newer.revision == revision {
+                self.newest_as_of = newer.newest_as_of;
             }
         }
         true
--- a/crates/ladderstage/src/membership/probing.rs
+++ b/crates/ladderstage/src/membership/probing.rs
@@ -91,7 +91,7 @@
     fn expire_suspicions(&mut self, now: Duration) {
         let timeout = self.config.suspicion;
         for (node, entry) in &mut self.others {
-            let missed_for = entry.missed_since.map(|missed| now.saturating_sub(missed));
+            let missed_for = entry.missed_since.map(|since| now.saturating_sub(since));
             let state = match entry.member.state {
                 MemberState::SUSPECT if entry.age(now) >= timeout => MemberState::DEAD,
                 MemberState::LEAVING if missed_for >= Some(timeout) => MemberState::LEFT,
--- a/crates/ladderstage/src/membership/state.rs
+++ b/crates/ladderstage/src/membership/state.rs
@@ -54,7 +54,7 @@
     pub fn all(&self) -> Vec<Member> {
         let others = self.others.values().map(|entry| entry.member.clone());
         let mut members: Vec<_> = others.chain([self.own.clone()]).collect();
-        members.sort_by(|left, right| left.node.cmp(&right.node));
+        members.sort_by(|a, b| a.node.cmp(&b.node));
         members
     }
 
