--- a/crates/ladderstage/src/backend/entry.rs
+++ b/crates/ladderstage/src/backend/entry.rs
@@ -4,7 +4,7 @@
 
 use super::health::{Health, HealthRejection};
 use super::listing::{Listing, Placement};
-use super::observation::{ListedBackend, Observed, Report};
+use super::observation::{ListedBackend, ObservationInterval, Report};
 use super::policy::BackendPolicy;
 use super::process::{Processes, ReportEffect};
 use super::traffic::Traffic;
@@ -135,7 +135,7 @@
     pub(super) fn observe_listed(
         &mut self,
         listed: &ListedBackend,
-        observed: Observed,
+        observed: ObservationInterval,
         version: u64,
         policy: &BackendPolicy,
     ) -> bool {
@@ -171,7 +171,7 @@
     }
 
     /// Applies a report with a known observation interval.
-    pub(super) fn observe_report(&mut self, report: &Report, observed: Observed, version: u64) {
+    pub(super) fn observe_report(&mut self, report: &Report, observed: ObservationInterval, version: u64) {
         match self.processes.observe(report, observed, version) {
             ReportEffect::Ignored => return,
             ReportEffect::Confirmed => {}
@@ -200,37 +200,37 @@
         }
     }
 
-    pub(super) fn begin(&mut self, dispatch: u64, now: Duration) {
-        self.traffic.begin(dispatch, now);
-        self.health.begin(dispatch);
+    pub(super) fn start_request(&mut self, dispatch: u64, now: Duration) {
+        self.traffic.start_request(dispatch, now);
+        self.health.start_request(dispatch);
     }
 
-    pub(super) fn end(&mut self, dispatch: u64) {
-        self.traffic.end(dispatch);
-        self.health.end(dispatch);
+    pub(super) fn finish_request(&mut self, dispatch: u64) {
+        self.traffic.finish_request(dispatch);
+        self.health.finish_request(dispatch);
     }
 
     /// Records that a request was answered completely. The caller does not say which one, so the
     /// evidence is as old as the oldest request in flight.
-    pub(super) fn note_success(&mut self) {
+    pub(super) fn record_success(&mut self) {
         self.health.succeed();
         if let Some(sent_at) = self.traffic.oldest() {
             self.record_evidence(sent_at);
         }
     }
 
-    pub(super) fn note_failure(&mut self, now: Duration, policy: &BackendPolicy, jitter: f64) {
+    pub(super) fn record_failure(&mut self, now: Duration, policy: &BackendPolicy, jitter: f64) {
         self.health.fail(now, policy, jitter);
     }
 
-    pub(super) fn note_refusal(&mut self, now: Duration, policy: &BackendPolicy, jitter: f64) {
+    pub(super) fn record_refusal(&mut self, now: Duration, policy: &BackendPolicy, jitter: f64) {
         self.health.refuse(now, policy, jitter);
     }
 
     /// Records that the back end refused a request because it is leaving. If all requests in flight
     /// started after the current process was first seen, the refusal refers to that process;
     /// otherwise it may refer to the previous one.
-    pub(super) fn note_leaving(
+    pub(super) fn record_leaving(
         &mut self,
         now: Duration,
         version: u64,
--- a/crates/ladderstage/src/backend/gossip.rs
+++ b/crates/ladderstage/src/backend/gossip.rs
@@ -6,7 +6,7 @@
 
 use super::entry::Backend;
 use super::listing::Placement;
-use super::observation::{Observed, Report};
+use super::observation::{ObservationInterval, Report};
 use super::table::BackendTable;
 use super::view::age_ms;
 use crate::bundle::PoolKind;
@@ -19,7 +19,7 @@
     /// leaving, and may update the load of the known process.
     Pushed,
     /// Received in answer to an own request; their ages count from when it was sent.
-    Pulled(Observed),
+    Pulled(ObservationInterval),
 }
 
 impl BackendTable {
@@ -33,7 +33,7 @@
         }
     }
 
-    fn observe_pulled(&mut self, report: &BackendReport, observed: Observed) {
+    fn observe_pulled(&mut self, report: &BackendReport, observed: ObservationInterval) {
         let backend = &report.backend;
         self.clear_full_report_request(backend);
         let placement = placement_from_wire(report);
@@ -47,7 +47,7 @@
             return;
         };
         self.suggest_placement(backend, placement);
-        let observed = Observed {
+        let observed = ObservationInterval {
             sent_at,
             ..observed
         };
--- a/crates/ladderstage/src/backend/observation.rs
+++ b/crates/ladderstage/src/backend/observation.rs
@@ -10,7 +10,7 @@
 /// Both are durations since the start of this process. Ages count from `sent_at`; the order of two
 /// answers is certain only if their intervals do not overlap.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Observed {
+pub struct ObservationInterval {
     /// Time at which the request was sent.
     pub sent_at: Duration,
     /// Time at which the answer arrived.
--- a/crates/ladderstage/src/backend/process.rs
+++ b/crates/ladderstage/src/backend/process.rs
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use super::observation::{Observed, Report};
+use super::observation::{ObservationInterval, Report};
 use crate::ids::ProcessId;
 
 /// Maximum number of excluded processes stored per back end. When one is dropped, this many later
@@ -30,8 +30,8 @@
     /// Request time of the report with the highest sequence number.
     pub(super) report_at: Duration,
     /// Observation intervals of the first and the last report.
-    pub(super) first: Observed,
-    last: Observed,
+    pub(super) first: ObservationInterval,
+    last: ObservationInterval,
 }
 
 /// Effect of a report.
@@ -82,7 +82,7 @@
     pub(super) fn observe(
         &mut self,
         report: &Report,
-        observed: Observed,
+        observed: ObservationInterval,
         version: u64,
     ) -> ReportEffect {
         let effect = self.classify(report, observed);
@@ -138,7 +138,7 @@
             .any(|excluded| excluded.process == process)
     }
 
-    fn classify(&mut self, report: &Report, observed: Observed) -> ReportEffect {
+    fn classify(&mut self, report: &Report, observed: ObservationInterval) -> ReportEffect {
         let Some(current) = &mut self.current else {
             self.current = Some(CurrentProcess::new(report, observed));
             return ReportEffect::Replaced;
@@ -162,7 +162,7 @@
             .any(|excluded| excluded.process == process && excluded.replaced)
     }
 
-    fn replace(&mut self, report: &Report, observed: Observed) {
+    fn replace(&mut self, report: &Report, observed: ObservationInterval) {
         self.replaced_at = Some(observed.sent_at);
         let previous = self.current.replace(CurrentProcess::new(report, observed));
         if let Some(previous) = previous {
@@ -206,7 +206,7 @@
 }
 
 impl CurrentProcess {
-    fn new(report: &Report, observed: Observed) -> Self {
+    fn new(report: &Report, observed: ObservationInterval) -> Self {
         Self {
             report: report.clone(),
             report_at: observed.sent_at,
@@ -215,7 +215,7 @@
         }
     }
 
-    fn confirm(&mut self, report: &Report, observed: Observed) {
+    fn confirm(&mut self, report: &Report, observed: ObservationInterval) {
         if observed.received_at > self.last.received_at {
             self.last = observed;
         }
--- a/crates/ladderstage/src/backend/refresh.rs
+++ b/crates/ladderstage/src/backend/refresh.rs
@@ -11,7 +11,7 @@
 use ladderstage_wire::messages::{BackendGossip, BackendRefresh};
 
 use super::entry::Backend;
-use super::observation::{Observed, Report};
+use super::observation::{ObservationInterval, Report};
 use super::table::BackendTable;
 use super::view::age_ms;
 use crate::routing::rendezvous_score;
@@ -91,7 +91,7 @@
         &mut self,
         names: &[&str],
         refresh: &BackendRefresh,
-        observed: Observed,
+        observed: ObservationInterval,
     ) {
         for index in 0..refresh.positions.len() {
             let Some(item) = RefreshItem::read(refresh, index) else {
@@ -104,7 +104,7 @@
         }
     }
 
-    fn observe_item(&mut self, name: &str, item: &RefreshItem, observed: Observed) {
+    fn observe_item(&mut self, name: &str, item: &RefreshItem, observed: ObservationInterval) {
         let Some(backend) = self.backend(name) else {
             return;
         };
@@ -120,7 +120,7 @@
         // A report from before the start of this process is not evidence.
         let age = Duration::from_millis(u64::from(item.age_ms));
         if let Some(sent_at) = observed.sent_at.checked_sub(age) {
-            let observed = Observed {
+            let observed = ObservationInterval {
                 sent_at,
                 ..observed
             };
--- a/crates/ladderstage/src/backend/table.rs
+++ b/crates/ladderstage/src/backend/table.rs
@@ -6,7 +6,7 @@
 use super::description::BackendDescription;
 use super::entry::{Backend, Unusable};
 use super::listing::Placement;
-use super::observation::{ListedBackend, Observed, Report};
+use super::observation::{ListedBackend, ObservationInterval, Report};
 use super::policy::BackendPolicy;
 use crate::routing::Candidate;
 
@@ -59,7 +59,7 @@
     }
 
     /// Applies an answer of the machine list; an answer requested before the last one is ignored.
-    pub fn observe_list(&mut self, machines: &[ListedBackend], observed: Observed) {
+    pub fn observe_list(&mut self, machines: &[ListedBackend], observed: ObservationInterval) {
         if self
             .last_list_at
             .is_some_and(|last| observed.sent_at < last)
@@ -90,7 +90,7 @@
 
     /// Applies a report that this process read itself, or with an equally certain observation
     /// interval.
-    pub fn observe_report(&mut self, name: &str, report: &Report, observed: Observed) {
+    pub fn observe_report(&mut self, name: &str, report: &Report, observed: ObservationInterval) {
         self.change(name, |backend, version, _| {
             backend.observe_report(report, observed, version);
         });
@@ -111,11 +111,11 @@
     }
 
     /// Records the start of a request, which counts as in flight until [`Self::finish_request`].
-    pub fn begin(&mut self, name: &str, now: Duration) -> Dispatch {
+    pub fn start_request(&mut self, name: &str, now: Duration) -> Dispatch {
         let number = self.next_dispatch;
         self.next_dispatch += 1;
         if let Some(backend) = self.backends.get_mut(name) {
-            backend.begin(number, now);
+            backend.start_request(number, now);
         }
         Dispatch {
             backend: name.to_owned(),
@@ -127,49 +127,49 @@
     ///
     /// # Errors
     /// [`Unusable`] if it may not.
-    pub fn try_begin(
+    pub fn try_start_request(
         &mut self,
         name: &str,
         concurrency: u32,
         now: Duration,
     ) -> Result<Dispatch, Unusable> {
         self.check(name, concurrency, now)?;
-        Ok(self.begin(name, now))
+        Ok(self.start_request(name, now))
     }
 
     /// Records the end of a request, whatever its outcome.
-    pub fn end(&mut self, dispatch: &Dispatch) {
+    pub fn finish_request(&mut self, dispatch: &Dispatch) {
         if let Some(backend) = self.backends.get_mut(&dispatch.backend) {
-            backend.end(dispatch.number);
+            backend.finish_request(dispatch.number);
         }
     }
 
     /// Records that a request was answered completely. Call before [`Self::finish_request`].
-    pub fn note_success(&mut self, name: &str) {
+    pub fn record_success(&mut self, name: &str) {
         if let Some(backend) = self.backends.get_mut(name) {
-            backend.note_success();
+            backend.record_success();
         }
     }
 
     /// Records that a request failed. `jitter` is uniform in [0, 1).
-    pub fn note_failure(&mut self, name: &str, now: Duration, jitter: f64) {
+    pub fn record_failure(&mut self, name: &str, now: Duration, jitter: f64) {
         if let Some(backend) = self.backends.get_mut(name) {
-            backend.note_failure(now, &self.policy, jitter);
+            backend.record_failure(now, &self.policy, jitter);
         }
     }
 
     /// Records that the back end refused a request before running it because it is full. `jitter`
     /// is uniform in [0, 1).
-    pub fn note_refusal(&mut self, name: &str, now: Duration, jitter: f64) {
+    pub fn record_refusal(&mut self, name: &str, now: Duration, jitter: f64) {
         if let Some(backend) = self.backends.get_mut(name) {
-            backend.note_refusal(now, &self.policy, jitter);
+            backend.record_refusal(now, &self.policy, jitter);
         }
     }
 
     /// Records that the back end refused a request before running it because it is leaving.
-    pub fn note_leaving(&mut self, name: &str, now: Duration) {
+    pub fn record_leaving(&mut self, name: &str, now: Duration) {
         self.change(name, |backend, version, policy| {
-            backend.note_leaving(now, version, policy);
+            backend.record_leaving(now, version, policy);
         });
     }
 
--- a/crates/ladderstage/src/bundle/document.rs
+++ b/crates/ladderstage/src/bundle/document.rs
@@ -52,7 +52,7 @@
         let found = format!("{length} bytes");
         let allowed = format!("up to {MAX_TEXT_BYTES} bytes");
         parsed.findings = parsed
-            .places
+            .key_positions
             .finding("", found, allowed)
             .into_iter()
             .collect();
@@ -66,7 +66,7 @@
         if self.parsed.well_formed {
             findings.extend(check::cross_check(
                 &self.parsed.value,
-                &self.parsed.places,
+                &self.parsed.key_positions,
                 context,
             ));
         }
--- a/crates/ladderstage/src/claim.rs
+++ b/crates/ladderstage/src/claim.rs
@@ -99,7 +99,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum TakeOverResult {
     /// The log is owned until another writer fences it; holds the state read from it.
-    Taken(ClaimState),
+    Acquired(ClaimState),
     /// Another writer has a higher epoch.
     Fenced,
     /// The key was settled long ago and its outcome has been dropped.
@@ -185,7 +185,7 @@
     ///
     /// Another request's claim of the same content is enough to answer `unknown`: a takeover would
     /// only disturb that claimant. All other states need the certainty of a takeover.
-    pub fn after_look(&self, state: &ClaimState) -> ClaimStep {
+    pub fn after_unfenced_read(&self, state: &ClaimState) -> ClaimStep {
         match state {
             ClaimState::Claimed(claimed)
                 if claimed.claimant != self.own.claimant
@@ -205,7 +205,7 @@
     /// Returns the step after a takeover.
     pub fn after_take_over(&mut self, result: TakeOverResult) -> ClaimStep {
         match result {
-            TakeOverResult::Taken(state) => self.after_acquired(state),
+            TakeOverResult::Acquired(state) => self.after_acquired(state),
             TakeOverResult::Fenced => {
                 self.saw_other_writer = true;
                 self.retry()
--- a/crates/ladderstage/src/document/mod.rs
+++ b/crates/ladderstage/src/document/mod.rs
@@ -6,12 +6,12 @@
 
 mod finding;
 mod nearest;
-mod places;
+mod key_positions;
 mod table;
 mod value;
 
 pub use finding::Finding;
-pub use places::Places;
+pub use key_positions::KeyPositions;
 pub use table::Table;
 pub use value::FromToml;
 
@@ -27,7 +27,7 @@
     /// Findings so far, sorted by position.
     pub findings: Vec<Finding>,
     /// Position of each key.
-    pub places: Places,
+    pub key_positions: KeyPositions,
     /// Whether the text is valid TOML; if not, cross-checks would only report follow-up errors.
     pub well_formed: bool,
 }
@@ -39,19 +39,19 @@
     reader: impl FnOnce(&mut Table<'_>) -> T,
 ) -> ParsedDocument<T> {
     let (root, errors) = DeTable::parse_recoverable(text);
-    let report = Report::new(Places::new(file, text), !errors.is_empty());
+    let report = Report::new(KeyPositions::new(file, text), !errors.is_empty());
     for error in &errors {
         report.add_syntax_error(error);
     }
     let mut table = Table::new(&report, root.get_ref(), String::new());
     let value = reader(&mut table);
     table.finish();
-    let (mut findings, places) = report.into_parts();
+    let (mut findings, key_positions) = report.into_parts();
     finding::sort(&mut findings);
     ParsedDocument {
         value,
         findings,
-        places,
+        key_positions,
         well_formed: errors.is_empty(),
     }
 }
--- a/crates/ladderstage/src/document/table.rs
+++ b/crates/ladderstage/src/document/table.rs
@@ -8,28 +8,28 @@
 
 use super::nearest::nearest;
 use super::value::{describe, shorten};
-use super::{Finding, FromToml, Places};
+use super::{Finding, FromToml, KeyPositions};
 
 /// Findings and key positions collected while a document is read.
 #[derive(Debug)]
 pub(super) struct Report {
-    places: RefCell<Places>,
+    key_positions: RefCell<KeyPositions>,
     findings: RefCell<Vec<Finding>>,
     /// Whether the text has syntax errors; these may hide keys, so missing keys are not reported.
     has_syntax_errors: bool,
 }
 
 impl Report {
-    pub(super) fn new(places: Places, has_syntax_errors: bool) -> Self {
+    pub(super) fn new(key_positions: KeyPositions, has_syntax_errors: bool) -> Self {
         Self {
-            places: RefCell::new(places),
+            key_positions: RefCell::new(key_positions),
             findings: RefCell::default(),
             has_syntax_errors,
         }
     }
 
-    pub(super) fn into_parts(self) -> (Vec<Finding>, Places) {
-        (self.findings.into_inner(), self.places.into_inner())
+    pub(super) fn into_parts(self) -> (Vec<Finding>, KeyPositions) {
+        (self.findings.into_inner(), self.key_positions.into_inner())
     }
 
     pub(super) fn add_syntax_error(&self, error: &toml::de::Error) {
@@ -41,7 +41,7 @@
     /// Adds a finding. A line with a syntax error gets no further findings, as they would be
     /// follow-up errors.
     fn add(&self, offset: usize, found: String, allowed: String) {
-        let finding = self.places.borrow().finding_at(offset, found, allowed);
+        let finding = self.key_positions.borrow().finding_at(offset, found, allowed);
         let mut findings = self.findings.borrow_mut();
         let is_follow_up =
             self.has_syntax_errors && findings.iter().any(|other| other.line == finding.line);
@@ -51,15 +51,15 @@
     }
 
     fn add_at(&self, path: &str, found: String, allowed: String) {
-        let finding = self.places.borrow().finding(path, found, allowed);
+        let finding = self.key_positions.borrow().finding(path, found, allowed);
         self.findings.borrow_mut().extend(finding);
-        self.places.borrow_mut().mark_faulty(path);
+        self.key_positions.borrow_mut().mark_faulty(path);
     }
 
     fn reject(&self, path: &str, value: &Spanned<DeValue<'_>>, allowed: &str) {
         let found = describe(value.get_ref());
         self.add(value.span().start, found, allowed.to_owned());
-        self.places.borrow_mut().mark_faulty(path);
+        self.key_positions.borrow_mut().mark_faulty(path);
     }
 }
 
@@ -237,12 +237,12 @@
             self.report
                 .add_at(&path, found, format!("`{key}` with {allowed}"));
         }
-        self.report.places.borrow_mut().mark_faulty(&path);
+        self.report.key_positions.borrow_mut().mark_faulty(&path);
     }
 
     fn record_position(&self, path: &str, offset: usize) {
         self.report
-            .places
+            .key_positions
             .borrow_mut()
             .record_position(path, offset);
     }
--- a/crates/ladderstage/src/engine_orders/mod.rs
+++ b/crates/ladderstage/src/engine_orders/mod.rs
@@ -10,5 +10,5 @@
 mod wave;
 
 pub use attempt::{Action, Attempt, AttemptOutcome, next_action};
-pub use order::{ORDER_SENDERS_PER_ENGINE, Order, STANDBY_DELAY, caretaker_rank, orders};
+pub use order::{ORDER_SENDERS_PER_ENGINE, Order, STANDBY_DELAY, order_sender_rank, orders};
 pub use wave::{EngineView, WAVE_SHARE_PERCENT, WAVE_TIMEOUT, wave};
--- a/crates/ladderstage/src/engine_orders/order.rs
+++ b/crates/ladderstage/src/engine_orders/order.rs
@@ -45,7 +45,7 @@
 
 /// Returns the rank of `own` among the daemons that send an engine's orders, from 0; `None` if it
 /// is not one of them.
-pub fn caretaker_rank(backend: &str, own: &str, members: &[String]) -> Option<usize> {
+pub fn order_sender_rank(backend: &str, own: &str, members: &[String]) -> Option<usize> {
     let key = format!("engine-caretaker/{backend}");
     rendezvous(key.as_bytes(), members.iter().map(String::as_str))
         .into_iter()
--- a/crates/ladderstage/src/evidence.rs
+++ b/crates/ladderstage/src/evidence.rs
@@ -10,7 +10,7 @@
 
 /// Effect of a piece of evidence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Learned {
+pub enum EvidenceEffect {
     /// The revision held was the newest at that instant.
     Refreshed,
     /// The evidence is about a lower revision or adds nothing.
@@ -30,7 +30,7 @@
 pub struct Evidence {
     held: Revision,
     newest_as_of: Option<Duration>,
-    ahead: Option<NewerRevision>,
+    newer_revision: Option<NewerRevision>,
 }
 
 /// A newer revision that is known but not held yet.
@@ -52,15 +52,15 @@
     }
 
     /// Returns the newer revision that must be fetched, if one is known.
-    pub fn ahead(&self) -> Option<Revision> {
-        self.ahead.map(|newer| newer.revision)
+    pub fn newer_revision(&self) -> Option<Revision> {
+        self.newer_revision.map(|newer| newer.revision)
     }
 
     /// Returns the latest instant at which the revision held was known to be the newest. `None` if
     /// there is no such instant or a newer revision is known: nothing may then be delivered under
     /// the revision held.
     pub fn newest_as_of(&self) -> Option<Duration> {
-        if self.ahead.is_some() {
+        if self.newer_revision.is_some() {
             return None;
         }
         self.newest_as_of
@@ -80,10 +80,10 @@
         }
         self.held = revision;
         self.newest_as_of = None;
-        if let Some(newer) = self.ahead
+        if let Some(newer) = self.newer_revision
             && newer.revision <= revision
         {
-            self.ahead = None;
+            self.newer_revision = None;
             if newer.revision == revision {
                 self.newest_as_of = newer.newest_as_of;
             }
@@ -92,34 +92,34 @@
     }
 
     /// Records that `revision` was the newest one at the instant `as_of`.
-    pub fn learn(&mut self, revision: Revision, as_of: Duration) -> Learned {
+    pub fn observe_newest(&mut self, revision: Revision, as_of: Duration) -> EvidenceEffect {
         self.merge(revision, Some(as_of))
     }
 
     /// Records that `revision` exists, without an instant at which it was the newest.
-    pub fn learn_of(&mut self, revision: Revision) -> Learned {
+    pub fn observe_existence(&mut self, revision: Revision) -> EvidenceEffect {
         self.merge(revision, None)
     }
 
-    fn merge(&mut self, revision: Revision, as_of: Option<Duration>) -> Learned {
+    fn merge(&mut self, revision: Revision, as_of: Option<Duration>) -> EvidenceEffect {
         if revision == 0 || revision < self.held {
-            return Learned::Ignored;
+            return EvidenceEffect::Ignored;
         }
         if revision == self.held {
             // `None` is less than any instant.
             let is_later = as_of > self.newest_as_of;
             self.newest_as_of = self.newest_as_of.max(as_of);
             return if is_later {
-                Learned::Refreshed
+                EvidenceEffect::Refreshed
             } else {
-                Learned::Ignored
+                EvidenceEffect::Ignored
             };
         }
         let newer = NewerRevision {
             revision,
             newest_as_of: as_of,
         };
-        self.ahead = Some(match self.ahead {
+        self.newer_revision = Some(match self.newer_revision {
             Some(known) if known.revision > revision => known,
             Some(known) if known.revision == revision => NewerRevision {
                 revision,
@@ -127,6 +127,6 @@
             },
             _ => newer,
         });
-        Learned::Fetch { revision }
+        EvidenceEffect::Fetch { revision }
     }
 }
--- a/crates/ladderstage/src/journal/heartbeat.rs
+++ b/crates/ladderstage/src/journal/heartbeat.rs
@@ -28,13 +28,13 @@
             return true;
         }
         if epoch == state.promised {
-            self.touch(&owned.log, now);
+            self.record_activity(&owned.log, now);
         }
         false
     }
 
     /// Records a seal, an install or an append by a writer of the log.
-    pub fn touch(&mut self, log: &str, now: Duration) {
+    pub fn record_activity(&mut self, log: &str, now: Duration) {
         match self.last_heartbeat.get_mut(log) {
             Some(last_heartbeat) => *last_heartbeat = now,
             None => {
@@ -56,11 +56,11 @@
         timeout: Duration,
     ) -> Vec<String> {
         let open = open.into_iter().map(|log| (log, timeout));
-        self.silent(open, now, timeout)
+        self.orphaned_by_timeout(open, now, timeout)
     }
 
     /// Like [`HeartbeatTable::orphaned`], with a timeout per log of at most `max_timeout`.
-    pub fn silent(
+    pub fn orphaned_by_timeout(
         &mut self,
         open: impl IntoIterator<Item = (String, Duration)>,
         now: Duration,
--- a/crates/ladderstage/src/journal/quorum.rs
+++ b/crates/ladderstage/src/journal/quorum.rs
@@ -49,7 +49,7 @@
 
     /// Returns whether `replicas` intersects every quorum of the current set, so that one of them
     /// holds whatever any quorum holds.
-    pub fn is_covered_by(&self, replicas: &BTreeSet<ReplicaId>) -> bool {
+    pub fn is_intersected_by(&self, replicas: &BTreeSet<ReplicaId>) -> bool {
         let quorum = self.current.len() / 2 + 1;
         self.current.intersection(replicas).count() + quorum > self.current.len()
     }
--- a/crates/ladderstage/src/journal/read.rs
+++ b/crates/ladderstage/src/journal/read.rs
@@ -60,13 +60,13 @@
 /// Collects descriptions of logs: for each log, that of the newest promise, the greatest length,
 /// and whether any replica reports it closed.
 #[derive(Debug, Clone)]
-pub struct LogSurvey {
+pub struct LogListing {
     quorum: Quorum,
     answered: BTreeSet<u64>,
     logs: BTreeMap<String, LogDescription>,
 }
 
-impl LogSurvey {
+impl LogListing {
     /// Creates a listing from the replicas of `quorum`.
     pub fn new(quorum: Quorum) -> Self {
         Self {
--- a/crates/ladderstage/src/journal/replica_set.rs
+++ b/crates/ladderstage/src/journal/replica_set.rs
@@ -66,7 +66,7 @@
 }
 
 /// Returns the replicas of `next` that must copy the logs before `next` can become current.
-pub fn newcomers(set: &ReplicaSet) -> Vec<&ReplicaMember> {
+pub fn joining_replicas(set: &ReplicaSet) -> Vec<&ReplicaMember> {
     let is_current = |member: &ReplicaMember| contains(&set.current, member.replica_id);
     let next = set.next.iter();
     next.filter(|member| !is_current(member)).collect()
@@ -75,7 +75,7 @@
 /// Returns the set after `set` that brings in a spare for a replica in `lost`; `None` if no replica
 /// is lost or no spare is available. A lost joining replica is replaced first; without a spare for
 /// it, the change is rolled back.
-pub fn propose(
+pub fn propose_replacement(
     set: &ReplicaSet,
     lost: &BTreeSet<ReplicaId>,
     spares: &[ReplicaMember],
@@ -95,7 +95,7 @@
             next,
         });
     }
-    if shrinks(set) {
+    if is_shrinking(set) {
         // The leaving replica copies its logs to all others. If one of them is lost meanwhile, the
         // leaving replica stays in the set.
         return is_any_lost(set, lost).then(|| ReplicaSet {
@@ -104,8 +104,8 @@
             next: Vec::new(),
         });
     }
-    let newcomers = newcomers(set);
-    let lost_newcomer = newcomers
+    let joining_replicas = joining_replicas(set);
+    let lost_newcomer = joining_replicas
         .iter()
         .find(|member| lost.contains(&member.replica_id))?;
     let next = match spare {
@@ -121,7 +121,7 @@
 
 /// Returns the set after `set` that removes a replica without a replacement; `None` if `set` is
 /// joint or fewer than `min_count` replicas would remain.
-pub fn propose_without(
+pub fn propose_removal(
     set: &ReplicaSet,
     leaving: ReplicaId,
     min_count: usize,
@@ -143,7 +143,7 @@
 
 /// Returns the set after `set` that adds a spare; `None` if `set` is joint, already has
 /// `target_count` replicas, or there is no spare.
-pub fn propose_with(
+pub fn propose_addition(
     set: &ReplicaSet,
     target_count: usize,
     spares: &[ReplicaMember],
@@ -165,8 +165,8 @@
 
 /// Returns whether `set` is a joint set that only removes replicas. The leaving replicas then copy
 /// their logs to the remaining ones.
-pub fn shrinks(set: &ReplicaSet) -> bool {
-    !set.next.is_empty() && newcomers(set).is_empty()
+pub fn is_shrinking(set: &ReplicaSet) -> bool {
+    !set.next.is_empty() && joining_replicas(set).is_empty()
 }
 
 /// Returns the replicas of the current set that are not in the next one.
@@ -176,9 +176,9 @@
 }
 
 /// Returns whether `set` is a joint set that only removes replicas and `own` is one of them.
-pub fn is_shrunk_by(set: &ReplicaSet, own: ReplicaId) -> bool {
+pub fn is_removed_by_shrink(set: &ReplicaSet, own: ReplicaId) -> bool {
     let leaving_replicas = leaving_replicas(set);
-    shrinks(set)
+    is_shrinking(set)
         && leaving_replicas
             .iter()
             .any(|member| member.replica_id == own)
--- a/crates/ladderstage/src/journal/writer.rs
+++ b/crates/ladderstage/src/journal/writer.rs
@@ -308,13 +308,13 @@
                 progress.closed |= sent.closes();
             }
             Outcome::FENCED => progress.fenced = true,
-            Outcome::NEEDS_INSTALL => self.on_whole_log_needed(replica),
+            Outcome::NEEDS_INSTALL => self.on_complete_log_needed(replica),
             Outcome::FAILED | Outcome::UNSPECIFIED => {}
         }
     }
 
     /// Records that the replica needs the complete log because it cannot determine what it holds.
-    pub fn on_whole_log_needed(&mut self, replica: ReplicaId) {
+    pub fn on_complete_log_needed(&mut self, replica: ReplicaId) {
         if let Some(progress) = self.progress.get_mut(&replica) {
             progress.held = None;
             progress.kept = 0;
@@ -336,7 +336,7 @@
 
     /// Returns whether no quorum can be formed from the replicas that hold all added entries and
     /// those in `active`, whose answers are still awaited.
-    pub fn is_stuck_without(&self, active: &BTreeSet<ReplicaId>) -> bool {
+    pub fn cannot_commit_with(&self, active: &BTreeSet<ReplicaId>) -> bool {
         let reachable = self.holders().union(active).copied().collect();
         !self.quorum.is_met_by(&reachable)
     }
--- a/crates/ladderstage/src/membership/action.rs
+++ b/crates/ladderstage/src/membership/action.rs
@@ -17,7 +17,7 @@
     /// Ask the helpers to ping the member. If one reached it call
     /// [`Membership::record_contact`](super::Membership::record_contact), otherwise
     /// [`Membership::on_probe_failed`](super::Membership::on_probe_failed).
-    ProbeThrough {
+    IndirectProbe {
         /// Member to ping.
         target: Member,
         /// Members that ping on behalf of this node.
--- a/crates/ladderstage/src/membership/config.rs
+++ b/crates/ladderstage/src/membership/config.rs
@@ -64,7 +64,7 @@
     /// Interval between ticks.
     pub probe_interval: Duration,
     /// Time that a suspect member has to refute before it counts as dead.
-    pub suspicion: Duration,
+    pub suspicion_timeout: Duration,
     /// Number of seed addresses in the settings.
     pub seeds: usize,
 }
--- a/crates/ladderstage/src/membership/isolation.rs
+++ b/crates/ladderstage/src/membership/isolation.rs
@@ -33,7 +33,7 @@
     pub fn silence_timeout(&self) -> Duration {
         let others = self.present().count().max(1) as u32;
         let round = self.config.probe_interval * others;
-        let shortest = self.config.suspicion * SILENT_SUSPICION_TIMEOUTS;
+        let shortest = self.config.suspicion_timeout * SILENT_SUSPICION_TIMEOUTS;
         shortest.max(round * SILENT_ROUNDS)
     }
 
--- a/crates/ladderstage/src/membership/probing.rs
+++ b/crates/ladderstage/src/membership/probing.rs
@@ -28,7 +28,7 @@
 
     /// Handles a member's missing answer to a ping. Returns an indirect probe; if there are no
     /// helpers, the probe has failed. Members that are dead or have left are not probed indirectly.
-    pub fn missed<R: Rng + ?Sized>(
+    pub fn on_missed_probe<R: Rng + ?Sized>(
         &mut self,
         target: &Member,
         now: Duration,
@@ -48,16 +48,16 @@
             .map(|member| (*member).clone())
             .collect();
         if helpers.is_empty() {
-            self.probe_failed(target, now);
+            self.on_probe_failed(target, now);
             return None;
         }
         let target = target.clone();
-        Some(Action::ProbeThrough { target, helpers })
+        Some(Action::IndirectProbe { target, helpers })
     }
 
     /// Handles a member that was reached neither directly nor indirectly. An alive member becomes
     /// suspect; a leaving one counts as left after the same timeout.
-    pub fn probe_failed(&mut self, target: &Member, now: Duration) {
+    pub fn on_probe_failed(&mut self, target: &Member, now: Duration) {
         let Some(entry) = self.others.get_mut(&target.node) else {
             return;
         };
@@ -79,7 +79,7 @@
     fn restart_timers_after_own_pause(&mut self, now: Duration) {
         let pause = now.saturating_sub(self.last_tick);
         self.last_tick = now;
-        if pause < self.config.suspicion / 2 {
+        if pause < self.config.suspicion_timeout / 2 {
             return;
         }
         for entry in self.others.values_mut().filter(|entry| entry.is_present()) {
@@ -89,7 +89,7 @@
     }
 
     fn expire_suspicions(&mut self, now: Duration) {
-        let timeout = self.config.suspicion;
+        let timeout = self.config.suspicion_timeout;
         for (node, entry) in &mut self.others {
             let missed_for = entry.missed_since.map(|since| now.saturating_sub(since));
             let state = match entry.member.state {
--- a/crates/ladderstage/src/membership/state.rs
+++ b/crates/ladderstage/src/membership/state.rs
@@ -67,7 +67,7 @@
     }
 
     /// Records that the member answered or called.
-    pub fn heard_from(&mut self, node: &str, now: Duration) {
+    pub fn record_contact(&mut self, node: &str, now: Duration) {
         if let Some(entry) = self.others.get_mut(node) {
             entry.last_contact = Some(now);
             entry.missed_since = None;
@@ -132,12 +132,12 @@
     }
 
     /// Starts the planned stop of this process, which cannot be undone.
-    pub fn leave(&mut self) {
+    pub fn start_leaving(&mut self) {
         self.leave_as(MemberState::LEAVING);
     }
 
     /// Marks the planned stop of this process as finished.
-    pub fn left(&mut self) {
+    pub fn finish_leaving(&mut self) {
         self.leave_as(MemberState::LEFT);
     }
 
--- a/crates/ladderstage/src/region.rs
+++ b/crates/ladderstage/src/region.rs
@@ -15,7 +15,7 @@
     /// Different zones in one region, or no regions are configured.
     SameRegion,
     /// Different regions, or one of the regions is unknown.
-    Elsewhere,
+    OtherRegion,
 }
 
 impl Distance {
@@ -28,7 +28,7 @@
         } else if from.region == to.region {
             Self::SameRegion
         } else {
-            Self::Elsewhere
+            Self::OtherRegion
         }
     }
 
@@ -38,7 +38,7 @@
             Self::SameMachine => "machine",
             Self::SameZone => "zone",
             Self::SameRegion => "region",
-            Self::Elsewhere => "elsewhere",
+            Self::OtherRegion => "elsewhere",
         }
     }
 }
@@ -158,17 +158,17 @@
     }
 
     /// Returns whether every region is allowed, including unknown ones.
-    pub fn is_all(&self) -> bool {
+    pub fn allows_all(&self) -> bool {
         self.names.is_none()
     }
 
     /// Returns whether no region is allowed.
-    pub fn is_nowhere(&self) -> bool {
+    pub fn allows_none(&self) -> bool {
         self.names.as_ref().is_some_and(|names| names.is_empty())
     }
 
     /// Returns the regions that both `self` and `other` allow.
-    pub fn and(&self, other: &Self) -> Self {
+    pub fn intersect(&self, other: &Self) -> Self {
         match (&self.names, &other.names) {
             (None, _) => other.clone(),
             (_, None) => self.clone(),
@@ -195,7 +195,7 @@
 
 impl fmt::Display for AllowedRegions {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        if self.is_all() {
+        if self.allows_all() {
             return formatter.write_str("all");
         }
         let names: Vec<&str> = self.names().collect();
--- a/crates/ladderstage/src/retry.rs
+++ b/crates/ladderstage/src/retry.rs
@@ -59,7 +59,7 @@
     }
 
     /// Counts a first attempt.
-    pub fn note_first_try(&mut self, now: Duration) {
+    pub fn record_first_attempt(&mut self, now: Duration) {
         self.first_attempts.add(now);
     }
 
--- a/crates/ladderstage/src/shard/pull.rs
+++ b/crates/ladderstage/src/shard/pull.rs
@@ -54,7 +54,7 @@
     Superseded,
     /// The answer that the pull refers to is newer than this state, so this process is not, or is
     /// no longer, the owner.
-    NotYetKnown,
+    UnknownAnswer,
 }
 
 impl PullDecision {
@@ -79,7 +79,7 @@
         match acked {
             Some(acked) => self.pull_from(pull, Some(acked), bound, ages),
             None if pull.after_answer > self.last_answer => {
-                PullDecision::without_entries(PullOutcome::NotYetKnown)
+                PullDecision::without_entries(PullOutcome::UnknownAnswer)
             }
             None => PullDecision::without_entries(PullOutcome::Superseded),
         }
--- a/crates/ladderstage/tests/claim.rs
+++ b/crates/ladderstage/tests/claim.rs
@@ -29,7 +29,7 @@
             _ => self.undecided = None,
         }
         self.epoch += 1;
-        TakeOverResult::Taken(ClaimState::fold(&self.committed))
+        TakeOverResult::Acquired(ClaimState::fold(&self.committed))
     }
 
     /// Returns the state for a reader, whose quorum may or may not include the replica with the
@@ -96,7 +96,7 @@
             Phase::Claiming(ClaimStep::TakeOver)
                 if !std::mem::replace(&mut self.has_read_unfenced, true) =>
             {
-                Phase::Claiming(self.claimant.after_look(&log.read_unfenced(choice)))
+                Phase::Claiming(self.claimant.after_unfenced_read(&log.read_unfenced(choice)))
             }
             Phase::Claiming(ClaimStep::TakeOver) => {
                 self.has_read_unfenced = false;
@@ -138,10 +138,10 @@
 
     fn reopen(&mut self, log: &mut ModelLog, settlement: Settlement, choice: u8) -> Phase {
         match log.take_over(choice) {
-            TakeOverResult::Taken(state) if state.is_open_for(self.claimant.id()) => {
+            TakeOverResult::Acquired(state) if state.is_open_for(self.claimant.id()) => {
                 Phase::Settling(settlement, Some(log.epoch))
             }
-            TakeOverResult::Taken(_) => Phase::Done,
+            TakeOverResult::Acquired(_) => Phase::Done,
             _ => Phase::Settling(settlement, None),
         }
     }
@@ -211,7 +211,7 @@
     let mut untouched = claimant.clone();
     let step = untouched.after_take_over(TakeOverResult::NoQuorum);
     assert_eq!(step, refuse(ClaimRefusal::NotRun));
-    claimant.after_take_over(TakeOverResult::Taken(ClaimState::Unclaimed));
+    claimant.after_take_over(TakeOverResult::Acquired(ClaimState::Unclaimed));
     assert_eq!(
         claimant.after_append(AppendResult::NoQuorum),
         ClaimStep::TakeOver
--- a/crates/ladderstage/tests/shard.rs
+++ b/crates/ladderstage/tests/shard.rs
@@ -204,7 +204,7 @@
                 );
                 return;
             }
-            PullOutcome::NotYetKnown => {
+            PullOutcome::UnknownAnswer => {
                 assert!(!is_present, "the current owner lacks a committed answer");
                 return;
             }
