--- a/crates/ladderstage/src/backend/entry.rs
+++ b/crates/ladderstage/src/backend/entry.rs
@@ -171,7 +171,12 @@
     }
 
     /// Applies a report with a known observation interval.
-    pub(super) fn observe_report(&mut self, report: &Report, observed: ObservationInterval, version: u64) {
+    pub(super) fn observe_report(
+        &mut self,
+        report: &Report,
+        observed: ObservationInterval,
+        version: u64,
+    ) {
         match self.processes.observe(report, observed, version) {
             ReportEffect::Ignored => return,
             ReportEffect::Confirmed => {}
--- a/crates/ladderstage/src/bundle/check.rs
+++ b/crates/ladderstage/src/bundle/check.rs
@@ -78,7 +78,9 @@
 
 impl Checker<'_> {
     fn add(&mut self, path: &str, found: impl Into<String>, allowed: impl Into<String>) {
-        let finding = self.key_positions.finding(path, found.into(), allowed.into());
+        let finding = self
+            .key_positions
+            .finding(path, found.into(), allowed.into());
         self.findings.extend(finding);
     }
 
@@ -246,7 +248,9 @@
     /// findings would only repeat that error.
     fn check_capacity(&mut self, bundle: &Bundle) {
         let has_invalid_pool = bundle.pools.iter().enumerate().any(|(index, pool)| {
-            let faulty = self.key_positions.is_faulty(&format!("pool[{index}].backends"));
+            let faulty = self
+                .key_positions
+                .is_faulty(&format!("pool[{index}].backends"));
             faulty || capacity(pool) == 0
         });
         if has_invalid_pool || bundle.pools.is_empty() {
--- a/crates/ladderstage/src/document/mod.rs
+++ b/crates/ladderstage/src/document/mod.rs
@@ -5,8 +5,8 @@
 //! through [`KeyPositions`].
 
 mod finding;
-mod nearest;
 mod key_positions;
+mod nearest;
 mod table;
 mod value;
 
--- a/crates/ladderstage/src/document/table.rs
+++ b/crates/ladderstage/src/document/table.rs
@@ -41,7 +41,10 @@
     /// Adds a finding. A line with a syntax error gets no further findings, as they would be
     /// follow-up errors.
     fn add(&self, offset: usize, found: String, allowed: String) {
-        let finding = self.key_positions.borrow().finding_at(offset, found, allowed);
+        let finding = self
+            .key_positions
+            .borrow()
+            .finding_at(offset, found, allowed);
         let mut findings = self.findings.borrow_mut();
         let is_follow_up =
             self.has_syntax_errors && findings.iter().any(|other| other.line == finding.line);
--- a/crates/ladderstage/src/journal/replica_set.rs
+++ b/crates/ladderstage/src/journal/replica_set.rs
@@ -105,11 +105,11 @@
         });
     }
     let joining_replicas = joining_replicas(set);
-    let lost_newcomer = joining_replicas
+    let lost_replica = joining_replicas
         .iter()
         .find(|member| lost.contains(&member.replica_id))?;
     let next = match spare {
-        Some(spare) => with_replacement(&set.next, lost_newcomer.replica_id, spare),
+        Some(spare) => with_replacement(&set.next, lost_replica.replica_id, spare),
         None => Vec::new(),
     };
     Some(ReplicaSet {
--- a/crates/ladderstage/tests/backend.rs
+++ b/crates/ladderstage/tests/backend.rs
@@ -178,8 +178,13 @@
     let mut table = table();
     let first = table.try_start_request(NAME, 2, ms(10)).expect("free");
     table.observe_report(NAME, &report(1, 2, false), at(20, 21));
-    table.try_start_request(NAME, 2, ms(30)).expect("one slot left");
-    assert_eq!(table.try_start_request(NAME, 2, ms(30)), Err(Unusable::Busy));
+    table
+        .try_start_request(NAME, 2, ms(30))
+        .expect("one slot left");
+    assert_eq!(
+        table.try_start_request(NAME, 2, ms(30)),
+        Err(Unusable::Busy)
+    );
     table.finish_request(&first);
     let candidates = table.candidates(&[NAME.to_owned()], 2, ms(40));
     assert_eq!(candidates[0].own_in_flight, 1);
--- a/crates/ladderstage/tests/backend_refresh.rs
+++ b/crates/ladderstage/tests/backend_refresh.rs
@@ -4,7 +4,8 @@
 use std::time::Duration;
 
 use ladderstage::backend::{
-    BackendPolicy, BackendTable, GossipOrigin, ListedBackend, MIN_AGE_GAIN, ObservationInterval, Report,
+    BackendPolicy, BackendTable, GossipOrigin, ListedBackend, MIN_AGE_GAIN, ObservationInterval,
+    Report,
 };
 use ladderstage::bundle::PoolKind;
 use ladderstage_wire::messages::{BackendGossip, BackendRefresh};
--- a/crates/ladderstage/tests/claim.rs
+++ b/crates/ladderstage/tests/claim.rs
@@ -96,7 +96,10 @@
             Phase::Claiming(ClaimStep::TakeOver)
                 if !std::mem::replace(&mut self.has_read_unfenced, true) =>
             {
-                Phase::Claiming(self.claimant.after_unfenced_read(&log.read_unfenced(choice)))
+                Phase::Claiming(
+                    self.claimant
+                        .after_unfenced_read(&log.read_unfenced(choice)),
+                )
             }
             Phase::Claiming(ClaimStep::TakeOver) => {
                 self.has_read_unfenced = false;
--- a/crates/ladderstage/tests/engine_orders.rs
+++ b/crates/ladderstage/tests/engine_orders.rs
@@ -5,8 +5,8 @@
 
 use ladderstage::bundle::Bundle;
 use ladderstage::engine_orders::{
-    Action, Attempt, AttemptOutcome, EngineView, Order, WAVE_TIMEOUT, order_sender_rank, next_action,
-    orders, wave,
+    Action, Attempt, AttemptOutcome, EngineView, Order, WAVE_TIMEOUT, next_action,
+    order_sender_rank, orders, wave,
 };
 use proptest::prelude::*;
 
--- a/crates/ladderstage/tests/evidence.rs
+++ b/crates/ladderstage/tests/evidence.rs
@@ -65,7 +65,10 @@
         evidence.observe_newest(1, Duration::from_secs(5)),
         EvidenceEffect::Refreshed
     );
-    assert_eq!(evidence.observe_newest(1, Duration::from_secs(4)), EvidenceEffect::Ignored);
+    assert_eq!(
+        evidence.observe_newest(1, Duration::from_secs(4)),
+        EvidenceEffect::Ignored
+    );
     assert_eq!(
         evidence.observe_newest(2, Duration::from_secs(6)),
         EvidenceEffect::Fetch { revision: 2 }
@@ -76,5 +79,8 @@
         evidence.age(Duration::from_secs(7)),
         Some(Duration::from_secs(1))
     );
-    assert_eq!(evidence.observe_newest(1, Duration::from_secs(9)), EvidenceEffect::Ignored);
+    assert_eq!(
+        evidence.observe_newest(1, Duration::from_secs(9)),
+        EvidenceEffect::Ignored
+    );
 }
--- a/crates/ladderstage/tests/journal/rules.rs
+++ b/crates/ladderstage/tests/journal/rules.rs
@@ -6,7 +6,7 @@
 use crate::simulated_replica::{Outcome, SimulatedReplica, new_replica};
 use crate::support::{LOG, identity, quorum_of};
 use ladderstage::journal::heartbeat::HeartbeatTable;
-use ladderstage::journal::read::{LogRead, LogListing};
+use ladderstage::journal::read::{LogListing, LogRead};
 use ladderstage::journal::replica::{EntryChange, LogState, import, omit_known};
 use ladderstage::journal::writer::{LogWriterState, ReplicaWrite, SealProgress, Sealing};
 use ladderstage::journal::{EpochSource, Quorum, WriterEpoch};
@@ -305,11 +305,25 @@
     let at = Duration::from_secs;
     let open = || [("a".to_owned(), at(1)), ("b".to_owned(), max_timeout)];
     let mut table = HeartbeatTable::default();
-    assert!(table.orphaned_by_timeout(open(), at(100), max_timeout).is_empty());
-    assert_eq!(table.orphaned_by_timeout(open(), at(101), max_timeout), ["a"]);
+    assert!(
+        table
+            .orphaned_by_timeout(open(), at(100), max_timeout)
+            .is_empty()
+    );
+    assert_eq!(
+        table.orphaned_by_timeout(open(), at(101), max_timeout),
+        ["a"]
+    );
     table.record_activity("a", at(101));
-    assert!(table.orphaned_by_timeout(open(), at(101), max_timeout).is_empty());
-    assert_eq!(table.orphaned_by_timeout(open(), at(103), max_timeout), ["a", "b"]);
+    assert!(
+        table
+            .orphaned_by_timeout(open(), at(101), max_timeout)
+            .is_empty()
+    );
+    assert_eq!(
+        table.orphaned_by_timeout(open(), at(103), max_timeout),
+        ["a", "b"]
+    );
 }
 
 #[test]
--- a/crates/ladderstage/tests/journal/support.rs
+++ b/crates/ladderstage/tests/journal/support.rs
@@ -203,17 +203,20 @@
 
     fn copy(&mut self, source: usize) {
         let joining_replicas = replica_set::joining_replicas(&self.set);
-        let Some(newcomer) = joining_replicas.first().map(|member| index_of(member.replica_id)) else {
+        let Some(joining) = joining_replicas
+            .first()
+            .map(|member| index_of(member.replica_id))
+        else {
             return;
         };
         let source = self.set.current[source % self.set.current.len()].replica_id;
         if self.replicas[index_of(source)].lost {
             return;
         }
-        self.replicas[newcomer].learn(&self.set);
+        self.replicas[joining].learn(&self.set);
         self.replicas[index_of(source)].learn(&self.set);
         let exported = self.replicas[index_of(source)].export();
-        self.replicas[newcomer].import(&exported);
+        self.replicas[joining].import(&exported);
         self.copied.insert(source);
     }
 
--- a/crates/ladderstage/tests/membership.rs
+++ b/crates/ladderstage/tests/membership.rs
@@ -60,7 +60,10 @@
             };
             if answers(&target.node) {
                 membership.record_contact(&target.node, now);
-            } else if membership.on_missed_probe(&target, now, &mut random).is_some() {
+            } else if membership
+                .on_missed_probe(&target, now, &mut random)
+                .is_some()
+            {
                 membership.on_probe_failed(&target, now);
             }
         }
