--- a/crates/ladderstage/src/membership/state.rs
+++ b/crates/ladderstage/src/membership/state.rs
@@ -15,7 +15,7 @@
 /// Members known to one node. Instants are durations since the start of its process.
 ///
 /// Invariants: `others` never contains this node's own name; the entry of each other node has the
-/// greatest [`Precedence`](super::Precedence) of all entries merged and not dropped since; this
+/// greatest [`Precedence`] of all entries merged and not dropped since; this
 /// node's own entry is ALIVE, LEAVING or LEFT and only moves forward.
 #[derive(Debug, Clone)]
 pub struct Membership {
