--- a/crates/ladderstage/tests/claim.rs
+++ b/crates/ladderstage/tests/claim.rs
@@ -1,4 +1,5 @@
-//! At-most-once claims: whatever the journal answers, and in whatever order, one key's request runs at most once.
+//! At-most-once claims: whatever the journal answers, and in any order, one key's request runs at
+//! most once.
 
 use ladderstage::claim::{
     AppendResult, ClaimRefusal, ClaimState, ClaimStep, Claimant, Settlement, TakeOverResult,
@@ -6,7 +7,7 @@
 use ladderstage_wire::messages::{ClaimEntry, ClaimOutcome};
 use proptest::prelude::*;
 
-/// One log as its writers see it: an append without an answer stays undecided until the next take-over.
+/// Model of a log: an append without an answer stays undecided until the next takeover.
 #[derive(Default)]
 struct ModelLog {
     epoch: u64,
@@ -15,15 +16,15 @@
 }
 
 impl ModelLog {
-    fn take_over(&mut self, luck: u8) -> TakeOverResult {
-        match luck % 8 {
+    fn take_over(&mut self, choice: u8) -> TakeOverResult {
+        match choice % 8 {
             0 => return TakeOverResult::Fenced,
             1 => return TakeOverResult::NoQuorum,
             2 => {
                 self.epoch += 1;
                 return TakeOverResult::NoQuorum;
             }
-            // A replica of the majority that answered had the undecided entry.
+            // A replica of the majority that answered holds the undecided entry.
             3..=5 => self.committed.extend(self.undecided.take()),
             _ => self.undecided = None,
         }
@@ -31,22 +32,23 @@
         TakeOverResult::Acquired(ClaimState::fold(&self.committed))
     }
 
-    /// What a reader sees, who may or may not meet the replica that holds the undecided entry.
-    fn look(&self, luck: u8) -> ClaimState {
-        let undecided = self.undecided.iter().filter(|_| luck % 2 == 0);
+    /// Returns the state for a reader, whose quorum may or may not include the replica with the
+    /// undecided entry.
+    fn read_unfenced(&self, choice: u8) -> ClaimState {
+        let undecided = self.undecided.iter().filter(|_| choice % 2 == 0);
         ClaimState::fold(self.committed.iter().chain(undecided))
     }
 
-    fn append(&mut self, epoch: u64, entry: ClaimEntry, luck: u8) -> AppendResult {
+    fn append(&mut self, epoch: u64, entry: ClaimEntry, choice: u8) -> AppendResult {
         if epoch != self.epoch {
-            let fenced = luck % 2 == 0;
+            let fenced = choice % 2 == 0;
             return if fenced {
                 AppendResult::Fenced
             } else {
                 AppendResult::NoQuorum
             };
         }
-        match luck % 6 {
+        match choice % 6 {
             0 => {}
             1 => self.undecided = Some(entry),
             2 => self.committed.push(entry),
@@ -62,7 +64,7 @@
 enum Phase {
     Claiming(ClaimStep),
     Running,
-    /// Recording how the request ended, through the log taken over at this epoch, if any.
+    /// Recording the outcome, through the log taken over at this epoch, if any.
     Settling(Settlement, Option<u64>),
     Done,
 }
@@ -73,8 +75,8 @@
     phase: Phase,
     ran: bool,
     refusal: Option<ClaimRefusal>,
-    /// It looked at the log before this take-over.
-    looked: bool,
+    /// Whether the actor has read the log without fencing before this takeover.
+    has_read_unfenced: bool,
 }
 
 impl Actor {
@@ -85,23 +87,28 @@
             phase: Phase::Claiming(ClaimStep::TakeOver),
             ran: false,
             refusal: None,
-            looked: false,
+            has_read_unfenced: false,
         }
     }
 
-    fn step(&mut self, log: &mut ModelLog, luck: u8) {
+    fn step(&mut self, log: &mut ModelLog, choice: u8) {
         self.phase = match std::mem::replace(&mut self.phase, Phase::Done) {
-            Phase::Claiming(ClaimStep::TakeOver) if !std::mem::replace(&mut self.looked, true) => {
-                Phase::Claiming(self.claimant.after_unfenced_read(&log.look(luck)))
+            Phase::Claiming(ClaimStep::TakeOver)
+                if !std::mem::replace(&mut self.has_read_unfenced, true) =>
+            {
+                Phase::Claiming(
+                    self.claimant
+                        .after_unfenced_read(&log.read_unfenced(choice)),
+                )
             }
             Phase::Claiming(ClaimStep::TakeOver) => {
-                self.looked = false;
-                let result = log.take_over(luck);
+                self.has_read_unfenced = false;
+                let result = log.take_over(choice);
                 self.epoch = log.epoch;
                 Phase::Claiming(self.claimant.after_take_over(result))
             }
             Phase::Claiming(ClaimStep::Append(entry)) => {
-                let result = log.append(self.epoch, entry, luck);
+                let result = log.append(self.epoch, entry, choice);
                 Phase::Claiming(self.claimant.after_append(result))
             }
             Phase::Claiming(ClaimStep::Dispatch) => Phase::Running,
@@ -109,11 +116,11 @@
                 self.refusal = Some(refusal);
                 Phase::Done
             }
-            Phase::Running => self.run(luck),
-            Phase::Settling(settlement, None) => self.reopen(log, settlement, luck),
+            Phase::Running => self.run(choice),
+            Phase::Settling(settlement, None) => self.reopen(log, settlement, choice),
             Phase::Settling(settlement, Some(epoch)) => {
                 let entry = settlement.clone().into_entry();
-                match log.append(epoch, entry, luck) {
+                match log.append(epoch, entry, choice) {
                     AppendResult::Committed => Phase::Done,
                     _ => Phase::Settling(settlement, None),
                 }
@@ -122,8 +129,8 @@
         };
     }
 
-    fn run(&mut self, luck: u8) -> Phase {
-        let settlement = match luck % 3 {
+    fn run(&mut self, choice: u8) -> Phase {
+        let settlement = match choice % 3 {
             0 => Settlement::Released,
             1 => Settlement::Unknown,
             _ => Settlement::Answered(answer(self.claimant.id())),
@@ -132,8 +139,8 @@
         Phase::Settling(settlement, Some(self.epoch))
     }
 
-    fn reopen(&mut self, log: &mut ModelLog, settlement: Settlement, luck: u8) -> Phase {
-        match log.take_over(luck) {
+    fn reopen(&mut self, log: &mut ModelLog, settlement: Settlement, choice: u8) -> Phase {
+        match log.take_over(choice) {
             TakeOverResult::Acquired(state) if state.is_open_for(self.claimant.id()) => {
                 Phase::Settling(settlement, Some(log.epoch))
             }
@@ -163,11 +170,11 @@
     fn one_key_runs_at_most_once(schedule in prop::collection::vec((0usize..3, any::<u8>()), 0..60)) {
         let mut log = ModelLog::default();
         let mut actors: Vec<Actor> = (1..=3).map(|id| Actor::new(id, 7)).collect();
-        for (index, luck) in schedule {
-            actors[index].step(&mut log, luck);
-            let at_once = actors.iter().filter(|actor| actor.is_running()).count();
+        for (index, choice) in schedule {
+            actors[index].step(&mut log, choice);
+            let running = actors.iter().filter(|actor| actor.is_running()).count();
             let ran = actors.iter().filter(|actor| actor.ran).count();
-            prop_assert!(at_once + ran <= 1, "{at_once} running, {ran} ran");
+            prop_assert!(running + ran <= 1, "{running} running, {ran} ran");
         }
         for actor in &actors {
             if let Some(ClaimRefusal::Replay(outcome)) = &actor.refusal {
@@ -178,17 +185,17 @@
     }
 }
 
-/// Runs one actor on a log whose calls all succeed.
-fn run_alone(log: &mut ModelLog, mut actor: Actor, run_luck: u8) -> Actor {
+/// Runs one actor on a log on which all calls succeed.
+fn run_alone(log: &mut ModelLog, mut actor: Actor, run_choice: u8) -> Actor {
     for _ in 0..10 {
-        let luck = if actor.is_running() { run_luck } else { 5 };
-        actor.step(log, luck);
+        let choice = if actor.is_running() { run_choice } else { 5 };
+        actor.step(log, choice);
     }
     actor
 }
 
 #[test]
-fn a_second_request_reads_what_became_of_the_first() {
+fn a_second_request_gets_the_outcome_of_the_first() {
     let mut log = ModelLog::default();
     let released = run_alone(&mut log, Actor::new(1, 7), 0);
     assert!(!released.ran);
@@ -201,7 +208,7 @@
 }
 
 #[test]
-fn not_run_is_not_said_once_the_claim_may_stand() {
+fn not_run_is_never_answered_once_the_claim_may_be_stored() {
     let mut claimant = Claimant::new(1, vec![7]);
     let refuse = |refusal| ClaimStep::Refuse(refusal);
     let mut untouched = claimant.clone();
