--- a/crates/front/tests/cold_instances.rs
+++ b/crates/front/tests/cold_instances.rs
@@ -267,10 +267,10 @@
     let services = || BTreeSet::from(["service".to_owned()]);
     let roster = |cold_ms| {
         table.upsert(record("i-1", cold_ms));
-        Roster::of(&table, services(), 1, None)
+        Roster::from_table(&table, services(), 1, None)
     };
     let (cold, still_cold, warm) = (roster(3_000), roster(1_800), roster(0));
-    assert!(cold.is_same(&still_cold) && !still_cold.is_same(&warm));
+    assert!(cold.is_equivalent(&still_cold) && !still_cold.is_equivalent(&warm));
     let reader = limited_table();
     cold.apply(&reader);
     let instance = reader.get("i-1").unwrap();
@@ -289,7 +289,7 @@
     /// A node requests permits; the response takes this many milliseconds, or is lost.
     RequestPermits {
         node: usize,
-        wanted: u32,
+        requested: u32,
         answer_after: Option<u64>,
     },
     /// A node sends as many requests as it may, up to `max_sent`.
@@ -316,7 +316,7 @@
         3 => (200..400u64).prop_map(Step::Elapse),
         3 => (500..1_700u64).prop_map(Step::Elapse),
         8 => (node.clone(), 4..30u32, answer_after)
-            .prop_map(|(node, wanted, answer_after)| Step::RequestPermits { node, wanted, answer_after }),
+            .prop_map(|(node, requested, answer_after)| Step::RequestPermits { node, requested, answer_after }),
         8 => (node.clone(), 4..30u32).prop_map(|(node, max_sent)| Step::Send { node, max_sent }),
         1 => node.prop_map(Step::Restart),
         1 => Just(Step::ChangeLeader),
@@ -375,8 +375,8 @@
         for step in steps {
             match step {
                 Step::Elapse(time) => now += ms(time),
-                Step::RequestPermits { node, wanted, answer_after } => {
-                    let count = ledger.issue("i-1", wanted, limit.permits_per_second, now);
+                Step::RequestPermits { node, requested, answer_after } => {
+                    let count = ledger.issue("i-1", requested, limit.permits_per_second, now);
                     if let Some(after) = answer_after {
                         in_transit.push((now + ms(after), node, count, now + PERMIT_LIFETIME));
                     }
--- a/crates/journal/src/replica.rs
+++ b/crates/journal/src/replica.rs
@@ -30,8 +30,8 @@
 /// Maximum number of logs in one export response.
 const MAX_EXPORTED_LOGS: u32 = 256;
 
-/// Fraction of the owner timeout after which the log of a process that has exited counts as orphaned. It covers one
-/// and a half heartbeat intervals, as the membership information may lag.
+/// Fraction of the owner timeout after which the log of a process that has exited counts as
+/// orphaned. It covers one and a half heartbeat intervals, as the membership information may lag.
 const EXITED_OWNER_TIMEOUT_FRACTION: f64 = 0.4;
 
 /// Handler of journal requests; a node without a data folder refuses them.
@@ -77,7 +77,7 @@
             Ok(storage) => storage,
             Err(refusal) => return refusal,
         };
-        self.touch(&request.log);
+        self.record_activity(&request.log);
         let result = storage.seal(request).await;
         respond(result, ResponseKind::seal)
     }
@@ -87,7 +87,7 @@
             Ok(storage) => storage,
             Err(refusal) => return refusal,
         };
-        self.touch(&request.log);
+        self.record_activity(&request.log);
         let result = storage.install(request).await;
         respond(result, ResponseKind::write)
     }
@@ -182,8 +182,9 @@
         respond(result.map(|_| Done {}), ResponseKind::done)
     }
 
-    /// Returns the open logs whose names start with `prefix` and whose owner was silent for `timeout`. If `has_exited`
-    /// returns true for the owner's process, a fraction of `timeout` suffices.
+    /// Returns the open logs whose names start with `prefix` and whose owner was silent for
+    /// `timeout`. If `has_exited` returns true for the owner's process, a fraction of `timeout`
+    /// suffices.
     pub fn orphaned(
         &self,
         prefix: &str,
@@ -199,7 +200,8 @@
             false => (log, timeout),
         });
         let now = self.now();
-        self.lock_heartbeats().silent(open, now, timeout)
+        self.lock_heartbeats()
+            .orphaned_by_timeout(open, now, timeout)
     }
 
     fn storage_for(&self, log: &str) -> Result<&Storage, Response> {
@@ -209,9 +211,9 @@
         self.storage.as_ref().ok_or_else(not_a_replica)
     }
 
-    fn touch(&self, log: &str) {
+    fn record_activity(&self, log: &str) {
         let now = self.now();
-        self.lock_heartbeats().touch(log, now);
+        self.lock_heartbeats().record_activity(log, now);
     }
 
     fn now(&self) -> Duration {
--- a/crates/ladderstage/tests/backend_refresh.rs
+++ b/crates/ladderstage/tests/backend_refresh.rs
@@ -1,10 +1,11 @@
-//! Reports told in short between two processes that know the same back ends.
+//! Compact exchange of load reports between processes that know the same back ends.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use ladderstage::backend::{
-    BackendPolicy, BackendTable, GossipOrigin, LEAST_GAIN, ListedBackend, Observed, Report,
+    BackendPolicy, BackendTable, GossipOrigin, ListedBackend, MIN_AGE_GAIN, ObservationInterval,
+    Report,
 };
 use ladderstage::bundle::PoolKind;
 use ladderstage_wire::messages::{BackendGossip, BackendRefresh};
@@ -14,8 +15,8 @@
 const PORT: u16 = 80;
 const FRESHNESS: Duration = Duration::from_secs(2);
 
-fn at(sent_ms: u64, received_ms: u64) -> Observed {
-    Observed {
+fn at(sent_ms: u64, received_ms: u64) -> ObservationInterval {
+    ObservationInterval {
         sent_at: Duration::from_millis(sent_ms),
         received_at: Duration::from_millis(received_ms),
     }
@@ -32,7 +33,7 @@
     }
 }
 
-/// A table that was told by the list that both back ends are at this port.
+/// Returns a table with both back ends listed at `port`.
 fn listed(port: u16) -> BackendTable {
     let mut table = BackendTable::new(BackendPolicy::with_freshness(FRESHNESS));
     let machine = |name: &str| ListedBackend {
@@ -46,7 +47,7 @@
     table
 }
 
-/// A table that read this process's report at that time.
+/// Returns a table with a report of `process` that was requested at `sent_ms`.
 fn reader(port: u16, process: u64, sequence: u64, sent_ms: u64) -> BackendTable {
     let mut table = listed(port);
     let observed = at(sent_ms, sent_ms + 1);
@@ -61,7 +62,7 @@
     answer.unwrap()
 }
 
-fn take(asker: &mut BackendTable, answer: &BackendGossip, observed: Observed) {
+fn apply(asker: &mut BackendTable, answer: &BackendGossip, observed: ObservationInterval) {
     asker.observe_gossip(&answer.reports, GossipOrigin::Pulled(observed));
     for refresh in &answer.refreshes {
         asker.observe_refresh(&NAMES, refresh, observed);
@@ -74,34 +75,34 @@
 }
 
 #[test]
-fn a_report_is_told_whole_first_and_in_short_after() {
+fn a_report_is_sent_in_full_first_and_compactly_afterwards() {
     let mut asker = listed(PORT);
     let first = ask(&asker, &reader(PORT, PROCESS, 1, 1_000), 1_100);
     assert_eq!(first.reports.len(), 1);
-    take(&mut asker, &first, at(1_100, 1_110));
+    apply(&mut asker, &first, at(1_100, 1_110));
     assert_eq!(sequence(&asker, 1_110), Some(1));
 
     let second = ask(&asker, &reader(PORT, PROCESS, 9, 3_000), 3_100);
     assert!(second.reports.is_empty());
-    take(&mut asker, &second, at(3_100, 3_400));
+    apply(&mut asker, &second, at(3_100, 3_400));
     assert_eq!(sequence(&asker, 3_400), Some(9));
-    // Evidence dates from the send of the question minus the age told in the answer.
+    // Evidence dates from the time of the request minus the age in the answer.
     assert_eq!(sequence(&asker, 5_000), Some(9));
     assert_eq!(sequence(&asker, 5_001), None);
 }
 
 #[test]
-fn a_report_that_is_hardly_fresher_is_not_told() {
-    let gain = u64::try_from(LEAST_GAIN.as_millis()).unwrap();
+fn a_barely_newer_report_is_not_sent() {
+    let gain = u64::try_from(MIN_AGE_GAIN.as_millis()).unwrap();
     let asker = reader(PORT, PROCESS, 1, 1_000);
-    let hardly = ask(&asker, &reader(PORT, PROCESS, 2, 1_000 + gain - 1), 1_800);
-    assert!(hardly.refreshes[0].positions.is_empty());
+    let barely_newer = ask(&asker, &reader(PORT, PROCESS, 2, 1_000 + gain - 1), 1_800);
+    assert!(barely_newer.refreshes[0].positions.is_empty());
     let enough = ask(&asker, &reader(PORT, PROCESS, 2, 1_000 + gain + 20), 1_800);
     assert_eq!(enough.refreshes[0].positions, [0]);
 }
 
 #[test]
-fn a_short_report_of_another_process_or_address_is_no_evidence() {
+fn a_compact_report_of_another_process_or_address_is_not_evidence() {
     for other in [
         reader(PORT, PROCESS + 1, 9, 4_000),
         reader(PORT + 1, PROCESS, 9, 4_000),
@@ -109,9 +110,9 @@
         let mut asker = reader(PORT, PROCESS, 1, 1_000);
         let answer = ask(&asker, &other, 4_100);
         assert_eq!(answer.refreshes[0].positions, [0]);
-        take(&mut asker, &answer, at(4_100, 4_110));
+        apply(&mut asker, &answer, at(4_100, 4_110));
         assert_eq!(sequence(&asker, 4_110), None);
-        // It is asked for whole the next time.
+        // The full report is requested the next time.
         assert_eq!(ask(&asker, &other, 4_200).reports.len(), 1);
     }
 }
--- a/crates/ladderstage/tests/engine_orders.rs
+++ b/crates/ladderstage/tests/engine_orders.rs
@@ -5,8 +5,8 @@
 
 use ladderstage::bundle::Bundle;
 use ladderstage::engine_orders::{
-    Action, Attempt, AttemptOutcome, EngineView, Order, WAVE_TIMEOUT, caretaker_rank, next_action,
-    orders, wave,
+    Action, Attempt, AttemptOutcome, EngineView, Order, WAVE_TIMEOUT, next_action,
+    order_sender_rank, orders, wave,
 };
 use proptest::prelude::*;
 
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn an_order_is_done_by_report_and_repeated_until_then() {
+fn an_order_is_repeated_until_the_engine_reports_the_version() {
     let order = &orders(&bundle())[0];
     let accepted = Attempt::record(order, 1, None, AttemptOutcome::Accepted, secs(10), 0.5);
     let act = |engine, last, now| next_action(order, engine, true, last, now);
@@ -71,7 +71,7 @@
         act(Some(view(3, false)), Some(&accepted), secs(11)),
         Action::Done
     );
-    // A new process has not heard of it.
+    // A new process has not received the order.
     let restarted = EngineView {
         process: 2,
         ..view(2, false)
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_newer_fence_ends_the_attempts_of_this_order() {
+fn a_newer_fence_supersedes_an_order() {
     let order = &orders(&bundle())[0];
     let outcome = AttemptOutcome::Fenced { fence: 8 };
     let fenced = Attempt::record(order, 1, None, outcome, secs(1), 0.5);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn waves_take_a_share_skip_silent_engines_and_widen() {
+fn waves_select_a_share_skip_engines_without_reports_and_widen() {
     let orders = orders(&bundle());
     let busy = |_: &str| Some(view(2, false));
     assert_eq!(wave(&orders, busy, secs(0)), BTreeSet::from(["e1", "e2"]));
@@ -134,16 +134,16 @@
 }
 
 #[test]
-fn each_engine_has_two_caretakers() {
+fn each_engine_has_two_order_senders() {
     let members: Vec<String> = (0..5).map(|index| format!("d{index}")).collect();
     let ranks = members
         .iter()
-        .filter_map(|own| caretaker_rank("e1", own, &members));
+        .filter_map(|own| order_sender_rank("e1", own, &members));
     assert_eq!(ranks.collect::<BTreeSet<_>>(), BTreeSet::from([0, 1]));
-    assert_eq!(caretaker_rank("e1", "d0", &["d0".to_owned()]), Some(0));
+    assert_eq!(order_sender_rank("e1", "d0", &["d0".to_owned()]), Some(0));
 }
 
-/// An engine that follows fences; some of its swaps fail, and a restart forgets the fence.
+/// An engine that obeys fences. Swaps may fail, and a restart resets the fence.
 #[derive(Default)]
 struct Engine {
     process: u64,
@@ -152,7 +152,7 @@
 }
 
 impl Engine {
-    fn take(&mut self, order: &Order, swap_works: bool) -> AttemptOutcome {
+    fn apply(&mut self, order: &Order, swap_works: bool) -> AttemptOutcome {
         if order.fence < self.fence {
             return AttemptOutcome::Fenced { fence: self.fence };
         }
@@ -164,14 +164,14 @@
     }
 }
 
-/// A daemon that looks after the engine under the bundle it knows.
+/// A daemon that sends the engine's orders under the bundle that it knows.
 #[derive(Default)]
-struct Caretaker {
+struct OrderSender {
     revision: u64,
     last: Option<Attempt>,
 }
 
-impl Caretaker {
+impl OrderSender {
     fn act(&mut self, engine: &mut Engine, now: Duration, swap_works: bool) {
         let known = Bundle {
             revision: self.revision,
@@ -185,7 +185,7 @@
             idle: true,
         };
         if next_action(&order, Some(view), true, self.last.as_ref(), now) == Action::Send {
-            let outcome = engine.take(&order, swap_works);
+            let outcome = engine.apply(&order, swap_works);
             let last = self.last.as_ref();
             self.last = Some(Attempt::record(
                 &order,
@@ -200,29 +200,29 @@
 }
 
 proptest! {
-    /// Two caretakers that learn of bundles at different times, failed swaps and restarts: once both know the newest
-    /// bundle, the engine comes to hold its version and keeps it.
+    /// Two senders learn of bundles at different times, while swaps fail and engines restart. Once
+    /// both know the newest bundle, the engine must hold its version permanently.
     #[test]
-    fn caretakers_that_disagree_converge_on_the_newest_bundle(
+    fn disagreeing_order_senders_converge_on_the_newest_bundle(
         events in prop::collection::vec((0..2_usize, 0..6_u64, prop::bool::ANY, 0..8_u8), 0..40),
     ) {
         let mut engine = Engine { process: 1, ..Engine::default() };
-        let mut caretakers = [Caretaker::default(), Caretaker::default()];
+        let mut senders = [OrderSender::default(), OrderSender::default()];
         let mut now = Duration::ZERO;
-        for (who, revision, swap_works, kind) in events {
+        for (sender_index, revision, swap_works, kind) in events {
             now += Duration::from_millis(700);
-            caretakers[who].revision = caretakers[who].revision.max(revision);
+            senders[sender_index].revision = senders[sender_index].revision.max(revision);
             if kind == 0 {
                 engine = Engine { process: engine.process + 1, ..Engine::default() };
             }
-            caretakers[who].act(&mut engine, now, swap_works);
+            senders[sender_index].act(&mut engine, now, swap_works);
         }
-        for caretaker in &mut caretakers {
-            caretaker.revision = 6;
+        for sender in &mut senders {
+            sender.revision = 6;
         }
         for round in 0..4 {
             now += secs(60);
-            caretakers[round % 2].act(&mut engine, now, true);
+            senders[round % 2].act(&mut engine, now, true);
             prop_assert_eq!(engine.weight_version, 106);
         }
     }
--- a/crates/ladderstage/tests/evidence.rs
+++ b/crates/ladderstage/tests/evidence.rs
@@ -1,21 +1,22 @@
-//! Evidence of the newest bundle against a model that remembers all that was ever said.
+//! Evidence of the newest bundle, checked against a model that stores all statements.
 
 use std::time::Duration;
 
-use ladderstage::evidence::{Evidence, Learned};
+use ladderstage::evidence::{Evidence, EvidenceEffect};
 use proptest::prelude::*;
 
 #[derive(Debug, Clone)]
 enum Event {
-    Learn { revision: u64, as_of: u64 },
-    LearnOf { revision: u64 },
+    ObserveNewest { revision: u64, as_of: u64 },
+    ObserveExistence { revision: u64 },
     Advance { revision: u64 },
 }
 
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        (0..6_u64, 0..100_u64).prop_map(|(revision, as_of)| Event::Learn { revision, as_of }),
-        (0..6_u64).prop_map(|revision| Event::LearnOf { revision }),
+        (0..6_u64, 0..100_u64)
+            .prop_map(|(revision, as_of)| Event::ObserveNewest { revision, as_of }),
+        (0..6_u64).prop_map(|revision| Event::ObserveExistence { revision }),
         (0..6_u64).prop_map(|revision| Event::Advance { revision }),
     ]
 }
@@ -24,21 +25,21 @@
     #[test]
     fn never_claims_more_than_its_sources(events in proptest::collection::vec(event(), 0..60)) {
         let mut evidence = Evidence::new();
-        let mut said: Vec<(u64, Duration)> = Vec::new();
+        let mut statements: Vec<(u64, Duration)> = Vec::new();
         let mut highest_known = 0;
         for event in events {
             let before = evidence.revision();
             match event {
-                Event::Learn { revision, as_of } => {
+                Event::ObserveNewest { revision, as_of } => {
                     let as_of = Duration::from_millis(as_of);
-                    said.push((revision, as_of));
+                    statements.push((revision, as_of));
                     highest_known = highest_known.max(revision);
-                    let learned = evidence.learn(revision, as_of);
-                    prop_assert_eq!(learned == Learned::Fetch { revision }, revision > before);
+                    let learned = evidence.observe_newest(revision, as_of);
+                    prop_assert_eq!(learned == EvidenceEffect::Fetch { revision }, revision > before);
                 }
-                Event::LearnOf { revision } => {
+                Event::ObserveExistence { revision } => {
                     highest_known = highest_known.max(revision);
-                    evidence.learn_of(revision);
+                    evidence.observe_existence(revision);
                 }
                 Event::Advance { revision } => {
                     highest_known = highest_known.max(revision);
@@ -48,10 +49,10 @@
             let held = evidence.revision();
             prop_assert!(held >= before);
             if let Some(claimed) = evidence.newest_as_of() {
-                prop_assert!(said.iter().any(|(revision, as_of)| *revision == held && *as_of >= claimed));
+                prop_assert!(statements.iter().any(|(revision, as_of)| *revision == held && *as_of >= claimed));
                 prop_assert_eq!(highest_known, held);
             }
-            prop_assert_eq!(evidence.ahead(), (highest_known > held).then_some(highest_known));
+            prop_assert_eq!(evidence.newer_revision(), (highest_known > held).then_some(highest_known));
         }
     }
 }
@@ -61,13 +62,16 @@
     let mut evidence = Evidence::new();
     evidence.advance(1);
     assert_eq!(
-        evidence.learn(1, Duration::from_secs(5)),
-        Learned::Refreshed
+        evidence.observe_newest(1, Duration::from_secs(5)),
+        EvidenceEffect::Refreshed
     );
-    assert_eq!(evidence.learn(1, Duration::from_secs(4)), Learned::Ignored);
     assert_eq!(
-        evidence.learn(2, Duration::from_secs(6)),
-        Learned::Fetch { revision: 2 }
+        evidence.observe_newest(1, Duration::from_secs(4)),
+        EvidenceEffect::Ignored
+    );
+    assert_eq!(
+        evidence.observe_newest(2, Duration::from_secs(6)),
+        EvidenceEffect::Fetch { revision: 2 }
     );
     assert_eq!(evidence.age(Duration::from_secs(7)), None);
     evidence.advance(2);
@@ -75,5 +79,8 @@
         evidence.age(Duration::from_secs(7)),
         Some(Duration::from_secs(1))
     );
-    assert_eq!(evidence.learn(1, Duration::from_secs(9)), Learned::Ignored);
+    assert_eq!(
+        evidence.observe_newest(1, Duration::from_secs(9)),
+        EvidenceEffect::Ignored
+    );
 }
--- a/crates/ladderstage/tests/journal/rules.rs
+++ b/crates/ladderstage/tests/journal/rules.rs
@@ -1,4 +1,4 @@
-//! Single rules of the journal: epochs, quorums, replica answers, heartbeats, reads.
+//! Individual rules of the journal: epochs, quorums, replica answers, heartbeats and reads.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use crate::simulated_replica::{Outcome, SimulatedReplica, new_replica};
 use crate::support::{LOG, identity, quorum_of};
 use ladderstage::journal::heartbeat::HeartbeatTable;
-use ladderstage::journal::read::{LogRead, LogSurvey};
+use ladderstage::journal::read::{LogListing, LogRead};
 use ladderstage::journal::replica::{EntryChange, LogState, import, omit_known};
 use ladderstage::journal::writer::{LogWriterState, ReplicaWrite, SealProgress, Sealing};
 use ladderstage::journal::{EpochSource, Quorum, WriterEpoch};
@@ -35,7 +35,7 @@
     sealed.into_writer(reply.entries)
 }
 
-fn pump(writer: &mut LogWriterState, replica: &mut SimulatedReplica) -> Vec<ReplicaWrite> {
+fn write_all(writer: &mut LogWriterState, replica: &mut SimulatedReplica) -> Vec<ReplicaWrite> {
     let mut sent = Vec::new();
     while let Some(write) = writer.next_write(replica.id) {
         let reply = replica.write(&write);
@@ -80,25 +80,25 @@
 }
 
 #[test]
-fn a_delayed_install_does_not_take_back_later_entries() {
+fn a_delayed_install_does_not_remove_later_entries() {
     let mut replica = new_replica(1);
     let mut writer = sealed_writer(epoch(1, 1), &mut replica);
-    let install = pump(&mut writer, &mut replica).remove(0);
+    let install = write_all(&mut writer, &mut replica).remove(0);
     writer.add(vec![entry("a")], false);
-    pump(&mut writer, &mut replica);
+    write_all(&mut writer, &mut replica);
     assert!(writer.is_committed());
     assert_eq!(replica.write(&install).outcome, Outcome::STORED);
     assert_eq!(replica.entries, [entry("a")]);
 }
 
 #[test]
-fn a_paused_writer_is_fenced_after_a_seal_alone() {
+fn a_seal_alone_fences_a_paused_writer() {
     let mut replica = new_replica(1);
     let mut paused = sealed_writer(epoch(1, 1), &mut replica);
-    pump(&mut paused, &mut replica);
+    write_all(&mut paused, &mut replica);
     sealed_writer(epoch(2, 2), &mut replica);
     paused.add(vec![entry("late")], false);
-    pump(&mut paused, &mut replica);
+    write_all(&mut paused, &mut replica);
     assert!(paused.is_fenced());
     assert!(!paused.is_committed());
     assert!(replica.entries.is_empty());
@@ -109,9 +109,9 @@
     let mut replica = new_replica(1);
     let mut writer = sealed_writer(epoch(1, 1), &mut replica);
     writer.add(vec![entry("a")], false);
-    pump(&mut writer, &mut replica);
+    write_all(&mut writer, &mut replica);
     writer.add(vec![entry("b"), entry("c")], true);
-    let sent = pump(&mut writer, &mut replica);
+    let sent = write_all(&mut writer, &mut replica);
     assert_eq!(replica.write(&sent[0]).outcome, Outcome::STORED);
     assert_eq!(replica.entries, [entry("a"), entry("b"), entry("c")]);
     assert!(replica.state.closed && !replica.state.needs_owner());
@@ -121,26 +121,30 @@
 fn an_append_behind_missing_entries_asks_for_an_install() {
     let mut complete = new_replica(1);
     let mut writer = sealed_writer(epoch(1, 1), &mut complete);
-    pump(&mut writer, &mut complete);
+    write_all(&mut writer, &mut complete);
     let appends: Vec<_> = ["a", "b"]
         .into_iter()
         .flat_map(|text| {
             writer.add(vec![entry(text)], false);
-            pump(&mut writer, &mut complete)
+            write_all(&mut writer, &mut complete)
         })
         .collect();
     let mut sealed_only = new_replica(1);
     sealed_writer(epoch(1, 1), &mut sealed_only);
     let reply = sealed_only.write(&appends[0]);
-    assert_eq!(reply.outcome, Outcome::NEEDS_INSTALL, "never installed");
+    assert_eq!(
+        reply.outcome,
+        Outcome::NEEDS_INSTALL,
+        "the log was never installed"
+    );
     let mut installed = new_replica(1);
     let mut other = sealed_writer(epoch(1, 1), &mut installed);
-    pump(&mut other, &mut installed);
+    write_all(&mut other, &mut installed);
     let reply = installed.write(&appends[1]);
-    assert_eq!(reply.outcome, Outcome::NEEDS_INSTALL, "lacks an entry");
+    assert_eq!(reply.outcome, Outcome::NEEDS_INSTALL, "an entry is missing");
 }
 
-/// A writer of `epoch` over three replicas, sealed at the first two.
+/// Returns a writer of `epoch` over three replicas, sealed at the first two.
 fn writer_over_three(epoch: WriterEpoch, replicas: &mut [SimulatedReplica]) -> LogWriterState {
     let mut sealing = Sealing::new(identity(epoch), quorum_of(1..=3));
     let request = sealing.request();
@@ -165,25 +169,25 @@
 }
 
 #[test]
-fn a_take_over_sends_a_replica_only_what_it_lacks() {
+fn a_takeover_sends_a_replica_only_missing_entries() {
     let mut replicas = [1, 2, 3].map(new_replica);
     let mut first = writer_over_three(epoch(1, 1), &mut replicas);
     first.add(vec![entry("a"), entry("b")], false);
     for replica in &mut replicas {
-        pump(&mut first, replica);
+        write_all(&mut first, replica);
     }
     first.add(vec![entry("c")], false);
-    pump(&mut first, &mut replicas[0]);
+    write_all(&mut first, &mut replicas[0]);
     let mut second = writer_over_three(epoch(2, 2), &mut replicas);
     assert_eq!(second.entries(), [entry("a"), entry("b"), entry("c")]);
     let sent: Vec<usize> = replicas
         .iter_mut()
-        .map(|replica| sent_entries(&pump(&mut second, replica)))
+        .map(|replica| sent_entries(&write_all(&mut second, replica)))
         .collect();
     assert_eq!(
         sent,
         [0, 1, 3],
-        "holds all, lacks one, was not asked and lacks one"
+        "holds all entries, lacks one, was not sealed"
     );
     assert!(second.is_committed());
     for replica in &replicas {
@@ -195,15 +199,15 @@
 #[test]
 fn entries_of_another_epoch_are_never_kept() {
     let mut replicas = [1, 2, 3].map(new_replica);
-    let mut lost = writer_over_three(epoch(1, 1), &mut replicas);
-    lost.add(vec![entry("x"), entry("y")], false);
-    pump(&mut lost, &mut replicas[2]);
+    let mut former = writer_over_three(epoch(1, 1), &mut replicas);
+    former.add(vec![entry("x"), entry("y")], false);
+    write_all(&mut former, &mut replicas[2]);
     let mut writer = writer_over_three(epoch(2, 2), &mut replicas);
     writer.add(vec![entry("a"), entry("b")], false);
-    pump(&mut writer, &mut replicas[0]);
-    pump(&mut writer, &mut replicas[1]);
+    write_all(&mut writer, &mut replicas[0]);
+    write_all(&mut writer, &mut replicas[1]);
     let mut next = writer_over_three(epoch(3, 3), &mut replicas);
-    pump(&mut next, &mut replicas[2]);
+    write_all(&mut next, &mut replicas[2]);
     assert_eq!(replicas[2].entries, [entry("a"), entry("b")]);
 }
 
@@ -212,7 +216,7 @@
     let mut replica = new_replica(1);
     let mut writer = sealed_writer(epoch(1, 1), &mut replica);
     writer.add(vec![entry("a")], false);
-    pump(&mut writer, &mut replica);
+    write_all(&mut writer, &mut replica);
     let mut sealing = Sealing::new(identity(epoch(2, 2)), quorum_of(1..=1));
     sealing.on_reply(&replica.seal(&sealing.request()));
     let sealed = sealing.into_sealed();
@@ -222,7 +226,7 @@
 }
 
 #[test]
-fn an_answer_under_another_replica_id_counts_for_nothing() {
+fn an_answer_with_another_replica_id_is_ignored() {
     let mut replica = new_replica(1);
     let mut writer = sealed_writer(epoch(1, 1), &mut replica);
     let write = writer.next_write(1).unwrap();
@@ -252,7 +256,7 @@
 }
 
 #[test]
-fn untended_logs_are_those_whose_owner_fell_silent() {
+fn logs_without_heartbeats_are_orphaned() {
     let timeout = Duration::from_secs(2);
     let at = Duration::from_secs;
     let state = LogState {
@@ -267,45 +271,59 @@
     let mut table = HeartbeatTable::default();
     assert!(
         table.orphaned(open(), at(100), timeout).is_empty(),
-        "a restart gives owners time"
+        "owners get time after a restart of the replica"
     );
     assert!(!table.record(&owned(1), Some(&state), at(101)));
     assert!(table.orphaned(open(), at(102), timeout).is_empty());
     assert!(
         table.record(&owned(0), Some(&state), at(103)),
-        "a lower epoch is told that it is fenced"
+        "a lower epoch is reported as fenced"
     );
     assert_eq!(table.orphaned(open(), at(103), timeout), [LOG]);
     assert!(table.orphaned([], at(103), timeout).is_empty());
 }
 
 #[test]
-fn a_paused_replica_calls_no_log_untended_before_its_owner_had_time_to_be_heard() {
+fn a_paused_replica_gives_owners_time_before_declaring_logs_orphaned() {
     let timeout = Duration::from_secs(2);
     let at = Duration::from_secs;
     let open = || [LOG.to_owned()];
     let mut table = HeartbeatTable::default();
-    table.touch(LOG, at(100));
+    table.record_activity(LOG, at(100));
     assert!(table.orphaned(open(), at(101), timeout).is_empty());
     assert!(
         table.orphaned(open(), at(160), timeout).is_empty(),
-        "the replica was paused from 101 to 160 and heard nobody"
+        "the replica was paused from 101 to 160 and received no heartbeats"
     );
     assert!(table.orphaned(open(), at(161), timeout).is_empty());
     assert_eq!(table.orphaned(open(), at(162), timeout), [LOG]);
 }
 
 #[test]
-fn each_log_may_be_silent_for_a_time_of_its_own() {
-    let longest = Duration::from_secs(3);
+fn each_log_has_its_own_heartbeat_timeout() {
+    let max_timeout = Duration::from_secs(3);
     let at = Duration::from_secs;
-    let open = || [("a".to_owned(), at(1)), ("b".to_owned(), longest)];
+    let open = || [("a".to_owned(), at(1)), ("b".to_owned(), max_timeout)];
     let mut table = HeartbeatTable::default();
-    assert!(table.silent(open(), at(100), longest).is_empty());
-    assert_eq!(table.silent(open(), at(101), longest), ["a"]);
-    table.touch("a", at(101));
-    assert!(table.silent(open(), at(101), longest).is_empty());
-    assert_eq!(table.silent(open(), at(103), longest), ["a", "b"]);
+    assert!(
+        table
+            .orphaned_by_timeout(open(), at(100), max_timeout)
+            .is_empty()
+    );
+    assert_eq!(
+        table.orphaned_by_timeout(open(), at(101), max_timeout),
+        ["a"]
+    );
+    table.record_activity("a", at(101));
+    assert!(
+        table
+            .orphaned_by_timeout(open(), at(101), max_timeout)
+            .is_empty()
+    );
+    assert_eq!(
+        table.orphaned_by_timeout(open(), at(103), max_timeout),
+        ["a", "b"]
+    );
 }
 
 #[test]
@@ -328,7 +346,8 @@
     assert!(unknown.into_newest().is_none());
 }
 
-/// A replica may have promised a higher epoch to a writer that then gave up, and hold nothing of the log itself.
+/// A replica without the log may have promised a higher epoch to a writer that stopped after
+/// sealing.
 #[test]
 fn a_promise_to_another_writer_does_not_hide_a_log() {
     let reply = |replica_id, round, length| DescribeLogsReply {
@@ -345,7 +364,7 @@
         [reply(1, 9, 0), reply(2, 3, 5)],
         [reply(2, 3, 5), reply(1, 9, 0)],
     ] {
-        let mut survey = LogSurvey::new(quorum_of(1..=3));
+        let mut survey = LogListing::new(quorum_of(1..=3));
         replies.into_iter().for_each(|reply| {
             survey.on_reply(reply);
         });
@@ -358,7 +377,7 @@
 }
 
 #[test]
-fn a_copy_leaves_out_what_the_asker_holds_and_never_takes_its_place() {
+fn a_copy_omits_entries_the_receiver_holds_and_never_replaces_newer_ones() {
     let exported = |round, entries: u64| ExportedLog {
         log: LOG.to_owned(),
         promised: epoch(9, 1).to_wire(),
@@ -390,5 +409,5 @@
     let mut behind = exported(5, 2);
     omit_known(&mut behind, &known);
     let decision = import(&LogState::default(), &behind);
-    assert_eq!(decision.entries, EntryChange::Keep, "nothing is lost by it");
+    assert_eq!(decision.entries, EntryChange::Keep, "entries are kept");
 }
--- a/crates/ladderstage/tests/journal/support.rs
+++ b/crates/ladderstage/tests/journal/support.rs
@@ -1,4 +1,4 @@
-//! Writers and a network for the journal's property tests, all in memory.
+//! In-memory writers and network for the journal's property tests.
 
 use std::collections::BTreeSet;
 
@@ -11,7 +11,7 @@
 
 use crate::simulated_replica::{SimulatedReplica, member_of, new_replica};
 
-/// Spare replicas that may take the place of others.
+/// Number of spare replicas that may replace others.
 const SPARES: u64 = 2;
 
 pub const LOG: &str = "shard/trainer/1/0";
@@ -24,7 +24,7 @@
     Writing(LogWriterState),
 }
 
-/// A writer process; `generation` counts its take-overs.
+/// A writer process; `generation` counts its takeovers.
 #[derive(Debug)]
 struct SimulatedWriter {
     epochs: EpochSource,
@@ -45,7 +45,7 @@
 }
 
 impl Message {
-    /// Replica set version of a request.
+    /// Returns the replica set version of a request.
     fn version(&self) -> Option<u64> {
         match self {
             Self::Seal(seal) => Some(seal.replica_set_version),
@@ -64,7 +64,7 @@
     message: Message,
 }
 
-/// One step of an interleaving; numbers are taken modulo what there is.
+/// One step of an interleaving; indexes are taken modulo the number of items.
 #[derive(Debug, Clone)]
 pub enum Step {
     TakeOver {
@@ -89,7 +89,7 @@
     RestartReplica {
         replica: usize,
     },
-    /// Asks for another disk in the place of one, which is lost at that moment or lives on.
+    /// Requests a replacement for a replica, which is lost at that moment or continues to run.
     Replace {
         member: usize,
         is_lost: bool,
@@ -100,21 +100,21 @@
     FenceReplica {
         replica: usize,
     },
-    /// The newcomer fences a current replica and copies its log.
+    /// The joining replica fences a current replica and copies its log.
     Copy {
         source: usize,
     },
     CompleteReplacement,
 }
 
-/// The whole simulation, with the entries that any writer has known to be committed.
+/// The simulation, with the entries known to be committed by any writer.
 #[derive(Debug)]
 pub struct Simulation {
     pub replicas: Vec<SimulatedReplica>,
     pub committed: Vec<LogEntry>,
-    /// The set in the key-value service.
+    /// Replica set stored in the key-value service.
     pub set: ReplicaSet,
-    /// Replicas that the newcomer has copied under `set`.
+    /// Replicas that the joining replica has copied under `set`.
     copied: BTreeSet<u64>,
     writers: Vec<SimulatedWriter>,
     network: Vec<Envelope>,
@@ -180,7 +180,7 @@
         }
     }
 
-    /// One replica at a time is lost, and only as long as a spare is left.
+    /// Replaces one replica at a time, and only while a spare is left.
     fn replace(&mut self, member: usize, is_lost: bool) {
         if !self.set.next.is_empty() {
             return;
@@ -193,7 +193,7 @@
             .map(member_of)
             .collect();
         let lost = BTreeSet::from([replaced]);
-        let Some(joint) = replica_set::propose(&self.set, &lost, &spares) else {
+        let Some(joint) = replica_set::propose_replacement(&self.set, &lost, &spares) else {
             return;
         };
         self.replicas[index_of(replaced)].lost |= is_lost;
@@ -202,18 +202,21 @@
     }
 
     fn copy(&mut self, source: usize) {
-        let newcomers = replica_set::newcomers(&self.set);
-        let Some(newcomer) = newcomers.first().map(|member| index_of(member.replica_id)) else {
+        let joining_replicas = replica_set::joining_replicas(&self.set);
+        let Some(joining) = joining_replicas
+            .first()
+            .map(|member| index_of(member.replica_id))
+        else {
             return;
         };
         let source = self.set.current[source % self.set.current.len()].replica_id;
         if self.replicas[index_of(source)].lost {
             return;
         }
-        self.replicas[newcomer].learn(&self.set);
+        self.replicas[joining].learn(&self.set);
         self.replicas[index_of(source)].learn(&self.set);
         let exported = self.replicas[index_of(source)].export();
-        self.replicas[newcomer].import(&exported);
+        self.replicas[joining].import(&exported);
         self.copied.insert(source);
     }
 
@@ -229,27 +232,27 @@
         }
     }
 
-    /// A last writer that seals any quorum must find every committed entry.
+    /// Checks that a writer sealing any quorum finds every committed entry.
     pub fn check_every_quorum(&self) {
         let quorum = Quorum::new(&self.set);
         for subset in 0u32..1 << self.replicas.len() {
             let is_in = |replica: &&SimulatedReplica| subset & (1 << index_of(replica.id)) != 0;
-            let asked: Vec<_> = self.replicas.iter().filter(is_in).collect();
-            let ids = asked.iter().map(|replica| replica.id).collect();
-            if asked.iter().any(|replica| replica.lost) || !quorum.is_met_by(&ids) {
+            let participants: Vec<_> = self.replicas.iter().filter(is_in).collect();
+            let ids = participants.iter().map(|replica| replica.id).collect();
+            if participants.iter().any(|replica| replica.lost) || !quorum.is_met_by(&ids) {
                 continue;
             }
-            let found = self.adopt_from(&asked);
+            let found = self.adopt_from(&participants);
             assert!(
                 found.starts_with(&self.committed),
-                "lost: replicas {ids:?} know {} of {} committed entries",
+                "lost entries: replicas {ids:?} hold {} of {} committed entries",
                 common_prefix(&found, &self.committed),
                 self.committed.len()
             );
         }
     }
 
-    fn adopt_from(&self, asked: &[&SimulatedReplica]) -> Vec<LogEntry> {
+    fn adopt_from(&self, participants: &[&SimulatedReplica]) -> Vec<LogEntry> {
         let epoch = WriterEpoch {
             round: u64::MAX,
             owner: 99,
@@ -257,14 +260,19 @@
         let mut sealing = Sealing::new(identity(epoch), Quorum::new(&self.set));
         let request = sealing.request();
         let mut progress = SealProgress::Waiting;
-        for replica in asked {
+        for replica in participants {
             progress = sealing.on_reply(&(*replica).clone().seal(&request));
         }
         assert_eq!(progress, SealProgress::Sealed);
         let sealed = sealing.into_sealed();
         let sources = sealed.sources();
-        let source = asked.iter().find(|replica| sources.contains(&replica.id));
-        source.expect("a holder of the newest log").entries.clone()
+        let source = participants
+            .iter()
+            .find(|replica| sources.contains(&replica.id));
+        source
+            .expect("a replica holds the newest log")
+            .entries
+            .clone()
     }
 
     fn take_over(&mut self, index: usize) {
@@ -390,7 +398,7 @@
         assert_eq!(
             entries[..shared],
             self.committed[..shared],
-            "two contents committed at one index"
+            "different entries committed at one index"
         );
         self.committed.extend_from_slice(&entries[shared..]);
     }
--- a/crates/ladderstage/tests/region.rs
+++ b/crates/ladderstage/tests/region.rs
@@ -1,4 +1,4 @@
-//! How far places are from each other, and where work may be served.
+//! Distances between places, and regions in which work may be served.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn the_nearest_comes_first() {
+fn distances_are_ordered_from_near_to_far() {
     let place = |node, zone, region| Place { node, zone, region };
     let here = place("n", "z", "r");
     let others = [
@@ -36,7 +36,7 @@
             Distance::SameMachine,
             Distance::SameZone,
             Distance::SameRegion,
-            Distance::Elsewhere
+            Distance::OtherRegion
         ]
     );
     assert!(distances.is_sorted());
@@ -46,7 +46,7 @@
 fn a_zone_that_the_settings_do_not_name_is_in_no_region() {
     let several = map(&[("a", "east"), ("b", "west")]);
     assert_eq!(several.region_of("c"), None);
-    assert_eq!(several.between_zones("a", "c"), Distance::Elsewhere);
+    assert_eq!(several.between_zones("a", "c"), Distance::OtherRegion);
     assert!(!allowed(&["east"]).permits(several.region_of("c")));
     assert!(AllowedRegions::default().permits(several.region_of("c")));
 }
@@ -54,15 +54,15 @@
 #[test]
 fn bounds_of_route_and_tenant_both_hold() {
     let (east, both) = (allowed(&["east"]), allowed(&["east", "west"]));
-    assert_eq!(both.and(&east), east);
-    assert_eq!(AllowedRegions::default().and(&east), east);
-    assert_eq!(east.and(&AllowedRegions::default()), east);
-    assert!(east.and(&allowed(&["west"])).is_nowhere());
-    assert!(!AllowedRegions::default().is_nowhere());
+    assert_eq!(both.intersect(&east), east);
+    assert_eq!(AllowedRegions::default().intersect(&east), east);
+    assert_eq!(east.intersect(&AllowedRegions::default()), east);
+    assert!(east.intersect(&allowed(&["west"])).allows_none());
+    assert!(!AllowedRegions::default().allows_none());
 }
 
 proptest! {
-    /// Deployments with one region, or without any, know no greater distance than between two zones.
+    /// With one region, or none, no distance exceeds that between two zones.
     #[test]
     fn one_region_is_like_none(
         zones in prop::collection::btree_set("[a-e]", 0..5),
@@ -76,11 +76,11 @@
             .collect();
         let distance = RegionMap::new(named).between_zones(&from, &to);
         prop_assert_eq!(distance, RegionMap::default().between_zones(&from, &to));
-        prop_assert!(distance < Distance::Elsewhere);
+        prop_assert!(distance < Distance::OtherRegion);
     }
 
     #[test]
-    fn what_both_permit_is_permitted(
+    fn the_intersection_permits_what_both_permit(
         one in prop::option::of(prop::collection::vec("[a-d]", 0..4)),
         other in prop::option::of(prop::collection::vec("[a-d]", 0..4)),
         region in prop::option::of("[a-e]"),
@@ -91,6 +91,6 @@
         };
         let (one, other) = (bounds(&one), bounds(&other));
         let region = region.as_deref();
-        prop_assert_eq!(one.and(&other).permits(region), one.permits(region) && other.permits(region));
+        prop_assert_eq!(one.intersect(&other).permits(region), one.permits(region) && other.permits(region));
     }
 }
