--- a/crates/daemon/src/http/applications.rs
+++ b/crates/daemon/src/http/applications.rs
@@ -122,7 +122,7 @@
             let whole = convert::whole(answer.status, answer.headers, body);
             LiveAnswer::whole(whole, guard, end)
         }
-        AnswerBody::Arriving(body) => {
+        AnswerBody::Streamed(body) => {
             let status = answer.status.as_u16();
             LiveAnswer::relayed(status, &answer.headers, body, guard, end)
         }
--- a/crates/daemon/src/http/applications/convert.rs
+++ b/crates/daemon/src/http/applications/convert.rs
@@ -63,16 +63,16 @@
 pub(super) async fn recorded(answer: ApplicationAnswer) -> Result<RecordedAnswer, LiveError> {
     let body = match answer.body {
         AnswerBody::Whole(body) => body,
-        AnswerBody::Arriving(mut arriving) => {
+        AnswerBody::Streamed(mut streamed) => {
             let too_long = LiveError::AnswerTooLong {
                 limit: MAX_KEYED_BODY_BYTES,
             };
-            let length = usize::try_from(arriving.length()).unwrap_or(usize::MAX);
+            let length = usize::try_from(streamed.length()).unwrap_or(usize::MAX);
             if length > MAX_KEYED_BODY_BYTES {
                 return Err(too_long);
             }
             let mut gathered = BytesMut::with_capacity(length);
-            while let Some(bytes) = arriving.next().await? {
+            while let Some(bytes) = streamed.next().await? {
                 gathered.extend_from_slice(&bytes);
             }
             gathered.freeze()
--- a/crates/daemon/src/http/completions.rs
+++ b/crates/daemon/src/http/completions.rs
@@ -67,7 +67,7 @@
 
 impl Prepared {
     async fn run(self, live: &LivePath, guard: DrainGuard, end: RequestEnd) -> LiveAnswer {
-        let id = end.id().shown().to_owned();
+        let id = end.id().caller_id().to_owned();
         let stream = self.body.stream;
         let call = CompletionCall {
             prompt: self.body.prompt,
@@ -78,11 +78,11 @@
         let result = match self.keyed {
             // Recorded before it is given, so also a streamed answer comes whole.
             Some(keyed) => {
-                let run = gather(completion, model, id, stream);
+                let run = collect(completion, model, id, stream);
                 live.run_once(keyed, guard.clone(), run).await
             }
             None if stream => return events::stream(completion, model, guard, end).await,
-            None => gather(completion, model, id, false).await,
+            None => collect(completion, model, id, false).await,
         };
         match result {
             Ok(answer) => LiveAnswer::whole(answer, guard, end),
@@ -91,13 +91,13 @@
     }
 }
 
-async fn gather(
+async fn collect(
     completion: Completion,
     model: String,
     id: String,
     as_events: bool,
 ) -> Result<RecordedAnswer, LiveError> {
-    let progress = completion.gather().await?;
+    let progress = completion.collect().await?;
     if as_events {
         return Ok(events::whole(&progress, &model, &id));
     }
--- a/crates/daemon/src/http/completions/events.rs
+++ b/crates/daemon/src/http/completions/events.rs
@@ -33,7 +33,7 @@
     guard: DrainGuard,
     end: RequestEnd,
 ) -> LiveAnswer {
-    let id = end.id().shown().to_owned();
+    let id = end.id().caller_id().to_owned();
     let first = match completion.next().await {
         Ok(Some(chunk)) => chunk,
         Ok(None) => {
--- a/crates/daemon/src/http/outcome/body.rs
+++ b/crates/daemon/src/http/outcome/body.rs
@@ -9,7 +9,7 @@
 
 use super::RequestEnd;
 use crate::drain::DrainGuard;
-use crate::live::{ArrivingBody, Outcome, REASON_ANSWERED};
+use crate::live::{Outcome, REASON_ANSWERED, StreamedBody};
 
 /// Bytes of a relayed body that may wait for a slow caller.
 const RELAY_BUFFER_BYTES: usize = 64 * 1024;
@@ -39,7 +39,7 @@
     }
 
     /// Relays a body as it arrives. The relay stops when the caller goes away.
-    pub(super) fn relayed(body: Box<ArrivingBody>, guard: DrainGuard, end: RequestEnd) -> Self {
+    pub(super) fn relayed(body: Box<StreamedBody>, guard: DrainGuard, end: RequestEnd) -> Self {
         let (writer, reader) = tokio::io::duplex(RELAY_BUFFER_BYTES);
         tokio::spawn(relay(body, writer, end));
         Self {
@@ -49,7 +49,7 @@
     }
 }
 
-async fn relay(mut body: Box<ArrivingBody>, mut writer: DuplexStream, end: RequestEnd) {
+async fn relay(mut body: Box<StreamedBody>, mut writer: DuplexStream, end: RequestEnd) {
     loop {
         match body.next().await {
             Ok(Some(bytes)) => {
--- a/crates/daemon/src/http/outcome/end.rs
+++ b/crates/daemon/src/http/outcome/end.rs
@@ -45,10 +45,12 @@
     fn write(&mut self, outcome: Outcome, reason: &str) {
         self.recorded = true;
         let elapsed = self.started.elapsed();
-        self.live.metrics().note_end(outcome, reason, elapsed);
+        self.live
+            .metrics()
+            .record_completion(outcome, reason, elapsed);
         log::info!(
             "event=live_request request={} outcome={} reason={reason} ms={}",
-            self.id.shown(),
+            self.id.caller_id(),
             outcome.as_str(),
             elapsed.as_millis()
         );
--- a/crates/daemon/src/http/outcome/mod.rs
+++ b/crates/daemon/src/http/outcome/mod.rs
@@ -24,7 +24,7 @@
 pub use request_headers::CallerHeaders;
 
 use crate::drain::DrainGuard;
-use crate::live::{ArrivingBody, LiveError, Outcome, REASON_ANSWERED, RecordedAnswer};
+use crate::live::{LiveError, Outcome, REASON_ANSWERED, RecordedAnswer, StreamedBody};
 use request_headers::REQUEST_ID;
 
 /// What became of the request: `completed`, `not-run` or `unknown`.
@@ -54,7 +54,7 @@
 impl LiveAnswer {
     /// A whole answer.
     pub fn whole(answer: RecordedAnswer, guard: DrainGuard, end: RequestEnd) -> Self {
-        let mut headers = answer_headers(&answer.headers, end.id().shown());
+        let mut headers = answer_headers(&answer.headers, end.id().caller_id());
         headers.push(Header::new(OUTCOME, Outcome::Completed.as_str()));
         if !answer.content_type.is_empty() {
             headers.push(Header::new("Content-Type", answer.content_type));
@@ -74,11 +74,11 @@
     pub fn relayed(
         status: u16,
         headers: &HeaderMap,
-        body: Box<ArrivingBody>,
+        body: Box<StreamedBody>,
         guard: DrainGuard,
         end: RequestEnd,
     ) -> Self {
-        let mut headers = answer_headers(headers, end.id().shown());
+        let mut headers = answer_headers(headers, end.id().caller_id());
         headers.push(Header::new(OUTCOME, Outcome::Completed.as_str()));
         let length = usize::try_from(body.length()).unwrap_or(usize::MAX);
         Self {
@@ -106,7 +106,7 @@
     /// A refusal, recorded as the request's end.
     pub fn refused(refusal: impl Into<Refusal>, end: RequestEnd) -> Self {
         let refusal = refusal.into();
-        let id = end.id().shown().to_owned();
+        let id = end.id().caller_id().to_owned();
         let has_key = end.has_key();
         let outcome = refusal.outcome(has_key);
         end.record(outcome, refusal.code());
--- a/crates/daemon/src/http/trainers/model.rs
+++ b/crates/daemon/src/http/trainers/model.rs
@@ -67,7 +67,12 @@
 }
 
 impl<'a> SubmittedBody<'a> {
-    pub(super) fn new(trainer: &'a str, step: u64, spec: &ShardSpec, submitted: SubmittedStep) -> Self {
+    pub(super) fn new(
+        trainer: &'a str,
+        step: u64,
+        spec: &ShardSpec,
+        submitted: SubmittedStep,
+    ) -> Self {
         Self {
             trainer,
             step,
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -5,7 +5,6 @@
 
 pub mod backends;
 pub mod bundles;
-mod members_cache;
 pub mod claims;
 pub mod drain;
 pub mod hooks;
@@ -13,6 +12,7 @@
 pub mod live;
 pub mod logging;
 pub mod members;
+mod members_cache;
 pub mod metrics;
 pub mod node;
 pub mod orders;
--- a/crates/daemon/src/live/application.rs
+++ b/crates/daemon/src/live/application.rs
@@ -1,4 +1,4 @@
-//! One application request: forwarded, and repeated only where that is harmless.
+//! Forwards an application request to a back end and retries it only if it is idempotent or certainly did not run.
 
 use bytes::{Bytes, BytesMut};
 use ladderstage_platform::application::{
@@ -12,11 +12,11 @@
 use super::attempts::{Attempt, Attempts};
 use super::{LiveError, Permit};
 
-/// Longest answer that is read whole before any of it is passed on, in bytes: if it is cut, the request can still be
-/// repeated or answered with a typed error. Longer ones are passed on as they come.
-pub const MAX_GATHERED_BYTES: u64 = 256 * 1024;
+/// Largest answer, in bytes, that is buffered completely before it is sent to the caller. If such an answer is
+/// truncated, the request can still be retried. Longer answers are streamed.
+pub const MAX_BUFFERED_BYTES: u64 = 256 * 1024;
 
-/// What a caller wants forwarded.
+/// Request to forward to an application.
 #[derive(Debug, Clone)]
 pub struct ApplicationCall {
     /// HTTP method.
@@ -25,18 +25,18 @@
     pub path: String,
     /// Query without the question mark.
     pub query: Option<String>,
-    /// Headers to pass on.
+    /// Headers to forward.
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
 }
 
-/// An application's answer.
+/// Answer of an application.
 #[derive(Debug)]
 pub struct ApplicationAnswer {
     /// Status code.
     pub status: StatusCode,
-    /// Headers to pass on.
+    /// Headers to send to the caller.
     pub headers: HeaderMap,
     /// Body.
     pub body: AnswerBody,
@@ -45,41 +45,41 @@
 /// Body of an application's answer.
 #[derive(Debug)]
 pub enum AnswerBody {
-    /// Whole.
+    /// The complete body.
     Whole(Bytes),
-    /// Still arriving.
-    Arriving(Box<ArrivingBody>),
+    /// A body that is still being received.
+    Streamed(Box<StreamedBody>),
 }
 
-/// A long body that is passed on as it comes. Counts as under way until dropped.
+/// Body that is streamed to the caller as it is received. Counts as in flight until dropped.
 #[derive(Debug)]
-pub struct ArrivingBody {
+pub struct StreamedBody {
     body: SizedBody,
     attempts: Attempts,
     attempt: Attempt,
 }
 
-impl ArrivingBody {
-    /// Declared length in bytes.
+impl StreamedBody {
+    /// Returns the declared length in bytes.
     pub fn length(&self) -> u64 {
         self.body.length()
     }
 
-    /// The next bytes; `None` once the body is whole.
+    /// Returns the next bytes, or `None` at the end of the body.
     ///
     /// # Errors
-    /// [`LiveError`] if it is cut or not whole at the deadline.
+    /// [`LiveError`] if the body is truncated or incomplete at the deadline.
     pub async fn next(&mut self) -> Result<Option<Bytes>, LiveError> {
         match timeout_at(self.attempts.permit.deadline, self.body.next()).await {
             Ok(Ok(Some(bytes))) => Ok(Some(bytes)),
             Ok(Ok(None)) => {
-                self.attempts.succeed(&self.attempt);
+                self.attempts.record_success(&self.attempt);
                 Ok(None)
             }
-            Ok(Err(cut)) => {
-                self.attempts.note_broken(&self.attempt);
+            Ok(Err(error)) => {
+                self.attempts.record_failure(&self.attempt);
                 Err(LiveError::AnswerLost {
-                    detail: cut.to_string(),
+                    detail: error.to_string(),
                 })
             }
             Err(_) => Err(LiveError::DeadlineExceeded),
@@ -87,10 +87,10 @@
     }
 }
 
-/// Runs one application request.
+/// Forwards an application request, with retries.
 ///
 /// # Errors
-/// [`LiveError`] once it is given up, at the latest at the deadline.
+/// [`LiveError`] if no further attempt is possible or the deadline passes.
 pub async fn forward(
     permit: Permit,
     call: &ApplicationCall,
@@ -98,18 +98,18 @@
     let repeatable = is_idempotent(&call.method) && !permit.options.at_most_once;
     let mut attempts = Attempts::new(permit, repeatable);
     loop {
-        let attempt = attempts.begin(None)?;
-        let limit = Instant::now() + attempts.patience();
-        let failure = match timeout_at(limit, answer(&attempts, &attempt, call)).await {
-            Ok(Ok(answer)) => return Ok(pass_on(attempts, attempt, answer)),
+        let attempt = attempts.start_next(None)?;
+        let limit = Instant::now() + attempts.response_timeout();
+        let failure = match timeout_at(limit, try_forward(&attempts, &attempt, call)).await {
+            Ok(Ok(response)) => return Ok(into_answer(attempts, attempt, response)),
             Ok(Err(error)) => error,
             Err(_) => DispatchError::Unknown("no answer in time".to_owned()),
         };
-        attempts.fail(attempt, &failure).await?;
+        attempts.retry_after_failure(attempt, &failure).await?;
     }
 }
 
-/// Methods that HTTP calls idempotent (RFC 9110, 9.2.2).
+/// Returns whether HTTP defines the method as idempotent (RFC 9110, 9.2.2).
 pub fn is_idempotent(method: &Method) -> bool {
     [
         Method::GET,
@@ -122,7 +122,7 @@
     .contains(method)
 }
 
-async fn answer(
+async fn try_forward(
     attempts: &Attempts,
     attempt: &Attempt,
     call: &ApplicationCall,
@@ -139,43 +139,44 @@
     let mut response = client
         .forward(attempt.address, &request, attempt.fresh_connection)
         .await?;
-    response.body = gather_short(response.body).await?;
+    response.body = buffer_short_body(response.body).await?;
     Ok(response)
 }
 
-async fn gather_short(body: ApplicationBody) -> Result<ApplicationBody, DispatchError> {
+async fn buffer_short_body(body: ApplicationBody) -> Result<ApplicationBody, DispatchError> {
     match body {
-        ApplicationBody::Sized(body) if body.length() <= MAX_GATHERED_BYTES => {
-            gather(body).await.map(ApplicationBody::Whole)
+        ApplicationBody::Sized(body) if body.length() <= MAX_BUFFERED_BYTES => {
+            read_body(body).await.map(ApplicationBody::Whole)
         }
         other => Ok(other),
     }
 }
 
-async fn gather(mut body: SizedBody) -> Result<Bytes, DispatchError> {
+async fn read_body(mut body: SizedBody) -> Result<Bytes, DispatchError> {
     let mut whole = BytesMut::with_capacity(body.length() as usize);
-    let lost = |cut: ladderstage_platform::application::BodyCut| DispatchError::Unknown(cut.0);
-    while let Some(bytes) = body.next().await.map_err(lost)? {
+    let unknown =
+        |error: ladderstage_platform::application::BodyCut| DispatchError::Unknown(error.0);
+    while let Some(bytes) = body.next().await.map_err(unknown)? {
         whole.extend_from_slice(&bytes);
     }
     Ok(whole.freeze())
 }
 
-fn pass_on(
+fn into_answer(
     attempts: Attempts,
     attempt: Attempt,
     response: ApplicationResponse,
 ) -> ApplicationAnswer {
     let body = match response.body {
         ApplicationBody::Whole(bytes) if response.status.is_server_error() => {
-            attempts.note_broken(&attempt);
+            attempts.record_failure(&attempt);
             AnswerBody::Whole(bytes)
         }
         ApplicationBody::Whole(bytes) => {
-            attempts.succeed(&attempt);
+            attempts.record_success(&attempt);
             AnswerBody::Whole(bytes)
         }
-        ApplicationBody::Sized(body) => AnswerBody::Arriving(Box::new(ArrivingBody {
+        ApplicationBody::Sized(body) => AnswerBody::Streamed(Box::new(StreamedBody {
             body,
             attempts,
             attempt,
--- a/crates/daemon/src/live/attempts.rs
+++ b/crates/daemon/src/live/attempts.rs
@@ -1,5 +1,4 @@
-//! The attempts of one request: which back end each goes to, whether there is another, and what is certain when
-//! there is none.
+//! The attempts of one request: chooses a back end for each, decides on retries and determines the final outcome.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,17 +10,17 @@
 use super::{LiveError, Permit};
 use crate::backends::{Backends, InFlightGuard};
 
-/// Shortest time that an attempt is given while another may follow.
+/// Minimum response timeout of an attempt that may be retried.
 const MIN_ATTEMPT: Duration = Duration::from_millis(500);
 
-/// One attempt at one back end; counted as under way there until dropped.
+/// One attempt at one back end. Counts as in flight there until dropped.
 #[derive(Debug)]
 pub(super) struct Attempt {
     pub(super) backend: String,
     pub(super) address: SocketAddr,
-    /// Id that the back end is given; no other attempt has it.
+    /// Unique id of this attempt, sent to the back end.
     pub(super) id: String,
-    /// The attempt must not reuse a connection: it must not run twice, or follows one that broke.
+    /// The attempt must use a new connection: it is a retry, or the request must not run twice.
     pub(super) fresh_connection: bool,
     _in_flight: InFlightGuard,
 }
@@ -30,11 +29,11 @@
 #[derive(Debug)]
 pub(super) struct Attempts {
     pub(super) permit: Permit,
-    /// The request may be run again after an attempt whose outcome is unknown.
+    /// The request may be retried after an attempt whose outcome is unknown.
     repeatable: bool,
     count: u32,
     tried: Vec<String>,
-    /// An attempt may have run. Never goes back to false.
+    /// An attempt may have run. Never reset to false.
     may_have_run: bool,
     last_failure: Option<Failure>,
 }
@@ -43,7 +42,7 @@
 struct Failure {
     detail: String,
     retry_after: Option<Duration>,
-    /// The back end itself refused, so asking it again at once is of no use.
+    /// The back end refused the request, so an immediate retry there would fail too.
     refused: bool,
 }
 
@@ -63,8 +62,8 @@
         self.repeatable
     }
 
-    /// How long the back end of the current attempt may take to begin its answer.
-    pub(super) fn patience(&self) -> Duration {
+    /// Returns how long the back end may take to start its answer.
+    pub(super) fn response_timeout(&self) -> Duration {
         let remaining = self.permit.remaining();
         if !self.repeatable {
             return remaining;
@@ -72,57 +71,63 @@
         (remaining / 2).max(MIN_ATTEMPT).min(remaining)
     }
 
-    /// Chooses the back end of the next attempt, one that was not tried yet if there is any.
-    pub(super) fn begin(&mut self, prefix: Option<&[u8]>) -> Result<Attempt, LiveError> {
+    /// Starts the next attempt, preferably at a back end that was not tried yet.
+    ///
+    /// # Errors
+    /// [`LiveError`] if the deadline has passed or no back end accepts work.
+    pub(super) fn start_next(&mut self, prefix: Option<&[u8]>) -> Result<Attempt, LiveError> {
         if self.permit.remaining().is_zero() {
-            return Err(self.given_up());
+            return Err(self.final_error());
         }
         let mut candidates = self.candidates();
-        while let Some(index) = self.pick(&candidates, prefix) {
+        while let Some(index) = self.choose_index(&candidates, prefix) {
             let candidate = candidates.swap_remove(index);
             if let Some(in_flight) = self
                 .backends()
                 .try_start_request(&self.permit.pool, &candidate.name)
             {
-                return Ok(self.attempt(candidate, in_flight));
+                return Ok(self.new_attempt(candidate, in_flight));
             }
         }
-        Err(self.given_up())
+        Err(self.final_error())
     }
 
-    /// Takes in a failure of the current attempt, and waits the back-off if there may be another.
-    pub(super) async fn fail(
+    /// Records a failed attempt and waits for the back-off before the next one.
+    ///
+    /// # Errors
+    /// [`LiveError`] if the request must not be retried.
+    pub(super) async fn retry_after_failure(
         &mut self,
         attempt: Attempt,
         error: &DispatchError,
     ) -> Result<(), LiveError> {
-        self.note(&attempt.backend, error);
+        self.handle_failure(&attempt.backend, error);
         let certain = error.certainly_not_run();
         self.may_have_run |= !certain;
         drop(attempt);
         if !certain && !self.repeatable {
-            return Err(self.given_up());
+            return Err(self.final_error());
         }
         match self.permit.spend_retry(self.count.saturating_sub(1)) {
             Ok(wait) => tokio::time::sleep(wait).await,
-            Err(refusal) => return Err(self.given_up_because(refusal)),
+            Err(refusal) => return Err(self.retry_refused(refusal)),
         }
-        self.permit.live.metrics().note_retry(reason(error));
+        self.permit.live.metrics().record_retry(reason(error));
         Ok(())
     }
 
-    /// Takes in the back end's own whole answer.
-    pub(super) fn succeed(&self, attempt: &Attempt) {
+    /// Records that the back end of an attempt sent a complete answer.
+    pub(super) fn record_success(&self, attempt: &Attempt) {
         self.backends().record_success(&attempt.backend);
     }
 
-    /// Takes in that an attempt whose answer was begun is not to be counted as a success.
-    pub(super) fn note_broken(&self, attempt: &Attempt) {
+    /// Records that an attempt failed after its answer had started.
+    pub(super) fn record_failure(&self, attempt: &Attempt) {
         self.backends().record_failure(&attempt.backend);
     }
 
-    /// What is certain now that there will be no further attempt.
-    pub(super) fn given_up(&self) -> LiveError {
+    /// Returns the error of the request after its last attempt.
+    pub(super) fn final_error(&self) -> LiveError {
         if self.may_have_run && self.permit.remaining().is_zero() {
             return LiveError::DeadlineExceeded;
         }
@@ -140,18 +145,22 @@
         }
     }
 
-    fn given_up_because(&self, refusal: RetryRefusal) -> LiveError {
+    fn retry_refused(&self, refusal: RetryRefusal) -> LiveError {
         log::debug!(
             "event=retry_refused request={} reason=\"{refusal}\"",
-            self.permit.options.id.shown()
+            self.permit.options.id.caller_id()
         );
-        self.given_up()
+        self.final_error()
     }
 
     fn candidates(&self) -> Vec<Candidate> {
         let all = self.backends().candidates(&self.permit.pool);
         let is_untried = |candidate: &Candidate| !self.tried.contains(&candidate.name);
-        let untried: Vec<Candidate> = all.iter().filter(|one| is_untried(one)).cloned().collect();
+        let untried: Vec<Candidate> = all
+            .iter()
+            .filter(|other| is_untried(other))
+            .cloned()
+            .collect();
         let refused = self.last_failure.as_ref().is_some_and(|last| last.refused);
         if untried.is_empty() && !refused {
             return all;
@@ -159,7 +168,7 @@
         untried
     }
 
-    fn pick(&self, candidates: &[Candidate], prefix: Option<&[u8]>) -> Option<usize> {
+    fn choose_index(&self, candidates: &[Candidate], prefix: Option<&[u8]>) -> Option<usize> {
         let options = ChoiceOptions {
             zone: &self.permit.live.shared.zone,
             prefix,
@@ -167,8 +176,8 @@
         choose(candidates, &options, rand::random())
     }
 
-    fn attempt(&mut self, candidate: Candidate, in_flight: InFlightGuard) -> Attempt {
-        let id = self.permit.options.id.of_attempt(self.count);
+    fn new_attempt(&mut self, candidate: Candidate, in_flight: InFlightGuard) -> Attempt {
+        let id = self.permit.options.id.attempt_id(self.count);
         let is_retry = self.count > 0;
         self.count += 1;
         self.tried.push(candidate.name.clone());
@@ -181,7 +190,7 @@
         }
     }
 
-    fn note(&mut self, backend: &str, error: &DispatchError) {
+    fn handle_failure(&mut self, backend: &str, error: &DispatchError) {
         let retry_after = match error {
             DispatchError::NotRun {
                 retry_after,
@@ -198,7 +207,7 @@
         };
         log::info!(
             "event=attempt_failed request={} backend={backend} attempt={} reason={}",
-            self.permit.options.id.shown(),
+            self.permit.options.id.caller_id(),
             self.count,
             reason(error)
         );
--- a/crates/daemon/src/live/completion.rs
+++ b/crates/daemon/src/live/completion.rs
@@ -1,4 +1,4 @@
-//! One completion: runs on an engine, and when its stream is cut goes on from the text so far on another one.
+//! Runs a completion on an engine. If the stream breaks, another engine resumes from the text generated so far.
 
 use std::time::Duration;
 
@@ -11,39 +11,39 @@
 use super::attempts::{Attempt, Attempts};
 use super::{LiveError, Permit};
 
-/// Longest time between two chunks before an engine counts as hung.
+/// Maximum time between two chunks of a completion that can be resumed elsewhere.
 const CHUNK_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Longest text of one completion, in bytes.
+/// Maximum length of a completion's text in bytes.
 pub const MAX_TEXT_BYTES: usize = 4 * 1024 * 1024;
 
-/// Bytes of a prompt's start by which requests are gathered on engines that have them cached.
+/// Length in bytes of the prompt prefix by which requests are routed to engines that have it cached.
 const PREFIX_BYTES: usize = 256;
 
-/// What a caller wants completed.
+/// Completion that a caller requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CompletionCall {
     /// Prompt.
     pub prompt: String,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
 }
 
-/// What was generated so far.
+/// Output generated so far.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Progress {
-    /// Text.
+    /// Generated text.
     pub text: String,
-    /// Tokens in `text`.
+    /// Number of tokens in `text`.
     pub tokens: u32,
-    /// Weight versions that generated it, each once, in order of appearance.
+    /// Weight versions that generated the text, without duplicates, in order of appearance.
     pub weight_versions: Vec<u64>,
-    /// A chunk named no weight version.
+    /// Whether any chunk lacked a weight version.
     pub has_unnamed_version: bool,
 }
 
 impl Progress {
-    /// The weight versions, if each chunk named its own; none otherwise, as a list that leaves some out is not true.
+    /// Returns the weight versions, or an empty list if any chunk lacked one, as the list would be incomplete.
     pub fn named_versions(&self) -> &[u64] {
         if self.has_unnamed_version {
             return &[];
@@ -64,7 +64,7 @@
     }
 }
 
-/// A completion under way. Dropping it cancels it at its engine.
+/// Completion in progress. Dropping it cancels the run on the engine.
 #[derive(Debug)]
 pub struct Completion {
     call: CompletionCall,
@@ -80,7 +80,7 @@
 }
 
 impl Completion {
-    /// Prepares a completion; nothing is sent before [`Self::next`].
+    /// Prepares a completion. Nothing is sent before the first call of [`Self::next`].
     pub fn new(permit: Permit, call: CompletionCall) -> Self {
         let repeatable = !permit.options.at_most_once;
         Self {
@@ -91,15 +91,15 @@
         }
     }
 
-    /// What was generated so far.
+    /// Returns the output generated so far.
     pub fn progress(&self) -> &Progress {
         &self.progress
     }
 
-    /// The next chunk; `None` once the completion is whole.
+    /// Returns the next chunk, or `None` once the completion is complete.
     ///
     /// # Errors
-    /// [`LiveError`] once it is given up, at the latest at the deadline. It must not be called again then.
+    /// [`LiveError`] if no further attempt is possible or the deadline passes. Must not be called after an error.
     pub async fn next(&mut self) -> Result<Option<CompletionChunk>, LiveError> {
         loop {
             let running = match self.running.take() {
@@ -110,39 +110,39 @@
             let limit = chunk_limit(&self.attempts);
             let failure = match timeout_at(limit, running.stream.next()).await {
                 Ok(Ok(Some(chunk))) => {
-                    self.take_in(&chunk)?;
+                    self.append(&chunk)?;
                     return Ok(Some(chunk));
                 }
                 Ok(Ok(None)) => {
                     self.finish();
                     return Ok(None);
                 }
-                Ok(Err(error)) => cut(&error),
+                Ok(Err(error)) => stream_failure(&error),
                 Err(_) => DispatchError::Unknown("stream stalled".to_owned()),
             };
-            self.lose(&failure).await?;
+            self.handle_stream_failure(&failure).await?;
         }
     }
 
-    /// The whole completion.
+    /// Returns the complete output.
     ///
     /// # Errors
-    /// As [`Self::next`].
-    pub async fn gather(mut self) -> Result<Progress, LiveError> {
+    /// Same as [`Self::next`].
+    pub async fn collect(mut self) -> Result<Progress, LiveError> {
         while self.next().await?.is_some() {}
         Ok(std::mem::take(&mut self.progress))
     }
 
-    /// Begins attempts until an engine starts to answer.
+    /// Starts attempts until an engine starts to answer.
     async fn start(&mut self) -> Result<Running, LiveError> {
         loop {
-            let attempt = self.attempts.begin(Some(prefix(&self.call.prompt)))?;
+            let attempt = self.attempts.start_next(Some(prefix(&self.call.prompt)))?;
             let request = self.request(&attempt);
             let engine = self.attempts.permit.live.services().engine.clone();
             let fresh_connection = attempt.fresh_connection;
-            let limit = Instant::now() + self.attempts.patience();
+            let limit = Instant::now() + self.attempts.response_timeout();
             let started = engine.complete(attempt.address, &request, fresh_connection);
-            // Until it answers, a dropped caller leaves the engine running: the guard cancels it.
+            // If the caller disconnects before the answer starts, the guard cancels the run on the engine.
             let guard = CancelOnDrop::new(self, &attempt);
             let failure = match timeout_at(limit, started).await {
                 Ok(Ok(stream)) => {
@@ -155,7 +155,7 @@
                 }
                 Err(_) => DispatchError::Unknown("no answer in time".to_owned()),
             };
-            self.attempts.fail(attempt, &failure).await?;
+            self.attempts.retry_after_failure(attempt, &failure).await?;
         }
     }
 
@@ -172,7 +172,7 @@
         }
     }
 
-    fn take_in(&mut self, chunk: &CompletionChunk) -> Result<(), LiveError> {
+    fn append(&mut self, chunk: &CompletionChunk) -> Result<(), LiveError> {
         if self.progress.text.len() + chunk.text.len() > MAX_TEXT_BYTES {
             return Err(LiveError::AnswerTooLong {
                 limit: MAX_TEXT_BYTES,
@@ -184,18 +184,18 @@
 
     fn finish(&mut self) {
         if let Some(running) = self.running.take() {
-            self.attempts.succeed(&running.attempt);
+            self.attempts.record_success(&running.attempt);
         }
     }
 
-    /// The running attempt's stream broke; what it gave is kept.
-    async fn lose(&mut self, failure: &DispatchError) -> Result<(), LiveError> {
+    /// Ends the running attempt after its stream broke. The text received so far is kept.
+    async fn handle_stream_failure(&mut self, failure: &DispatchError) -> Result<(), LiveError> {
         let Some(Running { attempt, stream }) = self.running.take() else {
             return Ok(());
         };
         drop(stream);
         drop(CancelOnDrop::new(self, &attempt));
-        self.attempts.fail(attempt, failure).await
+        self.attempts.retry_after_failure(attempt, failure).await
     }
 }
 
@@ -207,7 +207,7 @@
     }
 }
 
-/// Tells an engine to stop an attempt that nobody waits for any more.
+/// Cancels an attempt on its engine when dropped, unless disarmed.
 struct CancelOnDrop(Option<Cancellation>);
 
 struct Cancellation {
@@ -255,7 +255,7 @@
     }
 }
 
-/// When the stream of the current attempt counts as hung.
+/// Returns when the next chunk must have arrived.
 fn chunk_limit(attempts: &Attempts) -> Instant {
     let deadline = attempts.permit.deadline;
     if attempts.repeatable() {
@@ -264,7 +264,7 @@
     deadline
 }
 
-fn cut(error: &StreamError) -> DispatchError {
+fn stream_failure(error: &StreamError) -> DispatchError {
     DispatchError::Unknown(error.to_string())
 }
 
--- a/crates/daemon/src/live/error.rs
+++ b/crates/daemon/src/live/error.rs
@@ -1,26 +1,26 @@
-//! Why a live request was not answered, and what is certain about it.
+//! Errors of live requests and their outcomes.
 
 use std::time::Duration;
 
-/// Hint when nothing better is known.
+/// `Retry-After` of errors without a more specific value.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Hint for a request whose key is claimed: its first try may still be running.
+/// `Retry-After` of a request whose idempotency key is claimed, as the first try may still be running.
 const CLAIMED_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It ran and its answer is whole.
+    /// The request ran and its answer is complete.
     Completed,
-    /// It certainly did not run.
+    /// The request certainly did not run.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
 impl Outcome {
-    /// Value of the outcome header.
+    /// Returns the value of the outcome header.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Completed => "completed",
@@ -30,91 +30,93 @@
     }
 }
 
-/// Why a live request was not answered.
+/// Error of a live request.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum LiveError {
-    /// This node is stopping as planned.
-    #[error("this node is stopping; ask another")]
+    /// The node is draining.
+    #[error("this node is draining; send the request to another node")]
     Draining,
-    /// This node hears neither its peers nor the key-value service.
-    #[error("this node is cut off from the others; ask another")]
+    /// The node is disconnected from its peers and from the key-value service.
+    #[error("this node is disconnected from the other nodes; send the request to another node")]
     Isolated,
-    /// No bundle has reached this node yet.
-    #[error("no bundle is in force here yet")]
+    /// The node has received no bundle yet.
+    #[error("no bundle is in force on this node yet")]
     NoBundle,
-    /// The bundle in force names no such pool of this kind.
+    /// The bundle in force has no pool of this name and kind.
     #[error("unknown {kind} {pool:?}")]
     UnknownPool {
-        /// What was looked for: `model` or `application`.
+        /// Requested kind: `model` or `application`.
         kind: &'static str,
-        /// Name the caller gave.
+        /// Name that the caller gave.
         pool: String,
     },
-    /// The bundle in force names no such class.
+    /// The bundle in force has no class of this name.
     #[error("unknown class {class:?}")]
     UnknownClass {
-        /// Name the caller gave.
+        /// Name that the caller gave.
         class: String,
     },
-    /// The class is at its limit.
+    /// The class has reached its limit of concurrent requests.
     #[error("class {class:?} is at its limit")]
     AtLimit {
-        /// The class.
+        /// Name of the class.
         class: String,
-        /// When a place is likely to be free.
+        /// Time until capacity is likely to be free.
         retry_after: Duration,
     },
-    /// The bodies being held leave no room for another of this length.
-    #[error("too many requests are held here; ask again")]
+    /// The memory for request bodies is exhausted.
+    #[error("memory for request bodies is exhausted on this node; try again")]
     NoMemory,
-    /// No back end of the pool may be given work.
-    #[error("no back end of {pool:?} takes work now")]
+    /// No back end of the pool accepts work.
+    #[error("no back end of pool {pool:?} accepts work")]
     NoBackend {
-        /// The pool.
+        /// Name of the pool.
         pool: String,
     },
-    /// No attempt ran: back ends could not be reached or refused.
-    #[error("no back end took the request: {detail}")]
+    /// No attempt ran: every back end was unreachable or refused.
+    #[error("no back end accepted the request: {detail}")]
     Refused {
-        /// The last refusal.
+        /// Error of the last attempt.
         detail: String,
-        /// When a back end wants to be asked again.
+        /// Time after which the back end accepts a retry, if it said so.
         retry_after: Option<Duration>,
     },
-    /// An attempt may have run, and its answer is lost.
+    /// An attempt may have run, and its answer was lost.
     #[error("answer lost: {detail}")]
     AnswerLost {
-        /// What the last attempt met.
+        /// Error of the last attempt.
         detail: String,
     },
-    /// The deadline passed while an attempt was under way.
+    /// The deadline passed after an attempt had started.
     #[error("deadline exceeded; the request may have run")]
     DeadlineExceeded,
-    /// The answer is longer than what is kept in memory.
-    #[error("answer over {limit} bytes")]
+    /// The answer is longer than the buffer limit.
+    #[error("answer is longer than {limit} bytes")]
     AnswerTooLong {
-        /// Limit in bytes.
+        /// Maximum length in bytes.
         limit: usize,
     },
-    /// The idempotency key was used for another request.
+    /// The idempotency key belongs to a different request.
     #[error("the idempotency key was used for a different request")]
     KeyReused,
-    /// A request of this key was claimed, and its outcome is not known here.
-    #[error("a request of this key may be running or have run")]
+    /// A request with this key was claimed, and its outcome is unknown.
+    #[error("a request with this idempotency key may be running or may have run")]
     KeyClaimed,
-    /// A request of this key was answered, and the answer was too long to be kept.
-    #[error("a request of this key was answered with status {status}; the answer was not kept")]
+    /// A request with this key was answered, and the answer was too long to be stored.
+    #[error(
+        "a request with this idempotency key was answered with status {status}; the answer was not stored"
+    )]
     AnswerNotKept {
-        /// Status code of that answer.
+        /// Status code of the answer.
         status: u32,
     },
-    /// The claim could not be read or written; this try was not dispatched.
+    /// The claim could not be read or written, so the request was not dispatched.
     #[error("no majority of journal replicas answered; this try was not dispatched")]
     NoQuorum,
 }
 
 impl LiveError {
-    /// What is certain about the request.
+    /// Returns the outcome of the request.
     pub fn outcome(&self) -> Outcome {
         match self {
             Self::AnswerLost { .. }
@@ -126,7 +128,7 @@
         }
     }
 
-    /// Whether the request was refused before its key's claim was read: an earlier try of the key may have run.
+    /// Returns whether the request failed before the claim of its key was read, so an earlier try may have run.
     pub fn is_before_claim(&self) -> bool {
         matches!(
             self,
@@ -139,7 +141,7 @@
         )
     }
 
-    /// HTTP status code.
+    /// Returns the HTTP status code.
     pub fn status(&self) -> u16 {
         match self {
             Self::UnknownClass { .. } => 400,
@@ -154,7 +156,7 @@
         }
     }
 
-    /// Stable name for callers and metrics.
+    /// Returns a stable error code for callers and metrics.
     pub fn code(&self) -> &'static str {
         match self {
             Self::Draining => "draining",
@@ -176,7 +178,7 @@
         }
     }
 
-    /// When the caller may try again; given with every refusal.
+    /// Returns the time after which the caller may retry.
     pub fn retry_after(&self) -> Duration {
         match self {
             Self::AtLimit { retry_after, .. } => *retry_after,
--- a/crates/daemon/src/live/keyed.rs
+++ b/crates/daemon/src/live/keyed.rs
@@ -1,4 +1,4 @@
-//! Requests with an idempotency key: claimed in the journal before they are dispatched, recorded after.
+//! Requests with an idempotency key. The key is claimed in the journal before dispatch, and the answer is recorded.
 
 use std::future::Future;
 use std::time::Duration;
@@ -13,24 +13,24 @@
 use crate::claims::HeldClaim;
 use crate::drain::DrainGuard;
 
-/// Longest answer that is recorded, in bytes; of longer ones only the status is.
+/// Maximum length in bytes of a recorded answer. For longer answers only the status is recorded.
 pub const MAX_RECORDED_BYTES: usize = 256 * 1024;
 
-/// How long an answer waits for its record. It is then given all the same, and recording goes on.
+/// Maximum delay of an answer while it is being recorded. Recording continues in the background.
 const RECORD_WAIT: Duration = Duration::from_secs(1);
 
-/// An answer that can be recorded and given again.
+/// Answer that can be recorded and replayed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RecordedAnswer {
     /// Status code.
     pub status: u16,
-    /// Content type; empty: none.
+    /// Content type; empty if there is none.
     pub content_type: String,
-    /// Further headers; not recorded.
+    /// Other headers; not recorded.
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
-    /// Weight versions that produced it.
+    /// Weight versions that produced the answer.
     pub weight_versions: Vec<u64>,
 }
 
@@ -69,27 +69,27 @@
     }
 }
 
-/// Which request a key stands for.
+/// Request that an idempotency key identifies.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyedRequest {
-    /// Pool.
+    /// Name of the pool.
     pub pool: String,
-    /// The caller's key.
+    /// Idempotency key of the caller.
     pub key: String,
-    /// Digest of all that tells the request from others.
+    /// Digest of the request, to detect a key that is reused for a different request.
     pub digest: Vec<u8>,
-    /// When the caller must have been answered.
+    /// Deadline of the request.
     pub deadline: Instant,
 }
 
 impl LivePath {
-    /// Runs a request at most once per key, or answers what became of the one that ran.
+    /// Runs a request at most once per key, or replays the recorded answer of an earlier try.
     ///
-    /// `run` is started only once the claim is committed at a majority. It goes on, and its outcome is recorded, also
-    /// if the caller goes away; `guard` keeps a planned stop waiting until then.
+    /// `run` starts after the claim is committed on a majority of replicas. If the caller disconnects, `run` still
+    /// completes and its outcome is recorded. `guard` delays a planned stop until then.
     ///
     /// # Errors
-    /// [`LiveError`] of the claim or of `run`.
+    /// [`LiveError`] if the claim is refused or `run` fails.
     pub async fn run_once<F>(
         &self,
         request: KeyedRequest,
@@ -104,7 +104,7 @@
             let claimed = live.claim(&request).await;
             let claim = match claimed {
                 Ok(claim) => claim,
-                Err(refusal) => return refused(refusal),
+                Err(refusal) => return answer_refused_claim(refusal),
             };
             let result = run.await;
             record(claim, settlement(&result), guard).await;
@@ -128,7 +128,7 @@
     }
 }
 
-/// A request that certainly did not run frees its key, so that the caller may try again under it.
+/// Maps a result to the settlement of its claim. A request that certainly did not run releases its key for retries.
 fn settlement(result: &Result<RecordedAnswer, LiveError>) -> Settlement {
     match result {
         Ok(answer) => Settlement::Answered(answer.to_outcome()),
@@ -142,11 +142,11 @@
         claim.settle(settlement).await;
         drop(guard);
     });
-    // Dropping the handle on the time-out leaves the task running.
+    // On timeout the dropped handle leaves the task running.
     let _ = tokio::time::timeout(RECORD_WAIT, recording).await;
 }
 
-fn refused(refusal: ClaimRefusal) -> Result<RecordedAnswer, LiveError> {
+fn answer_refused_claim(refusal: ClaimRefusal) -> Result<RecordedAnswer, LiveError> {
     match refusal {
         ClaimRefusal::Replay(outcome) => RecordedAnswer::from_outcome(outcome),
         ClaimRefusal::Unknown => Err(LiveError::KeyClaimed),
--- a/crates/daemon/src/live/limits.rs
+++ b/crates/daemon/src/live/limits.rs
@@ -1,4 +1,4 @@
-//! Admission limits and retry budgets of the bundle in force.
+//! Admission limits and retry budgets per class, as the bundle in force sets them.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -9,10 +9,10 @@
 use ladderstage::ids::Revision;
 use ladderstage::retry::{RetryBudget, RetryRefusal};
 
-/// Live requests in flight at one node, of all classes together.
+/// Maximum number of live requests in flight on a node, over all classes.
 const MAX_IN_FLIGHT: u32 = 2_048;
 
-/// Limits of all classes. Cheap to clone.
+/// Admission limits and retry budgets of all classes. Cheap to clone.
 #[derive(Debug, Clone)]
 pub(crate) struct Limits {
     started: Instant,
@@ -38,16 +38,23 @@
         }
     }
 
-    /// Admits a request of a class under a bundle's limits.
-    pub(crate) fn admit(&self, bundle: &Bundle, class: &str) -> Result<Place, AdmissionError> {
+    /// Admits a request of a class under the limits of the bundle.
+    ///
+    /// # Errors
+    /// [`AdmissionError`] if the class is unknown or has reached its limit.
+    pub(crate) fn admit(
+        &self,
+        bundle: &Bundle,
+        class: &str,
+    ) -> Result<AdmittedRequest, AdmissionError> {
         let now = self.now();
         let mut state = self.lock();
-        state.adopt(bundle);
+        state.apply_bundle(bundle);
         state.admission.admit(class, now)?;
         if let Some(budget) = state.budgets.get_mut(class) {
             budget.record_first_attempt(now);
         }
-        Ok(Place {
+        Ok(AdmittedRequest {
             limits: self.clone(),
             class: class.to_owned(),
         })
@@ -57,23 +64,23 @@
         self.started.elapsed()
     }
 
-    /// A panic while the lock was held left nothing half done that matters here.
+    /// Locks the state. Poisoning is ignored, as a panic leaves the state usable.
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl State {
-    fn adopt(&mut self, bundle: &Bundle) {
+    fn apply_bundle(&mut self, bundle: &Bundle) {
         if bundle.revision <= self.revision {
             return;
         }
         self.revision = bundle.revision;
         self.admission.configure(&bundle.classes);
-        let mut earlier = std::mem::take(&mut self.budgets);
+        let mut previous = std::mem::take(&mut self.budgets);
         for class in &bundle.classes {
             let percent = class.retry_budget_percent;
-            let mut budget = earlier
+            let mut budget = previous
                 .remove(&class.name)
                 .unwrap_or_else(|| RetryBudget::new(percent));
             budget.set_percent(percent);
@@ -82,15 +89,18 @@
     }
 }
 
-/// The place of one admitted request; given back when dropped.
+/// Admitted request; counts against its class until dropped.
 #[derive(Debug)]
-pub(crate) struct Place {
+pub(crate) struct AdmittedRequest {
     limits: Limits,
     class: String,
 }
 
-impl Place {
-    /// Spends one retry of the class's budget; returns how long to wait first.
+impl AdmittedRequest {
+    /// Takes one retry from the budget of the class and returns the back-off before it.
+    ///
+    /// # Errors
+    /// [`RetryRefusal`] if the budget is spent or the remaining time is too short.
     pub(crate) fn spend_retry(
         &self,
         retries: u32,
@@ -105,7 +115,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for AdmittedRequest {
     fn drop(&mut self) {
         let now = self.limits.now();
         self.limits.lock().admission.finish(&self.class, now);
--- a/crates/daemon/src/live/memory.rs
+++ b/crates/daemon/src/live/memory.rs
@@ -1,4 +1,4 @@
-//! Memory for the bodies of requests under way.
+//! Memory limit for the bodies of requests in flight.
 
 use std::sync::Arc;
 
@@ -6,35 +6,38 @@
 
 use super::LiveError;
 
-/// Bodies held at one node, all together.
+/// Maximum total size of request bodies on a node, in KiB.
 const TOTAL_KIB: usize = 64 * 1024;
 
 const KIB: u64 = 1024;
 
-/// Room for bodies. Cheap to clone.
+/// Memory budget for request bodies. Cheap to clone.
 #[derive(Debug, Clone)]
 pub(super) struct BodyMemory {
-    room: Arc<Semaphore>,
+    permits: Arc<Semaphore>,
 }
 
-/// Room taken for one body; given back when dropped.
+/// Memory reserved for a request body; released when dropped.
 #[derive(Debug)]
 pub struct Reservation {
-    _room: OwnedSemaphorePermit,
+    _permits: OwnedSemaphorePermit,
 }
 
 impl BodyMemory {
     pub(super) fn new() -> Self {
         Self {
-            room: Arc::new(Semaphore::new(TOTAL_KIB)),
+            permits: Arc::new(Semaphore::new(TOTAL_KIB)),
         }
     }
 
-    /// Takes room for a body of at most `bytes`, or refuses at once.
+    /// Reserves memory for a body of at most `bytes` bytes without waiting.
+    ///
+    /// # Errors
+    /// [`LiveError::NoMemory`] if the budget is exhausted.
     pub(super) fn reserve(&self, bytes: u64) -> Result<Reservation, LiveError> {
         let kib = u32::try_from(bytes.div_ceil(KIB)).unwrap_or(u32::MAX);
-        let room = self.room.clone().try_acquire_many_owned(kib);
-        let room = room.map_err(|_| LiveError::NoMemory)?;
-        Ok(Reservation { _room: room })
+        let permits = self.permits.clone().try_acquire_many_owned(kib);
+        let permits = permits.map_err(|_| LiveError::NoMemory)?;
+        Ok(Reservation { _permits: permits })
     }
 }
--- a/crates/daemon/src/live/metrics.rs
+++ b/crates/daemon/src/live/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of the live path.
+//! Metrics of live requests.
 
 use std::time::Duration;
 
@@ -6,10 +6,10 @@
 
 use super::Outcome;
 
-/// Reason label of a request that was answered.
+/// Reason label of answered requests.
 pub const REASON_ANSWERED: &str = "answered";
 
-/// Reason label of a request whose caller went away before its answer's end.
+/// Reason label of requests whose caller disconnected before the end of the answer.
 pub const REASON_CALLER_GONE: &str = "caller_gone";
 
 /// Upper bounds of the latency buckets, in seconds.
@@ -17,7 +17,7 @@
     0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 15.0, 60.0,
 ];
 
-/// Counters of the live path. Cheap to clone.
+/// Metrics of live requests. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct LiveMetrics {
     requests: IntCounterVec,
@@ -26,7 +26,7 @@
 }
 
 impl LiveMetrics {
-    /// Counters at zero.
+    /// Creates the metrics with all counters at zero.
     pub fn new() -> Self {
         let requests = Opts::new("ladderstage_live_requests_total", "Live requests by end");
         let retries = Opts::new("ladderstage_live_retries_total", "Attempts after the first");
@@ -42,25 +42,25 @@
         }
     }
 
-    /// Adds the counters to a registry.
+    /// Registers the metrics.
     ///
     /// # Errors
-    /// If the registry holds counters of these names already.
+    /// If the registry already has metrics of these names.
     pub fn register(&self, registry: &Registry) -> prometheus::Result<()> {
         registry.register(Box::new(self.requests.clone()))?;
         registry.register(Box::new(self.retries.clone()))?;
         registry.register(Box::new(self.latency.clone()))
     }
 
-    /// Counts the end of a request.
-    pub fn note_end(&self, outcome: Outcome, reason: &str, elapsed: Duration) {
+    /// Records the outcome and the latency of a finished request.
+    pub fn record_completion(&self, outcome: Outcome, reason: &str, elapsed: Duration) {
         let labels = [outcome.as_str(), reason];
         self.requests.with_label_values(&labels).inc();
         self.latency.observe(elapsed.as_secs_f64());
     }
 
-    /// Counts one attempt after the first.
-    pub fn note_retry(&self, reason: &str) {
+    /// Counts a retry.
+    pub fn record_retry(&self, reason: &str) {
         self.retries.with_label_values(&[reason]).inc();
     }
 }
--- a/crates/daemon/src/live/mod.rs
+++ b/crates/daemon/src/live/mod.rs
@@ -1,7 +1,7 @@
-//! Live requests: admission, choice of a back end, retries within budget and deadline, resumption of cut streams,
-//! and at-most-once claims. Knows nothing of HTTP towards callers; see [`crate::http`].
+//! Live requests: admission, choice of a back end, retries within budget and deadline, resumption of broken streams,
+//! and at-most-once claims. Independent of the HTTP interface for callers, see [`crate::http`].
 //!
-//! Invariant: [`Outcome::NotRun`] is said only while every attempt made is certain not to have run.
+//! Invariant: [`Outcome::NotRun`] is reported only if no attempt can have run.
 
 mod application;
 mod attempts;
@@ -21,7 +21,7 @@
 use ladderstage_platform::application::ApplicationClient;
 use ladderstage_platform::engine::EngineClient;
 
-pub use application::{AnswerBody, ApplicationAnswer, ApplicationCall, ArrivingBody, forward};
+pub use application::{AnswerBody, ApplicationAnswer, ApplicationCall, StreamedBody, forward};
 pub use completion::{Completion, CompletionCall, Progress};
 pub use error::{LiveError, Outcome};
 pub use keyed::{KeyedRequest, MAX_RECORDED_BYTES, RecordedAnswer};
@@ -40,16 +40,16 @@
 use crate::settings::Settings;
 use limits::Limits;
 use memory::BodyMemory;
-use node_state::RunningNode;
+use node_state::LiveNodeState;
 
-/// The parts that live requests are run with.
+/// Dependencies of [`LivePath`].
 #[derive(Debug, Clone)]
-pub struct LiveParts {
+pub struct LiveDependencies {
     /// Back ends.
     pub backends: Backends,
-    /// The bundle in force.
+    /// Bundles of this node.
     pub bundles: Bundles,
-    /// The other nodes.
+    /// Cluster members.
     pub members: Members,
     /// Journal for at-most-once claims.
     pub journal: Journal,
@@ -61,7 +61,7 @@
     pub drain: Drain,
 }
 
-/// What live requests are run with besides the state of their node.
+/// Dependencies of [`LivePath`] other than the node state.
 #[derive(Debug, Clone)]
 pub struct LiveServices {
     /// Back ends.
@@ -95,9 +95,9 @@
 }
 
 impl LivePath {
-    /// Joins the parts.
-    pub fn new(settings: &Settings, parts: LiveParts) -> Self {
-        let node = RunningNode {
+    /// Creates the live path of a running node.
+    pub fn new(settings: &Settings, parts: LiveDependencies) -> Self {
+        let node = LiveNodeState {
             bundles: parts.bundles,
             members: parts.members,
         };
@@ -111,7 +111,7 @@
         Self::with_node_state(settings, Arc::new(node), services)
     }
 
-    /// As [`Self::new`], from whatever knows the state of the node.
+    /// Creates the live path with a custom node state.
     pub fn with_node_state(
         settings: &Settings,
         node: Arc<dyn NodeState>,
@@ -132,20 +132,20 @@
         }
     }
 
-    /// Work under way at this node.
+    /// Returns the counter of work in flight on this node.
     pub fn drain(&self) -> &Drain {
         &self.shared.services.drain
     }
 
-    /// Counters.
+    /// Returns the metrics.
     pub fn metrics(&self) -> &LiveMetrics {
         &self.shared.metrics
     }
 
-    /// Takes room for a request's body of at most `bytes`.
+    /// Reserves memory for a request body of at most `bytes` bytes.
     ///
     /// # Errors
-    /// [`LiveError::NoMemory`] if the bodies held leave none.
+    /// [`LiveError::NoMemory`] if the memory for request bodies is exhausted.
     pub fn reserve_body(&self, bytes: u64) -> Result<Reservation, LiveError> {
         self.shared.memory.reserve(bytes)
     }
--- a/crates/daemon/src/live/node_state.rs
+++ b/crates/daemon/src/live/node_state.rs
@@ -1,4 +1,4 @@
-//! What live requests need to know of their node.
+//! Node state that admission of live requests depends on.
 
 use std::fmt::Debug;
 use std::sync::Arc;
@@ -7,26 +7,26 @@
 use crate::bundles::{BundleInForce, Bundles};
 use crate::members::Members;
 
-/// What live requests need to know of their node. Tests put fixed values in its place.
+/// Node state that admission of live requests depends on. Tests substitute fixed values.
 pub trait NodeState: Debug + Send + Sync + 'static {
-    /// The bundle in force, if any arrived yet.
+    /// Returns the bundle in force, if the node has received one.
     fn bundle(&self) -> Option<Arc<BundleInForce>>;
 
-    /// How long ago that bundle was known to be the newest; `None`: never.
+    /// Returns the time since the bundle was last confirmed to be the newest, or `None` if it never was.
     fn evidence_age(&self) -> Option<Duration>;
 
-    /// Whether the node hears too few of its region's members.
+    /// Returns whether too few members of the region answer this node.
     fn is_isolated(&self) -> bool;
 }
 
-/// The state of a running node.
+/// State of a running node.
 #[derive(Debug)]
-pub(super) struct RunningNode {
+pub(super) struct LiveNodeState {
     pub(super) bundles: Bundles,
     pub(super) members: Members,
 }
 
-impl NodeState for RunningNode {
+impl NodeState for LiveNodeState {
     fn bundle(&self) -> Option<Arc<BundleInForce>> {
         self.bundles.current()
     }
--- a/crates/daemon/src/live/options.rs
+++ b/crates/daemon/src/live/options.rs
@@ -1,52 +1,52 @@
-//! What a caller asks of its request besides the work itself.
+//! Options of a live request.
 
 use std::time::Duration;
 
-/// Names one request from its caller to the back ends.
+/// Id of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestId {
-    shown: String,
+    caller_id: String,
     unique: String,
 }
 
 impl RequestId {
-    /// The id of a request whose caller gave `given`, if any. Back ends are given an id with a random part of its own,
-    /// as two callers may give the same one.
+    /// Creates the id of a request from the caller's id, if there is one. Ids sent to back ends include a random part,
+    /// as two callers may use the same id.
     pub fn new(given: Option<String>, random: u64) -> Self {
         match given {
             Some(given) => Self {
                 unique: format!("{given}.{random:016x}"),
-                shown: given,
+                caller_id: given,
             },
             None => Self {
-                shown: format!("{random:016x}"),
+                caller_id: format!("{random:016x}"),
                 unique: format!("{random:016x}"),
             },
         }
     }
 
-    /// The id that the caller knows.
-    pub fn shown(&self) -> &str {
-        &self.shown
+    /// Returns the id that the caller knows.
+    pub fn caller_id(&self) -> &str {
+        &self.caller_id
     }
 
-    /// The id of one attempt, unique among all requests of all callers.
-    pub fn of_attempt(&self, attempt: u32) -> String {
+    /// Returns the id of an attempt, unique among all requests of all callers.
+    pub fn attempt_id(&self, attempt: u32) -> String {
         format!("{}.{attempt}", self.unique)
     }
 }
 
-/// What a caller asks of its request besides the work itself.
+/// Options of a live request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestOptions {
-    /// Names the request.
+    /// Request id.
     pub id: RequestId,
-    /// Class of work.
+    /// Class of the request.
     pub class: String,
-    /// Time the caller allows; `None`: the class's own.
+    /// Time limit set by the caller; `None` for the default of the class.
     pub deadline: Option<Duration>,
-    /// The request must not run twice. Implied by an idempotency key.
+    /// Whether the request must not run twice. Implied by an idempotency key.
     pub at_most_once: bool,
-    /// Names the request across several tries of the caller.
+    /// Identifies the request across retries by the caller.
     pub idempotency_key: Option<String>,
 }
--- a/crates/daemon/src/live/permit.rs
+++ b/crates/daemon/src/live/permit.rs
@@ -1,4 +1,4 @@
-//! Whether a request may be run here now.
+//! Admission of live requests.
 
 use std::time::Duration;
 
@@ -7,47 +7,47 @@
 use ladderstage::retry::RetryRefusal;
 use tokio::time::Instant;
 
-use super::limits::Place;
+use super::limits::AdmittedRequest;
 use super::{LiveError, LivePath, RequestOptions, Reservation};
 
-/// Deadline of a class that the bundle gives none.
+/// Deadline of classes without one in the bundle.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
 
-/// The right to run one request; counts against its class until dropped.
+/// Permit to run one request; counts against its class until dropped.
 #[derive(Debug)]
 pub struct Permit {
     pub(super) live: LivePath,
     pub(super) options: RequestOptions,
     pub(super) pool: String,
-    /// Priority of the class, for engines.
+    /// Priority of the class, sent to engines.
     pub(super) priority: u32,
     pub(super) deadline: Instant,
-    place: Place,
+    admitted: AdmittedRequest,
     _body: Reservation,
 }
 
 impl Permit {
-    /// When the request must have been answered.
+    /// Returns the deadline of the request.
     pub fn deadline(&self) -> Instant {
         self.deadline
     }
 
-    /// Time left.
+    /// Returns the time until the deadline.
     pub(super) fn remaining(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Spends one retry; returns how long to wait first.
+    /// Takes one retry from the budget of the class and returns the back-off before it.
     pub(super) fn spend_retry(&self, retries: u32) -> Result<Duration, RetryRefusal> {
-        self.place.spend_retry(retries, self.remaining())
+        self.admitted.spend_retry(retries, self.remaining())
     }
 }
 
 impl LivePath {
-    /// Admits a request for a pool or refuses it at once; `body` is held as long as the permit.
+    /// Admits a request for a pool without waiting. `body` is held as long as the permit.
     ///
     /// # Errors
-    /// [`LiveError`] with the outcome not-run.
+    /// [`LiveError`] with the outcome [`super::Outcome::NotRun`].
     pub fn admit(
         &self,
         options: RequestOptions,
@@ -58,34 +58,34 @@
         let Some(in_force) = self.shared.node.bundle() else {
             return Err(LiveError::NoBundle);
         };
-        if self.is_cut_off() {
+        if self.is_isolated_and_stale() {
             return Err(LiveError::Isolated);
         }
         let bundle = &in_force.bundle;
         check_pool(bundle, pool, kind)?;
-        let place = self
+        let admitted = self
             .shared
             .limits
             .admit(bundle, &options.class)
-            .map_err(refused)?;
+            .map_err(admission_error)?;
         let class = bundle.class(&options.class);
         let class_deadline = class
             .map(|class| Duration::from_millis(class.deadline_ms))
             .filter(|deadline| !deadline.is_zero());
-        let time = options.deadline.or(class_deadline);
+        let time_limit = options.deadline.or(class_deadline);
         Ok(Permit {
             live: self.clone(),
             pool: pool.to_owned(),
             priority: class.map_or(0, |class| class.priority),
-            deadline: Instant::now() + time.unwrap_or(DEFAULT_DEADLINE),
+            deadline: Instant::now() + time_limit.unwrap_or(DEFAULT_DEADLINE),
             options,
-            place,
+            admitted,
             _body: body,
         })
     }
 
-    /// A node that hears neither its peers nor of the bundle may work from an old one.
-    fn is_cut_off(&self) -> bool {
+    /// Returns whether the bundle may be outdated, as the node is isolated and its evidence is old.
+    fn is_isolated_and_stale(&self) -> bool {
         let node = &self.shared.node;
         let evidence_is_old = node
             .evidence_age()
@@ -108,7 +108,7 @@
     })
 }
 
-fn refused(error: AdmissionError) -> LiveError {
+fn admission_error(error: AdmissionError) -> LiveError {
     match error {
         AdmissionError::UnknownClass { class } => LiveError::UnknownClass { class },
         AdmissionError::Full { class, retry_after } => LiveError::AtLimit { class, retry_after },
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -14,14 +14,14 @@
 
 use crate::backends::Backends;
 use crate::bundles::{
-    BundleDependencies, BundleStore, Bundles, BundlesError, DEFAULT_ROLL_DEADLINE, WeightVersionSource,
-    replica_set_source,
+    BundleDependencies, BundleStore, Bundles, BundlesError, DEFAULT_ROLL_DEADLINE,
+    WeightVersionSource, replica_set_source,
 };
 use crate::drain::Drain;
 use crate::hooks::Hooks;
 use crate::http::server::HttpServer;
 use crate::journal::Journal;
-use crate::live::{LiveParts, LivePath};
+use crate::live::{LiveDependencies, LivePath};
 use crate::members::Members;
 use crate::orders::Orders;
 use crate::peer_handler::PeerHandler;
@@ -179,7 +179,7 @@
             scorer,
         );
         let drain = Drain::new();
-        let live_parts = LiveParts {
+        let live_dependencies = LiveDependencies {
             backends: backends.clone(),
             bundles: bundles.clone(),
             members: members.clone(),
@@ -188,7 +188,7 @@
             application: ApplicationClient::new(),
             drain: drain.clone(),
         };
-        let live = LivePath::new(&settings, live_parts);
+        let live = LivePath::new(&settings, live_dependencies);
         let parts = Arc::new(Parts {
             client,
             server_traffic: peer_server.traffic(),
--- a/crates/daemon/src/settings/check.rs
+++ b/crates/daemon/src/settings/check.rs
@@ -33,7 +33,9 @@
 
 impl Checker<'_> {
     fn add(&mut self, path: &str, found: impl Into<String>, allowed: impl Into<String>) {
-        let finding = self.key_positions.finding(path, found.into(), allowed.into());
+        let finding = self
+            .key_positions
+            .finding(path, found.into(), allowed.into());
         self.findings.extend(finding);
     }
 
--- a/crates/daemon/tests/caller_headers.rs
+++ b/crates/daemon/tests/caller_headers.rs
@@ -26,7 +26,7 @@
     assert!(options.at_most_once, "a key implies it");
     assert_eq!(options.deadline.unwrap().as_millis(), 1500);
     assert_eq!(options.class, "desk");
-    assert_eq!(options.id.shown(), "quote-7");
+    assert_eq!(options.id.caller_id(), "quote-7");
     let plain = read(&[]).options.unwrap();
     assert_eq!((plain.class.as_str(), plain.at_most_once), ("live", false));
 }
@@ -61,7 +61,7 @@
     fn any_value_is_taken_or_refused(value in ".{0,160}") {
         for name in ["Ladderstage-Request-Id", "Idempotency-Key", "Ladderstage-Deadline-Ms", "Ladderstage-Class"] {
             let caller = read(&[(name, &value)]);
-            prop_assert!(caller.id.shown().len() <= 64);
+            prop_assert!(caller.id.caller_id().len() <= 64);
             if let Ok(options) = caller.options {
                 prop_assert!(options.class.is_ascii() && options.idempotency_key.unwrap_or_default().is_ascii());
             }
