--- a/crates/daemon/src/drain.rs
+++ b/crates/daemon/src/drain.rs
@@ -25,7 +25,7 @@
     }
 
     /// Counts one piece of work until the guard is dropped; `None` once draining.
-    pub fn begin(&self) -> Option<DrainGuard> {
+    pub fn track_request(&self) -> Option<DrainGuard> {
         let mut admitted = false;
         self.state.send_if_modified(|state| {
             admitted = !state.draining;
@@ -53,7 +53,7 @@
     }
 
     /// Returns when nothing is under way.
-    pub async fn wait_idle(&self) {
+    pub async fn wait_until_idle(&self) {
         let mut state = self.state.subscribe();
         // Fails only when the sender is gone, and `self` holds it.
         let _ = state.wait_for(|state| state.in_flight == 0).await;
--- a/crates/daemon/src/http/applications.rs
+++ b/crates/daemon/src/http/applications.rs
@@ -1,4 +1,4 @@
-//! `ANY /v1/apps/<pool>/<path..>`: requests to application back ends.
+//! `ANY /v1/apps/<pool>/<path..>`: forwards requests to application back ends.
 
 mod convert;
 
@@ -7,15 +7,15 @@
 use rocket::route::{Handler, Outcome};
 use rocket::{Data, Request, Route};
 
-use super::outcome::{CallerHeaders, LiveAnswer, Refusal, RequestEnd, read_body};
+use super::outcome::{CallerHeaders, LiveAnswer, Refusal, RequestRecord, read_body};
 use crate::drain::DrainGuard;
 use crate::live::{
     AnswerBody, ApplicationAnswer, ApplicationCall, KeyedRequest, LiveError, LivePath, Permit,
     RecordedAnswer, forward,
 };
-use convert::{application_call, digest, recorded};
+use convert::{application_call, buffer_answer, digest};
 
-/// Longest body of an application request, in bytes.
+/// Maximum length in bytes of a request body.
 const MAX_BODY_BYTES: u64 = 4 * 1024 * 1024;
 
 const METHODS: [Method; 8] = [
@@ -29,7 +29,7 @@
     Method::Trace,
 ];
 
-/// Routes of this module; they need a managed [`LivePath`].
+/// Returns the routes of this module. They need a managed [`LivePath`].
 pub fn routes() -> Vec<Route> {
     METHODS
         .into_iter()
@@ -46,81 +46,84 @@
         let Some(live) = request.rocket().state::<LivePath>() else {
             return Outcome::Error(rocket::http::Status::InternalServerError);
         };
-        let answer = answer(live, request, data).await;
+        let answer = handle_request(live, request, data).await;
         Outcome::from(request, answer)
     }
 }
 
-async fn answer(live: &LivePath, request: &Request<'_>, data: Data<'_>) -> LiveAnswer {
+async fn handle_request(live: &LivePath, request: &Request<'_>, data: Data<'_>) -> LiveAnswer {
     let caller = CallerHeaders::read(request.headers());
-    let end = RequestEnd::new(live.clone(), &caller);
-    let Some(guard) = live.drain().begin() else {
+    let end = RequestRecord::new(live.clone(), &caller);
+    let Some(guard) = live.drain().track_request() else {
         return LiveAnswer::refused(LiveError::Draining, end);
     };
-    match prepare(live, caller, request, data).await {
-        Ok(prepared) => prepared.run(live, guard, end).await,
+    match admit_request(live, caller, request, data).await {
+        Ok(admitted) => admitted.run(live, guard, end).await,
         Err(refusal) => LiveAnswer::refused(refusal, end),
     }
 }
 
-/// An application request that was admitted.
-struct Prepared {
+/// Application request that was admitted.
+struct AdmittedRequest {
     permit: Permit,
     call: ApplicationCall,
-    /// Set if the caller gave a key.
+    /// Set if the request has an idempotency key.
     keyed: Option<KeyedRequest>,
 }
 
-async fn prepare(
+async fn admit_request(
     live: &LivePath,
     caller: CallerHeaders,
     request: &Request<'_>,
     data: Data<'_>,
-) -> Result<Prepared, Refusal> {
+) -> Result<AdmittedRequest, Refusal> {
     let options = caller.options?;
-    let held = read_body(live, data, caller.body_length, MAX_BODY_BYTES).await?;
-    let (pool, call) = application_call(request, held.bytes);
+    let body_read = read_body(live, data, caller.body_length, MAX_BODY_BYTES).await?;
+    let (pool, call) = application_call(request, body_read.bytes);
     let key = options.idempotency_key.clone();
-    let permit = live.admit(options, &pool, PoolKind::Application, held.reservation)?;
+    let permit = live.admit(options, &pool, PoolKind::Application, body_read.reservation)?;
     let keyed = key.map(|key| KeyedRequest {
         pool,
         key,
         digest: digest(&call),
         deadline: permit.deadline(),
     });
-    Ok(Prepared {
+    Ok(AdmittedRequest {
         permit,
         call,
         keyed,
     })
 }
 
-impl Prepared {
-    async fn run(self, live: &LivePath, guard: DrainGuard, end: RequestEnd) -> LiveAnswer {
+impl AdmittedRequest {
+    async fn run(self, live: &LivePath, guard: DrainGuard, end: RequestRecord) -> LiveAnswer {
         let Some(keyed) = self.keyed else {
             return match forward(self.permit, &self.call).await {
-                Ok(answer) => passed_on(answer, guard, end),
+                Ok(answer) => live_answer(answer, guard, end),
                 Err(error) => LiveAnswer::refused(error, end),
             };
         };
-        let run = run_whole(self.permit, self.call);
+        let run = run_and_buffer(self.permit, self.call);
         match live.run_once(keyed, guard.clone(), run).await {
-            Ok(answer) => LiveAnswer::whole(answer, guard, end),
+            Ok(answer) => LiveAnswer::complete(answer, guard, end),
             Err(error) => LiveAnswer::refused(error, end),
         }
     }
 }
 
-async fn run_whole(permit: Permit, call: ApplicationCall) -> Result<RecordedAnswer, LiveError> {
+async fn run_and_buffer(
+    permit: Permit,
+    call: ApplicationCall,
+) -> Result<RecordedAnswer, LiveError> {
     let answer = forward(permit, &call).await?;
-    recorded(answer).await
+    buffer_answer(answer).await
 }
 
-fn passed_on(answer: ApplicationAnswer, guard: DrainGuard, end: RequestEnd) -> LiveAnswer {
+fn live_answer(answer: ApplicationAnswer, guard: DrainGuard, end: RequestRecord) -> LiveAnswer {
     match answer.body {
         AnswerBody::Whole(body) => {
-            let whole = convert::whole(answer.status, answer.headers, body);
-            LiveAnswer::whole(whole, guard, end)
+            let recorded = convert::into_recorded(answer.status, answer.headers, body);
+            LiveAnswer::complete(recorded, guard, end)
         }
         AnswerBody::Streamed(body) => {
             let status = answer.status.as_u16();
--- a/crates/daemon/src/http/applications/convert.rs
+++ b/crates/daemon/src/http/applications/convert.rs
@@ -1,4 +1,4 @@
-//! Between Rocket's requests, the live path's calls, and recorded answers.
+//! Conversions between Rocket requests, application calls and recorded answers.
 
 use bytes::{Bytes, BytesMut};
 use reqwest::StatusCode;
@@ -9,19 +9,19 @@
 
 use crate::live::{AnswerBody, ApplicationAnswer, ApplicationCall, LiveError, RecordedAnswer};
 
-/// Path under which applications are reached; the pool's name follows.
+/// Path prefix of application requests, before the name of the pool.
 const PREFIX: &str = "/v1/apps/";
 
-/// Headers with this prefix are for ladderstage alone.
-const OWN_PREFIX: &str = "ladderstage-";
+/// Prefix of headers that are not forwarded to back ends.
+const RESERVED_PREFIX: &str = "ladderstage-";
 
-/// Longest answer to a request with a key that is read whole, in bytes.
+/// Maximum length in bytes of an answer to a request with an idempotency key.
 const MAX_KEYED_BODY_BYTES: usize = 8 * 1024 * 1024;
 
-/// Start of a form with which Rocket takes another method than the caller's.
+/// Prefix of a form body that makes Rocket override the HTTP method.
 const METHOD_OVERRIDE: &[u8] = b"_method=";
 
-/// The pool that a request is for, and what to forward.
+/// Returns the pool of a request and the call to forward.
 pub(super) fn application_call(request: &Request<'_>, body: Bytes) -> (String, ApplicationCall) {
     let (pool, path) = split_path(request.uri().path().as_str());
     let call = ApplicationCall {
@@ -34,7 +34,7 @@
     (pool, call)
 }
 
-/// Digest of all that tells a request from others.
+/// Returns the digest that identifies a request: method, path, query and body.
 pub(super) fn digest(call: &ApplicationCall) -> Vec<u8> {
     let query = call.query.as_deref().unwrap_or_default();
     let mut hash = Sha256::new();
@@ -46,8 +46,12 @@
     hash.finalize().to_vec()
 }
 
-/// A whole answer.
-pub(super) fn whole(status: StatusCode, mut headers: HeaderMap, body: Bytes) -> RecordedAnswer {
+/// Converts a complete answer into a recorded one.
+pub(super) fn into_recorded(
+    status: StatusCode,
+    mut headers: HeaderMap,
+    body: Bytes,
+) -> RecordedAnswer {
     let content_type = headers.remove(CONTENT_TYPE);
     let content_type = content_type.and_then(|value| value.to_str().ok().map(str::to_owned));
     RecordedAnswer {
@@ -59,8 +63,11 @@
     }
 }
 
-/// Reads an answer whole so that it can be recorded.
-pub(super) async fn recorded(answer: ApplicationAnswer) -> Result<RecordedAnswer, LiveError> {
+/// Reads an answer completely so that it can be recorded.
+///
+/// # Errors
+/// [`LiveError`] if the answer is too long or truncated.
+pub(super) async fn buffer_answer(answer: ApplicationAnswer) -> Result<RecordedAnswer, LiveError> {
     let body = match answer.body {
         AnswerBody::Whole(body) => body,
         AnswerBody::Streamed(mut streamed) => {
@@ -71,26 +78,26 @@
             if length > MAX_KEYED_BODY_BYTES {
                 return Err(too_long);
             }
-            let mut gathered = BytesMut::with_capacity(length);
+            let mut buffer = BytesMut::with_capacity(length);
             while let Some(bytes) = streamed.next().await? {
-                gathered.extend_from_slice(&bytes);
+                buffer.extend_from_slice(&bytes);
             }
-            gathered.freeze()
+            buffer.freeze()
         }
     };
-    Ok(whole(answer.status, answer.headers, body))
+    Ok(into_recorded(answer.status, answer.headers, body))
 }
 
 fn split_path(path: &str) -> (String, String) {
-    let rest = path.strip_prefix(PREFIX).unwrap_or_default();
-    match rest.split_once('/') {
+    let after_prefix = path.strip_prefix(PREFIX).unwrap_or_default();
+    match after_prefix.split_once('/') {
         Some((pool, path)) => (pool.to_owned(), format!("/{path}")),
-        None => (rest.to_owned(), "/".to_owned()),
+        None => (after_prefix.to_owned(), "/".to_owned()),
     }
 }
 
-/// Rocket takes the method that a POSTed form names in `_method`. Such a form may have been a POST, so it is
-/// forwarded, and above all not repeated, as one.
+/// Returns the caller's HTTP method. Rocket replaces `POST` by the `_method` field of a form, so such a form is
+/// treated as a `POST`, which is not retried.
 fn method(request: &Request<'_>, body: &[u8]) -> reqwest::Method {
     let is_form = request.content_type().is_some_and(|kind| kind.is_form());
     if is_form && body.starts_with(METHOD_OVERRIDE) {
@@ -114,7 +121,7 @@
         let name = HeaderName::from_bytes(header.name().as_str().as_bytes());
         let value = HeaderValue::from_str(header.value());
         if let (Ok(name), Ok(value)) = (name, value)
-            && !name.as_str().starts_with(OWN_PREFIX)
+            && !name.as_str().starts_with(RESERVED_PREFIX)
         {
             headers.append(name, value);
         }
--- a/crates/daemon/src/http/body.rs
+++ b/crates/daemon/src/http/body.rs
@@ -1,4 +1,4 @@
-//! Reading callers' bodies up to a limit.
+//! Reads request bodies up to a limit.
 
 use std::io;
 use std::time::Duration;
@@ -8,28 +8,28 @@
 use rocket::tokio::io::{AsyncRead, AsyncReadExt, copy, sink};
 use rocket::tokio::time::timeout;
 
-/// Most bytes beyond the limit that are read and dropped, so that a caller that sends its whole body first gets to read the refusal.
+/// Maximum number of bytes beyond the limit that are read and discarded.
 const MAX_DISCARDED: ByteUnit = ByteUnit::Mebibyte(16);
 
-/// Longest time spent on bytes that are dropped.
+/// Maximum time spent on discarding bytes.
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A body that was read.
+/// Result of reading a body.
 #[derive(Debug, PartialEq, Eq)]
 pub enum LimitedBody {
-    /// All of it.
+    /// The complete body.
     Whole(Vec<u8>),
-    /// It is longer than the limit; what was sent has been dropped.
+    /// The body is longer than the limit and was discarded.
     TooLong,
 }
 
-/// Reads a body of at most `limit` bytes; `declared` is its length as the caller declares it, in bytes.
+/// Reads a body of at most `limit` bytes. `declared` is the content length that the caller declares.
 ///
-/// A connection that is closed with unread bytes is reset, and its caller may never see the answer. So the rest of a longer
-/// body is read and dropped, within bounds, before the refusal leaves.
+/// Closing a connection with unread bytes resets it, and the caller may not receive the answer. Therefore the rest of
+/// a longer body is read and discarded within limits.
 ///
 /// # Errors
-/// What the connection said if the body breaks off.
+/// The I/O error if the body is truncated.
 pub async fn read_limited(
     data: Data<'_>,
     declared: Option<u64>,
@@ -51,6 +51,6 @@
 }
 
 async fn discard(mut stream: impl AsyncRead + Unpin) {
-    // The body is refused whatever became of its rest.
+    // The request is rejected even if discarding fails.
     let _ = timeout(DISCARD_TIMEOUT, copy(&mut stream, &mut sink())).await;
 }
--- a/crates/daemon/src/http/bundles.rs
+++ b/crates/daemon/src/http/bundles.rs
@@ -1,7 +1,7 @@
-//! Operators' interface to bundles.
+//! Bundle endpoints for operators.
 //!
-//! `POST /v1/bundles` rolls one, `GET /v1/bundles/current` shows the one in force here, and
-//! `GET /v1/bundles/proposals/<id>` tells what became of a roll.
+//! `POST /v1/bundles` rolls a bundle, `GET /v1/bundles/current` returns the bundle in force on this node, and
+//! `GET /v1/bundles/proposals/<id>` returns the state of a roll.
 
 use ladderstage::bundle::Finding;
 use ladderstage_wire::messages::{BundleSignature, SignedBundle};
@@ -15,13 +15,13 @@
 use super::body::{LimitedBody, read_limited};
 use crate::bundles::{Bundles, ProposalState, Refusal, RollOutcome};
 
-/// Largest body of a roll: the text may double in size when it is written as JSON.
+/// Maximum length in KiB of a roll request, as JSON escaping may double the length of the text.
 const MAX_BODY_KIB: u64 = 640;
 
-/// How long a caller should wait before trying again, in seconds.
+/// `Retry-After` in seconds.
 const RETRY_AFTER_SECONDS: u32 = 1;
 
-/// The routes; the rocket must manage a [`Bundles`].
+/// Returns the routes of this module. They need a managed [`Bundles`].
 pub fn routes() -> Vec<Route> {
     routes![roll, current, proposal]
 }
@@ -30,66 +30,66 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RollRequest {
-    /// The bundle's text, exactly as it was signed.
+    /// Text of the bundle, exactly as it was signed.
     pub text: String,
-    /// Its signatures.
+    /// Signatures of the text.
     pub signatures: Vec<SignatureBody>,
 }
 
-/// One signature in JSON.
+/// Signature in JSON.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SignatureBody {
-    /// Which key made it.
+    /// Id of the key that made the signature.
     pub key_id: String,
-    /// 64 bytes in hexadecimal.
+    /// Signature of 64 bytes in hexadecimal.
     pub signature: String,
 }
 
-/// Answer to a roll and to a question about one.
+/// Answer to a roll or to a query of its state.
 #[derive(Debug, Clone, Serialize)]
 #[serde(tag = "outcome", rename_all = "kebab-case")]
 pub enum RollAnswer {
-    /// Accepted: in the key-value service and at a quorum of replicas.
+    /// The bundle is stored in the key-value service and on a quorum of replicas.
     Accepted {
-        /// Its revision.
+        /// Revision of the bundle.
         revision: u64,
-        /// Proposal that won.
+        /// Id of the accepted proposal.
         proposal_id: String,
     },
-    /// Another bundle has the revision.
+    /// Another bundle has this revision.
     Lost {
         /// Revision in force.
         winner_revision: u64,
-        /// SHA-256 of its text.
+        /// SHA-256 of the text in force.
         winner_digest: String,
-        /// Proposal that won.
+        /// Id of the accepted proposal.
         winner_proposal_id: String,
     },
-    /// Refused; nothing was changed.
+    /// The bundle was refused and nothing changed.
     Refused {
-        /// Why.
+        /// Stable name of the reason.
         reason: &'static str,
-        /// Why, in words.
+        /// Explanation of the reason.
         detail: String,
-        /// Everything wrong with the text.
+        /// All problems found in the text.
         findings: Vec<Finding>,
     },
-    /// Nothing was changed; try again.
+    /// Nothing changed and the roll may be retried.
     NotRun {
-        /// What failed.
+        /// Description of the failure.
         detail: String,
     },
-    /// It may or may not come into force; ask for the proposal.
+    /// The bundle may or may not come into force. Query the proposal to find out.
     Unknown {
-        /// Names the roll.
+        /// Id of the proposal.
         proposal_id: String,
-        /// What is not known.
+        /// Reason for the unknown outcome.
         detail: String,
     },
-    /// It has the revision and is on its way to a quorum of replicas.
+    /// The bundle has the revision but is not yet stored on a quorum of replicas.
     Pending {
-        /// Its revision.
+        /// Revision of the bundle.
         revision: u64,
     },
     /// This node has not seen the proposal in force.
@@ -99,7 +99,7 @@
     },
 }
 
-/// An answer with its status.
+/// Answer with its HTTP status.
 #[derive(Debug)]
 pub struct Answer {
     status: Status,
@@ -135,7 +135,7 @@
     let body = match read.map_err(|error| malformed(Status::BadRequest, error.to_string()))? {
         LimitedBody::Whole(bytes) => bytes,
         LimitedBody::TooLong => {
-            let detail = format!("the body is over {MAX_BODY_KIB} KiB");
+            let detail = format!("request body is longer than {MAX_BODY_KIB} KiB");
             return Err(malformed(Status::PayloadTooLarge, detail));
         }
     };
@@ -229,19 +229,19 @@
 /// Answer to `GET /v1/bundles/current`.
 #[derive(Debug, Clone, Serialize)]
 pub struct CurrentAnswer {
-    /// Revision in force here; 0: none yet.
+    /// Revision in force on this node; 0 if there is none yet.
     pub revision: u64,
-    /// SHA-256 of its text.
+    /// SHA-256 of the text.
     pub digest: String,
-    /// Proposal that won.
+    /// Id of the accepted proposal.
     pub proposal_id: String,
-    /// Its text.
+    /// Text of the bundle.
     pub text: String,
-    /// Its signatures.
+    /// Signatures of the text.
     pub signatures: Vec<SignatureBody>,
-    /// How long ago it was known to be the newest, in milliseconds.
+    /// Milliseconds since the bundle was last confirmed to be the newest.
     pub evidence_age_ms: Option<u64>,
-    /// Whether that is recent enough to deliver samples.
+    /// Whether this confirmation is recent enough to deliver samples.
     pub may_deliver: bool,
 }
 
--- a/crates/daemon/src/http/completions/events.rs
+++ b/crates/daemon/src/http/completions/events.rs
@@ -1,5 +1,4 @@
-//! Completions as server-sent events. A whole one ends in `data: [DONE]`; one that is given up ends in an
-//! `event: error` with the refusal, never in the end mark.
+//! Completions as server-sent events. A complete stream ends with `data: [DONE]`, a failed one with `event: error`.
 
 use std::io::Cursor;
 
@@ -10,40 +9,40 @@
 
 use super::model::CompletionObject;
 use crate::drain::DrainGuard;
-use crate::http::outcome::{LiveAnswer, Refusal, RequestEnd};
+use crate::http::outcome::{LiveAnswer, Refusal, RequestRecord};
 use crate::live::{Completion, LiveError, Outcome, Progress, REASON_ANSWERED, RecordedAnswer};
 
-const END_MARK: &str = "data: [DONE]\n\n";
+const DONE_EVENT: &str = "data: [DONE]\n\n";
 
-/// A streamed answer under way.
-struct Streamed {
+/// State of a streamed answer.
+struct StreamState {
     completion: Completion,
     model: String,
     id: String,
     /// The first chunk, read before the headers were sent.
     first: Option<CompletionChunk>,
     guard: DrainGuard,
-    end: RequestEnd,
+    end: RequestRecord,
 }
 
-/// Streams a completion. Nothing is sent before its first chunk, so a refusal until then has its own status.
+/// Streams a completion. The headers are sent after the first chunk arrives, so that earlier errors set the status.
 pub(super) async fn stream(
     mut completion: Completion,
     model: String,
     guard: DrainGuard,
-    end: RequestEnd,
+    end: RequestRecord,
 ) -> LiveAnswer {
     let id = end.id().caller_id().to_owned();
     let first = match completion.next().await {
         Ok(Some(chunk)) => chunk,
         Ok(None) => {
-            let answer = whole(completion.progress(), &model, &id);
-            return LiveAnswer::whole(answer, guard, end);
+            let answer = complete_answer(completion.progress(), &model, &id);
+            return LiveAnswer::complete(answer, guard, end);
         }
         Err(error) => return LiveAnswer::refused(error, end),
     };
     let versions = completion.progress().named_versions().to_vec();
-    let state = Streamed {
+    let state = StreamState {
         completion,
         model,
         id: id.clone(),
@@ -55,10 +54,10 @@
     LiveAnswer::events(&id, &versions, Box::pin(events))
 }
 
-/// A whole completion as events.
-pub(super) fn whole(progress: &Progress, model: &str, id: &str) -> RecordedAnswer {
+/// Returns a complete answer as events.
+pub(super) fn complete_answer(progress: &Progress, model: &str, id: &str) -> RecordedAnswer {
     let chunk = CompletionObject::chunk(id, model, &progress.text, progress.tokens, None);
-    let text = event(&chunk) + &last_events(progress, model, id);
+    let text = event(&chunk) + &final_events(progress, model, id);
     RecordedAnswer {
         status: 200,
         content_type: "text/event-stream".to_owned(),
@@ -68,7 +67,7 @@
     }
 }
 
-async fn next_event(state: Option<Streamed>) -> Option<(Cursor<Bytes>, Option<Streamed>)> {
+async fn next_event(state: Option<StreamState>) -> Option<(Cursor<Bytes>, Option<StreamState>)> {
     let mut state = state?;
     let next = match state.first.take() {
         Some(first) => Ok(Some(first)),
@@ -84,7 +83,7 @@
     }
 }
 
-impl Streamed {
+impl StreamState {
     fn chunk(&self, chunk: &CompletionChunk) -> String {
         let object = CompletionObject::chunk(
             &self.id,
@@ -97,7 +96,7 @@
     }
 
     fn finish(self) -> String {
-        let text = last_events(self.completion.progress(), &self.model, &self.id);
+        let text = final_events(self.completion.progress(), &self.model, &self.id);
         self.end.record(Outcome::Completed, REASON_ANSWERED);
         drop(self.guard);
         text
@@ -113,11 +112,11 @@
     }
 }
 
-fn last_events(progress: &Progress, model: &str, id: &str) -> String {
-    event(&CompletionObject::end(id, model, "", progress)) + END_MARK
+fn final_events(progress: &Progress, model: &str, id: &str) -> String {
+    event(&CompletionObject::end(id, model, "", progress)) + DONE_EVENT
 }
 
-/// JSON holds no line breaks, so it is one data line.
+/// Formats an event. The JSON has no line breaks, so one data line is enough.
 fn event(object: &CompletionObject<'_>) -> String {
     format!("data: {}\n\n", object.to_json())
 }
--- a/crates/daemon/src/http/completions/model.rs
+++ b/crates/daemon/src/http/completions/model.rs
@@ -1,4 +1,4 @@
-//! Bodies of completion requests and answers.
+//! JSON bodies of completion requests and answers.
 
 use reqwest::header::HeaderMap;
 use serde::{Deserialize, Serialize};
@@ -6,15 +6,15 @@
 use crate::http::outcome::RequestError;
 use crate::live::{Progress, RecordedAnswer};
 
-/// Tokens generated for requests that name no limit.
+/// Token limit of requests without `max_tokens`.
 const DEFAULT_MAX_TOKENS: u32 = 256;
 
-/// Most tokens that a request may ask for.
+/// Maximum value of `max_tokens`.
 const MAX_TOKENS: u32 = 65_536;
 
 const OBJECT: &str = "text_completion";
 
-/// Body of a request. Fields that are not listed are ignored, as in OpenAI's interface.
+/// Body of a request. Unknown fields are ignored, as in OpenAI's interface.
 #[derive(Debug, Deserialize)]
 pub(super) struct CompletionBody {
     pub(super) model: String,
@@ -30,7 +30,10 @@
 }
 
 impl CompletionBody {
-    /// Reads a body; the error names the line and column, or the field.
+    /// Parses a body.
+    ///
+    /// # Errors
+    /// [`RequestError::Body`] with the line and column, or with the field that is out of range.
     pub(super) fn parse(bytes: &[u8]) -> Result<Self, RequestError> {
         let body: Self = serde_json::from_slice(bytes).map_err(|error| RequestError::Body {
             detail: error.to_string(),
@@ -43,7 +46,7 @@
     }
 }
 
-/// One answer, or one chunk of a streamed one.
+/// Complete answer or chunk of a streamed answer.
 #[derive(Debug, Serialize)]
 pub(super) struct CompletionObject<'a> {
     id: &'a str,
@@ -71,7 +74,7 @@
 }
 
 impl<'a> CompletionObject<'a> {
-    /// A chunk of a streamed answer.
+    /// Creates a chunk of a streamed answer.
     pub(super) fn chunk(
         id: &'a str,
         model: &'a str,
@@ -96,7 +99,7 @@
         }
     }
 
-    /// The end of an answer: its whole text, or none if the text was streamed.
+    /// Creates the final object. `text` is empty if the text was streamed.
     pub(super) fn end(id: &'a str, model: &'a str, text: &'a str, progress: &'a Progress) -> Self {
         Self {
             id,
@@ -115,15 +118,15 @@
         }
     }
 
-    /// JSON text.
+    /// Serializes the object to JSON.
     pub(super) fn to_json(&self) -> String {
-        // Strings and numbers only: cannot fail.
+        // Cannot fail, as the object has only strings and numbers.
         serde_json::to_string(self).unwrap_or_default()
     }
 }
 
-/// A whole answer as one JSON object.
-pub(super) fn whole(progress: &Progress, model: &str, id: &str) -> RecordedAnswer {
+/// Returns a complete answer as one JSON object.
+pub(super) fn complete_answer(progress: &Progress, model: &str, id: &str) -> RecordedAnswer {
     let object = CompletionObject::end(id, model, &progress.text, progress);
     RecordedAnswer {
         status: 200,
--- a/crates/daemon/src/http/failures.rs
+++ b/crates/daemon/src/http/failures.rs
@@ -1,33 +1,33 @@
-//! Answers to requests that no route took, as typed JSON.
+//! JSON bodies for errors that no route handled.
 
 use rocket::http::Status;
 use rocket::serde::json::Json;
 use rocket::{Catcher, Request, catch, catchers};
 use serde::Serialize;
 
-/// Body of an error answer.
+/// Body of an error response.
 #[derive(Debug, Serialize)]
 pub struct Failure {
-    /// What went wrong.
+    /// Details of the error.
     pub error: FailureDetail,
 }
 
-/// What went wrong, for programs (`kind`) and for people (`detail`).
+/// Error for programs (`kind`) and for people (`detail`).
 #[derive(Debug, Serialize)]
 pub struct FailureDetail {
-    /// Stable name.
+    /// Stable name of the error.
     pub kind: &'static str,
-    /// Explanation.
+    /// Explanation of the error.
     pub detail: String,
 }
 
-/// Catchers for every status that a route did not answer itself.
+/// Returns the catchers for errors that no route handled.
 pub fn catchers() -> Vec<Catcher> {
-    catchers![unanswered]
+    catchers![error_answer]
 }
 
 #[catch(default)]
-fn unanswered(status: Status, request: &Request<'_>) -> Json<Failure> {
+fn error_answer(status: Status, request: &Request<'_>) -> Json<Failure> {
     let kind = match status.code {
         404 => "no-such-path",
         413 => "body-too-large",
--- a/crates/daemon/src/http/mod.rs
+++ b/crates/daemon/src/http/mod.rs
@@ -1,5 +1,4 @@
-//! HTTP interface to callers, trainers and operators. Policy stays outside: a route reads a request, asks one part, and
-//! writes its answer.
+//! HTTP interface for callers, trainers and operators. Routes only translate between HTTP and the other modules.
 
 pub mod applications;
 mod body;
--- a/crates/daemon/src/http/outcome/body.rs
+++ b/crates/daemon/src/http/outcome/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers as Rocket reads them.
+//! Response bodies that Rocket reads.
 
 use std::io::{Cursor, Error, ErrorKind, Result, SeekFrom};
 use std::pin::Pin;
@@ -7,19 +7,19 @@
 use bytes::Bytes;
 use tokio::io::{AsyncRead, AsyncSeek, AsyncWriteExt, DuplexStream, ReadBuf};
 
-use super::RequestEnd;
+use super::RequestRecord;
 use crate::drain::DrainGuard;
 use crate::live::{Outcome, REASON_ANSWERED, StreamedBody};
 
-/// Bytes of a relayed body that may wait for a slow caller.
+/// Maximum number of bytes of a relayed body that are buffered for a slow caller.
 const RELAY_BUFFER_BYTES: usize = 64 * 1024;
 
-/// A body of known length. A planned stop waits until Rocket has let go of it.
+/// Response body of known length. A drain waits until it is dropped.
 ///
-/// Invariant: if its source breaks, it ends short of its length, and Rocket aborts the caller's connection, so that
-/// a cut answer cannot pass for a whole one.
+/// Invariant: if its source fails, the body ends before its declared length and Rocket aborts the connection, so that
+/// the caller detects the truncation.
 #[derive(Debug)]
-pub(in crate::http) struct HeldBody {
+pub(in crate::http) struct GuardedBody {
     source: Source,
     _guard: DrainGuard,
 }
@@ -30,16 +30,16 @@
     Relayed(DuplexStream),
 }
 
-impl HeldBody {
-    pub(in crate::http) fn whole(bytes: Bytes, guard: DrainGuard) -> Self {
+impl GuardedBody {
+    pub(in crate::http) fn from_bytes(bytes: Bytes, guard: DrainGuard) -> Self {
         Self {
             source: Source::Whole(Cursor::new(bytes)),
             _guard: guard,
         }
     }
 
-    /// Relays a body as it arrives. The relay stops when the caller goes away.
-    pub(super) fn relayed(body: Box<StreamedBody>, guard: DrainGuard, end: RequestEnd) -> Self {
+    /// Relays a body as it is received. The relay stops if the caller disconnects.
+    pub(super) fn relayed(body: Box<StreamedBody>, guard: DrainGuard, end: RequestRecord) -> Self {
         let (writer, reader) = tokio::io::duplex(RELAY_BUFFER_BYTES);
         tokio::spawn(relay(body, writer, end));
         Self {
@@ -49,7 +49,7 @@
     }
 }
 
-async fn relay(mut body: Box<StreamedBody>, mut writer: DuplexStream, end: RequestEnd) {
+async fn relay(mut body: Box<StreamedBody>, mut writer: DuplexStream, end: RequestRecord) {
     loop {
         match body.next().await {
             Ok(Some(bytes)) => {
@@ -63,7 +63,7 @@
     }
 }
 
-impl AsyncRead for HeldBody {
+impl AsyncRead for GuardedBody {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -76,8 +76,8 @@
     }
 }
 
-/// Rocket asks for it and uses it only where no length is given.
-impl AsyncSeek for HeldBody {
+/// Required by Rocket, which uses it only for bodies without a length.
+impl AsyncSeek for GuardedBody {
     fn start_seek(mut self: Pin<&mut Self>, position: SeekFrom) -> Result<()> {
         match &mut self.source {
             Source::Whole(reader) => Pin::new(reader).start_seek(position),
--- a/crates/daemon/src/http/outcome/end.rs
+++ b/crates/daemon/src/http/outcome/end.rs
@@ -1,13 +1,13 @@
-//! The one record of how a request ended.
+//! Log line and metrics of a finished request.
 
 use std::time::Instant;
 
 use super::CallerHeaders;
 use crate::live::{LivePath, Outcome, REASON_CALLER_GONE, RequestId};
 
-/// Logs and counts how a request ended, once; dropped unrecorded, its caller went away.
+/// Logs and counts the outcome of a request exactly once. If it is dropped unrecorded, the caller disconnected.
 #[derive(Debug)]
-pub struct RequestEnd {
+pub struct RequestRecord {
     live: LivePath,
     id: RequestId,
     has_key: bool,
@@ -15,8 +15,8 @@
     recorded: bool,
 }
 
-impl RequestEnd {
-    /// A request that has just arrived.
+impl RequestRecord {
+    /// Starts the record of a request that has just arrived.
     pub fn new(live: LivePath, caller: &CallerHeaders) -> Self {
         Self {
             live,
@@ -27,17 +27,17 @@
         }
     }
 
-    /// The request's id.
+    /// Returns the id of the request.
     pub fn id(&self) -> &RequestId {
         &self.id
     }
 
-    /// Whether the caller gave an idempotency key.
+    /// Returns whether the request has an idempotency key.
     pub fn has_key(&self) -> bool {
         self.has_key
     }
 
-    /// Records the end.
+    /// Records the outcome.
     pub fn record(mut self, outcome: Outcome, reason: &str) {
         self.write(outcome, reason);
     }
@@ -57,7 +57,7 @@
     }
 }
 
-impl Drop for RequestEnd {
+impl Drop for RequestRecord {
     fn drop(&mut self) {
         if !self.recorded {
             self.write(Outcome::Unknown, REASON_CALLER_GONE);
--- a/crates/daemon/src/http/outcome/mod.rs
+++ b/crates/daemon/src/http/outcome/mod.rs
@@ -1,4 +1,4 @@
-//! Answers to live requests: every one says what became of the request.
+//! Answers to live requests. Each answer states the outcome of its request.
 
 mod body;
 mod end;
@@ -17,30 +17,30 @@
 use rocket::response::stream::ReaderStream;
 use rocket::response::{Responder, Response, Result};
 
-pub(in crate::http) use body::HeldBody;
-pub use end::RequestEnd;
+pub(in crate::http) use body::GuardedBody;
+pub use end::RequestRecord;
 pub use refusal::{Refusal, RequestError};
-pub use request_body::{HeldRequestBody, read_body};
+pub use request_body::{ReservedBody, read_body};
 pub use request_headers::CallerHeaders;
 
 use crate::drain::DrainGuard;
 use crate::live::{LiveError, Outcome, REASON_ANSWERED, RecordedAnswer, StreamedBody};
 use request_headers::REQUEST_ID;
 
-/// What became of the request: `completed`, `not-run` or `unknown`.
+/// Header with the outcome: `completed`, `not-run` or `unknown`.
 const OUTCOME: &str = "Ladderstage-Outcome";
-/// Weight versions that produced the answer.
+/// Header with the weight versions that produced the answer.
 const WEIGHT_VERSIONS: &str = "Ladderstage-Weight-Versions";
-/// Headers with this prefix are ours alone: back ends cannot set them.
-const OWN_PREFIX: &str = "ladderstage-";
+/// Prefix of headers that back ends cannot set.
+const RESERVED_PREFIX: &str = "ladderstage-";
 
-/// Server-sent events, ended in band.
+/// Server-sent events that carry the outcome in the last event.
 pub type EventBody = Pin<Box<dyn Stream<Item = Cursor<Bytes>> + Send>>;
 
 enum LiveBody {
-    Sized(usize, HeldBody),
+    Sized(usize, GuardedBody),
     Events(EventBody),
-    /// A refusal while draining has no guard; it is short.
+    /// An error answer. It has no guard, as it may be sent while draining.
     Refused(String),
 }
 
@@ -52,8 +52,8 @@
 }
 
 impl LiveAnswer {
-    /// A whole answer.
-    pub fn whole(answer: RecordedAnswer, guard: DrainGuard, end: RequestEnd) -> Self {
+    /// Creates a complete answer.
+    pub fn complete(answer: RecordedAnswer, guard: DrainGuard, end: RequestRecord) -> Self {
         let mut headers = answer_headers(&answer.headers, end.id().caller_id());
         headers.push(Header::new(OUTCOME, Outcome::Completed.as_str()));
         if !answer.content_type.is_empty() {
@@ -65,18 +65,17 @@
         Self {
             status: answer.status,
             headers,
-            body: LiveBody::Sized(length, HeldBody::whole(answer.body, guard)),
+            body: LiveBody::Sized(length, GuardedBody::from_bytes(answer.body, guard)),
         }
     }
 
-    /// An answer that is passed on as it arrives. A caller that gets all of it knows that the request completed; if
-    /// it is cut, the connection is aborted.
+    /// Creates an answer that is relayed as it is received. If it is truncated, the connection is aborted.
     pub fn relayed(
         status: u16,
         headers: &HeaderMap,
         body: Box<StreamedBody>,
         guard: DrainGuard,
-        end: RequestEnd,
+        end: RequestRecord,
     ) -> Self {
         let mut headers = answer_headers(headers, end.id().caller_id());
         headers.push(Header::new(OUTCOME, Outcome::Completed.as_str()));
@@ -84,11 +83,12 @@
         Self {
             status,
             headers,
-            body: LiveBody::Sized(length, HeldBody::relayed(body, guard, end)),
+            body: LiveBody::Sized(length, GuardedBody::relayed(body, guard, end)),
         }
     }
 
-    /// Server-sent events. They carry the outcome in band, as it is not known when the headers are sent.
+    /// Creates an answer of server-sent events. The last event carries the outcome, as it is unknown when the headers
+    /// are sent.
     pub fn events(request_id: &str, first_versions: &[u64], events: EventBody) -> Self {
         let mut headers = vec![
             Header::new(REQUEST_ID, request_id.to_owned()),
@@ -103,8 +103,8 @@
         }
     }
 
-    /// A refusal, recorded as the request's end.
-    pub fn refused(refusal: impl Into<Refusal>, end: RequestEnd) -> Self {
+    /// Creates an error answer and records its outcome.
+    pub fn refused(refusal: impl Into<Refusal>, end: RequestRecord) -> Self {
         let refusal = refusal.into();
         let id = end.id().caller_id().to_owned();
         let has_key = end.has_key();
@@ -143,11 +143,11 @@
     }
 }
 
-/// A back end's headers without those that are ours, and the request id.
+/// Returns the back end's headers without reserved ones, plus the request id.
 fn answer_headers(headers: &HeaderMap, request_id: &str) -> Vec<Header<'static>> {
     let mut kept = vec![Header::new(REQUEST_ID, request_id.to_owned())];
     for (name, value) in headers {
-        if name.as_str().starts_with(OWN_PREFIX) {
+        if name.as_str().starts_with(RESERVED_PREFIX) {
             continue;
         }
         if let Ok(value) = std::str::from_utf8(value.as_bytes()) {
--- a/crates/daemon/src/http/outcome/refusal.rs
+++ b/crates/daemon/src/http/outcome/refusal.rs
@@ -1,53 +1,53 @@
-//! Refusals as typed JSON.
+//! Errors of live requests as JSON.
 
 use serde::Serialize;
 
 use crate::live::{LiveError, Outcome};
 
-/// A request that cannot be read.
+/// Error in the headers or the body of a request.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// A header has a value that is not allowed.
+    /// A header has an invalid value.
     #[error("header {header}: {detail}")]
     Header {
         /// Name of the header.
         header: &'static str,
-        /// What is wrong with it.
+        /// Description of the problem.
         detail: String,
     },
-    /// The body is over the limit.
-    #[error("body over {limit} bytes")]
+    /// The body is longer than the limit.
+    #[error("request body is longer than {limit} bytes")]
     BodyTooLong {
-        /// Limit in bytes.
+        /// Maximum length in bytes.
         limit: u64,
     },
-    /// The body broke off.
-    #[error("body cut: {detail}")]
+    /// The body was truncated.
+    #[error("request body was truncated: {detail}")]
     BodyCut {
-        /// What was met.
+        /// Error of the connection.
         detail: String,
     },
-    /// The body is not what it should be.
-    #[error("body: {detail}")]
+    /// The body is malformed.
+    #[error("malformed request body: {detail}")]
     Body {
-        /// What is wrong with it, and where.
+        /// Description of the problem and its position.
         detail: String,
     },
 }
 
-/// Why a request was not answered.
+/// Error answer to a live request.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
-    /// It cannot be read, so nothing of it ran.
+    /// The request is malformed and did not run.
     #[error(transparent)]
     Request(#[from] RequestError),
-    /// The live path gave it up.
+    /// The request failed in the live path.
     #[error(transparent)]
     Live(#[from] LiveError),
 }
 
 impl Refusal {
-    /// HTTP status code.
+    /// Returns the HTTP status code.
     pub fn status(&self) -> u16 {
         match self {
             Self::Request(RequestError::BodyTooLong { .. }) => 413,
@@ -56,8 +56,8 @@
         }
     }
 
-    /// What is certain about the request. With a key, all tries of the key are one request: a try that was refused
-    /// before the key's claim was read cannot tell whether an earlier one ran.
+    /// Returns the outcome of the request. All tries with the same idempotency key are one request, so a try that failed
+    /// before the claim was read has an unknown outcome.
     pub fn outcome(&self, has_key: bool) -> Outcome {
         match self {
             Self::Request(_) => Outcome::NotRun,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Stable name for callers and metrics.
+    /// Returns a stable error code for callers and metrics.
     pub fn code(&self) -> &'static str {
         match self {
             Self::Request(RequestError::Header { .. }) => "bad_header",
@@ -77,19 +77,19 @@
         }
     }
 
-    /// Whole seconds after which the caller may try again.
+    /// Returns the time in seconds after which the caller may retry, rounded up.
     pub fn retry_after_seconds(&self) -> u64 {
         match self {
             Self::Request(_) => 1,
             Self::Live(error) => {
                 let wait = error.retry_after();
-                let rounded_up = wait.as_secs() + u64::from(wait.subsec_nanos() > 0);
-                rounded_up.max(1)
+                let seconds = wait.as_secs() + u64::from(wait.subsec_nanos() > 0);
+                seconds.max(1)
             }
         }
     }
 
-    /// JSON for the caller.
+    /// Serializes the error for the caller.
     pub fn to_json(&self, request_id: &str, has_key: bool) -> String {
         let body = RefusalBody {
             error: RefusalDetail {
@@ -100,7 +100,7 @@
             outcome: self.outcome(has_key).as_str(),
             request_id,
         };
-        // Strings and numbers only: cannot fail.
+        // Cannot fail, as the body has only strings and numbers.
         serde_json::to_string(&body).unwrap_or_default()
     }
 
--- a/crates/daemon/src/http/outcome/request_body.rs
+++ b/crates/daemon/src/http/outcome/request_body.rs
@@ -1,4 +1,4 @@
-//! Reading callers' bodies whole or not at all.
+//! Reads complete request bodies within the memory limit.
 
 use bytes::Bytes;
 use rocket::Data;
@@ -7,33 +7,33 @@
 use crate::http::body::{LimitedBody, read_limited};
 use crate::live::{LivePath, Reservation};
 
-/// A body with the room it takes.
+/// Request body with its memory reservation.
 #[derive(Debug)]
-pub struct HeldRequestBody {
-    /// The whole body.
+pub struct ReservedBody {
+    /// The complete body.
     pub bytes: Bytes,
-    /// Room for it.
+    /// Memory reserved for the body.
     pub reservation: Reservation,
 }
 
-/// Reads a body of at most `limit` bytes; `declared` is its length as the caller declares it.
+/// Reads a body of at most `limit` bytes. `declared` is the content length that the caller declares.
 ///
 /// # Errors
-/// [`Refusal`] if it is too long, breaks off, or finds no room.
+/// [`Refusal`] if the body is too long or truncated, or if the memory for bodies is exhausted.
 pub async fn read_body(
     live: &LivePath,
     data: Data<'_>,
     declared: Option<u64>,
     limit: u64,
-) -> Result<HeldRequestBody, Refusal> {
-    let room = declared.unwrap_or(limit).min(limit);
-    let reservation = live.reserve_body(room)?;
+) -> Result<ReservedBody, Refusal> {
+    let reserved_bytes = declared.unwrap_or(limit).min(limit);
+    let reservation = live.reserve_body(reserved_bytes)?;
     let read = read_limited(data, declared, limit).await;
     let body = read.map_err(|error| RequestError::BodyCut {
         detail: error.to_string(),
     })?;
     match body {
-        LimitedBody::Whole(bytes) => Ok(HeldRequestBody {
+        LimitedBody::Whole(bytes) => Ok(ReservedBody {
             bytes: bytes.into(),
             reservation,
         }),
--- a/crates/daemon/src/http/server.rs
+++ b/crates/daemon/src/http/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server of one node.
+//! HTTP server of a node.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -15,38 +15,43 @@
 use crate::http::{applications, bundles, completions, failures, status, trainers};
 use crate::node::{NodeError, Parts};
 
-/// Largest body that Rocket's own guards read, in mebibytes; routes have tighter limits of their own.
+/// Maximum length in MiB of bodies read by Rocket's data guards. Routes have lower limits of their own.
 const BODY_LIMIT_MEBIBYTES: u64 = 16;
 
-/// Seconds that a caller gets to read the end of its answer once nothing is in flight any more.
+/// Rocket's grace period in seconds for callers to read the rest of their answers after the shutdown starts.
 const CLOSE_GRACE_SECONDS: u32 = 30;
 
-/// After that, seconds until a connection is closed by force.
-const CLOSE_MERCY_SECONDS: u32 = 1;
+/// Seconds after the grace period until Rocket closes connections forcibly.
+const FORCE_CLOSE_SECONDS: u32 = 1;
 
-/// A listening HTTP server.
+/// Listening HTTP server.
 #[derive(Debug)]
 pub struct HttpServer {
     address: SocketAddr,
     shutdown: Shutdown,
     task: JoinHandle<()>,
-    /// Ends once the server and all its connections are gone.
-    gone: oneshot::Receiver<Infallible>,
+    /// Resolves once the server and all its connections are closed.
+    all_closed: oneshot::Receiver<Infallible>,
 }
 
-/// Managed by the server, which lives as long as its last connection.
-struct Alive {
+/// Value managed by Rocket, which is dropped with the last connection.
+struct ServerLifetime {
     _sender: oneshot::Sender<Infallible>,
 }
 
 impl HttpServer {
-    /// Listens on `address` (port 0: any free port).
+    /// Starts listening on `address`. Port 0 selects any free port.
+    ///
+    /// # Errors
+    /// [`NodeError::HttpListen`] if the server cannot listen.
     pub async fn start(address: SocketAddr, parts: Arc<Parts>) -> Result<Self, NodeError> {
         let (bound_sender, bound) = oneshot::channel();
         let failed = |detail: String| NodeError::HttpListen { address, detail };
-        let (alive, gone) = oneshot::channel();
+        let (alive_sender, all_closed) = oneshot::channel();
         let rocket = server(address, parts)
-            .manage(Alive { _sender: alive })
+            .manage(ServerLifetime {
+                _sender: alive_sender,
+            })
             .attach(report_bound_address(bound_sender))
             .ignite()
             .await
@@ -54,7 +59,7 @@
         let shutdown = rocket.shutdown();
         let (failure_sender, failure) = oneshot::channel();
         let task = tokio::spawn(async move {
-            // A launch error panics when it is dropped unread: its kind is read here.
+            // A Rocket launch error panics on drop unless its kind was read.
             if let Err(error) = rocket.launch().await {
                 let detail = error.kind().to_string();
                 log::error!("event=http_server_failed detail=\"{detail}\"");
@@ -69,30 +74,28 @@
             address,
             shutdown,
             task,
-            gone,
+            all_closed,
         })
     }
 
-    /// Address it listens on.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Closes the listener and idle connections, and waits, `bound` at most, until the others have been sent the end
-    /// of their answers.
+    /// Closes the listener and idle connections, and waits up to `bound` for the other connections to finish.
     ///
-    /// Rocket alone would wait its whole grace time if any connection is open at first, so its task is not waited for:
-    /// connections have tasks of their own.
+    /// Rocket's own task is not awaited, as it would wait for the complete grace period if any connection is open.
     pub async fn stop(self, bound: Duration) {
         self.shutdown.notify();
         self.task.abort();
-        if tokio::time::timeout(bound, self.gone).await.is_err() {
+        if tokio::time::timeout(bound, self.all_closed).await.is_err() {
             log::warn!("event=http_connections_left_open");
         }
     }
 }
 
-/// Sends the address that was bound, once.
+/// Returns a fairing that sends the bound address after launch.
 fn report_bound_address(sender: oneshot::Sender<SocketAddr>) -> AdHoc {
     let sender = Mutex::new(Some(sender));
     AdHoc::on_liftoff("report the bound address", move |rocket| {
@@ -121,7 +124,7 @@
         .register("/", failures::catchers())
 }
 
-/// Built here and not read from `Rocket.toml` or the environment: only our own checked settings count.
+/// Returns the Rocket configuration. `Rocket.toml` and the environment are ignored.
 fn config(address: SocketAddr) -> Config {
     Config {
         address: address.ip(),
@@ -134,11 +137,11 @@
         log_level: LogLevel::Off,
         cli_colors: false,
         shutdown: ShutdownConfig {
-            // The drain decides when to stop; Rocket's own handling cuts requests off after its grace time.
+            // Signals are handled by the drain, as Rocket would abort requests after its grace period.
             ctrlc: false,
             signals: Default::default(),
             grace: CLOSE_GRACE_SECONDS,
-            mercy: CLOSE_MERCY_SECONDS,
+            mercy: FORCE_CLOSE_SECONDS,
             force: false,
             ..ShutdownConfig::default()
         },
--- a/crates/daemon/src/http/status.rs
+++ b/crates/daemon/src/http/status.rs
@@ -10,18 +10,18 @@
 use crate::node::Parts;
 use crate::status::{MemberStatus, NodeStatus, Readiness};
 
-/// Routes of this module.
+/// Returns the routes of this module. They need managed [`Parts`].
 pub fn routes() -> Vec<Route> {
     routes![health, ready, status, members, metrics]
 }
 
-/// The process answers.
+/// Reports that the process is running.
 #[get("/healthz")]
 fn health() -> &'static str {
     "ok\n"
 }
 
-/// Whether new work should be sent here, with the reasons if not.
+/// Reports whether the node accepts new work, and the reasons if not.
 #[get("/readyz")]
 fn ready(parts: &State<Arc<Parts>>) -> (Status, Json<Readiness>) {
     let readiness = Readiness::of(parts);
@@ -33,26 +33,26 @@
     (status, Json(readiness))
 }
 
-/// What this node knows of itself and of the others.
+/// Returns the status of the node and its view of the cluster.
 #[get("/v1/status")]
 fn status(parts: &State<Arc<Parts>>) -> Json<NodeStatus> {
     Json(NodeStatus::of(parts))
 }
 
-/// Answer of `/v1/members`.
+/// Answer to `GET /v1/members`.
 #[derive(Debug, Serialize)]
 struct MembersAnswer {
     members: Vec<MemberStatus>,
 }
 
-/// The members this node knows.
+/// Returns the members that this node knows.
 #[get("/v1/members")]
 fn members(parts: &State<Arc<Parts>>) -> Json<MembersAnswer> {
     let members = MemberStatus::all(parts);
     Json(MembersAnswer { members })
 }
 
-/// Metrics in the Prometheus text format.
+/// Returns the metrics in the Prometheus text format.
 #[get("/metrics")]
 fn metrics(parts: &State<Arc<Parts>>) -> (ContentType, String) {
     let content_type = ContentType::new("text", "plain").with_params(("version", "0.0.4"));
--- a/crates/daemon/src/http/trainers.rs
+++ b/crates/daemon/src/http/trainers.rs
@@ -1,4 +1,4 @@
-//! Trainers' interface: submitting steps and pulling their samples.
+//! Endpoints for trainers: submit steps, pull samples and query the status of steps.
 
 mod answer;
 mod model;
@@ -16,19 +16,19 @@
 use answer::{Refusal, TrainerAnswer};
 use model::{SamplesBody, StepStatusBody, SubmittedBody};
 
-/// Longest body of a submitted step.
+/// Maximum length in bytes of a submitted step.
 const MAX_STEP_BYTES: usize = 8 * 1024 * 1024;
 
-/// Samples in one answer if the trainer names no number.
+/// Default of the `max` parameter.
 const DEFAULT_MAX_SAMPLES: usize = 64;
 
-/// Most samples in one answer.
+/// Maximum number of samples in an answer.
 const MAX_SAMPLES: usize = 1_024;
 
-/// Longest trainer name, in bytes.
+/// Maximum length in bytes of a trainer's name.
 const MAX_TRAINER_BYTES: usize = 64;
 
-/// Routes of this module; they need a managed [`Shards`] and [`Drain`].
+/// Returns the routes of this module. They need a managed [`Shards`] and [`Drain`].
 pub fn routes() -> Vec<Route> {
     routes![submit, pull, status]
 }
@@ -41,8 +41,8 @@
     step: &str,
     data: Data<'_>,
 ) -> Result<TrainerAnswer, Refusal> {
-    let guard = begin(drain)?;
-    let (trainer, step) = names(trainer, step)?;
+    let guard = track_request(drain)?;
+    let (trainer, step) = parse_path(trainer, step)?;
     let body = read_body(data).await?;
     let spec = submission::parse(&body, trainer, step, shards)?;
     let submitted = shards.submit(&spec).await?;
@@ -59,27 +59,27 @@
     max: Option<&str>,
     wait_ms: Option<&str>,
 ) -> Result<TrainerAnswer, Refusal> {
-    let guard = begin(drain)?;
-    let (trainer, step) = names(trainer, step)?;
+    let guard = track_request(drain)?;
+    let (trainer, step) = parse_path(trainer, step)?;
     let cursor = StepCursor::parse(trainer, step, after.unwrap_or_default())
         .map_err(|error| Refusal::bad_request("after", &error.to_string()))?;
-    let max_samples = number(
+    let max_samples = parse_number(
         "max",
         max,
         DEFAULT_MAX_SAMPLES as u64,
         1,
         MAX_SAMPLES as u64,
     )?;
-    let most_wait = MAX_PULL_WAIT.as_millis() as u64;
-    let wait_ms = number("wait_ms", wait_ms, 0, 0, most_wait)?;
-    let question = StepPullRequest {
+    let max_wait_ms = MAX_PULL_WAIT.as_millis() as u64;
+    let wait_ms = parse_number("wait_ms", wait_ms, 0, 0, max_wait_ms)?;
+    let request = StepPullRequest {
         trainer: trainer.to_owned(),
         step,
         cursor,
         max_samples: max_samples as usize,
         wait: Duration::from_millis(wait_ms),
     };
-    let pull = shards.pull(&question).await?;
+    let pull = shards.pull(&request).await?;
     TrainerAnswer::json(&SamplesBody::new(trainer, step, pull), guard)
 }
 
@@ -90,24 +90,25 @@
     trainer: &str,
     step: &str,
 ) -> Result<TrainerAnswer, Refusal> {
-    let guard = begin(drain)?;
-    let (trainer, step) = names(trainer, step)?;
+    let guard = track_request(drain)?;
+    let (trainer, step) = parse_path(trainer, step)?;
     let status = shards.step_status(trainer, step).await?;
     TrainerAnswer::json(&StepStatusBody::new(trainer, step, status), guard)
 }
 
-/// Counts the request, so that a planned stop waits for it.
-fn begin(drain: &Drain) -> Result<DrainGuard, Refusal> {
-    drain.begin().ok_or_else(Refusal::draining)
+/// Counts the request as in flight, so that a drain waits for it.
+fn track_request(drain: &Drain) -> Result<DrainGuard, Refusal> {
+    drain.track_request().ok_or_else(Refusal::draining)
 }
 
-fn names<'a>(trainer: &'a str, step: &str) -> Result<(&'a str, u64), Refusal> {
-    let is_named_well = !trainer.is_empty()
+fn parse_path<'a>(trainer: &'a str, step: &str) -> Result<(&'a str, u64), Refusal> {
+    let is_valid_name = !trainer.is_empty()
         && trainer.len() <= MAX_TRAINER_BYTES
         && trainer.bytes().all(is_name_byte)
         && !trainer.bytes().all(|byte| byte == b'.');
-    if !is_named_well {
-        let problem = "must be 1 to 64 of a-z, A-Z, 0-9, '-', '_' and '.', and not dots alone";
+    if !is_valid_name {
+        let problem =
+            "must be 1 to 64 characters of a-z, A-Z, 0-9, '-', '_' and '.', and not only dots";
         return Err(Refusal::bad_request("trainer", problem));
     }
     let step = step
@@ -120,20 +121,20 @@
     byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.')
 }
 
-fn number(
+fn parse_number(
     place: &str,
     text: Option<&str>,
     default: u64,
-    least: u64,
-    most: u64,
+    min: u64,
+    max_value: u64,
 ) -> Result<u64, Refusal> {
     let Some(text) = text else {
         return Ok(default);
     };
     match text.parse() {
-        Ok(number) if (least..=most).contains(&number) => Ok(number),
+        Ok(parse_number) if (min..=max_value).contains(&parse_number) => Ok(parse_number),
         _ => {
-            let problem = format!("must be a number from {least} to {most}");
+            let problem = format!("must be a number from {min} to {max_value}");
             Err(Refusal::bad_request(place, &problem))
         }
     }
--- a/crates/daemon/src/http/trainers/answer.rs
+++ b/crates/daemon/src/http/trainers/answer.rs
@@ -1,4 +1,4 @@
-//! Answers and refusals as HTTP responses.
+//! Answers and errors of the trainer endpoints as HTTP responses.
 
 use std::io::Cursor;
 
@@ -9,23 +9,23 @@
 
 use super::model::Finding;
 use crate::drain::DrainGuard;
-use crate::http::outcome::HeldBody;
+use crate::http::outcome::GuardedBody;
 use crate::shards::{PullError, Shards, SubmitError};
 
-/// Header that says whether a refused request ran.
+/// Header with the outcome of a failed request.
 const OUTCOME_HEADER: &str = "Ladderstage-Outcome";
 
 const NOT_RUN: &str = "not-run";
 const UNKNOWN: &str = "unknown";
 
-/// Seconds after which a refused trainer should ask again.
+/// `Retry-After` in seconds.
 const RETRY_AFTER_SECONDS: u64 = 1;
 
-/// A whole JSON answer. A planned stop waits until it is written.
+/// JSON answer. A drain waits until it is written.
 #[derive(Debug)]
 pub(super) struct TrainerAnswer {
     length: usize,
-    body: HeldBody,
+    body: GuardedBody,
 }
 
 impl TrainerAnswer {
@@ -33,7 +33,7 @@
         match serde_json::to_vec(body) {
             Ok(body) => Ok(Self {
                 length: body.len(),
-                body: HeldBody::whole(body.into(), guard),
+                body: GuardedBody::from_bytes(body.into(), guard),
             }),
             Err(error) => Err(Refusal::internal(&error.to_string())),
         }
@@ -49,16 +49,16 @@
     }
 }
 
-/// Why a trainer's request was not carried out, or may not have been.
+/// Error answer to a trainer.
 #[derive(Debug)]
 pub(super) struct Refusal {
     status: Status,
     outcome: &'static str,
-    /// Stable name for trainers and metrics.
+    /// Stable error code for trainers and metrics.
     reason: &'static str,
     error: String,
     findings: Vec<Finding>,
-    /// The process is stopping: the caller should connect to another.
+    /// Whether to close the connection, as the process is stopping.
     closes_connection: bool,
 }
 
@@ -82,12 +82,12 @@
         }
     }
 
-    /// One thing is wrong with the request.
+    /// Creates an error for one problem in the request.
     pub(super) fn bad_request(place: &str, problem: &str) -> Self {
         Self::findings(vec![Finding::new(place, problem)])
     }
 
-    /// These things are wrong with the request.
+    /// Creates an error for all problems found in the request.
     pub(super) fn findings(findings: Vec<Finding>) -> Self {
         let listed: Vec<String> = findings.iter().map(Finding::to_string).collect();
         Self {
@@ -96,13 +96,13 @@
         }
     }
 
-    pub(super) fn too_large(most_bytes: usize) -> Self {
-        let error = format!("body is over the limit of {most_bytes} bytes");
+    pub(super) fn too_large(max_bytes: usize) -> Self {
+        let error = format!("request body is longer than {max_bytes} bytes");
         Self::not_run(Status::PayloadTooLarge, "body_too_long", error)
     }
 
     pub(super) fn no_bundle() -> Self {
-        let error = "no bundle is in force here yet".to_owned();
+        let error = "no bundle is in force on this node yet".to_owned();
         Self::not_run(Status::ServiceUnavailable, "no_bundle", error)
     }
 
@@ -112,13 +112,13 @@
             ..Self::not_run(
                 Status::ServiceUnavailable,
                 "draining",
-                "this daemon is stopping; ask another one".to_owned(),
+                "this node is draining; send the request to another node".to_owned(),
             )
         }
     }
 
-    /// The error without what a malformed request holds: its places only.
-    fn loggable_error(&self) -> String {
+    /// Returns the error for the log: for a malformed request only the positions, without its content.
+    fn redacted_error(&self) -> String {
         if self.findings.is_empty() {
             return self.error.clone();
         }
@@ -171,7 +171,7 @@
             self.status.code,
             self.outcome,
             self.reason,
-            self.loggable_error().escape_default()
+            self.redacted_error().escape_default()
         );
         let body = RefusalBody {
             reason: self.reason,
--- a/crates/daemon/src/http/trainers/model.rs
+++ b/crates/daemon/src/http/trainers/model.rs
@@ -1,4 +1,4 @@
-//! JSON of the trainers' interface.
+//! JSON bodies of the trainer endpoints.
 
 use std::fmt;
 
@@ -7,29 +7,29 @@
 
 use crate::shards::{ShardStatus, StepPullResponse, StepStatus, SubmittedStep};
 
-/// A step as a trainer submits it.
+/// Step that a trainer submits.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct StepBody {
     pub(super) pool: String,
     pub(super) samples: Vec<SampleBody>,
-    /// Scorer to use; left out: the daemons' own, if they have one; empty: none.
+    /// Scorer to use. If absent, the daemons use their own if they have one; if empty, samples are not scored.
     #[serde(default)]
     pub(super) scorer: Option<String>,
 }
 
-/// One sample that a step asks for.
+/// Sample that a step requests.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct SampleBody {
     pub(super) prompt: String,
     pub(super) max_tokens: u32,
-    /// 0: unknown.
+    /// Expected number of tokens; 0 if unknown.
     #[serde(default)]
     pub(super) expected_tokens: u32,
 }
 
-/// Something wrong with a request, and where.
+/// Problem in a request and its position.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub(super) struct Finding {
     place: String,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Where it is.
+    /// Returns the position of the problem.
     pub(super) fn place(&self) -> &str {
         &self.place
     }
@@ -151,7 +151,7 @@
     }
 }
 
-/// Answer to a question for a step's status.
+/// Answer to a query of a step's status.
 #[derive(Debug, Serialize)]
 pub(super) struct StepStatusBody<'a> {
     trainer: &'a str,
--- a/crates/daemon/src/http/trainers/submission.rs
+++ b/crates/daemon/src/http/trainers/submission.rs
@@ -1,4 +1,4 @@
-//! Reading and checking a submitted step.
+//! Parses and checks submitted steps.
 
 use ladderstage::bundle::PoolKind;
 use ladderstage_wire::messages::{SampleSpec, ShardSpec};
@@ -8,19 +8,22 @@
 use super::model::{Finding, SampleBody, StepBody};
 use crate::shards::Shards;
 
-/// Most samples of one step.
+/// Maximum number of samples of a step.
 const MAX_STEP_SAMPLES: usize = 16_384;
 
-/// Most tokens of one sample.
+/// Maximum number of tokens of a sample.
 const MAX_TOKENS: u32 = 131_072;
 
-/// Findings that are listed; a body may hold thousands.
+/// Maximum number of findings in an answer.
 const MAX_FINDINGS: usize = 20;
 
-/// Service of a step that leaves the choice of the scorer to the daemons.
+/// Service of steps that do not select a scorer.
 const DEFAULT_SCORER: &str = "default";
 
-/// Reads a step, with all of its samples in one spec. Everything wrong with it is reported together.
+/// Parses a step into a spec with all its samples.
+///
+/// # Errors
+/// [`Refusal`] with all problems found.
 pub(super) fn parse(
     body: &[u8],
     trainer: &str,
@@ -35,7 +38,10 @@
     check_pool(&body.pool, shards, &mut findings)?;
     check_samples(&body.samples, &mut findings);
     if body.scorer.as_deref().is_some_and(|name| !name.is_empty()) && !shards.has_scorer() {
-        findings.push(Finding::new("scorer", "no scorer is set up here"));
+        findings.push(Finding::new(
+            "scorer",
+            "no scorer is configured on this node",
+        ));
     }
     if !findings.is_empty() {
         findings.truncate(MAX_FINDINGS);
@@ -78,7 +84,7 @@
     }
 }
 
-/// Digest of what the body says, so that spacing and the order of fields make no difference.
+/// Returns a digest of the parsed body, which is independent of spacing and field order.
 fn digest(body: &StepBody) -> Vec<u8> {
     let canonical = serde_json::to_vec(body).unwrap_or_default();
     Sha256::digest(canonical).to_vec()
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -238,7 +238,7 @@
         parts.drain.start();
         parts.members.announce_leaving().await;
         parts.shards.drain().await;
-        parts.drain.wait_idle().await;
+        parts.drain.wait_until_idle().await;
         log::info!("event=drain_finished");
     }
 
--- a/crates/daemon/tests/drain.rs
+++ b/crates/daemon/tests/drain.rs
@@ -7,16 +7,16 @@
 #[tokio::test]
 async fn waits_for_all_guards_and_admits_none() {
     let drain = Drain::new();
-    let first = drain.begin().unwrap();
+    let first = drain.track_request().unwrap();
     drain.start();
     drain.start();
     assert!(drain.is_draining());
-    assert!(drain.begin().is_none());
+    assert!(drain.track_request().is_none());
     let second = first.clone();
     drop(first);
     let waiting = tokio::spawn({
         let drain = drain.clone();
-        async move { drain.wait_idle().await }
+        async move { drain.wait_until_idle().await }
     });
     tokio::task::yield_now().await;
     assert_eq!(drain.in_flight(), 1);
--- a/crates/daemon/tests/live/stop.rs
+++ b/crates/daemon/tests/live/stop.rs
@@ -25,7 +25,7 @@
         text.push_str(std::str::from_utf8(&bytes).unwrap());
     }
     assert!(text.ends_with("data: [DONE]\n\n"));
-    tokio::time::timeout(PATIENCE, front.drain.wait_idle())
+    tokio::time::timeout(PATIENCE, front.drain.wait_until_idle())
         .await
         .unwrap();
     assert_eq!(fixture.engine_runs().await.len(), 1);
@@ -38,7 +38,7 @@
     let mut stream = front.complete("a sill", 60_000, true).send().await.unwrap();
     stream.chunk().await.unwrap();
     drop(stream);
-    tokio::time::timeout(PATIENCE, front.drain.wait_idle())
+    tokio::time::timeout(PATIENCE, front.drain.wait_until_idle())
         .await
         .unwrap();
     until("the engine stopped", async || {
