--- a/crates/platform/src/application/headers.rs
+++ b/crates/platform/src/application/headers.rs
@@ -1,8 +1,8 @@
-//! Which headers travel on past this process.
+//! Removes headers that must not be forwarded.
 
 use reqwest::header::{CONNECTION, HeaderMap};
 
-/// Headers that concern one connection only (RFC 9110, 7.6.1), and those that the next sender sets itself.
+/// Hop-by-hop headers (RFC 9110, 7.6.1), and headers that the HTTP client sets itself.
 const HOP_BY_HOP: [&str; 12] = [
     "connection",
     "keep-alive",
@@ -18,18 +18,20 @@
     "content-length",
 ];
 
-/// The headers that may travel on: without hop-by-hop headers, those that `Connection` names, and the body's length.
+/// Returns the headers without hop-by-hop headers, those listed in `Connection`, and the content length.
 pub fn strip_hop_by_hop(headers: &HeaderMap) -> HeaderMap {
-    let named = named_by_connection(headers);
-    let mut kept = HeaderMap::with_capacity(headers.len());
+    let connection_headers = named_by_connection(headers);
+    let mut forwarded = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
-        let is_named = named.iter().any(|other| other == name.as_str());
-        if is_named || HOP_BY_HOP.contains(&name.as_str()) {
+        let is_listed = connection_headers
+            .iter()
+            .any(|other| other == name.as_str());
+        if is_listed || HOP_BY_HOP.contains(&name.as_str()) {
             continue;
         }
-        kept.append(name.clone(), value.clone());
+        forwarded.append(name.clone(), value.clone());
     }
-    kept
+    forwarded
 }
 
 fn named_by_connection(headers: &HeaderMap) -> Vec<String> {
--- a/crates/platform/src/application/mod.rs
+++ b/crates/platform/src/application/mod.rs
@@ -1,4 +1,4 @@
-//! Application back ends: forwards requests whole and gives answers back only as far as their own end is known.
+//! Client for application back ends. Reports truncated answers as errors.
 
 mod headers;
 
@@ -13,16 +13,16 @@
 
 use crate::dispatch::{Clients, REQUEST_ID_HEADER, describe, detail, refusal};
 
-/// Longest answer without a declared length that is kept in memory, in bytes.
+/// Maximum length in bytes of an answer without a declared length.
 pub const MAX_UNSIZED_BODY_BYTES: usize = 8 * 1024 * 1024;
 
-/// Talks to application back ends. Cheap to clone.
+/// Client for application back ends. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct ApplicationClient {
     clients: Clients,
 }
 
-/// One request to forward.
+/// Request to forward.
 #[derive(Debug, Clone)]
 pub struct ApplicationRequest {
     /// HTTP method.
@@ -31,20 +31,20 @@
     pub path: String,
     /// Query without the question mark.
     pub query: Option<String>,
-    /// The caller's headers; those that concern one connection only are left out on the way.
+    /// Headers of the caller; hop-by-hop headers are removed.
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
-    /// Names this request to the back end.
+    /// Request id sent to the back end.
     pub request_id: String,
 }
 
-/// A back end's answer.
+/// Answer of a back end.
 #[derive(Debug)]
 pub struct ApplicationResponse {
     /// Status code.
     pub status: StatusCode,
-    /// Headers without those that concern one connection or the body's length.
+    /// Headers without hop-by-hop headers and without the content length.
     pub headers: HeaderMap,
     /// Body.
     pub body: ApplicationBody,
@@ -53,34 +53,34 @@
 /// Body of an answer.
 #[derive(Debug)]
 pub enum ApplicationBody {
-    /// Declared length; read as it comes.
+    /// Body with a declared length, still being received.
     Sized(SizedBody),
-    /// No declared length; read to the back end's own end mark already.
+    /// Complete body.
     Whole(Bytes),
 }
 
-/// A body of declared length that is still arriving. Dropping it closes the connection.
+/// Body with a declared length that is still being received. Dropping it closes the connection.
 #[derive(Debug)]
 pub struct SizedBody {
     response: reqwest::Response,
     length: u64,
 }
 
-/// An answer's body ended before its declared length.
+/// Error of a body that ended before its declared length.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("answer cut: {0}")]
+#[error("answer was truncated: {0}")]
 pub struct BodyCut(pub String);
 
 impl SizedBody {
-    /// Declared length in bytes.
+    /// Returns the declared length in bytes.
     pub fn length(&self) -> u64 {
         self.length
     }
 
-    /// The next bytes; `None` once the declared length has been read. The caller bounds the wait.
+    /// Returns the next bytes, or `None` at the end of the body. The caller sets the timeout.
     ///
     /// # Errors
-    /// [`BodyCut`] if the body ends early.
+    /// [`BodyCut`] if the body ends before its declared length.
     pub async fn next(&mut self) -> Result<Option<Bytes>, BodyCut> {
         let chunk = self.response.chunk().await;
         chunk.map_err(|error| BodyCut(describe(&error)))
@@ -88,18 +88,18 @@
 }
 
 impl ApplicationClient {
-    /// A client without connections.
+    /// Creates a client.
     pub fn new() -> Self {
         Self {
             clients: Clients::new(),
         }
     }
 
-    /// Forwards a request. Returns once the answer has begun (declared length) or is whole (none declared);
-    /// the caller bounds the wait.
+    /// Forwards a request. Returns after the headers of an answer with a declared length, or at the end of any other
+    /// answer. The caller sets the timeout.
     ///
     /// # Errors
-    /// [`DispatchError`] says what is certain about the request.
+    /// [`DispatchError`], which tells whether the request may have run.
     pub async fn forward(
         &self,
         address: SocketAddr,
@@ -119,7 +119,7 @@
             .send()
             .await
             .map_err(|error| DispatchError::from_transport(&error))?;
-        open(&request.method, response).await
+        parse_response(&request.method, response).await
     }
 }
 
@@ -140,7 +140,7 @@
     Ok(url)
 }
 
-async fn open(
+async fn parse_response(
     method: &Method,
     response: reqwest::Response,
 ) -> Result<ApplicationResponse, DispatchError> {
@@ -154,7 +154,7 @@
         });
     }
     let headers = strip_hop_by_hop(response.headers());
-    let body = open_body(method, response).await?;
+    let body = parse_body(method, response).await?;
     Ok(ApplicationResponse {
         status,
         headers,
@@ -162,7 +162,7 @@
     })
 }
 
-async fn open_body(
+async fn parse_body(
     method: &Method,
     response: reqwest::Response,
 ) -> Result<ApplicationBody, DispatchError> {
@@ -172,23 +172,27 @@
     if let Some(length) = response.content_length() {
         return Ok(ApplicationBody::Sized(SizedBody { response, length }));
     }
-    // A body that ends with its connection has no end mark: a cut one would pass for whole.
+    // Truncation cannot be detected if the end of the connection ends the body.
     if !response.headers().contains_key(TRANSFER_ENCODING) {
-        return Err(DispatchError::Unknown("answer has no end mark".to_owned()));
+        return Err(DispatchError::Unknown(
+            "answer has neither a length nor a transfer encoding".to_owned(),
+        ));
     }
-    read_whole(response).await.map(ApplicationBody::Whole)
+    read_chunked(response).await.map(ApplicationBody::Whole)
 }
 
 fn has_no_body(method: &Method, status: StatusCode) -> bool {
     method == Method::HEAD || status == StatusCode::NO_CONTENT || status == StatusCode::NOT_MODIFIED
 }
 
-async fn read_whole(mut response: reqwest::Response) -> Result<Bytes, DispatchError> {
+async fn read_chunked(mut response: reqwest::Response) -> Result<Bytes, DispatchError> {
     let mut body = BytesMut::new();
     loop {
         match response.chunk().await {
             Ok(Some(bytes)) if body.len() + bytes.len() > MAX_UNSIZED_BODY_BYTES => {
-                let detail = format!("answer without length over {MAX_UNSIZED_BODY_BYTES} bytes");
+                let detail = format!(
+                    "answer without a declared length is longer than {MAX_UNSIZED_BODY_BYTES} bytes"
+                );
                 return Err(DispatchError::Unknown(detail));
             }
             Ok(Some(bytes)) => body.extend_from_slice(&bytes),
--- a/crates/platform/src/control.rs
+++ b/crates/platform/src/control.rs
@@ -1,35 +1,34 @@
-//! Small JSON exchanges with the systems around: machine list, load reports, orders.
+//! HTTP client for small JSON requests: machine list, load reports, orders, weight versions.
 
 use std::time::Duration;
 
 use reqwest::{Client, RequestBuilder, Response, StatusCode};
 use serde::de::DeserializeOwned;
 
-/// How long establishing a connection may take.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// After this long without an exchange a connection is closed: what is polled is polled more often, and connections
-/// for single orders would else pile up.
+/// Time after which an idle connection is closed; longer than the poll intervals.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why an exchange gave no usable answer.
+/// Error of a control request.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ControlError {
-    /// No answer, or a cut one.
+    /// No answer, or a truncated one.
     #[error("unreachable: {0}")]
     Unreachable(String),
-    /// An answer with an unexpected status.
-    #[error("answered with status {0}")]
+    /// The answer has an unexpected status.
+    #[error("unexpected status {0}")]
     Status(u16),
-    /// The body is longer than allowed, in bytes.
+    /// The answer is longer than this number of bytes.
     #[error("answer is longer than {0} bytes")]
     TooLong(usize),
-    /// The body is not what it should be.
+    /// The answer cannot be parsed.
     #[error("malformed answer: {0}")]
     Malformed(String),
 }
 
-/// A client for such exchanges: it follows no redirects, uses no proxies and repeats nothing by itself.
+/// Creates an HTTP client without redirects, proxies and automatic retries.
 pub fn client() -> Client {
     Client::builder()
         .redirect(reqwest::redirect::Policy::none())
@@ -39,10 +38,10 @@
         .pool_idle_timeout(IDLE_TIMEOUT)
         .tcp_nodelay(true)
         .build()
-        .expect("a client without TLS has no settings that can fail")
+        .expect("building a client without TLS cannot fail")
 }
 
-/// Sends a request and reads a JSON answer of at most `max_bytes`, all within `timeout`.
+/// Sends a request and reads a JSON answer of at most `max_bytes` bytes within `timeout`.
 pub(crate) async fn read_json<T: DeserializeOwned>(
     request: RequestBuilder,
     timeout: Duration,
@@ -56,7 +55,7 @@
     serde_json::from_slice(&body).map_err(|error| ControlError::Malformed(error.to_string()))
 }
 
-/// Sends a request and waits for the head of its answer; `timeout` covers the body, too.
+/// Sends a request and waits for the headers of the answer. `timeout` includes reading the body.
 pub(crate) async fn send(
     request: RequestBuilder,
     timeout: Duration,
@@ -65,7 +64,7 @@
     response.map_err(|error| unreachable(&error))
 }
 
-/// Reads a body of at most `max_bytes`.
+/// Reads a body of at most `max_bytes` bytes.
 pub(crate) async fn read_body(
     mut response: Response,
     max_bytes: usize,
--- a/crates/platform/src/dispatch.rs
+++ b/crates/platform/src/dispatch.rs
@@ -1,46 +1,45 @@
-//! What a back end's refusal or a broken connection says about whether a request ran; shared by engines and
-//! applications.
+//! HTTP clients for back ends, and errors that tell whether a request may have run.
 
 use std::time::Duration;
 
 use reqwest::header::{HeaderMap, RETRY_AFTER};
 use reqwest::redirect;
 
-/// Response header in which a back end says that it did not run the request.
+/// Response header in which a back end states that it did not run the request.
 pub const ENGINE_HEADER: &str = "Ladderstage-Engine";
 
-/// Header that carries the request id to back ends.
+/// Request header with the request id.
 pub const REQUEST_ID_HEADER: &str = "Ladderstage-Request-Id";
 
 /// Token of [`ENGINE_HEADER`]: the request was refused before it ran.
 const NOT_RUN_TOKEN: &str = "not-run";
 
-/// Token of [`ENGINE_HEADER`]: the back end is leaving and will refuse all further work.
+/// Token of [`ENGINE_HEADER`]: the back end is stopping and refuses all further requests.
 const LEAVING_TOKEN: &str = "leaving";
 
-/// How long establishing a connection to a back end may take.
+/// Timeout for establishing a connection to a back end.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long an unused connection is kept for reuse.
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Longest part of a refusal's body that is kept as its detail, in bytes.
+/// Maximum length in bytes of an error body that is kept as detail.
 const MAX_DETAIL_BYTES: usize = 256;
 
-/// Why a dispatch gave no answer, by what is certain about the request.
+/// Error of a request to a back end.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum DispatchError {
     /// No byte of the request left this process.
     #[error("request not sent: {0}")]
     NotSent(String),
-    /// The back end itself answered that it did not run the request.
+    /// The back end answered that it did not run the request.
     #[error("back end refused: {detail}")]
     NotRun {
-        /// When the back end wants to be asked again.
+        /// Time after which the back end accepts a retry, if it said so.
         retry_after: Option<Duration>,
-        /// The back end takes no further work.
+        /// Whether the back end is stopping and refuses all further requests.
         leaving: bool,
-        /// What the back end said.
+        /// Status and start of the body.
         detail: String,
     },
     /// The request may have run.
@@ -49,12 +48,12 @@
 }
 
 impl DispatchError {
-    /// Whether it is certain that the request did not run.
+    /// Returns whether the request certainly did not run.
     pub fn certainly_not_run(&self) -> bool {
         !matches!(self, Self::Unknown(_))
     }
 
-    /// Classifies a transport error: only a connection that was never established proves that nothing was sent.
+    /// Classifies a transport error. Only a failed connection attempt proves that nothing was sent.
     pub(crate) fn from_transport(error: &reqwest::Error) -> Self {
         let detail = describe(error);
         if error.is_connect() {
@@ -64,7 +63,7 @@
     }
 }
 
-/// The two HTTP clients towards back ends: one reuses connections, one never does.
+/// HTTP clients for back ends: one reuses connections, the other does not.
 #[derive(Debug, Clone)]
 pub(crate) struct Clients {
     pooled: reqwest::Client,
@@ -72,7 +71,7 @@
 }
 
 impl Clients {
-    /// Clients that follow no redirects, use no proxies and repeat nothing by themselves.
+    /// Creates clients without redirects, proxies and automatic retries.
     pub(crate) fn new() -> Self {
         Self {
             pooled: build(usize::MAX),
@@ -80,7 +79,7 @@
         }
     }
 
-    /// The client to use for a request that must, or need not, have a connection of its own.
+    /// Returns the client that opens new connections, or the one that reuses them.
     pub(crate) fn get(&self, fresh_connection: bool) -> &reqwest::Client {
         if fresh_connection {
             &self.fresh
@@ -100,10 +99,10 @@
         .pool_max_idle_per_host(idle_connections)
         .tcp_nodelay(true)
         .build()
-        .expect("a client without TLS has no settings that can fail")
+        .expect("building a client without TLS cannot fail")
 }
 
-/// The error's causes. Its own text is left out where there are any: it names the URL, which callers need not see.
+/// Returns the causes of an error. The error's own text is omitted if there are causes, as it contains the URL.
 pub(crate) fn describe(error: &reqwest::Error) -> String {
     let mut causes = Vec::new();
     let mut cause = std::error::Error::source(error);
@@ -117,14 +116,14 @@
     causes.join(": ")
 }
 
-/// What the header in which a back end refuses says.
+/// Refusal that a back end states in its headers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Refusal {
     pub(crate) retry_after: Option<Duration>,
     pub(crate) leaving: bool,
 }
 
-/// Reads a refusal from response headers; `None`: the back end does not say that the request did not run.
+/// Reads a refusal from response headers. Returns `None` if they do not state that the request did not run.
 pub(crate) fn refusal(headers: &HeaderMap) -> Option<Refusal> {
     let value = headers.get(ENGINE_HEADER)?.to_str().ok()?;
     let has = |token: &str| value.split(',').any(|part| part.trim() == token);
@@ -137,13 +136,13 @@
     })
 }
 
-/// `Retry-After` in seconds; the date form is ignored, as no wall clock is read here.
+/// Returns `Retry-After` if it is in seconds. The date form is ignored.
 fn retry_after(headers: &HeaderMap) -> Option<Duration> {
     let seconds = headers.get(RETRY_AFTER)?.to_str().ok()?;
     seconds.trim().parse().ok().map(Duration::from_secs)
 }
 
-/// The start of a refusal's body, for logs and operators.
+/// Returns the status and the start of the body of an error response.
 pub(crate) async fn detail(mut response: reqwest::Response) -> String {
     let status = response.status();
     let mut text = Vec::new();
--- a/crates/platform/src/engine/sse.rs
+++ b/crates/platform/src/engine/sse.rs
@@ -1,70 +1,70 @@
-//! Splits a byte stream into server-sent events, whatever the chunks it comes in.
+//! Incremental parser for server-sent events.
 
 use std::collections::VecDeque;
 
-/// Longest line, and longest data of one event, in bytes.
+/// Maximum length in bytes of a line and of the data of an event.
 pub const MAX_EVENT_BYTES: usize = 256 * 1024;
 
-/// Bytes that are not a stream of events.
+/// Error of a malformed event stream.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SplitError {
-    /// A line or an event's data is over [`MAX_EVENT_BYTES`].
-    #[error("event over {MAX_EVENT_BYTES} bytes")]
+    /// A line or the data of an event is longer than [`MAX_EVENT_BYTES`].
+    #[error("event is longer than {MAX_EVENT_BYTES} bytes")]
     TooLong,
     /// A line is not UTF-8.
     #[error("event is not UTF-8")]
     NotUtf8,
 }
 
-/// One event.
+/// Server-sent event.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Event {
-    /// Type of the event; empty: a plain message.
+    /// Type of the event; empty for a message.
     pub name: String,
-    /// Its data lines, joined by line feeds.
+    /// Data lines, joined by line feeds.
     pub data: String,
 }
 
-/// Collects bytes and gives the events that are complete: those ended by a blank line.
+/// Parser that is fed bytes and returns complete events. A blank line completes an event.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     line: Vec<u8>,
-    /// The last byte was a carriage return, so a line feed that follows ends no further line.
+    /// Whether the last byte was a carriage return, so that a following line feed is part of the same line end.
     after_carriage_return: bool,
-    building: Event,
+    current: Event,
     has_data: bool,
     complete: VecDeque<Event>,
 }
 
 impl EventSplitter {
-    /// A splitter at the start of a stream.
+    /// Creates a parser for a new stream.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes the next bytes of the stream.
+    /// Parses the next bytes of the stream.
     ///
     /// # Errors
-    /// [`SplitError`]; the splitter must not be used any further, though events complete before may be popped.
+    /// [`SplitError`] if the stream is malformed. No more bytes may be pushed then, but earlier events can be popped.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), SplitError> {
-        let mut rest = bytes;
-        while let Some(&first) = rest.first() {
+        let mut remaining = bytes;
+        while let Some(&first) = remaining.first() {
             if std::mem::take(&mut self.after_carriage_return) && first == b'\n' {
-                rest = &rest[1..];
+                remaining = &remaining[1..];
                 continue;
             }
-            let Some(end) = rest.iter().position(|&byte| is_line_end(byte)) else {
-                return self.extend_line(rest);
+            let Some(end) = remaining.iter().position(|&byte| is_line_end(byte)) else {
+                return self.extend_line(remaining);
             };
-            self.extend_line(&rest[..end])?;
-            self.after_carriage_return = rest[end] == b'\r';
+            self.extend_line(&remaining[..end])?;
+            self.after_carriage_return = remaining[end] == b'\r';
             self.end_line()?;
-            rest = &rest[end + 1..];
+            remaining = &remaining[end + 1..];
         }
         Ok(())
     }
 
-    /// The next complete event.
+    /// Removes and returns the next complete event.
     pub fn pop(&mut self) -> Option<Event> {
         self.complete.pop_front()
     }
@@ -89,29 +89,29 @@
         match field {
             "data" => self.add_data(value),
             "event" => {
-                self.building.name = value.to_owned();
+                self.current.name = value.to_owned();
                 Ok(())
             }
-            // Comments, ids and retry hints carry nothing that is used here.
+            // Comments, ids and retry hints are ignored.
             _ => Ok(()),
         }
     }
 
     fn add_data(&mut self, value: &str) -> Result<(), SplitError> {
-        if self.building.data.len() + value.len() >= MAX_EVENT_BYTES {
+        if self.current.data.len() + value.len() >= MAX_EVENT_BYTES {
             return Err(SplitError::TooLong);
         }
         if self.has_data {
-            self.building.data.push('\n');
+            self.current.data.push('\n');
         }
-        self.building.data.push_str(value);
+        self.current.data.push_str(value);
         self.has_data = true;
         Ok(())
     }
 
-    /// An event without data is none, as the standard has it.
+    /// Completes an event. Events without data are discarded, as the standard requires.
     fn end_event(&mut self) {
-        let event = std::mem::take(&mut self.building);
+        let event = std::mem::take(&mut self.current);
         if std::mem::take(&mut self.has_data) {
             self.complete.push_back(event);
         }
--- a/crates/platform/src/engine/stream.rs
+++ b/crates/platform/src/engine/stream.rs
@@ -1,45 +1,45 @@
-//! The chunks of one completion as an engine sends them.
+//! Stream of the chunks that an engine sends for a completion.
 
 use serde::Deserialize;
 
 use super::sse::{EventSplitter, SplitError};
 use crate::dispatch::describe;
 
-/// Data of the event with which an engine ends a completion.
+/// Data of the last event of a completion.
 pub const END_MARK: &str = "[DONE]";
 
-/// Name of the event with which an engine reports a failure in mid-stream.
+/// Name of the event that reports a failure.
 const ERROR_EVENT: &str = "error";
 
-/// One chunk of generated text.
+/// Chunk of generated text.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CompletionChunk {
-    /// Text that follows what came before.
+    /// Text to append to the previous chunks.
     pub text: String,
-    /// Tokens in `text`.
+    /// Number of tokens in `text`.
     pub tokens: u32,
-    /// Weight version that generated it, if the engine named one.
+    /// Weight version that generated the text, if the engine sent one.
     pub weight_version: Option<u64>,
 }
 
-/// Why a completion ended without the engine's end mark. What came before is good and may be resumed from.
+/// Error of a stream that ended before its end mark. Chunks received before it are valid and can be resumed from.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum StreamError {
-    /// The body ended, or its connection broke, before the end mark.
-    #[error("stream cut: {0}")]
+    /// The body ended or the connection broke before the end mark.
+    #[error("stream was truncated: {0}")]
     Cut(String),
-    /// The body is no stream of events.
+    /// The body is not a valid event stream.
     #[error(transparent)]
     Split(#[from] SplitError),
     /// An event is not a completion chunk.
     #[error("malformed chunk: {0}")]
     Malformed(String),
-    /// A chunk of another request; nothing further on this connection can be trusted.
-    #[error("chunk of request {found}, expected {expected}")]
+    /// A chunk belongs to another request, so the connection cannot be trusted.
+    #[error("received a chunk of request {found}, expected {expected}")]
     WrongRequest {
-        /// Request that this stream answers.
+        /// Id of the request that was sent.
         expected: String,
-        /// Request that the chunk names.
+        /// Request id in the chunk.
         found: String,
     },
     /// The engine reported a failure.
@@ -56,7 +56,7 @@
     weight_version: Option<u64>,
 }
 
-/// A completion under way. Dropping it closes the connection.
+/// Stream of a completion in progress. Dropping it closes the connection.
 #[derive(Debug)]
 pub struct CompletionStream {
     response: reqwest::Response,
@@ -75,19 +75,19 @@
         }
     }
 
-    /// The next chunk; `Ok(None)` only after the engine's own end mark. The caller bounds the wait.
+    /// Returns the next chunk, or `None` after the end mark. The caller sets the timeout.
     ///
-    /// Cancel-safe: a call that is dropped loses nothing.
+    /// Cancel safe: no data is lost if the future is dropped.
     ///
     /// # Errors
-    /// [`StreamError`]; every later call returns the same one.
+    /// [`StreamError`] if the stream ends before the end mark. Later calls return the same error.
     pub async fn next(&mut self) -> Result<Option<CompletionChunk>, StreamError> {
         loop {
             if let Some(end) = &self.end {
                 return end.clone().map(|()| None);
             }
             if let Some(event) = self.splitter.pop() {
-                match self.open(&event.name, &event.data) {
+                match self.parse_event(&event.name, &event.data) {
                     Ok(Some(chunk)) => return Ok(Some(chunk)),
                     Ok(None) => self.end = Some(Ok(())),
                     Err(error) => self.end = Some(Err(error)),
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Reads once from the connection. Events complete before a failure are still given first.
+    /// Reads once from the connection. On failure, complete events are still returned before the error.
     async fn read(&mut self) {
         let failure = match self.response.chunk().await {
             Ok(Some(bytes)) => match self.splitter.push(&bytes) {
@@ -111,7 +111,7 @@
         self.end = Some(Err(failure));
     }
 
-    fn open(&self, name: &str, data: &str) -> Result<Option<CompletionChunk>, StreamError> {
+    fn parse_event(&self, name: &str, data: &str) -> Result<Option<CompletionChunk>, StreamError> {
         if name == ERROR_EVENT {
             return Err(StreamError::Engine(data.to_owned()));
         }
--- a/crates/platform/src/key_value/exchange.rs
+++ b/crates/platform/src/key_value/exchange.rs
@@ -1,4 +1,4 @@
-//! One HTTP exchange with one base URL.
+//! HTTP requests to one base URL.
 
 use std::time::Duration;
 
@@ -6,16 +6,16 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use super::{Effect, KeyValueError};
+use super::{Access, KeyValueError};
 
-/// Longest answer that is read.
+/// Maximum length of an answer in bytes.
 const MAX_ANSWER_BYTES: usize = 4 * 1024 * 1024;
 
-/// Sends requests and reads their answers whole.
+/// HTTP clients for reads and writes.
 #[derive(Debug, Clone)]
 pub(super) struct Exchange {
     reads: Client,
-    /// Opens a connection for each request, so that a connect error means that nothing was sent.
+    /// Opens a connection for each request, so that a connect error proves that nothing was sent.
     writes: Client,
 }
 
@@ -31,21 +31,21 @@
         &self,
         url: &str,
         request: &Q,
-        effect: Effect,
+        access: Access,
     ) -> Result<A, KeyValueError>
     where
         Q: Serialize + Sync,
         A: DeserializeOwned,
     {
-        let client = match effect {
-            Effect::Read => &self.reads,
-            Effect::Write => &self.writes,
+        let client = match access {
+            Access::Read => &self.reads,
+            Access::Write => &self.writes,
         };
         let response = client.post(url).json(request).send().await;
         let response = response.map_err(send_error)?;
         check_status(response.status())?;
         let body = read_body(response).await?;
-        serde_json::from_slice(&body).map_err(|error| unreadable(effect, &error.to_string()))
+        serde_json::from_slice(&body).map_err(|error| decode_error(access, &error.to_string()))
     }
 }
 
@@ -58,8 +58,7 @@
         .retry(reqwest::retry::never())
         .no_proxy()
         .build()
-        // Building fails only over TLS or resolver settings, and this client has neither.
-        .expect("an HTTP client without TLS builds")
+        .expect("building a client without TLS cannot fail")
 }
 
 fn send_error(error: reqwest::Error) -> KeyValueError {
@@ -69,7 +68,7 @@
     KeyValueError::Unknown(error.to_string())
 }
 
-/// A server error may come after the change took effect; a client error comes before.
+/// Maps an HTTP status to an error. After a server error the change may have taken effect, unlike a client error.
 fn check_status(status: StatusCode) -> Result<(), KeyValueError> {
     if status == StatusCode::TOO_MANY_REQUESTS {
         return Err(KeyValueError::RateLimited);
@@ -92,15 +91,17 @@
             return Ok(body);
         };
         if body.len() + chunk.len() > MAX_ANSWER_BYTES {
-            return Err(KeyValueError::Unknown("answer is too long".to_owned()));
+            return Err(KeyValueError::Unknown(
+                "answer exceeds the length limit".to_owned(),
+            ));
         }
         body.extend_from_slice(&chunk);
     }
 }
 
-fn unreadable(effect: Effect, detail: &str) -> KeyValueError {
-    match effect {
-        Effect::Read => KeyValueError::Malformed(detail.to_owned()),
-        Effect::Write => KeyValueError::Unknown(format!("unreadable answer: {detail}")),
+fn decode_error(access: Access, detail: &str) -> KeyValueError {
+    match access {
+        Access::Read => KeyValueError::Malformed(detail.to_owned()),
+        Access::Write => KeyValueError::Unknown(format!("unreadable answer: {detail}")),
     }
 }
--- a/crates/platform/src/key_value/messages.rs
+++ b/crates/platform/src/key_value/messages.rs
@@ -1,4 +1,4 @@
-//! Requests and answers of the JSON gateway: bytes in base64, 64-bit numbers as strings, zero fields left out.
+//! Messages of the etcd JSON gateway: bytes are in base64, 64-bit integers are strings, and zero fields are omitted.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -6,7 +6,7 @@
 
 use super::{KeyValueEntry, KeyValueError, SwapOutcome};
 
-/// Largest revision that the service can write, which it would take ages to reach.
+/// Largest possible revision, which no record has in practice.
 const UNREACHABLE_REVISION: u64 = i64::MAX as u64;
 
 #[derive(Debug, Serialize)]
@@ -17,7 +17,7 @@
 }
 
 impl RangeRequest {
-    pub(super) fn one(key: &str) -> Self {
+    pub(super) fn single(key: &str) -> Self {
         Self {
             key: STANDARD.encode(key),
             range_end: None,
@@ -32,7 +32,7 @@
     }
 }
 
-/// The first key after all that start with `prefix`; a zero byte means the end of all keys.
+/// Returns the first key after all keys that start with `prefix`. A zero byte stands for the end of the key space.
 fn end_of_prefix(prefix: &str) -> Vec<u8> {
     let mut end = prefix.as_bytes().to_vec();
     while let Some(last) = end.pop() {
@@ -62,7 +62,7 @@
     #[serde(default)]
     value: String,
     #[serde(default)]
-    mod_revision: Number,
+    mod_revision: Integer,
 }
 
 impl Record {
@@ -83,27 +83,27 @@
         .map_err(|error| KeyValueError::Malformed(error.to_string()))
 }
 
-/// A 64-bit number, which the gateway writes as a string.
+/// 64-bit integer, which the gateway writes as a string.
 #[derive(Debug, Deserialize)]
 #[serde(untagged)]
-enum Number {
+enum Integer {
     Text(String),
     Plain(u64),
 }
 
-impl Default for Number {
+impl Default for Integer {
     fn default() -> Self {
         Self::Plain(0)
     }
 }
 
-impl Number {
+impl Integer {
     fn value(&self) -> Result<u64, KeyValueError> {
         match self {
             Self::Plain(number) => Ok(*number),
             Self::Text(text) => text
                 .parse()
-                .map_err(|_| KeyValueError::Malformed(format!("{text:?} is no revision"))),
+                .map_err(|_| KeyValueError::Malformed(format!("invalid revision {text:?}"))),
         }
     }
 }
@@ -111,7 +111,7 @@
 #[derive(Debug, Default, Deserialize)]
 struct Header {
     #[serde(default)]
-    revision: Number,
+    revision: Integer,
 }
 
 #[derive(Debug, Serialize)]
@@ -159,7 +159,7 @@
 }
 
 impl TxnRequest {
-    /// Compares with a revision that no record reaches, so that the answer is always the record as it is.
+    /// Creates a read: a comparison with an unreachable revision always fails and returns the record.
     pub(super) fn read(key: &str) -> Self {
         let mut request = Self::swap(key, UNREACHABLE_REVISION, &[]);
         request.success = None;
@@ -179,7 +179,7 @@
                 request_put: PutRequest::new(key, value),
             }]),
             failure: [FailureOperation {
-                request_range: RangeRequest::one(key),
+                request_range: RangeRequest::single(key),
             }],
         }
     }
@@ -189,7 +189,7 @@
 pub(super) struct TxnResponse {
     #[serde(default)]
     header: Header,
-    /// Left out when false.
+    /// Omitted if false.
     #[serde(default)]
     succeeded: bool,
     #[serde(default)]
@@ -202,15 +202,20 @@
 }
 
 impl TxnResponse {
-    /// The record that a [`TxnRequest::read`] found.
+    /// Returns the record found by a [`TxnRequest::read`].
     pub(super) fn into_entry(self) -> Result<Option<KeyValueEntry>, KeyValueError> {
         match self.outcome()? {
             SwapOutcome::Lost(entry) => Ok(entry),
-            SwapOutcome::Won { .. } => Err(KeyValueError::Malformed("a read that wrote".into())),
+            SwapOutcome::Won { .. } => Err(KeyValueError::Malformed(
+                "read was answered as a write".into(),
+            )),
         }
     }
 
-    /// An unreadable answer to a swap leaves its outcome unknown.
+    /// Returns the outcome of a swap.
+    ///
+    /// # Errors
+    /// [`KeyValueError::Unknown`] if the answer is malformed, as the swap may have taken effect.
     pub(super) fn into_outcome(self) -> Result<SwapOutcome, KeyValueError> {
         self.outcome()
             .map_err(|error| KeyValueError::Unknown(error.to_string()))
@@ -228,7 +233,7 @@
             .responses
             .into_iter()
             .find_map(|operation| operation.response_range);
-        // An empty object would read as "lost"; a true loss always carries the range it asked for.
+        // A lost swap always includes the range, so an empty object is malformed.
         let Some(range) = range else {
             return Err(KeyValueError::Malformed("answer without record".into()));
         };
--- a/crates/platform/src/key_value/mod.rs
+++ b/crates/platform/src/key_value/mod.rs
@@ -1,7 +1,7 @@
-//! Client of the key-value service, over the JSON gateway paths of etcd v3.
+//! Client of the key-value service, which uses the JSON gateway of etcd v3.
 //!
-//! Reads may be repeated and so fall over to the next base URL on any failure. Writes fall over only while no
-//! byte of them was sent: once the outcome of one is unknown it is reported as such and never sent again here.
+//! Reads fail over to the next base URL on any failure. Writes fail over only if nothing was sent; otherwise the
+//! outcome is reported as unknown.
 
 mod exchange;
 mod messages;
@@ -13,47 +13,47 @@
 use exchange::Exchange;
 use messages::{PutRequest, PutResponse, RangeRequest, RangeResponse, TxnRequest, TxnResponse};
 
-/// Why a call to the key-value service gave no result.
+/// Error of a call to the key-value service.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum KeyValueError {
-    /// No byte of the request left this process; nothing changed.
+    /// The request was not sent, so nothing changed.
     #[error("key-value request not sent: {0}")]
     NotSent(String),
-    /// The answer was lost or cannot be read; a change may have taken effect.
+    /// The answer was lost or malformed, so a change may have taken effect.
     #[error("key-value outcome unknown: {0}")]
     Unknown(String),
-    /// The service is over its rate and did not carry out the request.
-    #[error("key-value service is over its rate")]
+    /// The service rejected the request because of its rate limit, so nothing changed.
+    #[error("key-value service is over its rate limit")]
     RateLimited,
-    /// The service refused the request, or a read was answered with something that is no answer; nothing changed.
-    #[error("malformed key-value exchange: {0}")]
+    /// The service rejected the request, or the answer to a read is malformed. Nothing changed.
+    #[error("malformed key-value request or answer: {0}")]
     Malformed(String),
 }
 
-/// One record.
+/// Record of the key-value service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyValueEntry {
-    /// Its bytes.
+    /// Value of the record.
     pub value: Vec<u8>,
-    /// The service's revision of its last change; grows with each change.
+    /// Revision of the last change, which grows with each change.
     pub mod_revision: u64,
 }
 
-/// What became of a compare-and-swap that was answered.
+/// Outcome of a compare-and-swap.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SwapOutcome {
-    /// The record was as expected and is now the new value.
+    /// The revision matched and the new value was written.
     Won {
-        /// Revision of this change.
+        /// Revision of the change.
         mod_revision: u64,
     },
-    /// The record was another and was left alone; this is how the service described it.
+    /// The revision did not match. Holds the current record, if there is one.
     Lost(Option<KeyValueEntry>),
 }
 
-/// Access to the key-value service. Cheap to clone.
+/// Client of the key-value service. Cheap to clone.
 ///
-/// A read may return an older record than one seen before; callers keep the larger revision.
+/// Reads may be stale, so callers must keep the record with the larger revision.
 #[derive(Debug, Clone)]
 pub struct KeyValue {
     base_urls: Arc<[String]>,
@@ -61,15 +61,15 @@
     exchange: Exchange,
 }
 
-/// Whether a request may be sent again when its outcome is unknown.
+/// Kind of request; only reads may be repeated when the outcome is unknown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Effect {
+enum Access {
     Read,
     Write,
 }
 
 impl KeyValue {
-    /// A client of one service behind several base URLs; `timeout` bounds each attempt at one of them.
+    /// Creates a client of a service with several base URLs. `timeout` applies to each attempt at one URL.
     pub fn new(base_urls: Vec<String>, timeout: Duration) -> Self {
         Self {
             base_urls: base_urls.into(),
@@ -78,34 +78,35 @@
         }
     }
 
-    /// The record at `key`, perhaps an older one than the newest.
+    /// Returns the record at `key`, which may be stale.
     pub async fn get(&self, key: &str) -> Result<Option<KeyValueEntry>, KeyValueError> {
-        let request = RangeRequest::one(key);
-        let response: RangeResponse = self.send("/v3/kv/range", &request, Effect::Read).await?;
+        let request = RangeRequest::single(key);
+        let response: RangeResponse = self.send("/v3/kv/range", &request, Access::Read).await?;
         let entries = response.into_entries()?;
         Ok(entries.into_iter().next().map(|(_, entry)| entry))
     }
 
-    /// The record at `key` as of some instant after this call began.
+    /// Returns the record at `key` as of some time during this call.
     ///
-    /// Goes through a transaction that changes nothing: the service orders transactions among its writes, while
-    /// a plain range may be answered from a copy that lags behind.
+    /// Uses a transaction that changes nothing, as the service orders transactions with its writes. A plain range may
+    /// be answered from a replica that lags behind.
     pub async fn get_current(&self, key: &str) -> Result<Option<KeyValueEntry>, KeyValueError> {
         let request = TxnRequest::read(key);
-        let response: TxnResponse = self.send("/v3/kv/txn", &request, Effect::Read).await?;
+        let response: TxnResponse = self.send("/v3/kv/txn", &request, Access::Read).await?;
         response.into_entry()
     }
 
-    /// All records whose keys start with `prefix`, by key.
+    /// Returns all records whose keys start with `prefix`, in order of their keys.
     pub async fn list(&self, prefix: &str) -> Result<Vec<(String, KeyValueEntry)>, KeyValueError> {
         let request = RangeRequest::prefix(prefix);
-        let response: RangeResponse = self.send("/v3/kv/range", &request, Effect::Read).await?;
+        let response: RangeResponse = self.send("/v3/kv/range", &request, Access::Read).await?;
         response.into_entries()
     }
 
-    /// Writes `value` if the record at `key` was last changed at `expected_mod_revision` (0: is absent).
+    /// Writes `value` if the record at `key` has the revision `expected_mod_revision`, where 0 means absent.
     ///
-    /// On [`KeyValueError::Unknown`] the swap may have taken effect, now or a little later.
+    /// # Errors
+    /// [`KeyValueError::Unknown`] if the swap may have taken effect or may still do so.
     pub async fn compare_and_swap(
         &self,
         key: &str,
@@ -113,45 +114,45 @@
         value: Vec<u8>,
     ) -> Result<SwapOutcome, KeyValueError> {
         let request = TxnRequest::swap(key, expected_mod_revision, &value);
-        let response: TxnResponse = self.send("/v3/kv/txn", &request, Effect::Write).await?;
+        let response: TxnResponse = self.send("/v3/kv/txn", &request, Access::Write).await?;
         response.into_outcome()
     }
 
-    /// Writes `value` whatever the record was.
+    /// Writes `value` unconditionally.
     pub async fn put(&self, key: &str, value: Vec<u8>) -> Result<(), KeyValueError> {
         let request = PutRequest::new(key, &value);
-        let _: PutResponse = self.send("/v3/kv/put", &request, Effect::Write).await?;
+        let _: PutResponse = self.send("/v3/kv/put", &request, Access::Write).await?;
         Ok(())
     }
 
-    async fn send<Q, A>(&self, path: &str, request: &Q, effect: Effect) -> Result<A, KeyValueError>
+    async fn send<Q, A>(&self, path: &str, request: &Q, access: Access) -> Result<A, KeyValueError>
     where
         Q: serde::Serialize + Sync,
         A: serde::de::DeserializeOwned,
     {
         let count = self.base_urls.len();
         let start = self.preferred.load(Ordering::Relaxed);
-        let mut last = KeyValueError::NotSent("no base URL is set".to_owned());
+        let mut last_error = KeyValueError::NotSent("no base URL is configured".to_owned());
         for index in (0..count).map(|offset| (start + offset) % count) {
             let url = format!("{}{path}", self.base_urls[index].trim_end_matches('/'));
-            match self.exchange.post(&url, request, effect).await {
+            match self.exchange.post(&url, request, access).await {
                 Ok(answer) => {
                     self.preferred.store(index, Ordering::Relaxed);
                     return Ok(answer);
                 }
-                Err(error) if !may_try_another(&error, effect) => return Err(error),
-                Err(error) => last = error,
+                Err(error) if !may_try_next_url(&error, access) => return Err(error),
+                Err(error) => last_error = error,
             }
         }
-        Err(last)
+        Err(last_error)
     }
 }
 
-/// A write whose outcome is unknown must not be sent twice; a refusal counts for all base URLs.
-fn may_try_another(error: &KeyValueError, effect: Effect) -> bool {
+/// Returns whether to try the next base URL. A write whose outcome is unknown must not be sent twice.
+fn may_try_next_url(error: &KeyValueError, access: Access) -> bool {
     match error {
         KeyValueError::NotSent(_) => true,
-        KeyValueError::Unknown(_) | KeyValueError::Malformed(_) => effect == Effect::Read,
+        KeyValueError::Unknown(_) | KeyValueError::Malformed(_) => access == Access::Read,
         KeyValueError::RateLimited => false,
     }
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,4 +1,4 @@
-//! Adapters to the systems around ladderstage, one module each. `docs/PLATFORM.md` describes what they speak.
+//! Clients of external systems, one module for each. `docs/PLATFORM.md` describes their protocols.
 
 pub mod application;
 pub mod control;
--- a/crates/platform/src/load.rs
+++ b/crates/platform/src/load.rs
@@ -9,34 +9,36 @@
 use crate::control::{self, ControlError};
 use crate::machine_list::MachineKind;
 
-/// Longest answer that is read.
+/// Maximum length of an answer in bytes.
 const MAX_ANSWER_BYTES: usize = 64 * 1024;
 
-/// A load report.
+/// Load report of a back end.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct LoadReport {
-    /// Name of the back end that answers.
+    /// Name of the back end.
     pub name: String,
-    /// Random number of its process.
+    /// Random id of the back end's process.
     pub process: u64,
-    /// Weight version it holds; applications have none.
+    /// Weight version that the engine has loaded; 0 for applications.
     #[serde(default)]
     pub weight_version: u64,
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// Requests it runs side by side.
+    /// Maximum number of concurrent requests.
     pub capacity: u32,
-    /// Whether it is stopping.
+    /// Whether the back end is stopping.
     #[serde(default)]
     pub leaving: bool,
-    /// Grows with each report of one process.
+    /// Sequence number, which grows with each report of a process.
     pub sequence: u64,
 }
 
-/// Reads the load report of the back end `name` at `address`. A report of another name is an error: the address has
-/// been given to another back end.
+/// Reads the load report of the back end `name` at `address`.
+///
+/// # Errors
+/// [`ControlError`] if there is no valid report, or if it has another name because the address was reassigned.
 pub async fn read_load(
     client: &Client,
     kind: MachineKind,
@@ -51,7 +53,7 @@
     let request = client.get(format!("http://{address}{path}"));
     let report: LoadReport = control::read_json(request, timeout, MAX_ANSWER_BYTES).await?;
     if report.name != name {
-        let detail = format!("report of {:?} instead of {name:?}", report.name);
+        let detail = format!("load report has name {:?}, expected {name:?}", report.name);
         return Err(ControlError::Malformed(detail));
     }
     Ok(report)
--- a/crates/platform/src/machine_list.rs
+++ b/crates/platform/src/machine_list.rs
@@ -1,4 +1,4 @@
-//! The machine list: which back ends there are, where, and which are leaving.
+//! Client of the machine list, which lists the back ends with their addresses and states.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,16 +8,16 @@
 
 use crate::control::{self, ControlError};
 
-/// Longest answer that is read.
+/// Maximum length of an answer in bytes.
 const MAX_ANSWER_BYTES: usize = 4 * 1024 * 1024;
 
 /// Kind of a listed machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineKind {
-    /// A model engine.
+    /// Model engine.
     Engine,
-    /// An application back end.
+    /// Application back end.
     Application,
 }
 
@@ -25,33 +25,33 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
-    /// It takes work.
+    /// Accepts work.
     Live,
-    /// It is stopping.
+    /// Is stopping.
     Leaving,
 }
 
-/// A machine as listed.
+/// Listed machine.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct Machine {
-    /// Its name.
+    /// Name of the back end.
     pub name: String,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
     /// Zone it runs in.
     pub zone: String,
-    /// What it is.
+    /// Kind of the back end.
     pub kind: MachineKind,
-    /// Whether it takes work.
+    /// State of the back end.
     pub state: MachineState,
 }
 
-/// An answer of the machine list.
+/// Answer of the machine list.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Machines {
-    /// Entries that could be read.
+    /// Valid entries.
     pub machines: Vec<Machine>,
-    /// What was wrong with the others, each with its index.
+    /// Errors of the invalid entries, with their indices.
     pub findings: Vec<String>,
 }
 
@@ -60,7 +60,7 @@
     machines: Vec<Value>,
 }
 
-/// Client of one machine list.
+/// Client of a machine list.
 #[derive(Debug, Clone)]
 pub struct MachineList {
     url: String,
@@ -69,7 +69,7 @@
 }
 
 impl MachineList {
-    /// A client of the list at `base_url`; each call takes `timeout` at most.
+    /// Creates a client of the list at `base_url`. `timeout` applies to each call.
     pub fn new(base_url: &str, timeout: Duration) -> Self {
         Self {
             url: format!("{}/v1/machines", base_url.trim_end_matches('/')),
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Reads the list once. A malformed entry costs only itself.
+    /// Reads the list once. Invalid entries are skipped and reported.
     pub async fn read(&self) -> Result<Machines, ControlError> {
         let request = self.client.get(&self.url);
         let answer: Answer = control::read_json(request, self.timeout, MAX_ANSWER_BYTES).await?;
--- a/crates/platform/src/orders.rs
+++ b/crates/platform/src/orders.rs
@@ -1,4 +1,4 @@
-//! Fenced orders to engines.
+//! Sends fenced orders to engines.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,28 +8,28 @@
 
 use crate::control::{self, ControlError};
 
-/// Longest answer that is read.
+/// Maximum length of an answer in bytes.
 const MAX_ANSWER_BYTES: usize = 64 * 1024;
 
-/// An order to hold a weight version.
+/// Order to load a weight version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct OrderRequest {
-    /// The engine refuses orders whose fence is below the highest it has seen.
+    /// Fence; engines reject orders whose fence is below the highest one that they have seen.
     pub fence: u64,
-    /// Model to hold.
+    /// Model to load.
     pub model: String,
-    /// Weight version to hold.
+    /// Weight version to load.
     pub weight_version: u64,
 }
 
-/// What an engine answered to an order.
+/// Answer of an engine to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// It will try; only its load report says whether it did.
+    /// The engine accepted the order. Its load report shows when the version is loaded.
     Accepted,
-    /// It has seen a higher fence.
+    /// The engine has seen a higher fence and rejected the order.
     Fenced {
-        /// The highest fence it has seen.
+        /// Highest fence that the engine has seen.
         fence: u64,
     },
 }
@@ -39,7 +39,7 @@
     fence: u64,
 }
 
-/// Sends an order once.
+/// Sends an order without retries.
 pub async fn send_order(
     client: &Client,
     address: SocketAddr,
--- a/crates/platform/src/scorer.rs
+++ b/crates/platform/src/scorer.rs
@@ -1,4 +1,4 @@
-//! The service that scores trainers' samples.
+//! Client of the service that scores samples.
 
 use std::time::Duration;
 
@@ -7,26 +7,26 @@
 
 use crate::dispatch::{Clients, describe, detail};
 
-/// How long one score may take.
+/// Timeout of a request.
 const SCORE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Asks the scorer. Cheap to clone.
+/// Client of the scorer. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Scorer {
     clients: Clients,
     url: String,
 }
 
-/// What is to be scored.
+/// Sample to score.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct ScoreRequest {
-    /// Trainer that asked for the sample.
+    /// Trainer that requested the sample.
     pub trainer: String,
-    /// Its step.
+    /// Step of the trainer.
     pub step: u64,
     /// Slot within the step.
     pub slot: u32,
-    /// Attempt at the slot.
+    /// Number of the attempt at the slot.
     pub attempt: u32,
     /// Prompt of the sample.
     pub prompt: String,
@@ -34,16 +34,16 @@
     pub text: String,
 }
 
-/// Why there is no score. Scoring changes nothing, so it may be asked for again.
+/// Error of a scoring request. Scoring has no side effects, so it may be retried.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ScoreError {
-    /// The scorer cannot be reached, or its answer broke off.
-    #[error("no answer of the scorer: {0}")]
+    /// The scorer is unreachable, or its answer was truncated.
+    #[error("no answer from the scorer: {0}")]
     Transport(String),
-    /// The scorer answered with another status than 200.
-    #[error("scorer answered {0}")]
+    /// The scorer answered with a status other than 200.
+    #[error("scorer answered with an error: {0}")]
     Status(String),
-    /// The answer holds no score.
+    /// The answer has no valid score.
     #[error("malformed score: {0}")]
     Malformed(String),
 }
@@ -54,7 +54,7 @@
 }
 
 impl Scorer {
-    /// A client of the scorer at `base_url`.
+    /// Creates a client of the scorer at `base_url`.
     pub fn new(base_url: &str) -> Self {
         Self {
             clients: Clients::new(),
@@ -62,10 +62,10 @@
         }
     }
 
-    /// Scores one sample, once.
+    /// Scores a sample without retries.
     ///
     /// # Errors
-    /// [`ScoreError`]; the caller decides whether and when to ask again.
+    /// [`ScoreError`] if the scorer returns no score.
     pub async fn score(&self, request: &ScoreRequest) -> Result<f64, ScoreError> {
         let response = self
             .clients
--- a/crates/platform/src/weight_store.rs
+++ b/crates/platform/src/weight_store.rs
@@ -1,4 +1,4 @@
-//! Which weight versions exist.
+//! Client of the weight store, which lists the existing weight versions.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -8,13 +8,13 @@
 
 use crate::control::{self, ControlError};
 
-/// How long one answer may take.
+/// Timeout of a request.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest answer that is read, in bytes.
+/// Maximum length of an answer in bytes.
 const MAX_ANSWER_BYTES: usize = 1024 * 1024;
 
-/// Asks the weight store. Cheap to clone.
+/// Client of the weight store. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct WeightStore {
     client: Client,
@@ -27,7 +27,7 @@
 }
 
 impl WeightStore {
-    /// A client of the weight store at `base_url`.
+    /// Creates a client of the weight store at `base_url`.
     pub fn new(base_url: &str) -> Self {
         Self {
             client: control::client(),
@@ -35,7 +35,7 @@
         }
     }
 
-    /// All versions of a model that the store holds.
+    /// Returns all weight versions of a model in the store.
     pub async fn versions(&self, model: &str) -> Result<BTreeSet<u64>, ControlError> {
         let request = self
             .client
