--- a/crates/daemon/src/drain.rs
+++ b/crates/daemon/src/drain.rs
@@ -1,4 +1,4 @@
-//! Planned stop: counts what is under way and refuses new work once it has started.
+//! Drain of a node: counts work in flight and refuses new work once the drain has started.
 
 use std::sync::Arc;
 
@@ -10,21 +10,21 @@
     in_flight: usize,
 }
 
-/// Work under way at this node. Cheap to clone.
+/// Counter of work in flight on a node. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Drain {
     state: Arc<watch::Sender<DrainState>>,
 }
 
 impl Drain {
-    /// Nothing under way, not draining.
+    /// Creates a counter without work in flight that is not draining.
     pub fn new() -> Self {
         Self {
             state: Arc::new(watch::Sender::new(DrainState::default())),
         }
     }
 
-    /// Counts one piece of work until the guard is dropped; `None` once draining.
+    /// Counts a request as in flight until the guard is dropped. Returns `None` while draining.
     pub fn track_request(&self) -> Option<DrainGuard> {
         let mut admitted = false;
         self.state.send_if_modified(|state| {
@@ -37,25 +37,25 @@
         })
     }
 
-    /// Refuses new work from now on. Calling it again changes nothing.
+    /// Starts the drain, after which new work is refused. Idempotent.
     pub fn start(&self) {
         self.state.send_modify(|state| state.draining = true);
     }
 
-    /// Whether new work is refused.
+    /// Returns whether the node is draining.
     pub fn is_draining(&self) -> bool {
         self.state.borrow().draining
     }
 
-    /// Pieces of work under way.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.state.borrow().in_flight
     }
 
-    /// Returns when nothing is under way.
+    /// Waits until no request is in flight.
     pub async fn wait_until_idle(&self) {
         let mut state = self.state.subscribe();
-        // Fails only when the sender is gone, and `self` holds it.
+        // Cannot fail, as `self` holds the sender.
         let _ = state.wait_for(|state| state.in_flight == 0).await;
     }
 }
@@ -66,7 +66,7 @@
     }
 }
 
-/// One piece of work under way. A clone counts as another piece, also while draining.
+/// Guard of a request in flight. A clone counts as another request, even while draining.
 #[derive(Debug)]
 pub struct DrainGuard {
     state: Arc<watch::Sender<DrainState>>,
--- a/crates/daemon/src/hooks.rs
+++ b/crates/daemon/src/hooks.rs
@@ -1,4 +1,4 @@
-//! Joins membership and the journal to the bundle, the replica set and the shards, without these knowing each other.
+//! Hooks that connect membership and the journal with the bundles, the replica set and the shards.
 
 use std::sync::{Arc, Weak};
 use std::time::Instant;
@@ -7,28 +7,28 @@
 
 use crate::journal::JournalHooks;
 use crate::members::MemberHooks;
-use crate::node::Parts;
-use crate::peer_handler::PartsSlot;
+use crate::node::NodeComponents;
+use crate::peer_handler::ComponentsSlot;
 
-/// Hands on what pings and heartbeats bring.
+/// Forwards information from pings and heartbeats to the other components.
 #[derive(Debug)]
 pub struct Hooks {
-    parts: PartsSlot,
+    components: ComponentsSlot,
 }
 
 impl Hooks {
-    /// Does nothing until `parts` is filled.
-    pub fn new(parts: PartsSlot) -> Self {
-        Self { parts }
+    /// Creates hooks that do nothing until the slot is filled.
+    pub fn new(components: ComponentsSlot) -> Self {
+        Self { components }
     }
 
-    fn parts(&self) -> Option<Arc<Parts>> {
-        self.parts.get().and_then(Weak::upgrade)
+    fn components(&self) -> Option<Arc<NodeComponents>> {
+        self.components.get().and_then(Weak::upgrade)
     }
 
     fn own_bundle_evidence(&self) -> BundleEvidence {
-        self.parts()
-            .map(|parts| parts.bundles.evidence())
+        self.components()
+            .map(|components| components.bundles.evidence())
             .unwrap_or_default()
     }
 }
@@ -39,19 +39,24 @@
     }
 
     fn observe_evidence(&self, from: &str, evidence: &BundleEvidence, asked_at: Instant) {
-        if let Some(parts) = self.parts() {
-            parts.bundles.observe_evidence(from, evidence, asked_at);
+        if let Some(components) = self.components() {
+            components
+                .bundles
+                .observe_evidence(from, evidence, asked_at);
         }
     }
 
     fn replica_set_version(&self) -> u64 {
-        self.parts().map_or(0, |parts| parts.replica_sets.version())
+        self.components()
+            .map_or(0, |components| components.replica_sets.version())
     }
 
     fn observe_replica_set_version(&self, from: &str, version: u64) {
-        if let Some(parts) = self.parts() {
-            let peers = Arc::new(parts.members.clone());
-            parts.replica_sets.on_peer_version(peers, from, version);
+        if let Some(components) = self.components() {
+            let peers = Arc::new(components.members.clone());
+            components
+                .replica_sets
+                .on_peer_version(peers, from, version);
         }
     }
 }
@@ -67,24 +72,26 @@
         evidence: Vec<BundleEvidence>,
         majority: bool,
     ) {
-        if let Some(parts) = self.parts() {
+        if let Some(components) = self.components() {
             let asked_at = asked_at.to_std();
-            parts.bundles.heartbeat_round(asked_at, &evidence, majority);
+            components
+                .bundles
+                .heartbeat_round(asked_at, &evidence, majority);
         }
     }
 
     fn fenced(&self, log: &str) {
-        if let Some(parts) = self.parts() {
-            parts.shards.fenced(log);
+        if let Some(components) = self.components() {
+            components.shards.fenced(log);
         }
     }
 
     fn orphaned(&self, logs: Vec<String>) {
-        let Some(parts) = self.parts() else {
+        let Some(components) = self.components() else {
             return;
         };
         tokio::spawn(async move {
-            parts
+            components
                 .shards
                 .handle_shard_notice(ShardNotice {
                     logs,
--- a/crates/daemon/src/http/server.rs
+++ b/crates/daemon/src/http/server.rs
@@ -13,7 +13,7 @@
 use tokio::task::JoinHandle;
 
 use crate::http::{applications, bundles, completions, failures, status, trainers};
-use crate::node::{NodeError, Parts};
+use crate::node::{NodeComponents, NodeError};
 
 /// Maximum length in MiB of bodies read by Rocket's data guards. Routes have lower limits of their own.
 const BODY_LIMIT_MEBIBYTES: u64 = 16;
@@ -44,11 +44,14 @@
     ///
     /// # Errors
     /// [`NodeError::HttpListen`] if the server cannot listen.
-    pub async fn start(address: SocketAddr, parts: Arc<Parts>) -> Result<Self, NodeError> {
+    pub async fn start(
+        address: SocketAddr,
+        components: Arc<NodeComponents>,
+    ) -> Result<Self, NodeError> {
         let (bound_sender, bound) = oneshot::channel();
         let failed = |detail: String| NodeError::HttpListen { address, detail };
         let (alive_sender, all_closed) = oneshot::channel();
-        let rocket = server(address, parts)
+        let rocket = server(address, components)
             .manage(ServerLifetime {
                 _sender: alive_sender,
             })
@@ -109,13 +112,13 @@
     })
 }
 
-fn server(address: SocketAddr, parts: Arc<Parts>) -> Rocket<Build> {
+fn server(address: SocketAddr, components: Arc<NodeComponents>) -> Rocket<Build> {
     rocket::custom(config(address))
-        .manage(parts.live.clone())
-        .manage(parts.shards.clone())
-        .manage(parts.bundles.clone())
-        .manage(parts.drain.clone())
-        .manage(parts)
+        .manage(components.live.clone())
+        .manage(components.shards.clone())
+        .manage(components.bundles.clone())
+        .manage(components.drain.clone())
+        .manage(components)
         .mount("/", completions::routes())
         .mount("/", applications::routes())
         .mount("/", trainers::routes())
--- a/crates/daemon/src/http/status.rs
+++ b/crates/daemon/src/http/status.rs
@@ -7,10 +7,10 @@
 use rocket::{Route, State, get, routes};
 use serde::Serialize;
 
-use crate::node::Parts;
+use crate::node::NodeComponents;
 use crate::status::{MemberStatus, NodeStatus, Readiness};
 
-/// Returns the routes of this module. They need managed [`Parts`].
+/// Returns the routes of this module. They need managed [`NodeComponents`].
 pub fn routes() -> Vec<Route> {
     routes![health, ready, status, members, metrics]
 }
@@ -23,8 +23,8 @@
 
 /// Reports whether the node accepts new work, and the reasons if not.
 #[get("/readyz")]
-fn ready(parts: &State<Arc<Parts>>) -> (Status, Json<Readiness>) {
-    let readiness = Readiness::of(parts);
+fn ready(components: &State<Arc<NodeComponents>>) -> (Status, Json<Readiness>) {
+    let readiness = Readiness::of(components);
     let status = if readiness.ready {
         Status::Ok
     } else {
@@ -35,8 +35,8 @@
 
 /// Returns the status of the node and its view of the cluster.
 #[get("/v1/status")]
-fn status(parts: &State<Arc<Parts>>) -> Json<NodeStatus> {
-    Json(NodeStatus::of(parts))
+fn status(components: &State<Arc<NodeComponents>>) -> Json<NodeStatus> {
+    Json(NodeStatus::of(components))
 }
 
 /// Answer to `GET /v1/members`.
@@ -47,14 +47,14 @@
 
 /// Returns the members that this node knows.
 #[get("/v1/members")]
-fn members(parts: &State<Arc<Parts>>) -> Json<MembersAnswer> {
-    let members = MemberStatus::all(parts);
+fn members(components: &State<Arc<NodeComponents>>) -> Json<MembersAnswer> {
+    let members = MemberStatus::all(components);
     Json(MembersAnswer { members })
 }
 
 /// Returns the metrics in the Prometheus text format.
 #[get("/metrics")]
-fn metrics(parts: &State<Arc<Parts>>) -> (ContentType, String) {
+fn metrics(components: &State<Arc<NodeComponents>>) -> (ContentType, String) {
     let content_type = ContentType::new("text", "plain").with_params(("version", "0.0.4"));
-    (content_type, crate::metrics::render(parts))
+    (content_type, crate::metrics::render(components))
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,7 +1,7 @@
-//! The ladderstage daemon as a library: `ladderstaged` runs one node a process, tools and tests run several.
+//! The ladderstage daemon as a library. `ladderstaged` runs one node per process; tools and tests run several.
 //!
-//! [`node::Node`] starts the parts and joins them; each part is one module with one job and takes what it needs
-//! as arguments. HTTP stays in [`http`]; decisions stay in the `ladderstage` crate.
+//! [`node::Node`] creates the components and connects them. The HTTP interface is in [`http`]; logic without I/O is
+//! in the `ladderstage` crate.
 
 pub mod backends;
 pub mod bundles;
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -1,18 +1,18 @@
-//! Log lines: `time level module event=... key=value ...`, one event a line, on standard error.
+//! Logging to standard error, one line per event: `time=... level=... node=... module=... event=... key=value ...`.
 
 use std::io::Write;
 
-/// Environment variable with the filter, as `env_logger` reads it.
+/// Environment variable with the filter in the syntax of `env_logger`.
 const FILTER_VARIABLE: &str = "LADDERSTAGE_LOG";
 
-/// Filter when the variable is not set.
+/// Filter if the variable is not set.
 const DEFAULT_FILTER: &str = "info,rocket=error,hyper=error,reqwest=error,_=error";
 
-/// Installs the logger; a second call changes nothing.
+/// Installs the logger. Later calls have no effect.
 pub fn install(node: &str) {
     let node = node.to_owned();
     let environment = env_logger::Env::default().filter_or(FILTER_VARIABLE, DEFAULT_FILTER);
-    let installed = env_logger::Builder::from_env(environment)
+    let result = env_logger::Builder::from_env(environment)
         .format(move |buffer, record| {
             let seconds = std::time::SystemTime::now()
                 .duration_since(std::time::UNIX_EPOCH)
@@ -29,11 +29,11 @@
             )
         })
         .try_init();
-    // A logger is already there when several nodes share a process.
-    drop(installed);
+    // Fails if another node in this process has installed its logger.
+    drop(result);
 }
 
-/// Keeps an event on one line whatever its values contain.
+/// Escapes line breaks.
 fn one_line(text: &str) -> String {
     text.replace('\n', "\\n").replace('\r', "\\r")
 }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! `ladderstaged`: runs one node until it is asked to stop.
+//! `ladderstaged`: runs a node until it receives a stop signal.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -9,21 +9,21 @@
 use ladderstage_daemon::signals::StopSignals;
 use pico_args::Arguments;
 
-/// Exit code of a node that could not start or serve.
+/// Exit code of a node that failed to start or to serve.
 const EXIT_FAILED: u8 = 1;
 
-/// Exit code of flags or settings that cannot be used.
-const EXIT_BAD_INPUT: u8 = 2;
+/// Exit code for invalid flags or settings.
+const EXIT_INVALID_INPUT: u8 = 2;
 
 const HELP: &str = "\
-ladderstaged: a daemon of the ladderstage rollout service
+ladderstaged: daemon of the ladderstage rollout service
 
 Usage:
     ladderstaged --settings FILE [FLAGS]
 
 Flags:
-    --settings FILE          settings in TOML; flags go before it
-    --check                  check flags and settings, print every finding, and exit
+    --settings FILE          settings in TOML; flags override them
+    --check                  check flags and settings, print all problems, and exit
     --version                print the version and exit
     --help                   print this text and exit
 ";
@@ -34,13 +34,13 @@
     ladderstaged --settings /etc/ladderstage/bergen-a-1.toml --http-listen 10.0.0.5:8080
 
 Signals:
-    SIGTERM and SIGINT stop the daemon as planned: it refuses new work, finishes what is under way, and exits with 0.
+    SIGTERM and SIGINT drain the daemon: it refuses new work, finishes the requests in flight, and exits with 0.
 
-Exit codes: 0 stopped as planned, 1 could not start or serve, 2 bad flags or settings.
+Exit codes: 0 drained, 1 failed to start or serve, 2 invalid flags or settings.
 The log level is set by LADDERSTAGE_LOG (default info).
 ";
 
-/// What the command line asks for.
+/// Command selected by the command line.
 enum Command {
     Help,
     Version,
@@ -65,7 +65,7 @@
         Ok(Command::Run(settings)) => run(settings),
         Err(message) => {
             eprintln!("{message}");
-            ExitCode::from(EXIT_BAD_INPUT)
+            ExitCode::from(EXIT_INVALID_INPUT)
         }
     }
 }
@@ -136,7 +136,7 @@
     loop {
         tokio::select! {
             () = &mut stop => return ExitCode::SUCCESS,
-            // A planned stop cuts nothing off, however often it is asked for.
+            // Further signals do not abort the drain.
             signal = signals.next() => log::info!("event=stop_already_under_way signal={signal}"),
         }
     }
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -1,4 +1,4 @@
-//! One running daemon: starts the parts and joins them.
+//! A node: creates the components of a daemon and connects them.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, OnceLock};
@@ -29,57 +29,57 @@
 use crate::settings::Settings;
 use crate::shards::Shards;
 
-/// After the shutdown was asked for, how long callers get to read the ends of their answers.
+/// Maximum time for callers to read the rest of their answers after a drain.
 const HTTP_CLOSE_BOUND: Duration = Duration::from_secs(30);
 
-/// Why a node did not start.
+/// Error of starting a node.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeError {
     /// The data folder cannot be used.
     #[error("data folder {folder}: {error}")]
     Storage {
-        /// The folder.
+        /// Path of the folder.
         folder: String,
-        /// What is wrong with it.
+        /// Error of the storage.
         error: OpenError,
     },
-    /// The internal listener could not be opened.
+    /// The listener for other daemons could not be opened.
     #[error("peer_listen {address}: {error}")]
     PeerListen {
-        /// Address asked for.
+        /// Configured address.
         address: SocketAddr,
-        /// Why not.
+        /// Error of the operating system.
         error: std::io::Error,
     },
     /// The HTTP listener could not be opened.
     #[error("http_listen {address}: {detail}")]
     HttpListen {
-        /// Address asked for.
+        /// Configured address.
         address: SocketAddr,
-        /// Why not.
+        /// Description of the failure.
         detail: String,
     },
-    /// The bundle's part could not start.
+    /// The bundles could not be initialized.
     #[error(transparent)]
     Bundles(#[from] BundlesError),
 }
 
-/// The parts of a node, for HTTP routes and peers' requests.
+/// Components of a node, for HTTP routes and requests of other daemons.
 #[derive(Debug)]
-pub struct Parts {
-    /// Settings it was started with.
+pub struct NodeComponents {
+    /// Settings of the node.
     pub settings: Settings,
-    /// Bytes and calls between daemons.
+    /// Client for calls to other daemons.
     pub client: Client,
-    /// Counts of the internal listener.
+    /// Traffic of the listener for other daemons.
     pub server_traffic: Arc<ladderstage_transport::Traffic>,
-    /// The other nodes.
+    /// Cluster members.
     pub members: Members,
-    /// The bundle in force.
+    /// Bundles of this node.
     pub bundles: Bundles,
-    /// The journal's replica set.
+    /// Journal replica set.
     pub replica_sets: ReplicaSets,
-    /// The journal.
+    /// Journal.
     pub journal: Journal,
     /// Back ends.
     pub backends: Backends,
@@ -87,30 +87,33 @@
     pub orders: Orders,
     /// Shards of steps.
     pub shards: Shards,
-    /// Live requests.
+    /// Live request path.
     pub live: LivePath,
-    /// Work under way.
+    /// Counter of work in flight.
     pub drain: Drain,
 }
 
-/// A running node.
+/// Running node.
 #[derive(Debug)]
 pub struct Node {
-    parts: Arc<Parts>,
+    components: Arc<NodeComponents>,
     peer_server: Server,
     http: HttpServer,
     replica_set_task: ReplicaSetTask,
 }
 
 impl Node {
-    /// Starts a node; it answers HTTP once this returns, and takes work once `/readyz` says so.
+    /// Starts a node. On return it serves HTTP; it accepts work once `/readyz` reports that it is ready.
+    ///
+    /// # Errors
+    /// [`NodeError`] if the storage, a listener or the bundles cannot be opened.
     pub async fn start(settings: Settings) -> Result<Self, NodeError> {
         let process = new_process_id();
         let storage = open_storage(&settings)?;
         let replica_id = storage.as_ref().map_or(0, Storage::replica_id);
-        let slot = Arc::new(OnceLock::new());
+        let components_slot = Arc::new(OnceLock::new());
         let client = Client::with_connections(settings.peer_connections);
-        let handler = Arc::new(PeerHandler::new(slot.clone()));
+        let handler = Arc::new(PeerHandler::new(components_slot.clone()));
         let peer_server = Server::start(settings.peer_listen, handler)
             .await
             .map_err(|error| NodeError::PeerListen {
@@ -120,7 +123,7 @@
         let peer_address = settings
             .peer_advertise
             .unwrap_or_else(|| peer_server.address());
-        let hooks = Arc::new(Hooks::new(slot.clone()));
+        let hooks = Arc::new(Hooks::new(components_slot.clone()));
         let members = Members::start(
             &settings,
             process,
@@ -142,7 +145,7 @@
             storage.clone(),
             replica_sets.clone(),
         );
-        let bundle_parts = BundleDependencies {
+        let bundle_dependencies = BundleDependencies {
             key_value: key_value.clone(),
             peers: Arc::new(members.clone()),
             store: storage
@@ -152,7 +155,7 @@
             weight_versions: weight_versions(&settings),
             roll_deadline: DEFAULT_ROLL_DEADLINE,
         };
-        let bundles = Bundles::start(&settings, bundle_parts).await?;
+        let bundles = Bundles::start(&settings, bundle_dependencies).await?;
         let backends = Backends::start(
             &settings,
             members.clone(),
@@ -189,7 +192,7 @@
             drain: drain.clone(),
         };
         let live = LivePath::new(&settings, live_dependencies);
-        let parts = Arc::new(Parts {
+        let components = Arc::new(NodeComponents {
             client,
             server_traffic: peer_server.traffic(),
             members,
@@ -203,42 +206,45 @@
             drain,
             settings,
         });
-        // The slot is empty: only this function fills it.
-        let _ = slot.set(Arc::downgrade(&parts));
-        parts.journal.set_hooks(hooks);
-        let http = HttpServer::start(parts.settings.http_listen, parts.clone()).await?;
-        parts.members.set_http_address(http.address());
+        // Cannot fail, as only this function fills the slot.
+        let _ = components_slot.set(Arc::downgrade(&components));
+        components.journal.set_hooks(hooks);
+        let http = HttpServer::start(components.settings.http_listen, components.clone()).await?;
+        components.members.set_http_address(http.address());
         Ok(Self {
-            parts,
+            components,
             peer_server,
             http,
             replica_set_task,
         })
     }
 
-    /// Where callers, trainers and operators reach it.
+    /// Returns the listen address for callers, trainers and operators.
     pub fn http_address(&self) -> SocketAddr {
         self.http.address()
     }
 
-    /// Where it listens for other daemons.
+    /// Returns the listen address for other daemons.
     pub fn peer_address(&self) -> SocketAddr {
         self.peer_server.address()
     }
 
-    /// Its parts.
-    pub fn parts(&self) -> &Arc<Parts> {
-        &self.parts
+    /// Returns the components.
+    pub fn components(&self) -> &Arc<NodeComponents> {
+        &self.components
     }
 
-    /// Stops as planned: refuses new work, tells the others, hands shards over, finishes what is under way.
+    /// Drains the node: refuses new work, notifies the other nodes, hands shards over and waits for work in flight.
     pub async fn drain(&self) {
-        let parts = &self.parts;
-        log::info!("event=drain_started in_flight={}", parts.drain.in_flight());
-        parts.drain.start();
-        parts.members.announce_leaving().await;
-        parts.shards.drain().await;
-        parts.drain.wait_until_idle().await;
+        let components = &self.components;
+        log::info!(
+            "event=drain_started in_flight={}",
+            components.drain.in_flight()
+        );
+        components.drain.start();
+        components.members.announce_leaving().await;
+        components.shards.drain().await;
+        components.drain.wait_until_idle().await;
         log::info!("event=drain_finished");
     }
 
@@ -246,13 +252,13 @@
     pub async fn stop(self) {
         self.drain().await;
         self.http.stop(HTTP_CLOSE_BOUND).await;
-        self.parts.members.announce_left().await;
-        self.parts.members.stop();
+        self.components.members.announce_left().await;
+        self.components.members.stop();
         drop(self.replica_set_task);
     }
 }
 
-/// A random number that is not 0.
+/// Returns a random process id other than 0.
 fn new_process_id() -> u64 {
     rand::random::<u64>().max(1)
 }
--- a/crates/daemon/src/peer_handler.rs
+++ b/crates/daemon/src/peer_handler.rs
@@ -1,4 +1,4 @@
-//! Answers other daemons' requests by handing each to the part it is for.
+//! Dispatches requests of other daemons to the components.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -10,56 +10,58 @@
 use ladderstage_wire::messages::mod_Response::OneOfkind as ResponseKind;
 use ladderstage_wire::messages::{Refused, Request, Response};
 
-use crate::node::Parts;
+use crate::node::NodeComponents;
 
-/// When a peer should ask again while this node is starting, in milliseconds.
+/// Retry delay in milliseconds sent to peers while this node is starting.
 const STARTING_RETRY_AFTER_MS: u64 = 200;
 
-/// Filled once the parts are there; weak, so that a stopped node is freed.
-pub type PartsSlot = Arc<OnceLock<Weak<Parts>>>;
+/// Slot for the components, filled at the end of the start. The reference is weak so that a stopped node is freed.
+pub type ComponentsSlot = Arc<OnceLock<Weak<NodeComponents>>>;
 
-/// Hands each request to its part.
+/// Dispatches requests to the components.
 #[derive(Debug)]
 pub struct PeerHandler {
-    parts: PartsSlot,
+    components: ComponentsSlot,
 }
 
 impl PeerHandler {
-    /// Refuses requests until `parts` is filled.
-    pub fn new(parts: PartsSlot) -> Self {
-        Self { parts }
+    /// Creates a handler that refuses requests until the slot is filled.
+    pub fn new(components: ComponentsSlot) -> Self {
+        Self { components }
     }
 }
 
 impl Handler for PeerHandler {
     fn handle(&self, request: Request) -> Pin<Box<dyn Future<Output = Response> + Send + '_>> {
         Box::pin(async move {
-            match self.parts.get().and_then(Weak::upgrade) {
-                Some(parts) => answer(&parts, request.kind).await,
-                None => refuse(Reason::NOT_READY, "starting", STARTING_RETRY_AFTER_MS),
+            match self.components.get().and_then(Weak::upgrade) {
+                Some(components) => answer(&components, request.kind).await,
+                None => refusal(Reason::NOT_READY, "starting", STARTING_RETRY_AFTER_MS),
             }
         })
     }
 }
 
-async fn answer(parts: &Parts, request: RequestKind) -> Response {
+async fn answer(components: &NodeComponents, request: RequestKind) -> Response {
     match request {
-        RequestKind::ping(request) => parts.members.handle_ping(request),
-        RequestKind::indirect_ping(request) => parts.members.handle_indirect_ping(request).await,
-        RequestKind::member_sync(request) => parts.members.handle_member_sync(request),
-        RequestKind::push_bundle(request) => parts.bundles.handle_push_bundle(request).await,
-        RequestKind::fetch_bundle(request) => parts.bundles.handle_fetch_bundle(&request),
-        RequestKind::fetch_replica_set(_) => parts.replica_sets.handle_fetch_replica_set(),
-        RequestKind::shard_notice(request) => parts.shards.handle_shard_notice(request).await,
-        RequestKind::open_shard(request) => parts.shards.handle_open_shard(request).await,
-        RequestKind::pull_shard(request) => parts.shards.handle_pull_shard(request).await,
-        RequestKind::backend_gossip(request) => parts.backends.handle_gossip(request),
-        RequestKind::None => refuse(Reason::MALFORMED, "no known request", 0),
-        journal_request => parts.journal.handle(journal_request).await,
+        RequestKind::ping(request) => components.members.handle_ping(request),
+        RequestKind::indirect_ping(request) => {
+            components.members.handle_indirect_ping(request).await
+        }
+        RequestKind::member_sync(request) => components.members.handle_member_sync(request),
+        RequestKind::push_bundle(request) => components.bundles.handle_push_bundle(request).await,
+        RequestKind::fetch_bundle(request) => components.bundles.handle_fetch_bundle(&request),
+        RequestKind::fetch_replica_set(_) => components.replica_sets.handle_fetch_replica_set(),
+        RequestKind::shard_notice(request) => components.shards.handle_shard_notice(request).await,
+        RequestKind::open_shard(request) => components.shards.handle_open_shard(request).await,
+        RequestKind::pull_shard(request) => components.shards.handle_pull_shard(request).await,
+        RequestKind::backend_gossip(request) => components.backends.handle_gossip(request),
+        RequestKind::None => refusal(Reason::MALFORMED, "unknown request kind", 0),
+        journal_request => components.journal.handle(journal_request).await,
     }
 }
 
-fn refuse(reason: Reason, detail: &str, retry_after_ms: u64) -> Response {
+fn refusal(reason: Reason, detail: &str, retry_after_ms: u64) -> Response {
     Response {
         kind: ResponseKind::refused(Refused {
             reason,
--- a/crates/daemon/src/settings/check.rs
+++ b/crates/daemon/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! Cross-checks of settings: what no single value shows.
+//! Checks of settings that involve the meaning of values or several settings.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,7 +7,7 @@
 
 use super::{Settings, Timing};
 
-/// Longest name of a node, zone or region, in characters.
+/// Maximum length in characters of the name of a node, zone or region.
 const MAX_NAME_LENGTH: usize = 64;
 
 pub(super) fn cross_check(settings: &Settings, key_positions: &KeyPositions) -> Vec<Finding> {
@@ -32,7 +32,7 @@
 }
 
 impl Checker<'_> {
-    fn add(&mut self, path: &str, found: impl Into<String>, allowed: impl Into<String>) {
+    fn add_finding(&mut self, path: &str, found: impl Into<String>, allowed: impl Into<String>) {
         let finding = self
             .key_positions
             .finding(path, found.into(), allowed.into());
@@ -46,24 +46,24 @@
             return;
         }
         let allowed = format!("up to {MAX_NAME_LENGTH} letters, digits, '-', '_' and '.'");
-        self.add(path, format!("name {name:?}"), allowed);
+        self.add_finding(path, format!("name {name:?}"), allowed);
     }
 
     fn check_addresses(&mut self, settings: &Settings) {
         let (http, peer) = (settings.http_listen, settings.peer_listen);
         if http == peer && http.port() != 0 {
-            let found = format!("{peer}, which is http_listen too");
-            self.add("peer_listen", found, "another address");
+            let found = format!("{peer}, which is also the value of http_listen");
+            self.add_finding("peer_listen", found, "a different address");
         }
         match settings.peer_advertise {
             Some(address) if address.port() == 0 || address.ip().is_unspecified() => {
                 let allowed = "an address that other daemons can reach";
-                self.add("peer_advertise", address.to_string(), allowed);
+                self.add_finding("peer_advertise", address.to_string(), allowed);
             }
             None if peer.ip().is_unspecified() => {
                 let found = format!("{peer} without peer_advertise");
-                let allowed = "one interface, or peer_advertise with an address to tell others";
-                self.add("peer_listen", found, allowed);
+                let allowed = "the address of one interface, or peer_advertise in addition";
+                self.add_finding("peer_listen", found, allowed);
             }
             _ => {}
         }
@@ -71,7 +71,7 @@
 
     fn check_urls(&mut self, settings: &Settings) {
         if settings.key_value.is_empty() {
-            self.add(
+            self.add_finding(
                 "key_value",
                 "no base URL",
                 "at least one, such as \"http://10.0.0.9:2379\"",
@@ -96,41 +96,41 @@
         let is_usable = !host.is_empty() && !host.contains([' ', '?', '#', '@']);
         if !is_usable {
             let allowed = "a base URL such as \"http://10.0.0.9:2379\"";
-            self.add(path, format!("{url:?}"), allowed);
+            self.add_finding(path, format!("{url:?}"), allowed);
         }
     }
 
     fn check_keys(&mut self, settings: &Settings) {
         if settings.trusted_keys.is_empty() {
-            let allowed = "at least one key id with its public key, as no bundle is trusted else";
-            self.add("trusted_keys", "no trusted keys", allowed);
+            let allowed = "at least one key id with its public key, to verify bundles";
+            self.add_finding("trusted_keys", "no trusted keys", allowed);
         }
         for (key_id, key) in &settings.trusted_keys {
             let single: BTreeMap<_, _> = [(key_id.clone(), key.clone())].into();
             if let Err(errors) = TrustedKeys::from_hex(&single) {
                 let found = errors.iter().map(ToString::to_string).collect::<String>();
-                let allowed = "an ed25519 public key, as `ladderstage keygen` shows it";
-                self.add(&format!("trusted_keys.{key_id}"), found, allowed);
+                let allowed = "an ed25519 public key as printed by `ladderstage keygen`";
+                self.add_finding(&format!("trusted_keys.{key_id}"), found, allowed);
             }
         }
     }
 
     fn check_replicas(&mut self, settings: &Settings) {
-        let mut seen = BTreeSet::new();
+        let mut known = BTreeSet::new();
         for (index, node) in settings.initial_replicas.iter().enumerate() {
-            if !seen.insert(node) {
+            if !known.insert(node) {
                 let path = format!("initial_replicas[{index}]");
-                self.add(&path, format!("`{node}` again"), "each daemon once");
+                self.add_finding(&path, format!("duplicate `{node}`"), "each daemon once");
             }
         }
-        if seen.contains(&settings.node) && settings.data_folder.is_none() {
+        if known.contains(&settings.node) && settings.data_folder.is_none() {
             let found = format!("`{}`, which has no data_folder", settings.node);
-            self.add("initial_replicas", found, "daemons with a data_folder");
+            self.add_finding("initial_replicas", found, "daemons with a data_folder");
         }
     }
 
     fn check_timing(&mut self, timing: &Timing) {
-        let pairs = [
+        let ordered_pairs = [
             (
                 "probe_timeout_ms",
                 timing.probe_timeout_ms,
@@ -162,10 +162,10 @@
                 timing.backend_freshness_ms,
             ),
         ];
-        for (shorter, short, longer, long) in pairs {
+        for (shorter, short, longer, long) in ordered_pairs {
             if short >= long {
                 let found = format!("{short}, not below {longer} = {long}");
-                self.add(
+                self.add_finding(
                     &format!("timing.{shorter}"),
                     found,
                     format!("less than {longer}"),
--- a/crates/daemon/src/settings/flags.rs
+++ b/crates/daemon/src/settings/flags.rs
@@ -1,16 +1,16 @@
-//! Flags that go before the settings file.
+//! Command-line flags that override settings.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 use pico_args::Arguments;
 
-/// A flag that cannot be used.
+/// Error of an invalid flag.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
 pub struct FlagError(#[from] pico_args::Error);
 
-/// Flags that replace single settings.
+/// Flags that override single settings.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Flags {
     /// `--node`
@@ -37,17 +37,20 @@
     /// Help text for the flags.
     pub const HELP: &'static str = "\
     --node NAME              name of this daemon
-    --zone NAME              zone it runs in
-    --region NAME            region of that zone
-    --http-listen IP:PORT    where callers, trainers and operators reach it
-    --peer-listen IP:PORT    where other daemons reach it
-    --peer-advertise IP:PORT address that other daemons are told
-    --data-folder PATH       folder for the journal; makes this daemon a replica
+    --zone NAME              zone of this daemon
+    --region NAME            region of the zone
+    --http-listen IP:PORT    listen address for callers, trainers and operators
+    --peer-listen IP:PORT    listen address for other daemons
+    --peer-advertise IP:PORT address that is announced to other daemons
+    --data-folder PATH       folder of the journal; makes this daemon a replica
     --key-value URL          base URL of the key-value service; may be repeated
     --machine-list URL       base URL of the machine list
 ";
 
-    /// Takes the flags out of the arguments.
+    /// Parses the flags and removes them from the arguments.
+    ///
+    /// # Errors
+    /// [`FlagError`] if a flag has no value or an invalid one.
     pub fn from_arguments(arguments: &mut Arguments) -> Result<Self, FlagError> {
         Ok(Self {
             node: arguments.opt_value_from_str("--node")?,
--- a/crates/daemon/src/settings/mod.rs
+++ b/crates/daemon/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of one daemon, from a file and flags. All findings of a file come in one run, each with its place.
+//! Settings of a daemon, read from a file and flags. All problems of a file are reported at once with their positions.
 
 mod check;
 mod flags;
@@ -14,68 +14,68 @@
 
 pub use flags::{FlagError, Flags};
 
-/// Why there are no settings.
+/// Error of settings that cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file could not be read.
     #[error("{}: {error}", .path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         error: std::io::Error,
     },
-    /// Everything wrong with the settings.
+    /// The settings are invalid; holds all problems found.
     #[error("{}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))]
     Findings(Vec<Finding>),
 }
 
-/// Settings of one daemon. Addresses are IP numbers with a port; port 0 takes any free port.
+/// Settings of a daemon. Addresses are IP addresses with a port; port 0 selects any free port.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Name of this daemon; stays the same over restarts.
+    /// Name of this daemon; must not change on a restart.
     pub node: String,
-    /// Zone it runs in.
+    /// Zone of this daemon.
     pub zone: String,
-    /// Region of that zone.
+    /// Region of the zone.
     pub region: String,
-    /// Where callers, trainers and operators reach it.
+    /// Listen address for callers, trainers and operators.
     pub http_listen: SocketAddr,
-    /// Where other daemons reach it.
+    /// Listen address for other daemons.
     pub peer_listen: SocketAddr,
-    /// Address that other daemons are told, if not `peer_listen`.
+    /// Address that is announced to other daemons, if different from `peer_listen`.
     #[serde(default)]
     pub peer_advertise: Option<SocketAddr>,
-    /// Folder for the journal; with one, the daemon is a journal replica.
+    /// Folder of the journal. Makes the daemon a journal replica.
     #[serde(default)]
     pub data_folder: Option<PathBuf>,
     /// Base URLs of the key-value service.
     pub key_value: Vec<String>,
     /// Base URL of the machine list.
     pub machine_list: String,
-    /// Base URL of the scorer; none: samples are not scored.
+    /// Base URL of the scorer. If absent, samples are not scored.
     #[serde(default)]
     pub scorer: Option<String>,
-    /// Base URL of the weight store; none: the weight versions of a bundle are not checked against it.
+    /// Base URL of the weight store. If absent, the existence of a bundle's weight versions is not checked.
     #[serde(default)]
     pub weight_store: Option<String>,
-    /// Trusted bundle keys: key id to ed25519 public key in hex.
+    /// Public keys that bundles may be signed with: ed25519 keys in hexadecimal, by key id.
     #[serde(default)]
     pub trusted_keys: BTreeMap<String, String>,
-    /// Internal addresses of some other daemons, to join through.
+    /// Peer addresses of other daemons through which this daemon joins the cluster.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Names of the daemons that form the first journal replica set; the same in every daemon's settings.
+    /// Names of the daemons in the initial journal replica set. Must be the same in the settings of all daemons.
     #[serde(default)]
     pub initial_replicas: Vec<String>,
-    /// Addresses to use for certain daemons instead of those they tell.
+    /// Peer addresses by daemon name, which override the announced ones.
     #[serde(default)]
     pub peer_addresses: BTreeMap<String, SocketAddr>,
-    /// Connections to other daemons that are kept open before idle ones are closed.
+    /// Maximum number of idle connections to other daemons that are kept open.
     #[serde(default = "default_peer_connections")]
     pub peer_connections: usize,
-    /// Intervals and bounds.
+    /// Intervals and timeouts.
     #[serde(default)]
     pub timing: Timing,
 }
@@ -85,7 +85,10 @@
 }
 
 impl Settings {
-    /// Reads and checks a settings file, if one is named; flags go before it.
+    /// Reads and checks a settings file, if there is one. Flags override its values.
+    ///
+    /// # Errors
+    /// [`SettingsError`] if the file cannot be read or the settings are invalid.
     pub fn load(path: Option<&Path>, flags: &Flags) -> Result<Self, SettingsError> {
         let Some(path) = path else {
             return Self::parse("flags", "", flags).map_err(SettingsError::Findings);
@@ -98,7 +101,10 @@
         Self::parse(&file, &text, flags).map_err(SettingsError::Findings)
     }
 
-    /// Reads and checks the text of a settings file. The error holds all findings, by place.
+    /// Parses and checks the text of a settings file.
+    ///
+    /// # Errors
+    /// All problems found, sorted by position.
     pub fn parse(file: &str, text: &str, flags: &Flags) -> Result<Self, Vec<Finding>> {
         let reading = document::read(file, text, |table| read::read_settings(table, flags));
         let mut findings = reading.findings;
@@ -113,35 +119,35 @@
     }
 }
 
-/// Intervals and bounds in milliseconds. The defaults are for production; tests may shorten them.
+/// Intervals and timeouts in milliseconds. The defaults are for production.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Timing {
-    /// Between membership probes.
+    /// Interval between membership probes.
     pub probe_interval_ms: u64,
-    /// How long a probe waits for its answer.
+    /// Timeout of a probe.
     pub probe_timeout_ms: u64,
-    /// How long a suspect member has to refute.
+    /// Time after which a suspect member is declared dead unless it refutes.
     pub suspicion_ms: u64,
-    /// Between an owner's heartbeats to the journal replicas.
+    /// Interval between an owner's heartbeats to the journal replicas.
     pub owner_heartbeat_ms: u64,
-    /// After this long without a heartbeat a log's owner is replaced.
+    /// Time without a heartbeat after which the owner of a log is replaced.
     pub owner_timeout_ms: u64,
-    /// Oldest bundle evidence with which samples are delivered.
+    /// Maximum age of bundle evidence for delivering samples.
     pub bundle_evidence_bound_ms: u64,
-    /// Between looks at the key-value service.
+    /// Interval between reads of the key-value service.
     pub key_value_poll_ms: u64,
-    /// How long one call to the key-value service may take.
+    /// Timeout of a call to the key-value service.
     pub key_value_timeout_ms: u64,
-    /// Between looks at the machine list.
+    /// Interval between reads of the machine list.
     pub machine_list_poll_ms: u64,
-    /// Between load reports read from a back end.
+    /// Interval between reads of a back end's load report.
     pub report_poll_ms: u64,
-    /// Oldest evidence of a back end with which it is given work.
+    /// Maximum age of a back end's load report for sending work to it.
     pub backend_freshness_ms: u64,
-    /// How long one journal round may take.
+    /// Timeout of a journal round.
     pub journal_timeout_ms: u64,
-    /// How long a journal replica must be missing before another disk takes its place.
+    /// Time after which a missing journal replica is replaced.
     pub replica_replace_after_ms: u64,
 }
 
--- a/crates/daemon/src/settings/read.rs
+++ b/crates/daemon/src/settings/read.rs
@@ -1,4 +1,4 @@
-//! Reads the text of a settings file.
+//! Reads settings from a TOML table.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::num::NonZeroU64;
@@ -7,16 +7,19 @@
 
 use super::{Flags, Settings, Timing};
 
-/// Stands in for an address that could not be read; never used, as there is a finding.
-const NO_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
+/// Placeholder for an invalid address. Never used, as the finding prevents the start.
+const PLACEHOLDER_ADDRESS: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
 pub(super) fn read_settings(table: &mut Table<'_>, flags: &Flags) -> Settings {
     Settings {
         node: required(table, "node", &flags.node).unwrap_or_default(),
         zone: required(table, "zone", &flags.zone).unwrap_or_default(),
         region: required(table, "region", &flags.region).unwrap_or_default(),
-        http_listen: required(table, "http_listen", &flags.http_listen).unwrap_or(NO_ADDRESS),
-        peer_listen: required(table, "peer_listen", &flags.peer_listen).unwrap_or(NO_ADDRESS),
+        http_listen: required(table, "http_listen", &flags.http_listen)
+            .unwrap_or(PLACEHOLDER_ADDRESS),
+        peer_listen: required(table, "peer_listen", &flags.peer_listen)
+            .unwrap_or(PLACEHOLDER_ADDRESS),
         peer_advertise: optional(table, "peer_advertise", &flags.peer_advertise),
         data_folder: optional(table, "data_folder", &flags.data_folder),
         key_value: read_key_value(table, flags),
@@ -32,7 +35,7 @@
     }
 }
 
-/// A flag goes before the file, whose value is still checked.
+/// Reads an optional value. A flag overrides the value of the file, which is still checked.
 fn optional<T: FromToml + Clone>(
     table: &mut Table<'_>,
     key: &'static str,
--- a/crates/daemon/src/signals.rs
+++ b/crates/daemon/src/signals.rs
@@ -1,8 +1,8 @@
-//! Signals that ask a daemon to stop as planned.
+//! Signals that stop a daemon.
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Signals that start a drain.
+/// Receiver of the signals that start a drain.
 #[derive(Debug)]
 pub struct StopSignals {
     terminate: Signal,
@@ -10,7 +10,10 @@
 }
 
 impl StopSignals {
-    /// Starts listening. Fails if the process may not install handlers.
+    /// Installs the signal handlers.
+    ///
+    /// # Errors
+    /// If a handler cannot be installed.
     pub fn listen() -> std::io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
@@ -18,7 +21,7 @@
         })
     }
 
-    /// Waits for the next signal and names it.
+    /// Waits for the next signal and returns its name.
     pub async fn next(&mut self) -> &'static str {
         tokio::select! {
             _ = self.terminate.recv() => "SIGTERM",
--- a/crates/daemon/src/status.rs
+++ b/crates/daemon/src/status.rs
@@ -1,34 +1,36 @@
-//! What a node tells operators about itself.
+//! Status of a node for operators.
 
 use ladderstage_wire::messages::{Member, ReplicaMember};
 use serde::Serialize;
 
-use crate::node::Parts;
+use crate::node::NodeComponents;
 
-/// Whether a node takes new work, and why not.
+/// Readiness of a node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Readiness {
-    /// Takes new work.
+    /// Whether the node accepts new work.
     pub ready: bool,
-    /// Why it does not; empty when it does.
+    /// Reasons why the node is not ready; empty if it is.
     pub reasons: Vec<String>,
 }
 
 impl Readiness {
-    /// Readiness of a node now.
-    pub fn of(parts: &Parts) -> Self {
+    /// Returns the current readiness of a node.
+    pub fn of(components: &NodeComponents) -> Self {
         let mut reasons = Vec::new();
-        if parts.drain.is_draining() {
+        if components.drain.is_draining() {
             reasons.push("draining".to_owned());
         }
-        if parts.bundles.current().is_none() {
+        if components.bundles.current().is_none() {
             reasons.push("no bundle in force yet".to_owned());
         }
-        // Claims and steps need the journal: ready before it can be reached would refuse the first of them.
-        if !parts.settings.initial_replicas.is_empty() && parts.replica_sets.version() == 0 {
+        // Without a replica set, requests that need the journal would fail.
+        if !components.settings.initial_replicas.is_empty()
+            && components.replica_sets.version() == 0
+        {
             reasons.push("the journal's replica set is not known yet".to_owned());
         }
-        if parts.members.is_isolated() {
+        if components.members.is_isolated() {
             reasons.push("most members of the region do not answer".to_owned());
         }
         Self {
@@ -38,7 +40,7 @@
     }
 }
 
-/// A member as shown to operators.
+/// Member in the status of a node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct MemberStatus {
     /// Name of the daemon.
@@ -53,9 +55,9 @@
     pub http_address: String,
     /// Address for other daemons.
     pub peer_address: String,
-    /// Whether it has a data folder.
+    /// Whether the daemon has a data folder.
     pub replica: bool,
-    /// Random number of its process start, in hex.
+    /// Random id of the process in hexadecimal.
     pub process: String,
 }
 
@@ -75,26 +77,31 @@
 }
 
 impl MemberStatus {
-    /// All members that a node knows, sorted by name.
-    pub fn all(parts: &Parts) -> Vec<Self> {
-        let mut members: Vec<Self> = parts.members.all().into_iter().map(Self::from).collect();
+    /// Returns all members that a node knows, sorted by name.
+    pub fn all(components: &NodeComponents) -> Vec<Self> {
+        let mut members: Vec<Self> = components
+            .members
+            .all()
+            .into_iter()
+            .map(Self::from)
+            .collect();
         members.sort_by(|left, right| left.node.cmp(&right.node));
         members
     }
 }
 
-/// The bundle as a node holds it.
+/// Bundle in the status of a node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct BundleStatus {
-    /// Revision in force, 0: none.
+    /// Revision in force, or 0 if there is none.
     pub revision: u64,
-    /// How long ago in milliseconds it was known to be the newest.
+    /// Milliseconds since the bundle was last confirmed to be the newest.
     pub evidence_age_ms: Option<u64>,
-    /// Whether samples may be delivered on that evidence.
+    /// Whether this confirmation is recent enough to deliver samples.
     pub may_deliver: bool,
 }
 
-/// Answer of `/v1/status`.
+/// Answer to `GET /v1/status`.
 #[derive(Debug, Serialize)]
 pub struct NodeStatus {
     /// Name of this daemon.
@@ -103,63 +110,63 @@
     pub zone: String,
     /// Region.
     pub region: String,
-    /// Whether it takes new work.
+    /// Whether the node accepts new work.
     pub readiness: Readiness,
-    /// The bundle in force here.
+    /// Bundle in force on this node.
     pub bundle: BundleStatus,
-    /// Version of the journal's replica set.
+    /// Version of the journal replica set.
     pub replica_set_version: u64,
-    /// Daemons whose disks are in it.
+    /// Daemons whose disks are in the replica set.
     pub replicas: Vec<String>,
-    /// Daemons whose disks are being taken into it.
+    /// Daemons whose disks are being added to the replica set.
     pub replicas_joining: Vec<String>,
-    /// Requests under way here.
+    /// Number of requests in flight on this node.
     pub in_flight: usize,
-    /// Members known.
+    /// Known members.
     pub members: Vec<MemberStatus>,
-    /// Back ends known.
+    /// Known back ends.
     pub backends: Vec<ladderstage::backend::BackendDescription>,
-    /// Engines and the weight versions they were ordered to hold.
+    /// Engines with their ordered weight versions.
     pub orders: Vec<crate::orders::OrderDescription>,
-    /// Shards of steps owned here.
+    /// Shards of steps owned by this node.
     pub shards: Vec<crate::shards::ShardDescription>,
 }
 
 impl NodeStatus {
-    /// Status of a node now.
-    pub fn of(parts: &Parts) -> Self {
-        let (replicas, replicas_joining) = replicas(parts);
+    /// Returns the current status of a node.
+    pub fn of(components: &NodeComponents) -> Self {
+        let (replicas, replicas_joining) = replicas(components);
         Self {
             replicas,
             replicas_joining,
-            node: parts.settings.node.clone(),
-            zone: parts.settings.zone.clone(),
-            region: parts.settings.region.clone(),
-            readiness: Readiness::of(parts),
+            node: components.settings.node.clone(),
+            zone: components.settings.zone.clone(),
+            region: components.settings.region.clone(),
+            readiness: Readiness::of(components),
             bundle: BundleStatus {
-                revision: parts
+                revision: components
                     .bundles
                     .current()
                     .map_or(0, |current| current.bundle.revision),
-                evidence_age_ms: parts
+                evidence_age_ms: components
                     .bundles
                     .evidence_age()
                     .map(|age| age.as_millis() as u64),
-                may_deliver: parts.bundles.may_deliver(),
+                may_deliver: components.bundles.may_deliver(),
             },
-            replica_set_version: parts.replica_sets.version(),
-            in_flight: parts.drain.in_flight(),
-            members: MemberStatus::all(parts),
-            backends: parts.backends.describe(),
-            orders: parts.orders.describe(),
-            shards: parts.shards.describe(),
+            replica_set_version: components.replica_sets.version(),
+            in_flight: components.drain.in_flight(),
+            members: MemberStatus::all(components),
+            backends: components.backends.describe(),
+            orders: components.orders.describe(),
+            shards: components.shards.describe(),
         }
     }
 }
 
-/// Daemons of the replica set, and those that are joining it.
-fn replicas(parts: &Parts) -> (Vec<String>, Vec<String>) {
-    let Some(set) = parts.replica_sets.current() else {
+/// Returns the daemons in the replica set, and those that are being added.
+fn replicas(components: &NodeComponents) -> (Vec<String>, Vec<String>) {
+    let Some(set) = components.replica_sets.current() else {
         return Default::default();
     };
     let current = set.current.iter().map(|member| member.node.clone());
