--- a/crates/cli/src/client/answers.rs
+++ b/crates/cli/src/client/answers.rs
@@ -1,40 +1,40 @@
-//! Answers of daemons, as far as the command line uses them.
+//! Answers of daemons, limited to the fields that the command line uses.
 
 use ladderstage::backend::BackendDescription;
 use ladderstage::bundle::Finding;
 use serde::{Deserialize, Serialize};
 
-/// Answer to a roll, or to a question about one.
+/// Answer to a roll or to a query of its state.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(tag = "outcome", rename_all = "kebab-case")]
 pub enum RollAnswer {
-    /// Accepted.
+    /// The bundle was accepted.
     Accepted { revision: u64, proposal_id: String },
-    /// Another bundle has the revision.
+    /// Another bundle has this revision.
     Lost {
         winner_revision: u64,
         winner_digest: String,
     },
-    /// Refused; nothing was changed.
+    /// The bundle was refused and nothing changed.
     Refused {
         reason: String,
         detail: String,
         findings: Vec<Finding>,
     },
-    /// Nothing was changed.
+    /// Nothing changed.
     NotRun { detail: String },
-    /// It may or may not come into force.
+    /// The bundle may or may not come into force.
     Unknown { proposal_id: String, detail: String },
-    /// It has the revision; no quorum of replicas has stored it yet.
+    /// The bundle has the revision but is not yet stored on a quorum of replicas.
     Pending { revision: u64 },
-    /// That node has not seen the proposal in force.
+    /// The node has not seen the proposal in force.
     NotSeen { revision_in_force: u64 },
 }
 
 /// Answer to `GET /v1/bundles/current`.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CurrentBundle {
-    /// 0: none.
+    /// Revision in force, or 0 if there is none.
     pub revision: u64,
     pub digest: String,
     pub text: String,
@@ -48,7 +48,7 @@
     pub members: Vec<Member>,
 }
 
-/// A member as a daemon knows it.
+/// Member of the cluster in the view of a daemon.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Member {
     pub node: String,
@@ -61,18 +61,18 @@
 }
 
 impl Member {
-    /// Whether it is thought to be running.
+    /// Returns whether the member is considered running.
     pub fn is_up(&self) -> bool {
         matches!(self.state.as_str(), "alive" | "suspect" | "leaving")
     }
 
-    /// Its URL for callers.
+    /// Returns the URL of the member's HTTP interface.
     pub fn url(&self) -> String {
         format!("http://{}", self.http_address)
     }
 }
 
-/// What `explain` uses of `GET /v1/status`.
+/// Fields of `GET /v1/status` that `explain` uses.
 #[derive(Debug, Clone, Deserialize)]
 pub struct NodeStatus {
     pub node: String,
@@ -81,7 +81,7 @@
     pub backends: Vec<BackendDescription>,
 }
 
-/// Whether a node takes new work.
+/// Reasons why a node does not accept new work.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Readiness {
     pub reasons: Vec<String>,
--- a/crates/cli/src/client/mod.rs
+++ b/crates/cli/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! Calls to daemons.
+//! HTTP client for daemons.
 
 mod answers;
 
@@ -11,39 +11,39 @@
 
 use crate::error::CliError;
 
-/// How long an answer may take: longer than a daemon's own deadline for a roll.
+/// Timeout of a request; longer than a daemon's deadline for a roll.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How long a connection may take.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why a daemon gave no usable answer.
+/// Error of a call to a daemon.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// Nothing was sent.
-    #[error("{url}: not reached: {detail}")]
+    /// The request was not sent.
+    #[error("{url}: cannot connect: {detail}")]
     NotSent {
-        /// Which daemon.
+        /// URL of the daemon.
         url: String,
-        /// What failed.
+        /// Cause of the failure.
         detail: String,
     },
     /// The request may have been carried out.
     #[error("{url}: no answer: {detail}")]
     NoAnswer {
-        /// Which daemon.
+        /// URL of the daemon.
         url: String,
-        /// What failed.
+        /// Cause of the failure.
         detail: String,
     },
-    /// The daemon answered that it did not do it.
+    /// The daemon refused the request.
     #[error("{url}: {status}: {body}")]
     Refused {
-        /// Which daemon.
+        /// URL of the daemon.
         url: String,
-        /// Status.
+        /// Status code.
         status: StatusCode,
-        /// What it said.
+        /// Body of the answer.
         body: String,
     },
 }
@@ -54,7 +54,7 @@
     }
 }
 
-/// Calls the daemons that the command line names.
+/// Client of the daemons selected by the command line.
 #[derive(Debug, Clone)]
 pub struct Client {
     urls: Vec<String>,
@@ -62,7 +62,7 @@
 }
 
 impl Client {
-    /// A client of these daemons.
+    /// Creates a client of the daemons with these URLs.
     pub fn new(urls: Vec<String>) -> Self {
         let http = reqwest::Client::builder()
             .timeout(TIMEOUT)
@@ -72,8 +72,7 @@
             .retry(reqwest::retry::never())
             .no_proxy()
             .build()
-            // Building fails only over TLS or resolver settings, and this client has neither.
-            .expect("an HTTP client without TLS builds");
+            .expect("building a client without TLS cannot fail");
         let urls = urls.iter().map(|url| url.trim_end_matches('/').to_owned());
         Self {
             urls: urls.collect(),
@@ -81,28 +80,31 @@
         }
     }
 
-    /// The daemons' URLs.
+    /// Returns the URLs of the daemons.
     pub fn urls(&self) -> &[String] {
         &self.urls
     }
 
-    /// Gets JSON from the first daemon that answers with a success.
+    /// Gets JSON from the first daemon that answers.
+    ///
+    /// # Errors
+    /// [`CallError`] if a daemon refuses the request or none answers.
     pub async fn get<A: DeserializeOwned>(&self, path: &str) -> Result<A, CallError> {
-        let mut last = None;
+        let mut last_error = None;
         for url in &self.urls {
             match self.get_from(url, path).await {
                 Ok(answer) => return Ok(answer),
                 Err(error @ CallError::Refused { .. }) => return Err(error),
-                Err(error) => last = Some(error),
+                Err(error) => last_error = Some(error),
             }
         }
-        Err(last.unwrap_or_else(|| CallError::NotSent {
+        Err(last_error.unwrap_or_else(|| CallError::NotSent {
             url: String::new(),
-            detail: "no daemon is named".to_owned(),
+            detail: "no URL of a daemon is given".to_owned(),
         }))
     }
 
-    /// Gets JSON from one daemon.
+    /// Gets JSON from a daemon.
     pub async fn get_from<A: DeserializeOwned>(
         &self,
         url: &str,
@@ -112,25 +114,25 @@
         parse(url, status, &body)
     }
 
-    /// Gets JSON that also comes with statuses other than success.
-    pub async fn get_any<A: DeserializeOwned>(
+    /// Gets JSON from a daemon, with any status code.
+    pub async fn get_any_status<A: DeserializeOwned>(
         &self,
         url: &str,
         path: &str,
     ) -> Result<A, CallError> {
         let (status, body) = self.exchange(Method::GET, url, path, None).await?;
-        parse_any(url, status, &body)
+        parse_any_status(url, status, &body)
     }
 
-    /// Posts JSON to one daemon; the answer also comes with statuses other than success.
-    pub async fn post_any<A: DeserializeOwned>(
+    /// Posts JSON to a daemon and returns its JSON answer, with any status code.
+    pub async fn post_any_status<A: DeserializeOwned>(
         &self,
         url: &str,
         path: &str,
         body: String,
     ) -> Result<A, CallError> {
         let (status, body) = self.exchange(Method::POST, url, path, Some(body)).await?;
-        parse_any(url, status, &body)
+        parse_any_status(url, status, &body)
     }
 
     async fn exchange(
@@ -146,23 +148,29 @@
                 .header("Content-Type", "application/json")
                 .body(body);
         }
-        let response = request.send().await.map_err(|error| failed(url, &error))?;
+        let response = request
+            .send()
+            .await
+            .map_err(|error| call_error(url, &error))?;
         let status = response.status();
-        let body = response.text().await.map_err(|error| failed(url, &error))?;
+        let body = response
+            .text()
+            .await
+            .map_err(|error| call_error(url, &error))?;
         Ok((status, body))
     }
 }
 
-fn failed(url: &str, error: &reqwest::Error) -> CallError {
-    let (url, detail) = (url.to_owned(), describe(error));
+fn call_error(url: &str, error: &reqwest::Error) -> CallError {
+    let (url, detail) = (url.to_owned(), root_cause(error));
     if error.is_connect() || error.is_builder() {
         return CallError::NotSent { url, detail };
     }
     CallError::NoAnswer { url, detail }
 }
 
-/// The innermost cause, which says most.
-fn describe(error: &reqwest::Error) -> String {
+/// Returns the innermost cause of an error, which is the most specific one.
+fn root_cause(error: &reqwest::Error) -> String {
     let mut cause: &dyn std::error::Error = error;
     while let Some(source) = cause.source() {
         cause = source;
@@ -172,20 +180,20 @@
 
 fn parse<A: DeserializeOwned>(url: &str, status: StatusCode, body: &str) -> Result<A, CallError> {
     if !status.is_success() {
-        return Err(refused(url, status, body));
+        return Err(refused_error(url, status, body));
     }
-    parse_any(url, status, body)
+    parse_any_status(url, status, body)
 }
 
-fn parse_any<A: DeserializeOwned>(
+fn parse_any_status<A: DeserializeOwned>(
     url: &str,
     status: StatusCode,
     body: &str,
 ) -> Result<A, CallError> {
-    serde_json::from_str(body).map_err(|_| refused(url, status, body))
+    serde_json::from_str(body).map_err(|_| refused_error(url, status, body))
 }
 
-fn refused(url: &str, status: StatusCode, body: &str) -> CallError {
+fn refused_error(url: &str, status: StatusCode, body: &str) -> CallError {
     CallError::Refused {
         url: url.to_owned(),
         status,
--- a/crates/cli/src/commands/bundle/in_force.rs
+++ b/crates/cli/src/commands/bundle/in_force.rs
@@ -1,4 +1,4 @@
-//! Whether a bundle is in force on all members.
+//! Queries the bundle in force on all members.
 
 use std::time::{Duration, Instant};
 
@@ -7,29 +7,29 @@
 
 use crate::client::{Client, CurrentBundle, Member, MembersAnswer};
 
-/// Between two looks at members that do not have it yet.
+/// Interval between queries of members that do not have the revision yet.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What one member has in force.
+/// Bundle in force on a member.
 #[derive(Debug, Clone, Serialize)]
 pub struct MemberBundle {
     pub node: String,
-    /// `None`: the member did not answer.
+    /// Revision in force; `None` if the member did not answer.
     pub revision: Option<u64>,
     pub digest: String,
     pub evidence_age_ms: Option<u64>,
     pub may_deliver: bool,
-    /// Why there is no revision.
+    /// Error of the query, if it failed.
     pub error: Option<String>,
 }
 
-/// Asks all members that a daemon thinks are running.
-pub async fn ask_members(client: &Client, members: &[Member]) -> Vec<MemberBundle> {
-    let questions = members.iter().map(|member| ask(client, member));
-    join_all(questions).await
+/// Queries the bundles in force on all given members.
+pub async fn query_members(client: &Client, members: &[Member]) -> Vec<MemberBundle> {
+    let queries = members.iter().map(|member| query_member(client, member));
+    join_all(queries).await
 }
 
-async fn ask(client: &Client, member: &Member) -> MemberBundle {
+async fn query_member(client: &Client, member: &Member) -> MemberBundle {
     let answer: Result<CurrentBundle, _> =
         client.get_from(&member.url(), "/v1/bundles/current").await;
     match answer {
@@ -52,25 +52,25 @@
     }
 }
 
-/// The members that any of the named daemons thinks are running.
+/// Returns the members that the first answering daemon considers running.
 pub async fn running_members(client: &Client) -> Result<Vec<Member>, crate::client::CallError> {
     let answer: MembersAnswer = client.get("/v1/members").await?;
     Ok(answer.members.into_iter().filter(Member::is_up).collect())
 }
 
-/// Waits until all members have this revision or a later one. Returns those that do not at the deadline.
-pub async fn wait(
+/// Waits until all members have this revision or a later one. Returns the members without it at the deadline.
+pub async fn wait_for_revision(
     client: &Client,
     members: &[Member],
     revision: u64,
     deadline: Instant,
 ) -> Vec<MemberBundle> {
-    let mut waiting = members.to_vec();
+    let mut pending = members.to_vec();
     loop {
-        let mut answers = ask_members(client, &waiting).await;
+        let mut answers = query_members(client, &pending).await;
         answers.retain(|answer| answer.revision.is_none_or(|held| held < revision));
-        waiting.retain(|member| answers.iter().any(|answer| answer.node == member.node));
-        if waiting.is_empty() || Instant::now() >= deadline {
+        pending.retain(|member| answers.iter().any(|answer| answer.node == member.node));
+        if pending.is_empty() || Instant::now() >= deadline {
             return answers;
         }
         tokio::time::sleep(POLL_INTERVAL).await;
--- a/crates/cli/src/commands/bundle/roll.rs
+++ b/crates/cli/src/commands/bundle/roll.rs
@@ -14,10 +14,10 @@
 use crate::files::SignedFile;
 use crate::output;
 
-/// Seconds that a roll may take in all, unless told otherwise.
+/// Default of `--timeout`.
 const DEFAULT_TIMEOUT_SECONDS: u64 = 30;
 
-/// Between two attempts.
+/// Delay between two attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
 #[derive(Serialize)]
@@ -40,11 +40,11 @@
     }
 }
 
-/// Rolls a signed bundle and waits until it is in force everywhere.
+/// Rolls a signed bundle and waits until it is in force on all members.
 pub async fn roll(invocation: &mut Invocation) -> Result<(), CliError> {
     let client = invocation.client()?;
     let timeout = Duration::from_secs(invocation.seconds("--timeout", DEFAULT_TIMEOUT_SECONDS)?);
-    let path = PathBuf::from(invocation.free("FILE")?);
+    let path = PathBuf::from(invocation.positional("FILE")?);
     invocation.finish()?;
     let signed = SignedFile::read(&path)?;
     signed.to_message()?;
@@ -53,12 +53,12 @@
     let (revision, proposal_id) = Roll::new(&client, &path, &signed, deadline)?.run().await?;
     let members = in_force::running_members(&client).await;
     let members = members.map_err(|error| {
-        let detail = format!("revision {revision} is accepted; its members are not known: {error}");
+        let detail = format!("revision {revision} is accepted; cannot list the members: {error}");
         CliError::Failed(detail)
     })?;
-    let missing = in_force::wait(&client, &members, revision, deadline).await;
+    let missing = in_force::wait_for_revision(&client, &members, revision, deadline).await;
     if !missing.is_empty() {
-        return Err(not_everywhere(revision, members.len(), &missing));
+        return Err(missing_members_error(revision, members.len(), &missing));
     }
     let rolled = Rolled {
         revision,
@@ -71,7 +71,7 @@
     Ok(())
 }
 
-fn not_everywhere(revision: u64, members: usize, missing: &[MemberBundle]) -> CliError {
+fn missing_members_error(revision: u64, members: usize, missing: &[MemberBundle]) -> CliError {
     let describe = |member: &MemberBundle| match (&member.error, member.revision) {
         (Some(error), _) => format!("{} ({error})", member.node),
         (None, held) => format!("{} (has revision {})", member.node, held.unwrap_or(0)),
@@ -83,23 +83,22 @@
     ))
 }
 
-/// One roll, offered again until its outcome is known: a daemon that has the same text in force or in the head
-/// record accepts it as the same roll.
+/// Roll that is retried until its outcome is known. Retries are safe, as daemons recognize a text that was accepted.
 struct Roll<'r> {
     client: &'r Client,
     path: &'r Path,
     body: String,
     revision: Option<u64>,
     deadline: Instant,
-    /// Why an earlier attempt may have come into force.
-    doubt: Option<String>,
+    /// Error of an earlier attempt that may have succeeded.
+    unknown_detail: Option<String>,
     proposals: Vec<String>,
 }
 
-/// What one attempt says.
+/// Result of an attempt.
 enum Attempt {
     Done(Result<(u64, String), CliError>),
-    Again(String),
+    Retry(String),
 }
 
 impl<'r> Roll<'r> {
@@ -117,7 +116,7 @@
             body,
             revision: BundleDocument::read("bundle", &signed.text).revision(),
             deadline,
-            doubt: None,
+            unknown_detail: None,
             proposals: Vec::new(),
         })
     }
@@ -127,20 +126,20 @@
         for url in urls.iter().cycle() {
             let detail = match self.attempt(url).await {
                 Attempt::Done(outcome) => return outcome,
-                Attempt::Again(detail) => detail,
+                Attempt::Retry(detail) => detail,
             };
             if Instant::now() >= self.deadline {
-                return Err(self.given_up(&detail));
+                return Err(self.timeout_error(&detail));
             }
             tokio::time::sleep(RETRY_INTERVAL).await;
         }
-        Err(CliError::Usage("no daemon is named".to_owned()))
+        Err(CliError::Usage("no URL of a daemon is given".to_owned()))
     }
 
     async fn attempt(&mut self, url: &str) -> Attempt {
         let answer = self
             .client
-            .post_any(url, "/v1/bundles", self.body.clone())
+            .post_any_status(url, "/v1/bundles", self.body.clone())
             .await;
         match answer {
             Ok(RollAnswer::Accepted {
@@ -152,33 +151,33 @@
                 detail,
             }) => {
                 self.proposals.push(proposal_id);
-                self.doubt = Some(detail.clone());
-                Attempt::Again(detail)
+                self.unknown_detail = Some(detail.clone());
+                Attempt::Retry(detail)
             }
             Ok(RollAnswer::Lost {
                 winner_revision,
                 winner_digest,
-            }) => self.lost(url, winner_revision, &winner_digest).await,
+            }) => self.handle_lost(url, winner_revision, &winner_digest).await,
             Ok(RollAnswer::Refused {
                 reason,
                 detail,
                 findings,
-            }) => self.refused(url, &reason, detail, findings).await,
-            Ok(RollAnswer::NotRun { detail }) => Attempt::Again(detail),
-            Ok(other) => Attempt::Again(format!("{other:?}")),
-            Err(error @ CallError::NotSent { .. }) => Attempt::Again(error.to_string()),
+            }) => self.handle_refused(url, &reason, detail, findings).await,
+            Ok(RollAnswer::NotRun { detail }) => Attempt::Retry(detail),
+            Ok(other) => Attempt::Retry(format!("{other:?}")),
+            Err(error @ CallError::NotSent { .. }) => Attempt::Retry(error.to_string()),
             Err(error @ CallError::NoAnswer { .. }) => {
-                self.doubt = Some(error.to_string());
-                Attempt::Again(error.to_string())
+                self.unknown_detail = Some(error.to_string());
+                Attempt::Retry(error.to_string())
             }
             Err(error @ CallError::Refused { .. }) => Attempt::Done(Err(error.into())),
         }
     }
 
-    /// With the very revision taken by another text, an earlier attempt did not win either.
-    async fn lost(&self, url: &str, winner_revision: u64, winner_digest: &str) -> Attempt {
-        if self.doubt.is_some() && self.revision != Some(winner_revision) {
-            return Attempt::Done(self.look_back(url, winner_revision).await);
+    /// Handles a lost race. If another text has the same revision, no earlier attempt can have succeeded.
+    async fn handle_lost(&self, url: &str, winner_revision: u64, winner_digest: &str) -> Attempt {
+        if self.unknown_detail.is_some() && self.revision != Some(winner_revision) {
+            return Attempt::Done(self.find_accepted_proposal(url, winner_revision).await);
         }
         Attempt::Done(Err(CliError::Failed(format!(
             "lost the race: revision {winner_revision} is in force with digest {winner_digest}; \
@@ -186,16 +185,16 @@
         ))))
     }
 
-    async fn refused(
+    async fn handle_refused(
         &self,
         url: &str,
         reason: &str,
         detail: String,
         findings: Vec<ladderstage::bundle::Finding>,
     ) -> Attempt {
-        if self.doubt.is_some() && reason == "findings" {
-            // An earlier attempt may have won and been followed by another bundle since.
-            return Attempt::Done(self.look_back(url, 0).await);
+        if self.unknown_detail.is_some() && reason == "findings" {
+            // An earlier attempt may have succeeded and been superseded by another bundle.
+            return Attempt::Done(self.find_accepted_proposal(url, 0).await);
         }
         if findings.is_empty() {
             return Attempt::Done(Err(CliError::Failed(format!(
@@ -210,11 +209,15 @@
         Attempt::Done(Err(CliError::RefusedFindings(findings.collect())))
     }
 
-    /// Whether one of the earlier attempts was in force for a while.
-    async fn look_back(&self, url: &str, in_force: u64) -> Result<(u64, String), CliError> {
+    /// Returns an earlier attempt that was accepted and has been superseded.
+    async fn find_accepted_proposal(
+        &self,
+        url: &str,
+        in_force: u64,
+    ) -> Result<(u64, String), CliError> {
         for proposal in &self.proposals {
             let path = format!("/v1/bundles/proposals/{proposal}");
-            let answer = self.client.get_any(url, &path).await;
+            let answer = self.client.get_any_status(url, &path).await;
             if let Ok(RollAnswer::Accepted {
                 revision,
                 proposal_id,
@@ -223,19 +226,19 @@
                 return Ok((revision, proposal_id));
             }
         }
-        Err(self.unknown(&format!(
-            "by now a later bundle (revision {in_force}) is in force"
+        Err(self.unknown_outcome_error(&format!(
+            "a later bundle (revision {in_force}) is now in force"
         )))
     }
 
-    fn given_up(&self, detail: &str) -> CliError {
-        match &self.doubt {
-            Some(doubt) => self.unknown(doubt),
+    fn timeout_error(&self, detail: &str) -> CliError {
+        match &self.unknown_detail {
+            Some(unknown_detail) => self.unknown_outcome_error(unknown_detail),
             None => CliError::Failed(format!("not run, nothing was changed: {detail}")),
         }
     }
 
-    fn unknown(&self, detail: &str) -> CliError {
+    fn unknown_outcome_error(&self, detail: &str) -> CliError {
         let urls = self.client.urls().iter();
         let daemons: String = urls.map(|url| format!("--daemon {url} ")).collect();
         let mut text = format!(
--- a/crates/cli/src/commands/bundle/status.rs
+++ b/crates/cli/src/commands/bundle/status.rs
@@ -56,50 +56,52 @@
     }
 }
 
-/// Shows the bundle on all members, or what became of a proposal.
+/// Shows the bundle in force on all members, or the state of a proposal.
 pub async fn status(invocation: &mut Invocation) -> Result<(), CliError> {
     let client = invocation.client()?;
     let proposal = invocation.option("--proposal")?;
     invocation.finish()?;
     if let Some(proposal) = proposal {
-        let report = ask_for_proposal(&client, &proposal).await?;
+        let report = query_proposal(&client, &proposal).await?;
         output::print(invocation.json, &report);
         return Ok(());
     }
     let members = in_force::running_members(&client).await?;
     let status = BundleStatus {
-        members: in_force::ask_members(&client, &members).await,
+        members: in_force::query_members(&client, &members).await,
     };
     output::print(invocation.json, &status);
     Ok(())
 }
 
-/// Any daemon that saw the proposal in force settles the matter.
-async fn ask_for_proposal(client: &Client, proposal: &str) -> Result<ProposalReport, CliError> {
+/// Queries a proposal. One daemon that has seen it in force is enough.
+async fn query_proposal(client: &Client, proposal: &str) -> Result<ProposalReport, CliError> {
     let is_plain = |letter: char| letter.is_ascii_alphanumeric() || letter == '-';
     if !proposal.chars().all(is_plain) {
-        return Err(CliError::Usage(format!("`{proposal}` is no proposal id")));
+        return Err(CliError::Usage(format!(
+            "`{proposal}` is not a proposal id"
+        )));
     }
     let path = format!("/v1/bundles/proposals/{proposal}");
-    let mut doubts = Vec::new();
+    let mut details = Vec::new();
     for url in client.urls() {
-        match client.get_any(url, &path).await {
+        match client.get_any_status(url, &path).await {
             Ok(RollAnswer::Accepted { revision, .. }) => {
                 return Ok(ProposalReport {
                     outcome: "accepted",
                     revision,
                 });
             }
-            Ok(RollAnswer::NotSeen { revision_in_force }) => doubts.push(format!(
-                "{url}: not seen there; revision {revision_in_force} is in force. A proposal for a lower or equal \
-                 revision lost, or came and was followed; one for a higher revision is not in force."
+            Ok(RollAnswer::NotSeen { revision_in_force }) => details.push(format!(
+                "{url}: proposal not seen; revision {revision_in_force} is in force. A proposal for a lower or equal \
+                revision lost or was superseded; a proposal for a higher revision is not in force."
             )),
-            Ok(RollAnswer::Pending { revision }) => doubts.push(format!(
-                "{url}: took revision {revision}; no quorum of replicas has stored it yet"
+            Ok(RollAnswer::Pending { revision }) => details.push(format!(
+                "{url}: proposal has revision {revision} but is not yet stored on a quorum of replicas"
             )),
-            Ok(other) => doubts.push(format!("{url}: {other:?}")),
-            Err(error) => doubts.push(error.to_string()),
+            Ok(other) => details.push(format!("{url}: {other:?}")),
+            Err(error) => details.push(error.to_string()),
         }
     }
-    Err(CliError::Unknown(doubts.join("\n")))
+    Err(CliError::Unknown(details.join("\n")))
 }
--- a/crates/cli/src/commands/bundle/text.rs
+++ b/crates/cli/src/commands/bundle/text.rs
@@ -15,19 +15,19 @@
 use crate::files::{self, SignatureEntry, SignedFile};
 use crate::output;
 
-/// Ending of signed bundles.
-const SIGNED_ENDING: &str = "signed.json";
+/// File extension of signed bundles.
+const SIGNED_EXTENSION: &str = "signed.json";
 
 #[derive(Serialize)]
-struct Checked {
+struct CheckReport {
     file: PathBuf,
     revision: u64,
     digest: String,
-    /// Key ids of the signatures, where it has any.
+    /// Key ids of the signatures.
     signed_by: Vec<String>,
 }
 
-impl fmt::Display for Checked {
+impl fmt::Display for CheckReport {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             formatter,
@@ -43,8 +43,8 @@
     }
 }
 
-fn checked(path: &Path, bundle: &Bundle, signed: &SignedFile) -> Checked {
-    Checked {
+fn check_report(path: &Path, bundle: &Bundle, signed: &SignedFile) -> CheckReport {
+    CheckReport {
         file: path.to_owned(),
         revision: bundle.revision,
         digest: digest(signed.text.as_bytes()).to_string(),
@@ -56,13 +56,13 @@
     }
 }
 
-/// Prints everything wrong with a bundle.
+/// Prints all problems of a bundle.
 pub async fn check(invocation: &mut Invocation) -> Result<(), CliError> {
-    let against = Against::from(invocation)?;
-    let path = PathBuf::from(invocation.free("FILE")?);
+    let baseline = Baseline::from(invocation)?;
+    let path = PathBuf::from(invocation.positional("FILE")?);
     invocation.finish()?;
-    let signed = SignedFile::read_or_start(&path)?;
-    let current = against.bundle().await?;
+    let signed = SignedFile::read_or_unsigned(&path)?;
+    let current = baseline.bundle().await?;
     let context = CheckContext {
         current: current.as_ref(),
         known_versions: None,
@@ -72,19 +72,22 @@
     if !findings.is_empty() {
         return Err(CliError::Findings(findings));
     }
-    output::print(invocation.json, &checked(&path, document.bundle(), &signed));
+    output::print(
+        invocation.json,
+        &check_report(&path, document.bundle(), &signed),
+    );
     Ok(())
 }
 
-/// The bundle that another is set against.
-enum Against {
+/// Bundle that another one is compared with.
+enum Baseline {
     Nothing,
     File(PathBuf),
     Daemon(crate::client::Client),
 }
 
-impl Against {
-    /// `--against FILE` or `--daemon URL`.
+impl Baseline {
+    /// Parses `--against FILE` or `--daemon URL`.
     fn from(invocation: &mut Invocation) -> Result<Self, CliError> {
         if let Some(path) = invocation.path_option("--against")? {
             return Ok(Self::File(path));
@@ -110,7 +113,7 @@
 }
 
 fn read_bundle(path: &Path) -> Result<Bundle, CliError> {
-    let signed = SignedFile::read_or_start(path)?;
+    let signed = SignedFile::read_or_unsigned(path)?;
     let document = BundleDocument::read(&path.display().to_string(), &signed.text);
     document.into_bundle().map_err(CliError::Findings)
 }
@@ -134,19 +137,20 @@
     }
 }
 
-/// Shows what a bundle changes.
+/// Shows the differences between two bundles.
 pub async fn diff(invocation: &mut Invocation) -> Result<(), CliError> {
-    let against = Against::from(invocation)?;
-    let path = PathBuf::from(invocation.free("FILE")?);
+    let baseline = Baseline::from(invocation)?;
+    let path = PathBuf::from(invocation.positional("FILE")?);
     invocation.finish()?;
-    if matches!(against, Against::Nothing) {
+    if matches!(baseline, Baseline::Nothing) {
         return Err(CliError::Usage(
             "`--against FILE` or `--daemon URL` is missing".to_owned(),
         ));
     }
     let new = read_bundle(&path)?;
-    let old = against.bundle().await?;
-    let old = old.ok_or_else(|| CliError::Failed("no bundle is in force there".to_owned()))?;
+    let old = baseline.bundle().await?;
+    let old =
+        old.ok_or_else(|| CliError::Failed("no bundle is in force on the daemon".to_owned()))?;
     let differences = Differences {
         differences: compare(&old, &new),
     };
@@ -154,13 +158,13 @@
     Ok(())
 }
 
-/// Signs a bundle; a signed one gets one more signature.
+/// Signs a bundle. A signature is added if it is already signed with other keys.
 pub fn sign(invocation: &mut Invocation) -> Result<(), CliError> {
     let key_path = PathBuf::from(invocation.required("--key")?);
     let out = invocation.path_option("--out")?;
-    let path = PathBuf::from(invocation.free("FILE")?);
+    let path = PathBuf::from(invocation.positional("FILE")?);
     invocation.finish()?;
-    let mut signed = SignedFile::read_or_start(&path)?;
+    let mut signed = SignedFile::read_or_unsigned(&path)?;
     let bundle =
         parse_file(&path.display().to_string(), &signed.text).map_err(CliError::Findings)?;
     let key = files::read_key(&key_path)?;
@@ -178,36 +182,36 @@
     let default_out = if is_signed {
         path
     } else {
-        path.with_extension(SIGNED_ENDING)
+        path.with_extension(SIGNED_EXTENSION)
     };
     let out = out.unwrap_or(default_out);
     signed.write(&out)?;
-    output::print(invocation.json, &checked(&out, &bundle, &signed));
+    output::print(invocation.json, &check_report(&out, &bundle, &signed));
     Ok(())
 }
 
 /// Verifies the signatures of a bundle.
 pub fn verify(invocation: &mut Invocation) -> Result<(), CliError> {
     let trusted = trusted_keys(invocation)?;
-    let path = PathBuf::from(invocation.free("FILE")?);
+    let path = PathBuf::from(invocation.positional("FILE")?);
     invocation.finish()?;
     let signed = SignedFile::read(&path)?;
     let bundle = ladderstage::bundle::verify(&signed.to_message()?, &trusted)
         .map_err(|error| CliError::Failed(format!("{}: {error}", path.display())))?;
-    output::print(invocation.json, &checked(&path, &bundle, &signed));
+    output::print(invocation.json, &check_report(&path, &bundle, &signed));
     Ok(())
 }
 
-/// Keys of `--trusted ID=HEX`, and those of a daemon's settings file.
+/// Returns the keys of `--trusted KEY_ID=PUBLIC_KEY` and of a daemon's settings file.
 fn trusted_keys(invocation: &mut Invocation) -> Result<TrustedKeys, CliError> {
     let mut keys = BTreeMap::new();
     if let Some(path) = invocation.path_option("--settings")? {
-        keys.extend(keys_of_settings(&path)?);
+        keys.extend(read_settings_keys(&path)?);
     }
     for pair in invocation.all("--trusted")? {
         let (key_id, key) = pair.split_once('=').ok_or_else(|| {
             CliError::Usage(format!(
-                "`--trusted {pair}`; allowed: KEY_ID=PUBLIC_KEY_IN_HEX"
+                "invalid `--trusted {pair}`; expected KEY_ID=PUBLIC_KEY_IN_HEX"
             ))
         })?;
         keys.insert(key_id.to_owned(), key.to_owned());
@@ -222,13 +226,13 @@
     })
 }
 
-fn keys_of_settings(path: &Path) -> Result<BTreeMap<String, String>, CliError> {
+fn read_settings_keys(path: &Path) -> Result<BTreeMap<String, String>, CliError> {
     #[derive(serde::Deserialize)]
-    struct KeysOnly {
+    struct TrustedKeysSection {
         #[serde(default)]
         trusted_keys: BTreeMap<String, String>,
     }
-    let settings: KeysOnly = toml::from_str(&files::read_text(path)?)
+    let settings: TrustedKeysSection = toml::from_str(&files::read_text(path)?)
         .map_err(|error| CliError::Input(format!("{}: {error}", path.display())))?;
     Ok(settings.trusted_keys)
 }
--- a/crates/cli/src/commands/explain.rs
+++ b/crates/cli/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `ladderstage explain`: where a request would run now, and why not elsewhere.
+//! `ladderstage explain`: explains which back end a request would run on.
 
 use std::fmt;
 use std::time::Duration;
@@ -19,22 +19,22 @@
     revision: u64,
     pool: String,
     class: ClassSpec,
-    /// Why the daemon itself takes no new work.
+    /// Reasons why the daemon does not accept new work.
     node_refuses: Vec<String>,
-    /// Cheapest first; those that get no work last.
-    backends: Vec<Judgement>,
+    /// Back ends by ascending cost; unusable ones last.
+    backends: Vec<BackendEvaluation>,
 }
 
 #[derive(Serialize)]
-struct Judgement {
+struct BackendEvaluation {
     name: String,
     zone: String,
-    /// Requests there as best known.
+    /// Estimated number of requests on the back end.
     load: u64,
     capacity: u32,
-    /// What decides: share of its capacity in thousandths with one more request, more in another zone.
+    /// Cost of the choice: load with one more request in thousandths of the capacity, higher in another zone.
     cost: Option<u64>,
-    /// Why it gets no work.
+    /// Reason why the back end is unusable.
     unusable: Option<String>,
 }
 
@@ -48,35 +48,35 @@
         )?;
         writeln!(
             formatter,
-            "class {}: priority {}, {} in flight a daemon, deadline {} ms, {} % retries",
+            "class {}: priority {}, {} in flight per daemon, deadline {} ms, {} % retries",
             class.name, class.priority, class.limit, class.deadline_ms, class.retry_budget_percent
         )?;
         for reason in &self.node_refuses {
-            writeln!(formatter, "the daemon takes no new work: {reason}")?;
+            writeln!(formatter, "the daemon does not accept new work: {reason}")?;
         }
         match self
             .backends
             .iter()
-            .find(|judgement| judgement.cost.is_some())
+            .find(|evaluation| evaluation.cost.is_some())
         {
             Some(first) => writeln!(formatter, "pool {}: would run on {}", self.pool, first.name)?,
             None => writeln!(
                 formatter,
-                "pool {}: would be refused as not run, no back end may get work",
+                "pool {}: would be refused as not run, no back end is usable",
                 self.pool
             )?,
         }
-        for judgement in &self.backends {
-            writeln!(formatter, "  {judgement}")?;
+        for evaluation in &self.backends {
+            writeln!(formatter, "  {evaluation}")?;
         }
         writeln!(
             formatter,
-            "A prompt whose prefix is cached may go to another back end of the list while its load allows."
+            "A prompt with a cached prefix may run on another back end of the list if its load allows."
         )
     }
 }
 
-impl fmt::Display for Judgement {
+impl fmt::Display for BackendEvaluation {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             formatter,
@@ -84,14 +84,14 @@
             self.name, self.zone, self.load, self.capacity
         )?;
         match (&self.unusable, self.cost) {
-            (Some(reason), _) => write!(formatter, "; gets no work: {reason}"),
+            (Some(reason), _) => write!(formatter, "; unusable: {reason}"),
             (None, Some(cost)) => write!(formatter, "; cost {cost}"),
             (None, None) => Ok(()),
         }
     }
 }
 
-/// Explains where a request of a class and pool would run.
+/// Explains which back end a request of a class and pool would run on.
 pub async fn run(invocation: &mut Invocation) -> Result<(), CliError> {
     let client = invocation.client()?;
     let pool = invocation.required("--pool")?;
@@ -101,7 +101,7 @@
     let current: CurrentBundle = client.get("/v1/bundles/current").await?;
     let bundle = BundleDocument::read("current", &current.text)
         .into_bundle()
-        .map_err(|_| CliError::Failed("no bundle is in force there".to_owned()))?;
+        .map_err(|_| CliError::Failed("no bundle is in force on the daemon".to_owned()))?;
     let class = class.unwrap_or_else(|| ladderstage::bundle::LIVE_CLASS.to_owned());
     let explanation = explain(status, &bundle, &pool, &class)?;
     output::print(invocation.json, &explanation);
@@ -131,12 +131,13 @@
         let known = names(bundle.pools.iter().map(|pool| pool.name.as_str()).collect());
         CliError::Failed(format!("no pool `{pool}` in the bundle; allowed: {known}"))
     })?;
-    let judge = |name: &String| {
+    let evaluate = |name: &String| {
         let known = status.backends.iter().find(|backend| backend.name == *name);
-        judge(name, known, &status.zone)
+        evaluate(name, known, &status.zone)
     };
-    let mut backends: Vec<Judgement> = pool_spec.backends.iter().map(judge).collect();
-    backends.sort_by_key(|judgement| (judgement.cost.unwrap_or(u64::MAX), judgement.name.clone()));
+    let mut backends: Vec<BackendEvaluation> = pool_spec.backends.iter().map(evaluate).collect();
+    backends
+        .sort_by_key(|evaluation| (evaluation.cost.unwrap_or(u64::MAX), evaluation.name.clone()));
     Ok(Explanation {
         node: status.node,
         revision: bundle.revision,
@@ -147,20 +148,20 @@
     })
 }
 
-fn judge(name: &str, known: Option<&BackendDescription>, zone: &str) -> Judgement {
+fn evaluate(name: &str, known: Option<&BackendDescription>, zone: &str) -> BackendEvaluation {
     let Some(backend) = known else {
-        return Judgement {
+        return BackendEvaluation {
             name: name.to_owned(),
             zone: "unknown".to_owned(),
             load: 0,
             capacity: 0,
             cost: None,
-            unusable: Some("the daemon has not heard of it".to_owned()),
+            unusable: Some("unknown to the daemon".to_owned()),
         };
     };
     let candidate = candidate(backend);
     let is_usable = backend.unusable.is_none();
-    Judgement {
+    BackendEvaluation {
         name: name.to_owned(),
         zone: backend.zone.clone(),
         load: load(&candidate),
@@ -170,16 +171,16 @@
     }
 }
 
-/// The candidate as the daemon sees it; own requests since the last report are not told and count as none.
+/// Returns the candidate in the daemon's view. Requests sent since the last report are not included in the status.
 fn candidate(backend: &BackendDescription) -> Candidate {
-    let nowhere = std::net::SocketAddr::from(([0, 0, 0, 0], 0));
+    let unspecified = std::net::SocketAddr::from(([0, 0, 0, 0], 0));
     let address = backend
         .address
         .as_ref()
         .and_then(|address| address.parse().ok());
     Candidate {
         name: backend.name.clone(),
-        address: address.unwrap_or(nowhere),
+        address: address.unwrap_or(unspecified),
         zone: backend.zone.clone(),
         process: backend.process,
         weight_version: backend.weight_version,
--- a/crates/cli/src/commands/keygen.rs
+++ b/crates/cli/src/commands/keygen.rs
@@ -29,14 +29,14 @@
     }
 }
 
-/// Makes a key that signs bundles.
+/// Creates a key for signing bundles.
 pub fn run(invocation: &mut Invocation) -> Result<(), CliError> {
     let key_id = invocation.required("--id")?;
     let file = PathBuf::from(invocation.required("--out")?);
     invocation.finish()?;
     let is_plain = |letter: char| letter.is_ascii_alphanumeric() || "-_".contains(letter);
     if key_id.is_empty() || !key_id.chars().all(is_plain) {
-        let detail = format!("key id {key_id:?}; allowed: letters, digits, '-' and '_'");
+        let detail = format!("invalid key id {key_id:?}; allowed: letters, digits, '-' and '_'");
         return Err(CliError::Usage(detail));
     }
     let key = BundleKey::from_secret(&key_id, &rand::random());
--- a/crates/cli/src/commands/mod.rs
+++ b/crates/cli/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands, one module each.
+//! Commands, one module for each.
 
 mod bundle;
 mod explain;
@@ -11,7 +11,7 @@
 use crate::help;
 use crate::output::print_line;
 
-/// Runs the command that the arguments name.
+/// Runs the selected command.
 pub async fn run(invocation: &mut Invocation) -> Result<(), CliError> {
     if invocation.version {
         print_line(&format!("ladderstage {}", env!("CARGO_PKG_VERSION")));
--- a/crates/cli/src/commands/nodes.rs
+++ b/crates/cli/src/commands/nodes.rs
@@ -10,7 +10,7 @@
 use crate::error::CliError;
 use crate::output;
 
-/// The status of a daemon, whatever it tells.
+/// Status of a daemon as arbitrary JSON.
 #[derive(Serialize)]
 #[serde(transparent)]
 struct StatusReport(Value);
@@ -40,7 +40,7 @@
             formatter,
             "{:width$}{}",
             "",
-            plain(other),
+            format_scalar(other),
             width = depth * 2
         ),
     }
@@ -53,28 +53,33 @@
     depth: usize,
 ) -> fmt::Result {
     let width = depth * 2;
-    let mark = if name == "-" { "" } else { ":" };
+    let separator = if name == "-" { "" } else { ":" };
     match value {
-        Value::Object(fields) if fields.values().all(is_plain) => {
+        Value::Object(fields) if fields.values().all(is_scalar) => {
             let fields = fields
                 .iter()
-                .map(|(name, field)| format!("{name}={}", plain(field)));
+                .map(|(name, field)| format!("{name}={}", format_scalar(field)));
             let line = fields.collect::<Vec<_>>().join(" ");
-            writeln!(formatter, "{:width$}{name}{mark} {line}", "")
+            writeln!(formatter, "{:width$}{name}{separator} {line}", "")
         }
         Value::Object(_) | Value::Array(_) => {
-            writeln!(formatter, "{:width$}{name}{mark}", "")?;
+            writeln!(formatter, "{:width$}{name}{separator}", "")?;
             write_value(formatter, value, depth + 1)
         }
-        other => writeln!(formatter, "{:width$}{name}{mark} {}", "", plain(other)),
+        other => writeln!(
+            formatter,
+            "{:width$}{name}{separator} {}",
+            "",
+            format_scalar(other)
+        ),
     }
 }
 
-fn is_plain(value: &Value) -> bool {
+fn is_scalar(value: &Value) -> bool {
     !value.is_object() && !value.is_array()
 }
 
-fn plain(value: &Value) -> String {
+fn format_scalar(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         Value::Null => "-".to_owned(),
@@ -82,7 +87,7 @@
     }
 }
 
-/// Shows what one daemon knows.
+/// Shows the status of a daemon.
 pub async fn status(invocation: &mut Invocation) -> Result<(), CliError> {
     let client = invocation.client()?;
     invocation.finish()?;
--- a/crates/cli/src/commands/trainer.rs
+++ b/crates/cli/src/commands/trainer.rs
@@ -25,19 +25,21 @@
     }
 }
 
-/// Shows how far a trainer's step is.
+/// Shows the progress of a trainer's step.
 pub async fn status(invocation: &mut Invocation) -> Result<(), CliError> {
     let client = invocation.client()?;
-    let trainer = invocation.free("TRAINER")?;
-    let step = invocation.free("STEP")?;
+    let trainer = invocation.positional("TRAINER")?;
+    let step = invocation.positional("STEP")?;
     invocation.finish()?;
     let is_plain = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
     if !trainer.chars().all(is_plain) {
-        return Err(CliError::Usage(format!("`{trainer}` is no trainer's name")));
+        return Err(CliError::Usage(format!(
+            "`{trainer}` is not a valid trainer name"
+        )));
     }
     let step: u64 = step
         .parse()
-        .map_err(|_| CliError::Usage(format!("`{step}` is no step; allowed: a whole number")))?;
+        .map_err(|_| CliError::Usage(format!("`{step}` is not a step; allowed: a whole number")))?;
     let path = format!("/v1/trainers/{trainer}/steps/{step}");
     let status: Value = client.get(&path).await?;
     output::print(invocation.json, &StepReport(status));
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,27 +1,27 @@
-//! What can go wrong, by exit code.
+//! Errors of the program and their exit codes.
 
 use ladderstage::bundle::Finding;
 use serde::Serialize;
 
-/// Why a command did not do what it was asked to.
+/// Error of a command.
 #[derive(Debug, thiserror::Error)]
 pub enum CliError {
-    /// The command line itself.
+    /// The command line is invalid.
     #[error("{0}\nTry `--help`.")]
     Usage(String),
-    /// A file that cannot be used.
+    /// A file cannot be used.
     #[error("{0}")]
     Input(String),
-    /// Everything wrong with a file.
+    /// A file is invalid; holds all problems found.
     #[error("{}", lines(.0))]
     Findings(Vec<Finding>),
-    /// A daemon refused, or something failed; the text says what.
+    /// A daemon refused the request, or the command failed.
     #[error("{0}")]
     Failed(String),
-    /// A daemon refused a text; everything wrong with it.
+    /// A daemon refused a bundle; holds all problems found.
     #[error("refused:\n{}", lines(.0))]
     RefusedFindings(Vec<Finding>),
-    /// What was asked for may or may not have happened.
+    /// The command may or may not have taken effect.
     #[error("outcome unknown: {0}")]
     Unknown(String),
 }
@@ -31,7 +31,7 @@
     lines.collect::<Vec<_>>().join("\n")
 }
 
-/// A [`CliError`] as data.
+/// JSON form of a [`CliError`].
 #[derive(Debug, Serialize)]
 pub struct ErrorReport {
     error: &'static str,
@@ -40,7 +40,7 @@
 }
 
 impl CliError {
-    /// 1 refused or failed, 2 bad usage or bad input, 3 outcome unknown.
+    /// Returns the exit code: 1 refused or failed, 2 invalid usage or input, 3 outcome unknown.
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::Failed(_) | Self::RefusedFindings(_) => 1,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The error as data.
+    /// Returns the error in its JSON form.
     pub fn to_json(&self) -> ErrorReport {
         let (error, findings) = match self {
             Self::Usage(_) => ("usage", Vec::new()),
--- a/crates/cli/src/files.rs
+++ b/crates/cli/src/files.rs
@@ -1,4 +1,4 @@
-//! Key files, bundle texts and signed bundles.
+//! Reads and writes key files, bundle texts and signed bundles.
 
 use std::fs::{File, OpenOptions};
 use std::io::{Read, Write};
@@ -11,13 +11,13 @@
 
 use crate::error::CliError;
 
-/// Permissions of a key file: its owner alone reads and writes it.
+/// Permissions of a key file: readable and writable by its owner only.
 const KEY_FILE_MODE: u32 = 0o600;
 
-/// Bits that no key file may have: anything for group and others.
-const FORBIDDEN_BITS: u32 = 0o077;
+/// Permission bits that a key file must not have: any access by group and others.
+const FORBIDDEN_MODE_BITS: u32 = 0o077;
 
-/// Longest file that is read, in bytes; a signed bundle holds its text as JSON.
+/// Maximum length in bytes of a file. Larger than a text, as a signed bundle holds its text escaped as JSON.
 const MAX_FILE_BYTES: u64 = 4 * MAX_TEXT_BYTES as u64;
 
 #[derive(Serialize, Deserialize)]
@@ -27,81 +27,86 @@
     secret: String,
 }
 
-fn input(path: &Path, detail: impl std::fmt::Display) -> CliError {
+fn input_error(path: &Path, detail: impl std::fmt::Display) -> CliError {
     CliError::Input(format!("{}: {detail}", path.display()))
 }
 
 /// Reads a text file.
 pub fn read_text(path: &Path) -> Result<String, CliError> {
-    let file = File::open(path).map_err(|error| input(path, error))?;
+    let file = File::open(path).map_err(|error| input_error(path, error))?;
     let mut text = String::new();
     let mut limited = file.take(MAX_FILE_BYTES + 1);
     limited
         .read_to_string(&mut text)
-        .map_err(|error| input(path, error))?;
+        .map_err(|error| input_error(path, error))?;
     if text.len() as u64 > MAX_FILE_BYTES {
-        return Err(input(path, format!("longer than {MAX_FILE_BYTES} bytes")));
+        return Err(input_error(
+            path,
+            format!("longer than {MAX_FILE_BYTES} bytes"),
+        ));
     }
     Ok(text)
 }
 
-/// Writes a new key file; never replaces one.
+/// Writes a new key file. Fails if the file exists.
 pub fn write_key(path: &Path, key: &BundleKey) -> Result<(), CliError> {
     let content = KeyFile {
         key_id: key.key_id().to_owned(),
         secret: key.secret_hex(),
     };
-    let text = toml::to_string(&content).map_err(|error| input(path, error))?;
+    let text = toml::to_string(&content).map_err(|error| input_error(path, error))?;
     let mut options = OpenOptions::new();
     options.write(true).create_new(true).mode(KEY_FILE_MODE);
-    let mut file = options.open(path).map_err(|error| input(path, error))?;
+    let mut file = options
+        .open(path)
+        .map_err(|error| input_error(path, error))?;
     let written = file
         .write_all(text.as_bytes())
         .and_then(|()| file.sync_all());
-    written.map_err(|error| input(path, error))
+    written.map_err(|error| input_error(path, error))
 }
 
-/// Reads a key file that nobody but its owner may read. Errors never repeat its content.
+/// Reads a key file, which only its owner may have access to. Errors do not contain its content.
 pub fn read_key(path: &Path) -> Result<BundleKey, CliError> {
-    let mut file = File::open(path).map_err(|error| input(path, error))?;
-    let metadata = file.metadata().map_err(|error| input(path, error))?;
+    let mut file = File::open(path).map_err(|error| input_error(path, error))?;
+    let metadata = file.metadata().map_err(|error| input_error(path, error))?;
     let mode = metadata.permissions().mode() & 0o777;
-    if !metadata.is_file() || mode & FORBIDDEN_BITS != 0 {
+    if !metadata.is_file() || mode & FORBIDDEN_MODE_BITS != 0 {
         let detail = format!(
-            "permissions {mode:04o}; allowed: a file that only its owner may read, as after `chmod 0600`"
+            "permissions are {mode:04o}; allowed: a file that only its owner may access, as after `chmod 0600`"
         );
-        return Err(input(path, detail));
+        return Err(input_error(path, detail));
     }
     let mut text = String::new();
     file.read_to_string(&mut text)
-        .map_err(|error| input(path, error))?;
-    let not_a_key = || {
-        input(
+        .map_err(|error| input_error(path, error))?;
+    let invalid_key_error = || {
+        input_error(
             path,
-            "not a key file; allowed: what `ladderstage keygen` writes",
+            "not a key file; expected a file written by `ladderstage keygen`",
         )
     };
-    let content: KeyFile = toml::from_str(&text).map_err(|_| not_a_key())?;
-    BundleKey::from_secret_hex(&content.key_id, &content.secret).map_err(|_| not_a_key())
+    let content: KeyFile = toml::from_str(&text).map_err(|_| invalid_key_error())?;
+    BundleKey::from_secret_hex(&content.key_id, &content.secret).map_err(|_| invalid_key_error())
 }
 
-/// A signed bundle as a file; also the body of `POST /v1/bundles`.
+/// Signed bundle as a file, which is also the body of `POST /v1/bundles`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SignedFile {
-    /// The text that was signed.
+    /// Signed text.
     pub text: String,
-    /// Its signatures.
+    /// Signatures of the text.
     pub signatures: Vec<SignatureEntry>,
 }
 
-/// One signature.
+/// Signature of a bundle.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SignatureEntry {
-    /// Which key made it.
+    /// Id of the key that made the signature.
     pub key_id: String,
-    /// 64 bytes in hexadecimal.
+    /// Signature of 64 bytes in hexadecimal.
     pub signature: String,
 }
 
@@ -111,14 +116,14 @@
         let text = read_text(path)?;
         serde_json::from_str(&text).map_err(|error| {
             let detail = format!(
-                "not a signed bundle ({error}); allowed: what `ladderstage bundle sign` writes"
+                "not a signed bundle ({error}); expected a file written by `ladderstage bundle sign`"
             );
-            input(path, detail)
+            input_error(path, detail)
         })
     }
 
-    /// Reads a signed bundle, or a text that is not signed yet.
-    pub fn read_or_start(path: &Path) -> Result<Self, CliError> {
+    /// Reads a signed bundle, or a text that has no signatures yet.
+    pub fn read_or_unsigned(path: &Path) -> Result<Self, CliError> {
         if path
             .extension()
             .is_some_and(|extension| extension == "json")
@@ -131,13 +136,16 @@
         })
     }
 
-    /// Writes the signed bundle, in place of an older file.
+    /// Writes the signed bundle, replacing an existing file.
     pub fn write(&self, path: &Path) -> Result<(), CliError> {
-        let text = serde_json::to_string_pretty(self).map_err(|error| input(path, error))?;
-        std::fs::write(path, text).map_err(|error| input(path, error))
+        let text = serde_json::to_string_pretty(self).map_err(|error| input_error(path, error))?;
+        std::fs::write(path, text).map_err(|error| input_error(path, error))
     }
 
-    /// As a message.
+    /// Converts the bundle into a message.
+    ///
+    /// # Errors
+    /// [`CliError::Input`] if a signature is not hexadecimal.
     pub fn to_message(&self) -> Result<SignedBundle, CliError> {
         let mut signatures = Vec::new();
         for entry in &self.signatures {
--- a/crates/cli/src/help.rs
+++ b/crates/cli/src/help.rs
@@ -8,24 +8,24 @@
     ladderstage COMMAND [OPTIONS]
 
 COMMANDS
-    keygen           make a key that signs bundles
-    bundle           check, diff, sign, verify, roll bundles, and see them in force
-    status           what a daemon knows
-    members          the daemons that a daemon knows
-    trainer status   how far a trainer's step is
-    explain          where a request would run now, and why
+    keygen           create a key for signing bundles
+    bundle           check, diff, sign, verify and roll bundles, and show their status
+    status           show the status of a daemon
+    members          list the members of the cluster
+    trainer status   show the progress of a trainer's step
+    explain          explain which back end a request would run on
 
 OPTIONS OF ALL COMMANDS
-    --daemon URL     a daemon; may be repeated [default: http://127.0.0.1:8080]
+    --daemon URL     URL of a daemon; may be repeated [default: http://127.0.0.1:8080]
     --json           print results as JSON
-    -h, --help       help on each level
-    -V, --version    version
+    -h, --help       print the help of a command
+    -V, --version    print the version
 
 EXIT CODES
     0  done
     1  refused or failed
-    2  bad usage or bad input
-    3  outcome unknown: it may or may not have happened
+    2  invalid usage or input
+    3  outcome unknown: the command may or may not have taken effect
 
 EXAMPLES
     ladderstage keygen --id ops-2026 --out ops.key
@@ -35,8 +35,8 @@
 
 /// `ladderstage keygen --help`
 pub const KEYGEN: &str = "\
-Makes a key that signs bundles, in a file that only its owner may read.
-Prints the line that each daemon's settings need to trust it.
+Creates a key for signing bundles, in a file that only its owner may read.
+Prints the line for the settings of the daemons that are to trust the key.
 
 USAGE
     ladderstage keygen --id KEY_ID --out FILE
@@ -50,12 +50,12 @@
 Bundles set weight versions, staleness bounds, priorities and which back ends take which work.
 
 COMMANDS
-    check    print everything wrong with a bundle, each with its place
-    diff     show what a bundle changes
+    check    print all problems of a bundle with their positions
+    diff     show the changes between two bundles
     sign     sign a bundle
     verify   verify the signatures of a bundle
     roll     roll a signed bundle and wait until it is in force on all members
-    status   the bundle on all members, or what became of a roll
+    status   show the bundle in force on all members, or the state of a roll
 
 EXAMPLES
     ladderstage bundle check fjordkarm.toml
@@ -64,14 +64,14 @@
 
 /// `ladderstage bundle check --help`
 pub const BUNDLE_CHECK: &str = "\
-Prints everything wrong with a bundle in one run: file, line, column, what was found, what is allowed.
+Prints all problems of a bundle: file, line, column, the value found, and the allowed values.
 
 USAGE
     ladderstage bundle check [--against FILE | --daemon URL] FILE
 
 OPTIONS
     --against FILE   check as the successor of this bundle
-    --daemon URL     check as the successor of the bundle in force there
+    --daemon URL     check as the successor of the bundle in force on this daemon
 
 EXAMPLE
     ladderstage bundle check --daemon http://10.0.0.5:8080 fjordkarm.toml
@@ -79,7 +79,7 @@
 
 /// `ladderstage bundle diff --help`
 pub const BUNDLE_DIFF: &str = "\
-Shows what a bundle changes, value by value.
+Shows the values that differ between a bundle and an earlier one.
 
 USAGE
     ladderstage bundle diff (--against FILE | --daemon URL) FILE
@@ -90,14 +90,14 @@
 
 /// `ladderstage bundle sign --help`
 pub const BUNDLE_SIGN: &str = "\
-Signs a bundle that has no findings. A bundle that is signed already gets one more signature, as when keys rotate.
+Signs a valid bundle. If it is already signed, another signature is added, for example to rotate keys.
 
 USAGE
     ladderstage bundle sign --key KEY_FILE [--out FILE] FILE
 
 OPTIONS
     --key KEY_FILE   key file that only its owner may read
-    --out FILE       where to write [default: the bundle's name with .signed.json]
+    --out FILE       output file [default: the bundle's name with .signed.json]
 
 EXAMPLES
     ladderstage bundle sign --key ops.key fjordkarm.toml
@@ -106,7 +106,7 @@
 
 /// `ladderstage bundle verify --help`
 pub const BUNDLE_VERIFY: &str = "\
-Verifies the signatures of a bundle as a daemon would.
+Verifies the signatures of a bundle in the same way as a daemon.
 
 USAGE
     ladderstage bundle verify (--trusted KEY_ID=PUBLIC_KEY | --settings FILE) FILE
@@ -121,16 +121,16 @@
 
 /// `ladderstage bundle roll --help`
 pub const BUNDLE_ROLL: &str = "\
-Rolls a signed bundle, waits until it is in force on all members that the daemon knows and says how long that took,
-or which are missing. A lost race names the winner. The same file may be rolled again at any time: it takes
-effect once at most.
+Rolls a signed bundle and waits until it is in force on all members that the daemon knows. Prints the time this
+took, or the members that do not have it. If another bundle has the revision, prints that bundle. The same file
+can be rolled again at any time and takes effect at most once.
 
 USAGE
     ladderstage bundle roll [--daemon URL]... [--timeout SECONDS] FILE
 
 OPTIONS
     --daemon URL        daemons to try in turn [default: http://127.0.0.1:8080]
-    --timeout SECONDS   how long to wait in all [default: 30]
+    --timeout SECONDS   total time limit [default: 30]
 
 EXAMPLE
     ladderstage bundle roll --daemon http://10.0.0.5:8080 --daemon http://10.0.1.5:8080 fjordkarm.signed.json
@@ -138,7 +138,7 @@
 
 /// `ladderstage bundle status --help`
 pub const BUNDLE_STATUS: &str = "\
-Shows the bundle on all members, or what became of a roll whose outcome was unknown.
+Shows the bundle in force on all members, or the state of a roll whose outcome was unknown.
 
 USAGE
     ladderstage bundle status [--daemon URL]... [--proposal ID]
@@ -150,7 +150,7 @@
 
 /// `ladderstage status --help`
 pub const STATUS: &str = "\
-Shows what a daemon knows: readiness with reasons, bundle, members, back ends, orders, shards.
+Shows the status of a daemon: readiness with reasons, bundle, members, back ends, orders and shards.
 
 USAGE
     ladderstage status [--daemon URL]
@@ -161,7 +161,7 @@
 
 /// `ladderstage members --help`
 pub const MEMBERS: &str = "\
-Lists the daemons that a daemon knows, with their states.
+Lists the members of the cluster and their states, as known to a daemon.
 
 USAGE
     ladderstage members [--daemon URL]
@@ -173,7 +173,7 @@
 /// `ladderstage trainer --help`
 pub const TRAINER: &str = "\
 COMMANDS
-    status   how far a trainer's step is
+status   show the progress of a trainer's step
 
 EXAMPLE
     ladderstage trainer status karm-trainer 7
@@ -181,7 +181,7 @@
 
 /// `ladderstage trainer status --help`
 pub const TRAINER_STATUS: &str = "\
-Shows how far a trainer's step is.
+Shows the progress of a trainer's step.
 
 USAGE
     ladderstage trainer status [--daemon URL] TRAINER STEP
@@ -192,7 +192,7 @@
 
 /// `ladderstage explain --help`
 pub const EXPLAIN: &str = "\
-Explains where a request of a class and pool would run now, and why not elsewhere.
+Explains which back end a request of a class and pool would run on, and why others would not be chosen.
 
 USAGE
     ladderstage explain --pool POOL [--class CLASS] [--daemon URL]
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `ladderstage`: operators' and trainers' command line.
+//! `ladderstage`: command line for operators and trainers.
 
 mod arguments;
 mod client;
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,11 +1,11 @@
-//! Prints results as text or JSON.
+//! Prints results as text or as JSON.
 
 use std::fmt::Display;
 use std::io::Write;
 
 use serde::Serialize;
 
-/// Prints a result in the asked form.
+/// Prints a result as JSON or as text.
 pub fn print<R: Display + Serialize>(json: bool, result: &R) {
     if json {
         print_json(result);
@@ -22,7 +22,7 @@
     }
 }
 
-/// Prints a line; a reader that is gone is no error.
+/// Prints a line. Write errors are ignored, as the reader may have closed the pipe.
 pub fn print_line(text: &str) {
     let _ = writeln!(std::io::stdout(), "{}", text.trim_end_matches('\n'));
 }
