--- a/crates/cli/tests/daemons.rs
+++ b/crates/cli/tests/daemons.rs
@@ -1,4 +1,4 @@
-//! Commands against daemons' HTTP interfaces: rolls, races, unknown outcomes, members that lag.
+//! Commands against the HTTP interface of daemons: rolls, lost races, unknown outcomes and missing members.
 
 #[path = "../../daemon/tests/support/bundle_cluster.rs"]
 mod bundle_cluster;
@@ -18,7 +18,7 @@
 use serde_json::{Value, json};
 use tempfile::TempDir;
 
-/// What `/v1/members` answers.
+/// Answer to `GET /v1/members`.
 struct MemberList(std::sync::Arc<std::sync::Mutex<Vec<Value>>>);
 
 #[get("/v1/members")]
@@ -26,7 +26,7 @@
     Json(json!({"members": *list.0.lock().unwrap()}))
 }
 
-/// Three nodes behind HTTP.
+/// Three nodes with HTTP interfaces.
 struct Daemons {
     server: KeyValueServer,
     cluster: Cluster,
@@ -68,7 +68,7 @@
     async fn serve(&mut self, name: &str, node: Bundles) {
         let (sender, port) = tokio::sync::oneshot::channel();
         let sender = std::sync::Mutex::new(Some(sender));
-        let tell_port = AdHoc::on_liftoff("port", move |rocket| {
+        let send_port = AdHoc::on_liftoff("port", move |rocket| {
             Box::pin(async move {
                 let sender = sender.lock().unwrap().take().unwrap();
                 let _ = sender.send(rocket.config().port);
@@ -84,7 +84,7 @@
             .manage(MemberList(self.list.clone()))
             .mount("/", routes())
             .mount("/", rocket::routes![members])
-            .attach(tell_port);
+            .attach(send_port);
         let rocket = rocket.ignite().await.unwrap();
         self.shutdowns.push(rocket.shutdown());
         tokio::spawn(async move { rocket.launch().await.is_ok() });
@@ -99,7 +99,7 @@
         self.list.lock().unwrap().push(member);
     }
 
-    /// A signed bundle as a file.
+    /// Writes a signed bundle and returns its path.
     fn file(&self, revision: u64, note: &str) -> String {
         let text = text(revision, note);
         let signature = sign(&text, &key());
@@ -117,7 +117,7 @@
         path.display().to_string()
     }
 
-    /// Runs a command against some of the daemons.
+    /// Runs a command against some of the daemons, checks its exit code and returns its output.
     async fn run(&self, code: i32, daemons: &[usize], arguments: &[&str]) -> String {
         let mut command = tokio::process::Command::new(env!("CARGO_BIN_EXE_ladderstage"));
         command.args(arguments).kill_on_drop(true);
@@ -132,7 +132,7 @@
 }
 
 #[tokio::test]
-async fn a_roll_waits_for_all_members_and_a_lost_race_names_the_winner() {
+async fn a_roll_waits_for_all_members_and_reports_the_winner_of_a_lost_race() {
     let daemons = Daemons::start().await;
     let first = daemons.file(1, "first");
     let output = daemons.run(0, &[0, 1], &["bundle", "roll", &first]).await;
@@ -163,7 +163,7 @@
 }
 
 #[tokio::test]
-async fn a_member_that_does_not_have_it_is_named() {
+async fn members_without_the_bundle_are_reported() {
     let daemons = Daemons::start().await;
     let file = daemons.file(1, "first");
     daemons.run(0, &[0], &["bundle", "roll", &file]).await;
@@ -179,7 +179,7 @@
 }
 
 #[tokio::test]
-async fn an_outage_is_not_run_and_a_lost_answer_is_unknown_until_asked_again() {
+async fn a_roll_is_not_run_in_an_outage_and_unknown_after_a_lost_answer() {
     let daemons = Daemons::start().await;
     daemons
         .run(0, &[0], &["bundle", "roll", &daemons.file(1, "first")])
@@ -217,11 +217,11 @@
 }
 
 #[tokio::test]
-async fn no_daemon_is_a_failure() {
+async fn commands_fail_if_no_daemon_answers() {
     let daemons = Daemons::start().await;
     let socket = tokio::net::TcpSocket::new_v4().unwrap();
     socket.bind(([127, 0, 0, 1], 0).into()).unwrap();
-    let nobody = format!("http://{}", socket.local_addr().unwrap());
+    let unused_url = format!("http://{}", socket.local_addr().unwrap());
     for command in [
         "status",
         "members",
@@ -230,7 +230,7 @@
         "bundle status",
     ] {
         let mut arguments: Vec<&str> = command.split_whitespace().collect();
-        arguments.extend(["--daemon", &nobody]);
+        arguments.extend(["--daemon", &unused_url]);
         daemons.run(1, &[], &arguments).await;
     }
 }
--- a/crates/cli/tests/examples.rs
+++ b/crates/cli/tests/examples.rs
@@ -1,4 +1,4 @@
-//! What README.md shows of `examples/` is what the programs say.
+//! The output for `examples/` must match README.md.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -23,15 +23,15 @@
 }
 
 #[test]
-fn six_mistakes_are_answered_as_the_readme_shows() {
+fn findings_of_the_example_match_the_readme() {
     let (code, errors) = check("examples/six-mistakes.toml");
     assert_eq!((code, errors.lines().count()), (Some(2), 6), "{errors}");
-    let shown: String = errors.lines().map(|line| format!("    {line}\n")).collect();
-    assert!(read("README.md").contains(&shown), "{errors}");
+    let expected: String = errors.lines().map(|line| format!("    {line}\n")).collect();
+    assert!(read("README.md").contains(&expected), "{errors}");
 }
 
 #[test]
-fn the_files_of_the_walk_lack_nothing_but_the_key() {
+fn walkthrough_files_are_valid_except_for_the_trusted_key() {
     for bundle in ["bundle-1", "bundle-2"] {
         let (code, errors) = check(&format!("examples/walk/{bundle}.toml"));
         assert_eq!((code, errors.as_str()), (Some(0), ""));
--- a/crates/cli/tests/files.rs
+++ b/crates/cli/tests/files.rs
@@ -1,4 +1,4 @@
-//! Commands on files: keys, checks, signatures, and exit codes.
+//! Commands on files: keys, checks, signatures and exit codes.
 
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
@@ -13,7 +13,7 @@
     command.output().unwrap()
 }
 
-/// Runs a command that must end with this code; its standard output and error.
+/// Runs a command, checks its exit code and returns its standard output and error.
 fn expect(folder: &Path, code: i32, arguments: &[&str]) -> (String, String) {
     let output = run(folder, arguments);
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
@@ -53,7 +53,7 @@
         let trusted = format!("{name}={}", public["public_key"].as_str().unwrap());
         expect(at, 0, &["bundle", "sign", "--key", &key, &text]);
         expect(at, 0, &["bundle", "verify", "--trusted", &trusted, &signed]);
-        // Another signature does not take the first one away.
+        // A second signature must not replace the first one.
         expect(
             at,
             0,
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_key_file_is_private_and_never_replaced() {
+fn key_files_are_private_and_never_overwritten() {
     let folder = folder_with_examples();
     let at = folder.path();
     expect(at, 0, &["keygen", "--id", "a", "--out", "a.key"]);
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn six_mistakes_are_six_findings_with_places() {
+fn every_problem_is_reported_with_its_position() {
     let folder = folder_with_examples();
     let at = folder.path();
     let broken = std::fs::read_to_string(at.join("fjordkarm.toml"))
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_diff_names_what_changes() {
+fn a_diff_lists_the_changed_values() {
     let folder = folder_with_examples();
     let at = folder.path();
     let next = std::fs::read_to_string(at.join("sahil.toml"))
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn bad_usage_and_bad_files_exit_with_2() {
+fn invalid_usage_and_invalid_files_exit_with_2() {
     let folder = folder_with_examples();
     let at = folder.path();
     std::fs::write(at.join("binary.json"), [0xff, 0x00]).unwrap();
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -1,4 +1,4 @@
-//! Commands against a whole node: what its status, members and explanations say.
+//! Commands against a running node: status, members and explain.
 
 #[path = "../../daemon/tests/support/bundle_cluster.rs"]
 mod bundle_cluster;
@@ -46,7 +46,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_is_shown_and_explained() {
+async fn status_members_and_explain_describe_a_node() {
     let server = KeyValueServer::start().await;
     let folder = tempfile::tempdir().unwrap();
     let node = start(&folder, &server.url).await;
@@ -75,7 +75,7 @@
     let status = run(&node, 0, &["status"]).await;
     assert!(status.contains("node: n1"), "{status}");
 
-    // No machine list answers, so no back end may get work, and the explanation says why.
+    // There is no machine list, so no back end is usable.
     let explained = run(
         &node,
         0,
--- a/crates/daemon/tests/caller_headers.rs
+++ b/crates/daemon/tests/caller_headers.rs
@@ -1,4 +1,4 @@
-//! Hostile header values are refused with the header's name; none is guessed at.
+//! Parsing of request headers. Invalid values must be reported with the name of the header.
 
 use ladderstage_daemon::http::outcome::{CallerHeaders, RequestError};
 use proptest::prelude::*;
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn good_values_are_taken_as_they_are() {
+fn valid_headers_are_parsed() {
     let options = read(&[
         ("idempotency-key", "a/b=="),
         ("Ladderstage-Deadline-Ms", "1500"),
@@ -23,7 +23,7 @@
     .options
     .unwrap();
     assert_eq!(options.idempotency_key.as_deref(), Some("a/b=="));
-    assert!(options.at_most_once, "a key implies it");
+    assert!(options.at_most_once, "implied by the idempotency key");
     assert_eq!(options.deadline.unwrap().as_millis(), 1500);
     assert_eq!(options.class, "desk");
     assert_eq!(options.id.caller_id(), "quote-7");
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn bad_values_are_refused_by_name() {
+fn invalid_headers_are_reported_by_name() {
     let long = "x".repeat(200);
     let cases = [
         ("Ladderstage-At-Most-Once", "yes"),
@@ -52,13 +52,13 @@
         };
         assert_eq!(header, name, "{value}");
     }
-    let twice = read(&[("Idempotency-Key", "a"), ("Idempotency-Key", "b")]);
-    assert!(twice.options.is_err());
+    let repeated = read(&[("Idempotency-Key", "a"), ("Idempotency-Key", "b")]);
+    assert!(repeated.options.is_err());
 }
 
 proptest! {
     #[test]
-    fn any_value_is_taken_or_refused(value in ".{0,160}") {
+    fn arbitrary_header_values_are_parsed_or_rejected(value in ".{0,160}") {
         for name in ["Ladderstage-Request-Id", "Idempotency-Key", "Ladderstage-Deadline-Ms", "Ladderstage-Class"] {
             let caller = read(&[(name, &value)]);
             prop_assert!(caller.id.caller_id().len() <= 64);
--- a/crates/daemon/tests/drain.rs
+++ b/crates/daemon/tests/drain.rs
@@ -1,11 +1,11 @@
-//! A planned stop refuses new work and waits for what is under way.
+//! Draining refuses new requests and waits for requests in flight.
 
 use std::time::Duration;
 
 use ladderstage_daemon::drain::Drain;
 
 #[tokio::test]
-async fn waits_for_all_guards_and_admits_none() {
+async fn a_drain_waits_for_all_guards_and_refuses_new_work() {
     let drain = Drain::new();
     let first = drain.track_request().unwrap();
     drain.start();
--- a/crates/daemon/tests/live/applications.rs
+++ b/crates/daemon/tests/live/applications.rs
@@ -1,15 +1,15 @@
-//! Application requests: forwarded whole, answered whole, and repeated only where HTTP allows it.
+//! Application requests: forwarding, truncated answers and retries.
 
 use ladderstage_bench::stand_in::CutPoint;
 use ladderstage_bench::stand_in::application::{ApplicationFaults, Echo};
 use reqwest::Method;
 
-use crate::fixture::{APPLICATION, Fixture, outcome, seen};
+use crate::fixture::{APPLICATION, Fixture, outcome, send_and_read};
 
-/// Longer than what is read whole before it is passed on.
-const LONG: usize = 1 << 20;
+/// Length of an answer that is streamed instead of buffered.
+const LONG_BODY_BYTES: usize = 1 << 20;
 
-fn cut(point: CutPoint, chunked: bool, padding: usize) -> ApplicationFaults {
+fn truncation(point: CutPoint, chunked: bool, padding: usize) -> ApplicationFaults {
     ApplicationFaults {
         cut: Some(point),
         cuts: 1,
@@ -20,7 +20,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn requests_arrive_as_they_were_sent() {
+async fn requests_are_forwarded_unchanged() {
     let fixture = Fixture::start(0, 2).await;
     let caller = &fixture.fronts[0].caller;
     for method in [
@@ -39,16 +39,21 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cut_answer_never_passes_for_whole_and_a_post_runs_once() {
+async fn truncated_answers_are_reported_and_posts_are_not_retried() {
     for point in [
         CutPoint::BeforeHeaders,
         CutPoint::MidBody,
         CutPoint::BeforeEnd,
     ] {
-        for (chunked, padding) in [(false, 0), (true, 0), (false, LONG), (true, LONG)] {
+        for (chunked, padding) in [
+            (false, 0),
+            (true, 0),
+            (false, LONG_BODY_BYTES),
+            (true, LONG_BODY_BYTES),
+        ] {
             let fixture = Fixture::start(0, 2).await;
             fixture
-                .fault_applications(cut(point, chunked, padding))
+                .fault_applications(truncation(point, chunked, padding))
                 .await;
             let request = fixture.fronts[0].application(Method::POST, "quotes");
             let response = request.send().await.unwrap();
@@ -65,7 +70,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cut_get_is_repeated() {
+async fn truncated_gets_are_retried() {
     for point in [
         CutPoint::BeforeHeaders,
         CutPoint::MidBody,
@@ -73,7 +78,9 @@
     ] {
         for chunked in [false, true] {
             let fixture = Fixture::start(0, 2).await;
-            fixture.fault_applications(cut(point, chunked, 0)).await;
+            fixture
+                .fault_applications(truncation(point, chunked, 0))
+                .await;
             let echo = fixture.fronts[0]
                 .caller
                 .application(APPLICATION, Method::GET, "quotes", "")
@@ -85,17 +92,17 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_form_that_names_a_method_is_not_repeated() {
+async fn forms_with_a_method_override_are_not_retried() {
     let fixture = Fixture::start(0, 2).await;
     fixture
-        .fault_applications(cut(CutPoint::BeforeHeaders, false, 0))
+        .fault_applications(truncation(CutPoint::BeforeHeaders, false, 0))
         .await;
     let form = |fixture: &Fixture| {
         let request = fixture.fronts[0].application(Method::POST, "quotes");
         let request = request.header("Content-Type", "application/x-www-form-urlencoded");
         request.body("_method=put&facade=7")
     };
-    assert_eq!(seen(form(&fixture)).await.outcome, "unknown");
+    assert_eq!(send_and_read(form(&fixture)).await.outcome, "unknown");
     assert_eq!(fixture.application_runs().await.len(), 1);
     fixture
         .fault_applications(ApplicationFaults::default())
@@ -113,11 +120,11 @@
             ..Default::default()
         })
         .await;
-    let answer = seen(fixture.fronts[0].application(Method::POST, "quotes")).await;
+    let answer = send_and_read(fixture.fronts[0].application(Method::POST, "quotes")).await;
     assert_eq!((answer.status, answer.outcome.as_str()), (503, "not-run"));
     assert_eq!(fixture.application_runs().await.len(), 0);
-    *fixture.fronts[0].node.is_cut_off.lock().unwrap() = true;
-    let answer = seen(fixture.fronts[0].application(Method::POST, "quotes")).await;
+    *fixture.fronts[0].node.disconnected.lock().unwrap() = true;
+    let answer = send_and_read(fixture.fronts[0].application(Method::POST, "quotes")).await;
     assert_eq!((answer.status, answer.outcome.as_str()), (503, "not-run"));
     assert!(answer.text.contains("isolated"), "{}", answer.text);
 }
--- a/crates/daemon/tests/live/completions.rs
+++ b/crates/daemon/tests/live/completions.rs
@@ -1,19 +1,19 @@
-//! Completions: whole or given up, never cut, and repeated only where that is allowed.
+//! Completions: resumption of truncated streams, at-most-once requests and error outcomes.
 
 use ladderstage_bench::proxy::Faults;
 use ladderstage_bench::stand_in::CutPoint;
 use ladderstage_bench::stand_in::engine::EngineFaults;
 use serde_json::Value;
 
-use crate::fixture::{Fixture, MODEL, seen};
+use crate::fixture::{Fixture, MODEL, send_and_read};
 
-const CUTS: [CutPoint; 3] = [
+const CUT_POINTS: [CutPoint; 3] = [
     CutPoint::BeforeHeaders,
     CutPoint::MidBody,
     CutPoint::BeforeEnd,
 ];
 
-fn cut(point: CutPoint, cuts: u32) -> EngineFaults {
+fn truncation(point: CutPoint, cuts: u32) -> EngineFaults {
     EngineFaults {
         cut: Some(point),
         cuts,
@@ -22,11 +22,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn cut_streams_go_on_elsewhere_and_come_out_whole() {
-    for point in CUTS {
+async fn truncated_streams_are_resumed_on_another_engine() {
+    for point in CUT_POINTS {
         for stream in [false, true] {
             let fixture = Fixture::start(2, 0).await;
-            fixture.fault_engines(cut(point, 1)).await;
+            fixture.fault_engines(truncation(point, 1)).await;
             // The caller checks text, length and weight versions.
             let completion = fixture.fronts[0]
                 .caller
@@ -36,11 +36,11 @@
                 completion.unwrap_or_else(|error| panic!("{point:?} {stream}: {error}"));
             assert!(completion.weight_versions.contains(&1));
             let runs = fixture.engine_runs().await;
-            assert_eq!(runs.len(), 3, "two cut, one whole");
+            assert_eq!(runs.len(), 3, "two truncated runs and a complete one");
             if point != CutPoint::BeforeHeaders {
                 assert!(
                     runs.iter().any(|run| run.first_token > 0),
-                    "resumed, not begun anew"
+                    "must resume instead of restarting"
                 );
             }
         }
@@ -48,13 +48,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_marked_completion_runs_once_and_is_unknown_when_cut() {
-    for point in CUTS {
+async fn a_truncated_at_most_once_completion_is_unknown_and_not_retried() {
+    for point in CUT_POINTS {
         for stream in [false, true] {
             let fixture = Fixture::start(2, 0).await;
-            fixture.fault_engines(cut(point, 9)).await;
+            fixture.fault_engines(truncation(point, 9)).await;
             let request = fixture.fronts[0].complete("a sill", 20, stream);
-            let answer = seen(request.header("Ladderstage-At-Most-Once", "true")).await;
+            let answer = send_and_read(request.header("Ladderstage-At-Most-Once", "true")).await;
             assert_eq!(fixture.engine_runs().await.len(), 1);
             assert!(
                 !answer.text.contains("[DONE]"),
@@ -76,7 +76,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn not_run_is_said_when_every_engine_refused() {
+async fn not_run_is_reported_if_all_engines_refuse() {
     let fixture = Fixture::start(2, 0).await;
     fixture
         .fault_engines(EngineFaults {
@@ -84,14 +84,14 @@
             ..EngineFaults::default()
         })
         .await;
-    let answer = seen(fixture.fronts[0].complete("a sill", 20, false)).await;
+    let answer = send_and_read(fixture.fronts[0].complete("a sill", 20, false)).await;
     assert_eq!((answer.status, answer.outcome.as_str()), (503, "not-run"));
     assert_eq!(fixture.engine_runs().await.len(), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_attempt_that_may_have_run_is_never_forgotten() {
-    // Whichever engine is asked first, one ran the request and the other refused it.
+async fn an_unknown_attempt_makes_the_outcome_unknown() {
+    // Both orders, so that the result does not depend on which engine is tried first.
     for (cutting, refusing) in [(0, 1), (1, 0)] {
         let fixture = Fixture::start(2, 0).await;
         let refusal = EngineFaults {
@@ -99,17 +99,17 @@
             ..EngineFaults::default()
         };
         fixture.engines[cutting]
-            .fault(&cut(CutPoint::BeforeHeaders, 99))
+            .fault(&truncation(CutPoint::BeforeHeaders, 99))
             .await;
         fixture.engines[refusing].fault(&refusal).await;
-        let answer = seen(fixture.fronts[0].complete("a sill", 20, false)).await;
+        let answer = send_and_read(fixture.fronts[0].complete("a sill", 20, false)).await;
         assert!(!fixture.engine_runs().await.is_empty());
         assert_eq!(answer.outcome, "unknown", "{}", answer.text);
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stalled_engine_is_left_for_another() {
+async fn completions_on_a_stalled_engine_are_retried_elsewhere() {
     let fixture = Fixture::start(2, 0).await;
     let freeze = Faults {
         freeze: true,
@@ -127,7 +127,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn versions_that_engines_do_not_name_are_not_made_up() {
+async fn missing_weight_versions_are_not_reported() {
     let fixture = Fixture::start(1, 0).await;
     fixture
         .fault_engines(EngineFaults {
@@ -150,7 +150,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_requests_are_refused_by_name() {
+async fn invalid_requests_are_refused_with_the_cause() {
     let fixture = Fixture::start(1, 0).await;
     let front = &fixture.fronts[0];
     let base = || front.complete("a sill", 5, false);
@@ -179,7 +179,7 @@
         (base().body(vec![b' '; 2 << 20]), 413, "body_too_long"),
     ];
     for (request, status, names) in cases {
-        let answer = seen(request).await;
+        let answer = send_and_read(request).await;
         assert_eq!(
             (answer.status, answer.outcome.as_str()),
             (status, "not-run"),
--- a/crates/daemon/tests/live/fixture.rs
+++ b/crates/daemon/tests/live/fixture.rs
@@ -1,4 +1,4 @@
-//! Two daemons that share back ends and a journal.
+//! Test fixture: two daemons that share back ends and a journal.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -36,7 +36,7 @@
 pub const MODEL: &str = "karm-lm";
 pub const APPLICATION: &str = "prisverk";
 
-/// A back end behind a proxy.
+/// Stand-in back end behind a fault proxy.
 pub struct BackEnd {
     handle: Handle,
     pub proxy: Proxy,
@@ -62,7 +62,7 @@
     }
 }
 
-/// One daemon's front.
+/// HTTP interface of a daemon.
 pub struct Front {
     pub url: String,
     pub caller: Caller,
@@ -85,7 +85,7 @@
         self.http.request(method, url)
     }
 
-    /// A request with an idempotency key.
+    /// Builds a request with an idempotency key.
     pub fn keyed(&self, key: &str, body: impl Into<reqwest::Body>) -> RequestBuilder {
         let request = self.application(reqwest::Method::POST, "quotes");
         request.header("Idempotency-Key", key).body(body)
@@ -93,18 +93,18 @@
 }
 
 /// Status, outcome header and text of an answer.
-pub struct Seen {
+pub struct ReceivedAnswer {
     pub status: u16,
     pub outcome: String,
     pub text: String,
 }
 
-pub async fn seen(request: RequestBuilder) -> Seen {
+pub async fn send_and_read(request: RequestBuilder) -> ReceivedAnswer {
     let response = request.send().await.unwrap();
     let retry_after = response.headers().contains_key("retry-after");
     let outcome = outcome(&response);
     assert!(outcome == "completed" || outcome.is_empty() || retry_after);
-    Seen {
+    ReceivedAnswer {
         status: response.status().as_u16(),
         outcome,
         text: response.text().await.unwrap(),
@@ -116,11 +116,11 @@
     value.map_or_else(String::new, |value| value.to_str().unwrap().to_owned())
 }
 
-/// What a node knows, set by the test.
+/// Node state set by the test.
 #[derive(Debug)]
 pub struct FixedNode {
     bundle: Arc<BundleInForce>,
-    pub is_cut_off: Mutex<bool>,
+    pub disconnected: Mutex<bool>,
 }
 
 impl NodeState for FixedNode {
@@ -133,7 +133,7 @@
     }
 
     fn is_isolated(&self) -> bool {
-        *self.is_cut_off.lock().unwrap()
+        *self.disconnected.lock().unwrap()
     }
 }
 
@@ -214,7 +214,7 @@
         let drain = Drain::new();
         let node = Arc::new(FixedNode {
             bundle: in_force,
-            is_cut_off: Mutex::new(false),
+            disconnected: Mutex::new(false),
         });
         let services = LiveServices {
             backends,
@@ -246,7 +246,7 @@
         }
     }
 
-    /// Everything that ran on engines.
+    /// Returns all runs on engines.
     pub async fn engine_runs(&self) -> Vec<Run> {
         let mut runs = Vec::new();
         for engine in &self.engines {
@@ -255,7 +255,7 @@
         runs
     }
 
-    /// Everything that ran on applications.
+    /// Returns all runs on applications.
     pub async fn application_runs(&self) -> Vec<ApplicationRun> {
         let mut runs = Vec::new();
         for application in &self.applications {
@@ -297,7 +297,7 @@
     machine_list::start(config).await.unwrap()
 }
 
-/// Serves the live routes; returns the base URL.
+/// Serves the live routes and returns the base URL.
 async fn serve(live: LivePath) -> String {
     let config = rocket::Config {
         port: 0,
--- a/crates/daemon/tests/live/keys.rs
+++ b/crates/daemon/tests/live/keys.rs
@@ -1,4 +1,4 @@
-//! Requests with an idempotency key, sent again through other daemons and through journal trouble.
+//! Retries of requests with an idempotency key, through other daemons and during journal failures.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,15 +9,15 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::fixture::{Fixture, seen};
+use crate::fixture::{Fixture, send_and_read};
 use crate::network::{Network, until};
 
-/// Tries of the random run, in turn through both daemons, 10 ms apart.
+/// Number of tries in the randomized test, alternating between the daemons every 10 ms.
 const TRIES: usize = 500;
-/// Keys that they share; odd, so that each key is tried through both.
+/// Number of keys; odd, so that each key is tried through both daemons.
 const KEYS: usize = 51;
 
-fn slow() -> ApplicationFaults {
+fn delayed() -> ApplicationFaults {
     ApplicationFaults {
         delay_ms: 500,
         ..ApplicationFaults::default()
@@ -25,22 +25,22 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_second_try_anywhere_gets_the_recorded_answer() {
+async fn retries_on_any_node_get_the_recorded_answer() {
     let fixture = Fixture::start(0, 2).await;
-    let first = seen(fixture.fronts[0].keyed("k", "a")).await;
-    let second = seen(fixture.fronts[1].keyed("k", "a")).await;
+    let first = send_and_read(fixture.fronts[0].keyed("k", "a")).await;
+    let second = send_and_read(fixture.fronts[1].keyed("k", "a")).await;
     assert_eq!((first.status, second.status), (200, 200));
     assert_eq!(first.text, second.text);
-    let other = seen(fixture.fronts[1].keyed("k", "b")).await;
+    let other = send_and_read(fixture.fronts[1].keyed("k", "b")).await;
     assert_eq!((other.status, other.outcome.as_str()), (422, "not-run"));
     assert_eq!(fixture.application_runs().await.len(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn many_tries_at_once_run_once() {
+async fn concurrent_tries_of_a_key_run_once() {
     let fixture = Fixture::start(0, 2).await;
-    fixture.fault_applications(slow()).await;
-    let tries = (0..12).map(|index| seen(fixture.fronts[index % 2].keyed("k", "a")));
+    fixture.fault_applications(delayed()).await;
+    let tries = (0..12).map(|index| send_and_read(fixture.fronts[index % 2].keyed("k", "a")));
     let answers = join_all(tries).await;
     for answer in &answers {
         let is_allowed = ["completed", "unknown"].contains(&answer.outcome.as_str());
@@ -48,29 +48,35 @@
     }
     assert_eq!(fixture.application_runs().await.len(), 1);
     until("the outcome is recorded", async || {
-        seen(fixture.fronts[1].keyed("k", "a")).await.outcome == "completed"
+        send_and_read(fixture.fronts[1].keyed("k", "a"))
+            .await
+            .outcome
+            == "completed"
     })
     .await;
     assert_eq!(fixture.application_runs().await.len(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_outcome_is_recorded_though_the_caller_went_away() {
+async fn the_outcome_is_recorded_after_the_caller_disconnects() {
     let fixture = Fixture::start(0, 2).await;
-    fixture.fault_applications(slow()).await;
+    fixture.fault_applications(delayed()).await;
     let request = fixture.fronts[0]
         .keyed("k", "a")
         .timeout(Duration::from_millis(200));
     assert!(request.send().await.is_err());
     until("the outcome is recorded", async || {
-        seen(fixture.fronts[1].keyed("k", "a")).await.outcome == "completed"
+        send_and_read(fixture.fronts[1].keyed("k", "a"))
+            .await
+            .outcome
+            == "completed"
     })
     .await;
     assert!(fixture.application_runs().await.len() <= 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_answer_stays_unknown() {
+async fn a_lost_answer_leaves_the_outcome_unknown() {
     let fixture = Fixture::start(0, 2).await;
     let faults = ApplicationFaults {
         cut: Some(CutPoint::MidBody),
@@ -78,15 +84,15 @@
         ..Default::default()
     };
     fixture.fault_applications(faults).await;
-    let first = seen(fixture.fronts[0].keyed("k", "a")).await;
-    let second = seen(fixture.fronts[1].keyed("k", "a")).await;
+    let first = send_and_read(fixture.fronts[0].keyed("k", "a")).await;
+    let second = send_and_read(fixture.fronts[1].keyed("k", "a")).await;
     assert_eq!((first.status, first.outcome.as_str()), (502, "unknown"));
     assert_eq!((second.status, second.outcome.as_str()), (409, "unknown"));
     assert_eq!(fixture.application_runs().await.len(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_did_not_run_frees_its_key() {
+async fn a_request_that_did_not_run_releases_its_key() {
     let fixture = Fixture::start(0, 2).await;
     fixture
         .fault_applications(ApplicationFaults {
@@ -94,88 +100,96 @@
             ..Default::default()
         })
         .await;
-    let first = seen(fixture.fronts[0].keyed("k", "a")).await;
+    let first = send_and_read(fixture.fronts[0].keyed("k", "a")).await;
     assert_eq!(first.outcome, "not-run");
     fixture
         .fault_applications(ApplicationFaults::default())
         .await;
-    let second = seen(fixture.fronts[1].keyed("k", "a")).await;
+    let second = send_and_read(fixture.fronts[1].keyed("k", "a")).await;
     assert_eq!((second.status, second.outcome.as_str()), (200, "completed"));
     assert_eq!(fixture.application_runs().await.len(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn without_a_majority_nothing_is_dispatched() {
+async fn keyed_requests_are_not_dispatched_without_a_majority() {
     let fixture = Fixture::start(0, 2).await;
     fixture.network.cut(&["n1", "n2"]);
-    let answer = seen(fixture.fronts[0].keyed("k", "a")).await;
-    // An earlier try of the key might have run.
+    let answer = send_and_read(fixture.fronts[0].keyed("k", "a")).await;
+    // Unknown, as an earlier try of the key might have run.
     assert_eq!((answer.status, answer.outcome.as_str()), (503, "unknown"));
     assert_eq!(fixture.application_runs().await.len(), 0);
     fixture.network.cut(&[]);
-    let answer = seen(fixture.fronts[0].keyed("k", "a")).await;
+    let answer = send_and_read(fixture.fronts[0].keyed("k", "a")).await;
     assert_eq!(answer.outcome, "completed");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_that_ran_is_never_told_not_run() {
+async fn a_key_that_ran_is_never_reported_as_not_run() {
     let fixture = Fixture::start(0, 2).await;
     assert_eq!(
-        seen(fixture.fronts[0].keyed("k", "a")).await.outcome,
+        send_and_read(fixture.fronts[0].keyed("k", "a"))
+            .await
+            .outcome,
         "completed"
     );
     fixture.network.cut(&["n0", "n2"]);
     assert_eq!(
-        seen(fixture.fronts[1].keyed("k", "a")).await.outcome,
+        send_and_read(fixture.fronts[1].keyed("k", "a"))
+            .await
+            .outcome,
         "unknown"
     );
-    *fixture.fronts[0].node.is_cut_off.lock().unwrap() = true;
+    *fixture.fronts[0].node.disconnected.lock().unwrap() = true;
     assert_eq!(
-        seen(fixture.fronts[0].keyed("k", "a")).await.outcome,
+        send_and_read(fixture.fronts[0].keyed("k", "a"))
+            .await
+            .outcome,
         "unknown"
     );
     fixture.fronts[1].drain.start();
     assert_eq!(
-        seen(fixture.fronts[1].keyed("k", "a")).await.outcome,
+        send_and_read(fixture.fronts[1].keyed("k", "a"))
+            .await
+            .outcome,
         "unknown"
     );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_claim_whose_replicas_were_frozen_runs_at_most_once() {
+async fn claims_on_frozen_replicas_run_at_most_once() {
     let fixture = Fixture::start(0, 2).await;
     fixture.network.freeze(&["n0", "n1", "n2"]);
     let (first, second) = tokio::join!(
-        seen(fixture.fronts[0].keyed("k", "a")),
-        seen(fixture.fronts[1].keyed("k", "a"))
+        send_and_read(fixture.fronts[0].keyed("k", "a")),
+        send_and_read(fixture.fronts[1].keyed("k", "a"))
     );
     for answer in [first, second] {
         assert_ne!(answer.outcome, "completed", "{}", answer.text);
     }
     assert_eq!(fixture.application_runs().await.len(), 0);
     fixture.network.freeze(&[]);
-    let tries = (0..6).map(|index| seen(fixture.fronts[index % 2].keyed("k", "a")));
+    let tries = (0..6).map(|index| send_and_read(fixture.fronts[index % 2].keyed("k", "a")));
     join_all(tries).await;
     assert!(fixture.application_runs().await.len() <= 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn keys_run_at_most_once_while_replicas_freeze_and_fall_off() {
+async fn keys_run_at_most_once_while_replicas_freeze_and_disconnect() {
     let fixture = Fixture::start(0, 2).await;
-    fixture.fault_applications(slow()).await;
+    fixture.fault_applications(delayed()).await;
     let seed = rand::random();
     println!("seed {seed}");
-    let trouble = tokio::spawn(trouble(fixture.network.clone(), seed));
+    let inject_faults = tokio::spawn(inject_faults(fixture.network.clone(), seed));
     let tries = (0..TRIES).map(|index| {
         let key = format!("k{}", index % KEYS);
         let request = fixture.fronts[index % 2].keyed(&key, key.clone());
         async move {
             tokio::time::sleep(Duration::from_millis(10 * index as u64)).await;
-            seen(request).await
+            send_and_read(request).await
         }
     });
     let answers = join_all(tries).await;
-    trouble.abort();
+    inject_faults.abort();
     let count = |outcome| {
         answers
             .iter()
@@ -206,8 +220,8 @@
     }
 }
 
-/// Freezes and cuts one or two replicas at a time.
-async fn trouble(network: Arc<Network>, seed: u64) {
+/// Freezes or disconnects one or two replicas at random.
+async fn inject_faults(network: Arc<Network>, seed: u64) {
     let mut random = StdRng::seed_from_u64(seed);
     loop {
         let names = ["n0", "n1", "n2"];
@@ -230,7 +244,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn completions_replay_in_the_shape_they_were_asked_for() {
+async fn recorded_completions_are_replayed_in_the_same_format() {
     let fixture = Fixture::start(1, 0).await;
     for stream in [false, true] {
         let key = format!("k-{stream}");
@@ -238,7 +252,7 @@
             let request = fixture.fronts[front].complete("a sill", 5, stream);
             request.header("Idempotency-Key", &key)
         };
-        let (first, second) = (seen(ask(0)).await, seen(ask(1)).await);
+        let (first, second) = (send_and_read(ask(0)).await, send_and_read(ask(1)).await);
         assert_eq!(first.text, second.text);
         assert_eq!(first.text.ends_with("data: [DONE]\n\n"), stream);
     }
--- a/crates/daemon/tests/live/main.rs
+++ b/crates/daemon/tests/live/main.rs
@@ -1,4 +1,4 @@
-//! Live requests over HTTP: two daemons on a journal of three replicas, stand-in back ends behind fault proxies.
+//! Live requests over HTTP, with two daemons, three journal replicas and stand-in back ends behind fault proxies.
 
 mod applications;
 mod completions;
--- a/crates/daemon/tests/live/unread_bodies.rs
+++ b/crates/daemon/tests/live/unread_bodies.rs
@@ -1,4 +1,4 @@
-//! Refusals reach callers that send their whole body before they read.
+//! Callers that send their complete body before reading must receive the error instead of a connection reset.
 
 use std::time::Duration;
 
@@ -7,25 +7,25 @@
 
 use crate::fixture::Fixture;
 
-/// Longer than the longest body of a completion.
-const LONG: usize = 2 << 20;
+/// Length of a body above the limit of completions.
+const LONG_BODY_BYTES: usize = 2 << 20;
 
-/// Long enough for a daemon that refuses by the head alone to have closed the connection.
-const HEAD_START: Duration = Duration::from_millis(300);
+/// Time for a daemon that rejects a request by its headers alone to close the connection.
+const DELAY_AFTER_HEADERS: Duration = Duration::from_millis(300);
 
-/// Bytes written at once, and the pause after them: a connection that was reset refuses the next ones.
-const PIECE: usize = 64 << 10;
-const PIECE_PAUSE: Duration = Duration::from_millis(5);
+/// Size of a write, and the pause after it, so that a write to a reset connection fails.
+const WRITE_SIZE: usize = 64 << 10;
+const WRITE_PAUSE: Duration = Duration::from_millis(5);
 
-/// Sends a head, and later a body that is too long, and reads the answer.
-async fn late_body(address: &str, framing: &str, body: &[u8]) -> String {
+/// Sends the headers and, after a delay, the body. Returns the start of the status line.
+async fn send_body_late(address: &str, framing: &str, body: &[u8]) -> String {
     let mut connection = TcpStream::connect(address).await.unwrap();
     let head = format!("POST /v1/completions HTTP/1.1\r\nHost: {address}\r\n{framing}\r\n\r\n");
     connection.write_all(head.as_bytes()).await.unwrap();
-    tokio::time::sleep(HEAD_START).await;
-    for piece in body.chunks(PIECE) {
-        connection.write_all(piece).await.unwrap();
-        tokio::time::sleep(PIECE_PAUSE).await;
+    tokio::time::sleep(DELAY_AFTER_HEADERS).await;
+    for part in body.chunks(WRITE_SIZE) {
+        connection.write_all(part).await.unwrap();
+        tokio::time::sleep(WRITE_PAUSE).await;
     }
     let mut answer = vec![0; 12];
     connection.read_exact(&mut answer).await.unwrap();
@@ -33,15 +33,18 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_body_that_is_too_long_is_read_before_its_refusal() {
+async fn a_too_long_body_is_discarded_before_the_error_is_sent() {
     let fixture = Fixture::start(1, 0).await;
     let address = fixture.fronts[0].url.strip_prefix("http://").unwrap();
-    let body = vec![b' '; LONG];
-    let declared = format!("Content-Length: {LONG}");
-    assert_eq!(late_body(address, &declared, &body).await, "HTTP/1.1 413");
-    let mut chunks = format!("{LONG:x}\r\n").into_bytes();
+    let body = vec![b' '; LONG_BODY_BYTES];
+    let declared = format!("Content-Length: {LONG_BODY_BYTES}");
+    assert_eq!(
+        send_body_late(address, &declared, &body).await,
+        "HTTP/1.1 413"
+    );
+    let mut chunks = format!("{LONG_BODY_BYTES:x}\r\n").into_bytes();
     chunks.extend_from_slice(&body);
     chunks.extend_from_slice(b"\r\n0\r\n\r\n");
-    let chunked = late_body(address, "Transfer-Encoding: chunked", &chunks).await;
+    let chunked = send_body_late(address, "Transfer-Encoding: chunked", &chunks).await;
     assert_eq!(chunked, "HTTP/1.1 413");
 }
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -1,10 +1,10 @@
-//! Settings: all findings in one run with their places, and flags before the file.
+//! Settings: all problems are reported at once with their positions, and flags override the file.
 
 use ladderstage::bundle::BundleKey;
 use ladderstage_daemon::settings::{Flags, Settings, SettingsError};
 use proptest::prelude::*;
 
-fn good() -> String {
+fn valid_settings() -> String {
     let key = BundleKey::from_secret("operators", &[7; 32]).public_hex();
     format!(
         r#"node = "bergen-a-1"
@@ -24,7 +24,7 @@
     )
 }
 
-fn lines_of(text: &str) -> Vec<(u32, u32)> {
+fn finding_positions(text: &str) -> Vec<(u32, u32)> {
     let findings = Settings::parse("s.toml", text, &Flags::default()).unwrap_err();
     findings
         .iter()
@@ -33,8 +33,8 @@
 }
 
 #[test]
-fn good_settings_are_read_and_flags_go_first() {
-    let settings = Settings::parse("s.toml", &good(), &Flags::default()).unwrap();
+fn valid_settings_are_read_and_overridden_by_flags() {
+    let settings = Settings::parse("s.toml", &valid_settings(), &Flags::default()).unwrap();
     assert_eq!(settings.timing.probe_interval_ms, 400);
     assert_eq!(settings.timing.probe_timeout_ms, 250);
     assert_eq!(settings.initial_replicas.len(), 3);
@@ -44,7 +44,7 @@
         key_value: vec!["http://127.0.0.2:2379".to_owned()],
         ..Flags::default()
     };
-    let text = good().replace("zone = \"bergen-a\"\n", "");
+    let text = valid_settings().replace("zone = \"bergen-a\"\n", "");
     let settings = Settings::parse("s.toml", &text, &flags).unwrap();
     assert_eq!(
         (settings.zone.as_str(), settings.http_listen.port()),
@@ -54,8 +54,8 @@
 }
 
 #[test]
-fn every_mistake_is_found_in_one_run() {
-    let text = good()
+fn all_problems_are_reported_at_once() {
+    let text = valid_settings()
         .replace("node = \"bergen-a-1\"", "nod = \"bergen-a-1\"")
         .replace("127.0.0.1:8080", "localhost:8080")
         .replace("http://127.0.0.1:2379", "https://127.0.0.1:2379")
@@ -71,16 +71,16 @@
         (11, 13),
         (13, 21),
     ];
-    assert_eq!(lines_of(&text), expected);
-    let text = good()
+    assert_eq!(finding_positions(&text), expected);
+    let text = valid_settings()
         .replace("127.0.0.1:7400", "127.0.0.1:8080")
         .replace("data_folder = \"data\"\n", "")
         .replace("= 400", "= 200");
-    assert_eq!(lines_of(&text), [(5, 15), (8, 20), (11, 1)]);
+    assert_eq!(finding_positions(&text), [(5, 15), (8, 20), (11, 1)]);
 }
 
 #[test]
-fn a_file_that_is_not_there_is_named() {
+fn a_missing_file_is_reported_with_its_path() {
     let path = std::path::Path::new("/nonexistent/settings.toml");
     let error = Settings::load(Some(path), &Flags::default()).unwrap_err();
     assert!(matches!(error, SettingsError::Unreadable { .. }));
@@ -91,9 +91,9 @@
 
 proptest! {
     #[test]
-    fn damaged_settings_never_panic(position in 0..400_usize, piece in "[\\[\\]=\"\n0-9a-z.{},]{0,6}") {
-        let mut text = good();
-        text.insert_str(position.min(text.len()), &piece);
+    fn damaged_settings_never_panic(position in 0..400_usize, inserted in "[\\[\\]=\"\n0-9a-z.{},]{0,6}") {
+        let mut text = valid_settings();
+        text.insert_str(position.min(text.len()), &inserted);
         let _ = Settings::parse("s.toml", &text, &Flags::default());
     }
 }
--- a/crates/daemon/tests/standin/mod.rs
+++ b/crates/daemon/tests/standin/mod.rs
@@ -1,6 +1,6 @@
-//! Small stand-ins for what surrounds the back ends' part of a daemon.
+//! Stand-ins for engines, the machine list and peers.
 
-#![allow(dead_code)] // Each test file uses its share.
+#![allow(dead_code)] // No test file uses all items.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -16,10 +16,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Status and JSON body to answer.
+/// Status code and JSON body of an answer.
 pub type Answer = (u16, String);
 
-/// Serves HTTP on a free port until the test's runtime ends; `answer` gets path and body.
+/// Serves HTTP on a free port until the test's runtime ends. `answer` receives the path and the body.
 pub async fn serve(answer: impl Fn(&str, &str) -> Answer + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("bound");
@@ -66,7 +66,7 @@
         .ok()
 }
 
-/// What a stand-in engine says of itself and how it treats orders.
+/// State of a stand-in engine.
 #[derive(Debug, Clone)]
 pub struct Engine {
     pub name: String,
@@ -74,9 +74,9 @@
     pub weight_version: u64,
     pub leaving: bool,
     pub reachable: bool,
-    /// Whether a good order changes the version that it reports.
+    /// Whether an accepted order changes the reported version.
     pub swaps: bool,
-    /// Orders answered with 500 before one is taken.
+    /// Number of orders to answer with 500 before accepting one.
     pub failures_left: u32,
     pub highest_fence: u64,
     pub orders_seen: u32,
@@ -85,7 +85,7 @@
 
 pub type SharedEngine = Arc<Mutex<Engine>>;
 
-/// Starts an engine that holds weight version 1.
+/// Starts an engine that has loaded weight version 1.
 pub async fn engine(name: &str) -> (SharedEngine, SocketAddr) {
     let engine = Arc::new(Mutex::new(Engine {
         name: name.to_owned(),
@@ -150,7 +150,7 @@
     }
 }
 
-/// Starts a machine list of live engines; while `up` is false it answers 500.
+/// Starts a machine list of live engines. It answers 500 while `up` is false.
 pub async fn machine_list(engines: Vec<(String, SocketAddr)>, up: Arc<Mutex<bool>>) -> SocketAddr {
     serve(move |_, _| {
         let machines: Vec<_> = engines
@@ -165,7 +165,7 @@
     .await
 }
 
-/// Settings with short intervals.
+/// Returns settings with short intervals.
 pub fn settings(node: &str, list: SocketAddr) -> Settings {
     let text = format!(
         r#"
@@ -184,7 +184,7 @@
     toml::from_str(&text).expect("valid settings")
 }
 
-/// A bundle in force with one pool `lm` of engines.
+/// Returns a bundle in force with the engine pool `lm`.
 pub fn bundle(revision: u64, weight_version: u64, engines: &[&str]) -> InForce {
     let pool = PoolSpec {
         name: "lm".to_owned(),
@@ -202,15 +202,15 @@
     Some(Arc::new(BundleInForce { bundle, signed }))
 }
 
-/// A bundle in force, or none yet.
+/// Bundle in force, or `None` if there is none yet.
 pub type InForce = Option<Arc<BundleInForce>>;
 
-/// A channel that carries a bundle as `Bundles` does.
+/// Returns a channel that holds a bundle, like the one of `Bundles`.
 pub fn in_force(bundle: InForce) -> (watch::Sender<InForce>, watch::Receiver<InForce>) {
     watch::channel(bundle)
 }
 
-/// Peers of which every one is the same other daemon.
+/// Peers that all forward to the same other daemon.
 #[derive(Debug)]
 pub struct OnePeer {
     pub own: String,
@@ -254,13 +254,13 @@
     }
 }
 
-/// Waits until `condition` holds; panics after half a minute.
+/// Waits until `condition` holds. Panics after 30 seconds.
 pub async fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let started = Instant::now();
     while !condition() {
         assert!(
             started.elapsed() < Duration::from_secs(30),
-            "waited in vain until {what}"
+            "timed out waiting until {what}"
         );
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
--- a/crates/platform/tests/application.rs
+++ b/crates/platform/tests/application.rs
@@ -1,4 +1,4 @@
-//! The application client: what travels on, and which answers count as whole.
+//! Application client: forwarded headers and truncated answers.
 
 mod support;
 
@@ -42,7 +42,7 @@
 }
 
 #[tokio::test]
-async fn whole_answers_by_length_and_by_last_chunk() {
+async fn complete_answers_are_read_by_length_and_in_chunks() {
     let sized = forward("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-A: b\r\n\r\nhi")
         .await
         .unwrap();
@@ -55,7 +55,7 @@
 }
 
 #[tokio::test]
-async fn cut_answers_never_pass_for_whole() {
+async fn truncated_answers_are_errors() {
     let sized = forward("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi")
         .await
         .unwrap();
@@ -71,7 +71,7 @@
 }
 
 #[tokio::test]
-async fn refusals_say_what_is_certain() {
+async fn refused_and_unsent_requests_did_not_run() {
     let refusal =
         "HTTP/1.1 503 Busy\r\nLadderstage-Engine: not-run\r\nContent-Length: 4\r\n\r\nfull";
     let error = forward(refusal).await.unwrap_err();
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn hop_by_hop_headers_stay_behind() {
+fn hop_by_hop_headers_are_not_forwarded() {
     let mut headers = HeaderMap::new();
     for (name, value) in [
         ("connection", "close, X-Hop"),
@@ -95,7 +95,7 @@
     ] {
         headers.insert(name, value.parse().unwrap());
     }
-    let kept = strip_hop_by_hop(&headers);
-    assert_eq!(kept.len(), 1);
-    assert_eq!(kept["x-end"], "2");
+    let forwarded = strip_hop_by_hop(&headers);
+    assert_eq!(forwarded.len(), 1);
+    assert_eq!(forwarded["x-end"], "2");
 }
--- a/crates/platform/tests/engine.rs
+++ b/crates/platform/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The engine client against a raw TCP engine that is cut at each stage of its answer.
+//! Engine client against an engine whose answer is truncated at various points.
 
 mod support;
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// The chunks, and how the stream ended.
+/// Runs a completion and returns its chunks and the end of the stream.
 async fn run(body: &str) -> (Vec<CompletionChunk>, Result<(), StreamError>) {
     let address = back_end(format!("{HEAD}{body}")).await;
     let client = EngineClient::new();
@@ -39,7 +39,7 @@
     }
 }
 
-async fn refused(answer: &str) -> DispatchError {
+async fn complete_error(answer: &str) -> DispatchError {
     let address = back_end(answer).await;
     let result = EngineClient::new()
         .complete(address, &request(), true)
@@ -48,7 +48,7 @@
 }
 
 #[tokio::test]
-async fn ends_only_on_the_end_mark() {
+async fn streams_end_only_with_the_end_mark() {
     let (chunks, end) = run(&format!("{CHUNK}{CHUNK}data: [DONE]\n\n")).await;
     assert_eq!(end, Ok(()));
     assert_eq!(chunks.len(), 2);
@@ -61,7 +61,7 @@
 }
 
 #[tokio::test]
-async fn refuses_garbage_and_chunks_of_another_request() {
+async fn malformed_and_foreign_chunks_are_errors() {
     let (_, end) = run("data: {\"text\":1}\n\n").await;
     assert!(matches!(end, Err(StreamError::Malformed(_))), "{end:?}");
     let (chunks, end) = run(&format!(
@@ -79,9 +79,9 @@
 }
 
 #[tokio::test]
-async fn not_run_only_on_the_engines_own_word() {
+async fn not_run_requires_the_engine_header() {
     let refusal = "HTTP/1.1 503 Busy\r\nLadderstage-Engine: not-run, leaving\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n";
-    let error = refused(refusal).await;
+    let error = complete_error(refusal).await;
     let DispatchError::NotRun {
         retry_after,
         leaving,
@@ -98,7 +98,7 @@
         "HTTP/1.1 200 O",
         "",
     ] {
-        let error = refused(answer).await;
+        let error = complete_error(answer).await;
         assert!(
             matches!(error, DispatchError::Unknown(_)),
             "{answer:?}: {error:?}"
@@ -107,7 +107,7 @@
 }
 
 #[tokio::test]
-async fn not_sent_only_without_a_connection() {
+async fn failed_connections_are_not_sent() {
     let address = closed_port().await;
     for fresh in [true, false] {
         let error = EngineClient::new()
--- a/crates/platform/tests/key_value.rs
+++ b/crates/platform/tests/key_value.rs
@@ -1,4 +1,4 @@
-//! The key-value client against a service that loses answers, cuts connections and limits its rate.
+//! Key-value client against a service with lost answers, broken connections and rate limits.
 
 #[path = "support/key_value_server.rs"]
 mod key_value_server;
@@ -8,7 +8,7 @@
 use key_value_server::{Fault, KeyValueServer};
 use ladderstage_platform::key_value::{KeyValue, KeyValueError, SwapOutcome};
 
-/// Generous, so that a busy machine does not change a verdict.
+/// Long enough not to expire on a busy machine.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn client(servers: &[&str]) -> KeyValue {
@@ -16,7 +16,7 @@
     KeyValue::new(urls, TIMEOUT)
 }
 
-/// A base URL that refuses connections: its port is bound, so that nobody else gets it, but does not listen.
+/// Returns a base URL that refuses connections. Its port is bound but does not listen.
 fn closed_url() -> (tokio::net::TcpSocket, String) {
     let socket = tokio::net::TcpSocket::new_v4().unwrap();
     socket.bind(([127, 0, 0, 1], 0).into()).unwrap();
@@ -25,7 +25,7 @@
 }
 
 #[tokio::test]
-async fn swaps_against_the_expected_revision_only() {
+async fn swaps_require_the_expected_revision() {
     let server = KeyValueServer::start().await;
     let client = client(&[&server.url]);
     assert_eq!(client.get("a/head").await, Ok(None));
@@ -61,7 +61,7 @@
             "{fault:?}: {outcome:?}"
         );
         assert_eq!(
-            (first.writes_seen(), second.writes_seen()),
+            (first.write_count(), second.write_count()),
             (1, 0),
             "{fault:?}"
         );
@@ -69,7 +69,7 @@
 }
 
 #[tokio::test]
-async fn a_swap_that_was_not_sent_goes_to_the_next_url() {
+async fn an_unsent_swap_is_retried_at_the_next_url() {
     let server = KeyValueServer::start().await;
     let (_socket, closed) = closed_url();
     let outcome = client(&[&closed, &server.url])
@@ -84,7 +84,7 @@
 }
 
 #[tokio::test]
-async fn reads_fall_over_and_rate_limits_are_told() {
+async fn reads_fail_over_and_rate_limits_are_reported() {
     let (first, second) = (KeyValueServer::start().await, KeyValueServer::start().await);
     let client = client(&[&first.url, &second.url]);
     for fault in [Fault::CutBefore, Fault::Garbage] {
--- a/crates/platform/tests/machine_list.rs
+++ b/crates/platform/tests/machine_list.rs
@@ -1,4 +1,4 @@
-//! What the machine list's client makes of good and bad answers.
+//! Machine list client: valid, malformed and unexpected answers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-/// Answers every request with the same bytes and closes.
+/// Starts a server that sends the same bytes to every request and closes the connection.
 async fn serve(answer: String) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("bound");
@@ -30,7 +30,7 @@
 }
 
 #[tokio::test]
-async fn a_malformed_entry_costs_only_itself_and_is_named() {
+async fn malformed_entries_are_skipped_and_reported() {
     let body = r#"{"machines":[
         {"name":"e1","address":"10.0.0.1:80","zone":"a","kind":"engine","state":"leaving"},
         {"name":"e2","address":"not-an-ip:80","zone":"a","kind":"engine","state":"live"},
@@ -47,7 +47,7 @@
 }
 
 #[tokio::test]
-async fn other_answers_are_typed_errors() {
+async fn unexpected_answers_are_errors() {
     let error = read("200 OK", "[]").await.expect_err("not an object");
     assert!(matches!(error, ControlError::Malformed(_)), "{error}");
     let redirect = "302 Found\r\nlocation: http://127.0.0.1:9/";
--- a/crates/platform/tests/sse.rs
+++ b/crates/platform/tests/sse.rs
@@ -1,4 +1,4 @@
-//! The event splitter gives the same events whatever the chunks it is fed in.
+//! Parser of server-sent events: events must not depend on how the stream is split into chunks.
 
 use ladderstage_platform::engine::sse::{Event, EventSplitter, MAX_EVENT_BYTES, SplitError};
 use proptest::prelude::*;
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn an_event_counts_only_once_its_blank_line_came() {
+fn an_event_is_complete_after_its_blank_line() {
     assert_eq!(split(&[b"data: [DONE]\n"]).unwrap(), vec![]);
     assert_eq!(
         split(&[b"data: [DONE]\n\n"]).unwrap(),
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_line_without_end_is_refused() {
+fn too_long_lines_and_events_are_errors() {
     let long = vec![b'x'; MAX_EVENT_BYTES + 1];
     assert_eq!(split(&[&long]), Err(SplitError::TooLong));
     let lines = b"data: xxxxxxxxxxxxxxx\n".repeat(MAX_EVENT_BYTES / 15 + 1);
@@ -37,17 +37,17 @@
 
 proptest! {
     #[test]
-    fn chunking_changes_nothing(
+    fn chunk_boundaries_do_not_change_events(
         texts in prop::collection::vec("[^\r\n\u{feff}]{0,12}", 0..8),
         line_end in prop::sample::select(vec!["\n", "\r\n", "\r"]),
         cuts in prop::collection::vec(any::<prop::sample::Index>(), 0..12),
     ) {
         let wire: String = texts.iter().map(|text| format!(": c{line_end}data: {text}{line_end}{line_end}")).collect();
         let bytes = wire.as_bytes();
-        let mut places: Vec<usize> = cuts.iter().map(|cut| cut.index(bytes.len() + 1)).collect();
-        places.extend([0, bytes.len()]);
-        places.sort_unstable();
-        let chunks: Vec<&[u8]> = places.windows(2).map(|pair| &bytes[pair[0]..pair[1]]).collect();
+        let mut positions: Vec<usize> = cuts.iter().map(|cut| cut.index(bytes.len() + 1)).collect();
+        positions.extend([0, bytes.len()]);
+        positions.sort_unstable();
+        let chunks: Vec<&[u8]> = positions.windows(2).map(|pair| &bytes[pair[0]..pair[1]]).collect();
         let expected: Vec<Event> = texts.iter().map(|text| message(text)).collect();
         prop_assert_eq!(split(&chunks).unwrap(), expected);
     }
--- a/crates/platform/tests/support/key_value_server.rs
+++ b/crates/platform/tests/support/key_value_server.rs
@@ -1,4 +1,4 @@
-//! A key-value service for tests: keeps records in memory and fails on request.
+//! In-memory key-value service for tests with fault injection.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex};
@@ -9,38 +9,38 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// How one request is treated.
+/// Fault injected into a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-#[allow(dead_code)] // Each test file uses some of them.
+#[allow(dead_code)] // No test file uses all items.
 pub enum Fault {
     None,
     /// The connection closes before the request takes effect.
     CutBefore,
     /// The request takes effect and the connection closes without an answer.
     CutAfter,
-    /// As [`Fault::CutAfter`], and all later requests are cut before they take effect.
+    /// Like [`Fault::CutAfter`], and all later requests fail before they take effect.
     CutAfterThenDown,
     RateLimited,
-    /// The request takes effect, and the answer cannot be read.
+    /// The request takes effect, and the answer is malformed.
     Garbage,
 }
 
-/// Value in base64 and revision by key.
+/// Base64 value and revision by key.
 pub type Records = BTreeMap<String, (String, u64)>;
 
 #[derive(Debug, Default)]
 struct State {
     revision: u64,
     records: Records,
-    /// What ranges show, if not the records.
+    /// Copy of the records from which ranges are answered, if set.
     lagging: Option<Records>,
-    /// Faults of the next writes, then `always`.
+    /// Faults of the next writes; `always` applies after them.
     write_faults: VecDeque<Fault>,
     always: Option<Fault>,
-    writes_seen: usize,
+    write_count: usize,
 }
 
-/// The running service; it stops when dropped.
+/// Running service; it stops when dropped.
 pub struct KeyValueServer {
     pub url: String,
     state: Arc<Mutex<State>>,
@@ -53,7 +53,7 @@
     }
 }
 
-#[allow(dead_code)] // Each test file uses some of these.
+#[allow(dead_code)] // No test file uses all items.
 impl KeyValueServer {
     pub async fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -68,35 +68,35 @@
         Self { url, state, task }
     }
 
-    /// Treats every request so, until told otherwise.
+    /// Sets the fault of all requests.
     pub fn set_fault(&self, fault: Option<Fault>) {
         self.state.lock().unwrap().always = fault;
     }
 
-    /// Treats the next write so.
+    /// Queues a fault for the next write.
     pub fn queue_write_fault(&self, fault: Fault) {
         self.state.lock().unwrap().write_faults.push_back(fault);
     }
 
-    /// The records as they are.
+    /// Returns the current records.
     pub fn snapshot(&self) -> Records {
         self.state.lock().unwrap().records.clone()
     }
 
-    /// Answers ranges from a copy that stays as the records are now. Transactions are not affected.
+    /// Answers ranges from a copy of the current records from now on. Transactions are not affected.
     pub fn let_ranges_lag(&self) {
         let mut state = self.state.lock().unwrap();
         state.lagging = Some(state.records.clone());
     }
 
-    /// Puts records back, as a service does that lost its latest changes.
+    /// Restores earlier records, like a service that lost its latest changes.
     pub fn restore(&self, records: Records) {
         self.state.lock().unwrap().records = records;
     }
 
-    /// How many writes were received, carried out or not.
-    pub fn writes_seen(&self) -> usize {
-        self.state.lock().unwrap().writes_seen
+    /// Returns the number of received writes, including failed ones.
+    pub fn write_count(&self) -> usize {
+        self.state.lock().unwrap().write_count
     }
 }
 
@@ -162,7 +162,7 @@
 impl State {
     fn next_fault(&mut self, is_write: bool) -> Fault {
         if is_write {
-            self.writes_seen += 1;
+            self.write_count += 1;
             if let Some(fault) = self.write_faults.pop_front() {
                 return fault;
             }
--- a/crates/platform/tests/support/mod.rs
+++ b/crates/platform/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A back end that answers each connection with fixed bytes and closes it.
+//! Back end that answers each connection with fixed bytes and closes it.
 
 use std::net::SocketAddr;
 
@@ -16,14 +16,14 @@
             let _ = socket.read(&mut request).await;
             let _ = socket.write_all(&answer).await;
             let _ = socket.shutdown().await;
-            // Closing with unread bytes would reset the connection and could lose the answer.
+            // Closing with unread bytes would reset the connection, which could lose the answer.
             while matches!(socket.read(&mut request).await, Ok(read) if read > 0) {}
         }
     });
     address
 }
 
-/// An address on which nothing listens.
+/// Returns an address without a listener.
 pub async fn closed_port() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     listener.local_addr().unwrap()
