--- a/crates/daemon/src/backends/gossip.rs
+++ b/crates/daemon/src/backends/gossip.rs
@@ -1,4 +1,4 @@
-//! Tells peers of leaving back ends, and asks them for reports where not every daemon reads all itself.
+//! Gossip about back ends: pushes leaving ones to peers, and pulls load reports where a node does not read all itself.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,35 +14,36 @@
 use crate::bundles::BundleInForce;
 use crate::jitter::jittered;
 
-/// Members told of each piece of news; each that finds it new tells as many.
-const FANOUT: usize = 3;
-/// Members asked for reports each time.
-const ASKED: usize = 2;
-/// Between repetitions of all that is known to be leaving, which repair what was lost.
+/// Members to which each update is pushed; each one that did not know it pushes it on.
+const PUSH_FANOUT: usize = 3;
+/// Members queried for reports in each round.
+const QUERY_FANOUT: usize = 2;
+/// Interval between repetitions of all leaving back ends, which replace lost pushes.
 const REPEAT_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Longest wait for a peer's answer.
+/// Timeout of a call to a peer.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Tells a few members at once what was newly learned, and one of them now and then all that is known.
-pub(super) async fn spread_leaving(shared: Arc<Shared>) {
-    let mut told = 0;
+/// Pushes newly leaving back ends to a few members at once, and periodically all of them to one member.
+pub(super) async fn push_leaving(shared: Arc<Shared>) {
+    let mut pushed_version = 0;
     loop {
-        let news = shared.leaving_learned.notified();
-        let _ = timeout(jittered(REPEAT_INTERVAL), news).await;
-        let (version, news) = shared.read(|table| (table.version(), table.leaving_since(told)));
-        told = version;
-        if news.is_empty() {
+        let updates = shared.leaving_updated.notified();
+        let _ = timeout(jittered(REPEAT_INTERVAL), updates).await;
+        let (version, updates) =
+            shared.read(|table| (table.version(), table.leaving_since(pushed_version)));
+        pushed_version = version;
+        if updates.is_empty() {
             let known = shared.read(|table| table.leaving_since(0));
-            tell(&shared, known, 1).await;
+            push(&shared, known, 1).await;
             continue;
         }
-        log_news(&news);
-        tell(&shared, news, FANOUT).await;
+        log_leaving(&updates);
+        push(&shared, updates, PUSH_FANOUT).await;
     }
 }
 
-fn log_news(news: &[BackendReport]) {
-    for report in news {
+fn log_leaving(updates: &[BackendReport]) {
+    for report in updates {
         info!(
             "event=backend_leaving backend={} process={}",
             report.backend, report.process
@@ -50,7 +51,7 @@
     }
 }
 
-async fn tell(shared: &Shared, reports: Vec<BackendReport>, count: usize) {
+async fn push(shared: &Shared, reports: Vec<BackendReport>, count: usize) {
     if reports.is_empty() {
         return;
     }
@@ -63,22 +64,22 @@
     futures_util::future::join_all(calls).await;
 }
 
-/// Asks peers for the reports that they read, while the members are too many for each to read all or this node has
-/// not learned yet where some of its back ends are: it may have started while the machine list is down.
-pub(super) async fn ask_peers(shared: Arc<Shared>) {
+/// Pulls reports from peers while the cluster is too large for each node to read all reports, or while this node does
+/// not know the address of some back end, for example because it started while the machine list was down.
+pub(super) async fn query_peers(shared: Arc<Shared>) {
     let interval = Duration::from_millis(shared.timing.report_poll_ms);
     loop {
         sleep(jittered(interval)).await;
         if !reports_spread_by_gossip(shared.peers.alive().len()) && !lacks_placements(&shared) {
             continue;
         }
-        let nodes = random_peers(&shared, ASKED);
-        let calls = nodes.iter().map(|node| ask(&shared, node));
+        let nodes = random_peers(&shared, QUERY_FANOUT);
+        let calls = nodes.iter().map(|node| query_peer(&shared, node));
         futures_util::future::join_all(calls).await;
     }
 }
 
-/// Whether the bundle names a back end of unknown address.
+/// Returns whether the bundle names a back end whose address is unknown.
 fn lacks_placements(shared: &Shared) -> bool {
     let Some(bundle) = shared.bundle() else {
         return false;
@@ -87,8 +88,8 @@
     shared.read(|table| names.any(|name| table.placement(name).is_none()))
 }
 
-/// Asks one peer for what is fresher there of the bundle's back ends.
-async fn ask(shared: &Shared, node: &str) {
+/// Pulls the reports of the bundle's back ends that are fresher at a peer.
+async fn query_peer(shared: &Shared, node: &str) {
     let Some(bundle) = shared.bundle() else {
         return;
     };
@@ -98,11 +99,11 @@
         revision: bundle.bundle.revision,
         ages: shared.read(|table| table.known_ages(names.iter().copied(), sent_at)),
     };
-    let question = BackendGossip {
+    let query = BackendGossip {
         known: Some(known),
         ..BackendGossip::default()
     };
-    let Some(gossip) = call(shared, node, question).await else {
+    let Some(gossip) = call(shared, node, query).await else {
         return;
     };
     let observed = Observed {
@@ -117,8 +118,8 @@
     });
 }
 
-/// Answers a peer's question: what is fresher here if both have one bundle, else all that is known.
-pub(super) fn answer(shared: &Shared, known: Option<&KnownBackends>) -> BackendGossip {
+/// Answers a peer's query: the fresher reports if both nodes have the same bundle, otherwise all reports.
+pub(super) fn answer_query(shared: &Shared, known: Option<&KnownBackends>) -> BackendGossip {
     let now = shared.now();
     if let (Some(known), Some(bundle)) = (known, shared.bundle())
         && known.revision == bundle.bundle.revision
@@ -136,7 +137,7 @@
     }
 }
 
-/// Names of all back ends of a bundle; processes with one bundle have them in one order.
+/// Returns the names of all back ends of a bundle, in the same order on every node.
 fn backend_names(bundle: &BundleInForce) -> Vec<&str> {
     let pools = bundle.bundle.pools.iter();
     let names = pools.flat_map(|pool| &pool.backends);
@@ -159,7 +160,7 @@
     }
 }
 
-/// Up to `count` other members, drawn at random.
+/// Returns up to `count` random other members.
 fn random_peers(shared: &Shared, count: usize) -> Vec<String> {
     let own = shared.peers.own();
     let mut drawn: Vec<(u64, String)> = shared
--- a/crates/daemon/src/backends/mod.rs
+++ b/crates/daemon/src/backends/mod.rs
@@ -1,7 +1,6 @@
-//! Back ends known to this node: machine list, load reports, freshness, and work under way.
+//! Back ends known to this node: machine list, load reports, freshness, and requests in flight.
 //!
-//! Decisions are made by [`ladderstage::backend::BackendTable`]; this module feeds it from the network and keeps its
-//! time, which counts from the start of this part.
+//! [`ladderstage::backend::BackendTable`] decides; this module supplies it with data from the network and the time.
 
 mod gossip;
 mod peers;
@@ -33,14 +32,14 @@
     _tasks: Arc<TaskGroup>,
 }
 
-/// An engine as orders see it.
+/// Observed state of a back end.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ObservedBackend {
-    /// Where it listens.
+    /// Address on which the back end listens.
     pub address: SocketAddr,
-    /// Its last report, if evidence of it is fresh.
+    /// Last load report, if it is fresh.
     pub report: Option<Report>,
-    /// Whether its present process is known to be leaving.
+    /// Whether the present process is leaving.
     pub leaving: bool,
 }
 
@@ -55,7 +54,7 @@
         Self::start_with(settings, Arc::new(members), bundles.watch(), http)
     }
 
-    /// As [`Self::start`], from whatever knows the peers and the bundle.
+    /// Like [`Self::start`], with the given sources of peers and bundles.
     pub fn start_with(
         settings: &Settings,
         peers: Arc<dyn Peers>,
@@ -69,16 +68,16 @@
             settings.machine_list.clone(),
         ));
         tasks.spawn(polling::poll_reports(shared.clone()));
-        tasks.spawn(gossip::spread_leaving(shared.clone()));
-        tasks.spawn(gossip::ask_peers(shared.clone()));
+        tasks.spawn(gossip::push_leaving(shared.clone()));
+        tasks.spawn(gossip::query_peers(shared.clone()));
         Self {
             shared,
             _tasks: Arc::new(tasks),
         }
     }
 
-    /// Back ends of a pool that may be given new work right now: named by the bundle in force, with fresh
-    /// evidence, not leaving, not ejected, and with less own work than the pool's concurrency.
+    /// Returns the back ends of a pool that may receive new work: named by the bundle in force, with fresh reports,
+    /// not leaving, not ejected, and with fewer requests from this node than the pool's concurrency.
     pub fn candidates(&self, pool: &str) -> Vec<Candidate> {
         let Some(bundle) = self.shared.bundle() else {
             return Vec::new();
@@ -91,15 +90,15 @@
             .read(|table| table.candidates(&pool.backends, pool.concurrency, now))
     }
 
-    /// Counts a request as under way at a back end until the guard is dropped.
+    /// Counts a request as in flight at a back end until the guard is dropped.
     pub fn begin(&self, backend: &str) -> InFlight {
         let now = self.shared.now();
         let dispatch = self.shared.update(|table| table.begin(backend, now));
         self.guard(dispatch)
     }
 
-    /// As [`Self::begin`], but only if the back end is still a candidate of the pool: two requests that chose
-    /// at the same moment cannot both take its last place or its one trial after an ejection.
+    /// Like [`Self::begin`], but only if the back end is still a candidate of the pool. Of two concurrent requests only
+    /// one gets the last free slot, or the single trial request after an ejection.
     pub fn try_begin(&self, pool: &str, backend: &str) -> Option<InFlight> {
         let bundle = self.shared.bundle()?;
         let pool = bundle.bundle.pool(pool)?;
@@ -120,14 +119,14 @@
         }
     }
 
-    /// A request failed at the back end: no connection, a cut answer, a timeout, or a 5xx.
+    /// Records a failed request: no connection, an incomplete answer, a timeout, or a 5xx status.
     pub fn note_failure(&self, backend: &str) {
         let now = self.shared.now();
         self.shared
             .update(|table| table.note_failure(backend, now, rand::random()));
     }
 
-    /// The back end refused before running; `leaving`: because it is stopping.
+    /// Records a request that the back end refused before running it; `leaving` if the back end is stopping.
     pub fn note_refusal(&self, backend: &str, leaving: bool) {
         let now = self.shared.now();
         self.shared.update(|table| {
@@ -139,12 +138,12 @@
         });
     }
 
-    /// A request was answered whole. To be called while its [`InFlight`] guard is still held.
+    /// Records a completely answered request. Must be called while its [`InFlight`] guard is held.
     pub fn note_success(&self, backend: &str) {
         self.shared.update(|table| table.note_success(backend));
     }
 
-    /// All back ends known, sorted by name.
+    /// Returns all known back ends, sorted by name.
     pub fn describe(&self) -> Vec<BackendDescription> {
         let now = self.shared.now();
         let mut descriptions = self.shared.read(|table| table.describe(now));
@@ -157,7 +156,7 @@
         descriptions
     }
 
-    /// What orders need to know of an engine; `None` until the machine list named it.
+    /// Returns the observed state of a back end; `None` if its address is unknown.
     pub fn observed(&self, backend: &str) -> Option<ObservedBackend> {
         let now = self.shared.now();
         self.shared.read(|table| {
@@ -169,11 +168,11 @@
         })
     }
 
-    /// Takes in what a peer knows, or answers its question.
+    /// Handles gossip: stores the reports that a peer pushes, or answers its query.
     pub fn handle_gossip(&self, gossip: BackendGossip) -> Response {
         let kind = if gossip.reports.is_empty() {
-            let answer = gossip::answer(&self.shared, gossip.known.as_ref());
-            OneOfkind::backend_gossip(answer)
+            let answer_query = gossip::answer_query(&self.shared, gossip.known.as_ref());
+            OneOfkind::backend_gossip(answer_query)
         } else {
             self.shared
                 .update(|table| table.observe_gossip(&gossip.reports, GossipOrigin::Pushed));
@@ -183,7 +182,7 @@
     }
 }
 
-/// A request under way at a back end; counted until dropped.
+/// Guard of a request in flight at a back end; the request is counted until the guard is dropped.
 #[derive(Debug)]
 pub struct InFlight {
     shared: Arc<Shared>,
--- a/crates/daemon/src/backends/peers.rs
+++ b/crates/daemon/src/backends/peers.rs
@@ -1,4 +1,4 @@
-//! What this part needs of the membership.
+//! Interface to the other daemons.
 
 use std::fmt::Debug;
 use std::future::Future;
@@ -10,15 +10,15 @@
 
 use crate::members::Members;
 
-/// A response on its way.
+/// Future of the response to a call.
 pub type PendingCall<'a> = Pin<Box<dyn Future<Output = Result<Response, CallError>> + Send + 'a>>;
 
-/// The other daemons.
+/// Connections to the other daemons.
 pub trait Peers: Debug + Send + Sync + 'static {
-    /// Name of this node.
+    /// Returns the name of this node.
     fn own(&self) -> String;
 
-    /// Names of the members that take work, this node included.
+    /// Returns the names of the members that accept work, including this node.
     fn alive(&self) -> Vec<String>;
 
     /// Calls a member by name.
--- a/crates/daemon/src/backends/polling.rs
+++ b/crates/daemon/src/backends/polling.rs
@@ -1,4 +1,4 @@
-//! Reads the machine list and load reports.
+//! Polls the machine list and load reports.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -15,18 +15,18 @@
 use tokio::time::sleep;
 
 use super::shared::Shared;
-use crate::by_members::ByMembers;
+use crate::by_members::MembersCache;
 use crate::jitter::jittered;
-use crate::watchers::poll_factor;
+use crate::watchers::poll_interval_factor;
 
-/// Longest wait for one answer of the machine list.
+/// Timeout of a read of the machine list.
 const LIST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Names the machine list when its watchers are chosen.
+/// Key by which the watchers of the machine list are chosen.
 const LIST_KEY: &[u8] = b"machine-list";
-/// Load reports read at a time.
+/// Load reports read concurrently.
 const CONCURRENT_READS: usize = 32;
 
-/// Reads the machine list again and again.
+/// Polls the machine list until the task is aborted.
 pub(super) async fn poll_machine_list(shared: Arc<Shared>, base_url: String) {
     let list = MachineList::new(&base_url, LIST_TIMEOUT);
     let interval = Duration::from_millis(shared.timing.machine_list_poll_ms);
@@ -42,21 +42,21 @@
     }
 }
 
-/// Few nodes follow the list closely; they tell the others of leaving back ends, and where new ones are.
+/// Returns the factor of the poll interval. Nodes that are not watchers receive changes by gossip.
 fn list_factor(shared: &Shared) -> u32 {
     let own = shared.peers.own();
     let members = shared.peers.alive();
-    poll_factor(LIST_KEY, &own, members.iter().map(String::as_str))
+    poll_interval_factor(LIST_KEY, &own, members.iter().map(String::as_str))
 }
 
-/// How the last read of the list went; only changes are logged.
+/// Result of the last read of the list; only changes are logged.
 #[derive(Debug, Default, PartialEq, Eq)]
 struct ListHealth {
     failed: bool,
     findings: Vec<String>,
 }
 
-/// Reads the list once.
+/// Reads the list once and returns the new health.
 async fn read_list(shared: &Shared, list: &MachineList, before: ListHealth) -> ListHealth {
     let sent_at = shared.now();
     match list.read().await {
@@ -65,7 +65,7 @@
                 info!("event=machine_list_back");
             }
             log_findings(&machines.findings, &before.findings);
-            take_in_list(shared, machines.machines, sent_at);
+            apply_list(shared, machines.machines, sent_at);
             ListHealth {
                 failed: false,
                 findings: machines.findings,
@@ -92,7 +92,7 @@
     }
 }
 
-fn take_in_list(shared: &Shared, machines: Vec<Machine>, sent_at: Duration) {
+fn apply_list(shared: &Shared, machines: Vec<Machine>, sent_at: Duration) {
     let listed: Vec<ListedBackend> = machines.into_iter().map(from_list).collect();
     let received_at = shared.now();
     let observed = Observed {
@@ -115,13 +115,13 @@
     }
 }
 
-/// Reads the load reports of the bundle's back ends again and again, of one back end never two at a time.
+/// Polls the load reports of the bundle's back ends, with at most one read per back end at a time.
 pub(super) async fn poll_reports(shared: Arc<Shared>) {
     let interval = Duration::from_millis(shared.timing.report_poll_ms);
     let permits = Arc::new(Semaphore::new(CONCURRENT_READS));
     let reading = Arc::new(Mutex::new(BTreeSet::new()));
     let mut reads = JoinSet::new();
-    let mut own_names = ByMembers::default();
+    let mut own_names = MembersCache::default();
     loop {
         for (name, placement) in targets(&shared, &mut own_names) {
             if !lock(&reading).insert(name.clone()) {
@@ -142,8 +142,8 @@
     reading.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Back ends of the bundle in force whose reports this node reads.
-fn targets(shared: &Shared, own_names: &mut ByMembers<Vec<String>>) -> Vec<(String, Placement)> {
+/// Returns the back ends of the bundle in force whose reports this node reads.
+fn targets(shared: &Shared, own_names: &mut MembersCache<Vec<String>>) -> Vec<(String, Placement)> {
     let Some(bundle) = shared.bundle() else {
         return Vec::new();
     };
@@ -167,7 +167,7 @@
     name: &str,
     placement: &Placement,
 ) {
-    // The semaphore is never closed.
+    // Never fails: the semaphore is not closed.
     let Ok(_permit) = permits.acquire().await else {
         return;
     };
@@ -179,16 +179,16 @@
         PoolKind::Model => MachineKind::Engine,
         PoolKind::Application => MachineKind::Application,
     };
-    // An answer that takes longer is too old to be evidence.
+    // A report that takes longer than the freshness bound is useless.
     let timeout = Duration::from_millis(shared.timing.backend_freshness_ms);
     let sent_at = shared.now();
     match read_load(&shared.http, kind, name, address, timeout).await {
-        Ok(report) => take_in_report(shared, name, report, sent_at),
+        Ok(report) => apply_report(shared, name, report, sent_at),
         Err(error) => debug!("event=load_report_failed backend={name} error={error:?}"),
     }
 }
 
-fn take_in_report(shared: &Shared, name: &str, report: LoadReport, sent_at: Duration) {
+fn apply_report(shared: &Shared, name: &str, report: LoadReport, sent_at: Duration) {
     let report = Report {
         process: report.process,
         weight_version: report.weight_version,
--- a/crates/daemon/src/backends/shared.rs
+++ b/crates/daemon/src/backends/shared.rs
@@ -1,4 +1,4 @@
-//! State that the tasks of this part share.
+//! State shared by the tasks of this module.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -10,7 +10,7 @@
 use crate::bundles::BundleInForce;
 use crate::settings::{Settings, Timing};
 
-/// State that the tasks of this part share. The table's lock is never held over an await.
+/// Shared state. The table's lock is never held over an await.
 #[derive(Debug)]
 pub(super) struct Shared {
     table: Mutex<BackendTable>,
@@ -19,8 +19,8 @@
     pub(super) peers: Arc<dyn Peers>,
     pub(super) http: reqwest::Client,
     pub(super) timing: Timing,
-    /// Wakes the task that tells peers of leaving processes.
-    pub(super) leaving_learned: Notify,
+    /// Wakes the task that pushes leaving processes to peers.
+    pub(super) leaving_updated: Notify,
 }
 
 impl Shared {
@@ -39,7 +39,7 @@
             peers,
             http,
             timing: settings.timing.clone(),
-            leaving_learned: Notify::new(),
+            leaving_updated: Notify::new(),
         }
     }
 
@@ -51,8 +51,8 @@
         self.bundle.borrow().clone()
     }
 
-    pub(super) fn read<T>(&self, look: impl FnOnce(&BackendTable) -> T) -> T {
-        look(&self.lock())
+    pub(super) fn read<T>(&self, query: impl FnOnce(&BackendTable) -> T) -> T {
+        query(&self.lock())
     }
 
     pub(super) fn update<T>(&self, change: impl FnOnce(&mut BackendTable) -> T) -> T {
@@ -60,7 +60,7 @@
         let version = table.version();
         let result = change(&mut table);
         if table.version() != version {
-            self.leaving_learned.notify_one();
+            self.leaving_updated.notify_one();
         }
         result
     }
--- a/crates/daemon/src/backends/tasks.rs
+++ b/crates/daemon/src/backends/tasks.rs
@@ -1,10 +1,10 @@
-//! Background tasks and their timers.
+//! Group of background tasks.
 
 use std::future::Future;
 
 use tokio::task::JoinSet;
 
-/// Tasks that end when the group is dropped.
+/// Tasks that are aborted when the group is dropped.
 #[derive(Debug, Default)]
 pub(crate) struct TaskGroup {
     tasks: JoinSet<()>,
--- a/crates/daemon/src/bundles/parts.rs
+++ b/crates/daemon/src/bundles/dependencies.rs
@@ -1,4 +1,4 @@
-//! What the bundle's part of a node needs from the other parts.
+//! Interfaces through which bundles use the rest of the node.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -17,15 +17,15 @@
 use crate::replica_set::ReplicaSets;
 use crate::settings::Settings;
 
-/// The other nodes, as far as bundles are concerned.
+/// Connections to the other nodes.
 pub trait Peers: Send + Sync + 'static {
-    /// Name of this node.
+    /// Returns the name of this node.
     fn own_node(&self) -> String;
 
-    /// Names of the other nodes that are thought to be up.
+    /// Returns the names of the other live members.
     fn others(&self) -> Vec<String>;
 
-    /// Id of a node's data folder; 0 if it has none or is unknown.
+    /// Returns the id of a node's data folder; 0 if it has none or the node is unknown.
     fn replica_id(&self, node: &str) -> u64;
 
     /// Calls a node by name.
@@ -62,12 +62,12 @@
     }
 }
 
-/// A replica's disk, as far as bundles are concerned: one record, the newest signed bundle.
+/// Disk record of the newest signed bundle.
 pub trait BundleStore: Send + Sync + 'static {
-    /// The record, if there is one.
+    /// Loads the record, if there is one.
     fn load_bundle(&self) -> BoxFuture<'_, io::Result<Option<Vec<u8>>>>;
 
-    /// Replaces the record unless it is of this or a higher revision; done only once it is on disk.
+    /// Replaces the record unless it has this or a higher revision. Returns once the record is on disk.
     fn store_bundle(&self, revision: Revision, record: Vec<u8>) -> BoxFuture<'_, io::Result<()>>;
 }
 
@@ -87,9 +87,12 @@
     }
 }
 
-/// Asks which weight versions of a model the weight store holds.
+/// Source of the weight versions that exist for a model.
 pub trait WeightVersions: Send + Sync + 'static {
-    /// The versions; the error says why they are not known.
+    /// Lists the weight versions of a model.
+    ///
+    /// # Errors
+    /// If they cannot be read.
     fn versions<'a>(
         &'a self,
         model: &'a str,
@@ -108,10 +111,10 @@
     }
 }
 
-/// The replica set in use; `None` while it is not known yet. An empty one means that there are no replicas.
+/// Returns the replica set in use; `None` while it is unknown. An empty set means that there are no replicas.
 pub type ReplicaSetSource = Arc<dyn Fn() -> Option<ReplicaSet> + Send + Sync>;
 
-/// The replica set of this node. A node whose settings name no initial replicas runs without any.
+/// Returns the source of this node's replica set. Without initial replicas in the settings the set is empty.
 pub fn replica_set_source(settings: &Settings, replica_sets: &ReplicaSets) -> ReplicaSetSource {
     let has_replicas = !settings.initial_replicas.is_empty();
     let replica_sets = replica_sets.clone();
@@ -122,21 +125,21 @@
     })
 }
 
-/// What [`super::Bundles::start`] joins.
+/// Parts of the node that [`super::Bundles::start`] uses.
 pub struct BundleParts {
-    /// The key-value service.
+    /// Client for the key-value service.
     pub key_value: KeyValue,
-    /// The other nodes.
+    /// Connections to the other nodes.
     pub peers: Arc<dyn Peers>,
-    /// This node's disk, if it is a replica.
+    /// This node's disk, if the node is a replica.
     pub store: Option<Arc<dyn BundleStore>>,
-    /// The replicas that must hold an accepted bundle.
+    /// Replicas of which a quorum must store an accepted bundle.
     pub replica_set: ReplicaSetSource,
-    /// The weight store; without it the versions of a bundle are not checked against it.
+    /// Weight store; without it the weight versions of a bundle are not checked.
     pub weight_versions: Option<Arc<dyn WeightVersions>>,
-    /// How long a roll may take before it says that its outcome is unknown.
+    /// Time after which the outcome of a roll is reported as unknown.
     pub roll_deadline: Duration,
 }
 
-/// A sensible [`BundleParts::roll_deadline`].
+/// Default of [`BundleParts::roll_deadline`].
 pub const ROLL_DEADLINE: Duration = Duration::from_secs(8);
--- a/crates/daemon/src/bundles/head.rs
+++ b/crates/daemon/src/bundles/head.rs
@@ -1,4 +1,4 @@
-//! The head record: the newest accepted bundle in the key-value service.
+//! Head record: the newest bundle in the key-value service.
 
 use ladderstage::bundle::{Bundle, BundleError, Digest, TrustedKeys, digest, verify};
 use ladderstage_platform::key_value::{KeyValue, KeyValueEntry, KeyValueError};
@@ -8,7 +8,7 @@
 /// Key of the head record.
 pub(super) const HEAD_KEY: &str = "ladderstage/bundle/head";
 
-/// Why the head record says nothing.
+/// Error of reading the head record.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum HeadError {
     #[error(transparent)]
@@ -19,7 +19,7 @@
     Bundle(#[from] BundleError),
 }
 
-/// A verified head record.
+/// Verified head record.
 #[derive(Debug, Clone)]
 pub(super) struct Head {
     pub(super) mod_revision: u64,
@@ -43,7 +43,7 @@
     }
 }
 
-/// The head record as of some instant after this call began; `None`: no bundle was ever accepted.
+/// Reads the head record, not older than the start of this call. `None` if no bundle was ever rolled.
 pub(super) async fn read(
     key_value: &KeyValue,
     trusted: &TrustedKeys,
--- a/crates/daemon/src/bundles/metrics.rs
+++ b/crates/daemon/src/bundles/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of rolls, and when the bundle came into force here.
+//! Metrics of rolls and of the bundle in force.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -7,7 +7,7 @@
 /// Upper bounds of the roll buckets, in seconds.
 const ROLL_BUCKETS: [f64; 8] = [0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0];
 
-/// Counters of the bundle's part.
+/// Metrics of rolls and of the bundle in force.
 #[derive(Debug)]
 pub(super) struct BundleMetrics {
     rolls: IntCounterVec,
@@ -22,15 +22,15 @@
         registry.register(Box::new(self.in_force_since.clone()))
     }
 
-    pub(super) fn note_roll(&self, outcome: &str, elapsed: Duration) {
+    pub(super) fn record_roll(&self, outcome: &str, elapsed: Duration) {
         self.rolls.with_label_values(&[outcome]).inc();
         if outcome == "accepted" {
             self.accepted.observe(elapsed.as_secs_f64());
         }
     }
 
-    /// A wall clock, for people only: its difference between nodes is the time to in-force.
-    pub(super) fn note_in_force(&self) {
+    /// Records the wall-clock time at which the bundle came into force, to compare it between nodes.
+    pub(super) fn record_in_force(&self) {
         let now = SystemTime::now().duration_since(UNIX_EPOCH);
         self.in_force_since
             .set(now.unwrap_or_default().as_secs_f64());
--- a/crates/daemon/src/bundles/mod.rs
+++ b/crates/daemon/src/bundles/mod.rs
@@ -1,14 +1,14 @@
-//! The bundle in force at this node: verification, rolls, spreading, and how fresh the knowledge is.
+//! Bundle in force on this node: verification, rolls, distribution, and evidence that it is the newest.
 
+mod dependencies;
 mod head;
 mod metrics;
-mod parts;
 mod poll;
 mod proposal;
+mod push;
 mod quorum;
 mod receive;
 mod roll;
-mod spread;
 mod state;
 
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-pub use parts::{
+pub use dependencies::{
     BundleParts, BundleStore, Peers, ROLL_DEADLINE, ReplicaSetSource, WeightVersions,
     replica_set_source,
 };
@@ -29,41 +29,41 @@
 use crate::settings::Settings;
 use state::Shared;
 
-/// Why the bundle's part of a node did not start.
+/// Error of [`Bundles::start`].
 #[derive(Debug, thiserror::Error)]
 pub enum BundlesError {
-    /// Trusted keys of the settings that cannot be used.
+    /// Some trusted keys in the settings cannot be used.
     #[error("trusted keys: {}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))]
     Keys(Vec<KeyError>),
-    /// The disk could not be read.
+    /// The bundle on disk could not be read.
     #[error("bundle on disk: {0}")]
     Store(#[from] std::io::Error),
 }
 
-/// A verified bundle with the signed text it came from.
+/// Verified bundle with its signed text.
 #[derive(Debug, Clone)]
 pub struct BundleInForce {
-    /// What it says.
+    /// Content of the bundle.
     pub bundle: Bundle,
-    /// The bytes and signatures it was verified from.
+    /// Text and signatures that were verified.
     pub signed: SignedBundle,
 }
 
 impl BundleInForce {
-    /// Digest of its text.
+    /// Returns the digest of the bundle's text.
     pub fn digest(&self) -> Digest {
         digest(&self.signed.text)
     }
 }
 
-/// The bundle in force here. Cheap to clone; the background work ends with the last clone.
+/// Bundle in force on this node. Cheap to clone; the background task ends when the last clone is dropped.
 #[derive(Clone)]
 pub struct Bundles {
     shared: Arc<Shared>,
     _poll: Arc<PollTask>,
 }
 
-/// Stops the task when dropped.
+/// Background task that polls the head record; it is aborted on drop.
 struct PollTask(JoinHandle<()>);
 
 impl Drop for PollTask {
@@ -83,10 +83,16 @@
 }
 
 impl Bundles {
-    /// Reads the bundle on this node's disk, if any, and starts watching the key-value service.
-    pub async fn start(settings: &Settings, parts: BundleParts) -> Result<Self, BundlesError> {
+    /// Loads the bundle from this node's disk, if any, and starts polling the key-value service.
+    ///
+    /// # Errors
+    /// If the trusted keys are invalid or the disk cannot be read.
+    pub async fn start(
+        settings: &Settings,
+        dependencies: BundleParts,
+    ) -> Result<Self, BundlesError> {
         let trusted = TrustedKeys::from_hex(&settings.trusted_keys).map_err(BundlesError::Keys)?;
-        let shared = Arc::new(Shared::new(settings, trusted, parts));
+        let shared = Arc::new(Shared::new(settings, trusted, dependencies));
         shared.load().await?;
         let poll = tokio::spawn(poll::run(shared.clone()));
         Ok(Self {
@@ -95,58 +101,58 @@
         })
     }
 
-    /// The bundle in force, if any arrived yet.
+    /// Returns the bundle in force, or `None` if none has arrived.
     pub fn current(&self) -> Option<Arc<BundleInForce>> {
         self.shared.current()
     }
 
-    /// Adds the counters of this part to a registry.
+    /// Registers the metrics of rolls.
     ///
     /// # Errors
-    /// If the registry holds counters of these names already.
+    /// If the registry already contains metrics with these names.
     pub fn register_metrics(&self, registry: &prometheus::Registry) -> prometheus::Result<()> {
         self.shared.metrics.register(registry)
     }
 
-    /// Changes whenever a newer bundle comes into force.
+    /// Returns a receiver that changes whenever a newer bundle comes into force.
     pub fn watch(&self) -> watch::Receiver<Option<Arc<BundleInForce>>> {
         self.shared.watch()
     }
 
-    /// How long ago the bundle in force was known to be the newest; `None`: never, or a newer one is on its way.
+    /// Returns the time since the bundle in force was known to be the newest. `None` if it never was or a newer one is
+    /// known.
     pub fn evidence_age(&self) -> Option<Duration> {
         self.shared.evidence_age()
     }
 
-    /// The bundle in force, while it is known recently enough to be the newest: samples may be delivered under it.
+    /// Returns the bundle in force if the evidence that it is the newest is fresh enough to deliver samples.
     pub fn deliverable(&self) -> Option<Arc<BundleInForce>> {
         self.shared.deliverable()
     }
 
-    /// Whether the evidence is fresh enough to deliver samples.
+    /// Returns whether the evidence is fresh enough to deliver samples.
     pub fn may_deliver(&self) -> bool {
         self.deliverable().is_some()
     }
 
-    /// What to tell peers in pings and heartbeats.
+    /// Returns the evidence that is sent to peers in pings and heartbeats.
     pub fn evidence(&self) -> BundleEvidence {
         self.shared.evidence()
     }
 
-    /// A peer told its evidence in the answer to a call that was sent at `asked_at`.
-    pub fn learned_evidence(&self, from: &str, evidence: &BundleEvidence, asked_at: Instant) {
-        self.shared.learn_from_answer(from, evidence, asked_at);
+    /// Records the evidence in a peer's answer to a call that was sent at `sent_at`.
+    pub fn learned_evidence(&self, from: &str, evidence: &BundleEvidence, sent_at: Instant) {
+        self.shared.learn_from_answer(from, evidence, sent_at);
     }
 
-    /// A peer told its revision in a call to this node. That says nothing of freshness, as the call may have been
-    /// long under way.
+    /// Records the revision in a peer's call to this node. It is no evidence of freshness, because the call may have
+    /// been delayed.
     pub fn learned_revision(&self, from: &str, revision: u64) {
         self.shared.learn_revision(from, revision);
     }
 
-    /// A heartbeat round sent at `asked_at` was answered so by journal replicas; `majority`: by a quorum of them.
-    pub fn heartbeat_round(&self, asked_at: Instant, evidence: &[BundleEvidence], majority: bool) {
-        self.shared
-            .learn_from_replicas(asked_at, evidence, majority);
+    /// Records the answers of journal replicas to a heartbeat sent at `sent_at`; `majority` if a quorum answered.
+    pub fn heartbeat_round(&self, sent_at: Instant, evidence: &[BundleEvidence], majority: bool) {
+        self.shared.learn_from_replicas(sent_at, evidence, majority);
     }
 }
--- a/crates/daemon/src/bundles/poll.rs
+++ b/crates/daemon/src/bundles/poll.rs
@@ -1,4 +1,4 @@
-//! Watches the head record in the key-value service.
+//! Polls the head record in the key-value service.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -11,37 +11,39 @@
 
 use super::head::{self, HEAD_KEY, Head, HeadError};
 use super::state::{Adoption, Shared};
-use crate::watchers::poll_factor;
+use crate::watchers::poll_interval_factor;
 
-/// How many times longer the interval gets at most while the service refuses for its rate.
-const MAX_BACKOFF: u32 = 8;
+/// Maximum factor of the poll interval while the service limits the request rate.
+const MAX_BACKOFF_FACTOR: u32 = 8;
 
-/// Reads the head record for ever.
+/// Polls the head record until the task is aborted.
 pub(super) async fn run(shared: Arc<Shared>) {
-    let mut backoff = 1;
-    let mut trouble = Trouble::default();
+    let mut backoff_factor = 1;
+    let mut error_log = PollErrorLog::default();
     loop {
         let outcome = poll_once(&shared).await;
-        backoff = match outcome {
-            Err(HeadError::KeyValue(KeyValueError::RateLimited)) => MAX_BACKOFF.min(backoff * 2),
+        backoff_factor = match outcome {
+            Err(HeadError::KeyValue(KeyValueError::RateLimited)) => {
+                MAX_BACKOFF_FACTOR.min(backoff_factor * 2)
+            }
             _ => 1,
         };
-        trouble.report(&outcome);
+        error_log.report(&outcome);
         if outcome.is_err() {
-            ask_a_peer_if_empty(&shared);
+            fetch_if_empty(&shared);
         }
-        let interval = shared.poll_interval * backoff * shared.poll_factor();
+        let interval = shared.poll_interval * backoff_factor * shared.poll_interval_factor();
         tokio::time::sleep(jittered(interval)).await;
     }
 }
 
-/// What was last logged, so that an outage gives one line and not one a poll.
+/// Last logged poll error; only changes are logged.
 #[derive(Debug, Default)]
-struct Trouble {
+struct PollErrorLog {
     last: Option<String>,
 }
 
-impl Trouble {
+impl PollErrorLog {
     fn report(&mut self, outcome: &Result<(), HeadError>) {
         let cause = outcome.as_ref().err().map(ToString::to_string);
         if cause == self.last {
@@ -56,43 +58,43 @@
 }
 
 async fn poll_once(shared: &Arc<Shared>) -> Result<(), HeadError> {
-    let asked_at = Instant::now();
+    let sent_at = Instant::now();
     let Some(head) = head::read(&shared.key_value, &shared.trusted).await? else {
         return Ok(());
     };
-    shared.take_head(head, asked_at).await;
+    shared.apply_head(head, sent_at).await;
     Ok(())
 }
 
 impl Shared {
-    /// 1 for the nodes that watch the service closely, more for the others: they hear of bundles by pushes, pings
-    /// and heartbeats, and the service's load does not grow with the number of nodes.
-    fn poll_factor(&self) -> u32 {
+    /// Returns the factor of the poll interval: 1 for the watchers, more for the other nodes, which receive bundles
+    /// by pushes, pings and heartbeats.
+    fn poll_interval_factor(&self) -> u32 {
         if self.current().is_none() {
             return 1;
         }
         let own = self.peers.own_node();
         let others = self.peers.others();
         let names = others.iter().chain([&own]).map(String::as_str);
-        poll_factor(HEAD_KEY.as_bytes(), &own, names)
+        poll_interval_factor(HEAD_KEY.as_bytes(), &own, names)
     }
 
-    /// Takes a head record that was asked for at `asked_at`, and passes a newer bundle on.
-    pub(super) async fn take_head(self: &Arc<Self>, head: Head, asked_at: Instant) {
+    /// Adopts the bundle of a head record that was requested at `sent_at`, and pushes it to peers if it is newer.
+    pub(super) async fn apply_head(self: &Arc<Self>, head: Head, sent_at: Instant) {
         let revision = head.bundle.revision;
         if let Ok(Adoption::Newer) = self.adopt(head.signed, "key-value") {
             if let Err(error) = self.persist().await {
                 error!("event=bundle_store_failed cause={:?}", error.to_string());
             }
-            self.push_onward(0);
+            self.push_to_sample(0);
         }
-        let as_of = self.instant(asked_at);
+        let as_of = self.instant(sent_at);
         self.state().evidence.learn(revision, as_of);
     }
 }
 
-/// A node that has no bundle and cannot reach the service gets one from any peer.
-fn ask_a_peer_if_empty(shared: &Arc<Shared>) {
+/// Fetches the bundle from a random peer if this node has none.
+fn fetch_if_empty(shared: &Arc<Shared>) {
     if shared.current().is_some() {
         return;
     }
--- a/crates/daemon/src/bundles/proposal.rs
+++ b/crates/daemon/src/bundles/proposal.rs
@@ -1,4 +1,4 @@
-//! Answers for a roll whose outcome was not known.
+//! Queries for the outcome of an earlier roll.
 
 use std::time::Instant;
 
@@ -7,30 +7,30 @@
 
 use super::Bundles;
 use super::head;
-use super::state::{Past, Shared};
+use super::state::{PastBundle, Shared};
 
-/// What this node knows of a proposal.
+/// State of a proposal, as known to this node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ProposalState {
-    /// It is or was in force.
+    /// The bundle is or was in force.
     Accepted {
-        /// Its revision.
+        /// Revision of the bundle.
         revision: Revision,
-        /// Digest of its text.
+        /// Digest of the bundle's text.
         digest: Digest,
     },
-    /// It holds the head record, but no quorum of replicas has stored it yet.
+    /// The bundle is in the head record, but no quorum of replicas has stored it yet.
     Pending {
-        /// Its revision.
+        /// Revision of the bundle.
         revision: Revision,
     },
-    /// It is not the newest bundle and was not seen here. If its revision is the one in force or lower, it lost or was
-    /// followed by others; if its revision is higher, it is not in force.
+    /// This node has not seen the proposal. A proposal for the revision in force or a lower one lost or has been
+    /// replaced; one for a higher revision is not in force.
     NotSeen {
         /// Revision in force.
         in_force: Revision,
     },
-    /// The key-value service did not answer.
+    /// The head record could not be read.
     Unknown {
         /// What failed.
         detail: String,
@@ -38,14 +38,14 @@
 }
 
 impl Bundles {
-    /// Finds out what became of a proposal.
+    /// Queries the state of a proposal.
     pub async fn proposal(&self, proposal_id: &str) -> ProposalState {
         let shared = &self.shared;
-        let is_asked_for = |past: &Past| past.proposal_id == proposal_id;
+        let is_asked_for = |past: &PastBundle| past.proposal_id == proposal_id;
         if shared.past(is_asked_for).is_none() {
-            let asked_at = Instant::now();
+            let sent_at = Instant::now();
             match head::read(&shared.key_value, &shared.trusted).await {
-                Ok(Some(head)) => shared.take_head(head, asked_at).await,
+                Ok(Some(head)) => shared.apply_head(head, sent_at).await,
                 Ok(None) => {}
                 Err(error) => {
                     return ProposalState::Unknown {
@@ -60,7 +60,7 @@
             };
         };
         let deadline = Instant::now() + shared.roll_deadline / 4;
-        if !shared.secure(deadline).await {
+        if !shared.wait_for_quorum(deadline).await {
             return ProposalState::Pending {
                 revision: past.revision,
             };
@@ -73,8 +73,8 @@
 }
 
 impl Shared {
-    /// The newest of the bundles that were in force here and match.
-    pub(super) fn past(&self, matches: impl Fn(&Past) -> bool) -> Option<Past> {
+    /// Returns the newest matching bundle that is or was in force on this node.
+    pub(super) fn past(&self, matches: impl Fn(&PastBundle) -> bool) -> Option<PastBundle> {
         let state = self.state();
         state
             .history
--- a/crates/daemon/src/bundles/spread.rs
+++ b/crates/daemon/src/bundles/push.rs
@@ -1,4 +1,4 @@
-//! Pushes the bundle in force to other nodes.
+//! Pushes of the bundle in force to other nodes.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -15,18 +15,18 @@
 use super::quorum::{self, Holder};
 use super::state::Shared;
 
-/// Members besides the replicas that a node pushes a bundle to when it first gets it.
+/// Random members that a node pushes a new bundle to, besides the replicas.
 const FAN_OUT: usize = 5;
 
-/// How long a peer has to take a bundle.
+/// Timeout for pushing a bundle to a peer.
 const PUSH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Pushes under way at a time.
+/// Concurrent pushes.
 const CONCURRENT_PUSHES: usize = 32;
 
 impl Shared {
-    /// Pushes the bundle in force to some members and all replicas, in the background.
-    pub(super) fn push_onward(self: &Arc<Self>, hops: u32) {
+    /// Pushes the bundle in force to random members and all replicas, in the background.
+    pub(super) fn push_to_sample(self: &Arc<Self>, hops: u32) {
         let others = self.peers.others();
         let picked = others.sample(&mut rand::rng(), FAN_OUT).cloned();
         let mut targets: BTreeSet<String> = picked.collect();
@@ -46,7 +46,7 @@
         tokio::spawn(async move { shared.push(targets, hops).await });
     }
 
-    /// Names of the replicas, this node left out.
+    /// Returns the names of the replicas without this node.
     pub(super) fn replica_nodes(&self) -> Vec<String> {
         let own = self.peers.own_node();
         let set = (self.replica_set)().unwrap_or_default();
@@ -54,7 +54,7 @@
         nodes.filter(|node| *node != own).collect()
     }
 
-    /// Pushes the bundle in force to the targets. Returns those that acknowledged this or a newer revision.
+    /// Pushes the bundle in force to the targets. Returns those that have stored this or a newer revision.
     pub(super) async fn push(
         self: &Arc<Self>,
         targets: BTreeSet<String>,
--- a/crates/daemon/src/bundles/quorum.rs
+++ b/crates/daemon/src/bundles/quorum.rs
@@ -1,4 +1,4 @@
-//! Stores the bundle in force at a quorum of the journal replicas.
+//! Stores the bundle in force at a quorum of journal replicas.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -11,16 +11,16 @@
 use super::state::Shared;
 use crate::jitter::jittered;
 
-/// Between two attempts to reach a quorum.
+/// Interval between attempts to reach a quorum.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A node that has stored a bundle.
+/// Node that has stored the bundle.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Holder {
     pub(super) node: String,
-    /// Id of its data folder; 0: none.
+    /// Id of the node's data folder; 0 if it has none.
     pub(super) replica_id: u64,
-    /// Replica set that it knew after it had stored the bundle.
+    /// Version of the replica set that the node knew after storing the bundle.
     pub(super) replica_set_version: u64,
 }
 
@@ -34,13 +34,13 @@
     }
 }
 
-/// Names of all replicas of a set, old and new.
+/// Returns the node names of the current and the next replicas of a set.
 pub(super) fn nodes(set: &ReplicaSet) -> BTreeSet<String> {
     let members = set.current.iter().chain(&set.next);
     members.map(|member| member.node.clone()).collect()
 }
 
-/// Whether these members make a quorum: a majority of the current and, during a change, of the next ones too.
+/// Returns whether the members that hold the bundle include a majority of the current and of the next replicas.
 fn is_quorum(set: &ReplicaSet, holds: impl Fn(&ReplicaMember) -> bool) -> bool {
     let is_majority = |members: &[ReplicaMember]| {
         let holding = members.iter().filter(|member| holds(member)).count();
@@ -50,17 +50,17 @@
 }
 
 impl Shared {
-    /// Waits until a quorum of replicas has stored the bundle in force, or the deadline. Returns whether they did.
-    pub(super) async fn secure(self: &Arc<Self>, deadline: Instant) -> bool {
+    /// Pushes the bundle in force until a quorum of replicas has stored it. Returns `false` at the deadline.
+    pub(super) async fn wait_for_quorum(self: &Arc<Self>, deadline: Instant) -> bool {
         let revision = self.state().evidence.revision();
         let mut holders = Vec::new();
         loop {
-            if self.state().secured >= revision {
+            if self.state().quorum_revision >= revision {
                 return true;
             }
             self.push_to_replicas(&mut holders).await;
             if self.is_held_by_quorum(&holders) {
-                self.note_secured(revision);
+                self.record_quorum_revision(revision);
                 return true;
             }
             if Instant::now() >= deadline {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Pushes to the replicas that have not acknowledged yet, and adds those that do.
+    /// Pushes to the replicas that have not stored the bundle yet, and adds those that do.
     async fn push_to_replicas(self: &Arc<Self>, holders: &mut Vec<Holder>) {
         let is_missing = |node: &String| !holders.iter().any(|holder| holder.node == *node);
         let is_own_missing = is_missing(&self.peers.own_node());
@@ -84,7 +84,7 @@
         }
     }
 
-    /// This node as a holder of what it has persisted.
+    /// Returns this node as a holder of the bundle that it has stored.
     pub(super) fn own_holder(&self) -> Holder {
         let node = self.peers.own_node();
         let set = (self.replica_set)();
@@ -95,8 +95,10 @@
         }
     }
 
-    /// A replica counts by the id of its data folder, and only if it knew no newer replica set once it had stored the
-    /// bundle: a newer set is copied from replicas that know of it, so whoever counts here is copied with the bundle.
+    /// Returns whether the holders form a quorum of the replica set.
+    ///
+    /// A holder counts only if it knew no newer replica set after storing the bundle: data is copied to a newer set
+    /// from replicas that know that set, so the bundle is then copied too.
     fn is_held_by_quorum(&self, holders: &[Holder]) -> bool {
         let Some(set) = (self.replica_set)() else {
             return false;
@@ -110,8 +112,8 @@
         is_quorum(&set, |member| counted.contains(&member.replica_id))
     }
 
-    fn note_secured(&self, revision: Revision) {
+    fn record_quorum_revision(&self, revision: Revision) {
         let mut state = self.state();
-        state.secured = state.secured.max(revision);
+        state.quorum_revision = state.quorum_revision.max(revision);
     }
 }
--- a/crates/daemon/src/bundles/receive.rs
+++ b/crates/daemon/src/bundles/receive.rs
@@ -1,4 +1,4 @@
-//! Bundles and evidence that come from peers.
+//! Bundles and evidence received from peers.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -18,24 +18,24 @@
 use super::Bundles;
 use super::state::{Adoption, Shared};
 
-/// How long a peer has to hand over its bundle.
+/// Timeout for fetching a peer's bundle.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// After a fetch that brought nothing newer, how long the next one waits.
-const FRUITLESS_FETCH_PAUSE: Duration = Duration::from_millis(500);
+/// Delay after a fetch that did not return the newest known bundle.
+const FAILED_FETCH_PAUSE: Duration = Duration::from_millis(500);
 
 impl Bundles {
-    /// Answers a peer that pushes a bundle. The revision in the answer is on this node's disk, if it has one.
+    /// Handles a bundle pushed by a peer. The revision in the response is on this node's disk, if it has one.
     pub async fn handle_push_bundle(&self, push: PushBundle) -> Response {
         let Some(signed) = push.bundle else {
-            return refused(Reason::MALFORMED, "a push without bundle".to_owned());
+            return refused(Reason::MALFORMED, "push_bundle without bundle".to_owned());
         };
         let adoption = match self.shared.adopt(signed, "push") {
             Ok(adoption) => adoption,
             Err(error) => return refused(Reason::MALFORMED, error.to_string()),
         };
         if adoption == Adoption::Newer {
-            self.shared.push_onward(push.hops.saturating_add(1));
+            self.shared.push_to_sample(push.hops.saturating_add(1));
         }
         let revision = match self.shared.persist().await {
             Ok(revision) => revision,
@@ -44,7 +44,7 @@
                 return refused(Reason::INTERNAL, error.to_string());
             }
         };
-        // Read after the bundle was stored, as the roller relies on.
+        // Must be read after the bundle is stored: the rolling node relies on it.
         let holder = self.shared.own_holder();
         bundle_state(BundleState {
             revision,
@@ -55,7 +55,7 @@
         })
     }
 
-    /// Answers a peer that asks for the bundle in force here.
+    /// Returns the bundle in force on this node to a peer.
     pub fn handle_fetch_bundle(&self, _fetch: &FetchBundle) -> Response {
         let current = self.current();
         bundle_state(BundleState {
@@ -86,43 +86,44 @@
 }
 
 impl Shared {
-    /// The answer was made after `asked_at`, so its evidence held at least `age` before that.
+    /// Records evidence from an answer. The answer was made after `sent_at`, so the evidence dates from `sent_at` minus
+    /// its age or later.
     pub(super) fn learn_from_answer(
         self: &Arc<Self>,
         from: &str,
         evidence: &BundleEvidence,
-        asked_at: Instant,
+        sent_at: Instant,
     ) {
         if !evidence.known {
             return self.learn_revision(from, evidence.revision);
         }
         let age = Duration::from_millis(evidence.age_ms);
-        let Some(as_of) = self.instant(asked_at).checked_sub(age) else {
+        let Some(as_of) = self.instant(sent_at).checked_sub(age) else {
             return self.learn_revision(from, evidence.revision);
         };
         let learned = self.state().evidence.learn(evidence.revision, as_of);
-        self.fetch_if_told(from, learned);
+        self.fetch_if_behind(from, learned);
     }
 
     pub(super) fn learn_revision(self: &Arc<Self>, from: &str, revision: Revision) {
         let learned = self.state().evidence.learn_of(revision);
-        self.fetch_if_told(from, learned);
+        self.fetch_if_behind(from, learned);
     }
 
-    /// An accepted bundle is stored at a quorum of replicas, so no quorum overlooks it: the highest revision that
-    /// a quorum names was the newest accepted one when they were asked.
+    /// Records evidence from journal replicas. Every quorum includes a replica with the newest accepted bundle, so the
+    /// highest revision that a quorum reports was the newest one at `sent_at`.
     pub(super) fn learn_from_replicas(
         self: &Arc<Self>,
-        asked_at: Instant,
+        sent_at: Instant,
         evidence: &[BundleEvidence],
         majority: bool,
     ) {
         let named = evidence.iter().map(|evidence| evidence.revision).max();
-        let as_of = self.instant(asked_at);
+        let as_of = self.instant(sent_at);
         let learned = {
             let mut state = self.state();
             let highest = named.unwrap_or(0).max(state.evidence.revision());
-            // A replica that names no bundle may not have read its disk yet.
+            // A replica without a bundle may not have read its disk yet.
             let is_empty = |evidence: &BundleEvidence| evidence.revision == 0;
             if majority && !evidence.iter().any(is_empty) {
                 state.evidence.learn(highest, as_of)
@@ -136,15 +137,15 @@
         }
     }
 
-    fn fetch_if_told(self: &Arc<Self>, from: &str, learned: Learned) {
+    fn fetch_if_behind(self: &Arc<Self>, from: &str, learned: Learned) {
         if matches!(learned, Learned::Fetch { .. }) {
             self.spawn_fetch(vec![from.to_owned()]);
         }
     }
 
-    /// Fetches from the named nodes in turn until one has the newest bundle known of. One fetch runs at a time;
-    /// while the node is behind, each ping asks for another, but after a fruitless one not before a pause: a bundle
-    /// that this node cannot verify is not had by asking faster.
+    /// Starts to fetch the newest known bundle from the nodes in turn, unless a fetch is running.
+    ///
+    /// Every ping triggers a fetch while this node is behind, so a failed fetch is followed by a pause.
     pub(super) fn spawn_fetch(self: &Arc<Self>, nodes: Vec<String>) {
         if std::mem::replace(&mut self.state().is_fetching, true) {
             return;
@@ -153,13 +154,13 @@
         tokio::spawn(async move {
             let is_caught_up = shared.fetch_in_turn(&nodes).await;
             if !is_caught_up {
-                tokio::time::sleep(jittered(FRUITLESS_FETCH_PAUSE)).await;
+                tokio::time::sleep(jittered(FAILED_FETCH_PAUSE)).await;
             }
             shared.state().is_fetching = false;
         });
     }
 
-    /// Whether the newest bundle known of is held in the end.
+    /// Fetches from each node until the newest known bundle is in force. Returns whether it is.
     async fn fetch_in_turn(self: &Arc<Self>, nodes: &[String]) -> bool {
         for node in nodes {
             self.fetch(node).await;
@@ -172,7 +173,7 @@
     }
 
     async fn fetch(self: &Arc<Self>, node: &str) {
-        let asked_at = Instant::now();
+        let sent_at = Instant::now();
         let request = Request {
             kind: RequestKind::fetch_bundle(FetchBundle {}),
         };
@@ -191,12 +192,12 @@
             if let Err(error) = self.persist().await {
                 error!("event=bundle_store_failed cause={:?}", error.to_string());
             }
-            self.push_onward(1);
+            self.push_to_sample(1);
         }
         if let Some(evidence) = state.evidence
             && evidence.revision <= self.state().evidence.revision()
         {
-            self.learn_from_answer(node, &evidence, asked_at);
+            self.learn_from_answer(node, &evidence, sent_at);
         }
     }
 }
--- a/crates/daemon/src/bundles/roll.rs
+++ b/crates/daemon/src/bundles/roll.rs
@@ -1,4 +1,4 @@
-//! Rolls a bundle: checks, one compare-and-swap on the head record, and a quorum of replicas.
+//! Rolls a bundle: checks, a compare-and-swap on the head record, and storage at a quorum of replicas.
 
 use std::time::{Duration, Instant};
 
@@ -17,63 +17,63 @@
 use super::state::Adoption;
 use crate::jitter::jittered;
 
-/// Attempts at a call to the key-value service that was not carried out.
-const ATTEMPTS: u32 = 4;
+/// Attempts at a call that the key-value service did not execute.
+const MAX_ATTEMPTS: u32 = 4;
 
-/// Between two attempts.
+/// Interval between attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Why a bundle was refused.
+/// Reason why a bundle was refused.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
-    /// Its signatures.
+    /// The signatures are invalid.
     #[error("{0}")]
     Signature(BundleError),
-    /// What it says.
+    /// The checks of the content found errors.
     #[error("{} findings", .0.len())]
     Findings(Vec<Finding>),
-    /// The bundle in the key-value service cannot be verified here, so nothing may follow it.
+    /// This node cannot verify the bundle in the head record, so no bundle may follow it.
     #[error("{0}")]
     Head(String),
 }
 
-/// What became of a roll.
+/// Outcome of a roll.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RollOutcome {
-    /// It is accepted: stored by a quorum of replicas and on its way to all members.
+    /// The bundle is accepted: a quorum of replicas has stored it.
     Accepted {
-        /// Its revision.
+        /// Revision of the bundle.
         revision: Revision,
-        /// Proposal that won, another one if the same text had been rolled before.
+        /// Proposal that was accepted; an earlier one if the same text had been rolled before.
         proposal_id: String,
     },
-    /// Another bundle took the revision; this one did not and will not come into force.
+    /// Another bundle has the revision; this one will never come into force.
     Lost {
         /// Revision in force.
         revision: Revision,
-        /// Digest of the winner.
+        /// Digest of the bundle in force.
         digest: Digest,
-        /// Proposal that won.
+        /// Proposal of the bundle in force.
         proposal_id: String,
     },
-    /// Refused; nothing was changed.
+    /// The bundle is refused; nothing was changed.
     Refused(Refusal),
-    /// The key-value service was not reached; nothing was changed.
+    /// The key-value service was not reachable; nothing was changed.
     NotRun {
         /// What failed.
         detail: String,
     },
-    /// The bundle may or may not come into force; the proposal id serves to ask again.
+    /// The bundle may or may not come into force; query the proposal id later.
     Unknown {
-        /// Names this roll.
+        /// Proposal id of this roll.
         proposal_id: String,
-        /// What is not known.
+        /// What failed.
         detail: String,
     },
 }
 
 impl RollOutcome {
-    /// Its name in logs.
+    /// Returns the outcome's name in logs and metrics.
     fn name(&self) -> &'static str {
         match self {
             Self::Accepted { .. } => "accepted",
@@ -85,37 +85,36 @@
     }
 }
 
-/// One bundle on its way through a roll.
+/// Bundle of a running roll.
 struct Proposal {
     signed: SignedBundle,
     digest: Digest,
     deadline: Instant,
 }
 
-/// What is known once the swaps are over.
-enum Swapped {
-    /// By an attempt that began at this instant at the latest.
+/// Result of the attempts to swap the head record.
+enum SwapResult {
+    /// The swap took effect; its attempt was sent no later than `sent_at`.
     Won {
-        asked_at: Instant,
+        sent_at: Instant,
     },
     Settled(RollOutcome),
 }
 
 impl Bundles {
-    /// Rolls a signed bundle; its proposal id is replaced by a new one. Runs to its end also if the caller
-    /// stops waiting.
+    /// Rolls a signed bundle under a new proposal id. The roll continues if the caller stops waiting.
     pub async fn roll(&self, signed: SignedBundle) -> RollOutcome {
         let bundles = self.clone();
         let proposal_id = format!("{:032x}", rand::random::<u128>());
         let id = proposal_id.clone();
         let started = Instant::now();
-        let task = tokio::spawn(async move { bundles.roll_as(signed, id).await });
+        let task = tokio::spawn(async move { bundles.roll_with_id(signed, id).await });
         let outcome = task.await.unwrap_or_else(|error| RollOutcome::Unknown {
             proposal_id: proposal_id.clone(),
             detail: error.to_string(),
         });
         let metrics = &self.shared.metrics;
-        metrics.note_roll(outcome.name(), started.elapsed());
+        metrics.record_roll(outcome.name(), started.elapsed());
         info!(
             "event=bundle_roll proposal={proposal_id} outcome={}",
             outcome.name()
@@ -123,9 +122,9 @@
         outcome
     }
 
-    async fn roll_as(&self, mut signed: SignedBundle, proposal_id: String) -> RollOutcome {
+    async fn roll_with_id(&self, mut signed: SignedBundle, proposal_id: String) -> RollOutcome {
         signed.proposal_id = proposal_id;
-        // Findings of the text are reported below, together with those of the cross-checks.
+        // Findings are reported by `check`, together with those that need the current bundle.
         if let Err(error) = verify(&signed, &self.shared.trusted)
             && !matches!(error, BundleError::Findings(_))
         {
@@ -146,7 +145,7 @@
             Ok(head) => head,
             Err(HeadError::KeyValue(error)) => {
                 return RollOutcome::NotRun {
-                    detail: format!("the head record was not read: {error}"),
+                    detail: format!("the head record could not be read: {error}"),
                 };
             }
             Err(error) => return RollOutcome::Refused(Refusal::Head(error.to_string())),
@@ -156,37 +155,37 @@
             return outcome;
         }
         match self.swap(&proposal, expected).await {
-            Swapped::Won { asked_at } => self.accept_won(proposal, asked_at).await,
-            Swapped::Settled(outcome) => outcome,
+            SwapResult::Won { sent_at } => self.accept_swapped(proposal, sent_at).await,
+            SwapResult::Settled(outcome) => outcome,
         }
     }
 
-    /// Reads the head record, a few times if need be, and takes it if it is newer.
+    /// Reads the head record, with retries, and adopts its bundle if it is newer.
     async fn read_head(&self) -> Result<Option<Head>, HeadError> {
         let shared = &self.shared;
         let mut attempt = 1;
         loop {
-            let asked_at = Instant::now();
+            let sent_at = Instant::now();
             match head::read(&shared.key_value, &shared.trusted).await {
                 Ok(Some(head)) => {
-                    shared.take_head(head.clone(), asked_at).await;
+                    shared.apply_head(head.clone(), sent_at).await;
                     return Ok(Some(head));
                 }
-                Err(HeadError::KeyValue(_)) if attempt < ATTEMPTS => attempt += 1,
+                Err(HeadError::KeyValue(_)) if attempt < MAX_ATTEMPTS => attempt += 1,
                 other => return other,
             }
             tokio::time::sleep(jittered(RETRY_INTERVAL)).await;
         }
     }
 
-    /// Everything that can be said without a swap.
+    /// Returns the outcome if it is known without a swap.
     async fn check(&self, proposal: &Proposal, head: Option<Head>) -> Option<RollOutcome> {
         if let Some(head) = &head
             && head.digest() == proposal.digest
         {
             return Some(self.accept(proposal).await);
         }
-        // Own knowledge counts too: a service that lost its records must not let an old revision through.
+        // Also compares with this node's bundle: the service may have lost its records.
         let held = self.current();
         let in_force = held.as_ref().map(|held| &held.bundle);
         let document = read_document(&proposal.signed);
@@ -210,7 +209,7 @@
         Some(RollOutcome::Refused(Refusal::Findings(findings)))
     }
 
-    /// Versions of the model pools. A pool that the weight store does not answer for is not checked.
+    /// Returns the weight versions of the model pools. Pools whose versions cannot be read are not checked.
     async fn known_versions(&self, document: &BundleDocument) -> KnownVersions {
         let mut known = KnownVersions::new();
         let Some(weight_versions) = &self.shared.weight_versions else {
@@ -232,51 +231,51 @@
         known
     }
 
-    /// Tries the very same swap until its outcome is known or the deadline: it names the record's revision, so
-    /// that it takes effect once at most.
-    async fn swap(&self, proposal: &Proposal, expected: u64) -> Swapped {
+    /// Repeats the swap until its outcome is known or the deadline has passed. The swap names the record's expected
+    /// revision, so it takes effect at most once.
+    async fn swap(&self, proposal: &Proposal, expected: u64) -> SwapResult {
         let value = encode(&proposal.signed);
         let mut is_uncertain = false;
         let mut attempt = 1;
         loop {
             let key_value = &self.shared.key_value;
-            let asked_at = Instant::now();
+            let sent_at = Instant::now();
             let swap = key_value.compare_and_swap(HEAD_KEY, expected, value.clone());
             let error = match swap.await {
-                Ok(SwapOutcome::Won { .. }) => return Swapped::Won { asked_at },
+                Ok(SwapOutcome::Won { .. }) => return SwapResult::Won { sent_at },
                 Ok(SwapOutcome::Lost(entry)) => {
-                    let swapped = self.settle(proposal, entry, is_uncertain).await;
-                    return swapped.unwrap_or(Swapped::Won { asked_at });
+                    let swapped = self.resolve_lost_swap(proposal, entry, is_uncertain).await;
+                    return swapped.unwrap_or(SwapResult::Won { sent_at });
                 }
                 Err(error) => error,
             };
             is_uncertain |= matches!(error, KeyValueError::Unknown(_));
-            let is_last = !is_uncertain && attempt >= ATTEMPTS;
+            let is_last = !is_uncertain && attempt >= MAX_ATTEMPTS;
             if is_last || Instant::now() >= proposal.deadline {
-                return Swapped::Settled(given_up(proposal, &error, is_uncertain));
+                return SwapResult::Settled(failed_swap_outcome(proposal, &error, is_uncertain));
             }
             attempt += 1;
             tokio::time::sleep(jittered(RETRY_INTERVAL)).await;
         }
     }
 
-    /// The record is not the expected one: either an earlier attempt of this very swap made it so, or another
-    /// proposal did. `None`: it was this one.
-    async fn settle(
+    /// Finds out why the record has an unexpected revision. Returns `None` if an earlier attempt of this swap took
+    /// effect, otherwise the result.
+    async fn resolve_lost_swap(
         &self,
         proposal: &Proposal,
         entry: Option<KeyValueEntry>,
         is_uncertain: bool,
-    ) -> Option<Swapped> {
+    ) -> Option<SwapResult> {
         let proposal_id = &proposal.signed.proposal_id;
         let unknown = |detail: String| {
-            Some(Swapped::Settled(RollOutcome::Unknown {
+            Some(SwapResult::Settled(RollOutcome::Unknown {
                 proposal_id: proposal_id.clone(),
                 detail,
             }))
         };
         let Some(entry) = entry else {
-            return unknown("the head record vanished".to_owned());
+            return unknown("the head record no longer exists".to_owned());
         };
         let winner = match Head::parse(&entry, &self.shared.trusted) {
             Ok(winner) => winner,
@@ -286,49 +285,51 @@
             return None;
         }
         if let Ok(Adoption::Newer) = self.shared.adopt(winner.signed.clone(), "roll") {
-            self.shared.push_onward(0);
+            self.shared.push_to_sample(0);
         }
         if winner.digest() == proposal.digest {
-            return Some(Swapped::Settled(self.accept(proposal).await));
+            return Some(SwapResult::Settled(self.accept(proposal).await));
         }
         let revision = winner.bundle.revision;
         let own_revision = read_document(&proposal.signed).revision();
-        // With a later revision in the record, this proposal may have won before and been followed.
+        // This proposal may have taken effect before a later one replaced it.
         if is_uncertain && own_revision.is_some_and(|own| revision > own) {
-            return unknown(format!("revision {revision} is in force by now"));
+            return unknown(format!("revision {revision} is in force now"));
         }
-        Some(Swapped::Settled(RollOutcome::Lost {
+        Some(SwapResult::Settled(RollOutcome::Lost {
             revision,
             digest: winner.digest(),
             proposal_id: winner.signed.proposal_id,
         }))
     }
 
-    async fn accept_won(&self, proposal: Proposal, asked_at: Instant) -> RollOutcome {
+    async fn accept_swapped(&self, proposal: Proposal, sent_at: Instant) -> RollOutcome {
         if let Err(error) = self.shared.adopt(proposal.signed.clone(), "roll") {
             return RollOutcome::Refused(Refusal::Signature(error));
         }
         if let Some(revision) = read_document(&proposal.signed).revision() {
-            let as_of = self.shared.instant(asked_at);
+            let as_of = self.shared.instant(sent_at);
             self.shared.state().evidence.learn(revision, as_of);
         }
         self.accept(&proposal).await
     }
 
-    /// The bundle holds the head record: accepted once a quorum of replicas has it, so that the key-value service
-    /// is not needed to keep it.
+    /// Distributes the bundle in the head record. It is accepted once a quorum of replicas has stored it, so that it
+    /// survives a loss of the key-value service.
     async fn accept(&self, proposal: &Proposal) -> RollOutcome {
         self.shared.push_to_all();
-        let is_secured = self.shared.secure(proposal.deadline).await;
+        let is_at_quorum = self.shared.wait_for_quorum(proposal.deadline).await;
         let past = self.shared.past(|past| past.digest == proposal.digest);
         match past {
-            Some(past) if is_secured => RollOutcome::Accepted {
+            Some(past) if is_at_quorum => RollOutcome::Accepted {
                 revision: past.revision,
                 proposal_id: past.proposal_id,
             },
             _ => RollOutcome::Unknown {
                 proposal_id: proposal.signed.proposal_id.clone(),
-                detail: "it took the revision; no quorum of replicas has stored it yet".to_owned(),
+                detail:
+                    "the bundle is in the head record, but no quorum of replicas has stored it yet"
+                        .to_owned(),
             },
         }
     }
@@ -338,7 +339,11 @@
     BundleDocument::read("bundle", &String::from_utf8_lossy(&signed.text))
 }
 
-fn given_up(proposal: &Proposal, error: &KeyValueError, is_uncertain: bool) -> RollOutcome {
+fn failed_swap_outcome(
+    proposal: &Proposal,
+    error: &KeyValueError,
+    is_uncertain: bool,
+) -> RollOutcome {
     let detail = error.to_string();
     if !is_uncertain {
         return RollOutcome::NotRun { detail };
--- a/crates/daemon/src/bundles/state.rs
+++ b/crates/daemon/src/bundles/state.rs
@@ -1,4 +1,4 @@
-//! What all tasks of the bundle's part share, and the one place where a bundle comes into force.
+//! State shared by the tasks of this module. All bundles come into force in [`Shared::adopt`].
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -18,28 +18,28 @@
 use super::{ReplicaSetSource, WeightVersions};
 use crate::settings::Settings;
 
-/// How many past bundles are remembered, to answer for old proposals.
+/// Number of past bundles kept to answer queries for their proposals.
 const HISTORY_LENGTH: usize = 64;
 
-/// Evidence may be older than this process; its instants count from this long before the start.
+/// Offset of the process start on the time scale of [`Evidence`], which may be older than the process.
 const BEFORE_START: Duration = Duration::from_secs(24 * 60 * 60);
 
-/// A bundle that was in force here.
+/// Bundle that is or was in force on this node.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Past {
+pub(super) struct PastBundle {
     pub(super) revision: Revision,
     pub(super) proposal_id: String,
     pub(super) digest: Digest,
 }
 
-/// What changes, under a lock that is never held over an await.
+/// Mutable state; its lock is never held over an await.
 #[derive(Debug, Default)]
 pub(super) struct State {
     pub(super) evidence: Evidence,
-    pub(super) history: VecDeque<Past>,
+    pub(super) history: VecDeque<PastBundle>,
     pub(super) is_fetching: bool,
-    /// Highest revision that was seen stored by a quorum of replicas.
-    pub(super) secured: Revision,
+    /// Highest revision known to be stored by a quorum of replicas.
+    pub(super) quorum_revision: Revision,
 }
 
 pub(super) struct Shared {
@@ -53,36 +53,40 @@
     pub(super) metrics: BundleMetrics,
     pub(super) poll_interval: Duration,
     store: Option<Arc<dyn BundleStore>>,
-    /// Revision on disk. The lock orders writes to the disk; it is held over those only.
+    /// Revision on disk. The lock serializes writes to the disk.
     stored: tokio::sync::Mutex<Revision>,
     current: watch::Sender<Option<Arc<BundleInForce>>>,
     state: Mutex<State>,
     started: Instant,
 }
 
-/// What became of a bundle that was handed to this node.
+/// Result of adopting a bundle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Adoption {
-    /// It is now in force here.
+    /// The bundle is now in force on this node.
     Newer,
-    /// It was in force already, or a newer one is.
+    /// The same or a newer bundle was already in force.
     Known,
 }
 
 impl Shared {
-    pub(super) fn new(settings: &Settings, trusted: TrustedKeys, parts: BundleParts) -> Self {
+    pub(super) fn new(
+        settings: &Settings,
+        trusted: TrustedKeys,
+        dependencies: BundleParts,
+    ) -> Self {
         let timing = &settings.timing;
         Self {
             trusted,
-            key_value: parts.key_value,
-            peers: parts.peers,
-            replica_set: parts.replica_set,
-            weight_versions: parts.weight_versions,
-            roll_deadline: parts.roll_deadline,
+            key_value: dependencies.key_value,
+            peers: dependencies.peers,
+            replica_set: dependencies.replica_set,
+            weight_versions: dependencies.weight_versions,
+            roll_deadline: dependencies.roll_deadline,
             evidence_bound: Duration::from_millis(timing.bundle_evidence_bound_ms),
             poll_interval: Duration::from_millis(timing.key_value_poll_ms),
             metrics: BundleMetrics::default(),
-            store: parts.store,
+            store: dependencies.store,
             stored: tokio::sync::Mutex::default(),
             current: watch::Sender::new(None),
             state: Mutex::default(),
@@ -90,7 +94,7 @@
         }
     }
 
-    /// The state; usable also after a panic of another holder, as every change to it is whole.
+    /// Locks the state, ignoring poison: every update leaves it valid.
     pub(super) fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -103,7 +107,7 @@
         self.current.subscribe()
     }
 
-    /// An instant as [`Evidence`] counts them.
+    /// Converts an instant to the time scale of [`Evidence`].
     pub(super) fn instant(&self, at: Instant) -> Duration {
         match at.checked_duration_since(self.started) {
             Some(since_start) => BEFORE_START + since_start,
@@ -116,9 +120,9 @@
         self.state().evidence.age(now)
     }
 
-    /// The bundle in force, if the evidence for that very bundle is within its bound.
+    /// Returns the bundle in force if the evidence for this bundle is within its bound.
     pub(super) fn deliverable(&self) -> Option<Arc<BundleInForce>> {
-        // Both under one lock: a newer bundle with newer evidence may come into force between the two.
+        // Both are read under one lock, so that the evidence belongs to this bundle.
         let state = self.state();
         let age = state.evidence.age(self.instant(Instant::now()))?;
         let current = self.current();
@@ -131,7 +135,7 @@
         let age = state.evidence.age(now);
         BundleEvidence {
             revision: state.evidence.revision(),
-            // Rounded up: an age may be overstated, never understated.
+            // Rounded up: an age must not be understated.
             age_ms: age.map_or(0, |age| {
                 u64::try_from(age.as_millis())
                     .unwrap_or(u64::MAX)
@@ -141,7 +145,7 @@
         }
     }
 
-    /// Takes the newest bundle of this node's disk.
+    /// Adopts the bundle on this node's disk, if any.
     pub(super) async fn load(&self) -> Result<(), BundlesError> {
         let Some(store) = &self.store else {
             return Ok(());
@@ -166,7 +170,7 @@
         Ok(())
     }
 
-    /// Verifies a bundle and puts it in force if it is newer than the one held.
+    /// Verifies a bundle and puts it in force if it is newer than the one in force.
     pub(super) fn adopt(
         &self,
         signed: SignedBundle,
@@ -194,15 +198,16 @@
         source: &str,
     ) -> Adoption {
         let revision = bundle.revision;
-        let past = Past {
+        let past = PastBundle {
             revision,
             proposal_id: signed.proposal_id.clone(),
             digest,
         };
-        // The watch changes under the lock, so that it shows revisions in their order.
+        // The watch changes under the lock, so that it shows revisions in order.
         let mut state = self.state();
         if !state.evidence.advance(revision) {
-            let conflicts = |other: &Past| other.revision == revision && other.digest != digest;
+            let conflicts =
+                |other: &PastBundle| other.revision == revision && other.digest != digest;
             if state.history.iter().any(conflicts) {
                 error!("event=bundle_conflict revision={revision} digest={digest} source={source}");
             }
@@ -214,13 +219,13 @@
         }
         let in_force = Arc::new(BundleInForce { bundle, signed });
         self.current.send_replace(Some(in_force));
-        self.metrics.note_in_force();
+        self.metrics.record_in_force();
         info!("event=bundle_in_force revision={revision} digest={digest} source={source}");
         Adoption::Newer
     }
 
-    /// Brings the bundle in force to this node's disk, if it has one. Returns the revision that would survive a
-    /// restart of this process, or the one in force if it keeps nothing.
+    /// Stores the bundle in force on this node's disk. Returns the revision on disk, or the one in force if the node
+    /// has no disk.
     pub(super) async fn persist(&self) -> std::io::Result<Revision> {
         let Some(store) = &self.store else {
             return Ok(self.state().evidence.revision());
--- a/crates/daemon/src/claims.rs
+++ b/crates/daemon/src/claims.rs
@@ -1,4 +1,4 @@
-//! At-most-once claims through the journal; the decisions are [`ladderstage::claim`]'s.
+//! At-most-once claims of idempotency keys through the journal; [`ladderstage::claim`] decides.
 
 use std::time::Duration;
 
@@ -11,33 +11,33 @@
 
 use crate::journal::{Journal, JournalError, LogWriter};
 
-/// Longest wait before a log is taken over again, times the take-overs before; the wait is random up to it.
-const BACK_OFF: Duration = Duration::from_millis(50);
+/// Maximum random delay before another takeover of a log, per earlier retry.
+const BACK_OFF_STEP: Duration = Duration::from_millis(50);
 
-/// How often an outcome is tried to be recorded. Without a record, later requests of the key are told `unknown`.
-const SETTLE_TRIES: u32 = 8;
+/// Maximum attempts at recording an outcome. Without a record later requests with the key are answered `unknown`.
+const MAX_SETTLE_ATTEMPTS: u32 = 8;
 
-/// Longest wait between two tries to record; the wait is random up to it.
-const SETTLE_BACK_OFF: Duration = Duration::from_secs(2);
+/// Maximum random delay between attempts at recording an outcome.
+const MAX_SETTLE_BACK_OFF: Duration = Duration::from_secs(2);
 
-/// Claims keys. Cheap to clone.
+/// Claims of idempotency keys. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Claims {
     journal: Journal,
 }
 
-/// A key claimed by one request, committed at a majority. Its request may be dispatched once.
+/// Key claimed by one request and committed at a majority. The request may be dispatched once.
 #[derive(Debug)]
 pub struct HeldClaim {
     journal: Journal,
     log: String,
     claimant: u64,
-    /// The writer that the claim was committed with, while not known to be fenced.
+    /// Writer that committed the claim; `None` once it may be fenced.
     writer: Option<LogWriter>,
 }
 
 impl Claims {
-    /// Claims through this journal.
+    /// Creates claims in a journal.
     pub fn new(journal: Journal) -> Self {
         Self { journal }
     }
@@ -45,7 +45,7 @@
     /// Claims a key for one request.
     ///
     /// # Errors
-    /// [`ClaimRefusal`]: the request must not be dispatched.
+    /// [`ClaimRefusal`] if the request must not be dispatched.
     pub async fn claim(
         &self,
         log: String,
@@ -58,11 +58,11 @@
         loop {
             step = match step {
                 ClaimStep::TakeOver => {
-                    back_off(BACK_OFF * claimant.retries()).await;
-                    match self.look(&mut claimant, &log, deadline).await {
+                    sleep_up_to(BACK_OFF_STEP * claimant.retries()).await;
+                    match self.read_state(&mut claimant, &log, deadline).await {
                         ClaimStep::TakeOver => {
-                            let (taken, result) = self.take_over(&log, deadline).await;
-                            writer = taken;
+                            let (new_writer, result) = self.take_over(&log, deadline).await;
+                            writer = new_writer;
                             claimant.after_take_over(result)
                         }
                         other => other,
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Looks at the log without fencing its writer. Without a majority the take-over would only fail as well, later.
-    async fn look(&self, claimant: &mut Claimant, log: &str, deadline: Instant) -> ClaimStep {
+    /// Reads the log without fencing its writer. Without a majority a takeover would fail too, but later.
+    async fn read_state(&self, claimant: &mut Claimant, log: &str, deadline: Instant) -> ClaimStep {
         match timeout_at(deadline, self.journal.read(log)).await {
             Ok(Ok(Some(entries))) => match fold(log, &entries) {
                 Some(state) => claimant.after_look(&state),
@@ -119,13 +119,13 @@
 }
 
 impl HeldClaim {
-    /// Records how the request ended. Gives up after some tries; the key then reads as claimed without an outcome.
+    /// Records the outcome of the request. After `MAX_SETTLE_ATTEMPTS` failures the key stays claimed without outcome.
     pub async fn settle(mut self, settlement: Settlement) {
         let closes = settlement != Settlement::Released;
         let entry = settlement.into_entry();
-        for attempt in 0..SETTLE_TRIES {
+        for attempt in 0..MAX_SETTLE_ATTEMPTS {
             if attempt > 0 {
-                back_off(SETTLE_BACK_OFF).await;
+                sleep_up_to(MAX_SETTLE_BACK_OFF).await;
             }
             if self.try_settle(&entry, closes).await {
                 return;
@@ -134,12 +134,12 @@
         log::warn!("event=claim_not_recorded log={}", self.log);
     }
 
-    /// Whether the outcome is recorded, or need not be any more.
+    /// Returns whether the outcome is recorded or no longer needs to be.
     async fn try_settle(&mut self, entry: &ClaimEntry, closes: bool) -> bool {
         let mut writer = match self.writer.take() {
             Some(writer) => writer,
             None => match self.journal.take_over(&self.log).await {
-                // After an append without answer the entry may be there: then the claim is no longer open.
+                // The entry of an unanswered append may be committed; then the claim is no longer open.
                 Ok((writer, entries)) => match fold(&self.log, &entries) {
                     Some(state) if state.is_open_for(self.claimant) => writer,
                     _ => return true,
@@ -168,7 +168,7 @@
     }
 }
 
-/// The state of a key's log; `None` if an entry cannot be read, in which case nothing may be concluded from it.
+/// Folds the state of a key's log; `None` if an entry cannot be decoded, which makes the state unknown.
 fn fold(log: &str, entries: &[LogEntry]) -> Option<ClaimState> {
     let decoded: Result<Vec<ClaimEntry>, _> =
         entries.iter().map(|entry| decode(&entry.payload)).collect();
@@ -187,6 +187,6 @@
     }
 }
 
-async fn back_off(longest: Duration) {
+async fn sleep_up_to(longest: Duration) {
     tokio::time::sleep(longest.mul_f64(rand::random())).await;
 }
--- a/crates/daemon/src/members/changes.rs
+++ b/crates/daemon/src/members/changes.rs
@@ -1,4 +1,4 @@
-//! Log lines for members that appear, change their state, or are forgotten.
+//! Log lines for changes of members.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,15 +7,15 @@
 use ladderstage::membership::Membership;
 use ladderstage_wire::messages::MemberState;
 
-/// What was logged last.
+/// Logger of member changes, with the last logged state of each member.
 #[derive(Debug, Default)]
-pub(super) struct Changes {
+pub(super) struct ChangeLogger {
     logged: BTreeMap<NodeName, (ProcessId, MemberState)>,
     isolated: bool,
 }
 
-impl Changes {
-    /// Logs what has changed since the last time.
+impl ChangeLogger {
+    /// Logs the changes since the last call.
     pub fn log(&mut self, membership: &Membership, now: Duration) {
         let members = membership.all();
         self.logged
--- a/crates/daemon/src/members/handlers.rs
+++ b/crates/daemon/src/members/handlers.rs
@@ -1,4 +1,4 @@
-//! Answers to the others' membership calls.
+//! Handlers for membership requests.
 
 use std::time::Instant;
 
@@ -10,17 +10,17 @@
 use super::{Members, messages};
 
 impl Members {
-    /// Answers `Ping`, `IndirectPing` and `MemberSync`; other requests are refused as malformed.
+    /// Handles `Ping`, `IndirectPing` and `MemberSync`; refuses other requests as malformed.
     pub async fn handle(&self, request: Request) -> Response {
         match request.kind {
             OneOfkind::ping(ping) => self.handle_ping(ping),
             OneOfkind::indirect_ping(ping) => self.handle_indirect_ping(ping).await,
             OneOfkind::member_sync(sync) => self.handle_member_sync(sync),
-            _ => messages::malformed("no membership request".to_owned()),
+            _ => messages::malformed("not a membership request".to_owned()),
         }
     }
 
-    /// Answers a ping that is meant for this node; others are refused.
+    /// Answers a ping to this node; refuses one to another node.
     pub fn handle_ping(&self, ping: Ping) -> Response {
         let own = self.own().node;
         if ping.target != own {
@@ -38,19 +38,19 @@
         }
         let hooks = &self.shared.hooks;
         hooks.learned_replica_set_version(&ping.from, ping.replica_set_version);
-        messages::ping_ack(self.shared.ack_to(&ping.from, true))
+        messages::ping_ack(self.shared.new_ack(&ping.from, true))
     }
 
-    /// Pings a member on behalf of another.
+    /// Pings a member on behalf of another one.
     pub async fn handle_indirect_ping(&self, ping: IndirectPing) -> Response {
         let Some(target) = ping.target else {
-            return messages::malformed("no target".to_owned());
+            return messages::malformed("indirect_ping without target".to_owned());
         };
         let ack = self.shared.ping_for(&ping.from, &target).await;
         messages::ping_ack(ack)
     }
 
-    /// Takes another member's full state and answers with this node's.
+    /// Merges another member's full state and returns this node's.
     pub fn handle_member_sync(&self, sync: MemberSync) -> Response {
         let now = self.shared.now();
         let mut membership = self.shared.membership();
@@ -58,7 +58,7 @@
         messages::member_sync_reply(membership.full_state(now))
     }
 
-    /// How long a ping was on its way is not known here, so the age that it states counts for nothing.
+    /// Records only the revision of the evidence in a ping: the ping may have been delayed, so its age is unknown.
     fn learn_revision(&self, from: &str, evidence: BundleEvidence) {
         let evidence = BundleEvidence {
             known: false,
--- a/crates/daemon/src/members/hooks.rs
+++ b/crates/daemon/src/members/hooks.rs
@@ -1,24 +1,23 @@
-//! What other parts add to probes and learn from them.
+//! Interface through which the rest of the node attaches data to probes.
 
 use std::time::Instant;
 
 use ladderstage_wire::messages::BundleEvidence;
 
-/// What other parts add to probes and learn from them. Called from async tasks: must not block.
+/// Source and receiver of the data attached to probes. Called from async tasks: must not block.
 pub trait MemberHooks: Send + Sync {
-    /// What this node knows of the newest bundle, at this moment.
+    /// Returns this node's evidence of the newest bundle.
     fn evidence(&self) -> BundleEvidence;
 
-    /// A member told what it knows of the newest bundle.
+    /// Records a member's evidence of the newest bundle.
     ///
-    /// If `evidence.known`, it told so in an answer to a ping sent at `asked_at`, so that its knowledge dates from
-    /// `asked_at` minus `age_ms` or later. Otherwise only the revision counts: it came with the member's own
-    /// ping, and how long that was on its way is not known.
-    fn learned_evidence(&self, from: &str, evidence: &BundleEvidence, asked_at: Instant);
+    /// If `evidence.known`, it came in the answer to a ping sent at `sent_at`, so it dates from `sent_at` minus `age_ms`
+    /// or later. Otherwise it came in the member's own ping, which may have been delayed: only the revision counts.
+    fn learned_evidence(&self, from: &str, evidence: &BundleEvidence, sent_at: Instant);
 
-    /// Version of the journal's replica set known here; 0: none.
+    /// Returns the version of the replica set that this node knows; 0 if none.
     fn replica_set_version(&self) -> u64;
 
-    /// A member told the version of the replica set that it knows.
+    /// Records the version of the replica set that a member knows.
     fn learned_replica_set_version(&self, from: &str, version: u64);
 }
--- a/crates/daemon/src/members/messages.rs
+++ b/crates/daemon/src/members/messages.rs
@@ -1,4 +1,4 @@
-//! Wire messages of membership.
+//! Constructors of membership messages.
 
 use ladderstage_wire::messages::mod_Refused::Reason;
 use ladderstage_wire::messages::mod_Request::OneOfkind as RequestKind;
--- a/crates/daemon/src/members/mod.rs
+++ b/crates/daemon/src/members/mod.rs
@@ -1,4 +1,4 @@
-//! Membership of this node: runs the SWIM state machine over the peers' connections.
+//! Cluster membership: runs the SWIM state machine over connections to peers.
 
 mod changes;
 mod handlers;
@@ -25,30 +25,30 @@
 
 use shared::Shared;
 
-/// What this node knows of the others. Cheap to clone; probing stops when the last clone is dropped.
+/// Members of the cluster, as known to this node. Cheap to clone; probing stops when the last clone is dropped.
 #[derive(Debug, Clone)]
 pub struct Members {
     shared: Arc<Shared>,
-    probing: Arc<Probing>,
+    probe_task: Arc<ProbeTask>,
 }
 
-/// The task that probes the others; it ends when this is dropped.
+/// Task that probes the other members; it is aborted on drop.
 #[derive(Debug)]
-struct Probing {
+struct ProbeTask {
     task: AbortHandle,
 }
 
-impl Drop for Probing {
+impl Drop for ProbeTask {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
 impl Members {
-    /// Starts to probe the others and to look for seeds. Needs a tokio runtime.
+    /// Starts probing the other members and contacting the seeds. Must be called within a Tokio runtime.
     ///
-    /// `replica_id` is 0 without a data folder. `http_address` and `peer_address` are those listened on;
-    /// the others are told `settings.peer_advertise` in place of the latter, if it is set.
+    /// `replica_id` is 0 without a data folder. `http_address` and `peer_address` are the listen addresses;
+    /// `settings.peer_advertise`, if set, is announced instead of the latter.
     pub fn start(
         settings: &Settings,
         process: ProcessId,
@@ -73,43 +73,46 @@
         let own_addresses = [advertised, peer_address, settings.peer_listen];
         let shared = Arc::new(Shared::new(settings, own, &own_addresses, client, hooks));
         let task = tokio::spawn(task::run(Arc::clone(&shared))).abort_handle();
-        let probing = Arc::new(Probing { task });
-        Self { shared, probing }
+        let probe_task = Arc::new(ProbeTask { task });
+        Self { shared, probe_task }
     }
 
-    /// Stops probing the others; their calls are still answered.
+    /// Stops probing other members; their calls are still answered.
     pub fn stop(&self) {
-        self.probing.task.abort();
+        self.probe_task.task.abort();
     }
 
-    /// This node's own entry.
+    /// Returns this node's own entry.
     pub fn own(&self) -> Member {
         self.shared.membership().own().clone()
     }
 
-    /// Members that take work (ALIVE or SUSPECT), this node included, sorted by name.
+    /// Returns the members that accept work (`ALIVE` or `SUSPECT`), including this node, sorted by name.
     pub fn alive(&self) -> Vec<Member> {
         let takes_work =
             |member: &Member| matches!(member.state, MemberState::ALIVE | MemberState::SUSPECT);
         self.all().into_iter().filter(takes_work).collect()
     }
 
-    /// All members ever heard of and not yet forgotten, this node included, sorted by name.
+    /// Returns all known members, including this node, sorted by name.
     pub fn all(&self) -> Vec<Member> {
         self.shared.membership().all()
     }
 
-    /// The newest entry of a node.
+    /// Returns the newest entry of a node.
     pub fn find(&self, node: &str) -> Option<Member> {
         self.shared.membership().find(node).cloned()
     }
 
-    /// Where to reach a node: an override from the settings, else what it tells.
+    /// Returns the address of a node: the override in the settings, or the one that it announces.
     pub fn address(&self, node: &str) -> Option<SocketAddr> {
         self.shared.address(node)
     }
 
-    /// Calls a node by name. `NotSent` if its address is not known.
+    /// Calls a node by name.
+    ///
+    /// # Errors
+    /// [`CallError`]; `NotSent` if the address of the node is unknown.
     pub async fn call(
         &self,
         node: &str,
@@ -117,37 +120,39 @@
         timeout: Duration,
     ) -> Result<Response, CallError> {
         let Some(address) = self.address(node) else {
-            return Err(CallError::NotSent(format!("no address of {node:?} known")));
+            return Err(CallError::NotSent(format!(
+                "address of node {node:?} is unknown"
+            )));
         };
         self.shared.client.call(address, request, timeout).await
     }
 
-    /// Changes the replica id that the others are told.
+    /// Sets the replica id that is announced to the other members.
     pub fn set_replica_id(&self, replica_id: u64) {
         self.shared.membership().set_replica_id(replica_id);
     }
 
-    /// Changes the address for callers that the others are told.
+    /// Sets the HTTP address that is announced to the other members.
     pub fn set_http_address(&self, http_address: SocketAddr) {
         let http_address = http_address.to_string();
         self.shared.membership().set_http_address(http_address);
     }
 
-    /// Tells the others that this node is stopping as planned. Some are told before this returns, which takes one
-    /// probe timeout at most; they pass it on.
+    /// Announces the planned stop of this node. Some members receive it before this returns, within one probe timeout,
+    /// and forward it.
     pub async fn announce_leaving(&self) {
         self.shared.membership().leave();
-        self.shared.tell_some().await;
+        self.shared.announce_to_some().await;
     }
 
-    /// Tells the others that this node has stopped as planned; for the very end of the stop. As
-    /// [`announce_leaving`](Self::announce_leaving) otherwise.
+    /// Announces the end of the planned stop of this node, in the same way as
+    /// [`announce_leaving`](Self::announce_leaving).
     pub async fn announce_left(&self) {
         self.shared.membership().left();
-        self.shared.tell_some().await;
+        self.shared.announce_to_some().await;
     }
 
-    /// Whether this node is cut off from the majority of its region's members; the rule is at
+    /// Returns whether this node is partitioned from the majority of its region's members, as defined by
     /// [`Membership::is_isolated`](ladderstage::membership::Membership::is_isolated). A sole member is not.
     pub fn is_isolated(&self) -> bool {
         self.shared.membership().is_isolated(self.shared.now())
--- a/crates/daemon/src/members/probes.rs
+++ b/crates/daemon/src/members/probes.rs
@@ -1,4 +1,4 @@
-//! Calls that this node makes to learn of the others.
+//! Probes of other members and exchanges of state with them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,17 +14,17 @@
 use super::messages;
 use super::shared::Shared;
 
-/// An indirect probe may take this many times the probe timeout: the helper's own probe, and the way there and back.
-const INDIRECT_TIMEOUTS: u32 = 2;
+/// Timeout of an indirect probe, in probe timeouts; it includes the helper's own probe.
+const INDIRECT_PROBE_TIMEOUTS: u32 = 2;
 
-/// An exchange of the full state may take this many times the probe timeout.
+/// Timeout of a full state exchange, in probe timeouts.
 const SYNC_TIMEOUTS: u32 = 8;
 
-/// Members that are told at once of this node's planned stop.
-const TOLD_AT_ONCE: usize = 16;
+/// Members to which this node announces its planned stop directly.
+const ANNOUNCEMENT_FANOUT: usize = 16;
 
 impl Shared {
-    /// Pings a member, and if it does not answer, has others ping it.
+    /// Pings a member, through helpers if it does not answer directly.
     pub(super) async fn probe(self: &Arc<Self>, target: Member) {
         if self.ping(&target).await {
             return;
@@ -36,17 +36,17 @@
         }
     }
 
-    /// Pings a member once; `true` if it answered.
+    /// Pings a member once. Returns whether it answered.
     pub(super) async fn ping(&self, target: &Member) -> bool {
         let Some(address) = self.address_of(target) else {
             return false;
         };
-        let asked_at = Instant::now();
-        let request = messages::ping(self.ping_to(&target.node));
+        let sent_at = Instant::now();
+        let request = messages::ping(self.new_ping(&target.node));
         let answer = self.client.call(address, request, self.probe_timeout).await;
         match answer.map(|response| response.kind) {
             Ok(OneOfkind::ping_ack(ack)) if ack.node == target.node => {
-                self.take_ack(ack, asked_at);
+                self.apply_ack(ack, sent_at);
                 true
             }
             Ok(_) => false,
@@ -57,13 +57,13 @@
         }
     }
 
-    /// Has the helpers ping a member.
+    /// Pings a member through helpers.
     pub(super) async fn probe_through(&self, target: Member, helpers: Vec<Member>) {
-        let mut asked: FuturesUnordered<_> = helpers
+        let mut queries: FuturesUnordered<_> = helpers
             .iter()
             .map(|helper| self.ask_helper(helper, &target))
             .collect();
-        while let Some(reached) = asked.next().await {
+        while let Some(reached) = queries.next().await {
             if reached {
                 let now = self.now();
                 self.membership().heard_from(&target.node, now);
@@ -80,17 +80,17 @@
         };
         let own = self.membership().own().node.clone();
         let request = messages::indirect_ping(own, target.clone());
-        match self.ask(address, request, INDIRECT_TIMEOUTS).await {
-            Some((OneOfkind::ping_ack(ack), asked_at)) if ack.node == helper.node => {
+        match self.call(address, request, INDIRECT_PROBE_TIMEOUTS).await {
+            Some((OneOfkind::ping_ack(ack), sent_at)) if ack.node == helper.node => {
                 let reached = ack.reached;
-                self.take_ack(ack, asked_at);
+                self.apply_ack(ack, sent_at);
                 reached
             }
             _ => false,
         }
     }
 
-    /// Exchanges the full state.
+    /// Exchanges the full state with another member.
     pub(super) async fn sync(&self, target: SyncTarget) {
         let address = match target {
             SyncTarget::Member(node) => self.address(&node),
@@ -103,36 +103,36 @@
         let state = self.membership().full_state(now);
         let request = messages::member_sync(state);
         if let Some((OneOfkind::member_sync(reply), _)) =
-            self.ask(address, request, SYNC_TIMEOUTS).await
+            self.call(address, request, SYNC_TIMEOUTS).await
         {
             let now = self.now();
             self.membership().merge(reply.members, now);
         }
     }
 
-    /// Pings some members at once, so that they pass on this node's own entry.
-    pub(super) async fn tell_some(&self) {
+    /// Pings some members concurrently to announce this node's own entry, which they forward.
+    pub(super) async fn announce_to_some(&self) {
         let members = self.membership().all();
         let own = self.membership().own().node.clone();
         let others: Vec<_> = members
             .into_iter()
-            .filter(|member| member.node != own && answers(member))
+            .filter(|member| member.node != own && may_answer(member))
             .collect();
-        let told = others.sample(&mut rand::rng(), TOLD_AT_ONCE);
-        let pings: FuturesUnordered<_> = told.map(|member| self.ping(member)).collect();
+        let targets = others.sample(&mut rand::rng(), ANNOUNCEMENT_FANOUT);
+        let pings: FuturesUnordered<_> = targets.map(|member| self.ping(member)).collect();
         pings.collect::<Vec<_>>().await;
     }
 
-    async fn ask(
+    async fn call(
         &self,
         address: SocketAddr,
         request: Request,
         timeouts: u32,
     ) -> Option<(OneOfkind, Instant)> {
-        let asked_at = Instant::now();
+        let sent_at = Instant::now();
         let timeout = self.probe_timeout * timeouts;
         match self.client.call(address, request, timeout).await {
-            Ok(response) => Some((response.kind, asked_at)),
+            Ok(response) => Some((response.kind, sent_at)),
             Err(error) => {
                 log::debug!("event=member_call_failed address={address} reason={error}");
                 None
@@ -140,18 +140,18 @@
         }
     }
 
-    /// The answer to a request to ping `target` on behalf of `from`.
+    /// Pings `target` on behalf of `from` and returns the answer for `from`.
     pub(super) async fn ping_for(&self, from: &str, target: &Member) -> PingAck {
         let reached = self.ping(target).await;
-        let mut ack = self.ack_to(from, reached);
+        let mut ack = self.new_ack(from, reached);
         if reached {
-            self.put_first(&mut ack, &target.node);
+            self.move_to_front(&mut ack, &target.node);
         }
         ack
     }
 
-    /// What the target said of itself may refute the doubts of the one that asks.
-    fn put_first(&self, ack: &mut PingAck, node: &str) {
+    /// Puts a member's own entry first: it may refute the caller's suspicion.
+    fn move_to_front(&self, ack: &mut PingAck, node: &str) {
         let Some(member) = self.membership().find(node).cloned() else {
             return;
         };
@@ -161,6 +161,6 @@
     }
 }
 
-fn answers(member: &Member) -> bool {
+fn may_answer(member: &Member) -> bool {
     !matches!(member.state, MemberState::DEAD | MemberState::LEFT)
 }
--- a/crates/daemon/src/members/shared.rs
+++ b/crates/daemon/src/members/shared.rs
@@ -1,4 +1,4 @@
-//! State shared by the task, the handlers and the clones of `Members`.
+//! State shared by the probe task, the handlers and the clones of `Members`.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -14,7 +14,7 @@
 use super::MemberHooks;
 use crate::settings::Settings;
 
-/// State shared by the task, the handlers and the clones of `Members`. The lock is never held over an await.
+/// Shared state. Its lock is never held over an await.
 pub(super) struct Shared {
     pub client: Client,
     pub hooks: Arc<dyn MemberHooks>,
@@ -22,7 +22,7 @@
     pub probe_interval: Duration,
     pub probe_timeout: Duration,
     overrides: BTreeMap<NodeName, SocketAddr>,
-    origin: Instant,
+    started: Instant,
     membership: Mutex<Membership>,
 }
 
@@ -49,7 +49,7 @@
             probe_interval: config.probe_interval,
             probe_timeout: Duration::from_millis(timing.probe_timeout_ms),
             overrides: settings.peer_addresses.clone(),
-            origin: Instant::now(),
+            started: Instant::now(),
             membership: Mutex::new(Membership::new(own, config)),
         }
     }
@@ -60,9 +60,9 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Time as the state machine counts it.
+    /// Returns the time on the scale of the state machine.
     pub fn now(&self) -> Duration {
-        self.origin.elapsed()
+        self.started.elapsed()
     }
 
     pub fn address(&self, node: &str) -> Option<SocketAddr> {
@@ -72,13 +72,13 @@
         self.membership().find(node)?.peer_address.parse().ok()
     }
 
-    /// Address of a member that need not be known here.
+    /// Returns the address of a member that this node need not know.
     pub fn address_of(&self, member: &Member) -> Option<SocketAddr> {
         let overridden = self.overrides.get(&member.node).copied();
         overridden.or_else(|| member.peer_address.parse().ok())
     }
 
-    pub fn ping_to(&self, target: &str) -> Ping {
+    pub fn new_ping(&self, target: &str) -> Ping {
         let evidence = self.hooks.evidence();
         let replica_set_version = self.hooks.replica_set_version();
         let mut membership = self.membership();
@@ -91,7 +91,7 @@
         }
     }
 
-    pub fn ack_to(&self, peer: &str, reached: bool) -> PingAck {
+    pub fn new_ack(&self, peer: &str, reached: bool) -> PingAck {
         let evidence = self.hooks.evidence();
         let replica_set_version = self.hooks.replica_set_version();
         let mut membership = self.membership();
@@ -104,8 +104,8 @@
         }
     }
 
-    /// Takes what a member's answer to a ping sent at `asked_at` says.
-    pub fn take_ack(&self, ack: PingAck, asked_at: Instant) {
+    /// Applies a member's answer to a ping sent at `sent_at`.
+    pub fn apply_ack(&self, ack: PingAck, sent_at: Instant) {
         let now = self.now();
         {
             let mut membership = self.membership();
@@ -113,7 +113,7 @@
             membership.heard_from(&ack.node, now);
         }
         if let Some(evidence) = &ack.evidence {
-            self.hooks.learned_evidence(&ack.node, evidence, asked_at);
+            self.hooks.learned_evidence(&ack.node, evidence, sent_at);
         }
         self.hooks
             .learned_replica_set_version(&ack.node, ack.replica_set_version);
@@ -129,7 +129,7 @@
     }
 }
 
-/// Wall clock, to show to operators and to order the processes of one node name.
+/// Returns the wall-clock time, which orders the processes of a node name and is shown to operators.
 pub(super) fn unix_ms() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     since_epoch.map_or(0, |elapsed| elapsed.as_millis() as u64)
--- a/crates/daemon/src/orders/mod.rs
+++ b/crates/daemon/src/orders/mod.rs
@@ -1,6 +1,6 @@
-//! Orders to engines for the weight versions of the bundle in force.
+//! Orders to engines to load the weight versions of the bundle in force.
 //!
-//! [`ladderstage::engine_orders`] decides; this module sends and remembers what was sent.
+//! [`ladderstage::engine_orders`] decides; this module sends the orders and records the results.
 
 mod progress;
 
@@ -22,18 +22,18 @@
 
 use crate::backends::{Backends, Peers, TaskGroup};
 use crate::bundles::{BundleInForce, Bundles};
-use crate::by_members::ByMembers;
+use crate::by_members::MembersCache;
 use crate::jitter::jittered;
 use crate::members::Members;
 use crate::settings::Settings;
 use progress::Progress;
 
-/// Between looks at all orders.
-const TICK: Duration = Duration::from_millis(250);
+/// Interval between checks of all orders.
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 /// Longest wait for an engine's answer to an order.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Orders of this node. Cheap to clone; sending stops when the last clone is dropped.
+/// Sender of orders to engines. Cheap to clone; sending stops when the last clone is dropped.
 #[derive(Debug, Clone)]
 pub struct Orders {
     shared: Arc<Shared>,
@@ -50,7 +50,7 @@
 }
 
 impl Orders {
-    /// Starts looking after engines.
+    /// Starts sending orders to engines.
     pub fn start(
         _settings: &Settings,
         members: Members,
@@ -61,7 +61,7 @@
         Self::start_with(Arc::new(members), bundles.watch(), backends, http)
     }
 
-    /// As [`Self::start`], from whatever knows the peers and the bundle.
+    /// Like [`Self::start`], with the given sources of peers and bundles.
     pub fn start_with(
         peers: Arc<dyn Peers>,
         bundle: watch::Receiver<Option<Arc<BundleInForce>>>,
@@ -76,22 +76,22 @@
             http,
         });
         let mut tasks = TaskGroup::default();
-        tasks.spawn(look_after_engines(shared.clone(), bundle));
+        tasks.spawn(send_due_orders(shared.clone(), bundle));
         Self {
             shared,
             _tasks: Arc::new(tasks),
         }
     }
 
-    /// Adds the counters of this part to a registry.
+    /// Registers the metrics of orders.
     ///
     /// # Errors
-    /// If the registry holds counters of these names already.
+    /// If the registry already contains metrics with these names.
     pub fn register_metrics(&self, registry: &prometheus::Registry) -> prometheus::Result<()> {
         registry.register(Box::new(self.shared.progress().swaps()))
     }
 
-    /// How far each engine that the bundle orders something is, sorted by name. The attempts are those of this node.
+    /// Returns the progress of each engine that the bundle orders, sorted by name. Only this node's attempts are counted.
     pub fn describe(&self) -> Vec<OrderDescription> {
         let now = self.shared.started.elapsed();
         self.shared
@@ -105,7 +105,7 @@
         self.progress.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// An engine's last fresh report; none of a leaving one, which is ordered nothing.
+    /// Returns an engine's last fresh report. `None` for a leaving engine, which receives no orders.
     fn view(&self, engine: &str) -> Option<EngineView> {
         let observed = self.backends.observed(engine)?;
         let report = observed.report.filter(|_| !observed.leaving)?;
@@ -117,17 +117,14 @@
     }
 }
 
-async fn look_after_engines(
-    shared: Arc<Shared>,
-    bundle: watch::Receiver<Option<Arc<BundleInForce>>>,
-) {
+async fn send_due_orders(shared: Arc<Shared>, bundle: watch::Receiver<Option<Arc<BundleInForce>>>) {
     let mut sends = JoinSet::new();
-    let mut ranks = ByMembers::default();
+    let mut ranks = MembersCache::default();
     loop {
         let in_force = bundle.borrow().clone();
         if let Some(in_force) = in_force {
             let now = shared.started.elapsed();
-            shared.progress().take_bundle(&in_force.bundle, now);
+            shared.progress().apply_bundle(&in_force.bundle, now);
             let revision = in_force.bundle.revision;
             let ranks = ranks.get(revision, shared.peers.alive(), |members| {
                 own_ranks(&in_force.bundle, &shared.peers.own(), members)
@@ -137,11 +134,11 @@
             }
         }
         while sends.try_join_next().is_some() {}
-        sleep(jittered(TICK)).await;
+        sleep(jittered(TICK_INTERVAL)).await;
     }
 }
 
-/// Engines that this node is a caretaker of, with its rank.
+/// Returns the engines that this node is a caretaker of, with its rank.
 fn own_ranks(bundle: &Bundle, own: &str, members: &[String]) -> BTreeMap<String, usize> {
     let ranked = orders(bundle).into_iter().filter_map(|order| {
         let rank = caretaker_rank(&order.backend, own, members)?;
@@ -150,28 +147,28 @@
     ranked.collect()
 }
 
-/// Orders to send now, marked as being sent.
+/// Returns the orders to send now, and marks them as being sent.
 fn due_orders(
     shared: &Shared,
     ranks: &BTreeMap<String, usize>,
     now: Duration,
 ) -> Vec<(Order, EngineView)> {
     let mut progress = shared.progress();
-    let in_force_for = progress.in_force_for(now);
+    let time_in_force = progress.time_in_force(now);
     let mut due = Vec::new();
     for pool in progress.pools() {
-        let swapping = wave(&pool, |engine| shared.view(engine), in_force_for);
+        let swapping = wave(&pool, |engine| shared.view(engine), time_in_force);
         for order in &pool {
             let in_wave = swapping.contains(order.backend.as_str());
             let rank = ranks.get(&order.backend);
             let engine = shared.view(&order.backend);
             let action = progress.advance(order, engine, in_wave, now);
-            let is_on_duty = match rank {
+            let may_send = match rank {
                 Some(0) => true,
-                Some(_) => in_force_for >= STANDBY_DELAY,
+                Some(_) => time_in_force >= STANDBY_DELAY,
                 None => false,
             };
-            if let (Action::Send, true, Some(engine)) = (action, is_on_duty, engine)
+            if let (Action::Send, true, Some(engine)) = (action, may_send, engine)
                 && progress.start_sending(&order.backend)
             {
                 due.push((order.clone(), engine));
--- a/crates/daemon/src/orders/progress.rs
+++ b/crates/daemon/src/orders/progress.rs
@@ -1,4 +1,4 @@
-//! How far the orders of the bundle in force are, as known at this node.
+//! Progress of the orders of the bundle in force, as known to this node.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,31 +12,31 @@
 use prometheus::{Histogram, HistogramOpts};
 use serde::Serialize;
 
-/// Upper bounds of the swap buckets, in seconds.
+/// Upper bounds of the swap time buckets, in seconds.
 const SWAP_BUCKETS: [f64; 9] = [0.25, 0.5, 1.0, 2.5, 6.0, 15.0, 30.0, 60.0, 300.0];
 
-/// How far one engine is, as operators see it.
+/// Progress of one engine, for operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct OrderDescription {
-    /// Engine's name.
+    /// Name of the engine.
     pub engine: String,
-    /// Model it should hold.
+    /// Model that the engine should serve.
     pub model: String,
-    /// Weight version it should hold.
+    /// Weight version that the engine should serve.
     pub wanted: WeightVersion,
-    /// Weight version of its last fresh report.
+    /// Weight version in the engine's last fresh report.
     pub reported: Option<WeightVersion>,
-    /// Revision of the bundle that orders it.
+    /// Revision of the bundle that contains the order.
     pub fence: Revision,
-    /// What is done about it.
+    /// State of the order.
     pub state: String,
-    /// How often this node sent the order to the engine's present process.
+    /// How often this node has sent the order to the engine's present process.
     pub attempts: u32,
-    /// For how many milliseconds it has been in this state here.
+    /// Milliseconds in this state, as known to this node.
     pub since_ms: u64,
 }
 
-/// State of one engine's order.
+/// Progress of one engine's order.
 #[derive(Debug)]
 struct EngineProgress {
     action: Action,
@@ -53,7 +53,7 @@
     }
 }
 
-/// Time from a bundle's coming into force here until an engine that this node sent the order to reported its version.
+/// Time from a bundle coming into force on this node until an engine ordered by this node reports its version.
 #[derive(Debug, Clone)]
 struct SwapTimes(Histogram);
 
@@ -79,13 +79,13 @@
 }
 
 impl Progress {
-    /// The histogram of swaps, which shares its counts.
+    /// Returns the histogram of swap times.
     pub(super) fn swaps(&self) -> Histogram {
         self.swaps.0.clone()
     }
 
-    /// Takes the orders of a bundle if it is newer.
-    pub(super) fn take_bundle(&mut self, bundle: &Bundle, now: Duration) {
+    /// Replaces the orders by those of a newer bundle.
+    pub(super) fn apply_bundle(&mut self, bundle: &Bundle, now: Duration) {
         if bundle.revision <= self.revision {
             return;
         }
@@ -105,11 +105,11 @@
         }
     }
 
-    pub(super) fn in_force_for(&self, now: Duration) -> Duration {
+    pub(super) fn time_in_force(&self, now: Duration) -> Duration {
         now.saturating_sub(self.in_force_since)
     }
 
-    /// The orders, one list a pool.
+    /// Returns the orders, grouped by pool.
     pub(super) fn pools(&self) -> Vec<Vec<Order>> {
         self.orders
             .chunk_by(|left, right| left.model == right.model)
@@ -117,7 +117,7 @@
             .collect()
     }
 
-    /// Decides about an order and notes the decision.
+    /// Decides the next action of an order and records it.
     pub(super) fn advance(
         &mut self,
         order: &Order,
@@ -141,7 +141,7 @@
         action
     }
 
-    /// Marks an engine as being sent an order; `false`: it already is.
+    /// Marks that an order is being sent to an engine; `false` if that was already so.
     pub(super) fn start_sending(&mut self, engine: &str) -> bool {
         let Some(progress) = self.engines.get_mut(engine) else {
             return false;
@@ -149,7 +149,7 @@
         !std::mem::replace(&mut progress.is_sending, true)
     }
 
-    /// Notes what came of sending; answers how often this order was sent.
+    /// Records the outcome of sending an order. Returns how often this order was sent.
     pub(super) fn record(
         &mut self,
         order: &Order,
@@ -177,7 +177,7 @@
         })
     }
 
-    /// Describes all orders; `view` gives an engine's last fresh report.
+    /// Returns the progress of all orders; `view` returns an engine's last fresh report.
     pub(super) fn describe(
         &self,
         now: Duration,
--- a/crates/daemon/src/shards/ages.rs
+++ b/crates/daemon/src/shards/ages.rs
@@ -5,21 +5,21 @@
 
 use ladderstage::shard::{AttemptId, SampleAges};
 
-/// When the first tokens of this process's attempts came, by the monotonic clock.
+/// Times at which the first tokens of this process's attempts arrived.
 ///
-/// An attempt committed by an earlier owner is not listed: how long it lay in the journal is unknown.
+/// Attempts committed by earlier owners are missing: their age is unknown.
 #[derive(Debug, Default)]
-pub(super) struct FirstTokens {
+pub(super) struct FirstTokenTimes {
     times: HashMap<AttemptId, Instant>,
 }
 
-impl FirstTokens {
+impl FirstTokenTimes {
     pub(super) fn insert(&mut self, id: AttemptId, first_token_at: Instant) {
         self.times.insert(id, first_token_at);
     }
 }
 
-impl SampleAges for FirstTokens {
+impl SampleAges for FirstTokenTimes {
     fn age(&self, id: AttemptId) -> Option<Duration> {
         Some(self.times.get(&id)?.elapsed())
     }
--- a/crates/daemon/src/shards/attempt/mod.rs
+++ b/crates/daemon/src/shards/attempt/mod.rs
@@ -1,4 +1,4 @@
-//! One attempt at one slot: generation on an engine, resumed elsewhere if it breaks, and scoring.
+//! Attempt at one slot: generation on an engine, resumed on another one after a failure, and scoring.
 
 mod partial;
 mod stream;
@@ -13,36 +13,36 @@
 use super::Shared;
 use super::placement::{Placement, StaleEngines, place};
 use crate::jitter::{backoff, jittered};
-use partial::Partial;
+use partial::PartialSample;
 use stream::Interruption;
 
-/// Engines that one attempt may be sent to, one after the other.
+/// Maximum number of dispatches of one attempt to engines.
 const MAX_DISPATCHES: u32 = 8;
 
-/// Between looks for an engine to resume on.
-const PLACE_RETRY: Duration = Duration::from_millis(60);
+/// Interval between searches for an engine to resume on.
+const PLACEMENT_RETRY_INTERVAL: Duration = Duration::from_millis(60);
 
-/// How long an interrupted attempt waits for an engine to resume on.
-const PLACE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Longest time that an interrupted attempt waits for an engine.
+const PLACEMENT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// First delay before the scorer is asked again.
-const SCORE_DELAY: Duration = Duration::from_millis(100);
+/// Delay after the first failed call to the scorer.
+const FIRST_SCORE_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Longest such delay.
-const SCORE_DELAY_MOST: Duration = Duration::from_secs(2);
+/// Longest delay between calls to the scorer.
+const MAX_SCORE_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// How often the scorer is asked for one sample.
-const SCORE_TRIES: u32 = 30;
+/// Maximum number of calls to the scorer for one sample.
+const MAX_SCORE_ATTEMPTS: u32 = 30;
 
-/// A sample that is ready to be committed.
+/// Sample that is ready to be committed.
 #[derive(Debug)]
-pub(super) struct Generated {
+pub(super) struct GeneratedSample {
     pub(super) sample: Sample,
-    /// When its first token came.
+    /// When the first token arrived.
     pub(super) first_token_at: Instant,
 }
 
-impl Generated {
+impl GeneratedSample {
     pub(super) fn id(&self) -> AttemptId {
         AttemptId {
             slot: self.sample.slot,
@@ -51,32 +51,32 @@
     }
 }
 
-/// Why an attempt gave no sample. The slot is tried again.
+/// Error of an attempt. The slot is retried.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum AttemptFailure {
-    /// An engine named no weight version, so nothing true can be said of the sample.
-    #[error("engine {0} named no weight version")]
+    /// An engine returned tokens without a weight version, so the sample cannot be labelled.
+    #[error("engine {0} returned no weight version")]
     Unversioned(String),
     /// The engine ended the completion without any token.
-    #[error("engine generated nothing")]
+    #[error("engine returned no token")]
     Empty,
-    /// The text grew over its limit.
-    #[error("text over its limit")]
+    /// The text exceeded its size limit.
+    #[error("text exceeds its size limit")]
     TooLong,
-    /// No engine had room in time.
-    #[error("no engine to resume on")]
+    /// No engine had free capacity in time.
+    #[error("no engine with free capacity to resume on")]
     NoEngine,
-    /// Every dispatch broke.
-    #[error("gave up after {MAX_DISPATCHES} dispatches")]
-    Dispatches,
-    /// The scorer gave no score in time.
+    /// All dispatches were interrupted.
+    #[error("all {MAX_DISPATCHES} dispatches were interrupted")]
+    TooManyDispatches,
+    /// The scorer returned no score.
     #[error("scorer: {0}")]
     Score(String),
 }
 
-pub(super) type AttemptEnd = Result<Generated, AttemptFailure>;
+pub(super) type AttemptResult = Result<GeneratedSample, AttemptFailure>;
 
-/// What an attempt is to generate.
+/// Attempt with the request to generate.
 #[derive(Debug)]
 pub(super) struct Attempt {
     shared: Arc<Shared>,
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Runs the attempt, first at the engine that was chosen for it.
-    pub(super) async fn run(self, placement: Placement) -> AttemptEnd {
+    /// Runs the attempt, starting on the given engine.
+    pub(super) async fn run(self, placement: Placement) -> AttemptResult {
         let partial = self.generate(placement).await?;
         let first_token_at = partial.first_token_at.ok_or(AttemptFailure::Empty)?;
         let mut sample = Sample {
@@ -123,25 +123,31 @@
             segments: partial.segments,
             ..Sample::default()
         };
-        if let Some(scorer) = self.shared.parts.scorer.as_ref().filter(|_| self.is_scored) {
+        if let Some(scorer) = self
+            .shared
+            .dependencies
+            .scorer
+            .as_ref()
+            .filter(|_| self.is_scored)
+        {
             sample.score = score(scorer, &sample).await?;
             sample.scored = true;
         }
         sample.age_ms = first_token_at.elapsed().as_millis() as u64;
-        Ok(Generated {
+        Ok(GeneratedSample {
             sample,
             first_token_at,
         })
     }
 
-    async fn generate(&self, placement: Placement) -> Result<Partial, AttemptFailure> {
-        let mut partial = Partial::default();
+    async fn generate(&self, placement: Placement) -> Result<PartialSample, AttemptFailure> {
+        let mut partial = PartialSample::default();
         let mut next = Some(placement);
         let mut stale_engines = StaleEngines::default();
         for _ in 0..MAX_DISPATCHES {
             let placement = match next.take() {
                 Some(placement) => placement,
-                None => self.place_again(&stale_engines).await?,
+                None => self.wait_for_placement(&stale_engines).await?,
             };
             match self.stream(&placement, &mut partial).await {
                 Ok(()) => return Ok(partial),
@@ -151,34 +157,34 @@
                 Err(Interruption::TooLong) => return Err(AttemptFailure::TooLong),
                 Err(Interruption::TooStale) => {
                     let engine = &placement.engine.name;
-                    // The stale part may have come from another engine before this one was asked.
+                    // The stale tokens may come from an earlier engine.
                     if partial.engines.last() == Some(engine) {
-                        stale_engines.note(engine);
+                        stale_engines.add(engine);
                     }
-                    partial = Partial::default();
+                    partial = PartialSample::default();
                 }
                 Err(Interruption::Refused(delay)) => {
                     drop(placement);
                     tokio::time::sleep(jittered(delay)).await;
                 }
-                Err(Interruption::Cut(detail)) => ::log::info!(
+                Err(Interruption::Broken(detail)) => ::log::info!(
                     "event=stream_cut engine={} tokens={} error=\"{detail}\"",
                     placement.engine.name,
                     partial.tokens()
                 ),
             }
         }
-        Err(AttemptFailure::Dispatches)
+        Err(AttemptFailure::TooManyDispatches)
     }
 
-    async fn place_again(&self, avoid: &StaleEngines) -> Result<Placement, AttemptFailure> {
-        let deadline = Instant::now() + PLACE_TIMEOUT;
+    async fn wait_for_placement(&self, avoid: &StaleEngines) -> Result<Placement, AttemptFailure> {
+        let deadline = Instant::now() + PLACEMENT_TIMEOUT;
         while Instant::now() < deadline {
             let placed = place(&self.shared, &self.pool, &self.prompt, avoid);
             if let Some(placement) = placed {
                 return Ok(placement);
             }
-            tokio::time::sleep(jittered(PLACE_RETRY)).await;
+            tokio::time::sleep(jittered(PLACEMENT_RETRY_INTERVAL)).await;
         }
         Err(AttemptFailure::NoEngine)
     }
@@ -194,12 +200,17 @@
         text: sample.text.clone(),
     };
     let mut last_error = String::new();
-    for failures in 0..SCORE_TRIES {
+    for failures in 0..MAX_SCORE_ATTEMPTS {
         match scorer.score(&request).await {
             Ok(score) => return Ok(score),
             Err(error) => last_error = error.to_string(),
         }
-        tokio::time::sleep(backoff(SCORE_DELAY, failures, SCORE_DELAY_MOST)).await;
+        tokio::time::sleep(backoff(
+            FIRST_SCORE_RETRY_DELAY,
+            failures,
+            MAX_SCORE_RETRY_DELAY,
+        ))
+        .await;
     }
     Err(AttemptFailure::Score(last_error))
 }
--- a/crates/daemon/src/shards/attempt/partial.rs
+++ b/crates/daemon/src/shards/attempt/partial.rs
@@ -1,4 +1,4 @@
-//! What an attempt has generated so far.
+//! Tokens that an attempt has generated so far.
 
 use std::time::{Duration, Instant};
 
@@ -6,38 +6,38 @@
 use ladderstage_platform::engine::CompletionChunk;
 use ladderstage_wire::messages::Segment;
 
-/// Longest text of one sample, in bytes.
+/// Size limit of the text of one sample.
 const MAX_TEXT_BYTES: usize = 1024 * 1024;
 
-/// Text generated so far, with the weight versions that the engines named for each chunk.
+/// Text generated so far, with the weight version of each chunk.
 #[derive(Debug, Default)]
-pub(super) struct Partial {
+pub(super) struct PartialSample {
     pub(super) text: String,
     pub(super) segments: Vec<Segment>,
-    /// Engines that produced it, in order.
+    /// Engines that generated the text, in order.
     pub(super) engines: Vec<String>,
     pub(super) first_token_at: Option<Instant>,
 }
 
-impl Partial {
-    /// Tokens generated so far.
+impl PartialSample {
+    /// Returns the number of tokens generated so far.
     pub(super) fn tokens(&self) -> u32 {
         self.segments
             .iter()
             .fold(0, |sum, segment| sum.saturating_add(segment.tokens))
     }
 
-    /// Time since the first token.
+    /// Returns the time since the first token.
     pub(super) fn age(&self) -> Option<Duration> {
         Some(self.first_token_at?.elapsed())
     }
 
-    /// Whether one more chunk keeps the text within its limit.
-    pub(super) fn has_room_for(&self, chunk: &CompletionChunk) -> bool {
+    /// Returns whether the text stays within its limit with another chunk.
+    pub(super) fn fits(&self, chunk: &CompletionChunk) -> bool {
         self.text.len() + chunk.text.len() <= MAX_TEXT_BYTES
     }
 
-    /// Adds a chunk whose engine named this version for it.
+    /// Appends a chunk that the engine generated with this weight version.
     pub(super) fn push(&mut self, chunk: &CompletionChunk, weight_version: u64, engine: &str) {
         self.first_token_at.get_or_insert_with(Instant::now);
         append_tokens(&mut self.segments, weight_version, chunk.tokens);
--- a/crates/daemon/src/shards/attempt/stream.rs
+++ b/crates/daemon/src/shards/attempt/stream.rs
@@ -1,4 +1,4 @@
-//! One dispatch of an attempt to an engine.
+//! Dispatch of an attempt to one engine.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,39 +9,39 @@
 };
 
 use super::super::placement::{Placement, rollout_priority};
-use super::{Attempt, Partial};
+use super::{Attempt, PartialSample};
 
-/// How long an engine may take to begin its answer; it may wait behind live work.
+/// Timeout for the start of an engine's answer; the request may queue behind live requests.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How long an engine may take from there to the first chunk.
+/// Timeout from the start of the answer to the first chunk.
 const FIRST_CHUNK_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How long an engine that has begun to generate may take to the next chunk; then the sample is resumed elsewhere.
+/// Timeout between two chunks, after which the sample is resumed on another engine.
 const CHUNK_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Delay after a refusal that names none.
-const REFUSED_DELAY: Duration = Duration::from_millis(100);
+/// Retry delay after a refusal that names none.
+const DEFAULT_REFUSED_DELAY: Duration = Duration::from_millis(100);
 
-/// Longest delay taken over from a refusal.
-const REFUSED_DELAY_MOST: Duration = Duration::from_secs(2);
+/// Upper bound for the retry delay named by a refusal.
+const MAX_REFUSED_DELAY: Duration = Duration::from_secs(2);
 
-/// Why a dispatch did not reach the engine's end mark. The partial sample is kept unless the variant says otherwise.
+/// Why a dispatch ended before the engine's end mark. The partial sample is kept unless stated otherwise.
 #[derive(Debug)]
 pub(super) enum Interruption {
-    /// Nothing ran; try again after this delay.
+    /// The engine ran nothing; retry after this delay.
     Refused(Duration),
-    /// The stream broke; resume elsewhere.
-    Cut(String),
-    /// A chunk named no weight version; the sample cannot be labelled.
+    /// The stream broke; resume on another engine.
+    Broken(String),
+    /// A chunk had no weight version; the sample cannot be labelled.
     Unversioned,
-    /// The partial sample could not be delivered any more; start afresh.
+    /// The partial sample is too stale to deliver; start again from the prompt.
     TooStale,
-    /// The text is over its limit.
+    /// The text exceeds its size limit.
     TooLong,
 }
 
-/// Stops the engine's work when a dispatch is given up before its end mark.
+/// Guard that cancels the request at the engine if the dispatch ends before the end mark.
 struct CancelOnDrop {
     client: EngineClient,
     address: SocketAddr,
@@ -65,36 +65,36 @@
 }
 
 impl Attempt {
-    /// Streams from the engine to its end mark, adding to the partial sample.
+    /// Streams from the engine to its end mark and appends to the partial sample.
     pub(super) async fn stream(
         &self,
         placement: &Placement,
-        partial: &mut Partial,
+        partial: &mut PartialSample,
     ) -> Result<(), Interruption> {
         self.check_staleness(partial)?;
         let engine = &placement.engine;
         let request = self.request(partial);
         let mut cancel = CancelOnDrop {
-            client: self.shared.parts.engine_client.clone(),
+            client: self.shared.dependencies.engine_client.clone(),
             address: engine.address,
             request_id: request.request_id.clone(),
             is_armed: true,
         };
         let mut stream = self.start(placement, &request).await.inspect_err(|error| {
-            cancel.is_armed = matches!(error, Interruption::Cut(_));
+            cancel.is_armed = matches!(error, Interruption::Broken(_));
         })?;
-        let ended = self.read(&mut stream, &engine.name, partial).await;
-        match &ended {
+        let result = self.read(&mut stream, &engine.name, partial).await;
+        match &result {
             Ok(()) => {
                 cancel.is_armed = false;
-                self.shared.parts.engines.note_success(&engine.name);
+                self.shared.dependencies.engines.note_success(&engine.name);
             }
-            Err(Interruption::Cut(_) | Interruption::Unversioned) => {
-                self.shared.parts.engines.note_failure(&engine.name);
+            Err(Interruption::Broken(_) | Interruption::Unversioned) => {
+                self.shared.dependencies.engines.note_failure(&engine.name);
             }
             Err(_) => {}
         }
-        ended
+        result
     }
 
     async fn start(
@@ -103,12 +103,12 @@
         request: &CompletionRequest,
     ) -> Result<CompletionStream, Interruption> {
         let engine = &placement.engine;
-        let backends = &self.shared.parts.engines;
-        let complete = self
-            .shared
-            .parts
-            .engine_client
-            .complete(engine.address, request, false);
+        let backends = &self.shared.dependencies.engines;
+        let complete =
+            self.shared
+                .dependencies
+                .engine_client
+                .complete(engine.address, request, false);
         match tokio::time::timeout(START_TIMEOUT, complete).await {
             Ok(Ok(stream)) => Ok(stream),
             Ok(Err(DispatchError::NotRun {
@@ -117,21 +117,23 @@
                 ..
             })) => {
                 backends.note_refusal(&engine.name, leaving);
-                let delay = retry_after.unwrap_or(REFUSED_DELAY).min(REFUSED_DELAY_MOST);
+                let delay = retry_after
+                    .unwrap_or(DEFAULT_REFUSED_DELAY)
+                    .min(MAX_REFUSED_DELAY);
                 Err(Interruption::Refused(delay))
             }
             Ok(Err(DispatchError::NotSent(_))) => {
                 backends.note_failure(&engine.name);
-                Err(Interruption::Refused(REFUSED_DELAY))
+                Err(Interruption::Refused(DEFAULT_REFUSED_DELAY))
             }
             Ok(Err(DispatchError::Unknown(detail))) => {
                 backends.note_failure(&engine.name);
-                Err(Interruption::Cut(detail))
+                Err(Interruption::Broken(detail))
             }
             Err(_) => {
                 backends.note_failure(&engine.name);
-                Err(Interruption::Cut(
-                    "engine did not begin to answer".to_owned(),
+                Err(Interruption::Broken(
+                    "engine did not start to answer in time".to_owned(),
                 ))
             }
         }
@@ -141,32 +143,36 @@
         &self,
         stream: &mut CompletionStream,
         engine: &str,
-        partial: &mut Partial,
+        partial: &mut PartialSample,
     ) -> Result<(), Interruption> {
-        let mut patience = FIRST_CHUNK_TIMEOUT;
+        let mut chunk_timeout = FIRST_CHUNK_TIMEOUT;
         loop {
-            let chunk = match tokio::time::timeout(patience, stream.next()).await {
+            let chunk = match tokio::time::timeout(chunk_timeout, stream.next()).await {
                 Ok(Ok(Some(chunk))) => chunk,
                 Ok(Ok(None)) => return Ok(()),
-                Ok(Err(error)) => return Err(Interruption::Cut(error.to_string())),
-                Err(_) => return Err(Interruption::Cut("engine fell silent".to_owned())),
+                Ok(Err(error)) => return Err(Interruption::Broken(error.to_string())),
+                Err(_) => {
+                    return Err(Interruption::Broken(
+                        "engine sent no chunk in time".to_owned(),
+                    ));
+                }
             };
             let weight_version = chunk.weight_version.ok_or(Interruption::Unversioned)?;
-            if !partial.has_room_for(&chunk) {
+            if !partial.fits(&chunk) {
                 return Err(Interruption::TooLong);
             }
             partial.push(&chunk, weight_version, engine);
-            patience = CHUNK_TIMEOUT;
+            chunk_timeout = CHUNK_TIMEOUT;
             self.check_staleness(partial)?;
         }
     }
 
-    /// Going on with a sample that could not be delivered would be lost work.
-    fn check_staleness(&self, partial: &Partial) -> Result<(), Interruption> {
+    /// Stops a sample that is already too stale to deliver.
+    fn check_staleness(&self, partial: &PartialSample) -> Result<(), Interruption> {
         if partial.segments.is_empty() {
             return Ok(());
         }
-        let Some(current) = self.shared.parts.bundles.current() else {
+        let Some(current) = self.shared.dependencies.bundles.current() else {
             return Ok(());
         };
         let Some(pool) = current.bundle.pool(&self.pool) else {
@@ -178,8 +184,8 @@
         }
     }
 
-    /// Each dispatch has an id of its own, so that chunks of an earlier one cannot pass for this one's.
-    fn request(&self, partial: &Partial) -> CompletionRequest {
+    /// Builds the request. Its id is unique per dispatch, so that chunks of an earlier one are not accepted.
+    fn request(&self, partial: &PartialSample) -> CompletionRequest {
         let id = self.id;
         CompletionRequest {
             model: self.pool.clone(),
--- a/crates/daemon/src/shards/gathering.rs
+++ b/crates/daemon/src/shards/collected_answers.rs
@@ -1,4 +1,4 @@
-//! Joining the answers of a step's shards into one answer for the trainer.
+//! Merges the answers of a step's shards into one response for the trainer.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -11,7 +11,7 @@
 use super::pulling::{PullError, StepPull, StepQuestion};
 use super::step_index::StepStatus;
 
-/// What came of asking one shard.
+/// Outcome of a pull from one shard.
 pub(super) enum ShardPull {
     Answered(PullShardReply),
     HeldBack,
@@ -19,18 +19,18 @@
     Unreachable,
 }
 
-/// The answer of one shard.
+/// Answer of one shard.
 pub(super) struct ShardAnswer {
     pub(super) shard: u32,
-    /// When it was asked.
-    pub(super) asked_at: Instant,
+    /// When the pull was sent to the shard.
+    pub(super) sent_at: Instant,
     pub(super) pull: ShardPull,
 }
 
-/// The answers of a step's shards to one pull.
+/// Answers of a step's shards to one pull.
 #[derive(Default)]
-pub(super) struct Gathered {
-    /// Replies with samples, in the order in which they came.
+pub(super) struct CollectedAnswers {
+    /// Replies with samples, in order of arrival.
     replies: Vec<(u32, Instant, PullShardReply)>,
     pub(super) complete: BTreeSet<u32>,
     pub(super) unreachable: BTreeSet<u32>,
@@ -38,11 +38,11 @@
     is_superseded: bool,
 }
 
-impl Gathered {
+impl CollectedAnswers {
     pub(super) fn add(&mut self, answer: ShardAnswer) {
         let ShardAnswer {
             shard,
-            asked_at,
+            sent_at,
             pull,
         } = answer;
         match pull {
@@ -50,7 +50,7 @@
                 self.complete.insert(shard);
             }
             ShardPull::Answered(reply) if reply.samples.is_empty() => {}
-            ShardPull::Answered(reply) => self.replies.push((shard, asked_at, reply)),
+            ShardPull::Answered(reply) => self.replies.push((shard, sent_at, reply)),
             ShardPull::HeldBack => self.is_held_back = true,
             ShardPull::Superseded => self.is_superseded = true,
             ShardPull::Unreachable => {
@@ -59,19 +59,19 @@
         }
     }
 
-    /// Whether there is something to tell the trainer.
-    pub(super) fn has_news(&self) -> bool {
+    /// Returns whether an answer determines the response to the trainer.
+    pub(super) fn has_result(&self) -> bool {
         !self.replies.is_empty() || self.is_superseded || self.is_held_back
     }
 
-    /// Whether waiting any longer would not change the answer.
-    pub(super) fn is_decided(&self, status: &StepStatus) -> bool {
+    /// Returns whether a longer wait would not change the response.
+    pub(super) fn is_final(&self, status: &StepStatus) -> bool {
         let settled = self.complete.len() + self.unreachable.len();
-        self.has_news() || settled >= status.shard_count as usize
+        self.has_result() || settled >= status.shard_count as usize
     }
 
-    /// Forgets all but what stays true.
-    pub(super) fn start_over(&mut self) {
+    /// Removes all answers except complete shards, which stay complete.
+    pub(super) fn reset(&mut self) {
         *self = Self {
             complete: std::mem::take(&mut self.complete),
             ..Self::default()
@@ -79,42 +79,42 @@
     }
 }
 
-/// Joins the shards' answers, checked once more against the bundle in force here as the last thing before they leave.
-pub(super) fn finish(
+/// Merges the shards' answers, after a last check against the bundle in force on this node.
+pub(super) fn merge(
     shared: &Shared,
-    question: &StepQuestion,
+    pull_request: &StepQuestion,
     status: &StepStatus,
-    gathered: Gathered,
+    collected: CollectedAnswers,
 ) -> Result<StepPull, PullError> {
-    if gathered.is_superseded {
+    if collected.is_superseded {
         return Err(PullError::Superseded);
     }
-    let is_complete = gathered.complete.len() == status.shard_count as usize;
+    let is_complete = collected.complete.len() == status.shard_count as usize;
     let mut pull = StepPull {
         samples: Vec::new(),
-        cursor: question.cursor.clone(),
+        cursor: pull_request.cursor.clone(),
         complete: is_complete,
         bundle_revision: 0,
     };
-    let current = shared.parts.bundles.deliverable();
+    let current = shared.dependencies.bundles.deliverable();
     let current = current.ok_or(PullError::HeldBack)?;
     let pool = current.bundle.pool(&status.pool);
     let bound = StalenessBound::of(pool.ok_or(PullError::HeldBack)?);
     pull.bundle_revision = current.bundle.revision;
-    let mut is_held_back = gathered.is_held_back;
-    for (shard, asked_at, reply) in gathered.replies {
-        if pull.samples.len() + reply.samples.len() > question.max_samples {
+    let mut is_held_back = collected.is_held_back;
+    for (shard, sent_at, reply) in collected.replies {
+        if pull.samples.len() + reply.samples.len() > pull_request.max_samples {
             continue;
         }
-        if !are_fresh(&reply.samples, asked_at, &bound) {
+        if !are_fresh(&reply.samples, sent_at, &bound) {
             is_held_back = true;
             continue;
         }
         for sample in &reply.samples {
-            let age = age_on_arrival(sample, asked_at);
+            let age = age_on_arrival(sample, sent_at);
             shared
                 .metrics
-                .note_delivery(sample, bound.weight_version, age);
+                .record_delivery(sample, bound.weight_version, age);
         }
         pull.cursor.advance(shard, reply.answer);
         pull.samples.extend(reply.samples);
@@ -125,23 +125,26 @@
     if is_held_back {
         return Err(PullError::HeldBack);
     }
-    if !gathered.unreachable.is_empty() {
-        let detail = format!("owners of shards {:?} do not answer", gathered.unreachable);
+    if !collected.unreachable.is_empty() {
+        let detail = format!(
+            "owners of shards {:?} are not reachable",
+            collected.unreachable
+        );
         return Err(PullError::Unavailable(detail));
     }
     Ok(pull)
 }
 
-/// The owner's ages are counted on from the moment it was asked, which can only make them larger.
-fn are_fresh(samples: &[Sample], asked_at: Instant, bound: &StalenessBound) -> bool {
+/// Returns whether all samples are fresh; time since the pull was sent is added to their ages.
+fn are_fresh(samples: &[Sample], sent_at: Instant, bound: &StalenessBound) -> bool {
     samples
         .iter()
-        .all(|sample| bound.admits(&sample.segments, age_on_arrival(sample, asked_at)))
+        .all(|sample| bound.admits(&sample.segments, age_on_arrival(sample, sent_at)))
 }
 
-fn age_on_arrival(sample: &Sample, asked_at: Instant) -> Option<Duration> {
+fn age_on_arrival(sample: &Sample, sent_at: Instant) -> Option<Duration> {
     match sample.age_ms {
         UNKNOWN_AGE_MS => None,
-        age_ms => Some(Duration::from_millis(age_ms).saturating_add(asked_at.elapsed())),
+        age_ms => Some(Duration::from_millis(age_ms).saturating_add(sent_at.elapsed())),
     }
 }
--- a/crates/daemon/src/shards/delivery.rs
+++ b/crates/daemon/src/shards/delivery.rs
@@ -1,4 +1,4 @@
-//! What an owner says to submitters and trainers, after the commit that each reply needs.
+//! Replies of an owner to submitters and trainers, sent after the commits that they need.
 
 use std::time::{Duration, Instant};
 
@@ -16,31 +16,31 @@
 use super::owner::{Owner, Waiter};
 use super::replies;
 
-/// Pulls of one shard that may wait at a time.
+/// Maximum number of waiting pulls of one shard.
 const MAX_WAITERS: usize = 32;
 
-/// How often an answer is decided anew because a bundle came into force meanwhile.
-const DECISIONS: usize = 4;
+/// Maximum number of decisions on one pull; a decision is repeated if a newer bundle made its samples stale.
+const MAX_DECISIONS: usize = 4;
 
-/// Age of a sample whose owner cannot know it.
+/// Age on the wire of a sample whose age the owner does not know.
 pub(super) const UNKNOWN_AGE_MS: u64 = u64::MAX;
 
-/// The bound in force here, and the revision that sets it.
+/// Staleness bound in force, and the bundle revision that sets it.
 #[derive(Debug, Clone, Copy)]
-struct InForce {
+struct BoundInForce {
     bound: StalenessBound,
     revision: u64,
 }
 
 impl Owner {
-    /// Opens the shard for the first of the waiting openings and compares the others with it.
-    pub(super) async fn commit_openings(&mut self) -> Result<(), CommitError> {
+    /// Opens the shard for the first pending request and compares the others with it.
+    pub(super) async fn commit_pending_opens(&mut self) -> Result<(), CommitError> {
         if self.log.state().spec().is_none()
-            && let Some(opening) = self.openings.first()
+            && let Some(pending) = self.pending_opens.first()
         {
-            let digest = opening.spec.step_digest.clone();
+            let digest = pending.spec.step_digest.clone();
             let entry = ShardEntry {
-                kind: EntryKind::opened((*opening.spec).clone()),
+                kind: EntryKind::opened((*pending.spec).clone()),
             };
             self.log.commit(vec![entry], false).await?;
             ::log::info!("event=shard_opened shard={}", self.key);
@@ -55,12 +55,12 @@
     }
 
     fn reply_opened(&mut self, digest: &[u8], same: OpenOutcome) {
-        for opening in self.openings.drain(..) {
-            let outcome = match opening.spec.step_digest == digest {
+        for pending in self.pending_opens.drain(..) {
+            let outcome = match pending.spec.step_digest == digest {
                 true => same,
                 false => OpenOutcome::CONFLICT,
             };
-            let _ = opening.reply.send(replies::opened(outcome));
+            let _ = pending.reply.send(replies::opened(outcome));
         }
     }
 
@@ -87,15 +87,15 @@
         }
     }
 
-    /// Gives up committed attempts that the bundle in force no longer admits.
+    /// Discards committed samples that the bundle in force no longer admits.
     pub(super) async fn discard_stale(&mut self) -> Result<(), CommitError> {
         let Some(in_force) = self.in_force() else {
             return Ok(());
         };
         let state = self.log.state();
-        let entries = state.stale_entries(&in_force.bound, &self.first_tokens);
+        let entries = state.stale_entries(&in_force.bound, &self.first_token_times);
         if !entries.is_empty() {
-            self.shared.metrics.note_stale(entries.len());
+            self.shared.metrics.record_stale(entries.len());
             ::log::info!(
                 "event=samples_stale shard={} count={} revision={}",
                 self.key,
@@ -106,17 +106,17 @@
         self.log.commit(entries, false).await
     }
 
-    /// Answers the waiting pulls that can be answered, and those whose time is over.
+    /// Answers the waiting pulls that have fresh samples, and those that have expired.
     pub(super) async fn answer_waiters(&mut self) -> Result<(), CommitError> {
-        // Nobody reads the answer of a pull that was given up.
+        // Callers that have stopped waiting do not read the reply.
         self.waiters.retain(|waiter| !waiter.reply.is_closed());
         let mut index = 0;
         while index < self.waiters.len() {
             let pull = self.waiters[index].pull;
-            let is_over = self.waiters[index].deadline <= Instant::now();
+            let is_expired = self.waiters[index].deadline <= Instant::now();
             let response = match self.answer(pull).await? {
                 Some(response) => Some(response),
-                None if is_over => Some(self.nothing_yet(pull)),
+                None if is_expired => Some(self.empty_reply(pull)),
                 None => None,
             };
             match response {
@@ -130,31 +130,31 @@
         Ok(())
     }
 
-    /// The answer to a pull; `None` while there is nothing fresh.
+    /// Returns the answer to a pull; `None` while there are no fresh samples.
     ///
-    /// Whether deliveries are allowed and fresh is checked on the way out, after the commit: the append may have taken
-    /// long, or the process may have been paused.
+    /// The bundle and the freshness of the samples are checked again after the commit, because the append may have
+    /// taken long or the process may have been paused.
     async fn answer(&mut self, pull: Pull) -> Result<Option<Response>, CommitError> {
         if self.log.state().spec().is_none() {
             return Ok(Some(outcome_only(ReplyOutcome::UNKNOWN_SHARD)));
         }
-        for _ in 0..DECISIONS {
+        for _ in 0..MAX_DECISIONS {
             let Some(in_force) = self.deliverable() else {
                 return Ok(Some(replies::held_back()));
             };
             let state = self.log.state();
-            let decision = state.pull(pull, &in_force.bound, &self.first_tokens);
+            let decision = state.pull(pull, &in_force.bound, &self.first_token_times);
             let completes = decision.outcome == PullOutcome::Complete && !self.log.is_closed();
             if is_repeated(&decision) {
                 self.log.confirm_ownership().await?;
             }
             self.log.commit(decision.entries, completes).await?;
-            let Some(now_in_force) = self.deliverable() else {
+            let Some(still_in_force) = self.deliverable() else {
                 return Ok(Some(replies::held_back()));
             };
             match decision.outcome {
                 PullOutcome::Answer { answer, samples } => {
-                    if let Some(response) = self.deliver(answer, &samples, now_in_force) {
+                    if let Some(response) = self.deliver(answer, &samples, still_in_force) {
                         return Ok(Some(response));
                     }
                 }
@@ -164,7 +164,7 @@
                     return Ok(Some(outcome_only(ReplyOutcome::SUPERSEDED)));
                 }
                 PullOutcome::NotYetKnown => {
-                    let detail = "answer not known to this owner";
+                    let detail = "this owner does not know the acknowledged answer";
                     return Ok(Some(replies::refused(Reason::NOT_READY, detail)));
                 }
             }
@@ -172,11 +172,11 @@
         Ok(Some(replies::held_back()))
     }
 
-    /// The reply with these samples; `None` if one of them is stale by now.
-    fn deliver(&self, answer: u64, ids: &[AttemptId], in_force: InForce) -> Option<Response> {
+    /// Returns the reply with these samples; `None` if one of them has become stale.
+    fn deliver(&self, answer: u64, ids: &[AttemptId], in_force: BoundInForce) -> Option<Response> {
         let mut samples = Vec::with_capacity(ids.len());
         for id in ids {
-            let age = self.first_tokens.age(*id);
+            let age = self.first_token_times.age(*id);
             let mut sample: Sample = self.log.state().sample(*id)?;
             if !in_force.bound.admits(&sample.segments, age) {
                 return None;
@@ -193,7 +193,7 @@
         }))
     }
 
-    fn nothing_yet(&self, pull: Pull) -> Response {
+    fn empty_reply(&self, pull: Pull) -> Response {
         replies::pulled(PullShardReply {
             outcome: ReplyOutcome::ANSWERED,
             answer: pull.after_answer,
@@ -212,26 +212,26 @@
         })
     }
 
-    /// The bound in force while the evidence for it is fresh enough to deliver.
-    fn deliverable(&self) -> Option<InForce> {
-        self.bound_of(&self.shared.parts.bundles.deliverable()?.bundle)
+    /// Returns the bound in force if the evidence for its bundle is fresh.
+    fn deliverable(&self) -> Option<BoundInForce> {
+        self.bound_of(&self.shared.dependencies.bundles.deliverable()?.bundle)
     }
 
-    fn in_force(&self) -> Option<InForce> {
-        self.bound_of(&self.shared.parts.bundles.current()?.bundle)
+    fn in_force(&self) -> Option<BoundInForce> {
+        self.bound_of(&self.shared.dependencies.bundles.current()?.bundle)
     }
 
-    fn bound_of(&self, bundle: &Bundle) -> Option<InForce> {
+    fn bound_of(&self, bundle: &Bundle) -> Option<BoundInForce> {
         let pool_name = &self.log.state().spec()?.pool;
         let pool = bundle.pool(pool_name)?;
-        Some(InForce {
+        Some(BoundInForce {
             bound: StalenessBound::of(pool),
             revision: bundle.revision,
         })
     }
 }
 
-/// An answer that was journalled before is given without a commit, which would have shown a later owner.
+/// Returns whether an earlier answer is repeated. This needs no commit, so ownership must be confirmed separately.
 fn is_repeated(decision: &PullDecision) -> bool {
     matches!(decision.outcome, PullOutcome::Answer { .. }) && decision.entries.is_empty()
 }
--- a/crates/daemon/src/shards/parts.rs
+++ b/crates/daemon/src/shards/dependencies.rs
@@ -1,4 +1,4 @@
-//! What shards need of the other parts of a node.
+//! Interfaces through which shards use the rest of the node.
 
 use std::fmt;
 use std::sync::Arc;
@@ -12,53 +12,53 @@
 use crate::bundles::{BundleInForce, Bundles};
 use crate::journal::{Journal, Peers};
 
-/// The bundle in force at this node.
+/// Source of the bundle in force on this node.
 pub trait BundleSource: Send + Sync + 'static {
-    /// The bundle in force, if any arrived yet.
+    /// Returns the bundle in force, or `None` if none has arrived.
     fn current(&self) -> Option<Arc<BundleInForce>>;
 
-    /// Changes whenever a newer bundle comes into force.
+    /// Returns a receiver that changes whenever a newer bundle comes into force.
     fn watch(&self) -> watch::Receiver<Option<Arc<BundleInForce>>>;
 
-    /// The bundle in force, while it is known recently enough to be the newest.
+    /// Returns the bundle in force if fresh evidence shows that it is the newest.
     fn deliverable(&self) -> Option<Arc<BundleInForce>>;
 }
 
-/// A request under way at an engine; counted until dropped.
-pub type EnginePlace = Box<dyn Send + Sync>;
+/// Guard of a request in flight at an engine; the request is counted until the guard is dropped.
+pub type EngineGuard = Box<dyn Send + Sync>;
 
-/// The engines that may be given work.
+/// Source of the engines that may receive work.
 pub trait EngineSource: Send + Sync + 'static {
-    /// Engines of a pool that may be given new work right now.
+    /// Returns the engines of a pool that may receive new work.
     fn candidates(&self, pool: &str) -> Vec<Candidate>;
 
-    /// Takes a place at an engine if it is still a candidate of the pool.
-    fn try_begin(&self, pool: &str, engine: &str) -> Option<EnginePlace>;
+    /// Counts a request as in flight at an engine if the engine is still a candidate of the pool.
+    fn try_begin(&self, pool: &str, engine: &str) -> Option<EngineGuard>;
 
-    /// A request failed there.
+    /// Records a failed request.
     fn note_failure(&self, engine: &str);
 
-    /// The engine refused before running; `leaving`: because it is stopping.
+    /// Records a request that the engine refused before running it; `leaving` if the engine is stopping.
     fn note_refusal(&self, engine: &str, leaving: bool);
 
-    /// A request was answered whole.
+    /// Records a completely answered request.
     fn note_success(&self, engine: &str);
 }
 
-/// What shards need of the other parts of a node.
+/// Parts of the node that shards use.
 #[derive(Clone)]
 pub struct ShardParts {
     /// The other daemons.
     pub peers: Arc<dyn Peers>,
-    /// The journal.
+    /// The journal that stores the shards' logs.
     pub journal: Journal,
-    /// The bundle in force.
+    /// Source of the bundle in force.
     pub bundles: Arc<dyn BundleSource>,
-    /// The engines.
+    /// Source of the engines.
     pub engines: Arc<dyn EngineSource>,
-    /// Client of the engines.
+    /// Client for the engines.
     pub engine_client: EngineClient,
-    /// Client of the scorer; `None`: samples are not scored.
+    /// Client for the scorer; without it samples are not scored.
     pub scorer: Option<Scorer>,
 }
 
@@ -87,9 +87,9 @@
         Backends::candidates(self, pool)
     }
 
-    fn try_begin(&self, pool: &str, engine: &str) -> Option<EnginePlace> {
-        let place = Backends::try_begin(self, pool, engine)?;
-        Some(Box::new(place))
+    fn try_begin(&self, pool: &str, engine: &str) -> Option<EngineGuard> {
+        let guard = Backends::try_begin(self, pool, engine)?;
+        Some(Box::new(guard))
     }
 
     fn note_failure(&self, engine: &str) {
--- a/crates/daemon/src/shards/fences.rs
+++ b/crates/daemon/src/shards/fences.rs
@@ -1,39 +1,47 @@
-//! Logs that were fenced here of late: their new owner is alive, so notices that nobody tends them are old.
+//! Logs whose writer on this node was fenced recently.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Recent fences by log.
+/// Time of the last fence of each log.
 ///
-/// A process that was paused past its successor's takeover finds, as it wakes, notices that were sent to it before and
-/// its own replica's silence; acting on them would fence the successor for nothing. If the new owner dies too, the
-/// replicas say so again later than `quiet` after the fence.
+/// A process that was paused during its successor's takeover then receives outdated notices about the log; acting on
+/// them would fence the live successor. If the successor fails too, the replicas send new notices later than
+/// `owner_timeout` after the fence.
 #[derive(Debug)]
 pub(super) struct RecentFences {
-    quiet: Duration,
-    seen: Mutex<BTreeMap<String, Instant>>,
+    owner_timeout: Duration,
+    fenced_at: Mutex<BTreeMap<String, Instant>>,
 }
 
 impl RecentFences {
-    /// `quiet` is how long an owner may be silent before it is replaced.
-    pub(super) fn new(quiet: Duration) -> Self {
+    /// `owner_timeout` is the silence after which an owner is replaced.
+    pub(super) fn new(owner_timeout: Duration) -> Self {
         Self {
-            quiet,
-            seen: Mutex::default(),
+            owner_timeout,
+            fenced_at: Mutex::default(),
         }
     }
 
-    /// Another owner has taken the log.
-    pub(super) fn note(&self, log: &str) {
-        let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
-        seen.retain(|_, at| at.elapsed() < self.quiet);
-        seen.insert(log.to_owned(), Instant::now());
+    /// Records that another owner has taken the log over.
+    pub(super) fn record(&self, log: &str) {
+        let mut fenced_at = self
+            .fenced_at
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        fenced_at.retain(|_, at| at.elapsed() < self.owner_timeout);
+        fenced_at.insert(log.to_owned(), Instant::now());
     }
 
-    /// Whether another owner took the log too lately to have been silent for long.
+    /// Returns whether another owner took the log over within the last `owner_timeout`.
     pub(super) fn contains(&self, log: &str) -> bool {
-        let seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
-        seen.get(log).is_some_and(|at| at.elapsed() < self.quiet)
+        let fenced_at = self
+            .fenced_at
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        fenced_at
+            .get(log)
+            .is_some_and(|at| at.elapsed() < self.owner_timeout)
     }
 }
--- a/crates/daemon/src/shards/generation.rs
+++ b/crates/daemon/src/shards/generation.rs
@@ -1,33 +1,33 @@
-//! Which attempts an owner runs, and what becomes of them.
+//! Starts, cancels and collects the attempts of an owned shard.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
 use tokio::task::{AbortHandle, Id, JoinError};
 
-use super::attempt::{Attempt, AttemptEnd, AttemptFailure};
+use super::attempt::{Attempt, AttemptFailure, AttemptResult};
 use super::log::CommitError;
 use super::owner::Owner;
 use super::placement::{StaleEngines, place};
 use crate::jitter::backoff;
 
-/// Attempts of one shard under way at a time.
+/// Concurrent attempts of one shard.
 const MAX_ATTEMPTS: usize = 32;
 
-/// First delay before a slot whose attempt failed is tried again.
-const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Delay before the retry of a slot after its first failed attempt.
+const FIRST_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Longest such delay.
-const RETRY_DELAY_MOST: Duration = Duration::from_secs(3);
+/// Longest delay before the retry of a slot.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(3);
 
-/// The task that runs an attempt at a slot.
+/// Task that runs an attempt at a slot.
 #[derive(Debug)]
 pub(super) struct SlotTask {
     id: Id,
     abort: AbortHandle,
 }
 
-/// Slots whose attempts failed, and when they are tried again.
+/// Retry times of the slots whose attempts failed.
 #[derive(Debug, Default)]
 pub(super) struct SlotBackoffs {
     slots: BTreeMap<u32, Backoff>,
@@ -40,14 +40,14 @@
 }
 
 impl SlotBackoffs {
-    fn is_held(&self, slot: u32) -> bool {
+    fn is_backing_off(&self, slot: u32) -> bool {
         let backoff = self.slots.get(&slot);
         backoff.is_some_and(|backoff| backoff.not_before > Instant::now())
     }
 
     fn note_failure(&mut self, slot: u32) {
         let failures = self.slots.get(&slot).map_or(0, |backoff| backoff.failures);
-        let delay = backoff(RETRY_DELAY, failures, RETRY_DELAY_MOST);
+        let delay = backoff(FIRST_RETRY_DELAY, failures, MAX_RETRY_DELAY);
         let backoff = Backoff {
             failures: failures + 1,
             not_before: Instant::now() + delay,
@@ -61,7 +61,7 @@
 }
 
 impl Owner {
-    /// Commits all generated samples that are still wanted, at once.
+    /// Commits all generated samples that are still needed in one append.
     pub(super) async fn commit_generated(&mut self) -> Result<(), CommitError> {
         let state = self.log.state();
         let mut slots = BTreeSet::new();
@@ -74,13 +74,13 @@
             }
         }
         for generated in self.ready.drain(..) {
-            self.first_tokens
+            self.first_token_times
                 .insert(generated.id(), generated.first_token_at);
         }
         self.log.commit(entries, false).await
     }
 
-    pub(super) fn attempt_ended(&mut self, ended: Result<(Id, AttemptEnd), JoinError>) {
+    pub(super) fn handle_attempt_end(&mut self, ended: Result<(Id, AttemptResult), JoinError>) {
         let task = match &ended {
             Ok((task, _)) => *task,
             Err(error) => error.id(),
@@ -91,7 +91,7 @@
             .find(|(_, running)| running.id == task)
             .map(|(slot, _)| *slot);
         let Some(slot) = slot else {
-            return; // given up before
+            return; // cancelled before
         };
         self.in_flight.remove(&slot);
         match ended {
@@ -99,7 +99,7 @@
                 self.backoffs.clear(slot);
                 self.ready.push(generated);
             }
-            Ok((_, Err(failure))) => self.attempt_failed(slot, &failure),
+            Ok((_, Err(failure))) => self.handle_attempt_failure(slot, &failure),
             Err(error) => {
                 ::log::error!(
                     "event=attempt_task_failed shard={} error=\"{error}\"",
@@ -110,28 +110,28 @@
         }
     }
 
-    fn attempt_failed(&mut self, slot: u32, failure: &AttemptFailure) {
+    fn handle_attempt_failure(&mut self, slot: u32, failure: &AttemptFailure) {
         ::log::info!(
             "event=attempt_failed shard={} slot={slot} error=\"{failure}\"",
             self.key
         );
-        self.shared.metrics.note_failed_attempt();
+        self.shared.metrics.record_failed_attempt();
         self.backoffs.note_failure(slot);
     }
 
-    /// Stops attempts at slots that need none any more.
-    pub(super) fn cancel_unwanted(&mut self) {
+    /// Cancels the attempts at slots that no longer need one.
+    pub(super) fn cancel_unneeded_attempts(&mut self) {
         let state = self.log.state();
         self.in_flight.retain(|slot, running| {
-            let is_wanted = state.needs_attempt(*slot);
-            if !is_wanted {
+            let is_needed = state.needs_attempt(*slot);
+            if !is_needed {
                 running.abort.abort();
             }
-            is_wanted
+            is_needed
         });
     }
 
-    /// Starts attempts while there are open slots and engines that may take them.
+    /// Starts attempts while slots need one and engines have free capacity.
     pub(super) fn start_attempts(&mut self) {
         let Some(spec) = self.log.state().spec() else {
             return;
@@ -141,7 +141,7 @@
             if self.in_flight.len() >= MAX_ATTEMPTS {
                 return;
             }
-            if self.backoffs.is_held(need.id.slot) {
+            if self.backoffs.is_backing_off(need.id.slot) {
                 continue;
             }
             let sample = &spec.samples[(need.id.slot - spec.first_slot) as usize];
@@ -159,7 +159,7 @@
         }
     }
 
-    pub(super) fn has_slot_without_attempt(&self) -> bool {
+    pub(super) fn has_idle_slot(&self) -> bool {
         let busy = self.in_flight.keys().copied().collect();
         !self.log.state().attempts_needed(&busy).is_empty()
     }
--- a/crates/daemon/src/shards/log.rs
+++ b/crates/daemon/src/shards/log.rs
@@ -1,4 +1,4 @@
-//! A shard's log with its fold: the state never runs ahead of what is committed.
+//! Log of a shard, together with the state folded from its committed entries.
 
 use ladderstage::shard::ShardState;
 use ladderstage_wire::messages::{LogEntry, ShardEntry};
@@ -6,27 +6,27 @@
 
 use crate::journal::{Journal, JournalError, LogWriter};
 
-/// Why entries were not committed.
+/// Error of a commit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(super) enum CommitError {
-    /// Another owner has taken the log.
+    /// Another owner has taken the log over.
     #[error("fenced")]
     Fenced,
-    /// No quorum: the entries stay in doubt, and nothing else is appended before they are settled.
-    #[error("in doubt")]
-    InDoubt,
-    /// The journal's replica set was changed: the log must be taken over again.
-    #[error("taken under an older replica set")]
+    /// No quorum answered. The append must be repeated before any other one.
+    #[error("outcome unknown")]
+    OutcomeUnknown,
+    /// The replica set of the journal changed; the log must be taken over again.
+    #[error("taken over under an older replica set")]
     StaleReplicaSet,
 }
 
-/// The log of an owned shard.
+/// Log of an owned shard.
 #[derive(Debug)]
 pub(super) struct ShardLog {
-    /// Gone between two take-overs.
+    /// `None` while the log is being taken over again.
     writer: Option<LogWriter>,
     state: ShardState,
-    in_doubt: Option<Batch>,
+    unresolved: Option<Batch>,
     closed: bool,
 }
 
@@ -37,31 +37,32 @@
 }
 
 impl ShardLog {
-    /// Fences earlier owners and folds what they committed.
+    /// Fences earlier owners and folds the entries that they committed.
     pub(super) async fn take_over(journal: &Journal, log: &str) -> Result<Self, JournalError> {
         let (writer, entries) = journal.take_over(log).await?;
         Ok(Self {
             writer: Some(writer),
             state: fold(log, &entries),
-            in_doubt: None,
+            unresolved: None,
             closed: false,
         })
     }
 
-    /// Takes the log over again after a change of the replica set. What was in doubt is found in the log or not;
-    /// the caller decides anew on what it finds.
+    /// Takes the log over again after a change of the replica set.
+    ///
+    /// An append with an unknown outcome may or may not be in the log: the caller must decide again on the new state.
     pub(super) async fn take_over_again(
         &mut self,
         journal: &Journal,
         log: &str,
     ) -> Result<(), JournalError> {
-        // The heartbeat must not hear of the new epoch on behalf of the old writer.
+        // Drops the old writer first, so that heartbeats do not report it as fenced by the new epoch.
         self.writer = None;
         *self = Self::take_over(journal, log).await?;
         Ok(())
     }
 
-    /// State after all committed entries. Decide on it only once [`settle`](Self::settle) succeeded.
+    /// Returns the state after all committed entries. Decisions on it need a successful [`settle`](Self::settle) first.
     pub(super) fn state(&self) -> &ShardState {
         &self.state
     }
@@ -70,25 +71,25 @@
         self.closed
     }
 
-    /// Repeats the append that ended without a quorum, if there is one: the same entries at the same place.
+    /// Repeats the append whose outcome is unknown, if any, with the same entries at the same index.
     pub(super) async fn settle(&mut self) -> Result<(), CommitError> {
         if self.writer.is_none() {
             return Err(CommitError::StaleReplicaSet);
         }
-        match self.in_doubt.take() {
+        match self.unresolved.take() {
             Some(batch) => self.append(batch).await,
             None => Ok(()),
         }
     }
 
-    /// Commits entries that were decided on the present state, and applies them.
+    /// Commits entries that follow from the present state, and applies them.
     pub(super) async fn commit(
         &mut self,
         entries: Vec<ShardEntry>,
         closes: bool,
     ) -> Result<(), CommitError> {
-        if self.in_doubt.is_some() {
-            return Err(CommitError::InDoubt);
+        if self.unresolved.is_some() {
+            return Err(CommitError::OutcomeUnknown);
         }
         if entries.is_empty() && !closes {
             return Ok(());
@@ -96,7 +97,7 @@
         self.append(Batch { entries, closes }).await
     }
 
-    /// Makes sure that this is still the log's only writer, for a reply that needs no commit.
+    /// Checks with a quorum that this is still the only writer of the log, for replies that need no commit.
     pub(super) async fn confirm_ownership(&self) -> Result<(), CommitError> {
         let Some(writer) = &self.writer else {
             return Err(CommitError::StaleReplicaSet);
@@ -107,7 +108,7 @@
             Err(JournalError::StaleReplicaSet) => Err(CommitError::StaleReplicaSet),
             Err(error) => {
                 ::log::warn!("event=ownership_in_doubt error=\"{error}\"");
-                Err(CommitError::InDoubt)
+                Err(CommitError::OutcomeUnknown)
             }
         }
     }
@@ -129,14 +130,14 @@
             Err(JournalError::StaleReplicaSet) => Err(CommitError::StaleReplicaSet),
             Err(error) => {
                 ::log::warn!("event=append_in_doubt error=\"{error}\"");
-                self.in_doubt = Some(batch);
-                Err(CommitError::InDoubt)
+                self.unresolved = Some(batch);
+                Err(CommitError::OutcomeUnknown)
             }
         }
     }
 }
 
-/// Folds raw entries; one that cannot be read is logged and left out, as it is for every other reader.
+/// Folds raw entries. Entries that cannot be decoded are logged and skipped, as by every other reader.
 pub(super) fn fold(log: &str, entries: &[LogEntry]) -> ShardState {
     let mut state = ShardState::default();
     for (index, entry) in entries.iter().enumerate() {
--- a/crates/daemon/src/shards/metrics.rs
+++ b/crates/daemon/src/shards/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of the trainers' path.
+//! Metrics of sample generation and delivery.
 
 use std::time::Duration;
 
@@ -7,13 +7,13 @@
 use ladderstage_wire::messages::Sample;
 use prometheus::{Counter, Histogram, HistogramOpts, IntCounter, IntCounterVec, Opts, Registry};
 
-/// Upper bounds of the staleness buckets, in versions.
+/// Upper bounds of the staleness buckets, in weight versions.
 const VERSION_BUCKETS: [f64; 6] = [0.0, 1.0, 2.0, 3.0, 5.0, 10.0];
 
 /// Upper bounds of the age buckets, in seconds.
 const AGE_BUCKETS: [f64; 8] = [1.0, 5.0, 15.0, 60.0, 300.0, 900.0, 1_800.0, 3_600.0];
 
-/// Counters of the trainers' path. Cheap to clone.
+/// Metrics of sample generation and delivery. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct ShardMetrics {
     idle_seconds: Counter,
@@ -25,7 +25,7 @@
 }
 
 impl ShardMetrics {
-    /// Counters at zero.
+    /// Creates metrics at zero.
     pub fn new() -> Self {
         let refusals = Opts::new(
             "ladderstage_trainer_refusals_total",
@@ -63,10 +63,10 @@
         }
     }
 
-    /// Adds the counters to a registry.
+    /// Registers the metrics.
     ///
     /// # Errors
-    /// If the registry holds counters of these names already.
+    /// If the registry already contains metrics with these names.
     pub fn register(&self, registry: &Registry) -> prometheus::Result<()> {
         registry.register(Box::new(self.idle_seconds.clone()))?;
         registry.register(Box::new(self.refusals.clone()))?;
@@ -76,18 +76,18 @@
         registry.register(Box::new(self.failed_attempts.clone()))
     }
 
-    /// Counts a trainer's request that was refused.
+    /// Counts a refused request of a trainer.
     pub fn note_refusal(&self, reason: &str) {
         self.refusals.with_label_values(&[reason]).inc();
     }
 
-    /// Counts time in which a pull waited with nothing to hand out.
-    pub(super) fn note_idle(&self, waited: Duration) {
+    /// Adds time that a pull waited without samples.
+    pub(super) fn record_idle(&self, waited: Duration) {
         self.idle_seconds.inc_by(waited.as_secs_f64());
     }
 
-    /// Counts a sample that is handed out while the bundle names `weight_version`.
-    pub(super) fn note_delivery(
+    /// Counts a delivered sample; `weight_version` is the one of the bundle in force.
+    pub(super) fn record_delivery(
         &self,
         sample: &Sample,
         weight_version: WeightVersion,
@@ -102,13 +102,13 @@
         }
     }
 
-    /// Counts samples that were given up as stale.
-    pub(super) fn note_stale(&self, count: usize) {
+    /// Counts samples that were discarded as stale.
+    pub(super) fn record_stale(&self, count: usize) {
         self.stale_samples.inc_by(count as u64);
     }
 
-    /// Counts an attempt that failed.
-    pub(super) fn note_failed_attempt(&self) {
+    /// Counts a failed attempt.
+    pub(super) fn record_failed_attempt(&self) {
         self.failed_attempts.inc();
     }
 }
--- a/crates/daemon/src/shards/mod.rs
+++ b/crates/daemon/src/shards/mod.rs
@@ -1,19 +1,19 @@
 //! Shards of trainers' steps: ownership, generation, commits and deliveries.
 //!
-//! One task owns each shard ([`owner`]). It is the only writer of the shard's log and decides through
-//! [`ladderstage::shard::ShardState`]; whatever it says to others is committed to the log first. Any daemon may receive a
-//! step ([`submission`]) or a trainer's pull ([`pulling`]) and finds the owners through the journal.
+//! Each shard is owned by one task ([`owner`]), the only writer of its log. The task decides through
+//! [`ladderstage::shard::ShardState`] and commits to the log before it replies. Any daemon accepts a step
+//! ([`submission`]) or a trainer's pull ([`pulling`]) and finds the owners through the journal.
 
 mod ages;
 mod attempt;
+mod collected_answers;
 mod delivery;
+mod dependencies;
 mod fences;
-mod gathering;
 mod generation;
 mod log;
 mod metrics;
 mod owner;
-mod parts;
 mod placement;
 mod pulling;
 mod registry;
@@ -44,37 +44,37 @@
 use registry::Registry;
 use step_index::StepIndex;
 
+pub use dependencies::{BundleSource, EngineGuard, EngineSource, ShardParts};
 pub use metrics::ShardMetrics;
-pub use parts::{BundleSource, EnginePlace, EngineSource, ShardParts};
 pub use pulling::{PullError, StepPull, StepQuestion};
 pub use registry::ShardDescription;
 pub use step_index::{ShardStatus, StepStatus};
 pub use submission::{SubmitError, Submitted};
 
-/// Longest that one pull may wait for samples.
+/// Longest time that a pull waits for samples.
 pub const MAX_PULL_WAIT: Duration = Duration::from_secs(30);
 
-/// How long the opening of a shard may take before its outcome is called unknown.
+/// Timeout for opening a shard, after which the outcome is unknown.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// How long a drain waits for the owned shards to be let go.
+/// Longest time that a drain waits for the owned shards to be released.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long the notice to a successor may take.
+/// Timeout for a notice to the task or the successor of a shard.
 const NOTICE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Shards of trainers' steps at this node. Cheap to clone.
+/// Shards of trainers' steps on this node. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Shards {
     shared: Arc<Shared>,
 }
 
-/// What the tasks of all owned shards share.
+/// State shared by the tasks of all owned shards.
 #[derive(Debug)]
 struct Shared {
     node: String,
     zone: String,
-    parts: ShardParts,
+    dependencies: ShardParts,
     registry: Registry,
     steps: StepIndex,
     metrics: ShardMetrics,
@@ -87,9 +87,9 @@
         *self.draining.borrow()
     }
 
-    /// Returns once the process is stopping as planned.
+    /// Waits until a planned stop starts.
     async fn drain_started(&self) {
-        // Fails only when the sender is gone, and `self` holds it.
+        // Cannot fail: `self` holds the sender.
         let _ = self
             .draining
             .subscribe()
@@ -99,7 +99,7 @@
 }
 
 impl Shards {
-    /// Starts without any owned shard.
+    /// Creates the part of the node that runs shards; no shard is owned yet.
     #[allow(clippy::too_many_arguments)]
     pub fn start(
         settings: &Settings,
@@ -111,7 +111,7 @@
         engine: EngineClient,
         scorer: Option<Scorer>,
     ) -> Self {
-        let parts = ShardParts {
+        let dependencies = ShardParts {
             peers: Arc::new(members),
             journal,
             bundles: Arc::new(bundles),
@@ -119,11 +119,11 @@
             engine_client: engine,
             scorer,
         };
-        Self::start_with(settings, process, parts)
+        Self::start_with(settings, process, dependencies)
     }
 
-    /// As [`Shards::start`], over other parts.
-    pub fn start_with(settings: &Settings, process: ProcessId, parts: ShardParts) -> Self {
+    /// Like [`Shards::start`], with the given dependencies.
+    pub fn start_with(settings: &Settings, process: ProcessId, dependencies: ShardParts) -> Self {
         ::log::info!(
             "event=shards_started node={} process={process:016x}",
             settings.node
@@ -132,9 +132,9 @@
         let shared = Shared {
             node: settings.node.clone(),
             zone: settings.zone.clone(),
-            steps: StepIndex::new(parts.journal.clone()),
+            steps: StepIndex::new(dependencies.journal.clone()),
             recent_fences: RecentFences::new(owner_timeout),
-            parts,
+            dependencies,
             registry: Registry::default(),
             metrics: ShardMetrics::new(),
             draining: watch::Sender::new(false),
@@ -144,12 +144,12 @@
         }
     }
 
-    /// Counters.
+    /// Returns the counters of shards.
     pub fn metrics(&self) -> &ShardMetrics {
         &self.shared.metrics
     }
 
-    /// Opens a shard here, taking its log over if no open log of the same step is found.
+    /// Opens a shard on this node; takes its log over unless an open log of the same step exists.
     pub async fn handle_open_shard(&self, request: OpenShard) -> Response {
         let Some(spec) = request.spec else {
             return replies::refused(Reason::MALFORMED, "open_shard without spec");
@@ -165,16 +165,19 @@
         submission::open_here(&self.shared, &key.log(), spec).await
     }
 
-    /// Answers a trainer's question about one shard that is owned here.
+    /// Answers a pull from one shard that this node owns.
     pub async fn handle_pull_shard(&self, request: PullShard) -> Response {
         let Some(shard) = self.shared.registry.find(&request.log) else {
             return match self.shared.is_draining() {
                 true => replies::refused(Reason::LEAVING, "draining"),
-                false => replies::refused(Reason::NOT_OWNER, "shard is not owned here"),
+                false => replies::refused(Reason::NOT_OWNER, "this node does not own the shard"),
             };
         };
         if !shard.is_accepting() {
-            return replies::refused(Reason::NOT_READY, "shard's journal is not reached");
+            return replies::refused(
+                Reason::NOT_READY,
+                "the journal of the shard is not reachable",
+            );
         }
         let (reply, response) = tokio::sync::oneshot::channel();
         let message = Message::Pull {
@@ -186,36 +189,36 @@
             reply,
         };
         if shard.mailbox.try_send(message).is_err() {
-            return replies::refused(Reason::OVERLOADED, "too many questions wait");
+            return replies::refused(Reason::OVERLOADED, "too many requests wait for the shard");
         }
         response
             .await
-            .unwrap_or_else(|_| replies::refused(Reason::NOT_OWNER, "ownership ended"))
+            .unwrap_or_else(|_| replies::refused(Reason::NOT_OWNER, "ownership of the shard ended"))
     }
 
-    /// Takes over the shards that a replica finds untended.
+    /// Takes over shards whose owner a replica reports as silent.
     pub async fn handle_shard_notice(&self, notice: ShardNotice) -> Response {
         if self.shared.is_draining() {
             return replies::refused(Reason::LEAVING, "draining");
         }
         for log in &notice.logs {
             let is_shard = ShardKey::from_log(log).is_some();
-            let is_wanted = is_shard && !self.shared.recent_fences.contains(log);
-            if is_wanted && owner::own(&self.shared, log).is_none() {
-                return replies::refused(Reason::OVERLOADED, "owns too many shards");
+            let should_own = is_shard && !self.shared.recent_fences.contains(log);
+            if should_own && owner::ensure_owner(&self.shared, log).is_none() {
+                return replies::refused(Reason::OVERLOADED, "this node owns too many shards");
             }
         }
         replies::done()
     }
 
-    /// A higher epoch has taken this log: its task here must end.
+    /// Stops the task of a log that another owner has taken over under a higher epoch.
     pub fn fenced(&self, log: &str) {
-        self.shared.recent_fences.note(log);
+        self.shared.recent_fences.record(log);
         self.shared.registry.abort(log);
     }
 
-    /// Stops owning and ends waiting pulls: attempts are given up (they are run again elsewhere, as nothing of them is committed), waiting
-    /// pulls are refused, and the successors are told to take over.
+    /// Releases all shards: aborts attempts, refuses waiting pulls and notifies the successors. Successors run the
+    /// attempts again, because nothing of an aborted attempt is committed.
     pub async fn drain(&self) {
         self.shared.draining.send_replace(true);
         let logs = self.shared.registry.logs();
@@ -225,7 +228,7 @@
                     tokio::time::timeout(NOTICE_TIMEOUT, shard.mailbox.send(Message::Drain)).await;
             }
         }
-        if tokio::time::timeout(DRAIN_TIMEOUT, self.shared.registry.emptied())
+        if tokio::time::timeout(DRAIN_TIMEOUT, self.shared.registry.wait_until_empty())
             .await
             .is_err()
         {
@@ -234,23 +237,23 @@
         self.notify_successors(logs).await;
     }
 
-    /// The bundle in force here, if any arrived yet.
+    /// Returns the bundle in force on this node, or `None` if none has arrived.
     pub fn bundle(&self) -> Option<Arc<BundleInForce>> {
-        self.shared.parts.bundles.current()
+        self.shared.dependencies.bundles.current()
     }
 
-    /// Whether samples can be scored here.
+    /// Returns whether a scorer is configured.
     pub fn has_scorer(&self) -> bool {
-        self.shared.parts.scorer.is_some()
+        self.shared.dependencies.scorer.is_some()
     }
 
-    /// Shards owned here.
+    /// Returns the shards that this node owns.
     pub fn describe(&self) -> Vec<ShardDescription> {
         self.shared.registry.describe()
     }
 
     async fn notify_successors(&self, logs: Vec<String>) {
-        let members = self.shared.parts.peers.alive();
+        let members = self.shared.dependencies.peers.alive();
         let nodes: Vec<&str> = members
             .iter()
             .map(|member| member.node.as_str())
@@ -269,13 +272,13 @@
                     from_owner: false,
                 }),
             };
-            let told = self
+            let result = self
                 .shared
-                .parts
+                .dependencies
                 .peers
                 .call(node, request, NOTICE_TIMEOUT)
                 .await;
-            if let Err(error) = told {
+            if let Err(error) = result {
                 ::log::info!("event=successor_not_told successor={node} error=\"{error}\"");
             }
         });
