--- a/crates/daemon/src/shards/owner.rs
+++ b/crates/daemon/src/shards/owner.rs
@@ -1,4 +1,4 @@
-//! The task that owns one shard.
+//! Task that owns one shard.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,8 +11,8 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::JoinSet;
 
-use super::ages::FirstTokens;
-use super::attempt::{AttemptEnd, Generated};
+use super::ages::FirstTokenTimes;
+use super::attempt::{AttemptResult, GeneratedSample};
 use super::generation::{SlotBackoffs, SlotTask};
 use super::log::{CommitError, ShardLog};
 use super::registry::{OwnedShard, OwnerStatus, Registration, ShardDescription};
@@ -21,46 +21,46 @@
 use crate::jitter::{backoff, jittered};
 use crate::journal::JournalError;
 
-/// Questions that wait for the task; further ones are refused.
+/// Messages that may wait for the task; further ones are refused.
 const MAILBOX_CAPACITY: usize = 64;
 
-/// How often a takeover is tried before it is left to the next notice.
-const TAKE_OVER_TRIES: u32 = 8;
+/// Attempts at a takeover before it is left to the next shard notice.
+const MAX_TAKE_OVER_ATTEMPTS: u32 = 8;
 
-/// First delay between tries of a takeover.
-const TAKE_OVER_DELAY: Duration = Duration::from_millis(100);
+/// Delay after the first failed takeover.
+const FIRST_TAKE_OVER_DELAY: Duration = Duration::from_millis(100);
 
-/// Longest delay between tries of a takeover.
-const TAKE_OVER_DELAY_MOST: Duration = Duration::from_secs(2);
+/// Longest delay between attempts at a takeover.
+const MAX_TAKE_OVER_DELAY: Duration = Duration::from_secs(2);
 
-/// Between tries of an append whose outcome is in doubt.
-const IN_DOUBT_RETRY: Duration = Duration::from_millis(200);
+/// Interval between attempts at an append whose outcome is unknown.
+const APPEND_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Between looks for a free engine while slots wait for one.
-const ENGINE_RETRY: Duration = Duration::from_millis(60);
+/// Interval between searches for a free engine while slots wait for one.
+const ENGINE_RETRY_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Between looks at the age of committed samples when nothing else happens.
-const IDLE_REVIEW: Duration = Duration::from_secs(1);
+/// Interval between age checks of committed samples while the task is idle.
+const AGE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A question to the task.
+/// Message to the task.
 #[derive(Debug)]
 pub(super) enum Message {
-    /// Opens the shard, or compares with what is open.
+    /// Opens the shard, or compares the step with the one that is open.
     Open {
         spec: Box<ShardSpec>,
         reply: oneshot::Sender<Response>,
     },
-    /// A trainer's question.
+    /// Pulls samples for a trainer.
     Pull {
         pull: Pull,
         wait: Duration,
         reply: oneshot::Sender<Response>,
     },
-    /// The process is stopping as planned.
+    /// Releases the shard because of a planned stop.
     Drain,
 }
 
-/// A pull that waits for samples.
+/// Pull that waits for samples.
 #[derive(Debug)]
 pub(super) struct Waiter {
     pub(super) pull: Pull,
@@ -68,9 +68,9 @@
     pub(super) reply: oneshot::Sender<Response>,
 }
 
-/// An opening that waits for its commit.
+/// Open request that waits for its commit.
 #[derive(Debug)]
-pub(super) struct Opening {
+pub(super) struct PendingOpen {
     pub(super) spec: Box<ShardSpec>,
     pub(super) reply: oneshot::Sender<Response>,
 }
@@ -81,27 +81,27 @@
     Finished,
 }
 
-/// State of the task once the log is taken over.
+/// State of the task after the takeover of the log.
 #[derive(Debug)]
 pub(super) struct Owner {
     pub(super) shared: Arc<Shared>,
     pub(super) key: ShardKey,
     pub(super) log: ShardLog,
-    pub(super) first_tokens: FirstTokens,
+    pub(super) first_token_times: FirstTokenTimes,
     pub(super) waiters: Vec<Waiter>,
-    pub(super) openings: Vec<Opening>,
-    pub(super) attempts: JoinSet<AttemptEnd>,
+    pub(super) pending_opens: Vec<PendingOpen>,
+    pub(super) attempts: JoinSet<AttemptResult>,
     pub(super) in_flight: BTreeMap<u32, SlotTask>,
-    pub(super) ready: Vec<Generated>,
+    pub(super) ready: Vec<GeneratedSample>,
     pub(super) backoffs: SlotBackoffs,
     bundle_changes: watch::Receiver<Option<Arc<BundleInForce>>>,
     mailbox: mpsc::Receiver<Message>,
     status: Arc<OwnerStatus>,
-    in_doubt: bool,
+    is_log_unresolved: bool,
 }
 
-/// The task of a shard, started unless it runs already; `None`: this process owns too many.
-pub(super) fn own(shared: &Arc<Shared>, log: &str) -> Option<OwnedShard> {
+/// Returns the task of a shard and starts it if necessary. `None` if this process owns too many shards.
+pub(super) fn ensure_owner(shared: &Arc<Shared>, log: &str) -> Option<OwnedShard> {
     let spawn = |registration: Registration, mailbox, status| {
         let task = run(
             shared.clone(),
@@ -131,35 +131,38 @@
     };
     ::log::info!("event=shard_taken_over log={log} node={}", shared.node);
     let mut owner = Owner {
-        bundle_changes: shared.parts.bundles.watch(),
+        bundle_changes: shared.dependencies.bundles.watch(),
         shared,
         key,
         log: shard_log,
-        first_tokens: FirstTokens::default(),
+        first_token_times: FirstTokenTimes::default(),
         waiters: Vec::new(),
-        openings: Vec::new(),
+        pending_opens: Vec::new(),
         attempts: JoinSet::new(),
         in_flight: BTreeMap::new(),
         ready: Vec::new(),
         backoffs: SlotBackoffs::default(),
         mailbox,
         status,
-        in_doubt: false,
+        is_log_unresolved: false,
     };
     let reason = owner.run().await;
     ::log::info!("event=shard_released log={log} reason={reason}");
-    // The writer goes first, so that whoever sees the registration gone may count on the log being let go.
+    // Drops the writer first: once the registration is removed, the log must be released.
     drop(owner);
     drop(registration);
 }
 
-/// Nothing was done for those who asked before the takeover failed.
+/// Refuses all messages that arrived before the takeover failed.
 fn refuse_all(mailbox: &mut mpsc::Receiver<Message>) {
     mailbox.close();
     while let Ok(message) = mailbox.try_recv() {
         match message {
             Message::Open { reply, .. } | Message::Pull { reply, .. } => {
-                let _ = reply.send(replies::refused(Reason::NOT_READY, "not taken over"));
+                let _ = reply.send(replies::refused(
+                    Reason::NOT_READY,
+                    "takeover of the shard failed",
+                ));
             }
             Message::Drain => {}
         }
@@ -167,8 +170,8 @@
 }
 
 async fn take_over(shared: &Shared, log: &str) -> Option<ShardLog> {
-    for failures in 0..TAKE_OVER_TRIES {
-        match ShardLog::take_over(&shared.parts.journal, log).await {
+    for failures in 0..MAX_TAKE_OVER_ATTEMPTS {
+        match ShardLog::take_over(&shared.dependencies.journal, log).await {
             Ok(shard_log) => return Some(shard_log),
             Err(error @ (JournalError::Fenced | JournalError::Retired)) => {
                 ::log::info!("event=takeover_given_up log={log} error=\"{error}\"");
@@ -176,25 +179,30 @@
             }
             Err(error) => ::log::warn!("event=takeover_failed log={log} error=\"{error}\""),
         }
-        tokio::time::sleep(backoff(TAKE_OVER_DELAY, failures, TAKE_OVER_DELAY_MOST)).await;
+        tokio::time::sleep(backoff(
+            FIRST_TAKE_OVER_DELAY,
+            failures,
+            MAX_TAKE_OVER_DELAY,
+        ))
+        .await;
     }
     None
 }
 
 impl Owner {
-    /// Runs until the shard is finished, fenced or let go; the result says which.
+    /// Runs until the shard is finished, fenced or drained, and returns that reason.
     async fn run(&mut self) -> &'static str {
         loop {
             match self.advance().await {
-                Ok(Progress::Open) => self.in_doubt = false,
+                Ok(Progress::Open) => self.is_log_unresolved = false,
                 Ok(Progress::Finished) => return "finished",
                 Err(CommitError::Fenced) => {
-                    self.shared.recent_fences.note(&self.key.log());
+                    self.shared.recent_fences.record(&self.key.log());
                     return "fenced";
                 }
-                Err(CommitError::InDoubt) => {
-                    self.in_doubt = true;
-                    self.refuse_waiters(Reason::NOT_READY, "no quorum of the journal");
+                Err(CommitError::OutcomeUnknown) => {
+                    self.is_log_unresolved = true;
+                    self.refuse_waiters(Reason::NOT_READY, "no quorum of journal replicas");
                 }
                 Err(CommitError::StaleReplicaSet) => {
                     if self.take_over_again().await.is_err() {
@@ -212,28 +220,34 @@
                     }
                     Some(message) => self.receive(message),
                 },
-                Some(ended) = self.attempts.join_next_with_id() => self.attempt_ended(ended),
+                Some(ended) = self.attempts.join_next_with_id() => self.handle_attempt_end(ended),
                 Ok(()) = self.bundle_changes.changed() => {}
                 () = wake => {}
             }
-            self.receive_waiting();
+            self.receive_pending();
         }
     }
 
-    /// Goes on under the replica set in force with all attempts under way; an error if another owner has the log.
+    /// Takes the log over again under the new replica set. Running attempts continue.
+    ///
+    /// # Errors
+    /// If another owner has taken the log over.
     async fn take_over_again(&mut self) -> Result<(), CommitError> {
-        self.in_doubt = true;
+        self.is_log_unresolved = true;
         self.publish();
-        self.refuse_waiters(Reason::NOT_READY, "the journal's replicas are changing");
+        self.refuse_waiters(
+            Reason::NOT_READY,
+            "the replica set of the journal is changing",
+        );
         let log = self.key.log();
         match self
             .log
-            .take_over_again(&self.shared.parts.journal, &log)
+            .take_over_again(&self.shared.dependencies.journal, &log)
             .await
         {
             Ok(()) => {
                 ::log::info!("event=shard_taken_over_again log={log}");
-                self.in_doubt = false;
+                self.is_log_unresolved = false;
                 Ok(())
             }
             Err(JournalError::Fenced | JournalError::Retired) => Err(CommitError::Fenced),
@@ -244,10 +258,10 @@
         }
     }
 
-    /// Everything that can be done now. Each step decides on a settled state and commits before it goes on.
+    /// Does all work that is possible now. Each step decides on a committed state and commits before the next one.
     async fn advance(&mut self) -> Result<Progress, CommitError> {
         self.log.settle().await?;
-        self.commit_openings().await?;
+        self.commit_pending_opens().await?;
         self.commit_generated().await?;
         self.discard_stale().await?;
         self.answer_waiters().await?;
@@ -256,39 +270,39 @@
                 self.log.commit(Vec::new(), true).await?;
             }
             self.answer_waiters().await?;
-            self.refuse_waiters(Reason::NOT_OWNER, "shard is finished");
+            self.refuse_waiters(Reason::NOT_OWNER, "the shard is finished");
             return Ok(Progress::Finished);
         }
-        self.cancel_unwanted();
+        self.cancel_unneeded_attempts();
         self.start_attempts();
         Ok(Progress::Open)
     }
 
     fn receive(&mut self, message: Message) {
         match message {
-            Message::Open { spec, reply } => self.openings.push(Opening { spec, reply }),
+            Message::Open { spec, reply } => self.pending_opens.push(PendingOpen { spec, reply }),
             Message::Pull { pull, wait, reply } => self.receive_pull(pull, wait, reply),
             Message::Drain => self.mailbox.close(),
         }
     }
 
-    /// Takes in what else has arrived, so that one commit can serve all of it.
-    fn receive_waiting(&mut self) {
+    /// Processes all pending events, so that one commit covers them.
+    fn receive_pending(&mut self) {
         while let Ok(message) = self.mailbox.try_recv() {
             self.receive(message);
         }
         while let Some(ended) = self.attempts.try_join_next_with_id() {
-            self.attempt_ended(ended);
+            self.handle_attempt_end(ended);
         }
     }
 
     fn next_wake(&self) -> Duration {
-        if self.in_doubt {
-            return jittered(IN_DOUBT_RETRY);
+        if self.is_log_unresolved {
+            return jittered(APPEND_RETRY_INTERVAL);
         }
-        let mut wake = jittered(IDLE_REVIEW);
-        if self.has_slot_without_attempt() {
-            wake = wake.min(jittered(ENGINE_RETRY));
+        let mut wake = jittered(AGE_CHECK_INTERVAL);
+        if self.has_idle_slot() {
+            wake = wake.min(jittered(ENGINE_RETRY_INTERVAL));
         }
         let now = Instant::now();
         for waiter in &self.waiters {
@@ -298,7 +312,7 @@
     }
 
     fn publish(&self) {
-        self.status.set_accepting(!self.in_doubt);
+        self.status.set_accepting(!self.is_log_unresolved);
         let state = self.log.state();
         self.status.publish(ShardDescription {
             slots: state.spec().map_or(0, |spec| spec.samples.len()),
--- a/crates/daemon/src/shards/placement.rs
+++ b/crates/daemon/src/shards/placement.rs
@@ -1,45 +1,45 @@
-//! Which engine runs a rollout.
+//! Choice of the engine that runs a rollout.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use ladderstage::routing::{Candidate, ChoiceOptions, choose, load};
 
-use super::{EnginePlace, Shared};
+use super::{EngineGuard, Shared};
 
-/// Share of an engine's concurrency that rollouts leave to live work, in percent.
+/// Percentage of an engine's concurrency that is reserved for live requests.
 const LIVE_RESERVE_PERCENT: u32 = 25;
 
-/// Start of the prompt by which requests with a common prefix meet on one engine, in bytes.
+/// Bytes of the prompt that are hashed to send requests with a common prefix to the same engine.
 const PREFIX_BYTES: usize = 256;
 
-/// Priority of rollouts on engines if the bundle names none; smaller goes first.
+/// Priority of rollouts if the bundle names none; lower values run first.
 const DEFAULT_PRIORITY: u32 = 100;
 
-/// How long an attempt avoids an engine whose version was too old.
-const AVOID_STALE: Duration = Duration::from_secs(1);
+/// How long an attempt avoids an engine whose weight version was too old.
+const STALE_ENGINE_AVOIDANCE: Duration = Duration::from_secs(1);
 
-/// Class of work whose priority rollouts take.
+/// Class in the bundle that sets the priority of rollouts.
 const ROLLOUT_CLASS: &str = "rollout";
 
-/// A place at an engine, kept until dropped.
+/// Engine chosen for a rollout; the rollout counts as in flight there until this is dropped.
 pub(super) struct Placement {
     pub(super) engine: Candidate,
-    _place: EnginePlace,
+    _guard: EngineGuard,
 }
 
-/// Engines that lately generated for an attempt with a version too old to deliver, whatever they report.
+/// Engines that recently generated tokens of an attempt with a weight version too old to deliver.
 ///
-/// Without them the same prompt would go to the same engine again by its prefix.
+/// Excluded because the prefix hash would choose the same engine again.
 #[derive(Debug, Default)]
 pub(super) struct StaleEngines {
     until: BTreeMap<String, Instant>,
 }
 
 impl StaleEngines {
-    /// Avoids the engine for a while; it may be about to swap.
-    pub(super) fn note(&mut self, engine: &str) {
-        let until = Instant::now() + AVOID_STALE;
+    /// Excludes the engine for a while; it may be about to swap its weights.
+    pub(super) fn add(&mut self, engine: &str) {
+        let until = Instant::now() + STALE_ENGINE_AVOIDANCE;
         self.until.insert(engine.to_owned(), until);
     }
 
@@ -49,18 +49,20 @@
     }
 }
 
-/// Takes a place for a rollout at an engine of the pool, but for those to `avoid`; `None` while none has room beside
-/// live work.
+/// Chooses an engine of the pool for a rollout, without those in `avoid`. `None` if no engine has capacity that is
+/// not reserved for live requests.
 pub(super) fn place(
     shared: &Shared,
     pool: &str,
     prompt: &str,
     avoid: &StaleEngines,
 ) -> Option<Placement> {
-    let most = rollout_places(shared, pool)?;
-    let mut engines = shared.parts.engines.candidates(pool);
+    let max_in_flight = max_rollouts_in_flight(shared, pool)?;
+    let mut engines = shared.dependencies.engines.candidates(pool);
     engines.retain(|engine| {
-        engine.own_in_flight < most && has_room(engine) && !avoid.contains(&engine.name)
+        engine.own_in_flight < max_in_flight
+            && has_free_slot(engine)
+            && !avoid.contains(&engine.name)
     });
     let prefix = prompt.as_bytes();
     let options = ChoiceOptions {
@@ -69,35 +71,35 @@
     };
     while let Some(index) = choose(&engines, &options, rand::random()) {
         let engine = engines.swap_remove(index);
-        if let Some(place) = shared.parts.engines.try_begin(pool, &engine.name) {
+        if let Some(guard) = shared.dependencies.engines.try_begin(pool, &engine.name) {
             return Some(Placement {
                 engine,
-                _place: place,
+                _guard: guard,
             });
         }
     }
     None
 }
 
-/// Priority of rollouts on engines by the bundle in force.
+/// Returns the priority of rollouts in the bundle in force.
 pub(super) fn rollout_priority(shared: &Shared) -> u32 {
     shared
-        .parts
+        .dependencies
         .bundles
         .current()
         .and_then(|current| Some(current.bundle.class(ROLLOUT_CLASS)?.priority))
         .unwrap_or(DEFAULT_PRIORITY)
 }
 
-fn rollout_places(shared: &Shared, pool: &str) -> Option<u32> {
-    let current = shared.parts.bundles.current()?;
+fn max_rollouts_in_flight(shared: &Shared, pool: &str) -> Option<u32> {
+    let current = shared.dependencies.bundles.current()?;
     let concurrency = current.bundle.pool(pool)?.concurrency;
     let reserve = concurrency.saturating_mul(LIVE_RESERVE_PERCENT) / 100;
     Some((concurrency - reserve).max(1))
 }
 
-/// Rollouts use what is left: they are not sent to wait behind a full engine.
-fn has_room(engine: &Candidate) -> bool {
+/// Returns whether the engine can start a rollout at once; rollouts do not queue at a full engine.
+fn has_free_slot(engine: &Candidate) -> bool {
     let is_unknown = engine.capacity == 0 || engine.report_age == Duration::MAX;
     is_unknown || load(engine) < u64::from(engine.capacity)
 }
--- a/crates/daemon/src/shards/pulling.rs
+++ b/crates/daemon/src/shards/pulling.rs
@@ -1,4 +1,4 @@
-//! A trainer's pull over all shards of its step.
+//! Pulls samples for a trainer from all shards of a step.
 
 use std::time::{Duration, Instant};
 
@@ -13,93 +13,98 @@
 use ladderstage_wire::messages::{PullShard, PullShardReply, Request, Response, Sample};
 
 use super::Shards;
-use super::gathering::{Gathered, ShardAnswer, ShardPull, finish};
+use super::collected_answers::{CollectedAnswers, ShardAnswer, ShardPull, merge};
 use super::step_index::{FinishedPosition, ShardStatus, StepStatus};
 
-/// What a call may take beyond the wait that it asks for.
+/// Time that a call to an owner may take in addition to the requested wait.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How long other shards' answers are waited for once one has samples.
-const GATHER_GRACE: Duration = Duration::from_millis(20);
+/// How long to wait for the other shards after the first one has returned samples.
+const COLLECT_GRACE: Duration = Duration::from_millis(20);
 
-/// A trainer's question.
+/// Pull of a trainer.
 #[derive(Debug, Clone)]
 pub struct StepQuestion {
-    /// Trainer that asks.
+    /// Name of the trainer.
     pub trainer: String,
-    /// Its step.
+    /// Step whose samples are pulled.
     pub step: u64,
-    /// What it took so far.
+    /// Samples that the trainer has acknowledged.
     pub cursor: StepCursor,
-    /// Most samples that it wants.
+    /// Maximum number of samples to return.
     pub max_samples: usize,
-    /// How long it waits for the first sample.
+    /// Maximum wait for the first sample.
     pub wait: Duration,
 }
 
-/// Answer to a trainer.
+/// Response to a pull.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StepPull {
-    /// Fresh samples, each slot of the step once over all answers that the trainer takes.
+    /// Fresh samples. Over all acknowledged responses each slot of the step occurs once.
     pub samples: Vec<Sample>,
-    /// Acknowledges these samples when it comes back.
+    /// Cursor that acknowledges these samples when the trainer sends it in the next pull.
     pub cursor: StepCursor,
-    /// Every sample of the step was taken.
+    /// Whether every sample of the step is acknowledged.
     pub complete: bool,
-    /// Bundle that the samples were checked against.
+    /// Revision of the bundle that the samples were checked against.
     pub bundle_revision: u64,
 }
 
-/// Why a trainer is given no answer. The same question may be asked again, except after [`PullError::Superseded`].
+/// Error of a pull. The same pull may be repeated, except after [`PullError::Superseded`].
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PullError {
-    /// A majority of the journal's replicas knows no such step.
+    /// A majority of the journal replicas does not know the step.
     #[error("unknown step")]
     UnknownStep,
-    /// Another cursor was used instead.
+    /// The trainer has acknowledged a different answer than this cursor's.
     #[error("another cursor of this step was acknowledged instead")]
     Superseded,
-    /// It is not known here whether the bundle in force is the newest.
+    /// This node does not know whether its bundle is the newest.
     #[error("deliveries are held back until the newest bundle is known")]
     HeldBack,
-    /// Owners or the journal cannot be reached.
+    /// Owners of shards or the journal are not reachable.
     #[error("not available: {0}")]
     Unavailable(String),
 }
 
 impl Shards {
-    /// Gathers fresh samples that follow the cursor. An answer of a shard that is left out stays open at its owner and
-    /// is given again for the same cursor.
-    pub async fn pull(&self, question: &StepQuestion) -> Result<StepPull, PullError> {
-        // Before the journal is asked: a daemon that is cut off would only learn by its timeout that it is.
-        if self.shared.parts.bundles.deliverable().is_none() {
+    /// Collects fresh samples after the cursor. The owner of a shard whose answer is left out repeats it for the same
+    /// cursor.
+    pub async fn pull(&self, pull_request: &StepQuestion) -> Result<StepPull, PullError> {
+        // Checked before the journal is queried: a partitioned node would have to wait for the timeout.
+        if self.shared.dependencies.bundles.deliverable().is_none() {
             return Err(PullError::HeldBack);
         }
-        let mut status = self.find_step(question).await?;
-        let mut gathered = Gathered::default();
-        self.ask(question, &status, Duration::ZERO, &mut gathered)
+        let mut status = self.find_step(pull_request).await?;
+        let mut collected = CollectedAnswers::default();
+        self.query_shards(pull_request, &status, Duration::ZERO, &mut collected)
             .await;
-        if !gathered.unreachable.is_empty() {
-            self.shared.steps.forget(&question.trainer, question.step);
+        if !collected.unreachable.is_empty() {
+            self.shared
+                .steps
+                .invalidate(&pull_request.trainer, pull_request.step);
         }
-        if !gathered.has_news() && !gathered.unreachable.is_empty() {
-            // A shard may just have moved or been finished.
-            status = self.find_step(question).await?;
-            gathered.start_over();
-            self.ask(question, &status, Duration::ZERO, &mut gathered)
+        if !collected.has_result() && !collected.unreachable.is_empty() {
+            // A shard may have moved or finished since the step was read.
+            status = self.find_step(pull_request).await?;
+            collected.reset();
+            self.query_shards(pull_request, &status, Duration::ZERO, &mut collected)
                 .await;
         }
-        if !gathered.is_decided(&status) && !question.wait.is_zero() {
-            gathered.start_over();
+        if !collected.is_final(&status) && !pull_request.wait.is_zero() {
+            collected.reset();
             let waiting_since = Instant::now();
-            self.ask(question, &status, question.wait, &mut gathered)
+            self.query_shards(pull_request, &status, pull_request.wait, &mut collected)
                 .await;
-            self.shared.metrics.note_idle(waiting_since.elapsed());
+            self.shared.metrics.record_idle(waiting_since.elapsed());
         }
-        finish(&self.shared, question, &status, gathered)
+        merge(&self.shared, pull_request, &status, collected)
     }
 
-    /// What the journal knows of a step.
+    /// Reads the status of a step from the journal.
+    ///
+    /// # Errors
+    /// [`PullError::UnknownStep`] or [`PullError::Unavailable`].
     pub async fn step_status(&self, trainer: &str, step: u64) -> Result<StepStatus, PullError> {
         match self.shared.steps.find(trainer, step).await {
             Ok(Some(status)) if status.shard_count > 0 => Ok((*status).clone()),
@@ -108,72 +113,74 @@
         }
     }
 
-    async fn find_step(&self, question: &StepQuestion) -> Result<StepStatus, PullError> {
-        self.step_status(&question.trainer, question.step).await
+    async fn find_step(&self, pull_request: &StepQuestion) -> Result<StepStatus, PullError> {
+        self.step_status(&pull_request.trainer, pull_request.step)
+            .await
     }
 
-    /// Asks all shards side by side and returns soon after one has samples. Shards that have not answered by then keep
-    /// their place.
-    async fn ask(
+    /// Queries all shards concurrently and returns [`COLLECT_GRACE`] after the first one with samples.
+    ///
+    /// Shards that have not answered keep their position in the cursor.
+    async fn query_shards(
         &self,
-        question: &StepQuestion,
+        pull_request: &StepQuestion,
         status: &StepStatus,
         wait: Duration,
-        gathered: &mut Gathered,
+        collected: &mut CollectedAnswers,
     ) {
-        let mut asked = FuturesUnordered::new();
+        let mut queries = FuturesUnordered::new();
         for shard in &status.shards {
-            if !gathered.complete.contains(&shard.shard) {
-                asked.push(self.ask_shard(question, shard, wait));
+            if !collected.complete.contains(&shard.shard) {
+                queries.push(self.query_shard(pull_request, shard, wait));
             }
         }
         let mut grace = None;
-        while !asked.is_empty() {
-            let taken = tokio::select! {
-                Some(taken) = asked.next() => taken,
+        while !queries.is_empty() {
+            let shard_answer = tokio::select! {
+                Some(shard_answer) = queries.next() => shard_answer,
                 () = sleep_until(grace), if grace.is_some() => return,
                 () = self.shared.drain_started(), if !wait.is_zero() => return,
             };
-            gathered.add(taken);
-            if gathered.has_news() && grace.is_none() {
-                grace = Some(Instant::now() + GATHER_GRACE);
+            collected.add(shard_answer);
+            if collected.has_result() && grace.is_none() {
+                grace = Some(Instant::now() + COLLECT_GRACE);
             }
         }
     }
 
-    async fn ask_shard(
+    async fn query_shard(
         &self,
-        question: &StepQuestion,
+        pull_request: &StepQuestion,
         shard: &ShardStatus,
         wait: Duration,
     ) -> ShardAnswer {
-        let asked_at = Instant::now();
+        let sent_at = Instant::now();
         let key = ShardKey {
-            trainer: question.trainer.clone(),
-            step: question.step,
+            trainer: pull_request.trainer.clone(),
+            step: pull_request.step,
             shard: shard.shard,
         };
-        let after_answer = question.cursor.position(shard.shard);
+        let after_answer = pull_request.cursor.position(shard.shard);
         let pull = match shard.finished {
-            true => self.ask_journal(&key.log(), after_answer).await,
+            true => self.query_journal(&key.log(), after_answer).await,
             false => {
                 let request = PullShard {
                     log: key.log(),
                     after_answer,
-                    max_samples: question.max_samples as u32,
+                    max_samples: pull_request.max_samples as u32,
                     wait_ms: wait.as_millis() as u64,
                 };
-                self.ask_owner(&shard.owner, request).await
+                self.query_owner(&shard.owner, request).await
             }
         };
         ShardAnswer {
             shard: shard.shard,
-            asked_at,
+            sent_at,
             pull,
         }
     }
 
-    async fn ask_journal(&self, log: &str, after_answer: u64) -> ShardPull {
+    async fn query_journal(&self, log: &str, after_answer: u64) -> ShardPull {
         match self.shared.steps.finished_position(log, after_answer).await {
             Ok(FinishedPosition::Complete) => ShardPull::Answered(PullShardReply {
                 outcome: Outcome::ANSWERED,
@@ -186,7 +193,7 @@
         }
     }
 
-    async fn ask_owner(&self, owner: &str, request: PullShard) -> ShardPull {
+    async fn query_owner(&self, owner: &str, request: PullShard) -> ShardPull {
         if owner == self.shared.node {
             return classify(Ok(self.handle_pull_shard(request).await));
         }
@@ -194,7 +201,13 @@
         let request = Request {
             kind: RequestKind::pull_shard(request),
         };
-        classify(self.shared.parts.peers.call(owner, request, timeout).await)
+        classify(
+            self.shared
+                .dependencies
+                .peers
+                .call(owner, request, timeout)
+                .await,
+        )
     }
 }
 
--- a/crates/daemon/src/shards/registry.rs
+++ b/crates/daemon/src/shards/registry.rs
@@ -1,4 +1,4 @@
-//! The shards owned by this process.
+//! Registry of the shards owned by this process.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -9,27 +9,27 @@
 
 use super::owner::Message;
 
-/// Most shards that one process owns.
+/// Maximum number of shards that one process owns.
 const MAX_OWNED_SHARDS: usize = 4_096;
 
-/// An owned shard, for operators.
+/// Status of an owned shard, for operators.
 #[derive(Debug, Clone, PartialEq, Eq, Default, serde::Serialize)]
 pub struct ShardDescription {
     /// Name of its log.
     pub log: String,
-    /// Whether the log was taken over and its last append is settled.
+    /// Whether the log is taken over and no append has an unknown outcome.
     pub accepting: bool,
-    /// Slots of the shard.
+    /// Number of slots of the shard.
     pub slots: usize,
-    /// Slots whose samples the trainer acknowledged.
+    /// Number of slots whose samples the trainer has acknowledged.
     pub settled: usize,
-    /// Slots whose samples are committed and wait for the trainer.
+    /// Number of slots whose samples are committed and not yet acknowledged.
     pub committed: usize,
-    /// Attempts under way.
+    /// Number of running attempts.
     pub in_flight: usize,
 }
 
-/// What others see of an owner's task.
+/// Status that the owner's task publishes.
 #[derive(Debug, Default)]
 pub(super) struct OwnerStatus {
     accepting: AtomicBool,
@@ -46,7 +46,7 @@
     }
 }
 
-/// A way to reach the task of an owned shard.
+/// Handle to the task of an owned shard.
 #[derive(Debug, Clone)]
 pub(super) struct OwnedShard {
     id: u64,
@@ -69,17 +69,17 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    shards: Mutex<Owned>,
+    shards: Mutex<OwnedShards>,
     removed: Notify,
 }
 
 #[derive(Debug, Default)]
-struct Owned {
+struct OwnedShards {
     by_log: BTreeMap<String, OwnedShard>,
     last_id: u64,
 }
 
-/// Takes its shard out of the registry when the task ends, however that happens.
+/// Guard that removes a shard from the registry when its task ends or is aborted.
 #[derive(Debug)]
 pub(super) struct Registration {
     registry: Registry,
@@ -92,7 +92,7 @@
         lock(&self.inner.shards).by_log.get(log).cloned()
     }
 
-    /// The shard's entry; if there is none, `spawn` starts its task. `None`: too many are owned.
+    /// Returns the shard's handle; if there is none, `spawn` starts its task. `None` if the registry is full.
     pub(super) fn find_or_start(
         &self,
         log: &str,
@@ -152,8 +152,8 @@
         owned.by_log.iter().map(describe).collect()
     }
 
-    /// Returns once nothing is owned.
-    pub(super) async fn emptied(&self) {
+    /// Waits until no shard is owned.
+    pub(super) async fn wait_until_empty(&self) {
         loop {
             let removed = self.inner.removed.notified();
             if lock(&self.inner.shards).by_log.is_empty() {
@@ -179,7 +179,7 @@
     }
 }
 
-/// The guarded values are replaced whole, so a panic elsewhere leaves them valid.
+/// Locks the mutex, ignoring poison: every update is a single step, so the value stays valid after a panic.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/daemon/src/shards/replies.rs
+++ b/crates/daemon/src/shards/replies.rs
@@ -1,4 +1,4 @@
-//! Responses to other daemons.
+//! Constructors of responses to other daemons.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use ladderstage_wire::messages::mod_Response::OneOfkind as Kind;
 use ladderstage_wire::messages::{Done, OpenShardReply, PullShardReply, Refused, Response};
 
-/// When to ask again after a refusal or a delivery that is held back.
+/// Delay before the caller retries after a refusal or a held-back delivery.
 pub(super) const RETRY_AFTER: Duration = Duration::from_millis(500);
 
 pub(super) fn refused(reason: Reason, detail: &str) -> Response {
--- a/crates/daemon/src/shards/step_index.rs
+++ b/crates/daemon/src/shards/step_index.rs
@@ -1,4 +1,4 @@
-//! Where the shards of a step are, as the journal knows it; cached for a short time.
+//! Short-lived cache of the journal's descriptions of steps and their shards.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,63 +11,63 @@
 use super::log::fold;
 use crate::journal::{Journal, JournalError};
 
-/// How long a description is used before the journal is asked again.
-const FRESHNESS: Duration = Duration::from_secs(2);
+/// How long a description is used before the journal is read again.
+const CACHE_LIFETIME: Duration = Duration::from_secs(2);
 
-/// Steps that are kept; beyond it, all are forgotten.
+/// Maximum number of cached steps; the cache is cleared when it is full.
 const MAX_STEPS: usize = 1_024;
 
-/// Finished shards whose ends are kept; beyond it, all are forgotten.
+/// Maximum number of cached ends of finished shards; the cache is cleared when it is full.
 const MAX_FINISHED: usize = 4_096;
 
-/// What the journal knows of one shard.
+/// Status of a shard according to the journal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct ShardStatus {
-    /// Index within the step.
+    /// Index of the shard within its step.
     pub shard: u32,
-    /// Node of its last known owner.
+    /// Node of the last known owner.
     pub owner: String,
-    /// Entries of its log.
+    /// Number of entries in its log.
     pub entries: u64,
-    /// Whether all of its samples are acknowledged.
+    /// Whether all samples of the shard are acknowledged.
     pub finished: bool,
 }
 
-/// What the journal knows of a step.
+/// Status of a step according to the journal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct StepStatus {
-    /// Pool that generates its samples; empty while the first shard is not open.
+    /// Pool that generates the samples; empty while the first shard is not open.
     pub pool: String,
-    /// Shards that the step has; 0 while the first one is not open.
+    /// Number of shards of the step; 0 while the first shard is not open.
     pub shard_count: u32,
-    /// Shards that are known.
+    /// Shards that the journal knows.
     pub shards: Vec<ShardStatus>,
 }
 
 impl StepStatus {
-    /// Whether every shard of the step is known.
+    /// Returns whether the journal knows every shard of the step.
     pub fn is_whole(&self) -> bool {
         self.shard_count > 0 && self.shards.len() == self.shard_count as usize
     }
 }
 
-/// Finds the shards of steps. Holds no lock while the journal is asked.
+/// Cache of step descriptions. No lock is held while the journal is read.
 #[derive(Debug)]
 pub(super) struct StepIndex {
     journal: Journal,
     steps: Mutex<HashMap<(String, u64), Cached>>,
-    /// Last acknowledged answers of finished shards.
+    /// Last acknowledged answer of each finished shard.
     finished: Mutex<HashMap<String, u64>>,
 }
 
-/// What a cursor's position means for a finished shard.
+/// Meaning of a cursor's position in a finished shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum FinishedPosition {
-    /// The trainer took everything.
+    /// The trainer has acknowledged all samples.
     Complete,
-    /// Another answer was acknowledged instead.
+    /// The trainer has acknowledged a different answer.
     Superseded,
-    /// The log does not show the shard finished (any more).
+    /// The log does not show that the shard is finished.
     Unknown,
 }
 
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The step; `None`: a majority of the replicas answered and knows none of its shards.
+    /// Returns the step; `None` if a majority of the replicas answered and knows none of its shards.
     pub(super) async fn find(
         &self,
         trainer: &str,
@@ -95,7 +95,7 @@
         let key = (trainer.to_owned(), step);
         let cached = lock(&self.steps).get(&key).cloned();
         if let Some(cached) = cached
-            && cached.read_at.elapsed() < FRESHNESS
+            && cached.read_at.elapsed() < CACHE_LIFETIME
         {
             return Ok(Some(cached.status));
         }
@@ -119,12 +119,12 @@
         Ok(Some(status))
     }
 
-    /// An owner was not where the index said: ask the journal next time.
-    pub(super) fn forget(&self, trainer: &str, step: u64) {
+    /// Removes a step after an owner was not found at the cached node.
+    pub(super) fn invalidate(&self, trainer: &str, step: u64) {
         lock(&self.steps).remove(&(trainer.to_owned(), step));
     }
 
-    /// Compares a position with the end of a finished shard.
+    /// Compares a cursor's position with the end of a finished shard.
     pub(super) async fn finished_position(
         &self,
         log: &str,
@@ -190,17 +190,17 @@
     }
 }
 
-/// How a log described as closed ends.
+/// End of a log that is described as closed.
 enum LogEnd {
-    /// All slots are settled, this answer last.
+    /// All samples are acknowledged, the last ones with this answer.
     Answer(u64),
-    /// Only the first entry is kept: the shard was finished long ago.
+    /// The log is retired: the shard finished long ago and only the first entry is kept.
     Retired,
     /// Not finished.
     Open,
 }
 
-/// The maps are changed in single steps, so a panic elsewhere leaves them valid.
+/// Locks the mutex, ignoring poison: every update is a single step, so the map stays valid after a panic.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/daemon/src/shards/submission.rs
+++ b/crates/daemon/src/shards/submission.rs
@@ -1,4 +1,4 @@
-//! Opening the shards of a step.
+//! Opens the shards of a submitted step.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,50 +17,53 @@
 use tokio::sync::oneshot;
 
 use super::log::fold;
-use super::owner::{Message, own};
+use super::owner::{Message, ensure_owner};
 use super::{OPEN_TIMEOUT, Shards, Shared, replies};
 use crate::journal::LogSnapshot;
 
-/// Members that the opening of one shard is tried at, beside the one that owns it already.
+/// Members tried for opening a shard, besides its present owner.
 const OPEN_CANDIDATES: usize = 2;
 
-/// Shards of one step that are opened side by side.
+/// Shards of one step that are opened concurrently.
 const OPEN_CONCURRENCY: usize = 8;
 
-/// What a call may take beyond the opening itself.
+/// Extra time for the call to another node, on top of [`OPEN_TIMEOUT`].
 const CALL_MARGIN: Duration = Duration::from_secs(1);
 
-/// A step whose shards are all open.
+/// Submitted step whose shards are all open.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Submitted {
-    /// Shards of the step.
+    /// Number of shards of the step.
     pub shard_count: u32,
-    /// Whether the whole step had been submitted before.
+    /// Whether all shards were already open.
     pub was_open: bool,
 }
 
-/// Why a step is not known to be open.
+/// Error of a submission.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SubmitError {
-    /// Another body was submitted under this step.
+    /// A different body was submitted under this step.
     #[error("another body was submitted under this step")]
     Conflict,
-    /// Nothing of the step was opened.
+    /// No shard of the step was opened.
     #[error("not run: {0}")]
     NotRun(String),
-    /// Some shards are open or may be; submitting the same body again settles it.
+    /// Some shards may be open; submitting the same body again resolves this.
     #[error("unknown: {0}")]
     Unknown(String),
 }
 
 impl Shards {
-    /// Opens all shards of a step; `whole` carries all of its samples. `Ok` only once each opening is committed.
-    pub async fn submit(&self, whole: &ShardSpec) -> Result<Submitted, SubmitError> {
+    /// Opens all shards of a step; `step_spec` holds all of its samples.
+    ///
+    /// # Errors
+    /// Unless the opening of every shard is committed.
+    pub async fn submit(&self, step_spec: &ShardSpec) -> Result<Submitted, SubmitError> {
         if self.shared.is_draining() {
             return Err(SubmitError::NotRun("draining".to_owned()));
         }
-        let prefix = ShardKey::step_prefix(&whole.trainer, whole.step);
-        let known = self.shared.parts.journal.describe(&prefix).await;
+        let prefix = ShardKey::step_prefix(&step_spec.trainer, step_spec.step);
+        let known = self.shared.dependencies.journal.describe(&prefix).await;
         let known = known.map_err(|error| SubmitError::NotRun(error.to_string()))?;
         let owners = known
             .into_iter()
@@ -70,23 +73,23 @@
             shards: self,
             owners,
         };
-        submission.run(split_step(whole)).await
+        submission.run(split_step(step_spec)).await
     }
 }
 
 struct Submission<'a> {
     shards: &'a Shards,
-    /// Last known owners by log.
+    /// Last known owner of each log.
     owners: BTreeMap<String, String>,
 }
 
 impl Submission<'_> {
-    /// The first shard decides between different bodies under one step; the others follow it.
+    /// Opens the first shard before the others: it decides between different bodies under one step.
     async fn run(&self, specs: Vec<ShardSpec>) -> Result<Submitted, SubmitError> {
         let shard_count = specs.len() as u32;
         let mut specs = specs.into_iter();
         let Some(first) = specs.next() else {
-            return Err(SubmitError::NotRun("step without samples".to_owned()));
+            return Err(SubmitError::NotRun("the step has no samples".to_owned()));
         };
         let mut was_open = self.open(first).await? == Outcome::ALREADY_OPEN;
         let mut openings = futures_util::stream::iter(specs)
@@ -95,7 +98,7 @@
         while let Some(opened) = openings.next().await {
             match opened {
                 Ok(outcome) => was_open &= outcome == Outcome::ALREADY_OPEN,
-                // The first shard is open, so the step has begun.
+                // The first shard is open, so the step is partly open.
                 Err(SubmitError::NotRun(detail)) => return Err(SubmitError::Unknown(detail)),
                 Err(error) => return Err(error),
             }
@@ -133,9 +136,9 @@
         }
     }
 
-    /// The present owner, then the members that rendezvous hashing names.
+    /// Returns the nodes to try: the present owner, then the first by rendezvous hashing.
     fn candidates(&self, log: &str) -> Vec<String> {
-        let members = self.shards.shared.parts.peers.alive();
+        let members = self.shards.shared.dependencies.peers.alive();
         let ranked = rendezvous(
             log.as_bytes(),
             members.iter().map(|member| member.node.as_str()),
@@ -164,7 +167,7 @@
             kind: RequestKind::open_shard(open),
         };
         let timeout = OPEN_TIMEOUT + CALL_MARGIN;
-        outcome(shared.parts.peers.call(node, request, timeout).await)
+        outcome(shared.dependencies.peers.call(node, request, timeout).await)
     }
 }
 
@@ -178,7 +181,9 @@
         Ok(Response {
             kind: ResponseKind::open_shard(reply),
         }) => match reply.outcome {
-            Outcome::UNSPECIFIED => Err(OpenFailure::Unknown("unknown outcome".to_owned())),
+            Outcome::UNSPECIFIED => Err(OpenFailure::Unknown(
+                "the reply has an unknown outcome".to_owned(),
+            )),
             known => Ok(known),
         },
         Ok(Response {
@@ -191,7 +196,7 @@
     }
 }
 
-/// A refusal means that nothing was done, except the one for an opening in doubt.
+/// Converts a refusal. `INTERNAL` leaves the outcome unknown; after all others the shard is not open.
 fn refusal(refused: Refused) -> OpenFailure {
     match refused.reason {
         Reason::INTERNAL => OpenFailure::Unknown(refused.detail),
@@ -199,10 +204,10 @@
     }
 }
 
-/// Opens a shard in this process.
+/// Opens a shard on this node.
 pub(super) async fn open_here(shared: &Arc<Shared>, log: &str, spec: ShardSpec) -> Response {
     if shared.registry.find(log).is_none() {
-        match shared.parts.journal.read_snapshot(log).await {
+        match shared.dependencies.journal.read_snapshot(log).await {
             Ok(Some(snapshot)) => {
                 if let Some(outcome) = compare_with_log(log, &snapshot, &spec.step_digest) {
                     return replies::opened(outcome);
@@ -212,8 +217,8 @@
             Err(error) => return replies::refused(Reason::NOT_READY, &error.to_string()),
         }
     }
-    let Some(owned) = own(shared, log) else {
-        return replies::refused(Reason::OVERLOADED, "owns too many shards");
+    let Some(owned) = ensure_owner(shared, log) else {
+        return replies::refused(Reason::OVERLOADED, "this node owns too many shards");
     };
     let (reply, response) = oneshot::channel();
     let message = Message::Open {
@@ -221,17 +226,22 @@
         reply,
     };
     if owned.mailbox.try_send(message).is_err() {
-        return replies::refused(Reason::OVERLOADED, "too many questions wait");
+        return replies::refused(Reason::OVERLOADED, "too many requests wait for the shard");
     }
     match tokio::time::timeout(OPEN_TIMEOUT, response).await {
         Ok(Ok(response)) => response,
-        Ok(Err(_)) => replies::refused(Reason::INTERNAL, "ownership ended while opening"),
-        Err(_) => replies::refused(Reason::INTERNAL, "opening not committed in time"),
+        Ok(Err(_)) => replies::refused(
+            Reason::INTERNAL,
+            "ownership ended while the shard was opened",
+        ),
+        Err(_) => replies::refused(Reason::INTERNAL, "the opening was not committed in time"),
     }
 }
 
-/// Compares with an open log without taking it over. The first entry is certainly committed only if another one
-/// follows it, as an owner appends nothing else before, or the log is retired; `None`: ownership has to settle it.
+/// Compares the step with an open log without taking the log over; `None` if that needs ownership.
+///
+/// The first entry is certainly committed only if another entry follows or the log is retired, because an owner
+/// appends nothing else before that commit.
 fn compare_with_log(log: &str, snapshot: &LogSnapshot, digest: &[u8]) -> Option<Outcome> {
     if snapshot.entries.len() < 2 && !snapshot.retired {
         return None;
--- a/crates/daemon/src/watchers.rs
+++ b/crates/daemon/src/watchers.rs
@@ -1,23 +1,23 @@
-//! Which nodes look closely at the small services of the platform.
+//! Choice of the nodes that poll a platform service at its full rate.
 //!
-//! A few nodes by rendezvous hash read at every interval; the others read much rarer and hear of changes from them.
-//! So the load of a service does not grow with the number of nodes. A wrong choice costs time, never safety.
+//! A few watchers, chosen by rendezvous hash, poll at every interval; the other nodes poll less often and receive changes
+//! from them, so that the load of the service does not grow with the number of nodes.
 
 use ladderstage::routing::rendezvous;
 
-/// Nodes that read at every interval.
+/// Number of nodes that poll at every interval.
 const WATCHERS: usize = 6;
 
-/// How many times rarer the other nodes read.
-const BYSTANDER_FACTOR: u32 = 16;
+/// Factor of the poll interval of all other nodes.
+const NON_WATCHER_FACTOR: u32 = 16;
 
-/// By how much the node `own` stretches its interval of reading what `key` names. `members` includes it.
-pub(crate) fn poll_factor<'a>(
+/// Returns the factor of the poll interval of node `own` for the service named by `key`. `members` includes `own`.
+pub(crate) fn poll_interval_factor<'a>(
     key: &[u8],
     own: &str,
     members: impl IntoIterator<Item = &'a str>,
 ) -> u32 {
     let ranked = rendezvous(key, members);
     let is_watcher = ranked.iter().take(WATCHERS).any(|name| *name == own);
-    if is_watcher { 1 } else { BYSTANDER_FACTOR }
+    if is_watcher { 1 } else { NON_WATCHER_FACTOR }
 }
--- a/crates/daemon/tests/bundles.rs
+++ b/crates/daemon/tests/bundles.rs
@@ -119,7 +119,7 @@
 async fn an_unknown_outcome_is_said_and_can_be_asked_for() {
     let server = KeyValueServer::start().await;
     let mut cluster = Cluster::new(&server.url);
-    cluster.impatient = "n5";
+    cluster.short_deadline_node = "n5";
     let nodes = cluster.start_nodes(&NODES).await;
     accept(&nodes[0], 1).await;
     wait_for_revision(&nodes, 1).await;
@@ -152,7 +152,7 @@
 async fn replicas_that_know_a_newer_replica_set_do_not_count_for_an_older_one() {
     let server = KeyValueServer::start().await;
     let mut cluster = Cluster::new(&server.url);
-    cluster.impatient = "n1";
+    cluster.short_deadline_node = "n1";
     let nodes = cluster.start_nodes(&["n1", "n2", "n3"]).await;
     for node in ["n2", "n3"] {
         cluster.network.learn_replica_set(node, 2);
@@ -173,7 +173,7 @@
 async fn nothing_is_accepted_before_a_quorum_of_replicas_holds_it() {
     let server = KeyValueServer::start().await;
     let mut cluster = Cluster::new(&server.url);
-    cluster.impatient = "n4";
+    cluster.short_deadline_node = "n4";
     let nodes = cluster.start_nodes(&["n1", "n4"]).await;
     let outcome = roll(&nodes[1], 1, "plain").await;
     assert!(
@@ -211,12 +211,12 @@
     );
     nodes[4].learned_revision("n1", 1);
     assert!(!nodes[4].may_deliver());
-    let asked_at = Instant::now();
-    nodes[4].heartbeat_round(asked_at, &[held.clone(), held.clone()], true);
-    nodes[3].learned_evidence("n1", &held, asked_at);
+    let sent_at = Instant::now();
+    nodes[4].heartbeat_round(sent_at, &[held.clone(), held.clone()], true);
+    nodes[3].learned_evidence("n1", &held, sent_at);
     for node in &nodes[3..] {
         let age = node.evidence_age().unwrap();
-        assert!(age <= asked_at.elapsed());
+        assert!(age <= sent_at.elapsed());
     }
 }
 
@@ -224,7 +224,7 @@
 async fn a_node_that_missed_a_bundle_holds_back_and_fetches_it() {
     let (server, cluster, mut nodes) = start().await;
     accept(&nodes[0], 1).await;
-    cluster.network.cut_off("n5");
+    cluster.network.disconnect("n5");
     nodes.pop();
     cluster.stop("n5");
     accept(&nodes[0], 2).await;
@@ -245,18 +245,18 @@
 /// Each look takes a few milliseconds, far less than the pause after a fruitless fetch.
 #[tokio::test]
 async fn a_bundle_that_nobody_hands_over_is_not_asked_for_without_pause() {
-    const LOOKS: usize = 40;
+    const ROUNDS: usize = 40;
     let (_server, cluster, nodes) = start().await;
     accept(&nodes[0], 1).await;
     wait_for_revision(&nodes, 1).await;
     let before = cluster.network.fetches();
-    for _ in 0..LOOKS {
+    for _ in 0..ROUNDS {
         nodes[0].learned_revision("n2", 9);
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     let fetches = cluster.network.fetches() - before;
     assert!(fetches > 0, "the newer bundle is asked for");
-    assert!(fetches < LOOKS / 2, "{fetches} fetches in {LOOKS} looks");
+    assert!(fetches < ROUNDS / 2, "{fetches} fetches in {ROUNDS} looks");
 }
 
 #[tokio::test]
@@ -329,7 +329,7 @@
     let (server, cluster, nodes) = start().await;
     accept(&nodes[0], 1).await;
     server.let_ranges_lag();
-    cluster.network.cut_off("n5");
+    cluster.network.disconnect("n5");
     accept(&nodes[0], 2).await;
     // Cut off from its peers, it has the service alone to learn from.
     wait_until("evidence", || nodes[4].may_deliver()).await;
--- a/crates/daemon/tests/journal/network.rs
+++ b/crates/daemon/tests/journal/network.rs
@@ -23,14 +23,14 @@
 use tokio::sync::watch;
 
 /// How long a test waits for a condition before it fails.
-const PATIENCE: Duration = Duration::from_secs(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Revision of the bundle that the first replicas hold.
 const BUNDLE: u64 = 3;
 
 /// What the hooks of one node were told.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct HookCalls {
     pub orphaned: BTreeSet<String>,
     pub fenced: BTreeSet<String>,
     pub evidence_with_majority: usize,
@@ -38,7 +38,7 @@
 
 #[derive(Default)]
 struct RecordingHooks {
-    seen: Arc<Mutex<Seen>>,
+    seen: Arc<Mutex<HookCalls>>,
 }
 
 impl JournalHooks for RecordingHooks {
@@ -75,13 +75,13 @@
     pub replica_sets: ReplicaSets,
     pub storage: Option<Storage>,
     _task: Option<ReplicaSetTask>,
-    seen: Arc<Mutex<Seen>>,
+    seen: Arc<Mutex<HookCalls>>,
 }
 
 /// All nodes and the state of the network between them.
 pub struct Network {
     nodes: Mutex<BTreeMap<String, Arc<Node>>>,
-    cut: Mutex<BTreeSet<String>>,
+    disconnected: Mutex<BTreeSet<String>>,
     write_losing: Mutex<BTreeSet<String>>,
     frozen: watch::Sender<BTreeSet<String>>,
     folders: TempDir,
@@ -95,7 +95,7 @@
     pub fn empty(key_value_url: Option<String>) -> Arc<Self> {
         Arc::new(Self {
             nodes: Mutex::default(),
-            cut: Mutex::default(),
+            disconnected: Mutex::default(),
             write_losing: Mutex::default(),
             frozen: watch::Sender::default(),
             folders: tempfile::tempdir().unwrap(),
@@ -250,7 +250,7 @@
         }
     }
 
-    pub fn with_seen<T>(&self, name: &str, look: impl FnOnce(&Seen) -> T) -> T {
+    pub fn with_hook_calls<T>(&self, name: &str, look: impl FnOnce(&HookCalls) -> T) -> T {
         look(&self.node(name).seen.lock().unwrap())
     }
 
@@ -260,8 +260,8 @@
     }
 
     /// Calls to these nodes fail at once.
-    pub fn cut(&self, names: &[&str]) {
-        *self.cut.lock().unwrap() = names.iter().map(|name| (*name).to_owned()).collect();
+    pub fn set_disconnected(&self, names: &[&str]) {
+        *self.disconnected.lock().unwrap() = names.iter().map(|name| (*name).to_owned()).collect();
     }
 
     /// Installs and appends to these nodes are lost.
@@ -276,8 +276,8 @@
     }
 
     async fn deliver(&self, to: &str, request: Request) -> Result<Response, CallError> {
-        if self.cut.lock().unwrap().contains(to) {
-            return Err(CallError::NotSent("cut".to_owned()));
+        if self.disconnected.lock().unwrap().contains(to) {
+            return Err(CallError::NotSent("disconnected".to_owned()));
         }
         let is_write = matches!(
             request.kind,
@@ -321,9 +321,9 @@
         let Some(network) = self.network.upgrade() else {
             return Vec::new();
         };
-        let cut = network.cut.lock().unwrap().clone();
+        let disconnected = network.disconnected.lock().unwrap().clone();
         let nodes = network.nodes.lock().unwrap();
-        let is_seen = |name: &String| *name == self.own || !cut.contains(name);
+        let is_seen = |name: &String| *name == self.own || !disconnected.contains(name);
         let seen = nodes.iter().filter(|(name, _)| is_seen(name));
         let members = seen.map(|(name, node)| Member {
             node: name.clone(),
@@ -383,7 +383,7 @@
 pub async fn until(what: &str, condition: impl AsyncFn() -> bool) {
     let started = Instant::now();
     while !condition().await {
-        assert!(started.elapsed() < PATIENCE, "still not true: {what}");
+        assert!(started.elapsed() < WAIT_TIMEOUT, "still not true: {what}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/crates/daemon/tests/journal/owners.rs
+++ b/crates/daemon/tests/journal/owners.rs
@@ -24,14 +24,19 @@
     drop(writer);
     drop(closed);
     let names = ["n0", "n1", "n2", "n3", "n4"];
-    let told = || -> Vec<&str> {
-        let is_told = |name: &&str| network.with_seen(name, |seen| seen.orphaned.contains(LOG));
-        names.into_iter().filter(is_told).collect()
+    let notified = || -> Vec<&str> {
+        let is_notified =
+            |name: &&str| network.with_hook_calls(name, |seen| seen.orphaned.contains(LOG));
+        names.into_iter().filter(is_notified).collect()
     };
-    until("somebody is told", async || !told().is_empty()).await;
-    assert_eq!(told().len(), 1, "the same member is named by every replica");
+    until("somebody is told", async || !notified().is_empty()).await;
+    assert_eq!(
+        notified().len(),
+        1,
+        "the same member is named by every replica"
+    );
     for name in names {
-        network.with_seen(name, |seen| {
+        network.with_hook_calls(name, |seen| {
             assert!(!seen.orphaned.contains("shard/trainer/1/1"), "a tended log");
             assert!(!seen.orphaned.contains("shard/trainer/1/2"), "a closed log");
         });
@@ -44,24 +49,24 @@
     let (_paused, _) = network.journal("n0").take_over(LOG).await.unwrap();
     let (_successor, _) = network.journal("n1").take_over(LOG).await.unwrap();
     until("the fenced node is told", async || {
-        network.with_seen("n0", |seen| seen.fenced.contains(LOG))
+        network.with_hook_calls("n0", |seen| seen.fenced.contains(LOG))
     })
     .await;
-    assert!(network.with_seen("n1", |seen| seen.fenced.is_empty()));
+    assert!(network.with_hook_calls("n1", |seen| seen.fenced.is_empty()));
 }
 
 #[tokio::test]
 async fn heartbeats_bring_evidence_of_a_majority_without_any_log() {
     let network = Network::start(4, 3).await;
-    network.cut(&["n0"]);
+    network.set_disconnected(&["n0"]);
     network.store_bundle(&["n0", "n1", "n2"]).await;
     until("evidence of the two replicas left", async || {
-        network.with_seen("n3", |seen| seen.evidence_with_majority == 2)
+        network.with_hook_calls("n3", |seen| seen.evidence_with_majority == 2)
     })
     .await;
-    network.cut(&[]);
+    network.set_disconnected(&[]);
     until("evidence of all replicas", async || {
-        network.with_seen("n3", |seen| seen.evidence_with_majority == 3)
+        network.with_hook_calls("n3", |seen| seen.evidence_with_majority == 3)
     })
     .await;
 }
--- a/crates/daemon/tests/journal/writers.rs
+++ b/crates/daemon/tests/journal/writers.rs
@@ -15,7 +15,7 @@
         .append(vec![entry("a"), entry("b")], false)
         .await
         .unwrap();
-    network.cut(&["n0"]);
+    network.set_disconnected(&["n0"]);
     writer.append(vec![entry("c")], true).await.unwrap();
     let all = vec![entry("a"), entry("b"), entry("c")];
     for node in ["n1", "n2", "n3"] {
@@ -94,12 +94,12 @@
 async fn an_append_without_a_majority_is_retried_in_place() {
     let network = Network::start(3, 3).await;
     let (mut writer, _) = network.journal("n0").take_over(LOG).await.unwrap();
-    network.cut(&["n1", "n2"]);
+    network.set_disconnected(&["n1", "n2"]);
     let lost = writer.append(vec![entry("a")], false).await;
     assert!(matches!(lost, Err(JournalError::NoQuorum(_))), "{lost:?}");
     let other = writer.append(vec![entry("b")], false).await;
     assert_eq!(other, Err(JournalError::Unresolved));
-    network.cut(&[]);
+    network.set_disconnected(&[]);
     writer.append(vec![entry("a")], false).await.unwrap();
     writer.append(vec![entry("b")], false).await.unwrap();
     let read = network.journal("n1").read(LOG).await.unwrap();
@@ -142,7 +142,7 @@
         .await
         .unwrap();
     writer.append(vec![entry("b")], false).await.unwrap();
-    network.cut(&["n1"]);
+    network.set_disconnected(&["n1"]);
     let lost = network.journal("n0").take_over(LOG).await;
     assert!(matches!(lost, Err(JournalError::NoQuorum(_))), "{lost:?}");
     let append = writer.append(vec![entry("c")], false).await;
--- a/crates/daemon/tests/members/cluster.rs
+++ b/crates/daemon/tests/members/cluster.rs
@@ -15,7 +15,7 @@
 };
 
 /// Longer than anything here should take, also on a busy machine.
-const PATIENCE: Duration = Duration::from_secs(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// What a node tells of the bundle, and what it was told.
 #[derive(Default)]
@@ -30,8 +30,8 @@
         self.told.clone()
     }
 
-    fn learned_evidence(&self, from: &str, evidence: &BundleEvidence, asked_at: Instant) {
-        let entry = (from.to_owned(), evidence.clone(), asked_at);
+    fn learned_evidence(&self, from: &str, evidence: &BundleEvidence, sent_at: Instant) {
+        let entry = (from.to_owned(), evidence.clone(), sent_at);
         self.learned.lock().expect("lock").push(entry);
     }
 
@@ -168,7 +168,7 @@
 pub async fn until(what: &str, condition: impl Fn() -> bool) {
     let started = Instant::now();
     while !condition() {
-        assert!(started.elapsed() < PATIENCE, "not in time: {what}");
+        assert!(started.elapsed() < WAIT_TIMEOUT, "not in time: {what}");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
--- a/crates/daemon/tests/members/main.rs
+++ b/crates/daemon/tests/members/main.rs
@@ -100,15 +100,17 @@
     let closed = TcpListener::bind(any_port()).await.expect("bind");
     let nowhere = closed.local_addr().expect("address");
     drop(closed);
-    let mut half_cut = patient("half-cut", &[seed.address()]);
-    half_cut.peer_addresses.insert("target".to_owned(), nowhere);
-    let half_cut = Node::start(&half_cut).await;
+    let mut half_connected = patient("half-cut", &[seed.address()]);
+    half_connected
+        .peer_addresses
+        .insert("target".to_owned(), nowhere);
+    let half_connected = Node::start(&half_connected).await;
     until("helper was asked often", || {
         seed.answers.indirect_pings.load(Ordering::Relaxed) >= 40
     })
     .await;
-    assert_eq!(half_cut.members.address("target"), Some(nowhere));
-    assert!(half_cut.sees("target", MemberState::ALIVE));
+    assert_eq!(half_connected.members.address("target"), Some(nowhere));
+    assert!(half_connected.sees("target", MemberState::ALIVE));
     let target_entry = target.members.own();
     assert_eq!(target_entry.incarnation, 0, "it had nothing to refute");
     until("target is not isolated", || !target.members.is_isolated()).await;
--- a/crates/daemon/tests/shards/chaos.rs
+++ b/crates/daemon/tests/shards/chaos.rs
@@ -14,14 +14,14 @@
 use crate::trainer::{Trainer, step};
 
 const SAMPLES: usize = 200;
-const FAULTS: Duration = Duration::from_secs(4);
+const FAULT_PERIOD: Duration = Duration::from_secs(4);
 
 /// One random fault, or its end.
-async fn disturb(cluster: &Cluster, random: &mut StdRng, weight_version: &mut u64) {
+async fn inject_fault(cluster: &Cluster, random: &mut StdRng, weight_version: &mut u64) {
     match random.random_range(0..10) {
-        0..3 => cluster.cut(&[NODES[random.random_range(0..NODES.len())]]),
-        3 => cluster.cut(&NODES),
-        4..6 => cluster.cut(&[]),
+        0..3 => cluster.set_disconnected(&[NODES[random.random_range(0..NODES.len())]]),
+        3 => cluster.set_disconnected(&NODES),
+        4..6 => cluster.set_disconnected(&[]),
         6 => cluster.bundles.set_evidence(random.random()),
         7 => cluster.slow_down(Duration::from_millis(random.random_range(0..80))),
         8 => {
@@ -45,15 +45,15 @@
     }
 }
 
-async fn disturb_for_a_while(cluster: Arc<Cluster>, mut random: StdRng) {
+async fn inject_faults(cluster: Arc<Cluster>, mut random: StdRng) {
     let started = Instant::now();
     let mut weight_version = 1;
-    while started.elapsed() < FAULTS {
-        disturb(&cluster, &mut random, &mut weight_version).await;
+    while started.elapsed() < FAULT_PERIOD {
+        inject_fault(&cluster, &mut random, &mut weight_version).await;
         let pause = random.random_range(20..400);
         tokio::time::sleep(Duration::from_millis(pause)).await;
     }
-    cluster.cut(&[]);
+    cluster.set_disconnected(&[]);
     cluster.slow_down(Duration::ZERO);
     cluster.bundles.set_evidence(true);
 }
@@ -68,27 +68,29 @@
         .status
         != Status::Ok
     {
-        assert!(started.elapsed() < 2 * crate::nodes::PATIENCE);
+        assert!(started.elapsed() < 2 * crate::nodes::WAIT_TIMEOUT);
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     while !trainer.complete {
         assert!(
-            started.elapsed() < 2 * crate::nodes::PATIENCE,
+            started.elapsed() < 2 * crate::nodes::WAIT_TIMEOUT,
             "taken: {}",
-            trainer.taken.len()
+            trainer.accepted.len()
         );
         let in_force = cluster.bundles.revision();
         let max = random.random_range(1..12);
         let node = NODES[random.random_range(0..3)];
-        let answer = trainer.ask(node, max, random.random_range(0..300)).await;
+        let answer = trainer
+            .request_samples(node, max, random.random_range(0..300))
+            .await;
         match answer.status {
             Status::Ok if random.random_bool(0.3) => {}
             Status::Ok => {
                 let parsed: SamplesAnswer = serde_json::from_str(&answer.body).unwrap();
                 assert!(parsed.samples.len() <= max);
                 assert!(parsed.bundle_revision >= in_force);
-                let least_version = cluster.bundles.least_version(parsed.bundle_revision);
-                trainer.take(&answer.body, least_version);
+                let min_version = cluster.bundles.min_version(parsed.bundle_revision);
+                trainer.accept(&answer.body, min_version);
             }
             Status::ServiceUnavailable => {
                 assert!(answer.retry_after.is_some());
@@ -97,19 +99,19 @@
             status => panic!("{status}: {}", answer.body),
         }
     }
-    assert_eq!(trainer.taken.len(), SAMPLES);
+    assert_eq!(trainer.accepted.len(), SAMPLES);
     println!(
         "taken after {:?}, revision {}, highest attempt {:?}",
         started.elapsed(),
         cluster.bundles.revision(),
-        trainer.taken.values().max()
+        trainer.accepted.values().max()
     );
 }
 
 async fn run(seed: u64) {
     println!("seed {seed}");
     let cluster = Cluster::start(3, 1, 1).await;
-    let faults = disturb_for_a_while(cluster.clone(), StdRng::seed_from_u64(seed));
+    let faults = inject_faults(cluster.clone(), StdRng::seed_from_u64(seed));
     let faults = tokio::spawn(faults);
     pull_through(&cluster, &mut StdRng::seed_from_u64(seed + 1_000)).await;
     faults.await.unwrap();
--- a/crates/daemon/tests/shards/faults.rs
+++ b/crates/daemon/tests/shards/faults.rs
@@ -29,7 +29,7 @@
     let mut trainer = Trainer::new(&cluster);
     trainer.submit("n0", &step(30, 6)).await;
     trainer.finish_anywhere(1).await;
-    assert_eq!(trainer.taken.len(), 30);
+    assert_eq!(trainer.accepted.len(), 30);
     assert!(cluster.engines.failures() >= 10);
     let resumed = async |index| {
         let log = cluster.engines.log(index).await;
@@ -57,7 +57,7 @@
         .set_faults(0, &EngineFaults::default())
         .await;
     trainer.finish_anywhere(1).await;
-    assert_eq!(trainer.taken.len(), 10);
+    assert_eq!(trainer.accepted.len(), 10);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
@@ -66,23 +66,23 @@
     let mut trainer = Trainer::new(&cluster);
     trainer.submit("n0", &step(40, 6)).await;
     let owner = cluster.owner(&log_of(0), &NODES).await;
-    let first = trainer.ask(&owner, 5, 10_000).await;
-    trainer.take(&first.body, 1);
-    let unread = trainer.ask(&owner, 5, 10_000).await;
+    let first = trainer.request_samples(&owner, 5, 10_000).await;
+    trainer.accept(&first.body, 1);
+    let unread = trainer.request_samples(&owner, 5, 10_000).await;
     assert_eq!(unread.status, Status::Ok, "{}", unread.body);
-    cluster.cut(&[&owner]);
+    cluster.set_disconnected(&[&owner]);
     let rest = others(&owner);
     let successor = cluster.owner(&log_of(0), &rest).await;
     assert_ne!(successor, owner);
-    let repeated = trainer.ask(&successor, 5, 10_000).await;
-    trainer.take(&repeated.body, 1);
-    cluster.cut(&[]);
+    let repeated = trainer.request_samples(&successor, 5, 10_000).await;
+    trainer.accept(&repeated.body, 1);
+    cluster.set_disconnected(&[]);
     until("the old owner let go", async || {
         cluster.node(&owner).shards.describe().is_empty()
     })
     .await;
     trainer.finish_anywhere(1).await;
-    assert_eq!(trainer.taken.len(), 40);
+    assert_eq!(trainer.accepted.len(), 40);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
@@ -95,9 +95,9 @@
         cluster.waiting_samples(&log_of(0)) > 2
     })
     .await;
-    cluster.cut(&NODES);
+    cluster.set_disconnected(&NODES);
     until("a pull is refused", async || {
-        let answer = trainer.ask(&owner, 1, 0).await;
+        let answer = trainer.request_samples(&owner, 1, 0).await;
         answer.status == Status::ServiceUnavailable && answer.retry_after.is_some()
     })
     .await;
@@ -108,9 +108,9 @@
         "{}",
         not_known.body
     );
-    cluster.cut(&[]);
+    cluster.set_disconnected(&[]);
     trainer.finish_anywhere(1).await;
-    assert_eq!(trainer.taken.len(), 100);
+    assert_eq!(trainer.accepted.len(), 100);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
@@ -119,10 +119,10 @@
     let mut trainer = Trainer::new(&cluster);
     trainer.submit("n0", &step(30, 6)).await;
     let owner = cluster.owner(&log_of(0), &NODES).await;
-    let first = trainer.ask(&owner, 5, 10_000).await;
-    trainer.take(&first.body, 1);
+    let first = trainer.request_samples(&owner, 5, 10_000).await;
+    trainer.accept(&first.body, 1);
     let draining = cluster.node(&owner);
-    let waiting = trainer.ask(&owner, 20, 20_000);
+    let waiting = trainer.request_samples(&owner, 20, 20_000);
     let (waited, ()) = tokio::join!(waiting, draining.shards.drain());
     assert!(matches!(
         waited.status,
@@ -139,7 +139,7 @@
         refused.body
     );
     trainer.finish(&others(&owner), 1).await;
-    assert_eq!(trainer.taken.len(), 30);
+    assert_eq!(trainer.accepted.len(), 30);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
@@ -196,7 +196,7 @@
         .set_faults(0, &EngineFaults::default())
         .await;
     trainer.finish_anywhere(1).await;
-    assert_eq!(trainer.taken.len(), 16);
+    assert_eq!(trainer.accepted.len(), 16);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
@@ -212,7 +212,7 @@
     let mut trainer = Trainer::new(&cluster);
     trainer.submit("n0", &step(6, 3)).await;
     trainer.finish_anywhere(1).await;
-    assert_eq!(trainer.taken.len(), 6);
+    assert_eq!(trainer.accepted.len(), 6);
     assert_eq!(cluster.engines.log(0).await.runs.len(), 6, "run again");
 }
 
--- a/crates/daemon/tests/shards/http.rs
+++ b/crates/daemon/tests/shards/http.rs
@@ -60,5 +60,5 @@
         assert_eq!(other.status, Status::Conflict, "{}", other.body);
     }
     trainer.finish_anywhere(1).await;
-    assert_eq!(trainer.taken.len(), 140);
+    assert_eq!(trainer.accepted.len(), 140);
 }
--- a/crates/daemon/tests/shards/nodes.rs
+++ b/crates/daemon/tests/shards/nodes.rs
@@ -27,7 +27,7 @@
 use crate::platform::{TestBundles, TestEngines, start_scorer};
 
 /// How long a test waits for a condition before it fails.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Names of the nodes; each is a journal replica.
 pub const NODES: [&str; 3] = ["n0", "n1", "n2"];
@@ -45,7 +45,7 @@
     pub scorer: Handle,
     nodes: Mutex<BTreeMap<String, Arc<Node>>>,
     /// Nodes that neither reach others nor are reached.
-    cut: Mutex<BTreeSet<String>>,
+    disconnected: Mutex<BTreeSet<String>>,
     /// How long each call takes on its way.
     delay: Mutex<Duration>,
     folders: TempDir,
@@ -58,7 +58,7 @@
             engines: Arc::new(TestEngines::start(engines, weight_version).await),
             scorer: start_scorer().await,
             nodes: Mutex::default(),
-            cut: Mutex::default(),
+            disconnected: Mutex::default(),
             delay: Mutex::default(),
             folders: tempfile::tempdir().unwrap(),
         });
@@ -101,7 +101,7 @@
             Some(storage),
             replica_sets,
         );
-        let parts = ShardParts {
+        let dependencies = ShardParts {
             peers,
             journal: journal.clone(),
             bundles: self.bundles.clone(),
@@ -109,7 +109,7 @@
             engine_client: EngineClient::new(),
             scorer: Some(Scorer::new(&self.scorer.url())),
         };
-        let shards = Shards::start_with(&settings, process, parts);
+        let shards = Shards::start_with(&settings, process, dependencies);
         journal.set_hooks(Arc::new(Hooks(shards.clone())));
         let config = rocket::Config {
             log_level: rocket::config::LogLevel::Off,
@@ -135,8 +135,8 @@
     }
 
     /// Cuts nodes off from all others.
-    pub fn cut(&self, names: &[&str]) {
-        *self.cut.lock().unwrap() = names.iter().map(|name| (*name).to_owned()).collect();
+    pub fn set_disconnected(&self, names: &[&str]) {
+        *self.disconnected.lock().unwrap() = names.iter().map(|name| (*name).to_owned()).collect();
     }
 
     /// Makes each call between nodes take this long.
@@ -173,9 +173,9 @@
             .unwrap_or(0)
     }
 
-    fn is_cut(&self, from: &str, to: &str) -> bool {
-        let cut = self.cut.lock().unwrap();
-        from != to && (cut.contains(from) || cut.contains(to))
+    fn is_disconnected(&self, from: &str, to: &str) -> bool {
+        let disconnected = self.disconnected.lock().unwrap();
+        from != to && (disconnected.contains(from) || disconnected.contains(to))
     }
 
     async fn deliver(&self, to: &str, request: Request) -> Result<Response, CallError> {
@@ -206,7 +206,9 @@
         let Some(cluster) = self.cluster.upgrade() else {
             return Vec::new();
         };
-        let reached = NODES.iter().filter(|name| !cluster.is_cut(&self.own, name));
+        let reached = NODES
+            .iter()
+            .filter(|name| !cluster.is_disconnected(&self.own, name));
         let member = |name: &&str| Member {
             node: (*name).to_owned(),
             ..Member::default()
@@ -221,17 +223,19 @@
         timeout: Duration,
     ) -> BoxFuture<'a, Result<Response, CallError>> {
         Box::pin(async move {
-            let not_sent = || CallError::NotSent("cut".to_owned());
+            let not_sent = || CallError::NotSent("disconnected".to_owned());
             let cluster = self.cluster.upgrade().ok_or_else(not_sent)?;
-            if cluster.is_cut(&self.own, node) {
+            if cluster.is_disconnected(&self.own, node) {
                 return Err(not_sent());
             }
             let (from, to) = (self.own.clone(), node.to_owned());
             // As over TCP, the receiver carries the request out although the caller stops waiting.
             let delivery = tokio::spawn(async move {
                 let response = cluster.deliver(&to, request).await;
-                match cluster.is_cut(&from, &to) {
-                    true => Err(CallError::Unknown("cut meanwhile".to_owned())),
+                match cluster.is_disconnected(&from, &to) {
+                    true => Err(CallError::Unknown(
+                        "disconnected during the call".to_owned(),
+                    )),
                     false => response,
                 }
             });
@@ -292,7 +296,7 @@
 pub async fn until(what: &str, condition: impl AsyncFn() -> bool) {
     let started = Instant::now();
     while !condition().await {
-        assert!(started.elapsed() < PATIENCE, "still not true: {what}");
+        assert!(started.elapsed() < WAIT_TIMEOUT, "still not true: {what}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/crates/daemon/tests/shards/platform.rs
+++ b/crates/daemon/tests/shards/platform.rs
@@ -10,7 +10,7 @@
 use ladderstage_bench::stand_in::engine::{self, EngineConfig, EngineFaults, EngineLog};
 use ladderstage_bench::stand_in::scorer::{self, ScorerConfig};
 use ladderstage_daemon::bundles::BundleInForce;
-use ladderstage_daemon::shards::{BundleSource, EnginePlace, EngineSource};
+use ladderstage_daemon::shards::{BundleSource, EngineGuard, EngineSource};
 use ladderstage_wire::messages::SignedBundle;
 use tokio::sync::watch;
 
@@ -21,7 +21,7 @@
     current: watch::Sender<Option<Arc<BundleInForce>>>,
     may_deliver: AtomicBool,
     /// Oldest weight version that each revision admits.
-    least_versions: Mutex<Vec<u64>>,
+    min_versions: Mutex<Vec<u64>>,
 }
 
 impl TestBundles {
@@ -29,7 +29,7 @@
         let bundles = Self {
             current: watch::Sender::default(),
             may_deliver: AtomicBool::new(true),
-            least_versions: Mutex::default(),
+            min_versions: Mutex::default(),
         };
         bundles.roll(weight_version, staleness_bound);
         bundles
@@ -69,8 +69,8 @@
             classes: Vec::new(),
             notes: Default::default(),
         };
-        let least_version = weight_version.saturating_sub(staleness_bound);
-        self.least_versions.lock().unwrap().push(least_version);
+        let min_version = weight_version.saturating_sub(staleness_bound);
+        self.min_versions.lock().unwrap().push(min_version);
         let signed = SignedBundle::default();
         self.current
             .send_replace(Some(Arc::new(BundleInForce { bundle, signed })));
@@ -85,8 +85,8 @@
     }
 
     /// Oldest weight version that a revision admits.
-    pub fn least_version(&self, revision: u64) -> u64 {
-        self.least_versions.lock().unwrap()[revision as usize - 1]
+    pub fn min_version(&self, revision: u64) -> u64 {
+        self.min_versions.lock().unwrap()[revision as usize - 1]
     }
 
     /// Whether the bundle is known recently enough to be the newest.
@@ -209,7 +209,7 @@
         self.engines.iter().map(candidate).collect()
     }
 
-    fn try_begin(&self, _pool: &str, name: &str) -> Option<EnginePlace> {
+    fn try_begin(&self, _pool: &str, name: &str) -> Option<EngineGuard> {
         let engine = self.engines.iter().find(|engine| engine.name == name)?;
         engine.in_flight.fetch_add(1, Ordering::SeqCst);
         Some(Box::new(Counted(engine.in_flight.clone())))
--- a/crates/daemon/tests/shards/steps.rs
+++ b/crates/daemon/tests/shards/steps.rs
@@ -16,8 +16,8 @@
     assert_eq!(again.status, Status::Ok, "{}", again.body);
     assert!(again.body.contains("\"was_open\":true"), "{}", again.body);
     trainer.finish_anywhere(1).await;
-    assert_eq!(trainer.taken.len(), 150);
-    let after_the_end = trainer.ask("n2", 20, 0).await;
+    assert_eq!(trainer.accepted.len(), 150);
+    let after_the_end = trainer.request_samples("n2", 20, 0).await;
     assert!(
         after_the_end.body.contains("\"complete\":true"),
         "{}",
@@ -32,20 +32,20 @@
     let cluster = Cluster::start(1, 1, 0).await;
     let mut trainer = Trainer::new(&cluster);
     trainer.submit("n0", &step(6, 3)).await;
-    let first = trainer.ask("n0", 2, 10_000).await;
+    let first = trainer.request_samples("n0", 2, 10_000).await;
     assert_eq!(first.status, Status::Ok, "{}", first.body);
-    let second = trainer.ask("n1", 2, 0).await;
+    let second = trainer.request_samples("n1", 2, 0).await;
     assert_eq!(first.body, second.body);
-    trainer.take(&first.body, 1);
-    let next = trainer.ask("n2", 2, 10_000).await;
+    trainer.accept(&first.body, 1);
+    let next = trainer.request_samples("n2", 2, 10_000).await;
     assert_eq!(next.status, Status::Ok, "{}", next.body);
     let mut late = Trainer::new(&cluster);
-    let superseded = late.ask("n0", 2, 0).await;
+    let superseded = late.request_samples("n0", 2, 0).await;
     assert_eq!(superseded.status, Status::Conflict, "{}", superseded.body);
     trainer.finish_anywhere(1).await;
-    assert_eq!(trainer.taken.len(), 6);
+    assert_eq!(trainer.accepted.len(), 6);
     late.cursor.clear();
-    let superseded = late.ask("n0", 2, 0).await;
+    let superseded = late.request_samples("n0", 2, 0).await;
     assert_eq!(superseded.status, Status::Conflict, "{}", superseded.body);
 }
 
@@ -58,15 +58,15 @@
         cluster.waiting_samples(&log_of(0)) == 20
     })
     .await;
-    let unread = trainer.ask("n1", 20, 0).await;
+    let unread = trainer.request_samples("n1", 20, 0).await;
     assert_eq!(unread.status, Status::Ok, "{}", unread.body);
     cluster.bundles.roll(2, 0);
-    let stale = trainer.ask("n2", 20, 0).await;
+    let stale = trainer.request_samples("n2", 20, 0).await;
     assert!(!stale.body.contains("\"slot\""), "{}", stale.body);
     cluster.engines.order(2, 2).await;
     trainer.finish_anywhere(2).await;
-    assert_eq!(trainer.taken.len(), 20);
-    assert!(trainer.taken.values().all(|attempt| *attempt >= 2));
+    assert_eq!(trainer.accepted.len(), 20);
+    assert!(trainer.accepted.values().all(|attempt| *attempt >= 2));
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
@@ -78,8 +78,8 @@
         cluster.waiting_samples(&log_of(0)) == 4
     })
     .await;
-    let before = trainer.ask("n1", 20, 0).await;
-    trainer.take(&before.body, 1);
+    let before = trainer.request_samples("n1", 20, 0).await;
+    trainer.accept(&before.body, 1);
     cluster.bundles.roll(2, 0);
     cluster.engines.order(2, 2).await;
     until("new attempts wait", async || {
@@ -87,8 +87,8 @@
     })
     .await;
     trainer.finish_anywhere(2).await;
-    assert_eq!(trainer.taken.len(), 4);
-    assert!(trainer.taken.values().all(|attempt| *attempt == 1));
+    assert_eq!(trainer.accepted.len(), 4);
+    assert!(trainer.accepted.values().all(|attempt| *attempt == 1));
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
@@ -101,13 +101,13 @@
     })
     .await;
     cluster.bundles.set_evidence(false);
-    let held_back = trainer.ask("n1", 20, 20_000).await;
+    let held_back = trainer.request_samples("n1", 20, 20_000).await;
     assert_eq!(held_back.status, Status::ServiceUnavailable);
     assert!(held_back.retry_after.is_some());
     assert!(!held_back.body.contains("\"slot\""), "{}", held_back.body);
     cluster.bundles.set_evidence(true);
     trainer.finish_anywhere(1).await;
-    assert_eq!(trainer.taken.len(), 4);
+    assert_eq!(trainer.accepted.len(), 4);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
@@ -121,6 +121,6 @@
     })
     .await;
     trainer.finish_anywhere(1).await;
-    assert_eq!(trainer.taken.len(), 4);
-    assert!(trainer.taken.values().all(|attempt| *attempt >= 2));
+    assert_eq!(trainer.accepted.len(), 4);
+    assert!(trainer.accepted.values().all(|attempt| *attempt >= 2));
 }
--- a/crates/daemon/tests/shards/trainer.rs
+++ b/crates/daemon/tests/shards/trainer.rs
@@ -8,7 +8,7 @@
 use ladderstage_bench::trainer::{SampleSpec, SamplesAnswer, StepSpec};
 use rocket::http::Status;
 
-use crate::nodes::{Cluster, NODES, PATIENCE};
+use crate::nodes::{Cluster, NODES, WAIT_TIMEOUT};
 use crate::platform::POOL;
 
 pub const TRAINER: &str = "fjordkarm";
@@ -18,7 +18,7 @@
     cluster: Arc<Cluster>,
     pub cursor: String,
     /// Attempts taken, by slot.
-    pub taken: BTreeMap<u32, u32>,
+    pub accepted: BTreeMap<u32, u32>,
     pub complete: bool,
 }
 
@@ -50,7 +50,7 @@
         Self {
             cluster: cluster.clone(),
             cursor: String::new(),
-            taken: BTreeMap::new(),
+            accepted: BTreeMap::new(),
             complete: false,
         }
     }
@@ -74,7 +74,7 @@
     }
 
     /// Asks after the present cursor without taking the answer.
-    pub async fn ask(&self, node: &str, max: usize, wait_ms: u64) -> Answer {
+    pub async fn request_samples(&self, node: &str, max: usize, wait_ms: u64) -> Answer {
         let cursor = &self.cursor;
         let path = format!(
             "/v1/trainers/{TRAINER}/steps/{STEP}/samples?after={cursor}&max={max}&wait_ms={wait_ms}"
@@ -83,7 +83,7 @@
     }
 
     /// Takes an answer: the one for the present cursor.
-    pub fn take(&mut self, body: &str, least_version: u64) {
+    pub fn accept(&mut self, body: &str, min_version: u64) {
         let answer: SamplesAnswer = serde_json::from_str(body).unwrap();
         for sample in &answer.samples {
             assert_eq!((sample.trainer.as_str(), sample.step), (TRAINER, STEP));
@@ -94,12 +94,12 @@
                 .map(|segment| segment.weight_version)
                 .min();
             assert!(
-                oldest.unwrap() >= least_version,
+                oldest.unwrap() >= min_version,
                 "stale: {:?}",
                 sample.segments
             );
             assert!(sample.score.is_some(), "not scored");
-            let earlier = self.taken.insert(sample.slot, sample.attempt);
+            let earlier = self.accepted.insert(sample.slot, sample.attempt);
             assert_eq!(earlier, None, "slot {} taken twice", sample.slot);
         }
         self.cursor = answer.cursor;
@@ -107,15 +107,19 @@
     }
 
     /// Pulls to the end, from one node after the other; each third answer is lost on its way.
-    pub async fn finish(&mut self, nodes: &[&str], least_version: u64) {
+    pub async fn finish(&mut self, nodes: &[&str], min_version: u64) {
         let started = Instant::now();
         for round in 0.. {
-            assert!(started.elapsed() < PATIENCE, "taken: {}", self.taken.len());
+            assert!(
+                started.elapsed() < WAIT_TIMEOUT,
+                "taken: {}",
+                self.accepted.len()
+            );
             let node = nodes[round % nodes.len()];
-            let answer = self.ask(node, 20, 500).await;
+            let answer = self.request_samples(node, 20, 500).await;
             match answer.status {
                 Status::Ok if round % 3 == 2 => {}
-                Status::Ok => self.take(&answer.body, least_version),
+                Status::Ok => self.accept(&answer.body, min_version),
                 Status::ServiceUnavailable => {
                     assert!(answer.retry_after.is_some());
                     tokio::time::sleep(Duration::from_millis(100)).await;
@@ -128,8 +132,8 @@
         }
     }
 
-    pub async fn finish_anywhere(&mut self, least_version: u64) {
-        self.finish(&NODES, least_version).await;
+    pub async fn finish_anywhere(&mut self, min_version: u64) {
+        self.finish(&NODES, min_version).await;
     }
 }
 
--- a/crates/daemon/tests/support/bundle_cluster.rs
+++ b/crates/daemon/tests/support/bundle_cluster.rs
@@ -17,7 +17,7 @@
 use ladderstage_wire::messages::{ReplicaMember, ReplicaSet, Request, Response, SignedBundle};
 
 /// Longer than any wait on a busy machine should take.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The operators' key in all tests.
 pub fn key() -> BundleKey {
@@ -79,19 +79,19 @@
 #[derive(Default)]
 pub struct Network {
     nodes: Mutex<BTreeMap<String, Bundles>>,
-    cut_off: Mutex<BTreeSet<String>>,
+    disconnected: Mutex<BTreeSet<String>>,
     /// Versions of the replica set that nodes know; 1 for those not named.
     set_versions: Mutex<BTreeMap<String, u64>>,
     fetches: AtomicUsize,
 }
 
 impl Network {
-    pub fn cut_off(&self, node: &str) {
-        self.cut_off.lock().unwrap().insert(node.to_owned());
+    pub fn disconnect(&self, node: &str) {
+        self.disconnected.lock().unwrap().insert(node.to_owned());
     }
 
     pub fn reconnect(&self, node: &str) {
-        self.cut_off.lock().unwrap().remove(node);
+        self.disconnected.lock().unwrap().remove(node);
     }
 
     /// The node learns a replica set of this version, with the same members.
@@ -110,17 +110,17 @@
         replica_set(versions.get(node).copied().unwrap_or(1))
     }
 
-    fn is_cut_off(&self, node: &str) -> bool {
-        self.cut_off.lock().unwrap().contains(node)
+    fn is_disconnected(&self, node: &str) -> bool {
+        self.disconnected.lock().unwrap().contains(node)
     }
 }
 
-struct Link {
+struct NetworkPeers {
     own: String,
     network: Arc<Network>,
 }
 
-impl Peers for Link {
+impl Peers for NetworkPeers {
     fn own_node(&self) -> String {
         self.own.clone()
     }
@@ -148,9 +148,10 @@
     ) -> BoxFuture<'a, Result<Response, CallError>> {
         Box::pin(async move {
             let target = self.network.nodes.lock().unwrap().get(node).cloned();
-            let is_cut = self.network.is_cut_off(node) || self.network.is_cut_off(&self.own);
-            let Some(target) = target.filter(|_| !is_cut) else {
-                return Err(CallError::NotSent("cut".to_owned()));
+            let is_disconnected =
+                self.network.is_disconnected(node) || self.network.is_disconnected(&self.own);
+            let Some(target) = target.filter(|_| !is_disconnected) else {
+                return Err(CallError::NotSent("disconnected".to_owned()));
             };
             match request.kind {
                 RequestKind::push_bundle(push) => Ok(target.handle_push_bundle(push).await),
@@ -168,7 +169,7 @@
 pub struct Cluster {
     pub network: Arc<Network>,
     /// A node whose rolls soon give up.
-    pub impatient: &'static str,
+    pub short_deadline_node: &'static str,
     key_value_url: String,
     disks: BTreeMap<String, Arc<Disk>>,
 }
@@ -178,7 +179,7 @@
         let replicas = ["n1", "n2", "n3"];
         Self {
             network: Arc::default(),
-            impatient: "",
+            short_deadline_node: "",
             key_value_url: key_value_url.to_owned(),
             disks: replicas
                 .map(|node| (node.to_owned(), Arc::default()))
@@ -197,9 +198,9 @@
     /// Starts a node, again if it ran before: a replica finds its disk as it was.
     pub async fn start(&self, name: &str) -> Bundles {
         let (network, node) = (self.network.clone(), name.to_owned());
-        let parts = BundleParts {
-            key_value: KeyValue::new(vec![self.key_value_url.clone()], PATIENCE),
-            peers: Arc::new(Link {
+        let dependencies = BundleParts {
+            key_value: KeyValue::new(vec![self.key_value_url.clone()], WAIT_TIMEOUT),
+            peers: Arc::new(NetworkPeers {
                 own: name.to_owned(),
                 network: self.network.clone(),
             }),
@@ -211,17 +212,17 @@
             weight_versions: None,
             roll_deadline: self.roll_deadline(name),
         };
-        let bundles = Bundles::start(&settings(name), parts).await.unwrap();
+        let bundles = Bundles::start(&settings(name), dependencies).await.unwrap();
         let mut nodes = self.network.nodes.lock().unwrap();
         nodes.insert(name.to_owned(), bundles.clone());
         bundles
     }
 
     fn roll_deadline(&self, name: &str) -> Duration {
-        if name == self.impatient {
+        if name == self.short_deadline_node {
             return Duration::from_millis(300);
         }
-        PATIENCE
+        WAIT_TIMEOUT
     }
 
     /// Stops a node; what it kept in memory is gone.
@@ -265,7 +266,7 @@
 
 /// Waits until the condition holds.
 pub async fn wait_until(what: &str, condition: impl Fn() -> bool) {
-    let deadline = std::time::Instant::now() + PATIENCE;
+    let deadline = std::time::Instant::now() + WAIT_TIMEOUT;
     while !condition() {
         assert!(
             std::time::Instant::now() < deadline,
