--- a/crates/daemon/src/backends/mod.rs
+++ b/crates/daemon/src/backends/mod.rs
@@ -106,10 +106,10 @@
             return None;
         }
         let now = self.shared.now();
-        let begun = self
+        let tracked = self
             .shared
             .update(|table| table.try_begin(backend, pool.concurrency, now));
-        begun.ok().map(|dispatch| self.guard(dispatch))
+        tracked.ok().map(|dispatch| self.guard(dispatch))
     }
 
     fn guard(&self, dispatch: Dispatch) -> InFlight {
--- a/crates/daemon/src/bundles/poll.rs
+++ b/crates/daemon/src/bundles/poll.rs
@@ -14,25 +14,23 @@
 use crate::watchers::poll_interval_factor;
 
 /// Maximum factor of the poll interval while the service limits the request rate.
-const MAX_BACKOFF_FACTOR: u32 = 8;
+const MAX_BACKOFF: u32 = 8;
 
 /// Polls the head record until the task is aborted.
 pub(super) async fn run(shared: Arc<Shared>) {
-    let mut backoff_factor = 1;
+    let mut backoff = 1;
     let mut error_log = PollErrorLog::default();
     loop {
         let outcome = poll_once(&shared).await;
-        backoff_factor = match outcome {
-            Err(HeadError::KeyValue(KeyValueError::RateLimited)) => {
-                MAX_BACKOFF_FACTOR.min(backoff_factor * 2)
-            }
+        backoff = match outcome {
+            Err(HeadError::KeyValue(KeyValueError::RateLimited)) => MAX_BACKOFF.min(backoff * 2),
             _ => 1,
         };
         error_log.report(&outcome);
         if outcome.is_err() {
             fetch_if_empty(&shared);
         }
-        let interval = shared.poll_interval * backoff_factor * shared.poll_interval_factor();
+        let interval = shared.poll_interval * backoff * shared.poll_interval_factor();
         tokio::time::sleep(jittered(interval)).await;
     }
 }
--- a/crates/daemon/src/bundles/proposal.rs
+++ b/crates/daemon/src/bundles/proposal.rs
@@ -41,8 +41,8 @@
     /// Queries the state of a proposal.
     pub async fn proposal(&self, proposal_id: &str) -> ProposalState {
         let shared = &self.shared;
-        let is_asked_for = |past: &PastBundle| past.proposal_id == proposal_id;
-        if shared.past(is_asked_for).is_none() {
+        let is_requested = |past: &PastBundle| past.proposal_id == proposal_id;
+        if shared.find_past(is_requested).is_none() {
             let sent_at = Instant::now();
             match head::read(&shared.key_value, &shared.trusted).await {
                 Ok(Some(head)) => shared.apply_head(head, sent_at).await,
@@ -54,7 +54,7 @@
                 }
             }
         }
-        let Some(past) = shared.past(is_asked_for) else {
+        let Some(past) = shared.find_past(is_requested) else {
             return ProposalState::NotSeen {
                 in_force: shared.state().evidence.revision(),
             };
@@ -74,7 +74,7 @@
 
 impl Shared {
     /// Returns the newest matching bundle that is or was in force on this node.
-    pub(super) fn past(&self, matches: impl Fn(&PastBundle) -> bool) -> Option<PastBundle> {
+    pub(super) fn find_past(&self, matches: impl Fn(&PastBundle) -> bool) -> Option<PastBundle> {
         let state = self.state();
         state
             .history
--- a/crates/daemon/src/bundles/roll.rs
+++ b/crates/daemon/src/bundles/roll.rs
@@ -319,7 +319,7 @@
     async fn accept(&self, proposal: &Proposal) -> RollOutcome {
         self.shared.push_to_all();
         let is_at_quorum = self.shared.wait_for_quorum(proposal.deadline).await;
-        let past = self.shared.past(|past| past.digest == proposal.digest);
+        let past = self.shared.find_past(|past| past.digest == proposal.digest);
         match past {
             Some(past) if is_at_quorum => RollOutcome::Accepted {
                 revision: past.revision,
--- a/crates/daemon/src/shards/attempt/mod.rs
+++ b/crates/daemon/src/shards/attempt/mod.rs
@@ -11,7 +11,7 @@
 use ladderstage_wire::messages::{Sample, SampleSpec, ShardSpec};
 
 use super::Shared;
-use super::placement::{Placement, StaleEngines, place};
+use super::placement::{Placement, StaleEngines, place_rollout};
 use crate::jitter::{backoff, jittered};
 use partial::PartialSample;
 use stream::Interruption;
@@ -180,8 +180,8 @@
     async fn wait_for_placement(&self, avoid: &StaleEngines) -> Result<Placement, AttemptFailure> {
         let deadline = Instant::now() + PLACEMENT_TIMEOUT;
         while Instant::now() < deadline {
-            let placed = place(&self.shared, &self.pool, &self.prompt, avoid);
-            if let Some(placement) = placed {
+            let placement = place_rollout(&self.shared, &self.pool, &self.prompt, avoid);
+            if let Some(placement) = placement {
                 return Ok(placement);
             }
             tokio::time::sleep(jittered(PLACEMENT_RETRY_INTERVAL)).await;
--- a/crates/daemon/src/shards/attempt/stream.rs
+++ b/crates/daemon/src/shards/attempt/stream.rs
@@ -151,11 +151,7 @@
                 Ok(Ok(Some(chunk))) => chunk,
                 Ok(Ok(None)) => return Ok(()),
                 Ok(Err(error)) => return Err(Interruption::Broken(error.to_string())),
-                Err(_) => {
-                    return Err(Interruption::Broken(
-                        "engine sent no chunk in time".to_owned(),
-                    ));
-                }
+                Err(_) => return Err(Interruption::Broken("engine stalled".to_owned())),
             };
             let weight_version = chunk.weight_version.ok_or(Interruption::Unversioned)?;
             if !partial.fits(&chunk) {
--- a/crates/daemon/src/shards/generation.rs
+++ b/crates/daemon/src/shards/generation.rs
@@ -8,7 +8,7 @@
 use super::attempt::{Attempt, AttemptFailure, AttemptResult};
 use super::log::CommitError;
 use super::owner::Owner;
-use super::placement::{StaleEngines, place};
+use super::placement::{StaleEngines, place_rollout};
 use crate::jitter::backoff;
 
 /// Concurrent attempts of one shard.
@@ -146,7 +146,8 @@
             }
             let sample = &spec.samples[(need.id.slot - spec.first_slot) as usize];
             let avoid = StaleEngines::default();
-            let Some(placement) = place(&self.shared, &spec.pool, &sample.prompt, &avoid) else {
+            let Some(placement) = place_rollout(&self.shared, &spec.pool, &sample.prompt, &avoid)
+            else {
                 return;
             };
             let attempt = Attempt::new(self.shared.clone(), spec, sample, need.id);
--- a/crates/daemon/src/shards/placement.rs
+++ b/crates/daemon/src/shards/placement.rs
@@ -51,7 +51,7 @@
 
 /// Chooses an engine of the pool for a rollout, without those in `avoid`. `None` if no engine has capacity that is
 /// not reserved for live requests.
-pub(super) fn place(
+pub(super) fn place_rollout(
     shared: &Shared,
     pool: &str,
     prompt: &str,
