--- a/crates/daemon/tests/backends.rs
+++ b/crates/daemon/tests/backends.rs
@@ -1,4 +1,4 @@
-//! Back ends as one daemon sees them, against stand-ins over HTTP.
+//! Back ends known to one daemon, with stand-in engines over HTTP.
 
 mod standin;
 
@@ -32,7 +32,7 @@
     let backends = start("a", list, OnePeer::new("a", &[]));
     wait_until("the engine is usable", || usable(&backends)).await;
     engine.lock().unwrap().leaving = true;
-    wait_until("the engine is out", || !usable(&backends)).await;
+    wait_until("the engine is unusable", || !usable(&backends)).await;
     engine.lock().unwrap().leaving = false;
     let sequence = backends.observed(ENGINE).unwrap().report.unwrap().sequence;
     wait_until("later reports arrived", || {
@@ -47,7 +47,7 @@
 }
 
 #[tokio::test]
-async fn without_the_list_work_goes_on_but_not_without_reports() {
+async fn engines_stay_usable_without_the_list_but_not_without_reports() {
     let (engine, address) = engine(ENGINE).await;
     let list_up = up();
     let list = machine_list(vec![(ENGINE.to_owned(), address)], list_up.clone()).await;
@@ -61,7 +61,7 @@
     })
     .await;
     engine.lock().unwrap().reachable = false;
-    wait_until("the engine is out", || !usable(&backends)).await;
+    wait_until("the engine is unusable", || !usable(&backends)).await;
     assert_eq!(
         backends.describe()[0].unusable.as_deref(),
         Some("no fresh evidence")
@@ -69,7 +69,7 @@
 }
 
 #[tokio::test]
-async fn a_report_under_another_name_is_no_evidence() {
+async fn a_report_with_another_name_is_ignored() {
     let (_engine, address) = engine("engine-2").await;
     let list = machine_list(vec![(ENGINE.to_owned(), address)], up()).await;
     let backends = start("a", list, OnePeer::new("a", &[]));
@@ -82,23 +82,29 @@
 }
 
 #[tokio::test]
-async fn who_learns_of_leaving_tells_the_others() {
+async fn a_leaving_engine_is_announced_to_peers() {
     let (_engine, address) = engine(ENGINE).await;
     let list = machine_list(vec![(ENGINE.to_owned(), address)], up()).await;
     let members = ["a".to_owned(), "b".to_owned()];
     let peers = OnePeer::new("a", &members);
-    let told = start("b", list, OnePeer::new("b", &members));
-    let telling = start("a", list, peers.clone());
-    *peers.other.lock().unwrap() = Some(told.clone());
-    wait_until("both know the engine", || usable(&told) && usable(&telling)).await;
-    telling.note_refusal(ENGINE, true);
-    assert!(!usable(&telling));
-    wait_until("the other knows", || !usable(&told)).await;
-    assert!(told.describe()[0].leaving);
+    let receiving = start("b", list, OnePeer::new("b", &members));
+    let announcing = start("a", list, peers.clone());
+    *peers.other.lock().unwrap() = Some(receiving.clone());
+    wait_until("both know the engine", || {
+        usable(&receiving) && usable(&announcing)
+    })
+    .await;
+    announcing.note_refusal(ENGINE, true);
+    assert!(!usable(&announcing));
+    wait_until("the peer knows that the engine is leaving", || {
+        !usable(&receiving)
+    })
+    .await;
+    assert!(receiving.describe()[0].leaving);
 }
 
 #[tokio::test]
-async fn above_the_member_bound_reports_come_from_their_readers() {
+async fn in_a_large_cluster_reports_come_from_their_readers() {
     let members: Vec<String> = (0..40).map(|index| format!("daemon-{index}")).collect();
     let reads = |node: &&String| reads_reports(ENGINE, node, &members);
     assert_eq!(members.iter().filter(reads).count(), 2);
@@ -113,11 +119,11 @@
     wait_until("the reader has a report", || usable(&reading)).await;
     assert!(!usable(&asking));
     *peers.other.lock().unwrap() = Some(reading.clone());
-    wait_until("the other has it too", || usable(&asking)).await;
+    wait_until("the non-reader has the report", || usable(&asking)).await;
 }
 
 #[tokio::test]
-async fn work_under_way_is_counted_until_its_guard_is_dropped() {
+async fn requests_in_flight_are_counted_until_their_guards_are_dropped() {
     let (_engine, address) = engine(ENGINE).await;
     let list = machine_list(vec![(ENGINE.to_owned(), address)], up()).await;
     let backends = start("a", list, OnePeer::new("a", &[]));
@@ -134,7 +140,7 @@
 }
 
 #[tokio::test]
-async fn a_daemon_that_starts_without_the_list_learns_places_from_peers() {
+async fn a_daemon_that_starts_without_the_list_learns_addresses_from_peers() {
     let (_engine, address) = engine(ENGINE).await;
     let list = machine_list(vec![(ENGINE.to_owned(), address)], up()).await;
     let no_list = machine_list(Vec::new(), Arc::new(Mutex::new(false))).await;
@@ -144,11 +150,11 @@
     let peers = OnePeer::new("b", &members);
     let younger = start("b", no_list, peers.clone());
     *peers.other.lock().unwrap() = Some(older.clone());
-    wait_until("the younger daemon knows it", || usable(&younger)).await;
+    wait_until("the younger daemon knows the engine", || usable(&younger)).await;
     drop(older);
     let report = |backends: &Backends| backends.observed(ENGINE)?.report;
     let sequence = report(&younger).expect("fresh").sequence;
-    wait_until("it reads reports itself", || {
+    wait_until("the younger daemon reads reports itself", || {
         report(&younger).is_some_and(|report| report.sequence > sequence + 5)
     })
     .await;
--- a/crates/daemon/tests/bundles.rs
+++ b/crates/daemon/tests/bundles.rs
@@ -1,4 +1,4 @@
-//! Rolls, races, lost answers and outages, with nodes in one process and a key-value service that fails on request.
+//! Rolls, races, lost answers and outages of bundles, with a key-value service with faults.
 
 #[path = "support/bundle_cluster.rs"]
 mod bundle_cluster;
@@ -45,7 +45,7 @@
     assert_eq!(
         accept(&nodes[1], 1).await,
         proposal,
-        "the same text again is the same roll"
+        "rolling the same text again must return the first proposal"
     );
 
     drop(nodes);
@@ -58,12 +58,12 @@
     ));
     assert!(
         nodes.iter().all(|node| !node.may_deliver()),
-        "nobody vouched for revision 1 yet"
+        "no evidence for revision 1 is available yet"
     );
 }
 
 #[tokio::test]
-async fn of_two_racing_operators_one_wins_and_the_other_learns_who() {
+async fn one_of_two_concurrent_rolls_wins_and_the_other_reports_the_winner() {
     let (_server, _cluster, nodes) = start().await;
     for revision in 1..=5 {
         let rolls = (
@@ -100,7 +100,7 @@
 }
 
 #[tokio::test]
-async fn a_lost_answer_neither_loses_nor_doubles_the_roll() {
+async fn a_lost_answer_neither_loses_nor_repeats_the_roll() {
     let (server, _cluster, nodes) = start().await;
     for (revision, fault) in [
         (1, Fault::CutBefore),
@@ -116,14 +116,14 @@
 }
 
 #[tokio::test]
-async fn an_unknown_outcome_is_said_and_can_be_asked_for() {
+async fn an_unknown_outcome_is_reported_and_can_be_queried() {
     let server = KeyValueServer::start().await;
     let mut cluster = Cluster::new(&server.url);
     cluster.short_deadline_node = "n5";
     let nodes = cluster.start_nodes(&NODES).await;
     accept(&nodes[0], 1).await;
     wait_for_revision(&nodes, 1).await;
-    // The swap takes effect, and from then on nobody gets an answer.
+    // The swap takes effect, but this and all later calls get no answer.
     server.queue_write_fault(Fault::CutAfterThenDown);
     let RollOutcome::Unknown { proposal_id, .. } = roll(&nodes[4], 2, "plain").await else {
         panic!("expected an unknown outcome");
@@ -159,7 +159,7 @@
     }
     let outcome = roll(&nodes[0], 1, "plain").await;
     let RollOutcome::Unknown { proposal_id, .. } = outcome else {
-        panic!("counted on an old replica set: {outcome:?}");
+        panic!("accepted under an old replica set: {outcome:?}");
     };
     cluster.network.learn_replica_set("n1", 2);
     let state = nodes[0].proposal(&proposal_id).await;
@@ -185,7 +185,7 @@
 }
 
 #[tokio::test]
-async fn evidence_comes_from_quorums_and_answers_and_goes_stale() {
+async fn evidence_comes_from_quorums_and_answers_and_expires() {
     let (server, _cluster, nodes) = start().await;
     accept(&nodes[0], 1).await;
     wait_for_revision(&nodes, 1).await;
@@ -242,9 +242,9 @@
     .await;
 }
 
-/// Each look takes a few milliseconds, far less than the pause after a fruitless fetch.
+/// Each announcement of an unavailable revision must not cause a fetch.
 #[tokio::test]
-async fn a_bundle_that_nobody_hands_over_is_not_asked_for_without_pause() {
+async fn an_unavailable_bundle_is_not_requested_without_pause() {
     const ROUNDS: usize = 40;
     let (_server, cluster, nodes) = start().await;
     accept(&nodes[0], 1).await;
@@ -255,12 +255,12 @@
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     let fetches = cluster.network.fetches() - before;
-    assert!(fetches > 0, "the newer bundle is asked for");
-    assert!(fetches < ROUNDS / 2, "{fetches} fetches in {ROUNDS} looks");
+    assert!(fetches > 0, "the newer bundle was never requested");
+    assert!(fetches < ROUNDS / 2, "{fetches} fetches in {ROUNDS} rounds");
 }
 
 #[tokio::test]
-async fn bad_bundles_are_refused_by_every_node() {
+async fn invalid_bundles_are_refused_by_every_node() {
     let (_server, _cluster, nodes) = start().await;
     accept(&nodes[0], 1).await;
     wait_for_revision(&nodes, 1).await;
@@ -300,7 +300,7 @@
 }
 
 #[tokio::test]
-async fn an_older_record_of_the_service_changes_nothing() {
+async fn an_older_record_in_the_service_changes_nothing() {
     let (server, _cluster, nodes) = start().await;
     accept(&nodes[0], 1).await;
     let old = server.snapshot();
@@ -312,7 +312,7 @@
         hops: 0,
     };
     let ResponseKind::bundle_state(state) = nodes[3].handle_push_bundle(push).await.kind else {
-        panic!("a bundle that was in force is no error");
+        panic!("a bundle that was in force must not be refused");
     };
     assert_eq!(state.revision, 2);
     let outcome = roll(&nodes[4], 2, "other").await;
@@ -325,17 +325,17 @@
 }
 
 #[tokio::test]
-async fn a_lagging_copy_of_the_service_vouches_for_nothing() {
+async fn a_lagging_read_of_the_service_is_no_evidence() {
     let (server, cluster, nodes) = start().await;
     accept(&nodes[0], 1).await;
     server.let_ranges_lag();
     cluster.network.disconnect("n5");
     accept(&nodes[0], 2).await;
-    // Cut off from its peers, it has the service alone to learn from.
+    // The disconnected node can learn only from the service.
     wait_until("evidence", || nodes[4].may_deliver()).await;
     wait_for_revision(&nodes[4..], 2).await;
     cluster.stop("n5");
     let fresh = cluster.start("n5").await;
-    wait_until("evidence of a fresh start", || fresh.may_deliver()).await;
+    wait_until("evidence of the restarted node", || fresh.may_deliver()).await;
     assert_eq!(fresh.current().unwrap().bundle.revision, 2);
 }
--- a/crates/daemon/tests/bundles_http.rs
+++ b/crates/daemon/tests/bundles_http.rs
@@ -1,4 +1,4 @@
-//! The operators' HTTP interface to bundles: statuses, typed errors with every finding, and limits.
+//! Operators' HTTP interface to bundles: statuses, errors with all findings, and limits.
 
 #[path = "support/bundle_cluster.rs"]
 mod bundle_cluster;
@@ -42,7 +42,7 @@
 }
 
 #[tokio::test]
-async fn a_roll_is_accepted_shown_and_found_again() {
+async fn a_roll_is_accepted_and_its_proposal_can_be_queried() {
     let (server, _cluster, _nodes, client) = start().await;
     assert_eq!(get(&client, "/v1/bundles/current").await.1["revision"], 0);
     let (status, answer, _) = post(&client, body(&text(1, "first"))).await;
@@ -72,7 +72,7 @@
 }
 
 #[tokio::test]
-async fn refusals_name_everything_that_is_wrong() {
+async fn refusals_list_all_findings() {
     let (_server, _cluster, _nodes, client) = start().await;
     let broken = "revision = 0\ncolour = 1\n[[pool]]\nname = 3\nkind = 'x'\nbackends = []\nconcurrency = 0\n";
     let (status, answer, retry) = post(&client, body(broken)).await;
@@ -81,7 +81,7 @@
     assert_eq!(
         findings.len(),
         8,
-        "six mistakes and two classes that are not there: {answer}"
+        "six invalid fields and two missing classes: {answer}"
     );
     assert!(
         findings
--- a/crates/daemon/tests/journal/network.rs
+++ b/crates/daemon/tests/journal/network.rs
@@ -1,4 +1,4 @@
-//! Nodes with a journal each, joined by calls that can be cut or frozen.
+//! Test nodes with a journal each, connected by an in-memory network with faults.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
@@ -22,13 +22,13 @@
 use tempfile::TempDir;
 use tokio::sync::watch;
 
-/// How long a test waits for a condition before it fails.
+/// Longest wait for a condition before a test fails.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Revision of the bundle that the first replicas hold.
+/// Revision of the bundle that the initial replicas store.
 const BUNDLE: u64 = 3;
 
-/// What the hooks of one node were told.
+/// Calls of the hooks of one node.
 #[derive(Debug, Default)]
 pub struct HookCalls {
     pub orphaned: BTreeSet<String>,
@@ -42,7 +42,7 @@
 }
 
 impl JournalHooks for RecordingHooks {
-    /// As of a process that has not read its disk yet; the journal must put the stored revision in its place.
+    /// Returns no evidence, like a process that has not read its disk; the journal must insert the stored revision.
     fn own_evidence(&self) -> BundleEvidence {
         BundleEvidence::default()
     }
@@ -69,7 +69,7 @@
     }
 }
 
-/// One running node.
+/// Running node.
 pub struct Node {
     pub journal: Journal,
     pub replica_sets: ReplicaSets,
@@ -85,9 +85,9 @@
     write_losing: Mutex<BTreeSet<String>>,
     frozen: watch::Sender<BTreeSet<String>>,
     folders: TempDir,
-    /// Bytes of all requests and answers between nodes so far.
+    /// Total size of all requests and answers between nodes, in bytes.
     carried: AtomicUsize,
-    /// With one, nodes make and change the replica set themselves; the first three are the initial replicas.
+    /// If set, the nodes create and change the replica set themselves, with the first three as initial replicas.
     key_value_url: Option<String>,
 }
 
@@ -104,7 +104,7 @@
         })
     }
 
-    /// Nodes `n0`, `n1`, … of which the first `replicas` are the replica set of version 1.
+    /// Starts nodes `n0`, `n1`, … of which the first `replicas` form the replica set of version 1.
     pub async fn start(nodes: usize, replicas: usize) -> Arc<Self> {
         let network = Self::empty(None);
         for index in 0..nodes {
@@ -161,7 +161,7 @@
         node
     }
 
-    /// Stops a node; its data folder stays. Waits until nothing uses it any more.
+    /// Stops a node, keeps its data folder and waits until the folder is closed.
     pub async fn stop_node(&self, name: &str) {
         let node = self
             .nodes
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Every node hears the version of every other, as through pings.
+    /// Sends the replica set version of every node to every other node, as pings do.
     pub fn ping(self: &Arc<Self>) {
         let nodes = self.nodes.lock().unwrap().clone();
         for (own, node) in &nodes {
@@ -250,26 +250,26 @@
         }
     }
 
-    pub fn with_hook_calls<T>(&self, name: &str, look: impl FnOnce(&HookCalls) -> T) -> T {
-        look(&self.node(name).seen.lock().unwrap())
+    pub fn with_hook_calls<T>(&self, name: &str, query: impl FnOnce(&HookCalls) -> T) -> T {
+        query(&self.node(name).seen.lock().unwrap())
     }
 
-    /// Bytes of all requests and answers between nodes so far.
+    /// Returns the total size of all requests and answers between nodes, in bytes.
     pub fn carried_bytes(&self) -> usize {
         self.carried.load(Ordering::Relaxed)
     }
 
-    /// Calls to these nodes fail at once.
+    /// Disconnects exactly these nodes: calls to them fail at once.
     pub fn set_disconnected(&self, names: &[&str]) {
         *self.disconnected.lock().unwrap() = names.iter().map(|name| (*name).to_owned()).collect();
     }
 
-    /// Installs and appends to these nodes are lost.
+    /// Drops installs and appends to exactly these nodes.
     pub fn lose_writes(&self, names: &[&str]) {
         *self.write_losing.lock().unwrap() = names.iter().map(|name| (*name).to_owned()).collect();
     }
 
-    /// Calls to these nodes wait until they thaw, and are then carried out.
+    /// Freezes exactly these nodes: calls to them are executed once they are no longer frozen.
     pub fn freeze(&self, names: &[&str]) {
         self.frozen
             .send_replace(names.iter().map(|name| (*name).to_owned()).collect());
@@ -340,14 +340,14 @@
         timeout: Duration,
     ) -> BoxFuture<'a, Result<Response, CallError>> {
         Box::pin(async move {
-            let gone = || CallError::NotSent("network is gone".to_owned());
+            let gone = || CallError::NotSent("the network was dropped".to_owned());
             let network = self.network.upgrade().ok_or_else(gone)?;
             let to = node.to_owned();
-            // As over TCP, the receiver carries the request out although the caller stops waiting.
+            // As over TCP, the receiver executes the request even if the caller stops waiting.
             let delivery = tokio::spawn(async move { network.deliver(&to, request).await });
             match tokio::time::timeout(timeout, delivery).await {
                 Ok(Ok(result)) => result,
-                _ => Err(CallError::Unknown("no answer in time".to_owned())),
+                _ => Err(CallError::Unknown("call timed out".to_owned())),
             }
         })
     }
@@ -379,11 +379,11 @@
     Storage::open(folder, StorageOptions::default()).expect("data folder")
 }
 
-/// Waits for a condition.
-pub async fn until(what: &str, condition: impl AsyncFn() -> bool) {
+/// Waits for a condition; fails the test after [`WAIT_TIMEOUT`].
+pub async fn until(description: &str, condition: impl AsyncFn() -> bool) {
     let started = Instant::now();
     while !condition().await {
-        assert!(started.elapsed() < WAIT_TIMEOUT, "still not true: {what}");
+        assert!(started.elapsed() < WAIT_TIMEOUT, "timed out: {description}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/crates/daemon/tests/journal/owners.rs
+++ b/crates/daemon/tests/journal/owners.rs
@@ -1,11 +1,11 @@
-//! Heartbeats: who is told about untended and fenced logs, and the evidence that comes back.
+//! Heartbeats: notices of orphaned and fenced logs, and evidence from the replicas.
 
 use crate::network::{Network, entry, until};
 
 const LOG: &str = "shard/trainer/1/0";
 
 #[tokio::test]
-async fn an_untended_log_is_given_to_one_member() {
+async fn an_orphaned_log_is_assigned_to_one_member() {
     let network = Network::start(5, 3).await;
     let (mut writer, _) = network.journal("n4").take_over(LOG).await.unwrap();
     writer.append(vec![entry("a")], false).await.unwrap();
@@ -29,26 +29,29 @@
             |name: &&str| network.with_hook_calls(name, |seen| seen.orphaned.contains(LOG));
         names.into_iter().filter(is_notified).collect()
     };
-    until("somebody is told", async || !notified().is_empty()).await;
+    until("a member is notified", async || !notified().is_empty()).await;
     assert_eq!(
         notified().len(),
         1,
-        "the same member is named by every replica"
+        "every replica must notify the same member"
     );
     for name in names {
         network.with_hook_calls(name, |seen| {
-            assert!(!seen.orphaned.contains("shard/trainer/1/1"), "a tended log");
+            assert!(
+                !seen.orphaned.contains("shard/trainer/1/1"),
+                "a log with a live owner"
+            );
             assert!(!seen.orphaned.contains("shard/trainer/1/2"), "a closed log");
         });
     }
 }
 
 #[tokio::test]
-async fn heartbeats_tell_a_writer_that_it_is_fenced() {
+async fn heartbeats_notify_a_fenced_writer() {
     let network = Network::start(3, 3).await;
     let (_paused, _) = network.journal("n0").take_over(LOG).await.unwrap();
     let (_successor, _) = network.journal("n1").take_over(LOG).await.unwrap();
-    until("the fenced node is told", async || {
+    until("the fenced node is notified", async || {
         network.with_hook_calls("n0", |seen| seen.fenced.contains(LOG))
     })
     .await;
@@ -56,11 +59,11 @@
 }
 
 #[tokio::test]
-async fn heartbeats_bring_evidence_of_a_majority_without_any_log() {
+async fn heartbeats_collect_evidence_from_a_majority_without_any_log() {
     let network = Network::start(4, 3).await;
     network.set_disconnected(&["n0"]);
     network.store_bundle(&["n0", "n1", "n2"]).await;
-    until("evidence of the two replicas left", async || {
+    until("evidence of the two connected replicas", async || {
         network.with_hook_calls("n3", |seen| seen.evidence_with_majority == 2)
     })
     .await;
--- a/crates/daemon/tests/journal/replica_sets.rs
+++ b/crates/daemon/tests/journal/replica_sets.rs
@@ -1,4 +1,4 @@
-//! Making, learning and changing the replica set through a key-value service that fails.
+//! Creation and change of the replica set through a key-value service with faults.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use crate::key_value_server::{Fault, KeyValueServer};
 use crate::network::{Network, entry, until};
 
-/// Nodes `n0` to `n2` are the initial replicas; `folders` of all nodes have a disk.
+/// Starts nodes of which `n0` to `n2` are the initial replicas and the first `folders` have a data folder.
 async fn start(server: &KeyValueServer, nodes: usize, folders: usize) -> Arc<Network> {
     let network = Network::empty(Some(server.url.clone()));
     for index in 0..nodes {
@@ -20,7 +20,7 @@
     network
 }
 
-/// Waits until every node knows the set of at least that version; nodes tell each other as pings would.
+/// Waits until every node knows a set of at least this version; nodes exchange versions as with pings.
 async fn until_version(network: &Arc<Network>, version: u64) {
     until("every node knows the set", async || {
         network.ping();
@@ -40,7 +40,7 @@
 }
 
 #[tokio::test]
-async fn one_first_set_is_made_although_answers_are_lost() {
+async fn one_initial_set_is_created_although_answers_are_lost() {
     let server = KeyValueServer::start().await;
     for fault in [
         Fault::CutAfter,
@@ -81,10 +81,10 @@
 }
 
 #[tokio::test]
-async fn a_lost_replica_is_replaced_by_a_spare_with_all_logs() {
+async fn a_lost_replica_is_replaced_by_a_spare_that_receives_all_logs() {
     let server = KeyValueServer::start().await;
     let network = start(&server, 5, 4).await;
-    // Only the replica that is lost and the one that is lost later hold the entries.
+    // The entries are stored only at the replicas that are stopped below.
     network.lose_writes(&["n0"]);
     let mut written = Vec::new();
     for number in 0..150 {
@@ -97,7 +97,7 @@
     network.stop_node("n2").await;
     server.queue_write_fault(Fault::CutAfter);
     until_version(&network, 2).await;
-    // Heartbeat majorities must not lose the bundle: the change waits until the spare holds it.
+    // The change must wait until the spare holds the bundle, or heartbeat majorities could lose it.
     tokio::time::sleep(Duration::from_millis(500)).await;
     assert!(network.versions().into_iter().all(|version| version == 2));
     network.store_bundle(&["n3"]).await;
@@ -108,9 +108,9 @@
         [network.member("n0"), network.member("n1"), spare]
     );
     assert!(set.next.is_empty());
-    // The spare must be able to stand in for another replica that is lost.
+    // The spare must now make up for the loss of another replica.
     network.stop_node("n1").await;
-    // Only one replica of the writer's own set is left: it must tell, as there is no majority that could.
+    // The last replica of the writer's set must report the newer set, because no majority of the old one is left.
     let stale = Err(JournalError::StaleReplicaSet);
     assert_eq!(early.confirm_ownership().await, stale);
     assert_eq!(early.append(vec![entry("d")], false).await, stale);
@@ -122,7 +122,7 @@
 }
 
 #[tokio::test]
-async fn a_node_that_came_back_with_an_empty_disk_replaces_itself() {
+async fn a_node_that_returns_with_an_empty_disk_replaces_itself() {
     let server = KeyValueServer::start().await;
     let network = start(&server, 4, 3).await;
     let entries = write(&network, "n3", "shard/t/1/0").await;
--- a/crates/daemon/tests/journal/writers.rs
+++ b/crates/daemon/tests/journal/writers.rs
@@ -1,4 +1,4 @@
-//! Take-overs, appends and reads while replicas are cut, frozen, restarted or lost.
+//! Takeovers, appends and reads while replicas are disconnected, frozen, restarted or lost.
 
 use ladderstage_daemon::journal::JournalError;
 
@@ -7,7 +7,7 @@
 const LOG: &str = "shard/trainer/1/0";
 
 #[tokio::test]
-async fn committed_entries_are_read_everywhere_and_survive_a_cut_replica() {
+async fn committed_entries_are_read_everywhere_and_survive_a_disconnected_replica() {
     let network = Network::start(4, 3).await;
     let (mut writer, found) = network.journal("n3").take_over(LOG).await.unwrap();
     assert!(found.is_empty());
@@ -54,8 +54,7 @@
     assert_eq!(read, Some(vec![entry("a"), entry("b")]));
 }
 
-/// A long log must not be sent by every replica and to every replica again: on a slow link such a take-over takes longer than a
-/// round, and the next try begins anew.
+/// A takeover that transfers a long log several times never finishes on a slow link.
 #[tokio::test]
 async fn a_take_over_carries_a_long_log_once() {
     const ENTRIES: usize = 40;
@@ -76,7 +75,7 @@
 }
 
 #[tokio::test]
-async fn two_take_overs_in_one_process_do_not_share_an_epoch() {
+async fn concurrent_take_overs_in_one_process_do_not_share_an_epoch() {
     let network = Network::start(3, 3).await;
     let journal = network.journal("n0");
     let (first, second) = tokio::join!(journal.take_over(LOG), journal.take_over(LOG));
@@ -107,7 +106,7 @@
 }
 
 #[tokio::test]
-async fn a_frozen_replica_holds_nobody_up_and_catches_up_later() {
+async fn a_frozen_replica_delays_no_append_and_catches_up_later() {
     let network = Network::start(3, 3).await;
     let (mut writer, _) = network.journal("n0").take_over(LOG).await.unwrap();
     network.freeze(&["n2"]);
@@ -128,7 +127,7 @@
 }
 
 #[tokio::test]
-async fn a_replica_that_came_back_empty_counts_for_nothing() {
+async fn a_replica_that_lost_its_disk_does_not_count_for_a_majority() {
     let network = Network::start(4, 3).await;
     let (mut writer, _) = network.journal("n3").take_over(LOG).await.unwrap();
     writer.append(vec![entry("a")], false).await.unwrap();
@@ -153,7 +152,7 @@
 }
 
 #[tokio::test]
-async fn a_restart_of_all_nodes_recovers_from_the_disks() {
+async fn logs_survive_a_restart_of_all_nodes() {
     let network = Network::start(3, 3).await;
     let (mut writer, _) = network.journal("n0").take_over(LOG).await.unwrap();
     writer.append(vec![entry("a")], false).await.unwrap();
--- a/crates/daemon/tests/members/cluster.rs
+++ b/crates/daemon/tests/members/cluster.rs
@@ -1,4 +1,4 @@
-//! Several nodes' membership in one process, over real connections.
+//! Membership of several nodes in one process, over real connections.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -14,20 +14,20 @@
     BundleEvidence, MemberState, Request, Response, mod_Request::OneOfkind,
 };
 
-/// Longer than anything here should take, also on a busy machine.
+/// Longest wait for a condition before a test fails.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a node tells of the bundle, and what it was told.
+/// Hooks that announce `announced` and record what other nodes announce.
 #[derive(Default)]
 pub struct Hooks {
-    pub told: BundleEvidence,
+    pub announced: BundleEvidence,
     pub learned: Mutex<Vec<(String, BundleEvidence, Instant)>>,
     pub learned_versions: Mutex<Vec<(String, u64)>>,
 }
 
 impl MemberHooks for Hooks {
     fn evidence(&self) -> BundleEvidence {
-        self.told.clone()
+        self.announced.clone()
     }
 
     fn learned_evidence(&self, from: &str, evidence: &BundleEvidence, sent_at: Instant) {
@@ -36,7 +36,7 @@
     }
 
     fn replica_set_version(&self) -> u64 {
-        self.told.revision
+        self.announced.revision
     }
 
     fn learned_replica_set_version(&self, from: &str, version: u64) {
@@ -65,7 +65,7 @@
     }
 }
 
-/// One node. Dropping it is its crash.
+/// Running node. Dropping it simulates a crash.
 pub struct Node {
     pub members: Members,
     pub hooks: Arc<Hooks>,
@@ -142,20 +142,20 @@
         member.is_some_and(|member| member.state == state)
     }
 
-    /// Ends it as a crash does: nothing is said, connections close.
+    /// Simulates a crash: connections close without any announcement.
     pub fn crash(self) {
         self.members.stop();
     }
 }
 
-/// Starts nodes of these names; the first is the seed of the others.
+/// Starts nodes with these names, the first as seed of the others, and waits until all know each other.
 pub async fn start_all(names: &[&str]) -> Vec<Node> {
     let mut nodes = vec![Node::start(&settings(names[0], &[])).await];
     for name in &names[1..] {
         let seeds = [nodes[0].address()];
         nodes.push(Node::start(&settings(name, &seeds)).await);
     }
-    until("all see all", || {
+    until("every node knows all nodes", || {
         nodes
             .iter()
             .all(|node| node.members.alive().len() == names.len())
@@ -164,11 +164,11 @@
     nodes
 }
 
-/// Waits for a condition.
-pub async fn until(what: &str, condition: impl Fn() -> bool) {
+/// Waits for a condition; fails the test after [`WAIT_TIMEOUT`].
+pub async fn until(description: &str, condition: impl Fn() -> bool) {
     let started = Instant::now();
     while !condition() {
-        assert!(started.elapsed() < WAIT_TIMEOUT, "not in time: {what}");
+        assert!(started.elapsed() < WAIT_TIMEOUT, "timed out: {description}");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
--- a/crates/daemon/tests/members/main.rs
+++ b/crates/daemon/tests/members/main.rs
@@ -25,7 +25,7 @@
     .await;
     let seeds = [nodes[0].address()];
     let restarted = Node::start(&settings("e", &seeds)).await;
-    until("e is back", || {
+    until("e is alive again", || {
         nodes.iter().all(|node| node.sees("e", MemberState::ALIVE))
     })
     .await;
@@ -36,7 +36,7 @@
 }
 
 #[tokio::test]
-async fn planned_stop_is_known_and_sticks() {
+async fn a_planned_stop_is_announced_and_stays_known() {
     let nodes = start_all(&["a", "b", "c"]).await;
     nodes[2].members.announce_leaving().await;
     until("c is known to leave", || {
@@ -71,14 +71,14 @@
     let addresses: Vec<_> = nodes.iter().map(Node::address).collect();
     nodes.into_iter().for_each(Node::crash);
     until("a is isolated", || alone.members.is_isolated()).await;
-    until("the others are dead to a", || {
+    until("a considers the others dead", || {
         alone.sees("b", MemberState::DEAD) && alone.sees("c", MemberState::DEAD)
     })
     .await;
-    assert!(alone.members.is_isolated(), "dead members count");
+    assert!(alone.members.is_isolated(), "dead members must count");
     let mut back = settings("b", &[]);
     back.peer_listen = addresses[0];
-    // No seed on either side: the probe of a dead member finds it.
+    // Neither node has a seed: only a probe of the dead member can find it.
     let _back = Node::start(&back).await;
     until("a is with the majority again", || {
         !alone.members.is_isolated()
@@ -88,31 +88,34 @@
 
 #[tokio::test]
 async fn member_that_only_others_reach_is_never_suspected() {
-    // Nothing but the refused connection fails a probe, however busy the machine is.
-    let patient = |node: &str, seeds: &[SocketAddr]| {
+    // Long timeout, so that probes fail only by the refused connection.
+    let with_long_timeout = |node: &str, seeds: &[SocketAddr]| {
         let mut settings = settings(node, seeds);
         settings.timing.probe_timeout_ms = 20_000;
         settings
     };
-    let seed = Node::start(&patient("seed", &[])).await;
-    let target = Node::start(&patient("target", &[seed.address()])).await;
-    // An address at which nobody listens: bound, closed again.
+    let seed = Node::start(&with_long_timeout("seed", &[])).await;
+    let target = Node::start(&with_long_timeout("target", &[seed.address()])).await;
+    // Binds and closes a port to get an address without listener.
     let closed = TcpListener::bind(any_port()).await.expect("bind");
-    let nowhere = closed.local_addr().expect("address");
+    let unused_address = closed.local_addr().expect("address");
     drop(closed);
-    let mut half_connected = patient("half-cut", &[seed.address()]);
+    let mut half_connected = with_long_timeout("half-connected", &[seed.address()]);
     half_connected
         .peer_addresses
-        .insert("target".to_owned(), nowhere);
+        .insert("target".to_owned(), unused_address);
     let half_connected = Node::start(&half_connected).await;
-    until("helper was asked often", || {
+    until("the helper received many indirect pings", || {
         seed.answers.indirect_pings.load(Ordering::Relaxed) >= 40
     })
     .await;
-    assert_eq!(half_connected.members.address("target"), Some(nowhere));
+    assert_eq!(
+        half_connected.members.address("target"),
+        Some(unused_address)
+    );
     assert!(half_connected.sees("target", MemberState::ALIVE));
     let target_entry = target.members.own();
-    assert_eq!(target_entry.incarnation, 0, "it had nothing to refute");
+    assert_eq!(target_entry.incarnation, 0, "the target was suspected");
     until("target is not isolated", || !target.members.is_isolated()).await;
 }
 
@@ -142,38 +145,38 @@
 }
 
 #[tokio::test]
-async fn evidence_counts_from_the_moment_of_asking_only_in_answers() {
-    let told = BundleEvidence {
+async fn evidence_has_an_age_only_in_answers() {
+    let announced = BundleEvidence {
         revision: 7,
         age_ms: 40,
         known: true,
     };
     let hooks = Hooks {
-        told: told.clone(),
+        announced: announced.clone(),
         ..Hooks::default()
     };
-    let teller = Node::start_with(&settings("a", &[]), hooks).await;
-    let listener = Node::start(&settings("b", &[teller.address()])).await;
+    let sender = Node::start_with(&settings("a", &[]), hooks).await;
+    let receiver = Node::start(&settings("b", &[teller.address()])).await;
     let learned = |known| {
-        let learned = listener.hooks.learned.lock().expect("lock");
+        let learned = receiver.hooks.learned.lock().expect("lock");
         let mut learned = learned.iter();
         learned.any(|(from, evidence, _)| {
             from == "a" && evidence.revision == 7 && evidence.known == known
         })
     };
-    until("learned from an answer", || learned(true)).await;
-    until("learned the revision from a ping", || learned(false)).await;
-    let versions = listener.hooks.learned_versions.lock().expect("lock");
+    until("b received evidence in an answer", || learned(true)).await;
+    until("b received the revision in a ping", || learned(false)).await;
+    let versions = receiver.hooks.learned_versions.lock().expect("lock");
     assert!(versions.contains(&("a".to_owned(), 7)));
 }
 
 #[tokio::test]
-async fn new_replica_id_and_address_for_callers_are_told() {
+async fn new_replica_id_and_http_address_are_announced() {
     let nodes = start_all(&["a", "b"]).await;
     nodes[0].members.set_replica_id(99);
     nodes[0].members.set_http_address(nodes[0].address());
     let address = nodes[0].address().to_string();
-    until("b knows them", || {
+    until("b knows the new id and address", || {
         let member = nodes[1].members.find("a").expect("known");
         member.replica_id == 99 && member.http_address == address
     })
--- a/crates/daemon/tests/orders.rs
+++ b/crates/daemon/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines, against stand-ins over HTTP.
+//! Orders to engines, with stand-in engines over HTTP.
 
 mod standin;
 
@@ -18,7 +18,7 @@
     bundle: watch::Sender<InForce>,
 }
 
-/// A daemon that looks after one engine alone, under a first bundle.
+/// Starts the only daemon of one engine with an initial bundle.
 async fn start(first: InForce) -> (Daemon, SharedEngine) {
     let (engine, address) = engine(ENGINE).await;
     let up = Arc::new(Mutex::new(true));
@@ -71,11 +71,11 @@
 }
 
 #[tokio::test]
-async fn an_engine_that_only_claims_success_is_asked_again() {
+async fn an_engine_that_accepts_an_order_without_swapping_is_ordered_again() {
     let (daemon, engine) = start(None).await;
     engine.lock().unwrap().swaps = false;
     daemon.bundle.send_replace(bundle(1, 2, &[ENGINE]));
-    wait_until("it was asked again", || {
+    wait_until("the engine was ordered again", || {
         engine.lock().unwrap().orders_seen >= 2
     })
     .await;
@@ -87,7 +87,7 @@
 }
 
 #[tokio::test]
-async fn a_failed_swap_is_tried_again() {
+async fn a_failed_swap_is_retried() {
     let (daemon, engine) = start(None).await;
     engine.lock().unwrap().failures_left = 2;
     daemon.bundle.send_replace(bundle(1, 2, &[ENGINE]));
@@ -100,7 +100,7 @@
 }
 
 #[tokio::test]
-async fn an_older_bundle_yields_to_the_engines_fence() {
+async fn an_order_of_an_older_bundle_is_stopped_by_the_engines_fence() {
     let (daemon, engine) = start(None).await;
     engine.lock().unwrap().highest_fence = 9;
     daemon.bundle.send_replace(bundle(2, 2, &[ENGINE]));
--- a/crates/daemon/tests/shards/chaos.rs
+++ b/crates/daemon/tests/shards/chaos.rs
@@ -1,4 +1,4 @@
-//! Random faults while a trainer pulls: whatever happens, it takes each slot once, with true versions, none too old.
+//! Random faults while a trainer pulls: it must receive each slot once, with correct and fresh weight versions.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -16,7 +16,7 @@
 const SAMPLES: usize = 200;
 const FAULT_PERIOD: Duration = Duration::from_secs(4);
 
-/// One random fault, or its end.
+/// Injects one random fault, or ends one.
 async fn inject_fault(cluster: &Cluster, random: &mut StdRng, weight_version: &mut u64) {
     match random.random_range(0..10) {
         0..3 => cluster.set_disconnected(&[NODES[random.random_range(0..NODES.len())]]),
@@ -74,7 +74,7 @@
     while !trainer.complete {
         assert!(
             started.elapsed() < 2 * crate::nodes::WAIT_TIMEOUT,
-            "taken: {}",
+            "accepted: {}",
             trainer.accepted.len()
         );
         let in_force = cluster.bundles.revision();
@@ -101,7 +101,7 @@
     }
     assert_eq!(trainer.accepted.len(), SAMPLES);
     println!(
-        "taken after {:?}, revision {}, highest attempt {:?}",
+        "step complete after {:?}, revision {}, highest attempt {:?}",
         started.elapsed(),
         cluster.bundles.revision(),
         trainer.accepted.values().max()
@@ -118,7 +118,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn random_faults_lose_and_double_nothing() {
+async fn random_faults_neither_lose_nor_duplicate_samples() {
     let seed = std::env::var("LADDERSTAGE_SEED").ok();
     match seed.and_then(|seed| seed.parse().ok()) {
         Some(seed) => run(seed).await,
--- a/crates/daemon/tests/shards/faults.rs
+++ b/crates/daemon/tests/shards/faults.rs
@@ -1,4 +1,4 @@
-//! Steps while engines, owners and the journal fail.
+//! Steps during faults of engines, owners, the journal and the scorer.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_cut_stream_is_resumed_and_labelled_truly() {
+async fn an_interrupted_stream_is_resumed_with_correct_versions() {
     let cluster = Cluster::start(2, 1, 1).await;
     let faults = EngineFaults {
         cut: Some(CutPoint::MidBody),
@@ -35,11 +35,14 @@
         let log = cluster.engines.log(index).await;
         log.runs.iter().any(|run| run.first_token > 0)
     };
-    assert!(resumed(0).await || resumed(1).await, "nothing was resumed");
+    assert!(
+        resumed(0).await || resumed(1).await,
+        "no engine resumed a sample"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_sample_without_a_named_version_is_run_again() {
+async fn a_sample_without_a_weight_version_is_generated_again() {
     let cluster = Cluster::start(2, 1, 0).await;
     let faults = EngineFaults {
         omit_weight_version: true,
@@ -61,7 +64,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_successor_goes_on_where_an_owner_was_cut_off() {
+async fn a_successor_continues_after_its_owner_is_disconnected() {
     let cluster = Cluster::start(2, 1, 1).await;
     let mut trainer = Trainer::new(&cluster);
     trainer.submit("n0", &step(40, 6)).await;
@@ -77,7 +80,7 @@
     let repeated = trainer.request_samples(&successor, 5, 10_000).await;
     trainer.accept(&repeated.body, 1);
     cluster.set_disconnected(&[]);
-    until("the old owner let go", async || {
+    until("the old owner released the shard", async || {
         cluster.node(&owner).shards.describe().is_empty()
     })
     .await;
@@ -86,7 +89,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn an_owner_without_a_quorum_refuses_and_loses_nothing() {
+async fn an_owner_without_a_quorum_refuses_pulls_and_loses_no_samples() {
     let cluster = Cluster::start(2, 1, 1).await;
     let mut trainer = Trainer::new(&cluster);
     trainer.submit("n0", &step(100, 30)).await;
@@ -143,7 +146,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn evidence_that_ages_while_the_hand_out_is_committed_holds_it_back() {
+async fn evidence_that_expires_during_a_commit_holds_the_delivery_back() {
     let cluster = Cluster::start(1, 1, 0).await;
     let trainer = Trainer::new(&cluster);
     trainer.submit("n0", &step(4, 3)).await;
@@ -200,7 +203,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_failing_scorer_is_asked_again() {
+async fn a_failing_scorer_is_called_again() {
     let cluster = Cluster::start(1, 1, 0).await;
     let faults = ScorerFaults {
         errors: 8,
@@ -213,7 +216,11 @@
     trainer.submit("n0", &step(6, 3)).await;
     trainer.finish_anywhere(1).await;
     assert_eq!(trainer.accepted.len(), 6);
-    assert_eq!(cluster.engines.log(0).await.runs.len(), 6, "run again");
+    assert_eq!(
+        cluster.engines.log(0).await.runs.len(),
+        6,
+        "a sample was generated again"
+    );
 }
 
 fn body(step: &ladderstage_bench::trainer::StepSpec) -> String {
--- a/crates/daemon/tests/shards/http.rs
+++ b/crates/daemon/tests/shards/http.rs
@@ -1,4 +1,4 @@
-//! What the trainers' interface refuses, and how it says so.
+//! Refusals of the trainers' HTTP interface.
 
 use rocket::http::Status;
 
@@ -6,7 +6,7 @@
 use crate::trainer::{STEP, TRAINER, Trainer, step};
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn requests_that_cannot_be_carried_out_are_refused_with_their_place() {
+async fn invalid_requests_are_refused_with_the_invalid_field() {
     let cluster = Cluster::start(1, 1, 0).await;
     let trainer = Trainer::new(&cluster);
     let path = format!("/v1/trainers/{TRAINER}/steps/{STEP}");
--- a/crates/daemon/tests/shards/main.rs
+++ b/crates/daemon/tests/shards/main.rs
@@ -1,5 +1,5 @@
-//! Steps of samples over several nodes: real journals, data folders, engines and scorer; calls between the nodes go
-//! over an in-memory network that can be cut.
+//! Steps of samples over several nodes with real journals and data folders, stand-in engines and scorer, and an
+//! in-memory network with faults.
 
 mod chaos;
 mod faults;
--- a/crates/daemon/tests/shards/nodes.rs
+++ b/crates/daemon/tests/shards/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes with a journal and shards each, joined by calls that can be cut.
+//! Test nodes with a journal and shards each, connected by an in-memory network with faults.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, Weak};
@@ -26,10 +26,10 @@
 
 use crate::platform::{TestBundles, TestEngines, start_scorer};
 
-/// How long a test waits for a condition before it fails.
+/// Longest wait for a condition before a test fails.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Names of the nodes; each is a journal replica.
+/// Names of the nodes, which are all journal replicas.
 pub const NODES: [&str; 3] = ["n0", "n1", "n2"];
 
 pub struct Node {
@@ -38,15 +38,15 @@
     pub http: Client,
 }
 
-/// All nodes, the platform and the network between the nodes.
+/// All nodes, the platform services and the network between the nodes.
 pub struct Cluster {
     pub bundles: Arc<TestBundles>,
     pub engines: Arc<TestEngines>,
     pub scorer: Handle,
     nodes: Mutex<BTreeMap<String, Arc<Node>>>,
-    /// Nodes that neither reach others nor are reached.
+    /// Nodes without connection to any other node.
     disconnected: Mutex<BTreeSet<String>>,
-    /// How long each call takes on its way.
+    /// Delay of each call between nodes.
     delay: Mutex<Duration>,
     folders: TempDir,
 }
@@ -134,17 +134,17 @@
         self.nodes.lock().unwrap()[name].clone()
     }
 
-    /// Cuts nodes off from all others.
+    /// Disconnects exactly these nodes from all others; all other nodes are reconnected.
     pub fn set_disconnected(&self, names: &[&str]) {
         *self.disconnected.lock().unwrap() = names.iter().map(|name| (*name).to_owned()).collect();
     }
 
-    /// Makes each call between nodes take this long.
+    /// Delays each call between nodes.
     pub fn slow_down(&self, delay: Duration) {
         *self.delay.lock().unwrap() = delay;
     }
 
-    /// The node that owns a log by its own account, once there is one among `names`.
+    /// Waits until one of the nodes in `names` reports that it owns the log, and returns its name.
     pub async fn owner(&self, log: &str, names: &[&str]) -> String {
         let found = Mutex::new(None);
         until("the shard has an owner", async || {
@@ -162,7 +162,7 @@
         found.into_inner().unwrap().unwrap()
     }
 
-    /// Samples of a log that are committed and wait, by its owner's account.
+    /// Returns the number of committed samples that wait for the trainer, as reported by the owner.
     pub fn waiting_samples(&self, log: &str) -> usize {
         let nodes: Vec<Arc<Node>> = self.nodes.lock().unwrap().values().cloned().collect();
         let owned = nodes.iter().flat_map(|node| node.shards.describe());
@@ -229,7 +229,7 @@
                 return Err(not_sent());
             }
             let (from, to) = (self.own.clone(), node.to_owned());
-            // As over TCP, the receiver carries the request out although the caller stops waiting.
+            // As over TCP, the receiver executes the request even if the caller stops waiting.
             let delivery = tokio::spawn(async move {
                 let response = cluster.deliver(&to, request).await;
                 match cluster.is_disconnected(&from, &to) {
@@ -241,7 +241,7 @@
             });
             match tokio::time::timeout(timeout, delivery).await {
                 Ok(Ok(result)) => result,
-                _ => Err(CallError::Unknown("no answer in time".to_owned())),
+                _ => Err(CallError::Unknown("call timed out".to_owned())),
             }
         })
     }
@@ -292,11 +292,11 @@
     toml::from_str(&text).unwrap()
 }
 
-/// Waits for a condition.
-pub async fn until(what: &str, condition: impl AsyncFn() -> bool) {
+/// Waits for a condition; fails the test after [`WAIT_TIMEOUT`].
+pub async fn until(description: &str, condition: impl AsyncFn() -> bool) {
     let started = Instant::now();
     while !condition().await {
-        assert!(started.elapsed() < WAIT_TIMEOUT, "still not true: {what}");
+        assert!(started.elapsed() < WAIT_TIMEOUT, "timed out: {description}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/crates/daemon/tests/shards/platform.rs
+++ b/crates/daemon/tests/shards/platform.rs
@@ -1,4 +1,4 @@
-//! Engines, scorer and bundle as the nodes of a test see them.
+//! Platform of the test nodes: bundles, engines and scorer.
 
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::sync::{Arc, Mutex};
@@ -16,7 +16,7 @@
 
 pub const POOL: &str = "karm-lm";
 
-/// The bundle in force, the same for all nodes of a test.
+/// Bundle in force, shared by all nodes of a test.
 pub struct TestBundles {
     current: watch::Sender<Option<Arc<BundleInForce>>>,
     may_deliver: AtomicBool,
@@ -35,12 +35,12 @@
         bundles
     }
 
-    /// The next revision comes into force.
+    /// Puts the next revision in force.
     pub fn roll(&self, weight_version: u64, staleness_bound: u64) {
         self.roll_with_age(weight_version, staleness_bound, None);
     }
 
-    /// As [`Self::roll`], with a bound on the age in seconds too.
+    /// Like [`Self::roll`], with an additional bound on the age in seconds.
     pub fn roll_with_age(
         &self,
         weight_version: u64,
@@ -76,7 +76,7 @@
             .send_replace(Some(Arc::new(BundleInForce { bundle, signed })));
     }
 
-    /// The revision in force.
+    /// Returns the revision in force.
     pub fn revision(&self) -> u64 {
         self.current
             .borrow()
@@ -84,12 +84,12 @@
             .map_or(0, |now| now.bundle.revision)
     }
 
-    /// Oldest weight version that a revision admits.
+    /// Returns the oldest weight version that a revision admits.
     pub fn min_version(&self, revision: u64) -> u64 {
         self.min_versions.lock().unwrap()[revision as usize - 1]
     }
 
-    /// Whether the bundle is known recently enough to be the newest.
+    /// Sets whether the evidence for the bundle is fresh.
     pub fn set_evidence(&self, is_fresh: bool) {
         self.may_deliver.store(is_fresh, Ordering::SeqCst);
     }
@@ -116,7 +116,7 @@
     in_flight: Arc<AtomicU32>,
 }
 
-/// Stand-in engines that all nodes may use.
+/// Stand-in engines, shared by all nodes of a test.
 pub struct TestEngines {
     engines: Vec<Engine>,
     http: reqwest::Client,
--- a/crates/daemon/tests/shards/steps.rs
+++ b/crates/daemon/tests/shards/steps.rs
@@ -1,4 +1,4 @@
-//! Steps without faults between the nodes: delivery, labels, staleness.
+//! Steps without faults: delivery, version labels and staleness.
 
 use rocket::http::Status;
 
@@ -6,7 +6,7 @@
 use crate::trainer::{Trainer, log_of, step};
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_step_reaches_its_trainer_once_with_true_versions() {
+async fn a_step_is_delivered_once_with_correct_versions() {
     let cluster = Cluster::start(2, 1, 0).await;
     let mut trainer = Trainer::new(&cluster);
     let step = step(150, 4);
@@ -70,7 +70,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn an_answer_that_was_taken_before_the_roll_counts() {
+async fn an_answer_received_before_a_roll_can_be_acknowledged_after_it() {
     let cluster = Cluster::start(1, 1, 0).await;
     let mut trainer = Trainer::new(&cluster);
     trainer.submit("n0", &step(4, 3)).await;
--- a/crates/daemon/tests/shards/trainer.rs
+++ b/crates/daemon/tests/shards/trainer.rs
@@ -1,4 +1,4 @@
-//! A trainer that talks HTTP to the nodes and checks everything that it takes.
+//! Test trainer that calls the nodes over HTTP and checks every accepted answer.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,12 +17,12 @@
 pub struct Trainer {
     cluster: Arc<Cluster>,
     pub cursor: String,
-    /// Attempts taken, by slot.
+    /// Accepted attempt of each slot.
     pub accepted: BTreeMap<u32, u32>,
     pub complete: bool,
 }
 
-/// An answer's status and body.
+/// Status, retry delay in seconds and body of an answer.
 pub struct Answer {
     pub status: Status,
     pub retry_after: Option<u64>,
@@ -73,7 +73,7 @@
         read(request.dispatch().await).await
     }
 
-    /// Asks after the present cursor without taking the answer.
+    /// Pulls samples after the present cursor without accepting the answer.
     pub async fn request_samples(&self, node: &str, max: usize, wait_ms: u64) -> Answer {
         let cursor = &self.cursor;
         let path = format!(
@@ -82,7 +82,7 @@
         self.get(node, &path).await
     }
 
-    /// Takes an answer: the one for the present cursor.
+    /// Checks and accepts an answer to the present cursor.
     pub fn accept(&mut self, body: &str, min_version: u64) {
         let answer: SamplesAnswer = serde_json::from_str(body).unwrap();
         for sample in &answer.samples {
@@ -95,24 +95,24 @@
                 .min();
             assert!(
                 oldest.unwrap() >= min_version,
-                "stale: {:?}",
+                "stale segments: {:?}",
                 sample.segments
             );
-            assert!(sample.score.is_some(), "not scored");
+            assert!(sample.score.is_some(), "sample without score");
             let earlier = self.accepted.insert(sample.slot, sample.attempt);
-            assert_eq!(earlier, None, "slot {} taken twice", sample.slot);
+            assert_eq!(earlier, None, "slot {} delivered twice", sample.slot);
         }
         self.cursor = answer.cursor;
         self.complete = answer.complete;
     }
 
-    /// Pulls to the end, from one node after the other; each third answer is lost on its way.
+    /// Pulls until the step is complete, from the nodes in turn; every third answer is dropped.
     pub async fn finish(&mut self, nodes: &[&str], min_version: u64) {
         let started = Instant::now();
         for round in 0.. {
             assert!(
                 started.elapsed() < WAIT_TIMEOUT,
-                "taken: {}",
+                "accepted: {}",
                 self.accepted.len()
             );
             let node = nodes[round % nodes.len()];
--- a/crates/daemon/tests/support/bundle_cluster.rs
+++ b/crates/daemon/tests/support/bundle_cluster.rs
@@ -1,5 +1,5 @@
-//! Nodes' bundle parts in one process, joined by calls that can be cut.
-#![allow(dead_code)] // Each test file uses some of it.
+//! Bundles of several nodes in one process, connected by calls that can fail.
+#![allow(dead_code)] // No test file uses all of this.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -16,15 +16,15 @@
 use ladderstage_wire::messages::mod_Request::OneOfkind as RequestKind;
 use ladderstage_wire::messages::{ReplicaMember, ReplicaSet, Request, Response, SignedBundle};
 
-/// Longer than any wait on a busy machine should take.
+/// Longest wait for a condition before a test fails.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The operators' key in all tests.
+/// Returns the operators' signing key of all tests.
 pub fn key() -> BundleKey {
     BundleKey::from_secret("operators", &[7; 32])
 }
 
-/// Text of a bundle without findings; `note` makes texts of one revision differ.
+/// Returns the text of a valid bundle; `note` makes texts of one revision differ.
 pub fn text(revision: u64, note: &str) -> String {
     format!(
         r#"revision = {revision}
@@ -57,7 +57,7 @@
     }
 }
 
-/// A disk that survives its node.
+/// Bundle store that survives a restart of its node.
 #[derive(Default)]
 pub struct Disk {
     record: Mutex<Option<Vec<u8>>>,
@@ -75,12 +75,12 @@
     }
 }
 
-/// Nodes that are up, and those that no call reaches or leaves.
+/// Running nodes and the state of the network between them.
 #[derive(Default)]
 pub struct Network {
     nodes: Mutex<BTreeMap<String, Bundles>>,
     disconnected: Mutex<BTreeSet<String>>,
-    /// Versions of the replica set that nodes know; 1 for those not named.
+    /// Replica set versions that nodes know; 1 for nodes not listed.
     set_versions: Mutex<BTreeMap<String, u64>>,
     fetches: AtomicUsize,
 }
@@ -94,13 +94,13 @@
         self.disconnected.lock().unwrap().remove(node);
     }
 
-    /// The node learns a replica set of this version, with the same members.
+    /// Sets the replica set version that a node knows; the members stay the same.
     pub fn learn_replica_set(&self, node: &str, version: u64) {
         let mut versions = self.set_versions.lock().unwrap();
         versions.insert(node.to_owned(), version);
     }
 
-    /// Bundles that were asked for so far.
+    /// Returns the number of fetch requests so far.
     pub fn fetches(&self) -> usize {
         self.fetches.load(Ordering::Relaxed)
     }
@@ -165,10 +165,10 @@
     }
 }
 
-/// Nodes `n1`, `n2`, ... of which the first three are replicas.
+/// Nodes `n1`, `n2`, ..., of which the first three are replicas.
 pub struct Cluster {
     pub network: Arc<Network>,
-    /// A node whose rolls soon give up.
+    /// Node with a short roll deadline.
     pub short_deadline_node: &'static str,
     key_value_url: String,
     disks: BTreeMap<String, Arc<Disk>>,
@@ -195,7 +195,7 @@
         nodes
     }
 
-    /// Starts a node, again if it ran before: a replica finds its disk as it was.
+    /// Starts or restarts a node; a replica keeps its disk.
     pub async fn start(&self, name: &str) -> Bundles {
         let (network, node) = (self.network.clone(), name.to_owned());
         let dependencies = BundleParts {
@@ -225,7 +225,7 @@
         WAIT_TIMEOUT
     }
 
-    /// Stops a node; what it kept in memory is gone.
+    /// Stops a node; its state in memory is lost.
     pub fn stop(&self, name: &str) {
         self.network.nodes.lock().unwrap().remove(name);
     }
@@ -264,13 +264,13 @@
     toml::from_str(&text).unwrap()
 }
 
-/// Waits until the condition holds.
-pub async fn wait_until(what: &str, condition: impl Fn() -> bool) {
+/// Waits for a condition; fails the test after [`WAIT_TIMEOUT`].
+pub async fn wait_until(description: &str, condition: impl Fn() -> bool) {
     let deadline = std::time::Instant::now() + WAIT_TIMEOUT;
     while !condition() {
         assert!(
             std::time::Instant::now() < deadline,
-            "waited in vain: {what}"
+            "timed out: {description}"
         );
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
