--- a/crates/daemon/tests/backends.rs
+++ b/crates/daemon/tests/backends.rs
@@ -87,20 +87,14 @@
     let list = machine_list(vec![(ENGINE.to_owned(), address)], up()).await;
     let members = ["a".to_owned(), "b".to_owned()];
     let peers = OnePeer::new("a", &members);
-    let receiving = start("b", list, OnePeer::new("b", &members));
-    let announcing = start("a", list, peers.clone());
-    *peers.other.lock().unwrap() = Some(receiving.clone());
-    wait_until("both know the engine", || {
-        usable(&receiving) && usable(&announcing)
-    })
-    .await;
-    announcing.note_refusal(ENGINE, true);
-    assert!(!usable(&announcing));
-    wait_until("the peer knows that the engine is leaving", || {
-        !usable(&receiving)
-    })
-    .await;
-    assert!(receiving.describe()[0].leaving);
+    let peer = start("b", list, OnePeer::new("b", &members));
+    let sender = start("a", list, peers.clone());
+    *peers.other.lock().unwrap() = Some(peer.clone());
+    wait_until("both know the engine", || usable(&peer) && usable(&sender)).await;
+    sender.note_refusal(ENGINE, true);
+    assert!(!usable(&sender));
+    wait_until("the peer knows", || !usable(&peer)).await;
+    assert!(peer.describe()[0].leaving);
 }
 
 #[tokio::test]
--- a/crates/daemon/tests/members/main.rs
+++ b/crates/daemon/tests/members/main.rs
@@ -156,7 +156,7 @@
         ..Hooks::default()
     };
     let sender = Node::start_with(&settings("a", &[]), hooks).await;
-    let receiver = Node::start(&settings("b", &[teller.address()])).await;
+    let receiver = Node::start(&settings("b", &[sender.address()])).await;
     let learned = |known| {
         let learned = receiver.hooks.learned.lock().expect("lock");
         let mut learned = learned.iter();
