--- a/crates/daemon/tests/bundles.rs
+++ b/crates/daemon/tests/bundles.rs
@@ -242,7 +242,7 @@
     .await;
 }
 
-/// Each announcement of an unavailable revision must not cause a fetch.
+/// Repeated announcements of an unavailable revision must not cause a fetch each.
 #[tokio::test]
 async fn an_unavailable_bundle_is_not_requested_without_pause() {
     const ROUNDS: usize = 40;
