--- a/crates/daemon/src/bundles/mod.rs
+++ b/crates/daemon/src/bundles/mod.rs
@@ -126,13 +126,13 @@
     }
 
     /// Returns the bundle in force if the evidence that it is the newest is fresh enough to deliver samples.
-    pub fn deliverable(&self) -> Option<Arc<BundleInForce>> {
-        self.shared.deliverable()
+    pub fn current_if_fresh(&self) -> Option<Arc<BundleInForce>> {
+        self.shared.current_if_fresh()
     }
 
     /// Returns whether the evidence is fresh enough to deliver samples.
     pub fn may_deliver(&self) -> bool {
-        self.deliverable().is_some()
+        self.current_if_fresh().is_some()
     }
 
     /// Returns the evidence that is sent to peers in pings and heartbeats.
--- a/crates/daemon/src/bundles/state.rs
+++ b/crates/daemon/src/bundles/state.rs
@@ -121,7 +121,7 @@
     }
 
     /// Returns the bundle in force if the evidence for this bundle is within its bound.
-    pub(super) fn deliverable(&self) -> Option<Arc<BundleInForce>> {
+    pub(super) fn current_if_fresh(&self) -> Option<Arc<BundleInForce>> {
         // Both are read under one lock, so that the evidence belongs to this bundle.
         let state = self.state();
         let age = state.evidence.age(self.instant(Instant::now()))?;
--- a/crates/daemon/src/shards/collected_answers.rs
+++ b/crates/daemon/src/shards/collected_answers.rs
@@ -96,7 +96,7 @@
         complete: is_complete,
         bundle_revision: 0,
     };
-    let current = shared.dependencies.bundles.deliverable();
+    let current = shared.dependencies.bundles.current_if_fresh();
     let current = current.ok_or(PullError::HeldBack)?;
     let pool = current.bundle.pool(&status.pool);
     let bound = StalenessBound::of(pool.ok_or(PullError::HeldBack)?);
--- a/crates/daemon/src/shards/delivery.rs
+++ b/crates/daemon/src/shards/delivery.rs
@@ -139,7 +139,7 @@
             return Ok(Some(outcome_only(ReplyOutcome::UNKNOWN_SHARD)));
         }
         for _ in 0..MAX_DECISIONS {
-            let Some(in_force) = self.deliverable() else {
+            let Some(in_force) = self.in_force_if_fresh() else {
                 return Ok(Some(replies::held_back()));
             };
             let state = self.log.state();
@@ -149,12 +149,12 @@
                 self.log.confirm_ownership().await?;
             }
             self.log.commit(decision.entries, completes).await?;
-            let Some(still_in_force) = self.deliverable() else {
+            let Some(latest_in_force) = self.in_force_if_fresh() else {
                 return Ok(Some(replies::held_back()));
             };
             match decision.outcome {
                 PullOutcome::Answer { answer, samples } => {
-                    if let Some(response) = self.deliver(answer, &samples, still_in_force) {
+                    if let Some(response) = self.deliver(answer, &samples, latest_in_force) {
                         return Ok(Some(response));
                     }
                 }
@@ -213,8 +213,8 @@
     }
 
     /// Returns the bound in force if the evidence for its bundle is fresh.
-    fn deliverable(&self) -> Option<BoundInForce> {
-        self.bound_of(&self.shared.dependencies.bundles.deliverable()?.bundle)
+    fn in_force_if_fresh(&self) -> Option<BoundInForce> {
+        self.bound_of(&self.shared.dependencies.bundles.current_if_fresh()?.bundle)
     }
 
     fn in_force(&self) -> Option<BoundInForce> {
--- a/crates/daemon/src/shards/dependencies.rs
+++ b/crates/daemon/src/shards/dependencies.rs
@@ -21,7 +21,7 @@
     fn watch(&self) -> watch::Receiver<Option<Arc<BundleInForce>>>;
 
     /// Returns the bundle in force if fresh evidence shows that it is the newest.
-    fn deliverable(&self) -> Option<Arc<BundleInForce>>;
+    fn current_if_fresh(&self) -> Option<Arc<BundleInForce>>;
 }
 
 /// Guard of a request in flight at an engine; the request is counted until the guard is dropped.
@@ -77,8 +77,8 @@
         Bundles::watch(self)
     }
 
-    fn deliverable(&self) -> Option<Arc<BundleInForce>> {
-        Bundles::deliverable(self)
+    fn current_if_fresh(&self) -> Option<Arc<BundleInForce>> {
+        Bundles::current_if_fresh(self)
     }
 }
 
--- a/crates/daemon/src/shards/pulling.rs
+++ b/crates/daemon/src/shards/pulling.rs
@@ -72,7 +72,13 @@
     /// cursor.
     pub async fn pull(&self, pull_request: &StepQuestion) -> Result<StepPull, PullError> {
         // Checked before the journal is queried: a partitioned node would have to wait for the timeout.
-        if self.shared.dependencies.bundles.deliverable().is_none() {
+        if self
+            .shared
+            .dependencies
+            .bundles
+            .current_if_fresh()
+            .is_none()
+        {
             return Err(PullError::HeldBack);
         }
         let mut status = self.find_step(pull_request).await?;
--- a/crates/daemon/tests/journal/network.rs
+++ b/crates/daemon/tests/journal/network.rs
@@ -38,7 +38,7 @@
 
 #[derive(Default)]
 struct RecordingHooks {
-    seen: Arc<Mutex<HookCalls>>,
+    calls: Arc<Mutex<HookCalls>>,
 }
 
 impl JournalHooks for RecordingHooks {
@@ -55,17 +55,17 @@
     ) {
         let all_have_it = evidence.iter().all(|evidence| evidence.revision == BUNDLE);
         if majority && all_have_it {
-            let mut seen = self.seen.lock().unwrap();
-            seen.evidence_with_majority = seen.evidence_with_majority.max(evidence.len());
+            let mut calls = self.calls.lock().unwrap();
+            calls.evidence_with_majority = calls.evidence_with_majority.max(evidence.len());
         }
     }
 
     fn fenced(&self, log: &str) {
-        self.seen.lock().unwrap().fenced.insert(log.to_owned());
+        self.calls.lock().unwrap().fenced.insert(log.to_owned());
     }
 
     fn orphaned(&self, logs: Vec<String>) {
-        self.seen.lock().unwrap().orphaned.extend(logs);
+        self.calls.lock().unwrap().orphaned.extend(logs);
     }
 }
 
@@ -75,7 +75,7 @@
     pub replica_sets: ReplicaSets,
     pub storage: Option<Storage>,
     _task: Option<ReplicaSetTask>,
-    seen: Arc<Mutex<HookCalls>>,
+    calls: Arc<Mutex<HookCalls>>,
 }
 
 /// All nodes and the state of the network between them.
@@ -145,14 +145,14 @@
             replica_sets.clone(),
         );
         let hooks = RecordingHooks::default();
-        let seen = Arc::clone(&hooks.seen);
+        let calls = Arc::clone(&hooks.calls);
         journal.set_hooks(Arc::new(hooks));
         let node = Arc::new(Node {
             journal,
             replica_sets,
             storage,
             _task: task,
-            seen,
+            calls,
         });
         self.nodes
             .lock()
@@ -251,7 +251,7 @@
     }
 
     pub fn with_hook_calls<T>(&self, name: &str, query: impl FnOnce(&HookCalls) -> T) -> T {
-        query(&self.node(name).seen.lock().unwrap())
+        query(&self.node(name).calls.lock().unwrap())
     }
 
     /// Returns the total size of all requests and answers between nodes, in bytes.
@@ -295,7 +295,7 @@
         let response = match request.kind {
             RequestKind::fetch_replica_set(_) => node.replica_sets.handle_fetch_replica_set(),
             RequestKind::shard_notice(notice) => {
-                node.seen.lock().unwrap().orphaned.extend(notice.logs);
+                node.calls.lock().unwrap().orphaned.extend(notice.logs);
                 Response {
                     kind: ResponseKind::done(Done {}),
                 }
@@ -323,9 +323,9 @@
         };
         let disconnected = network.disconnected.lock().unwrap().clone();
         let nodes = network.nodes.lock().unwrap();
-        let is_seen = |name: &String| *name == self.own || !disconnected.contains(name);
-        let seen = nodes.iter().filter(|(name, _)| is_seen(name));
-        let members = seen.map(|(name, node)| Member {
+        let is_reachable = |name: &String| *name == self.own || !disconnected.contains(name);
+        let reachable = nodes.iter().filter(|(name, _)| is_reachable(name));
+        let members = reachable.map(|(name, node)| Member {
             node: name.clone(),
             replica_id: node.replica_sets.own_replica_id().unwrap_or(0),
             ..Member::default()
--- a/crates/daemon/tests/journal/owners.rs
+++ b/crates/daemon/tests/journal/owners.rs
@@ -26,7 +26,7 @@
     let names = ["n0", "n1", "n2", "n3", "n4"];
     let notified = || -> Vec<&str> {
         let is_notified =
-            |name: &&str| network.with_hook_calls(name, |seen| seen.orphaned.contains(LOG));
+            |name: &&str| network.with_hook_calls(name, |calls| calls.orphaned.contains(LOG));
         names.into_iter().filter(is_notified).collect()
     };
     until("a member is notified", async || !notified().is_empty()).await;
@@ -36,12 +36,15 @@
         "every replica must notify the same member"
     );
     for name in names {
-        network.with_hook_calls(name, |seen| {
+        network.with_hook_calls(name, |calls| {
             assert!(
-                !seen.orphaned.contains("shard/trainer/1/1"),
+                !calls.orphaned.contains("shard/trainer/1/1"),
                 "a log with a live owner"
             );
-            assert!(!seen.orphaned.contains("shard/trainer/1/2"), "a closed log");
+            assert!(
+                !calls.orphaned.contains("shard/trainer/1/2"),
+                "a closed log"
+            );
         });
     }
 }
@@ -52,10 +55,10 @@
     let (_paused, _) = network.journal("n0").take_over(LOG).await.unwrap();
     let (_successor, _) = network.journal("n1").take_over(LOG).await.unwrap();
     until("the fenced node is notified", async || {
-        network.with_hook_calls("n0", |seen| seen.fenced.contains(LOG))
+        network.with_hook_calls("n0", |calls| calls.fenced.contains(LOG))
     })
     .await;
-    assert!(network.with_hook_calls("n1", |seen| seen.fenced.is_empty()));
+    assert!(network.with_hook_calls("n1", |calls| calls.fenced.is_empty()));
 }
 
 #[tokio::test]
@@ -64,12 +67,12 @@
     network.set_disconnected(&["n0"]);
     network.store_bundle(&["n0", "n1", "n2"]).await;
     until("evidence of the two connected replicas", async || {
-        network.with_hook_calls("n3", |seen| seen.evidence_with_majority == 2)
+        network.with_hook_calls("n3", |calls| calls.evidence_with_majority == 2)
     })
     .await;
     network.set_disconnected(&[]);
     until("evidence of all replicas", async || {
-        network.with_hook_calls("n3", |seen| seen.evidence_with_majority == 3)
+        network.with_hook_calls("n3", |calls| calls.evidence_with_majority == 3)
     })
     .await;
 }
--- a/crates/daemon/tests/shards/platform.rs
+++ b/crates/daemon/tests/shards/platform.rs
@@ -104,7 +104,7 @@
         self.current.subscribe()
     }
 
-    fn deliverable(&self) -> Option<Arc<BundleInForce>> {
+    fn current_if_fresh(&self) -> Option<Arc<BundleInForce>> {
         let may_deliver = self.may_deliver.load(Ordering::SeqCst);
         self.current().filter(|_| may_deliver)
     }
