--- a/crates/daemon/src/backends/mod.rs
+++ b/crates/daemon/src/backends/mod.rs
@@ -91,15 +91,15 @@
     }
 
     /// Counts a request as in flight at a back end until the guard is dropped.
-    pub fn begin(&self, backend: &str) -> InFlight {
+    pub fn start_request(&self, backend: &str) -> InFlightGuard {
         let now = self.shared.now();
-        let dispatch = self.shared.update(|table| table.begin(backend, now));
+        let dispatch = self.shared.update(|table| table.start_request(backend, now));
         self.guard(dispatch)
     }
 
-    /// Like [`Self::begin`], but only if the back end is still a candidate of the pool. Of two concurrent requests only
+    /// Like [`Self::start_request`], but only if the back end is still a candidate of the pool. Of two concurrent requests only
     /// one gets the last free slot, or the single trial request after an ejection.
-    pub fn try_begin(&self, pool: &str, backend: &str) -> Option<InFlight> {
+    pub fn try_start_request(&self, pool: &str, backend: &str) -> Option<InFlightGuard> {
         let bundle = self.shared.bundle()?;
         let pool = bundle.bundle.pool(pool)?;
         if !pool.backends.iter().any(|name| name == backend) {
@@ -108,39 +108,39 @@
         let now = self.shared.now();
         let tracked = self
             .shared
-            .update(|table| table.try_begin(backend, pool.concurrency, now));
+            .update(|table| table.try_start_request(backend, pool.concurrency, now));
         tracked.ok().map(|dispatch| self.guard(dispatch))
     }
 
-    fn guard(&self, dispatch: Dispatch) -> InFlight {
-        InFlight {
+    fn guard(&self, dispatch: Dispatch) -> InFlightGuard {
+        InFlightGuard {
             shared: self.shared.clone(),
             dispatch,
         }
     }
 
     /// Records a failed request: no connection, an incomplete answer, a timeout, or a 5xx status.
-    pub fn note_failure(&self, backend: &str) {
+    pub fn record_failure(&self, backend: &str) {
         let now = self.shared.now();
         self.shared
-            .update(|table| table.note_failure(backend, now, rand::random()));
+            .update(|table| table.record_failure(backend, now, rand::random()));
     }
 
     /// Records a request that the back end refused before running it; `leaving` if the back end is stopping.
-    pub fn note_refusal(&self, backend: &str, leaving: bool) {
+    pub fn record_refusal(&self, backend: &str, leaving: bool) {
         let now = self.shared.now();
         self.shared.update(|table| {
             if leaving {
-                table.note_leaving(backend, now);
+                table.record_leaving(backend, now);
             } else {
-                table.note_refusal(backend, now, rand::random());
+                table.record_refusal(backend, now, rand::random());
             }
         });
     }
 
-    /// Records a completely answered request. Must be called while its [`InFlight`] guard is held.
-    pub fn note_success(&self, backend: &str) {
-        self.shared.update(|table| table.note_success(backend));
+    /// Records a completely answered request. Must be called while its [`InFlightGuard`] guard is held.
+    pub fn record_success(&self, backend: &str) {
+        self.shared.update(|table| table.record_success(backend));
     }
 
     /// Returns all known back ends, sorted by name.
@@ -184,13 +184,13 @@
 
 /// Guard of a request in flight at a back end; the request is counted until the guard is dropped.
 #[derive(Debug)]
-pub struct InFlight {
+pub struct InFlightGuard {
     shared: Arc<Shared>,
     dispatch: Dispatch,
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.shared.update(|table| table.end(&self.dispatch));
+        self.shared.update(|table| table.finish_request(&self.dispatch));
     }
 }
--- a/crates/daemon/src/bundles/dependencies.rs
+++ b/crates/daemon/src/bundles/dependencies.rs
@@ -88,7 +88,7 @@
 }
 
 /// Source of the weight versions that exist for a model.
-pub trait WeightVersions: Send + Sync + 'static {
+pub trait WeightVersionSource: Send + Sync + 'static {
     /// Lists the weight versions of a model.
     ///
     /// # Errors
@@ -99,7 +99,7 @@
     ) -> BoxFuture<'a, Result<BTreeSet<WeightVersion>, String>>;
 }
 
-impl WeightVersions for WeightStore {
+impl WeightVersionSource for WeightStore {
     fn versions<'a>(
         &'a self,
         model: &'a str,
@@ -126,7 +126,7 @@
 }
 
 /// Parts of the node that [`super::Bundles::start`] uses.
-pub struct BundleParts {
+pub struct BundleDependencies {
     /// Client for the key-value service.
     pub key_value: KeyValue,
     /// Connections to the other nodes.
@@ -136,10 +136,10 @@
     /// Replicas of which a quorum must store an accepted bundle.
     pub replica_set: ReplicaSetSource,
     /// Weight store; without it the weight versions of a bundle are not checked.
-    pub weight_versions: Option<Arc<dyn WeightVersions>>,
+    pub weight_versions: Option<Arc<dyn WeightVersionSource>>,
     /// Time after which the outcome of a roll is reported as unknown.
     pub roll_deadline: Duration,
 }
 
-/// Default of [`BundleParts::roll_deadline`].
-pub const ROLL_DEADLINE: Duration = Duration::from_secs(8);
+/// Default of [`BundleDependencies::roll_deadline`].
+pub const DEFAULT_ROLL_DEADLINE: Duration = Duration::from_secs(8);
--- a/crates/daemon/src/bundles/mod.rs
+++ b/crates/daemon/src/bundles/mod.rs
@@ -20,7 +20,7 @@
 use tokio::task::JoinHandle;
 
 pub use dependencies::{
-    BundleParts, BundleStore, Peers, ROLL_DEADLINE, ReplicaSetSource, WeightVersions,
+    BundleDependencies, BundleStore, Peers, DEFAULT_ROLL_DEADLINE, ReplicaSetSource, WeightVersionSource,
     replica_set_source,
 };
 pub use proposal::ProposalState;
@@ -89,7 +89,7 @@
     /// If the trusted keys are invalid or the disk cannot be read.
     pub async fn start(
         settings: &Settings,
-        dependencies: BundleParts,
+        dependencies: BundleDependencies,
     ) -> Result<Self, BundlesError> {
         let trusted = TrustedKeys::from_hex(&settings.trusted_keys).map_err(BundlesError::Keys)?;
         let shared = Arc::new(Shared::new(settings, trusted, dependencies));
@@ -141,13 +141,13 @@
     }
 
     /// Records the evidence in a peer's answer to a call that was sent at `sent_at`.
-    pub fn learned_evidence(&self, from: &str, evidence: &BundleEvidence, sent_at: Instant) {
+    pub fn observe_evidence(&self, from: &str, evidence: &BundleEvidence, sent_at: Instant) {
         self.shared.learn_from_answer(from, evidence, sent_at);
     }
 
     /// Records the revision in a peer's call to this node. It is no evidence of freshness, because the call may have
     /// been delayed.
-    pub fn learned_revision(&self, from: &str, revision: u64) {
+    pub fn observe_revision(&self, from: &str, revision: u64) {
         self.shared.learn_revision(from, revision);
     }
 
--- a/crates/daemon/src/members/hooks.rs
+++ b/crates/daemon/src/members/hooks.rs
@@ -13,11 +13,11 @@
     ///
     /// If `evidence.known`, it came in the answer to a ping sent at `sent_at`, so it dates from `sent_at` minus `age_ms`
     /// or later. Otherwise it came in the member's own ping, which may have been delayed: only the revision counts.
-    fn learned_evidence(&self, from: &str, evidence: &BundleEvidence, sent_at: Instant);
+    fn observe_evidence(&self, from: &str, evidence: &BundleEvidence, sent_at: Instant);
 
     /// Returns the version of the replica set that this node knows; 0 if none.
     fn replica_set_version(&self) -> u64;
 
     /// Records the version of the replica set that a member knows.
-    fn learned_replica_set_version(&self, from: &str, version: u64);
+    fn observe_replica_set_version(&self, from: &str, version: u64);
 }
--- a/crates/daemon/src/members/mod.rs
+++ b/crates/daemon/src/members/mod.rs
@@ -141,14 +141,14 @@
     /// Announces the planned stop of this node. Some members receive it before this returns, within one probe timeout,
     /// and forward it.
     pub async fn announce_leaving(&self) {
-        self.shared.membership().leave();
+        self.shared.membership().start_leaving();
         self.shared.announce_to_some().await;
     }
 
     /// Announces the end of the planned stop of this node, in the same way as
     /// [`announce_leaving`](Self::announce_leaving).
     pub async fn announce_left(&self) {
-        self.shared.membership().left();
+        self.shared.membership().finish_leaving();
         self.shared.announce_to_some().await;
     }
 
--- a/crates/daemon/src/shards/attempt/mod.rs
+++ b/crates/daemon/src/shards/attempt/mod.rs
@@ -168,7 +168,7 @@
                     tokio::time::sleep(jittered(delay)).await;
                 }
                 Err(Interruption::Broken(detail)) => ::log::info!(
-                    "event=stream_cut engine={} tokens={} error=\"{detail}\"",
+                    "event=stream_interrupted engine={} tokens={} error=\"{detail}\"",
                     placement.engine.name,
                     partial.tokens()
                 ),
--- a/crates/daemon/src/shards/attempt/stream.rs
+++ b/crates/daemon/src/shards/attempt/stream.rs
@@ -87,10 +87,10 @@
         match &result {
             Ok(()) => {
                 cancel.is_armed = false;
-                self.shared.dependencies.engines.note_success(&engine.name);
+                self.shared.dependencies.engines.record_success(&engine.name);
             }
             Err(Interruption::Broken(_) | Interruption::Unversioned) => {
-                self.shared.dependencies.engines.note_failure(&engine.name);
+                self.shared.dependencies.engines.record_failure(&engine.name);
             }
             Err(_) => {}
         }
@@ -116,22 +116,22 @@
                 leaving,
                 ..
             })) => {
-                backends.note_refusal(&engine.name, leaving);
+                backends.record_refusal(&engine.name, leaving);
                 let delay = retry_after
                     .unwrap_or(DEFAULT_REFUSED_DELAY)
                     .min(MAX_REFUSED_DELAY);
                 Err(Interruption::Refused(delay))
             }
             Ok(Err(DispatchError::NotSent(_))) => {
-                backends.note_failure(&engine.name);
+                backends.record_failure(&engine.name);
                 Err(Interruption::Refused(DEFAULT_REFUSED_DELAY))
             }
             Ok(Err(DispatchError::Unknown(detail))) => {
-                backends.note_failure(&engine.name);
+                backends.record_failure(&engine.name);
                 Err(Interruption::Broken(detail))
             }
             Err(_) => {
-                backends.note_failure(&engine.name);
+                backends.record_failure(&engine.name);
                 Err(Interruption::Broken(
                     "engine did not start to answer in time".to_owned(),
                 ))
--- a/crates/daemon/src/shards/collected_answers.rs
+++ b/crates/daemon/src/shards/collected_answers.rs
@@ -8,7 +8,7 @@
 
 use super::Shared;
 use super::delivery::UNKNOWN_AGE_MS;
-use super::pulling::{PullError, StepPull, StepQuestion};
+use super::pulling::{PullError, StepPullResponse, StepPullRequest};
 use super::step_index::StepStatus;
 
 /// Outcome of a pull from one shard.
@@ -82,15 +82,15 @@
 /// Merges the shards' answers, after a last check against the bundle in force on this node.
 pub(super) fn merge(
     shared: &Shared,
-    pull_request: &StepQuestion,
+    pull_request: &StepPullRequest,
     status: &StepStatus,
     collected: CollectedAnswers,
-) -> Result<StepPull, PullError> {
+) -> Result<StepPullResponse, PullError> {
     if collected.is_superseded {
         return Err(PullError::Superseded);
     }
     let is_complete = collected.complete.len() == status.shard_count as usize;
-    let mut pull = StepPull {
+    let mut pull = StepPullResponse {
         samples: Vec::new(),
         cursor: pull_request.cursor.clone(),
         complete: is_complete,
--- a/crates/daemon/src/shards/delivery.rs
+++ b/crates/daemon/src/shards/delivery.rs
@@ -163,7 +163,7 @@
                 PullOutcome::Superseded => {
                     return Ok(Some(outcome_only(ReplyOutcome::SUPERSEDED)));
                 }
-                PullOutcome::NotYetKnown => {
+                PullOutcome::UnknownAnswer => {
                     let detail = "this owner does not know the acknowledged answer";
                     return Ok(Some(replies::refused(Reason::NOT_READY, detail)));
                 }
--- a/crates/daemon/src/shards/metrics.rs
+++ b/crates/daemon/src/shards/metrics.rs
@@ -77,7 +77,7 @@
     }
 
     /// Counts a refused request of a trainer.
-    pub fn note_refusal(&self, reason: &str) {
+    pub fn record_refusal(&self, reason: &str) {
         self.refusals.with_label_values(&[reason]).inc();
     }
 
--- a/crates/daemon/src/shards/mod.rs
+++ b/crates/daemon/src/shards/mod.rs
@@ -44,12 +44,12 @@
 use registry::Registry;
 use step_index::StepIndex;
 
-pub use dependencies::{BundleSource, EngineGuard, EngineSource, ShardParts};
+pub use dependencies::{BundleSource, EngineGuard, EngineSource, ShardDependencies};
 pub use metrics::ShardMetrics;
-pub use pulling::{PullError, StepPull, StepQuestion};
+pub use pulling::{PullError, StepPullResponse, StepPullRequest};
 pub use registry::ShardDescription;
 pub use step_index::{ShardStatus, StepStatus};
-pub use submission::{SubmitError, Submitted};
+pub use submission::{SubmitError, SubmittedStep};
 
 /// Longest time that a pull waits for samples.
 pub const MAX_PULL_WAIT: Duration = Duration::from_secs(30);
@@ -74,7 +74,7 @@
 struct Shared {
     node: String,
     zone: String,
-    dependencies: ShardParts,
+    dependencies: ShardDependencies,
     registry: Registry,
     steps: StepIndex,
     metrics: ShardMetrics,
@@ -111,7 +111,7 @@
         engine: EngineClient,
         scorer: Option<Scorer>,
     ) -> Self {
-        let dependencies = ShardParts {
+        let dependencies = ShardDependencies {
             peers: Arc::new(members),
             journal,
             bundles: Arc::new(bundles),
@@ -123,7 +123,7 @@
     }
 
     /// Like [`Shards::start`], with the given dependencies.
-    pub fn start_with(settings: &Settings, process: ProcessId, dependencies: ShardParts) -> Self {
+    pub fn start_with(settings: &Settings, process: ProcessId, dependencies: ShardDependencies) -> Self {
         ::log::info!(
             "event=shards_started node={} process={process:016x}",
             settings.node
@@ -279,7 +279,7 @@
                 .call(node, request, NOTICE_TIMEOUT)
                 .await;
             if let Err(error) = result {
-                ::log::info!("event=successor_not_told successor={node} error=\"{error}\"");
+                ::log::info!("event=successor_not_notified successor={node} error=\"{error}\"");
             }
         });
         futures_util::future::join_all(notices).await;
--- a/crates/daemon/src/shards/pulling.rs
+++ b/crates/daemon/src/shards/pulling.rs
@@ -24,7 +24,7 @@
 
 /// Pull of a trainer.
 #[derive(Debug, Clone)]
-pub struct StepQuestion {
+pub struct StepPullRequest {
     /// Name of the trainer.
     pub trainer: String,
     /// Step whose samples are pulled.
@@ -39,7 +39,7 @@
 
 /// Response to a pull.
 #[derive(Debug, Clone, PartialEq)]
-pub struct StepPull {
+pub struct StepPullResponse {
     /// Fresh samples. Over all acknowledged responses each slot of the step occurs once.
     pub samples: Vec<Sample>,
     /// Cursor that acknowledges these samples when the trainer sends it in the next pull.
@@ -70,7 +70,7 @@
 impl Shards {
     /// Collects fresh samples after the cursor. The owner of a shard whose answer is left out repeats it for the same
     /// cursor.
-    pub async fn pull(&self, pull_request: &StepQuestion) -> Result<StepPull, PullError> {
+    pub async fn pull(&self, pull_request: &StepPullRequest) -> Result<StepPullResponse, PullError> {
         // Checked before the journal is queried: a partitioned node would have to wait for the timeout.
         if self
             .shared
@@ -119,7 +119,7 @@
         }
     }
 
-    async fn find_step(&self, pull_request: &StepQuestion) -> Result<StepStatus, PullError> {
+    async fn find_step(&self, pull_request: &StepPullRequest) -> Result<StepStatus, PullError> {
         self.step_status(&pull_request.trainer, pull_request.step)
             .await
     }
@@ -129,7 +129,7 @@
     /// Shards that have not answered keep their position in the cursor.
     async fn query_shards(
         &self,
-        pull_request: &StepQuestion,
+        pull_request: &StepPullRequest,
         status: &StepStatus,
         wait: Duration,
         collected: &mut CollectedAnswers,
@@ -156,7 +156,7 @@
 
     async fn query_shard(
         &self,
-        pull_request: &StepQuestion,
+        pull_request: &StepPullRequest,
         shard: &ShardStatus,
         wait: Duration,
     ) -> ShardAnswer {
--- a/crates/daemon/src/shards/submission.rs
+++ b/crates/daemon/src/shards/submission.rs
@@ -32,7 +32,7 @@
 
 /// Submitted step whose shards are all open.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Submitted {
+pub struct SubmittedStep {
     /// Number of shards of the step.
     pub shard_count: u32,
     /// Whether all shards were already open.
@@ -58,7 +58,7 @@
     ///
     /// # Errors
     /// Unless the opening of every shard is committed.
-    pub async fn submit(&self, step_spec: &ShardSpec) -> Result<Submitted, SubmitError> {
+    pub async fn submit(&self, step_spec: &ShardSpec) -> Result<SubmittedStep, SubmitError> {
         if self.shared.is_draining() {
             return Err(SubmitError::NotRun("draining".to_owned()));
         }
@@ -85,7 +85,7 @@
 
 impl Submission<'_> {
     /// Opens the first shard before the others: it decides between different bodies under one step.
-    async fn run(&self, specs: Vec<ShardSpec>) -> Result<Submitted, SubmitError> {
+    async fn run(&self, specs: Vec<ShardSpec>) -> Result<SubmittedStep, SubmitError> {
         let shard_count = specs.len() as u32;
         let mut specs = specs.into_iter();
         let Some(first) = specs.next() else {
@@ -103,7 +103,7 @@
                 Err(error) => return Err(error),
             }
         }
-        Ok(Submitted {
+        Ok(SubmittedStep {
             shard_count,
             was_open,
         })
--- a/crates/daemon/tests/support/bundle_cluster.rs
+++ b/crates/daemon/tests/support/bundle_cluster.rs
@@ -9,7 +9,7 @@
 
 use futures_util::future::BoxFuture;
 use ladderstage::bundle::{BundleKey, sign};
-use ladderstage_daemon::bundles::{BundleParts, BundleStore, Bundles, Peers};
+use ladderstage_daemon::bundles::{BundleDependencies, BundleStore, Bundles, Peers};
 use ladderstage_daemon::settings::Settings;
 use ladderstage_platform::key_value::KeyValue;
 use ladderstage_transport::CallError;
@@ -198,7 +198,7 @@
     /// Starts or restarts a node; a replica keeps its disk.
     pub async fn start(&self, name: &str) -> Bundles {
         let (network, node) = (self.network.clone(), name.to_owned());
-        let dependencies = BundleParts {
+        let dependencies = BundleDependencies {
             key_value: KeyValue::new(vec![self.key_value_url.clone()], WAIT_TIMEOUT),
             peers: Arc::new(NetworkPeers {
                 own: name.to_owned(),
