--- a/crates/daemon/src/backends/mod.rs
+++ b/crates/daemon/src/backends/mod.rs
@@ -93,7 +93,9 @@
     /// Counts a request as in flight at a back end until the guard is dropped.
     pub fn start_request(&self, backend: &str) -> InFlightGuard {
         let now = self.shared.now();
-        let dispatch = self.shared.update(|table| table.start_request(backend, now));
+        let dispatch = self
+            .shared
+            .update(|table| table.start_request(backend, now));
         self.guard(dispatch)
     }
 
@@ -191,6 +193,7 @@
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.shared.update(|table| table.finish_request(&self.dispatch));
+        self.shared
+            .update(|table| table.finish_request(&self.dispatch));
     }
 }
--- a/crates/daemon/src/backends/polling.rs
+++ b/crates/daemon/src/backends/polling.rs
@@ -5,7 +5,9 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use ladderstage::backend::{ListedBackend, ObservationInterval, Placement, Report, reads_reports_directly};
+use ladderstage::backend::{
+    ListedBackend, ObservationInterval, Placement, Report, reads_reports_directly,
+};
 use ladderstage::bundle::PoolKind;
 use ladderstage_platform::load::{LoadReport, read_load};
 use ladderstage_platform::machine_list::{Machine, MachineKind, MachineList, MachineState};
@@ -15,8 +17,8 @@
 use tokio::time::sleep;
 
 use super::shared::Shared;
-use crate::members_cache::MembersCache;
 use crate::jitter::jittered;
+use crate::members_cache::MembersCache;
 use crate::watchers::poll_interval_factor;
 
 /// Timeout of a read of the machine list.
--- a/crates/daemon/src/bundles/mod.rs
+++ b/crates/daemon/src/bundles/mod.rs
@@ -20,8 +20,8 @@
 use tokio::task::JoinHandle;
 
 pub use dependencies::{
-    BundleDependencies, BundleStore, Peers, DEFAULT_ROLL_DEADLINE, ReplicaSetSource, WeightVersionSource,
-    replica_set_source,
+    BundleDependencies, BundleStore, DEFAULT_ROLL_DEADLINE, Peers, ReplicaSetSource,
+    WeightVersionSource, replica_set_source,
 };
 pub use proposal::ProposalState;
 pub use roll::{Refusal, RollOutcome};
--- a/crates/daemon/src/bundles/receive.rs
+++ b/crates/daemon/src/bundles/receive.rs
@@ -101,7 +101,10 @@
         let Some(as_of) = self.instant(sent_at).checked_sub(age) else {
             return self.learn_revision(from, evidence.revision);
         };
-        let learned = self.state().evidence.observe_newest(evidence.revision, as_of);
+        let learned = self
+            .state()
+            .evidence
+            .observe_newest(evidence.revision, as_of);
         self.fetch_if_behind(from, learned);
     }
 
--- a/crates/daemon/src/bundles/state.rs
+++ b/crates/daemon/src/bundles/state.rs
@@ -14,7 +14,7 @@
 use tokio::sync::watch;
 
 use super::metrics::BundleMetrics;
-use super::{BundleInForce, BundleDependencies, BundleStore, BundlesError, Peers};
+use super::{BundleDependencies, BundleInForce, BundleStore, BundlesError, Peers};
 use super::{ReplicaSetSource, WeightVersionSource};
 use crate::settings::Settings;
 
--- a/crates/daemon/src/members/probes.rs
+++ b/crates/daemon/src/members/probes.rs
@@ -30,7 +30,9 @@
             return;
         }
         let now = self.now();
-        let next = self.membership().on_missed_probe(&target, now, &mut rand::rng());
+        let next = self
+            .membership()
+            .on_missed_probe(&target, now, &mut rand::rng());
         if let Some(Action::IndirectProbe { target, helpers }) = next {
             self.probe_through(target, helpers).await;
         }
--- a/crates/daemon/src/members_cache.rs
+++ b/crates/daemon/src/members_cache.rs
@@ -1,42 +1,43 @@
-//! Remembers what was worked out from the members and one bundle.
+//! Cache of a value that depends on the member list and the bundle.
 
 use ladderstage::ids::Revision;
 
-/// A value that follows from the members and one bundle, worked out anew when either changes. Ranking each back end
-/// of a large bundle over all members at every look would cost members times back ends.
+/// Value computed from the member list and a bundle, recomputed when either changes.
+///
+/// Used for rankings of all back ends over all members, which are too expensive to compute in every round.
 #[derive(Debug)]
-pub(crate) struct ByMembers<T> {
-    known: Option<Known<T>>,
+pub(crate) struct MembersCache<T> {
+    entry: Option<Entry<T>>,
 }
 
 #[derive(Debug)]
-struct Known<T> {
+struct Entry<T> {
     revision: Revision,
     members: Vec<String>,
     value: T,
 }
 
-impl<T> Default for ByMembers<T> {
+impl<T> Default for MembersCache<T> {
     fn default() -> Self {
-        Self { known: None }
+        Self { entry: None }
     }
 }
 
-impl<T> ByMembers<T> {
-    /// The value for this bundle and these members.
+impl<T> MembersCache<T> {
+    /// Returns the value for a bundle revision and members; computes it if either has changed.
     pub(crate) fn get(
         &mut self,
         revision: Revision,
         members: Vec<String>,
-        work_out: impl FnOnce(&[String]) -> T,
+        compute: impl FnOnce(&[String]) -> T,
     ) -> &T {
-        let known = self.known.take();
-        let known = known.filter(|known| known.revision == revision && known.members == members);
-        let known = known.unwrap_or_else(|| Known {
+        let entry = self.entry.take();
+        let entry = entry.filter(|entry| entry.revision == revision && entry.members == members);
+        let entry = entry.unwrap_or_else(|| Entry {
             revision,
-            value: work_out(&members),
+            value: compute(&members),
             members,
         });
-        &self.known.insert(known).value
+        &self.entry.insert(entry).value
     }
 }
--- a/crates/daemon/src/orders/mod.rs
+++ b/crates/daemon/src/orders/mod.rs
@@ -22,9 +22,9 @@
 
 use crate::backends::{Backends, Peers, TaskGroup};
 use crate::bundles::{BundleInForce, Bundles};
-use crate::members_cache::MembersCache;
 use crate::jitter::jittered;
 use crate::members::Members;
+use crate::members_cache::MembersCache;
 use crate::settings::Settings;
 use progress::Progress;
 
--- a/crates/daemon/src/shards/attempt/stream.rs
+++ b/crates/daemon/src/shards/attempt/stream.rs
@@ -87,10 +87,16 @@
         match &result {
             Ok(()) => {
                 cancel.is_armed = false;
-                self.shared.dependencies.engines.record_success(&engine.name);
+                self.shared
+                    .dependencies
+                    .engines
+                    .record_success(&engine.name);
             }
             Err(Interruption::Broken(_) | Interruption::Unversioned) => {
-                self.shared.dependencies.engines.record_failure(&engine.name);
+                self.shared
+                    .dependencies
+                    .engines
+                    .record_failure(&engine.name);
             }
             Err(_) => {}
         }
--- a/crates/daemon/src/shards/collected_answers.rs
+++ b/crates/daemon/src/shards/collected_answers.rs
@@ -8,7 +8,7 @@
 
 use super::Shared;
 use super::delivery::UNKNOWN_AGE_MS;
-use super::pulling::{PullError, StepPullResponse, StepPullRequest};
+use super::pulling::{PullError, StepPullRequest, StepPullResponse};
 use super::step_index::StepStatus;
 
 /// Outcome of a pull from one shard.
--- a/crates/daemon/src/shards/mod.rs
+++ b/crates/daemon/src/shards/mod.rs
@@ -46,7 +46,7 @@
 
 pub use dependencies::{BundleSource, EngineGuard, EngineSource, ShardDependencies};
 pub use metrics::ShardMetrics;
-pub use pulling::{PullError, StepPullResponse, StepPullRequest};
+pub use pulling::{PullError, StepPullRequest, StepPullResponse};
 pub use registry::ShardDescription;
 pub use step_index::{ShardStatus, StepStatus};
 pub use submission::{SubmitError, SubmittedStep};
@@ -123,7 +123,11 @@
     }
 
     /// Like [`Shards::start`], with the given dependencies.
-    pub fn start_with(settings: &Settings, process: ProcessId, dependencies: ShardDependencies) -> Self {
+    pub fn start_with(
+        settings: &Settings,
+        process: ProcessId,
+        dependencies: ShardDependencies,
+    ) -> Self {
         ::log::info!(
             "event=shards_started node={} process={process:016x}",
             settings.node
--- a/crates/daemon/src/shards/placement.rs
+++ b/crates/daemon/src/shards/placement.rs
@@ -71,7 +71,11 @@
     };
     while let Some(index) = choose(&engines, &options, rand::random()) {
         let engine = engines.swap_remove(index);
-        if let Some(guard) = shared.dependencies.engines.try_start_request(pool, &engine.name) {
+        if let Some(guard) = shared
+            .dependencies
+            .engines
+            .try_start_request(pool, &engine.name)
+        {
             return Some(Placement {
                 engine,
                 _guard: guard,
--- a/crates/daemon/src/shards/pulling.rs
+++ b/crates/daemon/src/shards/pulling.rs
@@ -70,7 +70,10 @@
 impl Shards {
     /// Collects fresh samples after the cursor. The owner of a shard whose answer is left out repeats it for the same
     /// cursor.
-    pub async fn pull(&self, pull_request: &StepPullRequest) -> Result<StepPullResponse, PullError> {
+    pub async fn pull(
+        &self,
+        pull_request: &StepPullRequest,
+    ) -> Result<StepPullResponse, PullError> {
         // Checked before the journal is queried: a partitioned node would have to wait for the timeout.
         if self
             .shared
