--- a/crates/daemon/tests/journal/network.rs
+++ b/crates/daemon/tests/journal/network.rs
@@ -1,4 +1,4 @@
-//! Nodes with a journal each, joined by calls that can be cut or frozen.
+//! Test nodes with a journal each, connected by an in-memory network with faults.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
@@ -22,15 +22,15 @@
 use tempfile::TempDir;
 use tokio::sync::watch;
 
-/// How long a test waits for a condition before it fails.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Longest wait for a condition before a test fails.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Revision of the bundle that the first replicas hold.
+/// Revision of the bundle that the initial replicas store.
 const BUNDLE: u64 = 3;
 
-/// What the hooks of one node were told.
+/// Calls of the hooks of one node.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct HookCalls {
     pub orphaned: BTreeSet<String>,
     pub fenced: BTreeSet<String>,
     pub evidence_with_majority: usize,
@@ -38,11 +38,11 @@
 
 #[derive(Default)]
 struct RecordingHooks {
-    seen: Arc<Mutex<Seen>>,
+    calls: Arc<Mutex<HookCalls>>,
 }
 
 impl JournalHooks for RecordingHooks {
-    /// As of a process that has not read its disk yet; the journal must put the stored revision in its place.
+    /// Returns no evidence, like a process that has not read its disk; the journal must insert the stored revision.
     fn own_evidence(&self) -> BundleEvidence {
         BundleEvidence::default()
     }
@@ -55,39 +55,39 @@
     ) {
         let all_have_it = evidence.iter().all(|evidence| evidence.revision == BUNDLE);
         if majority && all_have_it {
-            let mut seen = self.seen.lock().unwrap();
-            seen.evidence_with_majority = seen.evidence_with_majority.max(evidence.len());
+            let mut calls = self.calls.lock().unwrap();
+            calls.evidence_with_majority = calls.evidence_with_majority.max(evidence.len());
         }
     }
 
     fn fenced(&self, log: &str) {
-        self.seen.lock().unwrap().fenced.insert(log.to_owned());
+        self.calls.lock().unwrap().fenced.insert(log.to_owned());
     }
 
     fn orphaned(&self, logs: Vec<String>) {
-        self.seen.lock().unwrap().orphaned.extend(logs);
+        self.calls.lock().unwrap().orphaned.extend(logs);
     }
 }
 
-/// One running node.
+/// Running node.
 pub struct Node {
     pub journal: Journal,
     pub replica_sets: ReplicaSets,
     pub storage: Option<Storage>,
     _task: Option<ReplicaSetTask>,
-    seen: Arc<Mutex<Seen>>,
+    calls: Arc<Mutex<HookCalls>>,
 }
 
 /// All nodes and the state of the network between them.
 pub struct Network {
     nodes: Mutex<BTreeMap<String, Arc<Node>>>,
-    cut: Mutex<BTreeSet<String>>,
+    disconnected: Mutex<BTreeSet<String>>,
     write_losing: Mutex<BTreeSet<String>>,
     frozen: watch::Sender<BTreeSet<String>>,
     folders: TempDir,
-    /// Bytes of all requests and answers between nodes so far.
+    /// Total size of all requests and answers between nodes, in bytes.
     carried: AtomicUsize,
-    /// With one, nodes make and change the replica set themselves; the first three are the initial replicas.
+    /// If set, the nodes create and change the replica set themselves, with the first three as initial replicas.
     key_value_url: Option<String>,
 }
 
@@ -95,7 +95,7 @@
     pub fn empty(key_value_url: Option<String>) -> Arc<Self> {
         Arc::new(Self {
             nodes: Mutex::default(),
-            cut: Mutex::default(),
+            disconnected: Mutex::default(),
             write_losing: Mutex::default(),
             frozen: watch::Sender::default(),
             folders: tempfile::tempdir().unwrap(),
@@ -104,7 +104,7 @@
         })
     }
 
-    /// Nodes `n0`, `n1`, … of which the first `replicas` are the replica set of version 1.
+    /// Starts nodes `n0`, `n1`, … of which the first `replicas` form the replica set of version 1.
     pub async fn start(nodes: usize, replicas: usize) -> Arc<Self> {
         let network = Self::empty(None);
         for index in 0..nodes {
@@ -145,14 +145,14 @@
             replica_sets.clone(),
         );
         let hooks = RecordingHooks::default();
-        let seen = Arc::clone(&hooks.seen);
+        let calls = Arc::clone(&hooks.calls);
         journal.set_hooks(Arc::new(hooks));
         let node = Arc::new(Node {
             journal,
             replica_sets,
             storage,
             _task: task,
-            seen,
+            calls,
         });
         self.nodes
             .lock()
@@ -161,7 +161,7 @@
         node
     }
 
-    /// Stops a node; its data folder stays. Waits until nothing uses it any more.
+    /// Stops a node, keeps its data folder and waits until the folder is closed.
     pub async fn stop_node(&self, name: &str) {
         let node = self
             .nodes
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Every node hears the version of every other, as through pings.
+    /// Sends the replica set version of every node to every other node, as pings do.
     pub fn ping(self: &Arc<Self>) {
         let nodes = self.nodes.lock().unwrap().clone();
         for (own, node) in &nodes {
@@ -250,34 +250,34 @@
         }
     }
 
-    pub fn with_seen<T>(&self, name: &str, look: impl FnOnce(&Seen) -> T) -> T {
-        look(&self.node(name).seen.lock().unwrap())
+    pub fn with_hook_calls<T>(&self, name: &str, query: impl FnOnce(&HookCalls) -> T) -> T {
+        query(&self.node(name).calls.lock().unwrap())
     }
 
-    /// Bytes of all requests and answers between nodes so far.
+    /// Returns the total size of all requests and answers between nodes, in bytes.
     pub fn carried_bytes(&self) -> usize {
         self.carried.load(Ordering::Relaxed)
     }
 
-    /// Calls to these nodes fail at once.
-    pub fn cut(&self, names: &[&str]) {
-        *self.cut.lock().unwrap() = names.iter().map(|name| (*name).to_owned()).collect();
+    /// Disconnects exactly these nodes: calls to them fail at once.
+    pub fn set_disconnected(&self, names: &[&str]) {
+        *self.disconnected.lock().unwrap() = names.iter().map(|name| (*name).to_owned()).collect();
     }
 
-    /// Installs and appends to these nodes are lost.
+    /// Drops installs and appends to exactly these nodes.
     pub fn lose_writes(&self, names: &[&str]) {
         *self.write_losing.lock().unwrap() = names.iter().map(|name| (*name).to_owned()).collect();
     }
 
-    /// Calls to these nodes wait until they thaw, and are then carried out.
+    /// Freezes exactly these nodes: calls to them are executed once they are no longer frozen.
     pub fn freeze(&self, names: &[&str]) {
         self.frozen
             .send_replace(names.iter().map(|name| (*name).to_owned()).collect());
     }
 
     async fn deliver(&self, to: &str, request: Request) -> Result<Response, CallError> {
-        if self.cut.lock().unwrap().contains(to) {
-            return Err(CallError::NotSent("cut".to_owned()));
+        if self.disconnected.lock().unwrap().contains(to) {
+            return Err(CallError::NotSent("disconnected".to_owned()));
         }
         let is_write = matches!(
             request.kind,
@@ -295,7 +295,7 @@
         let response = match request.kind {
             RequestKind::fetch_replica_set(_) => node.replica_sets.handle_fetch_replica_set(),
             RequestKind::shard_notice(notice) => {
-                node.seen.lock().unwrap().orphaned.extend(notice.logs);
+                node.calls.lock().unwrap().orphaned.extend(notice.logs);
                 Response {
                     kind: ResponseKind::done(Done {}),
                 }
@@ -321,11 +321,11 @@
         let Some(network) = self.network.upgrade() else {
             return Vec::new();
         };
-        let cut = network.cut.lock().unwrap().clone();
+        let disconnected = network.disconnected.lock().unwrap().clone();
         let nodes = network.nodes.lock().unwrap();
-        let is_seen = |name: &String| *name == self.own || !cut.contains(name);
-        let seen = nodes.iter().filter(|(name, _)| is_seen(name));
-        let members = seen.map(|(name, node)| Member {
+        let is_reachable = |name: &String| *name == self.own || !disconnected.contains(name);
+        let reachable = nodes.iter().filter(|(name, _)| is_reachable(name));
+        let members = reachable.map(|(name, node)| Member {
             node: name.clone(),
             replica_id: node.replica_sets.own_replica_id().unwrap_or(0),
             ..Member::default()
@@ -340,14 +340,14 @@
         timeout: Duration,
     ) -> BoxFuture<'a, Result<Response, CallError>> {
         Box::pin(async move {
-            let gone = || CallError::NotSent("network is gone".to_owned());
+            let gone = || CallError::NotSent("the network was dropped".to_owned());
             let network = self.network.upgrade().ok_or_else(gone)?;
             let to = node.to_owned();
-            // As over TCP, the receiver carries the request out although the caller stops waiting.
+            // As over TCP, the receiver executes the request even if the caller stops waiting.
             let delivery = tokio::spawn(async move { network.deliver(&to, request).await });
             match tokio::time::timeout(timeout, delivery).await {
                 Ok(Ok(result)) => result,
-                _ => Err(CallError::Unknown("no answer in time".to_owned())),
+                _ => Err(CallError::Unknown("call timed out".to_owned())),
             }
         })
     }
@@ -379,11 +379,11 @@
     Storage::open(folder, StorageOptions::default()).expect("data folder")
 }
 
-/// Waits for a condition.
-pub async fn until(what: &str, condition: impl AsyncFn() -> bool) {
+/// Waits for a condition; fails the test after [`WAIT_TIMEOUT`].
+pub async fn until(description: &str, condition: impl AsyncFn() -> bool) {
     let started = Instant::now();
     while !condition().await {
-        assert!(started.elapsed() < PATIENCE, "still not true: {what}");
+        assert!(started.elapsed() < WAIT_TIMEOUT, "timed out: {description}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/crates/daemon/tests/shards/faults.rs
+++ b/crates/daemon/tests/shards/faults.rs
@@ -1,4 +1,4 @@
-//! Steps while engines, owners and the journal fail.
+//! Steps during faults of engines, owners, the journal and the scorer.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_cut_stream_is_resumed_and_labelled_truly() {
+async fn an_interrupted_stream_is_resumed_with_correct_versions() {
     let cluster = Cluster::start(2, 1, 1).await;
     let faults = EngineFaults {
         cut: Some(CutPoint::MidBody),
@@ -29,17 +29,20 @@
     let mut trainer = Trainer::new(&cluster);
     trainer.submit("n0", &step(30, 6)).await;
     trainer.finish_anywhere(1).await;
-    assert_eq!(trainer.taken.len(), 30);
+    assert_eq!(trainer.accepted.len(), 30);
     assert!(cluster.engines.failures() >= 10);
     let resumed = async |index| {
         let log = cluster.engines.log(index).await;
         log.runs.iter().any(|run| run.first_token > 0)
     };
-    assert!(resumed(0).await || resumed(1).await, "nothing was resumed");
+    assert!(
+        resumed(0).await || resumed(1).await,
+        "no engine resumed a sample"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_sample_without_a_named_version_is_run_again() {
+async fn a_sample_without_a_weight_version_is_generated_again() {
     let cluster = Cluster::start(2, 1, 0).await;
     let faults = EngineFaults {
         omit_weight_version: true,
@@ -57,36 +60,36 @@
         .set_faults(0, &EngineFaults::default())
         .await;
     trainer.finish_anywhere(1).await;
-    assert_eq!(trainer.taken.len(), 10);
+    assert_eq!(trainer.accepted.len(), 10);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_successor_goes_on_where_an_owner_was_cut_off() {
+async fn a_successor_continues_after_its_owner_is_disconnected() {
     let cluster = Cluster::start(2, 1, 1).await;
     let mut trainer = Trainer::new(&cluster);
     trainer.submit("n0", &step(40, 6)).await;
     let owner = cluster.owner(&log_of(0), &NODES).await;
-    let first = trainer.ask(&owner, 5, 10_000).await;
-    trainer.take(&first.body, 1);
-    let unread = trainer.ask(&owner, 5, 10_000).await;
+    let first = trainer.request_samples(&owner, 5, 10_000).await;
+    trainer.accept(&first.body, 1);
+    let unread = trainer.request_samples(&owner, 5, 10_000).await;
     assert_eq!(unread.status, Status::Ok, "{}", unread.body);
-    cluster.cut(&[&owner]);
+    cluster.set_disconnected(&[&owner]);
     let rest = others(&owner);
     let successor = cluster.owner(&log_of(0), &rest).await;
     assert_ne!(successor, owner);
-    let repeated = trainer.ask(&successor, 5, 10_000).await;
-    trainer.take(&repeated.body, 1);
-    cluster.cut(&[]);
-    until("the old owner let go", async || {
+    let repeated = trainer.request_samples(&successor, 5, 10_000).await;
+    trainer.accept(&repeated.body, 1);
+    cluster.set_disconnected(&[]);
+    until("the old owner released the shard", async || {
         cluster.node(&owner).shards.describe().is_empty()
     })
     .await;
     trainer.finish_anywhere(1).await;
-    assert_eq!(trainer.taken.len(), 40);
+    assert_eq!(trainer.accepted.len(), 40);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn an_owner_without_a_quorum_refuses_and_loses_nothing() {
+async fn an_owner_without_a_quorum_refuses_pulls_and_loses_no_samples() {
     let cluster = Cluster::start(2, 1, 1).await;
     let mut trainer = Trainer::new(&cluster);
     trainer.submit("n0", &step(100, 30)).await;
@@ -95,9 +98,9 @@
         cluster.waiting_samples(&log_of(0)) > 2
     })
     .await;
-    cluster.cut(&NODES);
+    cluster.set_disconnected(&NODES);
     until("a pull is refused", async || {
-        let answer = trainer.ask(&owner, 1, 0).await;
+        let answer = trainer.request_samples(&owner, 1, 0).await;
         answer.status == Status::ServiceUnavailable && answer.retry_after.is_some()
     })
     .await;
@@ -108,9 +111,9 @@
         "{}",
         not_known.body
     );
-    cluster.cut(&[]);
+    cluster.set_disconnected(&[]);
     trainer.finish_anywhere(1).await;
-    assert_eq!(trainer.taken.len(), 100);
+    assert_eq!(trainer.accepted.len(), 100);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
@@ -119,10 +122,10 @@
     let mut trainer = Trainer::new(&cluster);
     trainer.submit("n0", &step(30, 6)).await;
     let owner = cluster.owner(&log_of(0), &NODES).await;
-    let first = trainer.ask(&owner, 5, 10_000).await;
-    trainer.take(&first.body, 1);
+    let first = trainer.request_samples(&owner, 5, 10_000).await;
+    trainer.accept(&first.body, 1);
     let draining = cluster.node(&owner);
-    let waiting = trainer.ask(&owner, 20, 20_000);
+    let waiting = trainer.request_samples(&owner, 20, 20_000);
     let (waited, ()) = tokio::join!(waiting, draining.shards.drain());
     assert!(matches!(
         waited.status,
@@ -139,11 +142,11 @@
         refused.body
     );
     trainer.finish(&others(&owner), 1).await;
-    assert_eq!(trainer.taken.len(), 30);
+    assert_eq!(trainer.accepted.len(), 30);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn evidence_that_ages_while_the_hand_out_is_committed_holds_it_back() {
+async fn evidence_that_expires_during_a_commit_holds_the_delivery_back() {
     let cluster = Cluster::start(1, 1, 0).await;
     let trainer = Trainer::new(&cluster);
     trainer.submit("n0", &step(4, 3)).await;
@@ -196,11 +199,11 @@
         .set_faults(0, &EngineFaults::default())
         .await;
     trainer.finish_anywhere(1).await;
-    assert_eq!(trainer.taken.len(), 16);
+    assert_eq!(trainer.accepted.len(), 16);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_failing_scorer_is_asked_again() {
+async fn a_failing_scorer_is_called_again() {
     let cluster = Cluster::start(1, 1, 0).await;
     let faults = ScorerFaults {
         errors: 8,
@@ -212,8 +215,12 @@
     let mut trainer = Trainer::new(&cluster);
     trainer.submit("n0", &step(6, 3)).await;
     trainer.finish_anywhere(1).await;
-    assert_eq!(trainer.taken.len(), 6);
-    assert_eq!(cluster.engines.log(0).await.runs.len(), 6, "run again");
+    assert_eq!(trainer.accepted.len(), 6);
+    assert_eq!(
+        cluster.engines.log(0).await.runs.len(),
+        6,
+        "a sample was generated again"
+    );
 }
 
 fn body(step: &ladderstage_bench::trainer::StepSpec) -> String {
--- a/crates/daemon/tests/shards/platform.rs
+++ b/crates/daemon/tests/shards/platform.rs
@@ -1,4 +1,4 @@
-//! Engines, scorer and bundle as the nodes of a test see them.
+//! Platform of the test nodes: bundles, engines and scorer.
 
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::sync::{Arc, Mutex};
@@ -10,18 +10,18 @@
 use ladderstage_bench::stand_in::engine::{self, EngineConfig, EngineFaults, EngineLog};
 use ladderstage_bench::stand_in::scorer::{self, ScorerConfig};
 use ladderstage_daemon::bundles::BundleInForce;
-use ladderstage_daemon::shards::{BundleSource, EnginePlace, EngineSource};
+use ladderstage_daemon::shards::{BundleSource, EngineGuard, EngineSource};
 use ladderstage_wire::messages::SignedBundle;
 use tokio::sync::watch;
 
 pub const POOL: &str = "karm-lm";
 
-/// The bundle in force, the same for all nodes of a test.
+/// Bundle in force, shared by all nodes of a test.
 pub struct TestBundles {
     current: watch::Sender<Option<Arc<BundleInForce>>>,
     may_deliver: AtomicBool,
     /// Oldest weight version that each revision admits.
-    least_versions: Mutex<Vec<u64>>,
+    min_versions: Mutex<Vec<u64>>,
 }
 
 impl TestBundles {
@@ -29,18 +29,18 @@
         let bundles = Self {
             current: watch::Sender::default(),
             may_deliver: AtomicBool::new(true),
-            least_versions: Mutex::default(),
+            min_versions: Mutex::default(),
         };
         bundles.roll(weight_version, staleness_bound);
         bundles
     }
 
-    /// The next revision comes into force.
+    /// Puts the next revision in force.
     pub fn roll(&self, weight_version: u64, staleness_bound: u64) {
         self.roll_with_age(weight_version, staleness_bound, None);
     }
 
-    /// As [`Self::roll`], with a bound on the age in seconds too.
+    /// Like [`Self::roll`], with an additional bound on the age in seconds.
     pub fn roll_with_age(
         &self,
         weight_version: u64,
@@ -69,14 +69,14 @@
             classes: Vec::new(),
             notes: Default::default(),
         };
-        let least_version = weight_version.saturating_sub(staleness_bound);
-        self.least_versions.lock().unwrap().push(least_version);
+        let min_version = weight_version.saturating_sub(staleness_bound);
+        self.min_versions.lock().unwrap().push(min_version);
         let signed = SignedBundle::default();
         self.current
             .send_replace(Some(Arc::new(BundleInForce { bundle, signed })));
     }
 
-    /// The revision in force.
+    /// Returns the revision in force.
     pub fn revision(&self) -> u64 {
         self.current
             .borrow()
@@ -84,12 +84,12 @@
             .map_or(0, |now| now.bundle.revision)
     }
 
-    /// Oldest weight version that a revision admits.
-    pub fn least_version(&self, revision: u64) -> u64 {
-        self.least_versions.lock().unwrap()[revision as usize - 1]
+    /// Returns the oldest weight version that a revision admits.
+    pub fn min_version(&self, revision: u64) -> u64 {
+        self.min_versions.lock().unwrap()[revision as usize - 1]
     }
 
-    /// Whether the bundle is known recently enough to be the newest.
+    /// Sets whether the evidence for the bundle is fresh.
     pub fn set_evidence(&self, is_fresh: bool) {
         self.may_deliver.store(is_fresh, Ordering::SeqCst);
     }
@@ -104,7 +104,7 @@
         self.current.subscribe()
     }
 
-    fn deliverable(&self) -> Option<Arc<BundleInForce>> {
+    fn current_if_fresh(&self) -> Option<Arc<BundleInForce>> {
         let may_deliver = self.may_deliver.load(Ordering::SeqCst);
         self.current().filter(|_| may_deliver)
     }
@@ -116,7 +116,7 @@
     in_flight: Arc<AtomicU32>,
 }
 
-/// Stand-in engines that all nodes may use.
+/// Stand-in engines, shared by all nodes of a test.
 pub struct TestEngines {
     engines: Vec<Engine>,
     http: reqwest::Client,
@@ -209,7 +209,7 @@
         self.engines.iter().map(candidate).collect()
     }
 
-    fn try_start_request(&self, _pool: &str, name: &str) -> Option<EnginePlace> {
+    fn try_start_request(&self, _pool: &str, name: &str) -> Option<EngineGuard> {
         let engine = self.engines.iter().find(|engine| engine.name == name)?;
         engine.in_flight.fetch_add(1, Ordering::SeqCst);
         Some(Box::new(Counted(engine.in_flight.clone())))
--- a/crates/daemon/tests/support/bundle_cluster.rs
+++ b/crates/daemon/tests/support/bundle_cluster.rs
@@ -1,5 +1,5 @@
-//! Nodes' bundle parts in one process, joined by calls that can be cut.
-#![allow(dead_code)] // Each test file uses some of it.
+//! Bundles of several nodes in one process, connected by calls that can fail.
+#![allow(dead_code)] // No test file uses all of this.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -16,15 +16,15 @@
 use ladderstage_wire::messages::mod_Request::OneOfkind as RequestKind;
 use ladderstage_wire::messages::{ReplicaMember, ReplicaSet, Request, Response, SignedBundle};
 
-/// Longer than any wait on a busy machine should take.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Longest wait for a condition before a test fails.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The operators' key in all tests.
+/// Returns the operators' signing key of all tests.
 pub fn key() -> BundleKey {
     BundleKey::from_secret("operators", &[7; 32])
 }
 
-/// Text of a bundle without findings; `note` makes texts of one revision differ.
+/// Returns the text of a valid bundle; `note` makes texts of one revision differ.
 pub fn text(revision: u64, note: &str) -> String {
     format!(
         r#"revision = {revision}
@@ -57,7 +57,7 @@
     }
 }
 
-/// A disk that survives its node.
+/// Bundle store that survives a restart of its node.
 #[derive(Default)]
 pub struct Disk {
     record: Mutex<Option<Vec<u8>>>,
@@ -75,32 +75,32 @@
     }
 }
 
-/// Nodes that are up, and those that no call reaches or leaves.
+/// Running nodes and the state of the network between them.
 #[derive(Default)]
 pub struct Network {
     nodes: Mutex<BTreeMap<String, Bundles>>,
-    cut_off: Mutex<BTreeSet<String>>,
-    /// Versions of the replica set that nodes know; 1 for those not named.
+    disconnected: Mutex<BTreeSet<String>>,
+    /// Replica set versions that nodes know; 1 for nodes not listed.
     set_versions: Mutex<BTreeMap<String, u64>>,
     fetches: AtomicUsize,
 }
 
 impl Network {
-    pub fn cut_off(&self, node: &str) {
-        self.cut_off.lock().unwrap().insert(node.to_owned());
+    pub fn disconnect(&self, node: &str) {
+        self.disconnected.lock().unwrap().insert(node.to_owned());
     }
 
     pub fn reconnect(&self, node: &str) {
-        self.cut_off.lock().unwrap().remove(node);
+        self.disconnected.lock().unwrap().remove(node);
     }
 
-    /// The node learns a replica set of this version, with the same members.
+    /// Sets the replica set version that a node knows; the members stay the same.
     pub fn learn_replica_set(&self, node: &str, version: u64) {
         let mut versions = self.set_versions.lock().unwrap();
         versions.insert(node.to_owned(), version);
     }
 
-    /// Bundles that were asked for so far.
+    /// Returns the number of fetch requests so far.
     pub fn fetches(&self) -> usize {
         self.fetches.load(Ordering::Relaxed)
     }
@@ -110,17 +110,17 @@
         replica_set(versions.get(node).copied().unwrap_or(1))
     }
 
-    fn is_cut_off(&self, node: &str) -> bool {
-        self.cut_off.lock().unwrap().contains(node)
+    fn is_disconnected(&self, node: &str) -> bool {
+        self.disconnected.lock().unwrap().contains(node)
     }
 }
 
-struct Link {
+struct NetworkPeers {
     own: String,
     network: Arc<Network>,
 }
 
-impl Peers for Link {
+impl Peers for NetworkPeers {
     fn own_node(&self) -> String {
         self.own.clone()
     }
@@ -148,9 +148,10 @@
     ) -> BoxFuture<'a, Result<Response, CallError>> {
         Box::pin(async move {
             let target = self.network.nodes.lock().unwrap().get(node).cloned();
-            let is_cut = self.network.is_cut_off(node) || self.network.is_cut_off(&self.own);
-            let Some(target) = target.filter(|_| !is_cut) else {
-                return Err(CallError::NotSent("cut".to_owned()));
+            let is_disconnected =
+                self.network.is_disconnected(node) || self.network.is_disconnected(&self.own);
+            let Some(target) = target.filter(|_| !is_disconnected) else {
+                return Err(CallError::NotSent("disconnected".to_owned()));
             };
             match request.kind {
                 RequestKind::push_bundle(push) => Ok(target.handle_push_bundle(push).await),
@@ -164,11 +165,11 @@
     }
 }
 
-/// Nodes `n1`, `n2`, ... of which the first three are replicas.
+/// Nodes `n1`, `n2`, ..., of which the first three are replicas.
 pub struct Cluster {
     pub network: Arc<Network>,
-    /// A node whose rolls soon give up.
-    pub impatient: &'static str,
+    /// Node with a short roll deadline.
+    pub short_deadline_node: &'static str,
     key_value_url: String,
     disks: BTreeMap<String, Arc<Disk>>,
 }
@@ -178,7 +179,7 @@
         let replicas = ["n1", "n2", "n3"];
         Self {
             network: Arc::default(),
-            impatient: "",
+            short_deadline_node: "",
             key_value_url: key_value_url.to_owned(),
             disks: replicas
                 .map(|node| (node.to_owned(), Arc::default()))
@@ -194,12 +195,12 @@
         nodes
     }
 
-    /// Starts a node, again if it ran before: a replica finds its disk as it was.
+    /// Starts or restarts a node; a replica keeps its disk.
     pub async fn start(&self, name: &str) -> Bundles {
         let (network, node) = (self.network.clone(), name.to_owned());
-        let parts = BundleDependencies {
-            key_value: KeyValue::new(vec![self.key_value_url.clone()], PATIENCE),
-            peers: Arc::new(Link {
+        let dependencies = BundleDependencies {
+            key_value: KeyValue::new(vec![self.key_value_url.clone()], WAIT_TIMEOUT),
+            peers: Arc::new(NetworkPeers {
                 own: name.to_owned(),
                 network: self.network.clone(),
             }),
@@ -211,20 +212,20 @@
             weight_versions: None,
             roll_deadline: self.roll_deadline(name),
         };
-        let bundles = Bundles::start(&settings(name), parts).await.unwrap();
+        let bundles = Bundles::start(&settings(name), dependencies).await.unwrap();
         let mut nodes = self.network.nodes.lock().unwrap();
         nodes.insert(name.to_owned(), bundles.clone());
         bundles
     }
 
     fn roll_deadline(&self, name: &str) -> Duration {
-        if name == self.impatient {
+        if name == self.short_deadline_node {
             return Duration::from_millis(300);
         }
-        PATIENCE
+        WAIT_TIMEOUT
     }
 
-    /// Stops a node; what it kept in memory is gone.
+    /// Stops a node; its state in memory is lost.
     pub fn stop(&self, name: &str) {
         self.network.nodes.lock().unwrap().remove(name);
     }
@@ -263,13 +264,13 @@
     toml::from_str(&text).unwrap()
 }
 
-/// Waits until the condition holds.
-pub async fn wait_until(what: &str, condition: impl Fn() -> bool) {
-    let deadline = std::time::Instant::now() + PATIENCE;
+/// Waits for a condition; fails the test after [`WAIT_TIMEOUT`].
+pub async fn wait_until(description: &str, condition: impl Fn() -> bool) {
+    let deadline = std::time::Instant::now() + WAIT_TIMEOUT;
     while !condition() {
         assert!(
             std::time::Instant::now() < deadline,
-            "waited in vain: {what}"
+            "timed out: {description}"
         );
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
