--- a/crates/daemon/src/bundles/receive.rs
+++ b/crates/daemon/src/bundles/receive.rs
@@ -101,16 +101,16 @@
         let Some(as_of) = self.instant(sent_at).checked_sub(age) else {
             return self.learn_revision(from, evidence.revision);
         };
-        let learned = self
+        let effect = self
             .state()
             .evidence
             .observe_newest(evidence.revision, as_of);
-        self.fetch_if_behind(from, learned);
+        self.fetch_if_behind(from, effect);
     }
 
     pub(super) fn learn_revision(self: &Arc<Self>, from: &str, revision: Revision) {
-        let learned = self.state().evidence.observe_existence(revision);
-        self.fetch_if_behind(from, learned);
+        let effect = self.state().evidence.observe_existence(revision);
+        self.fetch_if_behind(from, effect);
     }
 
     /// Records evidence from journal replicas. Every quorum includes a replica with the newest accepted bundle, so the
@@ -123,7 +123,7 @@
     ) {
         let named = evidence.iter().map(|evidence| evidence.revision).max();
         let as_of = self.instant(sent_at);
-        let learned = {
+        let effect = {
             let mut state = self.state();
             let highest = named.unwrap_or(0).max(state.evidence.revision());
             // A replica without a bundle may not have read its disk yet.
@@ -134,14 +134,14 @@
                 state.evidence.observe_existence(highest)
             }
         };
-        if matches!(learned, EvidenceEffect::Fetch { .. }) {
+        if matches!(effect, EvidenceEffect::Fetch { .. }) {
             let replicas = self.replica_nodes();
             self.spawn_fetch(replicas);
         }
     }
 
-    fn fetch_if_behind(self: &Arc<Self>, from: &str, learned: EvidenceEffect) {
-        if matches!(learned, EvidenceEffect::Fetch { .. }) {
+    fn fetch_if_behind(self: &Arc<Self>, from: &str, effect: EvidenceEffect) {
+        if matches!(effect, EvidenceEffect::Fetch { .. }) {
             self.spawn_fetch(vec![from.to_owned()]);
         }
     }
--- a/crates/daemon/src/shards/dependencies.rs
+++ b/crates/daemon/src/shards/dependencies.rs
@@ -64,7 +64,7 @@
 
 impl fmt::Debug for ShardDependencies {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str("ShardParts")
+        formatter.write_str("ShardDependencies")
     }
 }
 
