--- a/crates/front/tests/usage.rs
+++ b/crates/front/tests/usage.rs
@@ -62,7 +62,7 @@
     meter.take(&[usage_of(2, 10, 5), usage_of(1, 10, 9), usage_of(2, 11, 1)]);
     assert_eq!(meter.total(10).get("one"), Some(&7));
     assert_eq!(meter.total(11).get("one"), Some(&1));
-    assert_eq!(meter.own(2), vec![usage_of(1, 10, 2)]);
+    assert_eq!(meter.own_counts(2), vec![usage_of(1, 10, 2)]);
 }
 
 proptest! {
