--- a/crates/daemon/tests/live/keys.rs
+++ b/crates/daemon/tests/live/keys.rs
@@ -107,12 +107,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn without_a_majority_nothing_is_dispatched() {
     let fixture = Fixture::start(0, 2).await;
-    fixture.network.cut(&["n1", "n2"]);
+    fixture.network.set_disconnected(&["n1", "n2"]);
     let answer = seen(fixture.fronts[0].keyed("k", "a")).await;
     // An earlier try of the key might have run.
     assert_eq!((answer.status, answer.outcome.as_str()), (503, "unknown"));
     assert_eq!(fixture.application_runs().await.len(), 0);
-    fixture.network.cut(&[]);
+    fixture.network.set_disconnected(&[]);
     let answer = seen(fixture.fronts[0].keyed("k", "a")).await;
     assert_eq!(answer.outcome, "completed");
 }
@@ -124,7 +124,7 @@
         seen(fixture.fronts[0].keyed("k", "a")).await.outcome,
         "completed"
     );
-    fixture.network.cut(&["n0", "n2"]);
+    fixture.network.set_disconnected(&["n0", "n2"]);
     assert_eq!(
         seen(fixture.fronts[1].keyed("k", "a")).await.outcome,
         "unknown"
@@ -218,11 +218,11 @@
         ];
         match random.random_range(0..5) {
             0 => network.freeze(some[0]),
-            1 => network.cut(some[0]),
-            2 | 3 => network.cut(some[1]),
+            1 => network.set_disconnected(some[0]),
+            2 | 3 => network.set_disconnected(some[1]),
             _ => {
                 network.freeze(&[]);
-                network.cut(&[]);
+                network.set_disconnected(&[]);
             }
         }
         tokio::time::sleep(Duration::from_millis(random.random_range(0..8))).await;
