--- a/crates/cli/tests/daemons.rs
+++ b/crates/cli/tests/daemons.rs
@@ -49,7 +49,7 @@
     async fn start() -> Self {
         let server = KeyValueServer::start().await;
         let mut cluster = Cluster::new(&server.url);
-        cluster.impatient = "n3";
+        cluster.short_deadline_node = "n3";
         let mut daemons = Self {
             nodes: cluster.start_nodes(&["n1", "n2", "n3"]).await,
             server,
@@ -213,7 +213,7 @@
         .run(0, &[1], &["bundle", "status", "--proposal", proposal])
         .await;
     assert!(state.contains("accepted as revision 2"), "{state}");
-    assert!(daemons.cluster.impatient == "n3");
+    assert!(daemons.cluster.short_deadline_node == "n3");
 }
 
 #[tokio::test]
