--- a/crates/front/src/backend/connection.rs
+++ b/crates/front/src/backend/connection.rs
@@ -94,7 +94,7 @@
         let connecting = tokio::time::timeout(CONNECT_TIMEOUT, self.connect());
         let sender = connecting
             .await
-            .map_err(|_| ConnectError::Failed("connect timed out".to_owned()))??;
+            .map_err(|_| ConnectError::Failed("timed out".to_owned()))??;
         Ok(self.checked_out(sender, false))
     }
 
