--- a/crates/bench/src/chaos/draw.rs
+++ b/crates/bench/src/chaos/draw.rs
@@ -1,4 +1,4 @@
-//! Draws faults at random.
+//! Random selection of faults.
 
 use rand::RngExt;
 use rand::rngs::StdRng;
@@ -7,7 +7,7 @@
 use crate::stand_in::CutPoint;
 
 impl Fault {
-    /// Draws a fault; the weights make the loss of all daemons rare.
+    /// Draws a fault; the loss of all daemons has a low weight.
     pub(super) fn draw(random: &mut StdRng, layout: &Layout) -> Self {
         let daemon = random.random_range(0..layout.zones.len());
         match random.random_range(0..100) {
--- a/crates/bench/src/chaos/evidence.rs
+++ b/crates/bench/src/chaos/evidence.rs
@@ -1,4 +1,4 @@
-//! What back ends, callers and trainers noted during a run.
+//! Records of a run, made by back ends, callers and trainers.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -11,12 +11,12 @@
 use crate::stand_in::engine::{EngineLog, Run};
 use crate::stand_in::lock;
 
-/// Records of all back ends, those that ended included.
+/// Logs of all back ends, including those that have exited.
 #[derive(Debug, Clone, Default, Serialize)]
 pub(super) struct BackendLogs {
-    /// Engines by name, one entry a process.
+    /// Engine logs with the engine's name, one entry per process.
     pub(super) engines: Vec<(String, EngineLog)>,
-    /// Application back ends by name, one entry a process.
+    /// Application logs with the back end's name, one entry per process.
     pub(super) applications: Vec<(String, ApplicationLog)>,
 }
 
@@ -29,7 +29,7 @@
         self.applications.push((name.to_owned(), log));
     }
 
-    /// Runs of completions by digest of the prompt, with the engine's name.
+    /// Returns completion runs with the engine's name, grouped by prompt digest.
     pub(super) fn completions(&self) -> BTreeMap<&str, Vec<(&str, &Run)>> {
         let mut by_digest: BTreeMap<&str, Vec<(&str, &Run)>> = BTreeMap::new();
         for (name, log) in &self.engines {
@@ -41,7 +41,7 @@
         by_digest
     }
 
-    /// Runs of application requests by body, with the back end's name.
+    /// Returns application runs with the back end's name, grouped by request body.
     pub(super) fn requests(&self) -> BTreeMap<&str, Vec<(&str, &ApplicationRun)>> {
         let mut by_body: BTreeMap<&str, Vec<(&str, &ApplicationRun)>> = BTreeMap::new();
         for (name, log) in &self.applications {
@@ -53,17 +53,17 @@
     }
 }
 
-/// How a request ended for its caller.
+/// Outcome of a request as its caller saw it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// Answered whole.
+    /// A complete answer.
     Completed,
     /// Refused as not run.
     NotRun,
-    /// The daemon does not know whether it ran, or it failed.
+    /// Failed, or the daemon does not know whether the request ran.
     Unknown,
-    /// The connection broke, or the answer had no end mark.
+    /// The connection broke, or the answer had no end marker.
     Broken,
 }
 
@@ -78,7 +78,7 @@
     }
 }
 
-/// How often a request may run.
+/// Kind of a request, which decides how often it may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RequestKind {
@@ -86,70 +86,70 @@
     Completion,
     /// A streamed completion.
     Streamed,
-    /// An application request that may be repeated.
+    /// An application request that may run more than once.
     Repeatable,
-    /// An application request that may not, without a key.
+    /// An application request without a key that must not run more than once.
     AtMostOnce,
-    /// An application request with a key, sent again through other daemons.
+    /// An application request with an idempotency key, sent again through other daemons.
     Keyed,
 }
 
-/// What became of one try of a request.
+/// One attempt to send a request.
 #[derive(Debug, Clone, Serialize)]
 pub(super) struct Try {
     /// Base URL of the daemon.
     pub(super) daemon: String,
-    /// How it ended for the caller.
+    /// Outcome as the caller saw it.
     pub(super) outcome: Outcome,
-    /// What the caller was told, unless it got the whole answer.
+    /// Error text; empty after a complete answer.
     pub(super) detail: String,
 }
 
-/// One request and all its tries, in the order of their ends.
+/// A request and all its attempts, in the order in which they ended.
 #[derive(Debug, Clone, Serialize)]
 pub(super) struct Request {
-    /// What it is.
+    /// Kind of the request.
     pub(super) kind: RequestKind,
-    /// Prompt or body; no two requests have the same.
+    /// Prompt or body, unique to this request.
     pub(super) content: String,
-    /// The tries.
+    /// Attempts to send it.
     pub(super) tries: Vec<Try>,
-    /// Whether the answer leaves out which version produced some of its tokens.
+    /// Whether the answer omits the weight version of some tokens.
     pub(super) lacks_versions: bool,
 }
 
-/// What a run's callers, trainers and operators noted.
+/// Observations of a run's callers, trainers and operators.
 #[derive(Debug, Default, Serialize)]
 pub(super) struct Notes {
     /// Requests that have ended.
     pub(super) requests: Vec<Request>,
-    /// Samples that trainers took.
+    /// Number of samples that trainers received.
     pub(super) samples: u64,
-    /// Answers to pulls that trainers dropped on purpose.
+    /// Number of pull answers that trainers dropped on purpose.
     pub(super) answers_dropped: u64,
-    /// Steps pulled to their end.
+    /// Number of steps pulled to their end.
     pub(super) steps: u64,
-    /// Bundles accepted.
+    /// Number of bundles accepted.
     pub(super) bundles: u64,
-    /// Rolls that were refused or not accepted in time.
+    /// Number of rolls that were refused or not accepted in time.
     pub(super) bundles_given_up: u64,
-    /// Violations seen at once.
+    /// Violations detected while the run was in progress.
     pub(super) violations: Vec<Violation>,
 }
 
-/// Notes that all tasks of a run share.
+/// Observations shared by all tasks of a run.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Notebook {
     notes: Arc<Mutex<Notes>>,
 }
 
 impl Notebook {
-    /// Changes the notes.
+    /// Updates the observations.
     pub(super) fn write(&self, change: impl FnOnce(&mut Notes)) {
         change(&mut lock(&self.notes));
     }
 
-    /// Notes a violation.
+    /// Records a violation.
     pub(super) fn violation(&self, guarantee: Guarantee, evidence: String) {
         self.write(|notes| {
             notes.violations.push(Violation {
@@ -159,7 +159,7 @@
         });
     }
 
-    /// Takes what was noted.
+    /// Returns the observations and resets them.
     pub(super) fn take(&self) -> Notes {
         std::mem::take(&mut lock(&self.notes))
     }
--- a/crates/bench/src/chaos/fault.rs
+++ b/crates/bench/src/chaos/fault.rs
@@ -1,4 +1,4 @@
-//! The kinds of faults and the parts that they touch.
+//! Fault kinds and the cluster resources that they affect.
 
 use std::ops::Range;
 
@@ -6,152 +6,153 @@
 
 use crate::stand_in::CutPoint;
 
-/// How large the cluster is.
+/// Size of the cluster.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Layout {
-    /// Zone of each daemon, as an index.
+    /// Zone index of each daemon.
     pub zones: Vec<usize>,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Application back ends.
+    /// Number of application back ends.
     pub applications: usize,
 }
 
-/// What becomes of the connections between two daemons.
+/// Fault of the connections between two daemons.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LinkFault {
-    /// Reset and refused.
+    /// Connections are reset and refused.
     Cut,
-    /// Bytes from the first to the second disappear.
+    /// Bytes from the first daemon to the second are dropped.
     OneWay,
-    /// Bytes arrive late.
+    /// Bytes are delayed.
     Delayed,
-    /// Reset, now and a few times on.
+    /// Open connections and the next few are reset.
     Reset,
-    /// Nothing moves, nothing is lost.
+    /// Nothing is forwarded, and no bytes are lost.
     Frozen,
 }
 
-/// What an engine does wrong.
+/// Fault of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EngineFault {
-    /// It dies.
+    /// The process is killed.
     Killed,
-    /// It breaks some answers off.
+    /// Some answers are cut.
     Cuts {
-        /// Where.
+        /// Point at which an answer is cut.
         point: CutPoint,
-        /// How many.
+        /// Number of answers.
         answers: u32,
     },
-    /// It refuses some requests.
+    /// Some requests are refused.
     Refuses {
-        /// How many.
+        /// Number of requests.
         requests: u32,
     },
-    /// Its streams stall.
+    /// Streams stall.
     Stalls,
-    /// Its swaps fail.
+    /// Weight swaps fail.
     SwapFails,
-    /// Its swaps fail, and it says that they are done.
+    /// Weight swaps fail but are reported as done.
     ClaimsSwap,
-    /// Its chunks name no version.
+    /// Chunks do not name their weight version.
     OmitsVersion,
-    /// It is leaving, until it ends and another takes its place.
+    /// The engine is leaving; at the end of the fault it is killed and replaced.
     Leaving,
 }
 
-/// What an application back end, or the way to it, does wrong.
+/// Fault of an application back end or of its connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ApplicationFault {
-    /// It breaks some answers off after their requests ran.
+    /// Some answers are cut after their requests ran.
     Cuts {
-        /// Where.
+        /// Point at which an answer is cut.
         point: CutPoint,
-        /// How many.
+        /// Number of answers.
         answers: u32,
     },
-    /// It refuses some requests.
+    /// Some requests are refused.
     Refuses {
-        /// How many.
+        /// Number of requests.
         requests: u32,
     },
-    /// It takes long.
+    /// Requests are delayed.
     Slow,
-    /// Connections to it are reset, now and a few times on.
+    /// Open connections and the next few are reset.
     Reset,
 }
 
-/// What the key-value service does wrong.
+/// Fault of the key-value service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum KeyValueFault {
-    /// It is down.
+    /// The service is down.
     Down,
-    /// Each answer takes this long, in milliseconds.
+    /// Every answer is delayed.
     Slow {
-        /// Milliseconds.
+        /// Delay in milliseconds.
         delay_ms: u64,
     },
-    /// It takes few requests a second.
+    /// The service accepts only a few requests per second.
     RateLimited,
-    /// Changes take effect and their answers are lost.
+    /// Changes take effect but their answers are lost.
     LosesAnswers,
-    /// Reads show old contents.
+    /// Reads return outdated contents.
     Stale,
 }
 
-/// One fault. Numbers are indices of daemons, zones or engines.
+/// A fault. Numbers are indices of daemons, zones, engines or applications.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
-    /// SIGKILL, and a restart at the end.
+    /// SIGKILL at the start, and a restart at the end.
     DaemonKilled(usize),
-    /// SIGSTOP, and SIGCONT at the end.
+    /// SIGSTOP at the start, and SIGCONT at the end.
     DaemonPaused(usize),
-    /// SIGTERM, and a restart at the end.
+    /// SIGTERM at the start, and a restart at the end.
     DaemonTerminated(usize),
-    /// All daemons at once: SIGKILL, and a restart at the end.
+    /// SIGKILL to all daemons at the start, and a restart at the end.
     AllDaemonsKilled,
-    /// Between two daemons.
+    /// Faulty connections between two daemons.
     Link {
-        /// The one.
+        /// First daemon.
         first: usize,
-        /// The other.
+        /// Second daemon.
         second: usize,
-        /// What.
+        /// Kind of the fault.
         fault: LinkFault,
     },
-    /// Daemons of a zone are cut off from those of other zones and from the platform's services.
+    /// Daemons of a zone are partitioned from those of other zones and from the platform's
+    /// services.
     ZoneCut(usize),
-    /// An engine.
+    /// A faulty engine.
     Engine {
-        /// Which.
+        /// Index of the engine.
         engine: usize,
-        /// What.
+        /// Kind of the fault.
         fault: EngineFault,
     },
-    /// An application back end.
+    /// A faulty application back end.
     Application {
-        /// Which.
+        /// Index of the application back end.
         application: usize,
-        /// What.
+        /// Kind of the fault.
         fault: ApplicationFault,
     },
-    /// The key-value service.
+    /// A faulty key-value service.
     KeyValue(KeyValueFault),
     /// The machine list is down.
     MachineListDown,
-    /// The machine list shows changes late.
+    /// The machine list shows changes with a delay.
     MachineListLate,
     /// The scorer is down.
     ScorerDown,
 }
 
-/// A part of the cluster that one fault at a time may hold.
+/// A cluster resource that at most one active fault may affect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Part {
     Daemon(usize),
@@ -164,7 +165,7 @@
 }
 
 impl Fault {
-    /// Stable name for counts.
+    /// Returns the fault's stable name, which reports count by.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::DaemonKilled(_) => "daemon-killed",
@@ -182,7 +183,7 @@
         }
     }
 
-    /// How long it may last, in milliseconds.
+    /// Returns the range of the fault's duration, in milliseconds.
     pub(super) fn duration_ms(&self) -> Range<u64> {
         match self {
             Self::AllDaemonsKilled => 200..1_500,
@@ -196,7 +197,7 @@
         }
     }
 
-    /// Whether both hold a part in common.
+    /// Returns whether both faults affect a common resource.
     pub(super) fn meets(&self, other: &Self, layout: &Layout) -> bool {
         let others = other.parts(layout);
         self.parts(layout).iter().any(|part| others.contains(part))
--- a/crates/bench/src/chaos/faults/applications.rs
+++ b/crates/bench/src/chaos/faults/applications.rs
@@ -1,4 +1,4 @@
-//! Application back ends that break answers off, refuse, are slow, or lose connections.
+//! Faults of application back ends: cut and refused answers, delays, reset connections.
 
 use super::super::fault::ApplicationFault;
 use super::Injector;
@@ -6,7 +6,7 @@
 use crate::stand_in::application::ApplicationFaults;
 
 const DELAY_MS: u64 = 800;
-/// Connections reset one after another.
+/// Number of consecutive connections to reset.
 const RESETS: u32 = 8;
 
 impl Injector {
--- a/crates/bench/src/chaos/faults/daemons.rs
+++ b/crates/bench/src/chaos/faults/daemons.rs
@@ -1,11 +1,11 @@
-//! Daemons that are killed, stopped and started again.
+//! Daemons that are killed, stopped and restarted.
 
 use std::time::Duration;
 
 use super::Injector;
 use crate::cluster::ClusterError;
 
-/// How long a planned stop may take before the process is killed.
+/// Time for a planned stop before the process is killed.
 const STOP_BOUND: Duration = Duration::from_secs(5);
 
 impl Injector {
--- a/crates/bench/src/chaos/faults/engines.rs
+++ b/crates/bench/src/chaos/faults/engines.rs
@@ -1,4 +1,4 @@
-//! Engines that fail, end, leave, and come back.
+//! Faults of engines, including exit, planned stop and replacement.
 
 use std::time::{Duration, Instant};
 
@@ -11,7 +11,7 @@
 use crate::stand_in::{Ending, LeavingOrder};
 
 const POLL: Duration = Duration::from_millis(20);
-/// How long an engine that nobody reaches may take until all its runs have ended.
+/// Time for an unreachable engine to end all its runs.
 const IDLE_BOUND: Duration = Duration::from_secs(5);
 
 impl Injector {
@@ -50,8 +50,8 @@
         self.cluster.platform.publish_machines().await
     }
 
-    /// Ends the engine's process. To those who use it, it ends when its connections break; its record is read
-    /// between that and SIGKILL, so that nothing it ran goes unrecorded.
+    /// Kills the engine's process. Connections are reset first and the log is read before SIGKILL,
+    /// so that no run goes unrecorded.
     async fn kill_engine(&mut self, engine: usize) -> Result<(), ClusterError> {
         let backend = &mut self.cluster.platform.engines[engine];
         backend.proxy.set(Faults {
--- a/crates/bench/src/chaos/faults/links.rs
+++ b/crates/bench/src/chaos/faults/links.rs
@@ -1,11 +1,11 @@
-//! Faults on the ways between daemons, and zones that are cut off.
+//! Faults of the connections between daemons, and partitioned zones.
 
 use super::super::fault::LinkFault;
 use super::Injector;
 use crate::proxy::Faults;
 
 const DELAY_MS: u64 = 300;
-/// Connections reset one after another in each direction.
+/// Number of consecutive connections to reset in each direction.
 const RESETS: u32 = 4;
 
 impl Injector {
@@ -31,7 +31,7 @@
         self.cluster.set_link_faults(first, second, healed);
     }
 
-    /// Bytes from the one daemon to the other disappear on connections of either.
+    /// Drops the bytes from one daemon to the other, whichever of them opened the connection.
     fn swallow(&self, from: usize, to: usize) {
         let opened = Faults {
             swallow_to_target: true,
--- a/crates/bench/src/chaos/faults/mod.rs
+++ b/crates/bench/src/chaos/faults/mod.rs
@@ -1,4 +1,4 @@
-//! Carries the plan out on a cluster.
+//! Applies a fault plan to a cluster.
 
 mod applications;
 mod daemons;
@@ -13,11 +13,11 @@
 use super::plan::{Action, Plan};
 use crate::cluster::{Cluster, ClusterConfig, ClusterError};
 
-/// Sets faults on a cluster and ends them.
+/// Starts and ends faults on a cluster.
 pub(super) struct Injector {
     pub(super) cluster: Cluster,
     config: ClusterConfig,
-    /// What ended back ends had run.
+    /// Logs of back ends that have exited.
     past_logs: BackendLogs,
 }
 
@@ -30,7 +30,10 @@
         }
     }
 
-    /// Carries the plan out. All faults have ended when it returns.
+    /// Runs the plan. All faults have ended when it returns.
+    ///
+    /// # Errors
+    /// If a fault could not be started or ended.
     pub(super) async fn run(&mut self, plan: &Plan) -> Result<(), ClusterError> {
         let start = Instant::now();
         for planned in plan.actions() {
@@ -50,7 +53,7 @@
         Ok(())
     }
 
-    /// What all back ends have run, those that ended included.
+    /// Returns the logs of all back ends, including those that have exited.
     pub(super) async fn backend_logs(&self) -> Result<BackendLogs, ClusterError> {
         let mut logs = self.past_logs.clone();
         for engine in &self.cluster.platform.engines {
@@ -114,7 +117,7 @@
     }
 }
 
-/// Whether the engine's process ends with the fault.
+/// Returns whether the fault ends the engine's process.
 fn replaces_engine(fault: EngineFault) -> bool {
     matches!(fault, EngineFault::Killed | EngineFault::Leaving)
 }
--- a/crates/bench/src/chaos/judge.rs
+++ b/crates/bench/src/chaos/judge.rs
@@ -1,4 +1,4 @@
-//! Judges what callers were told by what the back ends' own logs say.
+//! Checks the answers that callers received against the back ends' logs.
 
 use std::collections::BTreeMap;
 
@@ -7,10 +7,10 @@
 use crate::stand_in::engine::Run;
 use crate::text::prompt_digest;
 
-/// A leaving back end may get new work for this long, in milliseconds.
+/// Time during which a leaving back end may still receive new work, in milliseconds.
 const LEAVING_BOUND_MS: u64 = 6_000;
 
-/// All that the logs say against what the callers were told.
+/// Returns every violation that the back ends' logs show.
 pub(super) fn judge(requests: &[Request], logs: &BackendLogs) -> Vec<Violation> {
     let mut violations = judge_leaving(logs);
     let completions = logs.completions();
@@ -33,7 +33,7 @@
     violations
 }
 
-/// The runs of a request as evidence.
+/// Formats the runs of a request as evidence.
 fn described<R: std::fmt::Debug>(
     runs: &BTreeMap<&str, Vec<(&str, R)>>,
     content: &str,
@@ -42,13 +42,13 @@
     runs.map(|(name, run)| format!("{name}: {run:?}")).collect()
 }
 
-/// Which guarantee a request that ran this often breaks.
+/// Returns the guarantee that a request with this number of runs violates.
 fn broken_guarantee(request: &Request, runs: usize) -> Option<Guarantee> {
     let is_at_most_once = matches!(request.kind, RequestKind::AtMostOnce | RequestKind::Keyed);
     if is_at_most_once && runs > 1 {
         return Some(Guarantee::AtMostOnce);
     }
-    // An earlier try may have been refused as not run before a later one ran.
+    // An earlier attempt may be refused as not run before a later one runs.
     let last = request.tries.last().map(|last| last.outcome);
     if last == Some(Outcome::NotRun) && runs > 0 {
         return Some(Guarantee::NotRun);
@@ -61,7 +61,7 @@
     (was_completed && runs == 0).then_some(Guarantee::Ran)
 }
 
-/// An answer may leave versions out only where its engine did.
+/// Finds answers that omit weight versions which their engines named.
 fn judge_labels(
     requests: &[Request],
     completions: &BTreeMap<&str, Vec<(&str, &Run)>>,
--- a/crates/bench/src/chaos/load/applications.rs
+++ b/crates/bench/src/chaos/load/applications.rs
@@ -1,4 +1,4 @@
-//! Callers of the application: requests that may be repeated, that may not, and keyed ones that are sent again.
+//! Callers of the application: repeatable, at-most-once, and keyed requests that are sent again.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -15,9 +15,9 @@
 
 const PATH: &str = "price?currency=nok";
 const PAUSE_MS: std::ops::Range<u64> = 20..150;
-/// A caller of a keyed request gives a try up after this long and sends it again.
+/// Time after which the caller of a keyed request abandons an attempt and sends it again.
 const KEYED_PATIENCE: Duration = Duration::from_secs(2);
-/// Tries of a keyed request.
+/// Number of attempts of a keyed request.
 const KEYED_TRIES: usize = 3;
 const KEYED_PAUSE_MS: std::ops::Range<u64> = 1..400;
 
@@ -52,7 +52,7 @@
 async fn at_most_once(task: &mut Task, content: String) -> Request {
     let daemon = task.any_daemon();
     let marked: &[(&str, &str)] = &[("Ladderstage-At-Most-Once", "true")];
-    // Methods that are not idempotent need no mark.
+    // Requests with non-idempotent methods are at-most-once without the header.
     let (method, headers) = match task.random.random() {
         true => (Method::POST, &[] as &[_]),
         false => (Method::PUT, marked),
@@ -66,7 +66,7 @@
     }
 }
 
-/// Sends a keyed request through several daemons: two at once, or one after another.
+/// Sends a keyed request through several daemons, concurrently or one after another.
 async fn keyed(task: &mut Task, content: String) -> Request {
     let tries = Mutex::new(Vec::new());
     if task.random.random_range(0..3) == 0 {
--- a/crates/bench/src/chaos/load/completions.rs
+++ b/crates/bench/src/chaos/load/completions.rs
@@ -1,4 +1,4 @@
-//! Callers of completions, streamed and not.
+//! Callers of streamed and unstreamed completions.
 
 use rand::RngExt;
 
@@ -8,11 +8,11 @@
 use crate::live::Caller;
 
 const TOKENS: std::ops::Range<u64> = 5..60;
-/// More than the weight versions that a run rolls.
+/// Covers every weight version that a run can roll.
 const POSSIBLE_VERSIONS: std::ops::RangeInclusive<u64> = 1..=100;
 const PAUSE_MS: std::ops::Range<u64> = 20..150;
 
-/// Asks for completions until stopped.
+/// Requests completions until stopped.
 pub(super) async fn run(mut task: Task) {
     let mut round = 0;
     while !task.is_stopped() {
--- a/crates/bench/src/chaos/load/mod.rs
+++ b/crates/bench/src/chaos/load/mod.rs
@@ -1,4 +1,5 @@
-//! Load during a run: live callers, trainers, operators, and a watch on the bundle in force at each daemon.
+//! Load of a run: live callers, trainers, operators, and a watch on the bundle in force at each
+//! daemon.
 
 mod applications;
 mod completions;
@@ -24,7 +25,7 @@
 const APPLICATION_CALLERS: u64 = 4;
 const TRAINERS: u64 = 2;
 
-/// What every task of the load knows.
+/// State shared by all load tasks.
 #[derive(Debug, Clone)]
 struct Shared {
     daemons: Vec<String>,
@@ -32,7 +33,7 @@
     stopped: signal::Receiver<bool>,
 }
 
-/// One task's own numbers.
+/// A load task's number and random generator.
 #[derive(Debug)]
 struct Task {
     shared: Shared,
@@ -50,7 +51,7 @@
         self.shared.daemons[index].clone()
     }
 
-    /// Waits some milliseconds in this range, or until the load is stopped.
+    /// Waits for a random time in this range, in milliseconds, or until the load is stopped.
     async fn pause(&mut self, milliseconds: std::ops::Range<u64>) {
         let pause = Duration::from_millis(self.random.random_range(milliseconds));
         let mut stopped = self.shared.stopped.clone();
@@ -58,7 +59,7 @@
     }
 }
 
-/// The load under way.
+/// Running load.
 pub(super) struct Load {
     stop: signal::Sender<bool>,
     tasks: JoinSet<()>,
@@ -67,7 +68,7 @@
 }
 
 impl Load {
-    /// Starts all tasks; those of one seed draw the same numbers each run.
+    /// Starts all tasks. Equal seeds give equal random numbers.
     pub(super) fn start(
         seed: u64,
         cluster: &Cluster,
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Lets no task begin anything new.
+    /// Signals all tasks to start no further request.
     pub(super) fn stop(&self) {
         let _ = self.stop.send(true);
     }
@@ -121,7 +122,7 @@
     }
 }
 
-/// Notes what an error says against the daemons.
+/// Records the violations that an error shows.
 fn note_error(notebook: &Notebook, content: &str, error: &LiveError) {
     if error.is_violation() {
         notebook.violation(Guarantee::WholeAnswer, format!("{content}: {error}"));
--- a/crates/bench/src/chaos/load/operators.rs
+++ b/crates/bench/src/chaos/load/operators.rs
@@ -1,4 +1,4 @@
-//! Operators who roll bundles every few seconds, sometimes two at once.
+//! Operators that roll bundles every few seconds, sometimes two at once.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -15,15 +15,15 @@
 use crate::stand_in::lock;
 
 const PAUSE_MS: std::ops::Range<u64> = 1_000..4_000;
-/// How long an operator tries to roll one bundle.
+/// Time limit for rolling one bundle.
 const ROLL_BOUND: Duration = Duration::from_secs(8);
-/// How long an operator waits for one daemon to say what is in force.
+/// Time limit for reading the bundle in force at one daemon.
 const READ_BOUND: Duration = Duration::from_millis(500);
 const STALENESS_BOUNDS: std::ops::Range<u64> = 0..3;
-/// Each so many rolls, two operators roll at once.
+/// Average number of rolls per race between two operators.
 const RACE_EVERY: u32 = 3;
 
-/// Bundles of a run. Clones share them.
+/// Source of a run's bundles. Clones share its state.
 #[derive(Debug, Clone)]
 pub(in super::super) struct Rolls {
     operator: Operator,
@@ -35,14 +35,14 @@
 
 #[derive(Debug, Default)]
 struct State {
-    /// Bundles made, which tells those of one revision apart.
+    /// Number of bundles made; distinguishes bundles of the same revision.
     made: u64,
-    /// Notes of the bundles accepted, by revision.
+    /// Notes of the accepted bundles, by revision.
     accepted: BTreeMap<u64, String>,
 }
 
 impl Rolls {
-    /// Bundles that follow the one that `cluster` started with.
+    /// Creates a roller whose bundles succeed the first bundle of `cluster`.
     pub(in super::super) fn new(seed: u64, cluster: &Cluster, notebook: &Notebook) -> Self {
         Self {
             operator: cluster.operator(),
@@ -53,13 +53,13 @@
         }
     }
 
-    /// The newest revision accepted; 1: the one that the cluster started with.
+    /// Returns the newest accepted revision, or 1 for the cluster's first bundle.
     pub(in super::super) fn newest_accepted(&self) -> u64 {
         let state = lock(&self.state);
         state.accepted.keys().next_back().copied().unwrap_or(1)
     }
 
-    /// A bundle that follows the newest one in force at any daemon.
+    /// Returns a successor of the newest bundle in force at any daemon.
     pub(in super::super) async fn next(&self) -> Bundle {
         let mut newest = self.newest_accepted();
         for daemon in &self.operator.daemons {
@@ -71,8 +71,8 @@
         self.bundle(newest + 1)
     }
 
-    /// A bundle of this revision. Two of one revision differ in their notes alone, so that it does not matter to
-    /// the judges of samples which one wins.
+    /// Returns a bundle of this revision. Bundles of one revision differ in their notes only, so
+    /// that sample checks do not depend on which one is accepted.
     fn bundle(&self, revision: u64) -> Bundle {
         let mut bundle = self.first.clone();
         bundle.revision = revision;
@@ -89,7 +89,7 @@
         bundle
     }
 
-    /// Rolls a bundle, first through the daemon with this index, and notes an acceptance.
+    /// Rolls a bundle, starting with the daemon of this index, and records whether it was accepted.
     pub(in super::super) async fn roll(
         &self,
         bundle: &Bundle,
@@ -132,13 +132,13 @@
             let second = (first + 1) % task.shared.daemons.len();
             race(&rolls, bundle, first, second).await;
         } else {
-            // A roll that does not get through is followed by a newer one.
+            // The next round rolls a newer bundle.
             let _ = rolls.roll(&bundle, first, ROLL_BOUND).await;
         }
     }
 }
 
-/// Two operators roll different bundles of the same revision at once; one at most may win.
+/// Rolls two different bundles of the same revision concurrently; at most one may be accepted.
 async fn race(rolls: &Rolls, bundle: Bundle, first: usize, second: usize) {
     let other = rolls.bundle(bundle.revision);
     let _ = tokio::join!(
--- a/crates/bench/src/chaos/load/training.rs
+++ b/crates/bench/src/chaos/load/training.rs
@@ -1,4 +1,4 @@
-//! Trainers that run steps one after another, drop answers and move between daemons.
+//! Trainers that run consecutive steps, drop answers and alternate between daemons.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 const SAMPLES_AN_ANSWER: u32 = 7;
 const DROP_EVERY: u32 = 4;
 
-/// Runs steps until stopped; the last one is pulled to its end. `bound` is the time for one step.
+/// Runs steps until stopped and completes the last one. `bound` is the time limit per step.
 pub(super) async fn run(mut task: Task, mut trainer: Trainer, bound: Duration) {
     let options = PullOptions {
         max: SAMPLES_AN_ANSWER,
@@ -52,7 +52,7 @@
     }
 }
 
-/// A step whose prompts no other trainer's step has.
+/// Generates a step whose prompts are unique to this trainer.
 fn step_spec(trainer: &str, step: u64, tokens: u32) -> StepSpec {
     let mut spec = StepSpec::generate(MODEL_POOL, step, SAMPLES, tokens);
     for sample in &mut spec.samples {
--- a/crates/bench/src/chaos/load/watch.rs
+++ b/crates/bench/src/chaos/load/watch.rs
@@ -1,4 +1,4 @@
-//! Watches the bundle in force at each daemon.
+//! Monitors the bundle in force at each daemon.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -15,10 +15,10 @@
 
 const POLL: Duration = Duration::from_millis(100);
 
-/// Texts by revision, seen at any daemon.
+/// Bundle texts seen at any daemon, by revision.
 type Texts = Arc<Mutex<BTreeMap<u64, String>>>;
 
-/// Starts a watch on each daemon.
+/// Starts a watcher for each daemon.
 pub(super) fn start(shared: &Shared, stopped: &signal::Receiver<bool>) -> JoinSet<()> {
     let texts = Texts::default();
     let mut watchers = JoinSet::new();
@@ -37,7 +37,7 @@
 struct Watcher {
     daemon: String,
     notebook: Notebook,
-    /// Highest revision that the daemon showed, over its restarts.
+    /// Highest revision that the daemon has shown, across its restarts.
     newest: u64,
     texts: Texts,
 }
--- a/crates/bench/src/chaos/mod.rs
+++ b/crates/bench/src/chaos/mod.rs
@@ -1,5 +1,5 @@
-//! Seeded random faults on real daemons and stand-ins under load, judged by the logs of the stand-ins and of the
-//! callers, never by the daemons' word.
+//! Fault injection with seeded random faults on real daemons and stand-ins under load. Results are
+//! checked against the logs of stand-ins and callers, not against the daemons' own statements.
 
 mod draw;
 mod evidence;
@@ -25,40 +25,43 @@
 pub use report::ChaosReport;
 pub use violation::{Guarantee, Violation};
 
-/// Shortest run.
+/// Minimum length of a run, in seconds.
 pub const LEAST_SECONDS: u64 = 8;
-/// The last part of a run has no faults.
+/// Fault-free time at the end of a run.
 const QUIET: Duration = Duration::from_secs(5);
-/// Steps complete this long after the end of the load at the latest.
+/// Time for steps to complete after the load has ended.
 const STEP_GRACE: Duration = Duration::from_secs(60);
 const ENGINES: usize = 4;
-/// Zone of each daemon. The last daemon has no disk.
+/// Zone of each daemon. The last daemon has no data folder.
 const ZONES: [&str; 4] = ["bergen-a", "bergen-b", "forde", "bergen-a"];
 
-/// What to run.
+/// Parameters of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct ChaosConfig {
-    /// Gives the faults and the load.
+    /// Seed of the faults and the load.
     pub seed: u64,
     /// Length of the load.
     pub length: Duration,
 }
 
-/// Why there is no verdict.
+/// Reason why a run gave no result.
 #[derive(Debug, thiserror::Error)]
 pub enum ChaosError {
-    /// The cluster could not be started or its logs not be read.
+    /// The cluster could not be started, or its logs could not be read.
     #[error("{0}")]
     Cluster(#[from] ClusterError),
-    /// Logs could not be kept.
+    /// A log file could not be written.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// Logs could not be written down.
+    /// Logs could not be serialized.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
 }
 
-/// Runs load and faults, waits until all is well again, and judges.
+/// Runs load and faults, waits for recovery, and checks all guarantees.
+///
+/// # Errors
+/// If the run itself fails, as opposed to a guarantee.
 pub async fn run(config: &ChaosConfig) -> Result<ChaosReport, ChaosError> {
     let cluster_config = cluster_config();
     let plan = Plan::new(
@@ -106,7 +109,7 @@
     }
 }
 
-/// Index of each daemon's zone.
+/// Returns the zone index of each daemon.
 fn zones_of(config: &ClusterConfig) -> Vec<usize> {
     let zones: Vec<&str> = config
         .daemons
@@ -125,7 +128,7 @@
     }
 }
 
-/// All daemons still run, and none has panicked since the start of the run.
+/// Checks that all daemons still run and that none has panicked.
 fn check_daemons(cluster: &mut Cluster, notebook: &Notebook) {
     for daemon in &mut cluster.daemons {
         let name = daemon.name().to_owned();
@@ -148,7 +151,7 @@
     }
 }
 
-/// Keeps all logs if a guarantee was broken; returns their folder.
+/// Keeps the logs if a guarantee was violated, and returns their folder.
 fn keep(
     cluster: &mut Cluster,
     plan: &Plan,
--- a/crates/bench/src/chaos/plan.rs
+++ b/crates/bench/src/chaos/plan.rs
@@ -1,4 +1,4 @@
-//! What goes wrong when: a timed list of faults that follows from the seed alone.
+//! Fault plan: a timed list of faults, determined by the seed.
 
 use std::time::Duration;
 
@@ -7,27 +7,27 @@
 
 use super::fault::{Fault, Layout};
 
-/// Faults that may be under way at a time.
+/// Maximum number of faults active at the same time.
 const MOST_AT_ONCE: usize = 2;
-/// Before the first fault.
+/// Delay before the first fault.
 const LEAD: Duration = Duration::from_millis(500);
-/// Between the beginnings of two faults, in milliseconds.
+/// Range of the delay between the starts of two faults, in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 300..1_500;
-/// How often a fault is drawn anew if it meets one under way on the same part.
+/// Maximum number of draws to find a fault without a conflict.
 const DRAWS: usize = 16;
 
-/// One fault of the plan.
+/// A fault and its times.
 #[derive(Debug, Clone, PartialEq, serde::Serialize)]
 pub struct PlannedFault {
-    /// When it begins, since the start of the run.
+    /// Start, relative to the start of the run.
     pub begin: Duration,
-    /// When it ends.
+    /// End, relative to the start of the run.
     pub end: Duration,
-    /// What it is.
+    /// Fault to inject.
     pub fault: Fault,
 }
 
-/// What is to be done at a time.
+/// Action of a plan.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
     /// The fault begins.
@@ -36,26 +36,27 @@
     End,
 }
 
-/// One step of the plan.
+/// A timed action.
 #[derive(Debug, Clone)]
 pub struct PlannedAction {
-    /// When, since the start of the run.
+    /// Time since the start of the run.
     pub at: Duration,
     /// Whether the fault begins or ends.
     pub action: Action,
-    /// The fault.
+    /// Fault to begin or end.
     pub fault: Fault,
 }
 
-/// All faults of a run, in order of their beginning.
+/// All faults of a run, ordered by start.
 #[derive(Debug, Clone, PartialEq, serde::Serialize)]
 pub struct Plan {
-    /// The faults. At most two overlap, and these never touch the same part.
+    /// Faults. At most two overlap, and these affect different resources.
     pub faults: Vec<PlannedFault>,
 }
 
 impl Plan {
-    /// Faults within `length` on a cluster of this layout. Equal arguments give equal plans.
+    /// Creates a plan of faults within `length` for a cluster of this layout. Equal arguments give
+    /// equal plans.
     pub fn new(seed: u64, length: Duration, layout: &Layout) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
         let mut faults: Vec<PlannedFault> = Vec::new();
@@ -77,7 +78,7 @@
         Self { faults }
     }
 
-    /// Beginnings and ends in order of time.
+    /// Returns all starts and ends of faults, ordered by time.
     pub fn actions(&self) -> Vec<PlannedAction> {
         let mut actions: Vec<PlannedAction> = Vec::new();
         for planned in &self.faults {
@@ -89,7 +90,7 @@
                 });
             }
         }
-        // The sort is stable: a fault of no length still begins before it ends.
+        // The sort is stable, so that a fault of zero length begins before it ends.
         actions.sort_by_key(|action| action.at);
         actions
     }
@@ -100,7 +101,7 @@
     active.map(|planned| planned.fault.clone()).collect()
 }
 
-/// Draws a fault that touches no part that another one holds.
+/// Draws a fault that affects no resource of an active one.
 fn draw(random: &mut StdRng, layout: &Layout, active: &[Fault]) -> Option<Fault> {
     (0..DRAWS)
         .map(|_| Fault::draw(random, layout))
--- a/crates/bench/src/chaos/recovery.rs
+++ b/crates/bench/src/chaos/recovery.rs
@@ -1,4 +1,5 @@
-//! After all faults have ended: the newest bundle everywhere, and live requests that succeed.
+//! Recovery after all faults have ended: every daemon has the newest bundle, and live requests
+//! succeed.
 
 use std::time::{Duration, Instant};
 
@@ -14,7 +15,7 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 const TOKENS: u64 = 10;
 
-/// Checks that the cluster works again.
+/// Checks that the cluster has recovered.
 pub(super) async fn check(cluster: &Cluster, rolls: &Rolls, notebook: &Notebook) {
     if let Err(error) = cluster.all_ready().await {
         notebook.violation(Guarantee::Recovery, error.to_string());
@@ -57,7 +58,7 @@
     }
 }
 
-/// Rolls one more bundle; a roll that was under way may win a revision first.
+/// Rolls one more bundle. Repeats the roll if a concurrent one has used the revision.
 async fn roll_last(rolls: &Rolls, notebook: &Notebook) {
     let start = Instant::now();
     while let Err(error) = rolls.roll(&rolls.next().await, 0, BOUND).await {
--- a/crates/bench/src/chaos/report.rs
+++ b/crates/bench/src/chaos/report.rs
@@ -1,4 +1,4 @@
-//! What a run came to, for people and for programs.
+//! Report of a run, as text and as JSON.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -13,32 +13,32 @@
 /// Result of a run.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct ChaosReport {
-    /// Seed.
+    /// Seed of the run.
     pub seed: u64,
     /// Length of the load, in seconds.
     pub seconds: u64,
-    /// Tries of requests by kind and outcome.
+    /// Attempts by request kind and outcome.
     pub requests: BTreeMap<RequestKind, BTreeMap<Outcome, u64>>,
-    /// Samples that trainers took.
+    /// Number of samples that trainers received.
     pub samples: u64,
-    /// Answers to pulls that trainers dropped and asked for again.
+    /// Number of pull answers that trainers dropped and requested again.
     pub answers_dropped: u64,
-    /// Steps pulled to their end.
+    /// Number of steps pulled to their end.
     pub steps: u64,
-    /// Bundles accepted.
+    /// Number of bundles accepted.
     pub bundles: u64,
-    /// Rolls that lost against another one, or were not accepted in time.
+    /// Number of rolls that lost to a concurrent one or were not accepted in time.
     pub bundles_given_up: u64,
-    /// Faults by kind.
+    /// Number of faults by kind.
     pub faults: BTreeMap<&'static str, u64>,
-    /// All broken guarantees.
+    /// All violated guarantees.
     pub violations: Vec<Violation>,
-    /// Logs; kept only on a violation.
+    /// Folder of the logs, kept only after a violation.
     pub logs: Option<PathBuf>,
 }
 
 impl ChaosReport {
-    /// Counts what was noted.
+    /// Summarizes the observations of a run.
     pub(super) fn new(seed: u64, seconds: u64, plan: &Plan, notes: Notes) -> Self {
         let mut report = Self {
             seed,
@@ -63,7 +63,7 @@
         report
     }
 
-    /// Whether all guarantees held.
+    /// Returns whether all guarantees held.
     pub fn is_faultless(&self) -> bool {
         self.violations.is_empty()
     }
--- a/crates/bench/src/chaos/violation.rs
+++ b/crates/bench/src/chaos/violation.rs
@@ -1,43 +1,43 @@
-//! Broken guarantees.
+//! Violated guarantees.
 
 use std::fmt;
 
 use serde::Serialize;
 
-/// What must hold.
+/// A guarantee of the service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Guarantee {
-    /// Each slot is taken once; every sample is true and fresh.
+    /// Each slot is delivered once, with true labels, and no sample is too stale.
     Samples,
     /// All steps complete.
     StepsComplete,
-    /// An answer that looks whole is whole, true and the caller's own.
+    /// An answer that appears complete is complete, correct and addressed to its caller.
     WholeAnswer,
-    /// What was refused as not run did not run.
+    /// A request that was refused as not run did not run.
     NotRun,
-    /// What may not be repeated runs once at most.
+    /// A request that must not be repeated runs at most once.
     AtMostOnce,
     /// A completed request ran.
     Ran,
     /// Revisions never decrease, and all daemons end on the newest accepted bundle.
     Bundles,
-    /// A leaving back end gets no new work.
+    /// A leaving back end receives no new work.
     Leaving,
-    /// Every refusal says when to try again.
+    /// Every refusal has a `Retry-After` header.
     RetryAfter,
     /// Live requests succeed after all faults have ended.
     Recovery,
-    /// Daemons neither panic nor end by themselves.
+    /// Daemons neither panic nor exit on their own.
     NoCrash,
 }
 
-/// One broken guarantee.
+/// A violated guarantee.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Violation {
-    /// What does not hold.
+    /// Guarantee that does not hold.
     pub guarantee: Guarantee,
-    /// How that shows.
+    /// Description of what was observed.
     pub evidence: String,
 }
 
--- a/crates/bench/src/cluster/daemon.rs
+++ b/crates/bench/src/cluster/daemon.rs
@@ -1,4 +1,4 @@
-//! One daemon of a cluster as a process, with proxies on all its ways.
+//! A daemon process of a cluster, with a proxy on each of its connections.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -16,21 +16,21 @@
 /// A daemon of a cluster.
 #[derive(Debug)]
 pub struct Daemon {
-    /// What its settings file says. Changes count from the next start.
+    /// Contents of its settings file. Changes apply from the next start.
     pub settings: DaemonSettings,
-    /// The process, while there is one.
+    /// Process, if it is running.
     pub process: Option<Process>,
-    /// Between callers and it.
+    /// Proxy between callers and the daemon.
     pub front: Proxy,
-    /// Between it and the key-value service.
+    /// Proxy between the daemon and the key-value service.
     pub key_value: Proxy,
-    /// Between it and the machine list.
+    /// Proxy between the daemon and the machine list.
     pub machine_list: Proxy,
-    /// Between it and the scorer.
+    /// Proxy between the daemon and the scorer.
     pub scorer: Proxy,
-    /// Between it and each peer, for the connections that it opens.
+    /// Proxies by peer name, for the connections that this daemon opens.
     pub links: BTreeMap<String, Proxy>,
-    /// Of the peers' proxies on their ways to it.
+    /// Targets of the peers' proxies that lead to this daemon.
     pub(super) inbound: Vec<ProxyTarget>,
     folder: PathBuf,
 }
@@ -56,17 +56,17 @@
         }
     }
 
-    /// Name.
+    /// Returns the daemon's name.
     pub fn name(&self) -> &str {
         &self.settings.node
     }
 
-    /// Base URL for callers; stays the same over restarts.
+    /// Returns the base URL for callers, which is the same after a restart.
     pub fn url(&self) -> String {
         format!("http://{}", self.front.address)
     }
 
-    /// Starts the process and sends callers and peers to its addresses.
+    /// Starts the process and points the proxies of callers and peers to its addresses.
     pub(super) async fn spawn(&mut self) -> Result<(), ClusterError> {
         let path = self.folder.join(format!("{}.toml", self.name()));
         std::fs::write(&path, self.settings.to_toml())?;
@@ -80,9 +80,9 @@
         Ok(())
     }
 
-    /// SIGKILL.
+    /// Sends SIGKILL and waits for the exit.
     pub fn kill(&mut self) {
-        // Once it is dead, any process may be given its ports.
+        // The kernel may give the ports of a dead process to another one.
         self.front.retarget(NOWHERE);
         self.inbound.iter().for_each(|link| link.set(NOWHERE));
         if let Some(mut process) = self.process.take() {
@@ -90,40 +90,40 @@
         }
     }
 
-    /// SIGSTOP.
+    /// Sends SIGSTOP and waits until the process has stopped.
     pub fn pause(&mut self) {
         if let Some(process) = &mut self.process {
             process.pause();
         }
     }
 
-    /// SIGCONT.
+    /// Sends SIGCONT.
     pub fn resume(&mut self) {
         if let Some(process) = &mut self.process {
             process.resume();
         }
     }
 
-    /// SIGTERM.
+    /// Sends SIGTERM.
     pub fn terminate(&mut self) {
         if let Some(process) = &mut self.process {
             process.terminate();
         }
     }
 
-    /// What the present process has logged.
+    /// Returns the log of the current process.
     pub fn log(&self) -> String {
         let process = self.process.as_ref();
         process.map(Process::log).unwrap_or_default()
     }
 
-    /// The end of that log.
+    /// Returns the last lines of that log.
     pub fn log_tail(&self) -> String {
         let process = self.process.as_ref();
         process.map(Process::log_tail).unwrap_or_default()
     }
 
-    /// Sets faults on its ways to the platform: key-value service, machine list and scorer.
+    /// Sets faults on the connections to the key-value service, the machine list and the scorer.
     pub fn set_platform_faults(&self, faults: Faults) {
         self.key_value.set(faults);
         self.machine_list.set(faults);
@@ -135,7 +135,7 @@
         self.answers("/healthz", bound).await
     }
 
-    /// Waits until `/readyz` answers 200: it has a bundle in force and takes work.
+    /// Waits until `/readyz` answers 200: the daemon has a bundle in force and accepts work.
     pub async fn ready(&self, bound: Duration) -> Result<(), ClusterError> {
         self.answers("/readyz", bound).await
     }
@@ -161,7 +161,7 @@
     }
 }
 
-/// Proxies between one daemon and the platform.
+/// Proxies between a daemon and the platform's services.
 #[derive(Debug)]
 pub(super) struct PlatformProxies {
     pub(super) key_value: Proxy,
--- a/crates/bench/src/cluster/mod.rs
+++ b/crates/bench/src/cluster/mod.rs
@@ -1,4 +1,5 @@
-//! A cluster for tests: daemons as processes, stand-ins around them, and a proxy on every way between them.
+//! Test cluster: daemon processes, stand-ins of the platform, and a proxy on every connection
+//! between them.
 
 mod daemon;
 mod operator;
@@ -31,60 +32,60 @@
 pub use settings::{DaemonSettings, Timing};
 pub use status::{DaemonStatus, OwnedShard};
 
-/// Name of the model pool in the clusters' bundles.
+/// Name of the model pool in test bundles.
 pub const MODEL_POOL: &str = "karm-lm";
-/// Name of the application pool in the clusters' bundles.
+/// Name of the application pool in test bundles.
 pub const APPLICATION_POOL: &str = "prisverk";
 
 const START_BOUND: Duration = Duration::from_secs(30);
-/// Where proxies point until their target has started; nothing listens there.
+/// Initial target of proxies, on which nothing listens.
 const NOWHERE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 1);
 
-/// Why a cluster could not do something.
+/// Error of a cluster operation.
 #[derive(Debug, thiserror::Error)]
 pub enum ClusterError {
     /// A process failed.
     #[error("{0}")]
     Process(#[from] ProcessError),
-    /// A file or socket failed.
+    /// A file or socket operation failed.
     #[error("{0}")]
     Io(#[from] io::Error),
     /// An HTTP call failed.
     #[error("{0:?}")]
     Http(#[from] reqwest::Error),
-    /// A daemon refused.
+    /// A daemon refused the request.
     #[error("refused with {status}: {body}")]
     Refused {
         /// HTTP status.
         status: StatusCode,
-        /// What it said.
+        /// Response body.
         body: String,
     },
-    /// Something did not come true in time.
+    /// A condition did not hold in time.
     #[error("not in time: {what}; last trouble: {trouble}")]
     NotInTime {
-        /// What was waited for.
+        /// Condition that was waited for.
         what: String,
-        /// Last trouble on the way.
+        /// Last error or observed state.
         trouble: String,
     },
 }
 
-/// One daemon to start.
+/// A daemon to start.
 #[derive(Debug, Clone)]
 pub struct DaemonPlan {
-    /// Name.
+    /// Name of the daemon.
     pub node: String,
-    /// Zone.
+    /// Zone of the daemon.
     pub zone: String,
-    /// Whether it has a data folder and belongs to the first replica set.
+    /// Whether it has a data folder and belongs to the initial replica set.
     pub is_replica: bool,
 }
 
-/// What a cluster consists of.
+/// Configuration of a cluster.
 #[derive(Debug, Clone)]
 pub struct ClusterConfig {
-    /// Daemons.
+    /// Daemons to start.
     pub daemons: Vec<DaemonPlan>,
     /// Region of all zones.
     pub region: String,
@@ -92,21 +93,22 @@
     pub engines: Vec<EngineConfig>,
     /// Back ends of the application pool.
     pub applications: Vec<ApplicationConfig>,
-    /// Whether stand-ins are processes of their own too.
+    /// Whether stand-ins run as processes instead of tasks in this process.
     pub stand_ins_as_processes: bool,
-    /// Daemons' intervals and bounds that differ from the defaults.
+    /// Timing settings that differ from the daemons' defaults.
     pub timing: Timing,
-    /// Names of daemons that have a data folder but do not belong to the first replica set.
+    /// Names of daemons that have a data folder but do not belong to the initial replica set.
     pub spares: Vec<String>,
 }
 
 impl ClusterConfig {
-    /// Three daemons with data folders in two zones, this many engines, and two application back ends.
+    /// Returns a configuration of three daemons with data folders in two zones, this many engines,
+    /// and two application back ends.
     pub fn three(engines: usize) -> Self {
         Self::with_daemons(3, engines)
     }
 
-    /// As [`ClusterConfig::three`] with this many daemons.
+    /// Like [`ClusterConfig::three`], with this many daemons.
     pub fn with_daemons(daemons: usize, engines: usize) -> Self {
         let zones = ["bergen-a", "bergen-b"].iter().cycle().take(daemons);
         let daemons = zones.enumerate().map(|(index, zone)| DaemonPlan {
@@ -161,20 +163,20 @@
     }
 }
 
-/// A running cluster. Dropping it ends all its processes and removes its files.
+/// A running cluster. Dropping it kills all its processes and removes its files.
 #[derive(Debug)]
 pub struct Cluster {
-    /// Daemons.
+    /// Daemons of the cluster.
     pub daemons: Vec<Daemon>,
-    /// Stand-ins.
+    /// Stand-ins of the platform.
     pub platform: Platform,
-    /// What each rolled bundle demands, for judges.
+    /// Requirements of each rolled bundle, for checks of samples.
     pub facts: BundleFacts,
     folder: TempDir,
 }
 
 impl Cluster {
-    /// Starts all parts and waits until the daemons answer. No bundle is in force yet.
+    /// Starts all parts and waits until the daemons are healthy. No bundle is in force yet.
     pub async fn start(config: &ClusterConfig) -> Result<Self, ClusterError> {
         let folder = tempfile::tempdir()?;
         let platform = Platform::start(&config.platform(), folder.path()).await?;
@@ -198,7 +200,7 @@
         Ok(cluster)
     }
 
-    /// Starts and rolls a first bundle, and waits until all daemons are ready.
+    /// Starts a cluster, rolls a first bundle, and waits until all daemons are ready.
     pub async fn start_ready(config: &ClusterConfig) -> Result<Self, ClusterError> {
         let cluster = Self::start(config).await?;
         cluster.roll(&cluster.bundle(1, 1)).await?;
@@ -206,12 +208,13 @@
         Ok(cluster)
     }
 
-    /// Starts a daemon that is not running; peers and callers reach it where they reached it before.
+    /// Starts a daemon that is not running. Its addresses for peers and callers are the same as
+    /// before.
     pub async fn start_daemon(&mut self, index: usize) -> Result<(), ClusterError> {
         self.daemons[index].spawn().await
     }
 
-    /// Starts a new engine process in the place of one that ended; daemons reach it where they reached that one.
+    /// Starts a new engine process in place of one that exited, reachable at the same address.
     pub async fn restart_engine(
         &mut self,
         index: usize,
@@ -223,17 +226,18 @@
             .await
     }
 
-    /// Folder of logs, settings and data; it goes with the cluster unless kept.
+    /// Returns the folder of logs, settings and data, which is removed with the cluster unless
+    /// kept.
     pub fn folder(&self) -> &Path {
         self.folder.path()
     }
 
-    /// Keeps the folder after the cluster's end.
+    /// Keeps the folder when the cluster is dropped.
     pub fn keep_folder(&mut self) {
         self.folder.disable_cleanup(true);
     }
 
-    /// Waits until all running daemons take work.
+    /// Waits until all running daemons are ready.
     pub async fn all_ready(&self) -> Result<(), ClusterError> {
         for daemon in self
             .daemons
@@ -245,12 +249,13 @@
         Ok(())
     }
 
-    /// Base URLs of all daemons.
+    /// Returns the base URLs of all daemons.
     pub fn urls(&self) -> Vec<String> {
         self.daemons.iter().map(Daemon::url).collect()
     }
 
-    /// A bundle over all back ends; `karm-lm` is to hold this version, with a staleness bound of 1.
+    /// Returns a bundle over all back ends that requires this weight version of `karm-lm`, with a
+    /// staleness bound of 1.
     pub fn bundle(&self, revision: u64, weight_version: u64) -> Bundle {
         let names = |pool: &str, backends: &[Backend]| PoolNames {
             pool: pool.to_owned(),
@@ -264,7 +269,7 @@
         plain_bundle(revision, weight_version, model, application)
     }
 
-    /// An operator who can reach all daemons.
+    /// Returns an operator that can reach all daemons.
     pub fn operator(&self) -> Operator {
         Operator {
             daemons: self.urls(),
@@ -277,12 +282,12 @@
         self.operator().roll(bundle, START_BOUND).await
     }
 
-    /// A trainer that can reach all daemons.
+    /// Returns a trainer that can reach all daemons.
     pub fn trainer(&self, name: &str) -> Trainer {
         Trainer::new(name, self.urls(), self.facts.clone())
     }
 
-    /// Sets faults on both ways between two daemons.
+    /// Sets faults on the connections between two daemons, in both directions.
     pub fn set_link_faults(&self, first: usize, second: usize, faults: Faults) {
         for (from, to) in [(first, second), (second, first)] {
             let to = self.daemons[to].name();
@@ -295,7 +300,7 @@
         }
     }
 
-    /// Sets faults on all ways between a daemon and its peers.
+    /// Sets faults on all connections between a daemon and its peers.
     pub fn set_peer_faults(&self, index: usize, faults: Faults) {
         for other in (0..self.daemons.len()).filter(|other| *other != index) {
             self.set_link_faults(index, other, faults);
@@ -312,7 +317,7 @@
         }
     }
 
-    /// Tells each daemon which proxies lead to it.
+    /// Collects, for each daemon, the targets of the proxies that lead to it.
     fn join_links(&mut self) {
         for index in 0..self.daemons.len() {
             let name = self.daemons[index].name().to_owned();
@@ -360,7 +365,8 @@
 }
 
 impl Drop for Cluster {
-    /// Shows the logs' ends when a test has failed: the files go with the cluster.
+    /// Prints the end of each daemon's log if a test failed, since the files are removed with the
+    /// cluster.
     fn drop(&mut self) {
         if !std::thread::panicking() {
             return;
--- a/crates/bench/src/cluster/operator.rs
+++ b/crates/bench/src/cluster/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's side: bundles for a cluster, signed and rolled.
+//! Operator client: creates, signs and rolls bundles.
 
 use std::time::{Duration, Instant};
 
@@ -9,15 +9,15 @@
 use super::ClusterError;
 use crate::trainer::{BundleFacts, PoolFacts};
 
-/// Id of the key that signs the bundles of tests.
+/// Id of the key that signs test bundles.
 pub const KEY_ID: &str = "bench";
-/// Its secret; worthless outside tests.
+/// Secret of that key.
 const SECRET: [u8; 32] = [7; 32];
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// Longer than the daemons give a roll.
+/// Exceeds the daemons' own deadline of a roll.
 const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The key that signs the bundles of tests.
+/// Returns the key that signs test bundles.
 pub fn test_key() -> BundleKey {
     BundleKey::from_secret(KEY_ID, &SECRET)
 }
@@ -25,18 +25,18 @@
 /// Body of `POST /v1/bundles`.
 #[derive(Debug, Clone, Serialize)]
 pub struct SignedText {
-    /// TOML text.
+    /// Bundle text in TOML.
     pub text: String,
-    /// Signatures over it.
+    /// Signatures of the text.
     pub signatures: Vec<SignatureText>,
 }
 
-/// One signature.
+/// Signature of a bundle.
 #[derive(Debug, Clone, Serialize)]
 pub struct SignatureText {
     /// Id of the key.
     pub key_id: String,
-    /// The signature in hex.
+    /// Signature in hex.
     pub signature: String,
 }
 
@@ -53,7 +53,7 @@
     }
 }
 
-/// A bundle with one pool of engines, one of applications, and generous classes.
+/// Returns a bundle with one model pool, one application pool, and classes with generous limits.
 pub fn plain_bundle(
     revision: u64,
     weight_version: u64,
@@ -61,7 +61,7 @@
     application: PoolNames,
 ) -> Bundle {
     let capacity = model.backends.len() * 8 + application.backends.len() * 16;
-    // Limits that sum over the capacity of all pools are refused.
+    // Daemons refuse class limits whose sum exceeds the capacity of all pools.
     let limit = u32::try_from(capacity / 2).unwrap_or(u32::MAX);
     let class = |name: &str, priority| ClassSpec {
         name: name.to_owned(),
@@ -98,7 +98,7 @@
     }
 }
 
-/// Name of a pool and its back ends.
+/// A pool and its back ends.
 #[derive(Debug, Clone, Default)]
 pub struct PoolNames {
     /// Name of the pool.
@@ -107,23 +107,23 @@
     pub backends: Vec<String>,
 }
 
-/// An operator who rolls bundles through any daemon.
+/// Operator that rolls bundles through any daemon.
 #[derive(Debug, Clone)]
 pub struct Operator {
     /// Base URLs of the daemons.
     pub daemons: Vec<String>,
-    /// Told of each bundle before it is rolled.
+    /// Requirements of each bundle, recorded before it is rolled.
     pub facts: BundleFacts,
 }
 
-/// A daemon's answer to a roll, or to a question about one.
+/// Answer of a daemon to a roll or to a query of a proposal.
 #[derive(Debug, Clone)]
 pub struct RollReply {
     /// HTTP status.
     pub status: StatusCode,
-    /// Whether it carries `Retry-After`.
+    /// Whether the answer has a `Retry-After` header.
     pub may_retry: bool,
-    /// What it says.
+    /// Body of the answer.
     pub body: RollBody,
 }
 
@@ -146,48 +146,48 @@
     }
 }
 
-/// Body of such an answer. Which fields are filled depends on the outcome.
+/// Body of a roll's answer. The fields in use depend on the outcome.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct RollBody {
-    /// What became of the roll.
+    /// Outcome of the roll.
     pub outcome: String,
-    /// Names the roll.
+    /// Id of the proposal.
     pub proposal_id: String,
-    /// SHA-256 of the winner's text.
+    /// SHA-256 digest of the accepted bundle's text.
     pub winner_digest: String,
-    /// Proposal that won.
+    /// Id of the accepted proposal.
     pub winner_proposal_id: String,
-    /// Why the bundle was refused.
+    /// Reason of a refusal.
     pub reason: String,
-    /// What failed, in words.
+    /// Description of the failure.
     pub detail: String,
-    /// Everything wrong with the text.
+    /// Errors in the bundle text.
     pub findings: Vec<FindingText>,
 }
 
-/// Something wrong with a bundle's text.
+/// An error in a bundle text.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct FindingText {
-    /// Line from 1.
+    /// Line number, starting at 1.
     pub line: u32,
-    /// What stands there.
+    /// Text found there.
     pub found: String,
-    /// What may stand there.
+    /// Text allowed there.
     pub allowed: String,
 }
 
 /// Answer to `GET /v1/bundles/current`.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CurrentBundle {
-    /// Revision in force; 0: none.
+    /// Revision in force, or 0 for none.
     pub revision: u64,
-    /// Its text.
+    /// Bundle text.
     pub text: String,
 }
 
 impl Operator {
-    /// Rolls a bundle, repeating itself through all daemons until it is accepted or refused for good.
+    /// Rolls a bundle, retrying through all daemons until it is accepted or finally refused.
     pub async fn roll(&self, bundle: &Bundle, bound: Duration) -> Result<(), ClusterError> {
         let start = Instant::now();
         let mut trouble = String::new();
@@ -210,7 +210,10 @@
         })
     }
 
-    /// Offers a bundle to one daemon once. A bundle that is in force already counts as accepted.
+    /// Posts a bundle to one daemon once. Counts as accepted if the bundle is already in force.
+    ///
+    /// # Errors
+    /// If the bundle is not accepted.
     pub async fn roll_once(&self, daemon: &str, bundle: &Bundle) -> Result<(), ClusterError> {
         self.note_facts(bundle);
         let signed = signed(bundle);
@@ -222,7 +225,7 @@
         Err(reply.into())
     }
 
-    /// Offers a bundle to one daemon once; whatever it says counts as a result.
+    /// Posts a bundle to one daemon once and returns its reply, including refusals.
     pub async fn offer(&self, daemon: &str, bundle: &Bundle) -> Result<RollReply, ClusterError> {
         self.note_facts(bundle);
         let reply = post_bundle(daemon, &signed(bundle)).await?;
@@ -273,7 +276,7 @@
     current.is_ok_and(|current| current.revision >= revision)
 }
 
-/// Posts a signed bundle; any answer counts as a result.
+/// Posts a signed bundle and returns the reply, including refusals.
 pub async fn post_bundle(daemon: &str, signed: &SignedText) -> Result<RollReply, ClusterError> {
     let request = crate::http_client()
         .post(format!("{daemon}/v1/bundles"))
@@ -282,7 +285,7 @@
     RollReply::read(request.send().await?).await
 }
 
-/// Asks a daemon what became of a roll.
+/// Queries the outcome of a proposal.
 pub async fn proposal(daemon: &str, proposal_id: &str) -> Result<RollReply, ClusterError> {
     let request = crate::http_client()
         .get(format!("{daemon}/v1/bundles/proposals/{proposal_id}"))
@@ -290,7 +293,7 @@
     RollReply::read(request.send().await?).await
 }
 
-/// The bundle in force at a daemon.
+/// Returns the bundle in force at a daemon.
 pub async fn current_bundle(daemon: &str) -> Result<CurrentBundle, ClusterError> {
     let request = crate::http_client()
         .get(format!("{daemon}/v1/bundles/current"))
--- a/crates/bench/src/cluster/platform.rs
+++ b/crates/bench/src/cluster/platform.rs
@@ -1,4 +1,4 @@
-//! The stand-ins around a cluster, embedded or as processes.
+//! Stand-ins of a cluster, run as tasks or as processes.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -20,25 +20,25 @@
 
 const PROGRAM: &str = "ladderstage-bench";
 
-/// Which stand-ins to start.
+/// Stand-ins to start.
 #[derive(Debug, Clone, Default)]
 pub struct PlatformConfig {
-    /// Engines; their zone is given by their place in `zones`, in turn.
+    /// Engines, assigned to `zones` round-robin.
     pub engines: Vec<EngineConfig>,
-    /// Application back ends.
+    /// Application back ends, assigned to `zones` round-robin.
     pub applications: Vec<ApplicationConfig>,
     /// Zones of the back ends.
     pub zones: Vec<String>,
-    /// Each stand-in is a process of its own.
+    /// Whether each stand-in runs as a process.
     pub as_processes: bool,
 }
 
 /// A running stand-in.
 #[derive(Debug)]
 pub struct StandIn {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Its process, unless it is embedded.
+    /// Process, unless it is a task.
     pub process: Option<Process>,
     _embedded: Option<Handle>,
 }
@@ -65,7 +65,7 @@
         })
     }
 
-    /// Base URL.
+    /// Returns the base URL.
     pub fn url(&self) -> String {
         format!("http://{}", self.address)
     }
@@ -78,12 +78,12 @@
         Ok(())
     }
 
-    /// Sets its faults; which there are depends on its kind.
+    /// Sets the stand-in's faults; the type depends on its kind.
     pub async fn fault(&self, faults: &impl Serialize) -> Result<(), ClusterError> {
         self.control("fault", faults).await
     }
 
-    /// Reads its record of what ran.
+    /// Reads its log of runs.
     pub async fn log<T: DeserializeOwned>(&self) -> Result<T, ClusterError> {
         self.read("log").await
     }
@@ -95,16 +95,16 @@
     }
 }
 
-/// A back end behind a proxy; the machine list names the proxy.
+/// A back end behind a proxy whose address is in the machine list.
 #[derive(Debug)]
 pub struct Backend {
     /// Name in the machine list.
     pub name: String,
-    /// What the machine list says of it.
+    /// Entry in the machine list.
     pub machine: Machine,
-    /// The back end itself.
+    /// Stand-in of the back end.
     pub stand_in: StandIn,
-    /// Between the daemons and it.
+    /// Proxy between the daemons and the back end.
     pub proxy: Proxy,
 }
 
@@ -162,7 +162,7 @@
         Ok(platform)
     }
 
-    /// Starts a new engine process in the place of one that ended; its proxy leads there.
+    /// Starts a new engine process in place of one that exited and points its proxy there.
     pub(super) async fn restart_engine(
         &mut self,
         index: usize,
@@ -179,7 +179,7 @@
         Ok(())
     }
 
-    /// Gives the machine list what `machine` of each back end says.
+    /// Publishes the `machine` entries of all back ends in the machine list.
     pub async fn publish_machines(&self) -> Result<(), ClusterError> {
         let backends = self.engines.iter().chain(&self.applications);
         let machines = Machines {
@@ -219,7 +219,7 @@
     })
 }
 
-/// Starts stand-ins of each kind in the chosen way.
+/// Starts stand-ins as tasks or as processes.
 struct Starter<'a> {
     as_processes: bool,
     folder: &'a Path,
--- a/crates/bench/src/cluster/settings.rs
+++ b/crates/bench/src/cluster/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files of the cluster's daemons.
+//! Settings files of daemons.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,10 +8,10 @@
 
 use crate::stand_in::loopback;
 
-/// Bounds in milliseconds by their names in the settings' `timing` table.
+/// Timing settings in milliseconds, by their names in the `timing` table.
 pub type Timing = BTreeMap<String, u64>;
 
-/// What a daemon's settings file says; the same names as the daemon's own settings.
+/// Settings of a daemon, with the same field names as in the daemon itself.
 #[derive(Debug, Clone, Serialize)]
 pub struct DaemonSettings {
     /// Name.
@@ -20,9 +20,9 @@
     pub zone: String,
     /// Region.
     pub region: String,
-    /// Where callers reach it.
+    /// Address on which it listens for callers.
     pub http_listen: SocketAddr,
-    /// Where other daemons reach it.
+    /// Address on which it listens for other daemons.
     pub peer_listen: SocketAddr,
     /// Folder of its journal replica.
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -34,23 +34,23 @@
     /// Base URL of the scorer.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub scorer: Option<String>,
-    /// Daemons to join through.
+    /// Addresses of daemons to join the cluster through.
     pub seeds: Vec<SocketAddr>,
-    /// Daemons of the first journal replica set.
+    /// Daemons of the initial journal replica set.
     pub initial_replicas: Vec<String>,
-    /// Trusted bundle keys.
+    /// Public keys trusted for bundles, in hex, by key id.
     pub trusted_keys: BTreeMap<String, String>,
-    /// Where this daemon reaches certain others.
+    /// Addresses of peers that override the gossiped ones.
     pub peer_addresses: BTreeMap<String, SocketAddr>,
-    /// Connections to other daemons that it keeps open; none: the default.
+    /// Maximum number of open connections to other daemons, or `None` for the default.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub peer_connections: Option<usize>,
-    /// Intervals and bounds that differ from the defaults.
+    /// Timing settings that differ from the defaults.
     pub timing: Timing,
 }
 
 impl DaemonSettings {
-    /// Settings without peers: any free ports, no data folder.
+    /// Creates settings without peers or data folder, listening on free ports.
     pub fn new(node: &str, zone: &str, region: &str) -> Self {
         Self {
             node: node.to_owned(),
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The text of the settings file.
+    /// Returns the text of the settings file.
     pub fn to_toml(&self) -> String {
         toml::to_string(self).expect("settings hold only what TOML can say")
     }
--- a/crates/bench/src/cluster/status.rs
+++ b/crates/bench/src/cluster/status.rs
@@ -1,4 +1,5 @@
-//! What a daemon says of the shards it owns. It tells tests when a fault has had its effect; it is no judge.
+//! Status of daemons and their shards. Tests use it to wait for conditions, not to check
+//! guarantees.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -11,36 +12,36 @@
 const POLL: Duration = Duration::from_millis(20);
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The part of `/v1/status` that tests wait on.
+/// Subset of `/v1/status` that tests wait on.
 #[derive(Debug, Clone, Deserialize)]
 pub struct DaemonStatus {
-    /// Version of the journal's replica set; 0: none known.
+    /// Version of the journal's replica set, or 0 if none is known.
     pub replica_set_version: u64,
-    /// Requests that it counts as under way.
+    /// Number of requests in flight.
     pub in_flight: usize,
-    /// Shards owned there.
+    /// Shards that the daemon owns.
     pub shards: Vec<OwnedShard>,
 }
 
-/// A shard as its owner describes it.
+/// A shard as reported by its owner.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct OwnedShard {
-    /// Name of its log.
+    /// Name of its journal log.
     pub log: String,
-    /// Whether it was taken over and its last append is settled.
+    /// Whether it was taken over and its last append has an outcome.
     pub accepting: bool,
-    /// Slots.
+    /// Number of slots.
     pub slots: usize,
-    /// Slots whose samples the trainer acknowledged.
+    /// Number of slots whose samples the trainer has acknowledged.
     pub settled: usize,
-    /// Slots whose samples are committed and wait for the trainer.
+    /// Number of slots whose samples are committed but not acknowledged.
     pub committed: usize,
-    /// Attempts under way.
+    /// Number of attempts in flight.
     pub in_flight: usize,
 }
 
 impl Daemon {
-    /// Asks for its status.
+    /// Returns the daemon's status.
     pub async fn status(&self) -> Result<DaemonStatus, ClusterError> {
         let url = format!("{}/v1/status", self.url());
         let request = crate::http_client().get(url).timeout(CALL_TIMEOUT);
@@ -49,7 +50,8 @@
 }
 
 impl Cluster {
-    /// Waits until one of these daemons owns the log and its description is as wanted; returns its index.
+    /// Waits until one of these daemons owns the log and its shard meets the condition; returns the
+    /// daemon's index.
     pub async fn owner_among(
         &self,
         daemons: &[usize],
@@ -80,7 +82,7 @@
         })
     }
 
-    /// Weight versions that the engines themselves say they hold.
+    /// Returns the weight versions that the engines report as held.
     pub async fn held_versions(&self) -> Result<BTreeSet<u64>, ClusterError> {
         let mut versions = BTreeSet::new();
         for engine in &self.platform.engines {
--- a/crates/bench/src/command_line/chaos.rs
+++ b/crates/bench/src/command_line/chaos.rs
@@ -1,4 +1,4 @@
-//! `ladderstage-bench chaos`: random faults under load, judged.
+//! `ladderstage-bench chaos`: runs random faults under load and checks the guarantees.
 
 use std::process::ExitCode;
 use std::time::Duration;
--- a/crates/bench/src/command_line/demo.rs
+++ b/crates/bench/src/command_line/demo.rs
@@ -1,4 +1,4 @@
-//! `ladderstage-bench demo`: the whole path in one process.
+//! `ladderstage-bench demo`: runs the complete system in one process.
 
 use std::process::ExitCode;
 
--- a/crates/bench/src/command_line/mod.rs
+++ b/crates/bench/src/command_line/mod.rs
@@ -24,28 +24,28 @@
   proxy      runs a fault-injecting TCP proxy
 ";
 
-/// Why a subcommand failed.
+/// Error of a subcommand.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
     /// An argument is missing or malformed.
     #[error("{0}")]
     Arguments(#[from] pico_args::Error),
-    /// No such subcommand.
+    /// The subcommand does not exist.
     #[error("unknown subcommand {0:?}; see --help")]
     UnknownSubcommand(String),
-    /// Arguments were left over.
+    /// Unknown arguments were given.
     #[error("unknown arguments {0:?}; see --help")]
     LeftOver(Vec<OsString>),
-    /// A file could not be read or an address not be used.
+    /// A file could not be read, or an address could not be bound.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// A file does not hold what it should.
+    /// A file is not valid JSON for its purpose.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
     /// The demo could not run.
     #[error("{0}")]
     Demo(#[from] crate::demo::DemoError),
-    /// There is no verdict on a run under faults.
+    /// The fault run gave no result.
     #[error("{0}")]
     Chaos(#[from] crate::chaos::ChaosError),
 }
@@ -67,7 +67,7 @@
     print!("{text}");
 }
 
-/// Takes a value that has a default.
+/// Parses an option that has a default.
 fn value<T>(
     arguments: &mut Arguments,
     name: &'static str,
@@ -80,7 +80,7 @@
     Ok(arguments.opt_value_from_str(name)?.unwrap_or(default))
 }
 
-/// Takes a duration in milliseconds that has a default.
+/// Parses a duration in milliseconds that has a default.
 fn milliseconds(
     arguments: &mut Arguments,
     name: &'static str,
--- a/crates/bench/src/command_line/proxy.rs
+++ b/crates/bench/src/command_line/proxy.rs
@@ -1,4 +1,4 @@
-//! `ladderstage-bench proxy`: the fault-injecting proxy as a process.
+//! `ladderstage-bench proxy`: runs the fault-injecting proxy.
 
 use std::io::{self, Write};
 use std::net::SocketAddr;
--- a/crates/bench/src/command_line/stand_in.rs
+++ b/crates/bench/src/command_line/stand_in.rs
@@ -1,4 +1,4 @@
-//! `ladderstage-bench stand-in`: one stand-in as a process.
+//! `ladderstage-bench stand-in`: runs one stand-in.
 
 use std::io::Write;
 
@@ -84,7 +84,8 @@
     }
 }
 
-/// Arguments of `ladderstage-bench stand-in` that start an engine with this configuration.
+/// Returns the arguments of `ladderstage-bench stand-in` that start an engine with this
+/// configuration.
 pub fn engine_arguments(config: &EngineConfig) -> Vec<String> {
     let mut arguments = vec!["engine".to_owned()];
     let mut add = |name: &str, value: String| arguments.extend([name.to_owned(), value]);
@@ -108,7 +109,8 @@
     arguments
 }
 
-/// Arguments of `ladderstage-bench stand-in` that start an application back end with this configuration.
+/// Returns the arguments of `ladderstage-bench stand-in` that start an application back end with
+/// this configuration.
 pub fn application_arguments(config: &ApplicationConfig) -> Vec<String> {
     let mut arguments = vec!["application".to_owned()];
     let mut add = |name: &str, value: String| arguments.extend([name.to_owned(), value]);
--- a/crates/bench/src/demo/callers.rs
+++ b/crates/bench/src/demo/callers.rs
@@ -14,17 +14,17 @@
 const PAUSE: Duration = Duration::from_millis(20);
 const PRICE_PATH: &str = "price?currency=nok";
 
-/// A caller that repeats a completion, a streamed one, and a price.
+/// Caller that repeats a completion, a streamed completion, and an application request.
 pub(super) struct DemoCaller {
     index: usize,
     caller: Caller,
-    /// Versions that any caller has seen.
+    /// Weight versions that any caller has received.
     seen: watch::Sender<BTreeSet<u64>>,
     report: DemoReport,
 }
 
 impl DemoCaller {
-    /// A caller of the daemon at this base URL.
+    /// Creates a caller of the daemon at this base URL.
     pub(super) fn new(index: usize, daemon: &str, seen: watch::Sender<BTreeSet<u64>>) -> Self {
         Self {
             index,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Calls until told to stop, and reports what it saw.
+    /// Sends requests until stopped and returns its report.
     pub(super) async fn run(mut self, stopped: watch::Receiver<bool>) -> DemoReport {
         let mut round = 0;
         while !*stopped.borrow() {
--- a/crates/bench/src/demo/mod.rs
+++ b/crates/bench/src/demo/mod.rs
@@ -1,4 +1,5 @@
-//! The whole path in one process: stand-ins, three nodes, live callers, a trainer, and a bundle rolled on the way.
+//! Demo in one process: stand-ins, three nodes, live callers, a trainer, and a bundle that is
+//! rolled under load.
 
 mod callers;
 mod nodes;
@@ -26,33 +27,36 @@
 const TRAINER: &str = "fitting-notes";
 const START_BOUND: Duration = Duration::from_secs(10);
 const STEP_BOUND: Duration = Duration::from_secs(10);
-/// The whole demo ends by then, come what may.
+/// Time limit of the demo.
 const WHOLE_BOUND: Duration = Duration::from_secs(28);
 
-/// Why the demo could not run.
+/// Error of the demo itself.
 #[derive(Debug, thiserror::Error)]
 pub enum DemoError {
-    /// A stand-in or an operator's call failed.
+    /// A stand-in or a call of the operator failed.
     #[error("{0}")]
     Cluster(#[from] ClusterError),
-    /// A folder could not be made.
+    /// The temporary folder could not be created.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// Settings were not taken.
+    /// The settings are invalid.
     #[error("settings: {0}")]
     Settings(String),
     /// A node did not start.
     #[error("node: {0}")]
     Node(String),
-    /// A step was not finished.
+    /// A step did not finish.
     #[error("trainer: {0}")]
     Trainer(#[from] TrainerError),
-    /// The demo took too long.
+    /// The demo exceeded its time limit.
     #[error("not done within {} s", WHOLE_BOUND.as_secs())]
     TimedOut,
 }
 
 /// Runs the demo.
+///
+/// # Errors
+/// If the demo itself fails; violated guarantees are in the report.
 pub async fn run() -> Result<DemoReport, DemoError> {
     let start = Instant::now();
     let running = tokio::time::timeout(WHOLE_BOUND, run_unbounded());
@@ -101,7 +105,7 @@
 
         let mut report = DemoReport::default();
         let mut trainer = self.trainer();
-        // The roll meets the first step under way; the second runs on the new version.
+        // The roll overlaps the first step; the second step runs on the new version.
         let (first, rolled) = tokio::join!(
             run_step(&mut trainer, 1),
             self.roll_once_seen(&mut seen_versions)
@@ -138,7 +142,7 @@
         Ok(())
     }
 
-    /// Rolls the second bundle once live callers have seen the first one's version.
+    /// Rolls the second bundle once live callers have received version 1.
     async fn roll_once_seen(
         &self,
         seen_versions: &mut watch::Receiver<BTreeSet<u64>>,
@@ -166,7 +170,7 @@
         Trainer::new(TRAINER, daemons, self.operator.facts.clone())
     }
 
-    /// The lowest revision in force at any daemon.
+    /// Returns the lowest revision in force at any daemon.
     async fn revision_everywhere(&self) -> Result<u64, DemoError> {
         let mut lowest = u64::MAX;
         for daemon in &self.operator.daemons {
@@ -192,14 +196,14 @@
     trainer.run(step, &spec, &options).await
 }
 
-/// Waits until live callers have seen the version; the demo's own bound ends a wait in vain.
+/// Waits until live callers have received the version; limited by the demo's time limit.
 async fn wait_for(seen_versions: &mut watch::Receiver<BTreeSet<u64>>, weight_version: u64) {
     let seen = seen_versions.wait_for(|seen| seen.contains(&weight_version));
-    // The sender lives as long as the scenario.
+    // The sender outlives this call.
     let _ = seen.await;
 }
 
-/// The roll must show: both versions were seen, and the second bundle is in force.
+/// Checks that both versions were received and that the second bundle is in force.
 fn check_versions(report: &mut DemoReport) {
     if !report.weight_versions_seen.is_superset(&[1, 2].into()) {
         let seen = format!("{:?}", report.weight_versions_seen);
--- a/crates/bench/src/demo/nodes.rs
+++ b/crates/bench/src/demo/nodes.rs
@@ -1,4 +1,4 @@
-//! Daemons of the demo: nodes in this process.
+//! Nodes of the demo, which run in this process.
 
 use std::path::Path;
 
@@ -34,7 +34,7 @@
         Ok(Self { nodes })
     }
 
-    /// Base URLs.
+    /// Returns the base URLs.
     pub(super) fn urls(&self) -> Vec<String> {
         let addresses = self.nodes.iter().map(Node::http_address);
         addresses
@@ -42,7 +42,7 @@
             .collect()
     }
 
-    /// Stops all nodes as planned.
+    /// Shuts all nodes down.
     pub(super) async fn stop(self) {
         for node in self.nodes {
             node.stop().await;
--- a/crates/bench/src/demo/report.rs
+++ b/crates/bench/src/demo/report.rs
@@ -1,4 +1,4 @@
-//! What the demo found, for people and for programs.
+//! Report of the demo, as text and as JSON.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -8,40 +8,40 @@
 use crate::live::LiveError;
 use crate::trainer::StepReport;
 
-/// Most violations that the summary lists.
+/// Maximum number of violations in the summary.
 const LISTED_VIOLATIONS: usize = 20;
 
 /// Result of the demo.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct DemoReport {
-    /// Live completions answered whole, streamed ones included.
+    /// Number of live completions answered completely, including streamed ones.
     pub live_completed: u64,
-    /// Of these, streamed ones.
+    /// Number of streamed completions among these.
     pub live_streamed: u64,
-    /// Application requests answered whole.
+    /// Number of application requests answered completely.
     pub application_completed: u64,
-    /// Live requests and application requests given up.
+    /// Number of failed completions and application requests.
     pub live_failed: u64,
-    /// Samples delivered to the trainer.
+    /// Number of samples delivered to the trainer.
     pub samples_delivered: u64,
-    /// Samples delivered again.
+    /// Number of samples delivered more than once.
     pub samples_duplicated: u64,
-    /// Samples asked for and not delivered.
+    /// Number of requested samples that were not delivered.
     pub samples_lost: u64,
-    /// Answers to pulls that the trainer dropped and asked for again.
+    /// Number of pull answers that the trainer dropped and requested again.
     pub answers_dropped: u64,
     /// Weight versions in live answers and samples.
     pub weight_versions_seen: BTreeSet<u64>,
     /// Bundle in force at all daemons at the end.
     pub bundle_revision: u64,
-    /// How long it took, in seconds.
+    /// Duration in seconds.
     pub seconds: f64,
-    /// All that was wrong.
+    /// All violations.
     pub violations: Vec<String>,
 }
 
 impl DemoReport {
-    /// Whether nothing was lost, doubled or mislabelled.
+    /// Returns whether nothing was lost, duplicated or mislabelled.
     pub fn is_faultless(&self) -> bool {
         self.violations.is_empty()
             && self.samples_lost == 0
@@ -49,7 +49,7 @@
             && self.live_failed == 0
     }
 
-    /// Adds what became of a step.
+    /// Adds the result of a step.
     pub(super) fn add_step(&mut self, step: &StepReport) {
         self.samples_delivered += step.delivered;
         self.samples_duplicated += step.duplicated;
@@ -60,13 +60,13 @@
         self.violations.extend(violations);
     }
 
-    /// Adds a live request that failed.
+    /// Adds a failed live request.
     pub(super) fn add_failure(&mut self, what: &str, error: &LiveError) {
         self.live_failed += 1;
         self.violations.push(format!("{what}: {error}"));
     }
 
-    /// Adds what live callers saw.
+    /// Adds a live caller's report.
     pub(super) fn merge(&mut self, other: Self) {
         self.live_completed += other.live_completed;
         self.live_streamed += other.live_streamed;
--- a/crates/bench/src/http_server.rs
+++ b/crates/bench/src/http_server.rs
@@ -1,7 +1,7 @@
-//! A small HTTP/1.1 server whose answers can be broken off at any byte.
+//! HTTP/1.1 server that can cut its answers at any byte.
 //!
-//! Stand-ins must cut, stall and shorten answers on purpose, which a full server library rightly prevents. Heads
-//! are parsed by `httparse`; only what the stand-ins need of the protocol is here.
+//! Stand-ins must cut, stall and shorten answers on purpose, which server libraries prevent.
+//! Implements only the parts of the protocol that the stand-ins need.
 
 use std::future::Future;
 use std::io;
@@ -22,7 +22,7 @@
 const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 const ACCEPT_RETRY: Duration = Duration::from_millis(20);
 
-/// Requests answered and bytes of heads and bodies in both directions, since the start.
+/// Number of requests and of head and body bytes in both directions, since the start.
 #[derive(Debug, Default)]
 pub struct HttpTraffic {
     requests: AtomicU64,
@@ -30,12 +30,12 @@
 }
 
 impl HttpTraffic {
-    /// Requests read whole.
+    /// Returns the number of requests read completely.
     pub fn requests(&self) -> u64 {
         self.requests.load(Ordering::Relaxed)
     }
 
-    /// Bytes read and written, without those of TCP and IP.
+    /// Returns the number of bytes read and written, without TCP and IP headers.
     pub fn bytes(&self) -> u64 {
         self.bytes.load(Ordering::Relaxed)
     }
@@ -48,26 +48,26 @@
 /// A running server. Dropping it stops the server and closes its connections.
 #[derive(Debug)]
 pub struct Handle {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// What came and went.
+    /// Traffic counters.
     pub traffic: Arc<HttpTraffic>,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl Handle {
-    /// Base URL without a final slash.
+    /// Returns the base URL without a trailing slash.
     pub fn url(&self) -> String {
         format!("http://{}", self.address)
     }
 
-    /// Adds a task that is to end with the server.
+    /// Adds a task that ends with the server.
     pub(crate) fn with_task(mut self, task: JoinHandle<()>) -> Self {
         self.tasks.push(task);
         self
     }
 
-    /// Stops at once: the listener and all connections are closed.
+    /// Stops the server and closes all connections immediately.
     pub async fn stop(mut self) {
         for task in std::mem::take(&mut self.tasks) {
             task.abort();
@@ -82,23 +82,23 @@
     }
 }
 
-/// One request, read whole.
+/// A complete request.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// Method in capitals.
+    /// Method in upper case.
     pub method: String,
     /// Path without the query.
     pub path: String,
-    /// Query without `?`; empty if there is none.
+    /// Query without `?`; empty if absent.
     pub query: String,
-    /// Headers as sent.
+    /// Headers as received.
     pub headers: Vec<(String, String)>,
     /// Body.
     pub body: Vec<u8>,
 }
 
 impl Request {
-    /// The first header of that name, in any case.
+    /// Returns the first header of that name, ignoring case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -106,13 +106,13 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// The body as JSON.
+    /// Parses the body as JSON.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, serde_json::Error> {
         serde_json::from_slice(&self.body)
     }
 }
 
-/// Answers requests. An error from `handle` breaks the connection off without completing the answer.
+/// Answers requests. An error from `handle` closes the connection without completing the answer.
 pub trait Handler: Send + Sync + 'static {
     /// Answers one request.
     fn handle(
@@ -131,7 +131,7 @@
 }
 
 impl Responder {
-    /// Sends a whole answer.
+    /// Sends a complete answer.
     pub async fn send(
         &mut self,
         status: u16,
@@ -143,14 +143,14 @@
         self.raw(&bytes).await
     }
 
-    /// Sends a whole JSON answer.
+    /// Sends a complete JSON answer.
     pub async fn json(&mut self, status: u16, body: &impl Serialize) -> io::Result<()> {
         let bytes = serde_json::to_vec(body).map_err(io::Error::other)?;
         self.send(status, &[("Content-Type", "application/json")], &bytes)
             .await
     }
 
-    /// Answers that the body or path was wrong, with a reason.
+    /// Sends an error answer with a reason as plain text.
     pub async fn reject(&mut self, status: u16, reason: &str) -> io::Result<()> {
         self.send(status, &[("Content-Type", "text/plain")], reason.as_bytes())
             .await
@@ -181,18 +181,18 @@
         self.raw(&framed).await
     }
 
-    /// Ends a chunked answer.
+    /// Sends the final chunk.
     pub async fn end_chunks(&mut self) -> io::Result<()> {
         self.raw(b"0\r\n\r\n").await
     }
 
-    /// Sends bytes as they are.
+    /// Sends bytes unchanged.
     pub async fn raw(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.traffic.add_bytes(bytes.len());
         self.writer.write_all(bytes).await
     }
 
-    /// Returns when the caller has closed the connection.
+    /// Waits until the caller has closed the connection.
     pub async fn caller_gone(&mut self) {
         match self.reader.fill_buf().await {
             Ok([]) | Err(_) => {}
@@ -201,7 +201,7 @@
     }
 }
 
-/// The error with which a handler breaks its connection off on purpose.
+/// Returns the error with which a handler cuts its connection on purpose.
 pub fn cut() -> io::Error {
     io::Error::new(io::ErrorKind::ConnectionAborted, "cut on purpose")
 }
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,4 +1,5 @@
-//! Test bench of ladderstage: stand-ins for the systems around it, a fault-injecting proxy, and tools that judge it.
+//! Test bench of ladderstage: stand-ins for the surrounding systems, a fault-injecting proxy, and
+//! tools that check the results.
 
 pub mod chaos;
 pub mod cluster;
@@ -14,7 +15,7 @@
 pub mod trainer;
 pub mod waiting;
 
-/// A client that follows no redirects, uses no proxy and retries nothing.
+/// Creates an HTTP client without redirects, proxies and retries.
 pub fn http_client() -> reqwest::Client {
     reqwest::Client::builder()
         .redirect(reqwest::redirect::Policy::none())
--- a/crates/bench/src/live/mod.rs
+++ b/crates/bench/src/live/mod.rs
@@ -1,4 +1,4 @@
-//! Live callers: completions and application requests, checked against what was asked.
+//! Live callers: send completions and application requests and check the answers.
 
 mod reading;
 
@@ -18,50 +18,50 @@
 const LONGEST_RETRY_PAUSE: Duration = Duration::from_secs(1);
 const MAX_RETRIES: u32 = 100;
 
-/// Why a live request did not get the whole answer to it.
+/// Error of a live request.
 #[derive(Debug, thiserror::Error)]
 pub enum LiveError {
-    /// The daemon says that it did not run.
+    /// The daemon refused the request as not run.
     #[error("not run: {status} {body}")]
     NotRun {
         /// HTTP status.
         status: StatusCode,
-        /// What the daemon said.
+        /// Response body.
         body: String,
-        /// When to try again.
+        /// `Retry-After` time.
         retry_after: Option<Duration>,
     },
-    /// Whether it ran is not known, or the answer is a failure.
+    /// The request failed, or it is unknown whether it ran.
     #[error("unknown outcome: {status} {body}")]
     Unknown {
         /// HTTP status.
         status: StatusCode,
-        /// What the daemon said.
+        /// Response body.
         body: String,
-        /// When to ask again.
+        /// `Retry-After` time.
         retry_after: Option<Duration>,
     },
     /// The connection broke.
     #[error("broken: {0:?}")]
     Broken(#[from] reqwest::Error),
-    /// The answer ended without its end mark, or with an error event.
+    /// The answer ended without its end marker or with an error event.
     #[error("answer without its end mark: {0}")]
     NotWhole(String),
-    /// The answer is not the one to this request.
+    /// The answer does not belong to this request.
     #[error("wrong answer: {0}")]
     WrongAnswer(String),
-    /// The answer names versions that did not produce it.
+    /// The answer names weight versions that did not produce it.
     #[error("mislabelled: {0}")]
     Mislabelled(#[from] TextError),
 }
 
 impl LiveError {
-    /// Whether a guarantee is broken, rather than the request given up.
+    /// Returns whether the error violates a guarantee.
     pub fn is_violation(&self) -> bool {
         matches!(self, Self::WrongAnswer(_) | Self::Mislabelled(_))
     }
 
-    /// Whether this is a refusal that does not say when to try again.
+    /// Returns whether this is a refusal without a `Retry-After` header.
     pub fn lacks_retry_after(&self) -> bool {
         match self {
             Self::NotRun { retry_after, .. } | Self::Unknown { retry_after, .. } => {
@@ -72,28 +72,28 @@
     }
 }
 
-/// A completion, checked.
+/// A checked completion.
 #[derive(Debug, Clone)]
 pub struct Completion {
-    /// Text.
+    /// Completion text.
     pub text: String,
-    /// Versions that produced it; without those that an engine did not name.
+    /// Weight versions named in the answer.
     pub weight_versions: BTreeSet<u64>,
     /// Whether the answer names the version of each token.
     pub names_all: bool,
 }
 
-/// A caller that talks to one daemon.
+/// Caller of one daemon.
 #[derive(Debug, Clone)]
 pub struct Caller {
     daemon: String,
     client: Client,
-    /// Versions that can have produced tokens whose version is not named; none: each must be.
+    /// Versions that may have produced unlabelled tokens. If empty, every token must be labelled.
     possible_versions: Vec<u64>,
 }
 
 impl Caller {
-    /// A caller of the daemon at this base URL.
+    /// Creates a caller of the daemon at this base URL.
     pub fn new(daemon: &str) -> Self {
         Self {
             daemon: daemon.to_owned(),
@@ -102,13 +102,13 @@
         }
     }
 
-    /// Accepts answers of engines that do not name their version, if one of these produced them.
+    /// Accepts tokens without a named version if one of these versions produced them.
     pub fn accepting_unnamed(mut self, versions: impl IntoIterator<Item = u64>) -> Self {
         self.possible_versions = versions.into_iter().collect();
         self
     }
 
-    /// Asks for a completion and checks it.
+    /// Requests a completion and checks the answer.
     pub async fn complete(
         &self,
         model: &str,
@@ -172,14 +172,14 @@
     }
 }
 
-/// Decides whether a request is sent again: only if it did not run, and not for ever.
+/// Retry policy: retries requests that did not run, a limited number of times.
 #[derive(Debug, Default)]
 pub struct Retries {
     made: u32,
 }
 
 impl Retries {
-    /// Whether to send the request again after this error; waits as long as the refusal asks.
+    /// Returns whether to retry after this error, after waiting for its `Retry-After` time.
     pub async fn again(&mut self, error: &LiveError) -> bool {
         let LiveError::NotRun { retry_after, .. } = error else {
             return false;
@@ -222,7 +222,8 @@
     })
 }
 
-/// Reads a body that came whole; that it then makes no sense is no broken connection.
+/// Parses a JSON body. Invalid contents of a complete body are a wrong answer, not a broken
+/// connection.
 async fn whole_json<T: DeserializeOwned>(answer: Response) -> Result<T, LiveError> {
     let body = answer.text().await?;
     serde_json::from_str(&body).map_err(|_| LiveError::WrongAnswer(body))
--- a/crates/bench/src/live/reading.rs
+++ b/crates/bench/src/live/reading.rs
@@ -1,4 +1,4 @@
-//! Reads completions and checks each token against the version that is named for it.
+//! Parses completions and checks the labelled weight version of each token.
 
 use std::collections::BTreeSet;
 
@@ -84,8 +84,8 @@
     Err(LiveError::NotWhole(body.to_owned()))
 }
 
-/// The tokens of a chunk. Only chunks with a version are taken at their word about how many they are: the last one
-/// has none and counts all tokens.
+/// Returns the token count and label of a chunk. The usage field counts only in chunks with a
+/// version; the last chunk has none and reports the total.
 fn label(chunk: &CompletionObject) -> LabelledTokens {
     let usage = chunk.usage.as_ref();
     let claimed = usage.map_or(0, |usage| usage.completion_tokens);
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -1,4 +1,4 @@
-//! Load that goes on until it is stopped: live callers and trainers, and what became of each request.
+//! Continuous load of live callers and trainers, with a report of each request's outcome.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,18 +13,18 @@
 
 const TOKENS: u64 = 10;
 const PATH: &str = "price";
-/// Between requests of one caller.
+/// Pause between the requests of a caller.
 const PAUSE: Duration = Duration::from_millis(20);
-/// Samples of each step, and the tokens of most of them.
+/// Number of samples per step.
 const STEP_SAMPLES: u32 = 12;
 const STEP_TOKENS: u32 = 10;
 
-/// Kinds of requests that a caller sends in turn.
+/// Kinds of requests, which a caller sends in turn.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestKind {
-    /// A completion that is answered once it is whole.
+    /// A completion that is answered once it is complete.
     Gathered,
-    /// A completion that is answered as it is generated.
+    /// A completion that is streamed.
     Streamed,
     /// An application request.
     Application,
@@ -36,29 +36,29 @@
     RequestKind::Application,
 ];
 
-/// A request that was not answered whole, and not refused as not run.
+/// A request that was neither answered completely nor refused as not run.
 #[derive(Debug)]
 pub struct Failure {
-    /// What it was.
+    /// Kind of the request.
     pub kind: RequestKind,
-    /// Its prompt or body; no other request has the same.
+    /// Prompt or body, unique to this request.
     pub text: String,
-    /// What its caller saw.
+    /// Error that the caller received.
     pub error: LiveError,
 }
 
-/// What callers and trainers saw.
+/// Results of callers and trainers.
 #[derive(Debug, Default)]
 pub struct LoadReport {
-    /// Requests answered whole, by the base URL of the daemon.
+    /// Number of requests answered completely, by base URL of the daemon.
     pub completed: BTreeMap<String, u64>,
-    /// Requests that were refused as not run.
+    /// Number of requests refused as not run.
     pub refused: u64,
-    /// Requests that ended in another way.
+    /// Requests that failed otherwise.
     pub failures: Vec<Failure>,
-    /// Steps that trainers took whole.
+    /// Steps that trainers completed.
     pub steps: Vec<StepReport>,
-    /// Steps that were not finished.
+    /// Errors of steps that did not finish.
     pub unfinished_steps: Vec<TrainerError>,
 }
 
@@ -73,7 +73,7 @@
         self.unfinished_steps.extend(other.unfinished_steps);
     }
 
-    /// Every step was taken whole, each sample once, and there was at least one.
+    /// Asserts that there was at least one step and that every step delivered each sample once.
     pub fn assert_steps_whole(&self) {
         assert!(
             self.unfinished_steps.is_empty(),
@@ -90,7 +90,7 @@
     }
 }
 
-/// Callers and trainers that go on until [`Load::stop`].
+/// Callers and trainers that run until [`Load::stop`].
 #[derive(Debug)]
 pub struct Load {
     stopped: watch::Sender<bool>,
@@ -98,7 +98,7 @@
 }
 
 impl Load {
-    /// No load yet.
+    /// Creates an empty load.
     pub fn new() -> Self {
         Self {
             stopped: watch::Sender::new(false),
@@ -106,8 +106,8 @@
         }
     }
 
-    /// Adds a caller of the daemons at these base URLs; it moves on to the next one after each request that is
-    /// refused or fails. Its name must be its own.
+    /// Adds a caller of the daemons at these base URLs, which uses the next one after each request
+    /// that is refused or fails. `name` must be unique.
     pub fn add_caller(&mut self, name: &str, daemons: &[String]) {
         let caller = LoadCaller {
             name: name.to_owned(),
@@ -117,13 +117,14 @@
         self.tasks.spawn(caller.run(self.stopped.subscribe()));
     }
 
-    /// Adds a trainer that submits and pulls one step after another; the step under way at the stop is finished.
+    /// Adds a trainer that runs one step after another and completes the current one after the
+    /// stop.
     pub fn add_trainer(&mut self, trainer: Trainer) {
         self.tasks
             .spawn(run_steps(trainer, self.stopped.subscribe()));
     }
 
-    /// Lets requests under way end, and tells what became of all.
+    /// Waits until the requests in flight have ended and returns the report.
     pub async fn stop(mut self) -> LoadReport {
         self.stopped.send_replace(true);
         let mut report = LoadReport::default();
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,4 +1,5 @@
-//! `ladderstage-bench`: stand-ins, fault proxy and demo. Tests and experiments only.
+//! `ladderstage-bench`: stand-ins, fault proxy, demo and fault runs, for tests and experiments
+//! only.
 
 use std::process::ExitCode;
 
--- a/crates/bench/src/processes.rs
+++ b/crates/bench/src/processes.rs
@@ -1,5 +1,5 @@
-//! Real processes for tests: started from beside the test executable, with captured logs, signalled by pid, and
-//! ended when dropped.
+//! Processes for tests: started from the test executable's build folder, with captured logs, and
+//! killed when dropped.
 
 use std::ffi::OsStr;
 use std::fs::File;
@@ -13,46 +13,46 @@
 use nix::sys::wait::{Id, WaitPidFlag, WaitStatus, waitid};
 use nix::unistd::Pid;
 
-/// How long a process may take until it has told its addresses.
+/// Time for a process to print its addresses.
 const START_BOUND: Duration = Duration::from_secs(30);
 const POLL: Duration = Duration::from_millis(5);
-/// Between looks whether a process has stopped.
+/// Interval of checks whether a process has stopped.
 const STOP_POLL: Duration = Duration::from_millis(1);
-/// How much of a log error messages show.
+/// Number of log lines shown in error messages.
 const LOG_TAIL_LINES: usize = 60;
 
-/// Why a process could not be used.
+/// Error of a process operation.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
-    /// The program was not built.
+    /// The program is not built.
     #[error("{} is missing: run `cargo build --workspace --bins` first", .0.display())]
     Missing(PathBuf),
-    /// A file or the process could not be used.
+    /// The process or one of its files could not be used.
     #[error("{name}: {source}")]
     Io {
         /// Name of the process.
         name: String,
-        /// What failed.
+        /// Underlying error.
         source: io::Error,
     },
-    /// It ended before it was ready.
+    /// The process exited before it was ready.
     #[error("{name} ended with {status}; its log ends:\n{log}")]
     Ended {
         /// Name of the process.
         name: String,
         /// Exit status.
         status: ExitStatus,
-        /// End of its log.
+        /// Last lines of its log.
         log: String,
     },
-    /// It did not do in time what it should.
+    /// The process did not act in time.
     #[error("{name} did not {what} in time; its log ends:\n{log}")]
     TimedOut {
         /// Name of the process.
         name: String,
-        /// What it should have done.
+        /// Action that was expected.
         what: String,
-        /// End of its log.
+        /// Last lines of its log.
         log: String,
     },
 }
@@ -63,13 +63,13 @@
     name: String,
     child: Child,
     log_path: PathBuf,
-    /// Where this start's part of the log begins.
+    /// Length of the log file when this process was started.
     log_offset: usize,
     is_paused: bool,
 }
 
 impl Process {
-    /// Starts a program of this workspace; its output is appended to `<folder>/<name>.log`.
+    /// Starts a program of this workspace and appends its output to `<folder>/<name>.log`.
     pub fn start<A: AsRef<OsStr>>(
         program: &str,
         name: &str,
@@ -79,7 +79,7 @@
         Self::start_file(&program_path(program)?, name, arguments, folder)
     }
 
-    /// As [`Process::start`], any program file.
+    /// Like [`Process::start`], for any program file.
     pub fn start_file<A: AsRef<OsStr>>(
         program: &Path,
         name: &str,
@@ -113,18 +113,18 @@
         })
     }
 
-    /// Process id.
+    /// Returns the process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// All that this start has written to its output.
+    /// Returns the output of this process.
     pub fn log(&self) -> String {
         let whole = read_log(&self.log_path);
         whole.get(self.log_offset..).unwrap_or_default().to_owned()
     }
 
-    /// Waits until the output tells `<key>=ip:port`.
+    /// Waits until the output contains `<key>=ip:port`.
     pub async fn address(&mut self, key: &str) -> Result<SocketAddr, ProcessError> {
         let start = Instant::now();
         loop {
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Exit status, if it has ended.
+    /// Returns the exit status if the process has exited.
     pub fn exit_status(&mut self) -> Result<Option<ExitStatus>, ProcessError> {
         let status = self.child.try_wait();
         status.map_err(|source| ProcessError::Io {
@@ -150,7 +150,7 @@
         })
     }
 
-    /// Waits until it has ended.
+    /// Waits until the process has exited.
     pub async fn wait(&mut self, bound: Duration) -> Result<ExitStatus, ProcessError> {
         let start = Instant::now();
         loop {
@@ -164,19 +164,19 @@
         }
     }
 
-    /// SIGKILL, and waits for the end.
+    /// Sends SIGKILL and waits for the exit.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// SIGTERM.
+    /// Sends SIGTERM.
     pub fn terminate(&mut self) {
         self.signal(Signal::SIGTERM);
     }
 
-    /// SIGSTOP, and waits until all its threads have stopped: on a busy machine some run on for a while. A process that is paused
-    /// already tells of no further stop, so that a second wait would not end.
+    /// Sends SIGSTOP and waits until all threads have stopped, which may take a while on a busy
+    /// machine. Does nothing if already paused, since a stopped process reports no further stop.
     pub fn pause(&mut self) {
         if std::mem::replace(&mut self.is_paused, true) {
             return;
@@ -187,20 +187,20 @@
         }
     }
 
-    /// SIGCONT.
+    /// Sends SIGCONT.
     pub fn resume(&mut self) {
         self.is_paused = false;
         self.signal(Signal::SIGCONT);
     }
 
-    /// Signals the process unless it was already found ended: its pid could be another's by then.
+    /// Signals the process unless it has exited, since another process may have its pid by then.
     fn signal(&mut self, signal: Signal) {
         if let Ok(None) = self.child.try_wait() {
             let _ = signal::kill(Pid::from_raw(self.child.id() as i32), signal);
         }
     }
 
-    /// Whether it was stopped since this was asked last.
+    /// Returns whether the process was stopped since the last call.
     fn has_stopped(&self) -> bool {
         let id = Id::Pid(Pid::from_raw(self.child.id() as i32));
         let status = waitid(id, WaitPidFlag::WSTOPPED | WaitPidFlag::WNOHANG);
@@ -223,7 +223,7 @@
         }
     }
 
-    /// The last lines of that.
+    /// Returns the last lines of this process's log.
     pub fn log_tail(&self) -> String {
         let log = self.log();
         let lines: Vec<&str> = log.lines().collect();
@@ -238,7 +238,8 @@
     }
 }
 
-/// Path of a program of this workspace: beside the running executable, or one folder up from a test's.
+/// Returns the path of a program of this workspace: beside the running executable, or one folder
+/// above a test.
 fn program_path(program: &str) -> Result<PathBuf, ProcessError> {
     let own = std::env::current_exe().map_err(|source| ProcessError::Io {
         name: program.to_owned(),
@@ -261,7 +262,7 @@
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// The address after `<key>=` in the first whole line that has one.
+/// Returns the address after `<key>=` in the complete lines of a log.
 fn find_address(log: &str, key: &str) -> Option<SocketAddr> {
     let whole_lines = log.rfind('\n').map_or("", |end| &log[..end]);
     whole_lines
--- a/crates/bench/src/proxy.rs
+++ b/crates/bench/src/proxy.rs
@@ -1,4 +1,4 @@
-//! Fault-injecting TCP proxy, controllable while it runs.
+//! Fault-injecting TCP proxy that is controllable at run time.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,32 +15,32 @@
 use crate::stand_in::loopback;
 
 const READ_BYTES: usize = 16 * 1024;
-/// Reads that may be under way with a delay, per direction.
+/// Maximum number of delayed reads in flight per direction.
 const DELAYED_READS: usize = 256;
-/// Lets the last bytes of a cut connection be read, since a reset discards what is under way.
+/// Delay before a reset, which would discard bytes in flight.
 const BEFORE_RESET: Duration = Duration::from_millis(5);
 const ACCEPT_RETRY: Duration = Duration::from_millis(20);
 
-/// What the proxy does to connections. The default is nothing.
+/// Faults of a proxy. The default is none.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Each byte arrives this much later, in milliseconds.
+    /// Delay of each byte, in milliseconds.
     pub delay_ms: u64,
-    /// New connections are reset at once.
+    /// Reset new connections immediately.
     pub refuse: bool,
-    /// Nothing is forwarded in either direction; connections stay open and nothing is lost.
+    /// Forward nothing in either direction, but keep connections open and lose nothing.
     pub freeze: bool,
-    /// Bytes towards the target disappear. Connections that lost some are reset when this ends.
+    /// Drop bytes to the target. Connections that lost bytes are reset when this ends.
     pub swallow_to_target: bool,
-    /// Bytes from the target disappear. Connections that lost some are reset when this ends.
+    /// Drop bytes from the target. Connections that lost bytes are reset when this ends.
     pub swallow_from_target: bool,
-    /// Each connection is reset once this many bytes came from the target.
+    /// Reset each connection after this many bytes from the target.
     pub cut_after_bytes: Option<u64>,
 }
 
 impl Faults {
-    /// New connections are reset at once.
+    /// Returns faults that reset new connections immediately.
     pub fn refusing() -> Self {
         Self {
             refuse: true,
@@ -53,23 +53,23 @@
 struct Control {
     faults: Faults,
     target: SocketAddr,
-    /// Raised to reset all open connections.
+    /// Incremented to reset all open connections.
     cuts: u64,
-    /// Connections still to be reset on their first byte.
+    /// Number of further connections to reset on their first byte.
     resets: u32,
 }
 
 /// A running proxy. Dropping it closes its connections.
 #[derive(Debug)]
 pub struct Proxy {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     control: watch::Sender<Control>,
     task: JoinHandle<()>,
 }
 
 impl Proxy {
-    /// Starts a proxy on any free port of the loopback address.
+    /// Starts a proxy on a free port of the loopback address.
     pub async fn start(target: SocketAddr) -> io::Result<Self> {
         Self::start_at(loopback(), target).await
     }
@@ -92,24 +92,24 @@
         })
     }
 
-    /// Sends new connections elsewhere, for example to a restarted process.
+    /// Sends new connections to another target, such as a restarted process.
     pub fn retarget(&self, target: SocketAddr) {
         self.target().set(target);
     }
 
-    /// A handle on where new connections are sent.
+    /// Returns a handle to the target of new connections.
     pub fn target(&self) -> ProxyTarget {
         ProxyTarget {
             control: self.control.clone(),
         }
     }
 
-    /// Sets the faults whole.
+    /// Replaces all faults.
     pub fn set(&self, faults: Faults) {
         self.control.send_modify(|control| control.faults = faults);
     }
 
-    /// Ends all faults.
+    /// Clears all faults.
     pub fn heal(&self) {
         self.set(Faults::default());
     }
@@ -119,21 +119,21 @@
         self.control.send_modify(|control| control.cuts += 1);
     }
 
-    /// Resets the next connections on their first byte, one after another.
+    /// Resets the next `connections` connections on their first byte.
     pub fn reset_next(&self, connections: u32) {
         self.control
             .send_modify(|control| control.resets = connections);
     }
 }
 
-/// Where a proxy sends new connections. Cheap to clone.
+/// Handle to a proxy's target. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct ProxyTarget {
     control: watch::Sender<Control>,
 }
 
 impl ProxyTarget {
-    /// Sends new connections there from now on.
+    /// Sends new connections to this target.
     pub fn set(&self, target: SocketAddr) {
         self.control.send_modify(|control| control.target = target);
     }
@@ -160,7 +160,7 @@
     }
 }
 
-/// Serves one connection until it ends or a fault resets it.
+/// Forwards one connection until it ends or a fault resets it.
 async fn serve(mut client: TcpStream, control: watch::Sender<Control>) {
     let _ = client.set_nodelay(true);
     let current = *control.borrow();
@@ -175,7 +175,7 @@
         return reset(&client);
     };
     let _ = server.set_nodelay(true);
-    // Borrowed halves: an owned write half would end the stream cleanly before the reset.
+    // Owned halves would shut the stream down cleanly before the reset.
     let (mut client_reader, client_writer) = client.split();
     let (mut server_reader, server_writer) = server.split();
     let to_target = Direction::ToTarget;
@@ -207,7 +207,7 @@
     })
 }
 
-/// Makes the coming close of the socket a reset.
+/// Makes closing the socket send a reset.
 fn reset(stream: &TcpStream) {
     let _ = stream.set_zero_linger();
 }
@@ -226,7 +226,7 @@
         }
     }
 
-    /// How many of `length` further bytes pass before the connection is cut.
+    /// Returns how many of `length` further bytes may pass before the connection is cut.
     fn allowance(self, faults: &Faults, forwarded: u64, length: usize) -> usize {
         match (self, faults.cut_after_bytes) {
             (Self::FromTarget, Some(limit)) => {
@@ -238,7 +238,7 @@
     }
 }
 
-/// The connection is to be reset.
+/// The connection must be reset.
 #[derive(Debug)]
 struct Broken;
 
@@ -248,15 +248,15 @@
     }
 }
 
-/// Bytes of one read.
+/// Bytes of one read, to be written when due.
 struct Delayed {
     due: Instant,
     bytes: Vec<u8>,
-    /// The connection breaks after these bytes.
+    /// Whether the connection is reset after these bytes.
     is_last: bool,
 }
 
-/// Forwards one direction; ends when the reading side ended and all was written.
+/// Forwards one direction until the reader ends and all bytes are written.
 async fn pump(
     reader: &mut ReadHalf<'_>,
     writer: WriteHalf<'_>,
--- a/crates/bench/src/stand_in/application.rs
+++ b/crates/bench/src/stand_in/application.rs
@@ -1,4 +1,4 @@
-//! Stand-in of an application back end, such as a pricing service: echoes requests and records what ran.
+//! Stand-in of an application back end: echoes requests and records its runs.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,16 +13,16 @@
 };
 use crate::http_server::{Handle, Handler, Request, Responder, cut, serve};
 
-/// How one application back end behaves.
+/// Configuration of an application back end.
 #[derive(Debug, Clone)]
 pub struct ApplicationConfig {
-    /// Where to listen.
+    /// Address to listen on.
     pub listen: SocketAddr,
     /// Name in the machine list.
     pub name: String,
-    /// Requests that it says it can run at a time.
+    /// Capacity that load reports state, in concurrent requests.
     pub capacity: u32,
-    /// How long a request takes.
+    /// Duration of a request.
     pub delay: Duration,
 }
 
@@ -37,34 +37,34 @@
     }
 }
 
-/// Faults, set whole by `POST /control/fault`.
+/// Faults of an application back end, replaced by `POST /control/fault`.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ApplicationFaults {
-    /// Where answers are broken off, after the request ran.
+    /// Point at which answers are cut after the request ran.
     pub cut: Option<CutPoint>,
-    /// How many answers are broken off.
+    /// Number of answers to cut.
     pub cuts: u32,
-    /// How many requests are refused as not run.
+    /// Number of requests to refuse as not run.
     pub refusals: u32,
-    /// Once leaving, new requests are refused as not run; otherwise they still run.
+    /// Refuse new requests as not run while leaving; by default they still run.
     pub refuse_when_leaving: bool,
-    /// How many requests run but are answered 500.
+    /// Number of requests that run but are answered with 500.
     pub errors: u32,
-    /// Added to the delay of each request, in milliseconds.
+    /// Additional delay of each request, in milliseconds.
     pub delay_ms: u64,
-    /// Answers are sent in chunks, without their length.
+    /// Send answers chunked instead of with their length.
     pub chunked: bool,
-    /// Bytes of filling in each answer.
+    /// Bytes of padding in each answer.
     pub padding: usize,
-    /// Load reports are answered 503 while set.
+    /// Answer load reports with 503.
     pub hide_load: bool,
 }
 
-/// One request that ran.
+/// A request that ran.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ApplicationRun {
-    /// The caller's id of the request; empty if it gave none.
+    /// Request id given by the caller; empty if absent.
     pub request_id: String,
     /// Method.
     pub method: String,
@@ -72,7 +72,7 @@
     pub path: String,
     /// Body as text.
     pub body: String,
-    /// How it ended.
+    /// State or outcome of the run.
     pub ending: Ending,
     /// Milliseconds from the back end's start to the run's.
     pub started_ms: u64,
@@ -81,18 +81,18 @@
 /// Answer to `GET /control/log`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ApplicationLog {
-    /// Runs in order of their start.
+    /// Runs ordered by start.
     pub runs: Vec<ApplicationRun>,
-    /// Milliseconds from the back end's start to the order to leave, if there was one.
+    /// Milliseconds from the back end's start to the order to leave, if any.
     pub leaving_ms: Option<u64>,
 }
 
-/// What a request is answered with.
+/// Answer to a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
-    /// Back end that answered.
+    /// Name of the back end that answered.
     pub name: String,
-    /// Id of the request that it answers.
+    /// Id of the request.
     pub request_id: String,
     /// Method.
     pub method: String,
@@ -100,7 +100,7 @@
     pub path: String,
     /// Body as text.
     pub body: String,
-    /// Filling.
+    /// Padding.
     pub padding: String,
 }
 
@@ -133,7 +133,7 @@
     log: ApplicationLog,
 }
 
-/// Ends the run in the record, also when its task is dropped.
+/// Records the end of a run, also when its task is dropped.
 struct RunGuard<'a> {
     application: &'a Application,
     index: usize,
--- a/crates/bench/src/stand_in/engine/control.rs
+++ b/crates/bench/src/stand_in/engine/control.rs
@@ -1,4 +1,4 @@
-//! The tests' side of an engine: faults, leaving, and the record.
+//! Control paths of an engine: faults, leaving, and the log.
 
 use std::io;
 
@@ -8,38 +8,38 @@
 use super::Engine;
 use crate::http_server::{Request, Responder};
 
-/// What goes wrong when a swap is ordered.
+/// Fault of weight swaps.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SwapFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// The held version stays, and load reports say so.
+    /// The held version stays, and load reports state it.
     Fails,
-    /// The held version stays, but load reports name the ordered one.
+    /// The held version stays, but load reports state the ordered one.
     ClaimsDone,
 }
 
-/// Faults of an engine, set whole by `POST /control/fault`.
+/// Faults of an engine, replaced by `POST /control/fault`.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineFaults {
-    /// What becomes of swaps.
+    /// Fault of weight swaps.
     pub swap: SwapFault,
-    /// Chunks do not name their version.
+    /// Omit the weight version in chunks.
     pub omit_weight_version: bool,
-    /// Where answers are broken off.
+    /// Point at which answers are cut.
     pub cut: Option<CutPoint>,
-    /// How many answers are broken off.
+    /// Number of answers to cut.
     pub cuts: u32,
-    /// How many requests are refused as not run.
+    /// Number of requests to refuse as not run.
     pub refusals: u32,
-    /// Once leaving, new requests are refused as not run; otherwise they still run.
+    /// Refuse new requests as not run while leaving; by default they still run.
     pub refuse_when_leaving: bool,
-    /// Streams send nothing further while set.
+    /// Stall streams while set.
     pub stall: bool,
-    /// Load reports are answered 503 while set.
+    /// Answer load reports with 503 while set.
     pub hide_load: bool,
 }
 
--- a/crates/bench/src/stand_in/engine/generation.rs
+++ b/crates/bench/src/stand_in/engine/generation.rs
@@ -1,4 +1,4 @@
-//! Completions: queueing, generation token by token, cancelling, and broken-off answers.
+//! Completions: queueing, generation of tokens, cancellation, and cut answers.
 
 use std::future::Future;
 use std::io;
@@ -22,7 +22,7 @@
 struct CompletionRequest {
     model: String,
     prompt: String,
-    /// Length of the whole text, resumed tokens included.
+    /// Length of the complete text, including resumed tokens.
     max_tokens: u64,
     #[serde(default)]
     priority: i64,
@@ -48,13 +48,13 @@
     request_id: String,
 }
 
-/// Why a wait ended early.
+/// Reason why a wait ended early.
 enum Interruption {
     Cancelled,
     CallerGone,
 }
 
-/// Registration for `/v1/cancel`; dropping it takes it back.
+/// Registration for `/v1/cancel`, removed on drop.
 struct CancelGuard<'a> {
     engine: &'a Engine,
     request_id: String,
@@ -73,7 +73,7 @@
     }
 }
 
-/// Marks the run as cancelled unless it ended otherwise, also when its task is dropped.
+/// Records the end of a run, by default as cancelled, also when its task is dropped.
 struct RunGuard<'a> {
     engine: &'a Engine,
     index: RunIndex,
@@ -197,7 +197,7 @@
         Ok(())
     }
 
-    /// Generates one token with the version held now, records it, and returns its event.
+    /// Generates one token with the held version, records it, and returns its event.
     fn generate(&self, completion: &CompletionRequest, position: u64, index: RunIndex) -> String {
         let held = self.held_version();
         let omits_version = lock(&self.state).faults.omit_weight_version;
@@ -283,7 +283,7 @@
     interruptible(tokio::time::sleep(duration), cancelled, responder).await
 }
 
-/// Waits for `work` unless the request is cancelled or its caller goes away first.
+/// Waits for `work` unless the request is cancelled or its caller disconnects first.
 async fn interruptible<T>(
     work: impl Future<Output = T>,
     cancelled: &Notify,
--- a/crates/bench/src/stand_in/engine/mod.rs
+++ b/crates/bench/src/stand_in/engine/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-in of a model engine: continuous batching, streams, fenced orders, and an honest record of what ran.
+//! Stand-in of a model engine: continuous batching, streams, fenced orders, and a reliable log of
+//! its runs.
 
 mod control;
 mod generation;
@@ -23,32 +24,32 @@
 pub use record::{EngineLog, Run};
 use slots::Slots;
 
-/// How one engine behaves.
+/// Configuration of an engine.
 #[derive(Debug, Clone)]
 pub struct EngineConfig {
-    /// Where to listen.
+    /// Address to listen on.
     pub listen: SocketAddr,
     /// Name in the machine list.
     pub name: String,
-    /// Model it serves.
+    /// Name of the model.
     pub model: String,
-    /// Version it holds at the start.
+    /// Weight version held at the start.
     pub weight_version: u64,
-    /// Requests that run at a time.
+    /// Maximum number of concurrent requests.
     pub capacity: u32,
-    /// Requests that may wait for a slot; further ones are refused.
+    /// Maximum number of queued requests; further ones are refused.
     pub waiting_limit: u32,
-    /// Before the first token.
+    /// Time before the first token.
     pub prefill: Duration,
-    /// Between tokens of a request that runs alone.
+    /// Interval between tokens of a single running request.
     pub token_interval: Duration,
-    /// How much longer the interval grows with each further running request, in percent.
+    /// Increase of the interval for each further running request, in percent.
     pub interval_growth_percent: u32,
-    /// How long a swap takes besides the weight store.
+    /// Duration of a swap, excluding the load from the weight store.
     pub swap: Duration,
-    /// Base URL of the weight store that swaps load through.
+    /// Base URL of the weight store, if swaps load from one.
     pub weight_store: Option<String>,
-    /// Load reports are renewed only this often.
+    /// Minimum age before a load report is renewed.
     pub report_lag: Duration,
 }
 
@@ -80,7 +81,8 @@
     Ok(handle.with_task(swaps))
 }
 
-/// An order to hold a version. Orders with a fence lower than the highest seen are refused.
+/// An order to hold a weight version. Orders with a fence lower than the highest accepted one are
+/// refused.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 struct Order {
     fence: u64,
@@ -104,7 +106,7 @@
 struct State {
     faults: EngineFaults,
     leaving: bool,
-    /// Version that load reports name instead of the held one.
+    /// Version that load reports state instead of the held one.
     claimed_version: Option<u64>,
     report: Option<(Instant, LoadReport)>,
     sequence: u64,
@@ -129,7 +131,7 @@
         self.held_version.load(Ordering::SeqCst)
     }
 
-    /// Time between tokens at the present batch size.
+    /// Returns the interval between tokens at the current batch size.
     fn token_interval(&self) -> Duration {
         let others = self.slots.running().saturating_sub(1);
         let percent = 100 + others * self.config.interval_growth_percent;
--- a/crates/bench/src/stand_in/engine/record.rs
+++ b/crates/bench/src/stand_in/engine/record.rs
@@ -1,29 +1,29 @@
-//! Append-only record of what truly ran on an engine.
+//! Append-only record of the runs of an engine.
 
 use serde::{Deserialize, Serialize};
 
 use super::super::Ending;
 use crate::text::Segment;
 
-/// One run of a request. A request that is tried twice has two runs.
+/// One run of a request. A request that is retried has several runs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Run {
-    /// The caller's id of the request.
+    /// Request id given by the caller.
     pub request_id: String,
-    /// Model asked for.
+    /// Requested model.
     pub model: String,
     /// Digest of the prompt, see [`crate::text::prompt_digest`].
     pub prompt_digest: String,
-    /// Position of the first token that this run was to generate.
+    /// Position of the first token to generate.
     pub first_token: u64,
-    /// Position after the last token generated.
+    /// Position after the last generated token.
     pub end_token: u64,
-    /// Versions that generated the tokens, in order.
+    /// Weight versions of the generated tokens, in order.
     pub segments: Vec<Segment>,
-    /// Tokens that were sent without their version.
+    /// Number of tokens sent without their version.
     #[serde(default)]
     pub unnamed_tokens: u64,
-    /// How it ended.
+    /// State or outcome of the run.
     pub ending: Ending,
     /// Milliseconds from the engine's start to the run's.
     pub started_ms: u64,
@@ -32,13 +32,13 @@
 /// Answer to `GET /control/log`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLog {
-    /// Runs in order of their start.
+    /// Runs ordered by start.
     pub runs: Vec<Run>,
-    /// Milliseconds from the engine's start to the order to leave, if there was one.
+    /// Milliseconds from the engine's start to the order to leave, if any.
     pub leaving_ms: Option<u64>,
 }
 
-/// Names one run within the record.
+/// Index of a run in the record.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RunIndex(usize);
 
--- a/crates/bench/src/stand_in/engine/slots.rs
+++ b/crates/bench/src/stand_in/engine/slots.rs
@@ -1,4 +1,4 @@
-//! Running slots of an engine: the most urgent waiting request gets the next free one.
+//! Running slots of an engine, granted by priority, then arrival.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -7,7 +7,7 @@
 
 use super::super::lock;
 
-/// Slots in which requests run.
+/// Slots of running requests and the queue for them.
 #[derive(Debug)]
 pub(super) struct Slots {
     capacity: u32,
@@ -27,13 +27,13 @@
 #[error("queue full")]
 pub(super) struct QueueFull;
 
-/// A slot; dropping it frees the slot.
+/// An acquired slot, released on drop.
 #[derive(Debug)]
 pub(super) struct Slot<'a> {
     slots: &'a Slots,
 }
 
-/// A place in the queue; dropping it gives the place up.
+/// An entry of the queue, removed on drop.
 struct Place<'a> {
     slots: &'a Slots,
     key: (i64, u64),
@@ -57,7 +57,7 @@
         lock(&self.state).waiting.len() as u32
     }
 
-    /// Waits for a slot; smaller `priority` goes first, then earlier arrival.
+    /// Waits for a slot. Lower `priority` values go first, then earlier arrivals.
     pub(super) async fn acquire(&self, priority: i64) -> Result<Slot<'_>, QueueFull> {
         let Some(mut place) = self.enter(priority)? else {
             return Ok(Slot { slots: self });
--- a/crates/bench/src/stand_in/engine/swap.rs
+++ b/crates/bench/src/stand_in/engine/swap.rs
@@ -1,4 +1,5 @@
-//! Weight swaps: one at a time, through the weight store, while streams go on with the version held so far.
+//! Weight swaps, one at a time, loaded from the weight store. Streams continue with the held
+//! version until a swap is done.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -11,7 +12,7 @@
 
 const STORE_RETRY: Duration = Duration::from_millis(50);
 
-/// Carries orders out until dropped. A repeated order whose swap failed is tried again.
+/// Executes orders until the engine is dropped. A repeated order retries a failed swap.
 pub(super) async fn run(engine: Arc<Engine>) {
     let mut orders = engine.order.subscribe();
     let client = crate::http_client();
@@ -44,7 +45,7 @@
     }
 }
 
-/// Loads the weights from the store, waiting its rate limit out.
+/// Loads the weights from the store, waiting while it limits the rate.
 async fn load(engine: &Engine, client: &Client, order: &Order) -> bool {
     let Some(store) = &engine.config.weight_store else {
         return true;
--- a/crates/bench/src/stand_in/key_value/messages.rs
+++ b/crates/bench/src/stand_in/key_value/messages.rs
@@ -1,13 +1,14 @@
-//! JSON messages of the key-value service, as etcd v3's gateway words them.
+//! JSON messages of the key-value service, as in the gateway of etcd v3.
 //!
-//! Keys and values are base64; 64-bit numbers are strings; fields with default values are left out of answers.
+//! Keys and values are base64, 64-bit integers are strings, and answers omit fields with default
+//! values.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Bytes that travel as base64.
+/// Bytes serialized as base64.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub(super) struct Base64(pub(super) Vec<u8>);
 
@@ -24,7 +25,7 @@
     }
 }
 
-/// A number that travels as a string, and is read from a number too.
+/// An integer serialized as a string; deserialized from a string or a number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub(super) struct Number(pub(super) i64);
 
--- a/crates/bench/src/stand_in/key_value/mod.rs
+++ b/crates/bench/src/stand_in/key_value/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-in of the key-value service: the part of etcd v3's JSON gateway that ladderstage uses, with its troubles.
+//! Stand-in of the key-value service: the subset of etcd v3's JSON gateway that ladderstage uses,
+//! with injected faults.
 
 mod messages;
 mod store;
@@ -18,12 +19,12 @@
 use messages::{PutRequest, RangeRequest, TransactionRequest};
 use store::Store;
 
-/// How the key-value service starts.
+/// Configuration of the key-value service.
 #[derive(Debug, Clone)]
 pub struct KeyValueConfig {
-    /// Where to listen.
+    /// Address to listen on.
     pub listen: SocketAddr,
-    /// Requests allowed a second; 0: no limit.
+    /// Maximum number of requests per second; 0 means no limit.
     pub requests_per_second: f64,
 }
 
@@ -36,34 +37,35 @@
     }
 }
 
-/// Faults, set whole by `POST /control/fault`.
+/// Faults of the key-value service, replaced by `POST /control/fault`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct KeyValueFaults {
-    /// Connections are closed without an answer, and nothing takes effect.
+    /// Close connections without an answer or an effect.
     pub down: bool,
-    /// Each answer takes this much longer, in milliseconds; changes take effect at its end.
+    /// Additional delay of each answer, in milliseconds. Changes take effect after it.
     pub slow_ms: u64,
-    /// Requests allowed a second instead of the configured number; 0: as configured.
+    /// Maximum number of requests per second, overriding the configuration; 0 means no override.
     pub requests_per_second: f64,
-    /// How many changes take effect without an answer; transactions that change nothing do not count.
+    /// Number of changes that take effect without an answer. Transactions that change nothing do
+    /// not count.
     pub lost_answers: u32,
-    /// The next change takes effect, and from then on the service is down.
+    /// Become `down` after the next change takes effect.
     pub down_after_change: bool,
-    /// Plain reads show the contents as of when this was set; transactions are never stale.
+    /// Return the contents of when this was set in plain reads; transactions are never stale.
     pub stale_reads: bool,
 }
 
-/// How often each call was answered or broken off, from `GET /control/counts`.
+/// Number of calls, from `GET /control/counts`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyValueCounts {
-    /// Reads.
+    /// Number of reads.
     pub reads: u64,
-    /// Transactions and puts that took effect or were compared.
+    /// Number of puts and transactions, including transactions that changed nothing.
     pub writes: u64,
-    /// Requests refused over the rate.
+    /// Number of requests refused by the rate limit.
     pub refused: u64,
-    /// How often each key was written.
+    /// Number of writes by key.
     pub changes: BTreeMap<String, u64>,
 }
 
@@ -92,13 +94,13 @@
 struct State {
     faults: KeyValueFaults,
     store: Store,
-    /// Contents that stale reads show.
+    /// Contents that stale reads return.
     stale: Option<Store>,
     rate: Rate,
     counts: KeyValueCounts,
 }
 
-/// What becomes of a request before it is looked at.
+/// Decision on a request before it is processed.
 enum Admission {
     Answer(Duration),
     Refuse,
--- a/crates/bench/src/stand_in/key_value/store.rs
+++ b/crates/bench/src/stand_in/key_value/store.rs
@@ -14,7 +14,7 @@
     mod_revision: i64,
 }
 
-/// Keys with their values and revisions. Every write raises the revision by one.
+/// Keys with their values and revisions. Every change increments the revision.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Store {
     revision: i64,
@@ -23,12 +23,12 @@
 }
 
 impl Store {
-    /// Revision of the last change.
+    /// Returns the revision of the last change.
     pub(super) fn revision(&self) -> i64 {
         self.revision
     }
 
-    /// How often each key was written.
+    /// Returns the number of writes by key.
     pub(super) fn changes(&self) -> BTreeMap<String, u64> {
         self.changes.clone()
     }
@@ -123,7 +123,8 @@
     }
 }
 
-/// A `range_end` of one zero byte means all keys from `key` on; none means `key` alone.
+/// Returns the range of keys. A `range_end` of one zero byte means all keys from `key` on; none
+/// means `key` alone.
 fn bounds(request: &RangeRequest) -> (Bound<Base64>, Bound<Base64>) {
     let start = Bound::Included(request.key.clone());
     let end = match &request.range_end {
--- a/crates/bench/src/stand_in/machine_list.rs
+++ b/crates/bench/src/stand_in/machine_list.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the machine list: settable, late, or down.
+//! Stand-in of the machine list, with injected delay and outage.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 use super::{lock, loopback};
 use crate::http_server::{Handle, Handler, Request, Responder, cut, serve};
 
-/// What kind of back end a machine runs.
+/// Kind of a machine's back end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MachineKind {
@@ -20,54 +20,54 @@
     Application,
 }
 
-/// What the list says of a machine.
+/// State of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MachineState {
-    /// Takes work.
+    /// The machine accepts work.
     Live,
-    /// To be given no new work.
+    /// The machine must receive no new work.
     Leaving,
 }
 
-/// One machine.
+/// A machine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
-    /// Name that bundles use.
+    /// Name used in bundles.
     pub name: String,
-    /// Where its back end listens.
+    /// Address of its back end.
     pub address: SocketAddr,
-    /// Zone it runs in.
+    /// Zone of the machine.
     pub zone: String,
-    /// What it runs.
+    /// Kind of its back end.
     pub kind: MachineKind,
-    /// Live or leaving.
+    /// State of the machine.
     pub state: MachineState,
 }
 
-/// The list; also the body of `POST /control/machines`, which replaces it.
+/// Machine list; also the body of `POST /control/machines`, which replaces it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machines {
     /// All machines.
     pub machines: Vec<Machine>,
 }
 
-/// Faults, set whole by `POST /control/fault`.
+/// Faults of the machine list, replaced by `POST /control/fault`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct MachineListFaults {
-    /// Connections are closed without an answer.
+    /// Close connections without an answer.
     pub down: bool,
-    /// Changes show this much later, in milliseconds.
+    /// Delay until changes become visible, in milliseconds.
     pub late_ms: u64,
 }
 
-/// How the machine list starts.
+/// Configuration of the machine list.
 #[derive(Debug, Clone)]
 pub struct MachineListConfig {
-    /// Where to listen.
+    /// Address to listen on.
     pub listen: SocketAddr,
-    /// Machines at the start.
+    /// Initial machines.
     pub machines: Machines,
 }
 
@@ -105,7 +105,7 @@
 }
 
 impl State {
-    /// The newest list that is old enough to show.
+    /// Returns the newest list that is visible under the current delay.
     fn visible(&self) -> &Machines {
         let newest = self.newest_visible();
         newest.map_or(&self.initial, |index| &self.changes[index].1)
@@ -118,7 +118,7 @@
             .rposition(|(at, _)| at.elapsed() >= lateness)
     }
 
-    /// What has shown before goes on showing, however late later changes are.
+    /// Sets the faults. The visible list stays visible, whatever the new delay is.
     fn set_faults(&mut self, faults: MachineListFaults) {
         if let Some(index) = self.newest_visible()
             && let Some((_, shown)) = self.changes.drain(..=index).next_back()
--- a/crates/bench/src/stand_in/mod.rs
+++ b/crates/bench/src/stand_in/mod.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for the systems around ladderstage, as docs/PLATFORM.md describes them.
+//! Stand-ins for the systems around ladderstage, as described in docs/PLATFORM.md.
 //!
-//! Each is a library module with `start(config) -> Handle` and a subcommand of `ladderstage-bench stand-in`. Paths
-//! under `/control/` belong to the tests: they set faults and read what truly happened.
+//! Each has a module with `start(config) -> Handle` and a subcommand of `ladderstage-bench
+//! stand-in`. Paths under `/control/` are for tests: they set faults and read logs.
 
 pub mod application;
 pub mod engine;
@@ -16,65 +16,65 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Header of a refusal by a back end that did not run the request.
+/// Header with which a back end states that it did not run a refused request.
 pub const ENGINE_HEADER: &str = "Ladderstage-Engine";
-/// Its value.
+/// Value of [`ENGINE_HEADER`] for a single refused request.
 pub const NOT_RUN: &str = "not-run";
-/// Its value when the back end takes no further work at all.
+/// Value of [`ENGINE_HEADER`] if the back end accepts no further work.
 pub const NOT_RUN_LEAVING: &str = "not-run, leaving";
-/// Header that names the request.
+/// Header with the request id.
 pub const REQUEST_ID_HEADER: &str = "Ladderstage-Request-Id";
 
-/// Any free port on the loopback address.
+/// Returns the loopback address with port 0, which binds a free port.
 pub fn loopback() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
-/// What a back end says of its load.
+/// Load report of a back end.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// Name in the machine list.
     pub name: String,
-    /// Random number of this start.
+    /// Random id of this process.
     pub process: u64,
-    /// Version it says it holds; engines only.
+    /// Weight version that it reports as held; engines only.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub weight_version: Option<u64>,
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests waiting.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Requests that can run at a time.
+    /// Maximum number of concurrent requests.
     pub capacity: u32,
     /// Whether it is leaving.
     pub leaving: bool,
-    /// Counts the reports of this process.
+    /// Sequence number of the report within this process.
     pub sequence: u64,
 }
 
-/// Where a back end breaks its answer off.
+/// Point at which a back end cuts its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CutPoint {
-    /// Before the first byte, but after the work was done or begun.
+    /// Before the first byte, after the request ran or started to run.
     BeforeHeaders,
     /// Within the body.
     MidBody,
-    /// After the last byte of content, before the mark that ends it.
+    /// After the last byte of content, before the end marker.
     BeforeEnd,
 }
 
-/// How a request to a back end ended.
+/// State or outcome of a request at a back end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Ending {
-    /// Still under way.
+    /// Still running.
     Running,
-    /// Answered whole.
+    /// Answered completely.
     Completed,
-    /// Cancelled by order, or its caller went away.
+    /// Cancelled by order or by the caller's disconnect.
     Cancelled,
-    /// Broken off by an injected fault.
+    /// Cut by an injected fault.
     Cut,
 }
 
@@ -86,7 +86,7 @@
 }
 
 impl LeavingOrder {
-    /// Reads the body of the control call.
+    /// Parses the body of the control call.
     pub fn read(body: &[u8]) -> Result<bool, serde_json::Error> {
         if body.is_empty() {
             return Ok(true);
@@ -95,14 +95,14 @@
     }
 }
 
-/// Takes one from a count of faults still to inject; whether there was one.
+/// Decrements a count of faults to inject; returns whether it was positive.
 pub(crate) fn take_one(remaining: &mut u32) -> bool {
     let had_one = *remaining > 0;
     *remaining = remaining.saturating_sub(1);
     had_one
 }
 
-/// Locks; a panic of another holder does not matter to a stand-in.
+/// Locks a mutex, ignoring poisoning.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex
         .lock()
--- a/crates/bench/src/stand_in/rate.rs
+++ b/crates/bench/src/stand_in/rate.rs
@@ -1,8 +1,8 @@
-//! Token bucket of the rate-limited stand-ins.
+//! Token bucket of rate-limited stand-ins.
 
 use std::time::Instant;
 
-/// A token bucket that holds at most one second's worth (and at least one token).
+/// Token bucket that holds at most the tokens of one second, and at least one token.
 #[derive(Debug)]
 pub(crate) struct Rate {
     tokens: f64,
@@ -10,7 +10,7 @@
 }
 
 impl Rate {
-    /// An empty bucket as of `now`, with one token to start with.
+    /// Creates a bucket with one token.
     pub(crate) fn new(now: Instant) -> Self {
         Self {
             tokens: 1.0,
@@ -18,7 +18,7 @@
         }
     }
 
-    /// Takes a token if there is one; `per_second` 0 means no limit.
+    /// Removes a token if there is one; `per_second` 0 means no limit.
     pub(crate) fn take(&mut self, per_second: f64, now: Instant) -> bool {
         if per_second <= 0.0 {
             return true;
--- a/crates/bench/src/stand_in/scorer.rs
+++ b/crates/bench/src/stand_in/scorer.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the scoring service: a score is a function of the text.
+//! Stand-in of the scoring service, whose scores are a function of the text.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,12 +11,12 @@
 use super::{lock, loopback, take_one};
 use crate::http_server::{Handle, Handler, Request, Responder, cut, serve};
 
-/// How the scorer behaves.
+/// Configuration of the scorer.
 #[derive(Debug, Clone)]
 pub struct ScorerConfig {
-    /// Where to listen.
+    /// Address to listen on.
     pub listen: SocketAddr,
-    /// How long a score takes.
+    /// Duration of a request.
     pub delay: Duration,
 }
 
@@ -29,28 +29,28 @@
     }
 }
 
-/// Faults, set whole by `POST /control/fault`.
+/// Faults of the scorer, replaced by `POST /control/fault`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ScorerFaults {
-    /// Connections are closed without an answer.
+    /// Close connections without an answer.
     pub down: bool,
-    /// How many requests are answered 500.
+    /// Number of requests to answer with 500.
     pub errors: u32,
-    /// Added to each score's delay, in milliseconds.
+    /// Additional delay of each request, in milliseconds.
     pub delay_ms: u64,
 }
 
-/// One request for a score.
+/// Request of a score.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScoreRequest {
-    /// Trainer that asked for the sample.
+    /// Trainer of the sample.
     pub trainer: String,
-    /// Step.
+    /// Step of the trainer.
     pub step: u64,
     /// Slot within the step.
     pub slot: u32,
-    /// Attempt at the slot.
+    /// Attempt number of the slot.
     pub attempt: u32,
     /// Prompt of the sample.
     pub prompt: String,
@@ -63,7 +63,7 @@
     score: f64,
 }
 
-/// The score that the stand-in gives a text, from 0 to 1.
+/// Returns the score of a text, from 0 to 1.
 pub fn score(text: &str) -> f64 {
     f64::from(Sha256::digest(text.as_bytes())[0]) / 255.0
 }
--- a/crates/bench/src/stand_in/weight_store.rs
+++ b/crates/bench/src/stand_in/weight_store.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the weight store: rate-limited loads of known versions.
+//! Stand-in of the weight store: rate-limited loads of existing versions.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -12,16 +12,16 @@
 use super::{lock, loopback};
 use crate::http_server::{Handle, Handler, Request, Responder, serve};
 
-/// How the weight store behaves.
+/// Configuration of the weight store.
 #[derive(Debug, Clone)]
 pub struct WeightStoreConfig {
-    /// Where to listen.
+    /// Address to listen on.
     pub listen: SocketAddr,
-    /// Loads that it allows a second; 0: no limit.
+    /// Maximum number of loads per second; 0 means no limit.
     pub loads_per_second: f64,
-    /// How long a load takes.
+    /// Duration of a load.
     pub load: Duration,
-    /// Versions up to this one exist of every model that no one has set.
+    /// Newest version of models whose versions were not set explicitly.
     pub newest_version: u64,
 }
 
--- a/crates/bench/src/text.rs
+++ b/crates/bench/src/text.rs
@@ -1,11 +1,12 @@
-//! Text of the stand-in engines: each token is a function of prompt, position and weight version, so that a test
-//! can tell from the text alone which version produced it.
+//! Text of the stand-in engines. Each token is a function of prompt, position and weight version,
+//! so that tests can tell from the text which version produced it.
 
 use sha2::{Digest, Sha256};
 
 const TOKEN_DIGEST_BYTES: usize = 4;
 
-/// The token at `position` (from 0) of the text for `prompt` under `weight_version`; ends with a space.
+/// Returns the token at `position` (from 0) of the text for `prompt` under `weight_version`, with a
+/// trailing space.
 pub fn token(prompt: &str, position: u64, weight_version: u64) -> String {
     let mut hasher = Sha256::new();
     hasher.update(prompt.as_bytes());
@@ -15,48 +16,48 @@
     format!("{} ", hex::encode(&digest[..TOKEN_DIGEST_BYTES]))
 }
 
-/// Short digest of a prompt, as the engines' logs name it.
+/// Returns a short digest of a prompt, as used in engine logs.
 pub fn prompt_digest(prompt: &str) -> String {
     let digest = Sha256::digest(prompt.as_bytes());
     hex::encode(&digest[..8])
 }
 
-/// How many tokens a text has.
+/// Returns the number of tokens in a text.
 pub fn count_tokens(text: &str) -> u64 {
     text.split_terminator(' ').count() as u64
 }
 
-/// A run of tokens that one weight version produced.
+/// Consecutive tokens produced by one weight version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Segment {
-    /// Version that produced them.
+    /// Weight version that produced the tokens.
     pub weight_version: u64,
-    /// How many tokens.
+    /// Number of tokens.
     pub tokens: u64,
 }
 
-/// Why a text does not match the versions that are claimed for it.
+/// Mismatch between a text and the versions claimed for it.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum TextError {
     /// The segments claim another number of tokens than the text has.
     #[error("segments name {claimed} tokens, the text has {found}")]
     Length {
-        /// Sum of the segments.
+        /// Number of tokens in the segments.
         claimed: u64,
-        /// Tokens in the text.
+        /// Number of tokens in the text.
         found: u64,
     },
-    /// A token was not produced by the version that is claimed for it; 0 stands for any claimed version.
+    /// A token was not produced by the claimed version, or by none of the candidates if that is 0.
     #[error("token {position} was not produced by weight version {weight_version}")]
     Mislabelled {
-        /// Position from 0.
+        /// Position of the token, from 0.
         position: u64,
         /// Claimed version.
         weight_version: u64,
     },
 }
 
-/// Checks that every token of `text` was produced by the version its segment names.
+/// Checks that every token of `text` was produced by the version of its segment.
 pub fn verify(prompt: &str, text: &str, segments: &[Segment]) -> Result<(), TextError> {
     let claimed = segments.iter().map(|segment| segment.tokens).sum();
     let found = count_tokens(text);
@@ -79,16 +80,17 @@
     Ok(())
 }
 
-/// A run of tokens of one chunk, whose version may not be named.
+/// Consecutive tokens of one chunk with an optional version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LabelledTokens {
-    /// Version that is claimed for them; none: no claim.
+    /// Claimed version, if any.
     pub weight_version: Option<u64>,
-    /// How many tokens.
+    /// Number of tokens.
     pub tokens: u64,
 }
 
-/// Checks that `candidates` produced every token of `text`, and those with a label the version that it names.
+/// Checks that every token of `text` was produced by one of `candidates`, and every labelled token
+/// by its labelled version.
 pub fn verify_labels(
     prompt: &str,
     text: &str,
@@ -117,7 +119,7 @@
     Ok(())
 }
 
-/// Finds which of `candidates` produced each token of `text`; the runs of equal versions.
+/// Returns which of `candidates` produced each token of `text`, as segments.
 pub fn attribute(prompt: &str, text: &str, candidates: &[u64]) -> Result<Vec<Segment>, TextError> {
     let mut segments: Vec<Segment> = Vec::new();
     for (position, found) in text.split_inclusive(' ').enumerate() {
--- a/crates/bench/src/trainer/judge.rs
+++ b/crates/bench/src/trainer/judge.rs
@@ -1,4 +1,4 @@
-//! Judges what a trainer is given: each slot once, true versions, nothing too old.
+//! Checks the samples that a trainer receives: each slot once, true labels, no stale samples.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex};
@@ -10,19 +10,19 @@
 use crate::stand_in::lock;
 use crate::text::{TextError, verify};
 
-/// An accepted bundle is in force everywhere this long after its acceptance.
+/// Time for an accepted bundle to be in force everywhere.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(10);
 
-/// What a bundle demands of a pool's samples.
+/// Requirements of a bundle for a pool's samples.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PoolFacts {
-    /// Version in force.
+    /// Weight version in force.
     pub weight_version: u64,
-    /// How many versions a sample may lie behind it.
+    /// Maximum number of versions that a sample may be behind.
     pub staleness_bound: u64,
 }
 
-/// What each known bundle demands. Clones share one table.
+/// Requirements of each known bundle. Clones share one table.
 #[derive(Debug, Clone, Default)]
 pub struct BundleFacts {
     table: Arc<Mutex<Table>>,
@@ -35,13 +35,13 @@
 }
 
 impl BundleFacts {
-    /// Notes what a bundle demands; to be called before it is rolled.
+    /// Records the requirements of a bundle; must be called before the bundle is rolled.
     pub fn add(&self, revision: u64, pool: &str, facts: PoolFacts) {
         let key = (revision, pool.to_owned());
         lock(&self.table).pools.insert(key, facts);
     }
 
-    /// Notes that a bundle was accepted just now.
+    /// Records that a bundle was accepted now.
     pub fn accepted(&self, revision: u64) {
         let mut table = lock(&self.table);
         table.accepted.entry(revision).or_insert_with(Instant::now);
@@ -52,7 +52,7 @@
         lock(&self.table).pools.get(&key).copied()
     }
 
-    /// The newest revision that must be in force everywhere at that time; 0: none.
+    /// Returns the newest revision that must be in force everywhere at that time, or 0 for none.
     fn due_by(&self, at: Instant) -> u64 {
         lock(&self.table)
             .accepted
@@ -64,109 +64,109 @@
     }
 }
 
-/// A broken guarantee.
+/// A violated guarantee.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, thiserror::Error)]
 pub enum Violation {
-    /// A sample for another trainer, step or slot than there is.
+    /// A sample of another trainer or step, or of a slot that does not exist.
     #[error("sample of {trainer}/{step}/{slot} was not asked for")]
     NotAskedFor {
-        /// Trainer it names.
+        /// Trainer named in the sample.
         trainer: String,
-        /// Step it names.
+        /// Step named in the sample.
         step: u64,
-        /// Slot it names.
+        /// Slot named in the sample.
         slot: u32,
     },
-    /// A slot was delivered again after it was acknowledged.
+    /// A slot was delivered again after its acknowledgement.
     #[error("slot {slot} delivered twice, as attempts {first} and {second}")]
     Doubled {
-        /// Slot.
+        /// Slot within the step.
         slot: u32,
-        /// Attempt that was taken.
+        /// Attempt that was delivered first.
         first: u32,
-        /// Attempt that came again.
+        /// Attempt that was delivered again.
         second: u32,
     },
-    /// The step ended without a slot.
+    /// The step ended without a sample of this slot.
     #[error("slot {slot} lost")]
     Lost {
-        /// Slot.
+        /// Slot within the step.
         slot: u32,
     },
-    /// A sample answers another prompt.
+    /// A sample has a prompt that differs from its slot's.
     #[error("slot {slot} answers another prompt")]
     WrongPrompt {
-        /// Slot.
+        /// Slot within the step.
         slot: u32,
     },
-    /// A sample is shorter or longer than asked for.
+    /// A sample has more or fewer tokens than requested.
     #[error("slot {slot} has {tokens} tokens instead of {asked}")]
     WrongLength {
-        /// Slot.
+        /// Slot within the step.
         slot: u32,
-        /// Tokens in the sample.
+        /// Number of tokens in the sample.
         tokens: u64,
-        /// Tokens asked for.
+        /// Number of tokens requested.
         asked: u64,
     },
     /// A sample names versions that did not produce it.
     #[error("slot {slot} is mislabelled: {reason}")]
     Mislabelled {
-        /// Slot.
+        /// Slot within the step.
         slot: u32,
-        /// What is wrong.
+        /// Mismatch that was found.
         reason: String,
     },
     /// A sample is older than its answer's bundle allows.
     #[error("slot {slot} holds version {oldest} under bundle {revision}, which demands {demanded}")]
     Stale {
-        /// Slot.
+        /// Slot within the step.
         slot: u32,
         /// Oldest version in the sample.
         oldest: u64,
-        /// Bundle that the answer names.
+        /// Revision named in the answer.
         revision: u64,
-        /// Oldest version that it allows.
+        /// Oldest version that the bundle allows.
         demanded: u64,
     },
-    /// An answer names a bundle that no one rolled.
+    /// An answer names a bundle that was never rolled.
     #[error("answer under unknown bundle {revision}")]
     UnknownBundle {
-        /// Revision that the answer names.
+        /// Revision named in the answer.
         revision: u64,
     },
-    /// An answer was checked against a bundle that was long out of force.
+    /// An answer was checked against a bundle that should no longer have been in force.
     #[error("answer under bundle {revision}, but {due} was accepted long before")]
     BundleOutOfForce {
-        /// Revision that the answer names.
+        /// Revision named in the answer.
         revision: u64,
         /// Revision that had to be in force.
         due: u64,
     },
 }
 
-/// What became of a step.
+/// Result of a step.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct StepReport {
-    /// Slots delivered.
+    /// Number of slots delivered.
     pub delivered: u64,
-    /// Slots delivered again.
+    /// Number of slots delivered more than once.
     pub duplicated: u64,
-    /// Slots not delivered.
+    /// Number of slots not delivered.
     pub lost: u64,
-    /// Answers dropped on purpose.
+    /// Number of answers dropped on purpose.
     pub answers_dropped: u64,
-    /// Refusals and broken connections on the way.
+    /// Number of refusals and broken connections.
     pub troubles: u64,
-    /// Versions in the samples.
+    /// Weight versions in the samples.
     pub weight_versions: BTreeSet<u64>,
-    /// Bundles that answers were checked against.
+    /// Bundle revisions named in the answers.
     pub bundle_revisions: BTreeSet<u64>,
-    /// All that was wrong.
+    /// All violations.
     pub violations: Vec<Violation>,
 }
 
-/// Judges the answers of one step.
+/// Checks the answers of one step.
 #[derive(Debug)]
 pub struct Judge {
     trainer: String,
@@ -178,7 +178,7 @@
 }
 
 impl Judge {
-    /// A judge of the step that was submitted as `spec`.
+    /// Creates a checker for the step that was submitted as `spec`.
     pub fn new(trainer: &str, step: u64, spec: StepSpec, facts: BundleFacts) -> Self {
         Self {
             trainer: trainer.to_owned(),
@@ -190,7 +190,8 @@
         }
     }
 
-    /// Takes an answer whose cursor the trainer goes on with; `asked_at` is when it was asked for.
+    /// Checks an answer whose cursor the trainer continues with; `asked_at` is the time of the
+    /// pull.
     pub fn take(&mut self, answer: SamplesAnswer, asked_at: Instant) {
         let revision = answer.bundle_revision;
         let due = self.facts.due_by(asked_at);
@@ -212,12 +213,12 @@
         self.report.answers_dropped += 1;
     }
 
-    /// How far the step came, for error messages.
+    /// Describes the progress of the step, for error messages.
     pub fn progress(&self) -> String {
         format!("{} of {} slots", self.taken.len(), self.spec.samples.len())
     }
 
-    /// Ends the step: slots not taken are lost.
+    /// Ends the step and returns its report; slots without a sample are lost.
     pub fn finish(mut self) -> StepReport {
         let slots = 0..self.spec.samples.len() as u32;
         let missing: Vec<u32> = slots
--- a/crates/bench/src/trainer/messages.rs
+++ b/crates/bench/src/trainer/messages.rs
@@ -1,17 +1,17 @@
-//! JSON messages of the trainers' interface.
+//! JSON messages of the trainers' API.
 
 use serde::{Deserialize, Serialize};
 
 use crate::text::Segment;
 
-/// One sample that a step asks for.
+/// A sample that a step requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SampleSpec {
     /// Prompt to complete.
     pub prompt: String,
-    /// Most tokens.
+    /// Maximum number of tokens.
     pub max_tokens: u32,
-    /// Tokens that the trainer expects, for scheduling.
+    /// Expected number of tokens, for scheduling.
     pub expected_tokens: u32,
 }
 
@@ -20,12 +20,13 @@
 pub struct StepSpec {
     /// Pool that generates the samples.
     pub pool: String,
-    /// The samples; a slot is an index into them.
+    /// Samples, indexed by slot.
     pub samples: Vec<SampleSpec>,
 }
 
 impl StepSpec {
-    /// A step of `count` samples whose length is `tokens`, but for each tenth, which is five times as long.
+    /// Generates a step of `count` samples of `tokens` tokens; every tenth sample is five times as
+    /// long.
     pub fn generate(pool: &str, step: u64, count: u32, tokens: u32) -> Self {
         let sample = |slot: u32| {
             let tokens = if slot % 10 == 9 { 5 * tokens } else { tokens };
@@ -42,39 +43,39 @@
     }
 }
 
-/// One delivered sample.
+/// A delivered sample.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Sample {
-    /// Trainer it is for.
+    /// Trainer of the sample.
     pub trainer: String,
-    /// Step.
+    /// Step of the trainer.
     pub step: u64,
     /// Slot within the step.
     pub slot: u32,
-    /// Attempt at the slot.
+    /// Attempt number of the slot.
     pub attempt: u32,
     /// Prompt.
     pub prompt: String,
     /// Text.
     pub text: String,
-    /// Versions that produced the text, in order.
+    /// Weight versions that produced the text, in order.
     pub segments: Vec<Segment>,
-    /// Score, if there is a scorer.
+    /// Score, if a scorer is configured.
     #[serde(default)]
     pub score: Option<f64>,
-    /// Engine that finished it.
+    /// Engine that generated the last token.
     pub engine: String,
 }
 
 /// Answer to a pull.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct SamplesAnswer {
-    /// Samples delivered by it.
+    /// Delivered samples.
     pub samples: Vec<Sample>,
-    /// Cursor that acknowledges them.
+    /// Cursor that acknowledges these samples in the next pull.
     pub cursor: String,
     /// Whether no samples remain after these.
     pub complete: bool,
-    /// Bundle that the samples were checked against.
+    /// Revision of the bundle that the samples were checked against.
     pub bundle_revision: u64,
 }
--- a/crates/bench/src/trainer/mod.rs
+++ b/crates/bench/src/trainer/mod.rs
@@ -1,7 +1,7 @@
-//! Trainer client: submits steps, pulls samples with cursors, and judges what it gets.
+//! Trainer client: submits steps, pulls samples with cursors, and checks them.
 //!
-//! It behaves as a real trainer under trouble would: refusals are waited out, broken connections lead to another
-//! daemon, and an answer can be dropped on purpose, after which the old cursor is used again.
+//! Retries refusals after their `Retry-After` time, uses another daemon after broken connections,
+//! and can drop answers on purpose to pull again with the old cursor.
 
 mod judge;
 mod messages;
@@ -17,37 +17,37 @@
 
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 const LONGEST_RETRY_PAUSE: Duration = Duration::from_secs(1);
-/// How long a call may take beyond its long poll.
+/// Time limit of a call, in addition to its long poll.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Why a step could not be finished.
+/// Error of a step.
 #[derive(Debug, thiserror::Error)]
 pub enum TrainerError {
-    /// The daemons refused the step for good.
+    /// The daemons finally refused the step.
     #[error("refused with {status}: {body}")]
     Refused {
         /// HTTP status.
         status: StatusCode,
-        /// What the daemon said.
+        /// Response body.
         body: String,
     },
-    /// Time ran out; the last trouble is named.
+    /// The time limit was exceeded; holds the last error.
     #[error("not done in time; last trouble: {0}")]
     TimedOut(String),
 }
 
-/// How samples are pulled.
+/// Options of pulls.
 #[derive(Debug, Clone)]
 pub struct PullOptions {
-    /// Most samples per answer.
+    /// Maximum number of samples per answer.
     pub max: u32,
-    /// Long poll.
+    /// Long poll time.
     pub wait: Duration,
-    /// Each answer of this number is dropped once and asked for again; 0: none.
+    /// Drops one in this number of answers and pulls again; 0 drops none.
     pub drop_every: u32,
-    /// Each pull goes to the next daemon; otherwise only after a trouble.
+    /// Uses the next daemon for each pull instead of only after a failure.
     pub moves: bool,
-    /// Time for the whole step.
+    /// Time limit of the step.
     pub deadline: Duration,
 }
 
@@ -63,27 +63,28 @@
     }
 }
 
-/// A trainer.
+/// Trainer client.
 #[derive(Debug)]
 pub struct Trainer {
     name: String,
-    /// Base URLs of daemons.
+    /// Base URLs of the daemons.
     daemons: Vec<String>,
     current: usize,
     facts: BundleFacts,
     client: Client,
-    /// Refusals that may be tried again and do not say when.
+    /// Retryable refusals without a `Retry-After` header.
     pub hasty_refusals: Vec<String>,
 }
 
-/// What one call came to.
+/// Result of one pull.
 enum Outcome {
     Answer(SamplesAnswer),
     Trouble { text: String, pause: Duration },
 }
 
 impl Trainer {
-    /// A trainer that talks to the daemons at these base URLs; `facts` says what each bundle demands.
+    /// Creates a trainer of the daemons at these base URLs; `facts` holds the requirements of each
+    /// bundle.
     pub fn new(name: &str, daemons: Vec<String>, facts: BundleFacts) -> Self {
         Self {
             name: name.to_owned(),
@@ -95,13 +96,13 @@
         }
     }
 
-    /// Uses these daemons from now on.
+    /// Replaces the daemons.
     pub fn use_daemons(&mut self, daemons: impl IntoIterator<Item = String>) {
         self.daemons = daemons.into_iter().collect();
         self.current = 0;
     }
 
-    /// Its name.
+    /// Returns the trainer's name.
     pub fn name(&self) -> &str {
         &self.name
     }
@@ -117,7 +118,7 @@
         self.pull(step, spec, options).await
     }
 
-    /// Submits a step, repeating it until a daemon takes it.
+    /// Submits a step, retrying until a daemon accepts it.
     pub async fn submit(
         &mut self,
         step: u64,
@@ -153,12 +154,12 @@
             .await
     }
 
-    /// A judge of a step that this trainer submitted.
+    /// Creates a checker of a step that this trainer submitted.
     pub fn judge(&self, step: u64, spec: &StepSpec) -> Judge {
         Judge::new(&self.name, step, spec.clone(), self.facts.clone())
     }
 
-    /// Pulls a step to its end, from a cursor whose answers `judge` has taken.
+    /// Pulls a step to its end from a cursor whose earlier answers `judge` has checked.
     pub async fn pull_on(
         &mut self,
         step: u64,
@@ -255,7 +256,10 @@
         Ok(())
     }
 
-    /// Text and pause of a refusal that may be tried again; an error for one that may not.
+    /// Returns the text and pause of a retryable refusal.
+    ///
+    /// # Errors
+    /// If the refusal is final.
     async fn retry_or_refuse(
         &mut self,
         answer: Response,
--- a/crates/bench/src/trainer/single_calls.rs
+++ b/crates/bench/src/trainer/single_calls.rs
@@ -1,4 +1,4 @@
-//! Single calls of a trainer to a daemon of its choice, for tests that place a fault around one answer.
+//! Single calls of a trainer to a given daemon, for tests that inject a fault around one answer.
 
 use std::time::Duration;
 
@@ -6,24 +6,24 @@
 
 use super::{CALL_TIMEOUT, SamplesAnswer, StepSpec, Trainer, with_query};
 
-/// What a daemon answered to one call.
+/// Result of a single call.
 #[derive(Debug, Clone, PartialEq)]
 pub enum SingleAnswer<T> {
-    /// It answered with this.
+    /// The daemon answered with success.
     Given(T),
-    /// It refused.
+    /// The daemon refused.
     Refused {
         /// HTTP status.
         status: StatusCode,
-        /// What it said.
+        /// Response body.
         body: String,
     },
-    /// No whole answer came.
+    /// No complete answer was received.
     Lost(String),
 }
 
 impl<T> SingleAnswer<T> {
-    /// HTTP status, if an answer came.
+    /// Returns the HTTP status, if an answer was received.
     pub fn status(&self) -> Option<StatusCode> {
         match self {
             Self::Given(_) => Some(StatusCode::OK),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Asks one daemon once for at most `max` samples that follow the cursor.
+    /// Pulls at most `max` samples that follow the cursor from one daemon, once.
     pub async fn pull_at(
         &self,
         daemon: &str,
--- a/crates/bench/src/waiting.rs
+++ b/crates/bench/src/waiting.rs
@@ -1,4 +1,4 @@
-//! Waiting for conditions.
+//! Polling of conditions.
 
 use std::time::{Duration, Instant};
 
@@ -7,7 +7,7 @@
 /// Waits until the condition holds.
 ///
 /// # Panics
-/// If it does not within `bound`; the message names `what`.
+/// If it does not hold within `bound`; the message names `what`.
 pub async fn until(what: &str, bound: Duration, condition: impl AsyncFn() -> bool) {
     let start = Instant::now();
     while !condition().await {
--- a/crates/bench/tests/adapters.rs
+++ b/crates/bench/tests/adapters.rs
@@ -1,4 +1,4 @@
-//! The daemons' adapters and the stand-ins understand each other, and adapters judge broken answers rightly.
+//! The daemons' adapters work with the stand-ins and classify broken answers correctly.
 
 use std::time::Duration;
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// Text and segments of a completion, and how its stream ended.
+/// Returns the text and segments of a completion and how its stream ended.
 async fn generate(
     engine: &Handle,
     request: &CompletionRequest,
--- a/crates/bench/tests/bundle_in_force/main.rs
+++ b/crates/bench/tests/bundle_in_force/main.rs
@@ -1,5 +1,6 @@
-//! An accepted bundle is in force everywhere within seconds, and never an older one, whatever fails: real daemons,
-//! judged by what callers and trainers are given and by what the engines hold.
+//! An accepted bundle is in force everywhere within seconds and no daemon returns to an older one,
+//! despite faults. Checked by the answers to callers and trainers and by the versions that engines
+//! hold.
 
 mod outages;
 mod refusals;
--- a/crates/bench/tests/bundle_in_force/outages.rs
+++ b/crates/bench/tests/bundle_in_force/outages.rs
@@ -1,4 +1,4 @@
-//! The key-value service goes down after an acceptance, or gives old records.
+//! Outages of the key-value service after an acceptance, and stale reads.
 
 use ladderstage_bench::proxy::Faults;
 use ladderstage_bench::stand_in::key_value::KeyValueFaults;
@@ -8,7 +8,7 @@
     roll, set_key_value, started, work_is_done,
 };
 
-/// To and from the roller; short enough for probes to be answered in time.
+/// Delay of the roller's connections, short enough for probes to succeed.
 const LINK_DELAY_MS: u64 = 60;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -76,7 +76,7 @@
         ..KeyValueFaults::default()
     };
     set_key_value(&cluster, &faults).await;
-    // It has no other source than the key-value service.
+    // The key-value service is then its only source of bundles.
     cluster.set_peer_faults(DISKLESS, refuse());
     let watch = RevisionWatch::start(&cluster);
     for revision in [2, 3] {
--- a/crates/bench/tests/bundle_in_force/refusals.rs
+++ b/crates/bench/tests/bundle_in_force/refusals.rs
@@ -1,4 +1,4 @@
-//! Bundles that no daemon may take.
+//! Bundles that every daemon must refuse.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
     set_key_value, signed_by, started, until,
 };
 
-/// How a daemon's log names the cause.
+/// Cause of the refusal in a daemon's log.
 const NOT_TRUSTED: &str = "no signature by a trusted key; signed by: bench";
 
 fn text_of(bundle: &Bundle) -> String {
@@ -71,7 +71,7 @@
 async fn a_daemon_without_the_key_refuses_the_bundle_that_others_push() {
     let mut cluster = started(&config()).await;
     restart_trusting(&mut cluster, DISKLESS, &other_key("stranger")).await;
-    // It is to see the bundle by a push, not in the key-value service.
+    // The daemon must receive the bundle by a push, not from the key-value service.
     let faults = KeyValueFaults {
         down_after_change: true,
         ..KeyValueFaults::default()
--- a/crates/bench/tests/bundle_in_force/rolls.rs
+++ b/crates/bench/tests/bundle_in_force/rolls.rs
@@ -1,4 +1,4 @@
-//! Rolls that race, lose their answer, or find the key-value service slow.
+//! Rolls that race, lose their answer, or meet a slow key-value service.
 
 use ladderstage::bundle::digest;
 use ladderstage_bench::cluster::{ClusterConfig, proposal, signed};
@@ -130,7 +130,8 @@
     ends_truly(&config(), &limited).await;
 }
 
-/// Rolls under faults, while work goes on. What the roll's answer says is so, and the next roll ends well.
+/// Rolls a bundle under faults and load. The reported outcome must be true, and the next roll must
+/// succeed.
 async fn ends_truly(config: &ClusterConfig, faults: &KeyValueFaults) {
     let cluster = started(config).await;
     let before = head_record(&cluster).await;
--- a/crates/bench/tests/bundle_in_force/scenario.rs
+++ b/crates/bench/tests/bundle_in_force/scenario.rs
@@ -1,4 +1,5 @@
-//! Three replicas and a daemon without disk, faults around them, and what is in force where.
+//! Three replicas and a daemon without a data folder, with faults and checks of the bundle in
+//! force.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -21,14 +22,15 @@
 
 pub const BOUND: Duration = Duration::from_secs(30);
 pub const POLL: Duration = Duration::from_millis(20);
-/// Index of the daemon that has no data folder and is no replica.
+/// Index of the daemon that has no data folder and is not a replica.
 pub const DISKLESS: usize = 3;
 const HEAD_KEY: &str = "ladderstage/bundle/head";
 const KEY_VALUE_TIMEOUT: Duration = Duration::from_secs(5);
 const SAMPLES: u32 = 12;
 const TOKENS: u32 = 10;
 
-/// Three replicas and one daemon without disk over two zones, which notice a silent peer within about a second.
+/// Three replicas and one daemon without a data folder in two zones, with a failure detection time
+/// of about a second.
 pub fn config() -> ClusterConfig {
     let timing = [
         ("probe_interval_ms", 300),
@@ -46,7 +48,7 @@
     config
 }
 
-/// A cluster with bundle 1 in force everywhere.
+/// Starts a cluster with bundle 1 in force everywhere.
 pub async fn started(config: &ClusterConfig) -> Cluster {
     let cluster = Cluster::start_ready(config).await.unwrap();
     let known = cluster.replica_set_known(&ALL, 1, BOUND);
@@ -57,7 +59,7 @@
 /// Indices of all daemons.
 pub const ALL: [usize; 4] = [0, 1, 2, DISKLESS];
 
-/// New connections are reset.
+/// Returns faults that reset new connections.
 pub fn refuse() -> Faults {
     Faults {
         refuse: true,
@@ -70,7 +72,7 @@
     cluster.platform.key_value.fault(faults).await.unwrap();
 }
 
-/// The key-value service gives no answers until this changes.
+/// Returns faults that make the key-value service unavailable.
 pub fn key_value_down() -> KeyValueFaults {
     KeyValueFaults {
         down: true,
@@ -78,25 +80,25 @@
     }
 }
 
-/// Offers a bundle to one daemon once.
+/// Posts a bundle to one daemon once.
 pub async fn offer(cluster: &Cluster, daemon: usize, bundle: &Bundle) -> RollReply {
     let url = cluster.daemons[daemon].url();
     cluster.operator().offer(&url, bundle).await.unwrap()
 }
 
-/// Offers a bundle to one daemon once, which must accept it. Returns its proposal id.
+/// Posts a bundle to one daemon once, asserts its acceptance, and returns its proposal id.
 pub async fn roll(cluster: &Cluster, daemon: usize, bundle: &Bundle) -> String {
     let reply = offer(cluster, daemon, bundle).await;
     assert_eq!(reply.body.outcome, "accepted", "{reply:?}");
     reply.body.proposal_id
 }
 
-/// A key that no daemon trusts of itself.
+/// Returns a key that no daemon trusts by default.
 pub fn other_key(key_id: &str) -> BundleKey {
     BundleKey::from_secret(key_id, &[8; 32])
 }
 
-/// A text with the signature of one key.
+/// Signs a text with one key.
 pub fn signed_by(key: &BundleKey, text: String) -> SignedText {
     let signature = sign(&text, key);
     SignedText {
@@ -108,7 +110,7 @@
     }
 }
 
-/// Restarts a daemon with this key as the only one that it trusts.
+/// Restarts a daemon that trusts this key only.
 pub async fn restart_trusting(cluster: &mut Cluster, daemon: usize, key: &BundleKey) {
     let trusted = BTreeMap::from([(key.key_id().to_owned(), key.public_hex())]);
     cluster.daemons[daemon].kill();
@@ -135,7 +137,7 @@
     }
 }
 
-/// Waits until all engines hold just this version.
+/// Waits until all engines hold only this version.
 pub async fn engines_hold(cluster: &Cluster, weight_version: u64) {
     until("the engines hold the bundle's version", async || {
         cluster.held_versions().await.unwrap() == [weight_version].into()
@@ -143,7 +145,7 @@
     .await;
 }
 
-/// Waits until something is true.
+/// Waits until the condition holds.
 pub async fn until(what: &str, condition: impl AsyncFn() -> bool) {
     let start = Instant::now();
     while !condition().await {
@@ -152,15 +154,15 @@
     }
 }
 
-/// The record of the newest bundle in the key-value service.
+/// Record of the newest bundle in the key-value service.
 #[derive(Debug, PartialEq, Eq)]
 pub struct HeadRecord {
-    /// How often it was written.
+    /// Number of writes of the record.
     pub changes: u64,
     pub proposal_id: String,
 }
 
-/// Reads it from the service itself.
+/// Reads the record from the service, bypassing the daemons.
 pub async fn head_record(cluster: &Cluster) -> HeadRecord {
     let url = cluster.platform.key_value.url();
     let client = KeyValue::new(vec![url], KEY_VALUE_TIMEOUT);
@@ -173,7 +175,7 @@
     }
 }
 
-/// Completions through these daemons and a step of samples, all whole.
+/// Asserts that completions through these daemons and a step of samples succeed.
 pub async fn work_is_done(cluster: &Cluster, daemons: &[usize], step: u64) {
     for daemon in daemons {
         let caller = Caller::new(&cluster.daemons[*daemon].url());
@@ -197,7 +199,7 @@
     assert_eq!(report.delivered, u64::from(SAMPLES));
 }
 
-/// Asks all daemons for their revision again and again.
+/// Polls the revision in force at all daemons.
 pub struct RevisionWatch {
     is_over: Arc<AtomicBool>,
     falls: JoinHandle<Vec<String>>,
@@ -211,7 +213,7 @@
         Self { is_over, falls }
     }
 
-    /// Ends it. No daemon has ever shown a lower revision than before.
+    /// Ends the watch and asserts that no daemon has shown a lower revision than before.
     pub async fn assert_none_fell(self) {
         self.is_over.store(true, Ordering::Relaxed);
         assert_eq!(self.falls.await.unwrap(), Vec::<String>::new());
@@ -223,7 +225,7 @@
     let mut falls = Vec::new();
     while !is_over.load(Ordering::Relaxed) {
         for url in &urls {
-            // A daemon that has just started has none yet.
+            // A daemon that has just started has no revision yet.
             let current = current_bundle(url).await.map(|current| current.revision);
             let Ok(revision @ 1..) = current else {
                 continue;
--- a/crates/bench/tests/bundle_in_force/stragglers.rs
+++ b/crates/bench/tests/bundle_in_force/stragglers.rs
@@ -1,4 +1,4 @@
-//! Daemons that miss rolls: frozen ones, and those of a zone that is cut off.
+//! Daemons that miss rolls because they are paused or in a partitioned zone.
 
 use std::time::Duration;
 
@@ -17,12 +17,12 @@
 const STEP: u64 = 1;
 const SAMPLES: u32 = 24;
 const TOKENS: u32 = 10;
-/// Bundle evidence may be this old; the daemons' default.
+/// Default of the setting `bundle_evidence_bound_ms`.
 const EVIDENCE_BOUND: Duration = Duration::from_secs(3);
-/// Pulls that wait at a frozen daemon for its waking.
+/// Number of pulls that wait at a paused daemon.
 const QUEUED_PULLS: usize = 6;
 
-/// Submits a step and waits until all its samples are committed; returns its owner.
+/// Submits a step and waits until all its samples are committed; returns the owner and the step.
 async fn committed_step(cluster: &Cluster, trainer: &mut Trainer) -> (usize, StepSpec) {
     let spec = StepSpec::generate(MODEL_POOL, STEP, SAMPLES, TOKENS);
     trainer.submit(STEP, &spec, BOUND).await.unwrap();
@@ -39,14 +39,14 @@
 
 type Pull = JoinHandle<SingleAnswer<SamplesAnswer>>;
 
-/// One pull from the beginning of the step, in the background.
+/// Starts one pull from the beginning of the step in the background.
 fn pull(cluster: &Cluster, daemon: usize) -> Pull {
     let url = cluster.daemons[daemon].url();
     let trainer = cluster.trainer(TRAINER);
     tokio::spawn(async move { trainer.pull_at(&url, STEP, None, 4, Duration::ZERO).await })
 }
 
-/// The answer, if samples came with it.
+/// Returns the answer if it contains samples.
 fn delivered(answer: SingleAnswer<SamplesAnswer>) -> Option<SamplesAnswer> {
     match answer {
         SingleAnswer::Given(answer) if !answer.samples.is_empty() => Some(answer),
@@ -59,7 +59,7 @@
     let mut cluster = started(&config()).await;
     let mut trainer = cluster.trainer(TRAINER);
     let (owner, spec) = committed_step(&cluster, &mut trainer).await;
-    // Not the owner, so that no fence of the journal holds it back, and already asked for this step.
+    // Not the owner, which the journal would fence; and the daemon has already served this step.
     let frozen = (owner + 1) % ALL.len();
     until("samples are given", async || {
         delivered(pull(&cluster, frozen).await.unwrap()).is_some()
@@ -102,7 +102,7 @@
     let mut cluster = Cluster::start(&config()).await.unwrap();
     let (key, behind) = (other_key("old"), DISKLESS);
     restart_trusting(&mut cluster, behind, &key).await;
-    // Bundle 1 is signed by the keys of all daemons, the following ones are not.
+    // Bundle 1 is signed with the keys of all daemons, the later ones with the test key only.
     let mut first = signed(&cluster.bundle(1, 1));
     let by_old_key = signed_by(&key, first.text.clone());
     first.signatures.extend(by_old_key.signatures);
@@ -155,7 +155,7 @@
     );
 }
 
-/// Leaves a daemon no quick way to learn of a bundle, but one to ask an owner for samples.
+/// Partitions a daemon, except for its connection to the owner.
 fn cut_but_for_its_way_to(cluster: &Cluster, daemon: usize, owner: usize) {
     cluster.set_peer_faults(daemon, refuse());
     let way = &cluster.daemons[daemon].links[cluster.daemons[owner].name()];
@@ -183,7 +183,7 @@
     }
     work_is_done(&cluster, &rest, 2).await;
 
-    // The key-value service is still out of the zone's reach: its peers alone tell it.
+    // The zone cannot reach the key-value service yet and must learn the bundle from its peers.
     for (inside, outside) in pairs(&zone, &rest) {
         cluster.set_link_faults(inside, outside, Faults::default());
     }
--- a/crates/bench/tests/chaos.rs
+++ b/crates/bench/tests/chaos.rs
@@ -1,10 +1,10 @@
-//! Fixed seeds of the random fault run; more and longer ones are run by `ladderstage-bench chaos`.
+//! Fault runs with fixed seeds; `ladderstage-bench chaos` runs others.
 
 use std::time::Duration;
 
 use ladderstage_bench::chaos::{self, ChaosConfig, Layout, Plan};
 
-/// Eight seconds of faults.
+/// Eight seconds with faults and five without.
 const LENGTH: Duration = Duration::from_secs(13);
 
 async fn holds_under_faults(seed: u64) {
--- a/crates/bench/tests/common/mod.rs
+++ b/crates/bench/tests/common/mod.rs
@@ -1,11 +1,11 @@
-//! What tests of refusals share.
+//! Assertions on refusals, shared by several tests.
 
 use std::fmt::Debug;
 
 use ladderstage_bench::live::LiveError;
 use reqwest::{RequestBuilder, StatusCode};
 
-/// A live request was refused as not run, with a time to try again.
+/// Asserts that a live request was refused as not run, with a `Retry-After` header.
 pub fn assert_not_run<T: Debug>(result: Result<T, LiveError>) {
     match result {
         Err(LiveError::NotRun {
@@ -16,7 +16,7 @@
     }
 }
 
-/// A request is refused with this outcome and a time to try again.
+/// Asserts that a request is refused with this outcome and a `Retry-After` header.
 pub async fn assert_refused(request: RequestBuilder, outcome: &str) {
     let answer = request.send().await.unwrap();
     let header = |name| answer.headers().get(name).map(|value| value.as_bytes());
--- a/crates/bench/tests/exactly_once/answers.rs
+++ b/crates/bench/tests/exactly_once/answers.rs
@@ -1,4 +1,4 @@
-//! Answers that the trainer loses.
+//! Answers that are lost on their way to the trainer.
 
 use std::time::Instant;
 
--- a/crates/bench/tests/exactly_once/disks.rs
+++ b/crates/bench/tests/exactly_once/disks.rs
@@ -1,4 +1,4 @@
-//! Journal replicas whose disks are lost, emptied or torn.
+//! Journal replicas whose disks are lost, emptied or corrupted.
 
 use std::fs::{self, File};
 use std::os::unix::fs::FileExt;
@@ -13,7 +13,7 @@
 
 const DATABASE: &str = "journal.redb";
 const WATERMARK: &str = "journal.commits";
-/// Versions of the replica set that one replacement takes: a joint set and the next one.
+/// Replica set versions per replacement: a joint set and the final one.
 const VERSIONS_PER_REPLACEMENT: u64 = 2;
 const QUESTIONS: usize = 5;
 
@@ -98,7 +98,7 @@
     torn(WATERMARK, |file, length| file.set_len(length - 5)).await;
 }
 
-/// The first three daemons are replicas, the fourth has a spare disk.
+/// Three replicas and a fourth daemon with a spare data folder.
 fn config_with_spare() -> ClusterConfig {
     let mut config = config(4);
     config.spares = vec!["daemon-4".to_owned()];
@@ -107,7 +107,7 @@
     config
 }
 
-/// Kills a replica, deletes its disk and waits until another one has taken its place.
+/// Kills a replica, deletes its data folder and waits until a spare has replaced it.
 async fn lose_and_replace(scenario: &mut Scenario, replica: usize) {
     let rest = scenario.all_but(&[replica]);
     let known = scenario.cluster.replica_set_known(&rest, 1, BOUND);
@@ -129,18 +129,18 @@
     held.assert_refused_or_whole(file).await;
 }
 
-/// A step whose samples are all committed, at two of three replicas only; all three are down.
+/// A step whose committed samples are stored at two of three replicas only; all three are down.
 struct HeldByTwo {
     scenario: Scenario,
-    /// Holds the step; its disk is to be damaged.
+    /// Replica that has the step and whose files are to be damaged.
     damaged: usize,
-    /// Holds the step.
+    /// Replica that has the step.
     holder: usize,
-    /// Went down before the step began.
+    /// Replica that was down before the step started.
     behind: usize,
-    /// The database of the damaged replica as it was before the step.
+    /// Copy of the damaged replica's database from before the step.
     early_database: PathBuf,
-    /// Runs of the engines up to the last commit.
+    /// Number of engine runs up to the last commit.
     runs: usize,
 }
 
@@ -175,7 +175,8 @@
         data_folder(&self.scenario.cluster, self.damaged)
     }
 
-    /// Starts the replica that is behind and the damaged one; the error is the log of a refused start.
+    /// Starts the replica that is behind and the damaged one; the error is the log of a refused
+    /// start.
     async fn start_damaged(&mut self) -> Result<(), String> {
         let cluster = &mut self.scenario.cluster;
         cluster.start_daemon(self.behind).await.unwrap();
@@ -187,7 +188,8 @@
         Ok(())
     }
 
-    /// The damaged replica refuses to start and names the file, or starts with everything it had answered for.
+    /// Asserts that the damaged replica refuses to start and names the file, or starts with all
+    /// acknowledged data.
     async fn assert_refused_or_whole(&mut self, file: &str) {
         match self.start_damaged().await {
             Ok(()) => self.assert_recovered().await,
@@ -196,7 +198,8 @@
         self.assert_whole_with_the_other_holder().await;
     }
 
-    /// Without the other holder there is no majority: nothing is said of the step, and no other body is taken.
+    /// Asserts that without the other holder, hence without a majority, pulls fail and no other
+    /// body is accepted.
     async fn assert_nothing_is_decided(&self) {
         let other = StepSpec::generate(MODEL_POOL, STEP, 12, 10);
         for daemon in [self.damaged, self.behind] {
@@ -211,7 +214,7 @@
         }
     }
 
-    /// The damaged replica and the one that is behind have everything.
+    /// Asserts that the damaged replica and the one that is behind have all samples.
     async fn assert_recovered(&self) {
         let answer = self.scenario.answer(self.damaged, None, 8).await;
         assert_eq!(answer.samples.len(), 8);
--- a/crates/bench/tests/exactly_once/main.rs
+++ b/crates/bench/tests/exactly_once/main.rs
@@ -1,6 +1,8 @@
-//! Every sample of a step reaches its trainer exactly once, whatever becomes of owners, answers, disks and daemons.
+//! Every sample of a step reaches its trainer exactly once, despite failures of owners, answers,
+//! disks and daemons.
 //!
-//! The judges are what the trainer took ([`ladderstage_bench::trainer::Judge`]) and what the engines ran.
+//! Checked by the samples that the trainer received ([`ladderstage_bench::trainer::Judge`]) and by
+//! the engines' runs.
 
 mod answers;
 mod disks;
