--- a/crates/bench/tests/exactly_once/owners.rs
+++ b/crates/bench/tests/exactly_once/owners.rs
@@ -1,4 +1,4 @@
-//! Owners that are killed or stopped.
+//! Owners that are killed or paused.
 
 use std::time::{Duration, Instant};
 
@@ -64,10 +64,10 @@
     .await;
 }
 
-/// While the owner sleeps, it is asked for what follows the answer that `asked_after` names.
+/// Pulls from the paused owner what follows the answer that `asked_after` returns.
 async fn paused_owner_delivers_nothing(asked_after: impl Fn(&SamplesAnswer) -> u64) {
     let mut config = config(3);
-    // The fence alone has to hold the old owner back, not the age of what it knows of the bundle.
+    // The fence alone must stop the old owner, not the age of its bundle evidence.
     let bound = "bundle_evidence_bound_ms".to_owned();
     config.timing.insert(bound, 60_000);
     let mut scenario = Scenario::submitted(&config, 30, 40).await;
@@ -90,7 +90,7 @@
     let successor = successor.await;
     let again = scenario.answer(successor, None, 4).await;
     let next = scenario.answer(successor, Some(&again.cursor), 4).await;
-    // Acknowledges the second answer: whoever owns the shard now gives nothing for either question.
+    // Acknowledges the second answer, after which any owner must refuse both pulls.
     let last = scenario.answer(successor, Some(&next.cursor), 4).await;
     scenario.cluster.daemons[owner].resume();
     assert_eq!(attempts(&again), attempts(&first), "open answer repeated");
@@ -116,7 +116,7 @@
     }
 }
 
-/// Samples in an owner's answer to a peer.
+/// Returns the number of samples in an owner's answer to a peer.
 fn sample_count(response: Result<Response, CallError>) -> usize {
     match response.map(|response| response.kind) {
         Ok(ResponseKind::pull_shard(reply)) => reply.samples.len(),
@@ -125,8 +125,8 @@
 }
 
 impl Scenario {
-    /// Asks a daemon as the shard's owner, over the way that `peer` has to it, in the background.
-    /// The result is how many samples were given.
+    /// Calls a daemon as the shard's owner, through the proxy of `peer`, in the background. Returns
+    /// the number of samples in the answer.
     fn ask_owner_in_background(
         &self,
         owner: usize,
@@ -149,8 +149,8 @@
         shard.map_or(0, |shard| shard.committed + shard.settled)
     }
 
-    /// Waits until the daemon says that its ownership ended. It may own the shard again by then, under a new epoch:
-    /// its replica heard no heartbeat while it slept.
+    /// Waits until the daemon logs the end of its ownership. It may own the shard again by then,
+    /// under a new epoch, as its replica received no heartbeats while it was paused.
     async fn assert_let_go(&self, daemon: usize) {
         let start = Instant::now();
         let daemon = &self.cluster.daemons[daemon];
--- a/crates/bench/tests/exactly_once/restarts.rs
+++ b/crates/bench/tests/exactly_once/restarts.rs
@@ -1,4 +1,4 @@
-//! All daemons killed together and started again on their data folders.
+//! All daemons are killed together and restarted on their data folders.
 
 use ladderstage_bench::proxy::Faults;
 
@@ -18,7 +18,7 @@
     restart_all(refuse).await;
 }
 
-/// The trainer goes on pulling all the while.
+/// Restarts all daemons while the trainer keeps pulling.
 async fn restart_all(key_value_faults: Faults) {
     let mut scenario = Scenario::submitted(&config(3), 30, 40).await;
     scenario.cluster.set_key_value_faults(key_value_faults);
--- a/crates/bench/tests/exactly_once/scenario.rs
+++ b/crates/bench/tests/exactly_once/scenario.rs
@@ -1,4 +1,4 @@
-//! A cluster with one trainer and one submitted step, and what the engines ran for it.
+//! A cluster with one trainer and one step, and the engines' runs of it.
 
 use std::time::{Duration, Instant};
 
@@ -15,11 +15,11 @@
 pub const STEP: u64 = 1;
 pub const TRAINER: &str = "trainer-1";
 const ENGINES: usize = 2;
-/// Long poll of one pull.
+/// Long poll time of a pull.
 const WAIT: Duration = Duration::from_millis(500);
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Daemons that notice a silent peer within about a second.
+/// Returns a configuration with a failure detection time of about a second.
 pub fn config(daemons: usize) -> ClusterConfig {
     let timing = [
         ("probe_interval_ms", 300),
@@ -34,7 +34,7 @@
     }
 }
 
-/// A running cluster to which a trainer has submitted a step of one shard.
+/// A running cluster and a trainer with a step of one shard.
 pub struct Scenario {
     pub cluster: Cluster,
     pub trainer: Trainer,
@@ -42,7 +42,7 @@
 }
 
 impl Scenario {
-    /// Submits a step of this many samples, most of them of `tokens` tokens.
+    /// Starts a cluster and submits a step of this many samples, most of them of `tokens` tokens.
     pub async fn submitted(config: &ClusterConfig, samples: u32, tokens: u32) -> Self {
         let cluster = Cluster::start_ready(config).await.unwrap();
         let mut scenario = Self::new(cluster, samples, tokens);
@@ -50,7 +50,7 @@
         scenario
     }
 
-    /// A step still to be submitted.
+    /// Creates a scenario whose step is not submitted yet.
     pub fn new(cluster: Cluster, samples: u32, tokens: u32) -> Self {
         Self {
             trainer: cluster.trainer(TRAINER),
@@ -65,13 +65,13 @@
         submitted.await.unwrap();
     }
 
-    /// Indices of all daemons but these.
+    /// Returns the indices of all other daemons.
     pub fn all_but(&self, excluded: &[usize]) -> Vec<usize> {
         let all = 0..self.cluster.daemons.len();
         all.filter(|index| !excluded.contains(index)).collect()
     }
 
-    /// Waits until one of these daemons owns the shard and its state is as wanted.
+    /// Waits until one of these daemons owns the shard and the shard meets the condition.
     pub async fn owner_among(
         &self,
         daemons: &[usize],
@@ -82,7 +82,7 @@
         owner.await.unwrap()
     }
 
-    /// Waits until any daemon owns the shard and its state is as wanted.
+    /// Waits until any daemon owns the shard and the shard meets the condition.
     pub async fn owner(&self, is_wanted: impl Fn(&OwnedShard) -> bool) -> usize {
         self.owner_among(&self.all_but(&[]), is_wanted).await
     }
@@ -93,7 +93,7 @@
         self.owner(|shard| shard.committed == slots).await
     }
 
-    /// One pull without retries.
+    /// Pulls once, without retries.
     pub async fn ask(
         &self,
         daemon: usize,
@@ -104,7 +104,7 @@
         self.trainer.pull_at(&url, STEP, after, max, WAIT).await
     }
 
-    /// One pull from the beginning without retries, in the background.
+    /// Pulls once from the beginning, without retries, in the background.
     pub fn ask_in_background(
         &self,
         daemon: usize,
@@ -115,7 +115,7 @@
         tokio::spawn(async move { trainer.pull_at(&url, STEP, None, max, WAIT).await })
     }
 
-    /// What this daemon says once it does not ask to try again.
+    /// Repeats a pull until the answer is not a server error.
     pub async fn final_answer(
         &self,
         daemon: usize,
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Samples that follow the cursor, from this daemon, once there are some.
+    /// Pulls from this daemon until samples follow the cursor.
     pub async fn answer(&self, daemon: usize, after: Option<&str>, max: u32) -> SamplesAnswer {
         let start = Instant::now();
         loop {
@@ -155,14 +155,14 @@
         self.pull_rest(judge, None).await
     }
 
-    /// Pulls what follows the cursor up to the end of the step, dropping some answers on the way.
+    /// Pulls the step from the cursor to its end, dropping some answers.
     pub async fn pull_rest(&mut self, judge: Judge, cursor: Option<String>) -> StepReport {
         let options = pull_options();
         let rest = self.trainer.pull_on(STEP, judge, cursor, &options);
         rest.await.unwrap()
     }
 
-    /// Each slot was taken once, and nothing else was.
+    /// Asserts that each slot was delivered once and nothing else was.
     pub fn assert_exactly_once(&self, report: &StepReport) {
         assert_eq!(report.violations, [], "{report:?}");
         let counts = (report.delivered, report.duplicated, report.lost);
@@ -170,7 +170,7 @@
         assert_eq!(counts, (slots, 0, 0), "delivered, duplicated, lost");
     }
 
-    /// Waits until the engines run nothing; returns how many runs they have had.
+    /// Waits until the engines are idle; returns their number of runs.
     pub async fn runs_so_far(&self) -> usize {
         let start = Instant::now();
         loop {
@@ -183,14 +183,15 @@
         }
     }
 
-    /// No sample was generated since the engines had had this many runs: none that was committed then was lost.
+    /// Asserts that the engines have run nothing since they had this many runs, so that no
+    /// committed sample was lost.
     pub async fn assert_nothing_generated_since(&self, runs_before: usize) {
         let runs = self.runs().await;
         let since: Vec<&Run> = runs.iter().skip(runs_before).collect();
         assert!(since.is_empty(), "generated anew, at least: {since:?}");
     }
 
-    /// What the engines say they ran.
+    /// Returns the runs in the engines' logs.
     async fn runs(&self) -> Vec<Run> {
         let mut runs = Vec::new();
         for engine in &self.cluster.platform.engines {
@@ -202,7 +203,8 @@
     }
 }
 
-/// Small answers, each third of them dropped, each pull through another daemon.
+/// Returns options with small answers, one in three of them dropped, and a daemon change after each
+/// pull.
 pub fn pull_options() -> PullOptions {
     PullOptions {
         max: 5,
@@ -212,7 +214,7 @@
     }
 }
 
-/// Name of the journal's log of the step's only shard.
+/// Returns the name of the journal log of the step's only shard.
 pub fn shard_log() -> String {
     let key = ShardKey {
         trainer: TRAINER.to_owned(),
@@ -222,7 +224,7 @@
     key.log()
 }
 
-/// Which attempts an answer holds.
+/// Returns the slot and attempt of each sample in an answer.
 pub fn attempts(answer: &SamplesAnswer) -> Vec<(u32, u32)> {
     let samples = answer.samples.iter();
     samples
--- a/crates/bench/tests/exactly_once/submissions.rs
+++ b/crates/bench/tests/exactly_once/submissions.rs
@@ -1,4 +1,4 @@
-//! Steps that are submitted again.
+//! Steps that are submitted more than once.
 
 use std::time::Instant;
 
@@ -24,7 +24,8 @@
 }
 
 impl Scenario {
-    /// Through every running daemon: the same body is taken again, others are a conflict.
+    /// Asserts that every running daemon accepts the same body again and refuses others as a
+    /// conflict.
     pub async fn assert_only_the_first_body_is_taken(&self) {
         let longer = StepSpec::generate(MODEL_POOL, STEP, 300, 10);
         let mut reworded = self.spec.clone();
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Submits until the answer is not one that may be tried again.
+    /// Submits until the answer is not a server error; returns its status.
     async fn final_status(&self, daemon: &str, spec: &StepSpec) -> StatusCode {
         let start = Instant::now();
         loop {
--- a/crates/bench/tests/failover.rs
+++ b/crates/bench/tests/failover.rs
@@ -1,4 +1,5 @@
-//! Daemons killed, paused and stopped under a step: every sample still arrives once, truly labelled.
+//! Daemons killed, paused and stopped during a step: every sample is still delivered once with true
+//! labels.
 
 use std::time::Duration;
 
@@ -38,7 +39,7 @@
     assert_eq!(counts, (u64::from(SAMPLES), 0, 0));
 }
 
-/// Index of a running daemon other than `except` that owns the step's shard.
+/// Returns the index of a running daemon other than `except` that owns the step's shard.
 async fn owner(cluster: &Cluster, step: u64, except: Option<usize>) -> Option<usize> {
     let log = format!("shard/{TRAINER}/{step}/0");
     for (index, daemon) in cluster.daemons.iter().enumerate() {
@@ -58,7 +59,7 @@
     None
 }
 
-/// Waits for an owner while the step runs; `None` once the step has ended.
+/// Waits for an owner while the step runs; returns `None` once the step has ended.
 async fn owner_of(
     running: &JoinHandle<StepReport>,
     cluster: &Cluster,
@@ -74,7 +75,7 @@
     None
 }
 
-/// Starts a step and finds its owner; starts another if one ended before its owner was seen.
+/// Starts a step and finds its owner; starts another step if one ended before its owner was found.
 async fn start_step(cluster: &Cluster, first: u64) -> (JoinHandle<StepReport>, usize, u64) {
     let mut step = first;
     loop {
@@ -147,7 +148,7 @@
     assert_whole(&second);
 }
 
-/// Requests that engines have begun to run.
+/// Returns the number of requests that engines have started to run.
 async fn runs_at_engines(cluster: &Cluster) -> usize {
     let mut runs = 0;
     for engine in &cluster.platform.engines {
--- a/crates/bench/tests/isolation.rs
+++ b/crates/bench/tests/isolation.rs
@@ -1,5 +1,5 @@
-//! A daemon that is cut off from its region's other members and from the key-value service takes no new work. The back
-//! ends' own records are the judge.
+//! A daemon that is partitioned from the region's other members and from the key-value service
+//! accepts no new work. Checked by the back ends' logs.
 
 mod common;
 
@@ -20,7 +20,7 @@
 const CUT_OFF: usize = 2;
 const TOKENS: u64 = 5;
 const STEP: u64 = 1;
-/// A refusal at once takes far less, one near its request's deadline of 20 s far more.
+/// Distinguishes an immediate refusal from one at the request's deadline of 20 s.
 const AT_ONCE: Duration = Duration::from_secs(5);
 fn config() -> ClusterConfig {
     let timing = [
@@ -39,7 +39,7 @@
     let cluster = Cluster::start_ready(&config()).await.unwrap();
     let daemon = &cluster.daemons[CUT_OFF];
     let url = daemon.url();
-    // A daemon is ready with its bundle, and has the engines' first load reports up to a second later.
+    // A daemon may be ready a second before it has the engines' first load reports.
     until("first load reports", BOUND, async || {
         let caller = Caller::new(&url);
         let probe = caller.complete(MODEL_POOL, "first", TOKENS, false);
@@ -94,7 +94,7 @@
     priced.await.unwrap();
 }
 
-/// Requests of all kinds are refused as not run, with a time to try again.
+/// Asserts that requests of all kinds are refused as not run, with a `Retry-After` header.
 async fn assert_refuses(url: &str) {
     let caller = Caller::new(url);
     for is_streamed in [false, true] {
@@ -106,7 +106,7 @@
     }
     let priced = caller.application(APPLICATION_POOL, Method::POST, "price", "cut off");
     assert_not_run(priced.await);
-    // Whether an earlier try of its key ran cannot be told here.
+    // The daemon cannot tell whether an earlier attempt with this key ran.
     let keyed = http_client()
         .post(format!("{url}/v1/apps/{APPLICATION_POOL}/price"))
         .header("Idempotency-Key", "cut-off");
@@ -123,7 +123,7 @@
     (answer.status(), answer.text().await.unwrap())
 }
 
-/// Runs at all back ends.
+/// Returns the number of runs at all back ends.
 async fn run_count(cluster: &Cluster) -> usize {
     let mut count = 0;
     for engine in &cluster.platform.engines {
--- a/crates/bench/tests/judge.rs
+++ b/crates/bench/tests/judge.rs
@@ -1,4 +1,4 @@
-//! The judge finds each broken guarantee, and nothing in a faultless step.
+//! The checker detects each violation and accepts a correct step.
 
 use std::time::Instant;
 
--- a/crates/bench/tests/leaving_backends.rs
+++ b/crates/bench/tests/leaving_backends.rs
@@ -1,4 +1,4 @@
-//! A back end that is leaving gets no new work after a few seconds. The back ends' own records are the judge.
+//! A leaving back end receives no new work after a few seconds. Checked by the back ends' logs.
 
 use std::time::Duration;
 
@@ -19,15 +19,15 @@
 use tokio::task::JoinHandle;
 
 const BOUND: Duration = Duration::from_secs(30);
-/// The guarantee's "few seconds".
+/// Time after which a leaving back end must receive no new work.
 const LEAVING_BOUND: Duration = Duration::from_secs(5);
 const ENGINES: usize = 3;
-/// Runs of each back end before the fault.
+/// Minimum number of runs at each back end before the fault.
 const RUNS_BEFORE: usize = 10;
-/// Requests of each kind through each daemon after the bound.
+/// Number of requests of each kind through each daemon after the bound.
 const REQUESTS_AFTER: usize = 15;
 const TOKEN_INTERVAL: Duration = Duration::from_millis(10);
-/// Tokens of a completion that outlasts [`LEAVING_BOUND`].
+/// Tokens of a completion that lasts longer than [`LEAVING_BOUND`].
 const LONG_TOKENS: u64 = 600;
 const LONG_COMPLETIONS: usize = 4;
 const SHORT_TOKENS: u64 = 5;
@@ -99,14 +99,14 @@
     scenario.finish(engine).await;
 }
 
-/// What the records of engines and applications have in common.
+/// Common part of the logs of engines and applications.
 #[derive(Debug, Deserialize)]
 struct RunLog {
-    /// Each as the record shows it; evidence in messages.
+    /// Runs as in the log, shown in failure messages.
     runs: Vec<Value>,
 }
 
-/// A completion that is under way when its engine starts to leave.
+/// A completion that is running when its engine starts to leave.
 struct LongCompletion {
     prompt: String,
     result: JoinHandle<Result<Completion, LiveError>>,
@@ -155,7 +155,8 @@
         platform.publish_machines().await.unwrap();
     }
 
-    /// The engine and these applications say themselves that they are leaving, but still run what they are sent.
+    /// Makes the engine and these applications report that they are leaving, though they still run
+    /// requests.
     async fn report_leaving(&self, engine: usize, applications: &[usize]) {
         for backend in self.backends(engine, applications) {
             let order = LeavingOrder { leaving: true };
@@ -173,8 +174,8 @@
         }
     }
 
-    /// Starts load through all daemons, steps through `trainer_daemons`, and long completions. Returns once all back
-    /// ends have had work and the long completions run.
+    /// Starts load through all daemons, steps through `trainer_daemons`, and long completions.
+    /// Returns once every back end has run requests and the long completions are running.
     async fn run_load(&mut self, trainer_daemons: &[usize]) {
         let urls = self.cluster.urls();
         for (index, url) in urls.iter().enumerate() {
@@ -203,7 +204,7 @@
         .await;
     }
 
-    /// Prompts of the long completions that an engine is running.
+    /// Returns the prompts of the long completions that an engine is running.
     async fn long_work_at(&self, engine: usize) -> Vec<&str> {
         let log = self.engine_log(engine).await;
         let runs_here = |prompt: &str| {
@@ -215,7 +216,7 @@
         prompts.filter(|prompt| runs_here(prompt)).collect()
     }
 
-    /// An engine that runs long completions, and their prompts.
+    /// Returns an engine that runs long completions.
     async fn engine_with_long_work(&self) -> BusyEngine {
         for index in 0..ENGINES {
             let prompts = self.long_work_at(index).await;
@@ -245,7 +246,8 @@
         applications.chain([&platform.engines[engine]]).collect()
     }
 
-    /// From the bound on, requests of all kinds through every daemon are served, and none by those that are leaving.
+    /// Asserts that after the bound every daemon serves requests of all kinds, and leaving back
+    /// ends run none of them.
     async fn assert_no_new_work(&self, engine: usize, applications: &[usize]) {
         tokio::time::sleep(LEAVING_BOUND).await;
         let leaving = self.backends(engine, applications);
@@ -266,7 +268,8 @@
         }
     }
 
-    /// What was under way ended whole, where it had started, and all else was served.
+    /// Asserts that the long completions ended on the engine on which they started, and that all
+    /// load succeeded.
     async fn finish(mut self, engine: BusyEngine) {
         for long in std::mem::take(&mut self.long) {
             let whole = long.result.await.unwrap();
@@ -299,7 +302,7 @@
     LongCompletion { prompt, result }
 }
 
-/// Sends requests of both kinds to a daemon, which must answer each.
+/// Asserts that a daemon answers requests of both kinds.
 async fn assert_serves(daemon: &str) {
     let caller = Caller::new(daemon);
     for number in 0..REQUESTS_AFTER {
--- a/crates/bench/tests/live_faults.rs
+++ b/crates/bench/tests/live_faults.rs
@@ -1,4 +1,5 @@
-//! Live requests through real daemons that are frozen, killed and stopped: the back ends' own logs are the judge.
+//! Live requests through daemons that are paused, killed and stopped. Checked by the back ends'
+//! logs.
 
 use std::time::{Duration, Instant};
 
@@ -25,7 +26,8 @@
     cluster
 }
 
-/// A pricing call that must not run twice; its body names it in the back ends' logs.
+/// Returns a keyed pricing request, which must not run twice. Its body identifies it in the back
+/// ends' logs.
 fn price(cluster: &Cluster, daemon: usize, key: &str) -> RequestBuilder {
     let url = format!(
         "{}/v1/apps/{APPLICATION_POOL}/price",
@@ -35,7 +37,7 @@
     request.header("Idempotency-Key", key).body(key.to_owned())
 }
 
-/// Status and outcome; `None` if the connection broke.
+/// Returns the status and outcome, or `None` if the connection broke.
 async fn answer(request: RequestBuilder) -> Option<(u16, String)> {
     let response = request.send().await.ok()?;
     let outcome = response.headers().get("Ladderstage-Outcome");
@@ -45,7 +47,7 @@
     Some((response.status().as_u16(), outcome))
 }
 
-/// How often a key's request ran.
+/// Returns the number of runs of a key's request.
 async fn runs(cluster: &Cluster, key: &str) -> usize {
     let mut count = 0;
     for application in &cluster.platform.applications {
@@ -126,7 +128,7 @@
     cluster.daemons[1].kill();
     cluster.daemons[2].kill();
     let (status, outcome) = answer(price(&cluster, 0, "k")).await.unwrap();
-    // An earlier try of the key might have run.
+    // An earlier attempt with the key might have run.
     assert_eq!((status, outcome.as_str()), (503, "unknown"));
     assert_eq!(runs(&cluster, "k").await, 0);
     cluster.start_daemon(1).await.unwrap();
--- a/crates/bench/tests/metrics.rs
+++ b/crates/bench/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! What `/metrics` of a cluster's daemons counts after a step, a roll and two refusals.
+//! Counters in `/metrics` after a step, a roll and two refusals.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -12,7 +12,7 @@
 const SAMPLES: u32 = 12;
 const TOKENS: u32 = 20;
 
-/// Sums of all daemons' metrics, by name and labels.
+/// Returns the sums of all daemons' metrics, by name and labels.
 async fn scrape(cluster: &Cluster) -> Sums {
     let mut sums = BTreeMap::new();
     for url in cluster.urls() {
@@ -32,7 +32,7 @@
     sums.get(name).copied().unwrap_or_default()
 }
 
-/// Whether every daemon has the second bundle and sees its weight version on both engines.
+/// Returns whether every daemon has the second bundle and sees its weight version on both engines.
 fn is_rolled_out(sums: &Sums) -> bool {
     sum(sums, "ladderstage_bundle_revision") == 6.0
         && sum(sums, "ladderstage_weights_in_force_seconds_count") >= 2.0
--- a/crates/bench/tests/planned_stop/connections.rs
+++ b/crates/bench/tests/planned_stop/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to a daemon whose reading side is in the test's hands.
+//! Connections to a daemon whose reads are under the test's control.
 
 use std::net::SocketAddr;
 
@@ -9,15 +9,15 @@
 use crate::BOUND;
 
 const HEAD_END: &[u8] = b"\r\n\r\n";
-/// Receive buffer of a narrow connection.
+/// Receive buffer size of a narrow connection, in bytes.
 const NARROW_BYTES: u32 = 16 * 1024;
 
-/// A connection.
+/// Connection to a daemon.
 pub struct Connection {
     stream: TcpStream,
 }
 
-/// The body of an answer whose head was read.
+/// Body of an answer whose head has been read.
 pub struct Body {
     length: u64,
 }
@@ -30,7 +30,7 @@
         Self { stream }
     }
 
-    /// Connects such that the system buffers little in between: what is not read waits in the server.
+    /// Connects with a small receive buffer, so that unread bytes stay in the server.
     pub async fn open_narrow(address: SocketAddr) -> Self {
         let socket = TcpSocket::new_v4().unwrap();
         socket.set_recv_buffer_size(NARROW_BYTES).unwrap();
@@ -38,7 +38,7 @@
         Self { stream }
     }
 
-    /// Sends a request and reads its answer whole, which leaves the connection idle.
+    /// Sends a request and reads the complete answer, after which the connection is idle.
     pub async fn get(&mut self, path: &str) {
         let body = self.begin("GET", path, "").await;
         self.read_to_end(&body).await;
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Reads a body whole; fails if it is cut.
+    /// Reads a body and asserts that it is complete.
     pub async fn read_to_end(&mut self, body: &Body) {
         let mut rest = Vec::new();
         let read = (&mut self.stream)
@@ -76,7 +76,7 @@
         assert_eq!(received as u64, length, "cut off: {read:?}");
     }
 
-    /// The other side has closed it.
+    /// Asserts that the server has closed the connection.
     pub async fn assert_closed(&mut self) {
         let mut byte = [0];
         let read = timeout(BOUND, self.stream.read(&mut byte)).await;
--- a/crates/bench/tests/planned_stop/main.rs
+++ b/crates/bench/tests/planned_stop/main.rs
@@ -1,4 +1,5 @@
-//! A planned stop cuts off no request in flight. Callers and the back ends' own records are the judges.
+//! A planned stop cuts no request in flight. Checked by the callers' answers and the back ends'
+//! logs.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -21,10 +22,11 @@
 use work::{Runs, Work, config, shard_log};
 
 const BOUND: Duration = Duration::from_secs(30);
-/// Less than a caller gets to read the end of its answer: idle connections hold no stop for that long.
+/// Shorter than the time that callers have to read the end of an answer: idle connections must not
+/// delay a stop that long.
 const STOP_BOUND: Duration = Duration::from_secs(20);
 const STEP: u64 = 1;
-/// How long a reader stalls after nothing is under way any more.
+/// Time during which a reader stalls after the drain has finished.
 const STALL: Duration = Duration::from_secs(4);
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -37,7 +39,7 @@
     stop_with_work_in_flight(2).await;
 }
 
-/// The owner of a step's shard is asked to stop, `signals` times, with work of all kinds in flight.
+/// Stops the owner of a step's shard, with `signals` signals, while work of all kinds is in flight.
 async fn stop_with_work_in_flight(signals: usize) {
     let mut cluster = Cluster::start_ready(&config()).await.unwrap();
     let mut trainer = cluster.trainer("trainer-1");
@@ -79,7 +81,8 @@
     assert_eq!(counts, (16, 0, 0), "delivered, duplicated, lost");
 }
 
-/// Requests of all kinds are refused as not run with a time to try again, and did not run.
+/// Asserts that requests of all kinds are refused as not run, with a `Retry-After` header, and did
+/// not run.
 async fn assert_refuses_new_work(cluster: &Cluster, url: &str) {
     let caller = Caller::new(url);
     let text = "asked for while stopping";
@@ -135,7 +138,7 @@
     let report = load.stop().await;
     let runs = Runs::read(&cluster).await;
     for failure in &report.failures {
-        // A connection may break before its request is taken, as the listener is closed.
+        // A connection may break before its request is accepted, as the listener is closed.
         let is_broken = matches!(failure.error, LiveError::Broken(_));
         let endings = runs.endings(&failure.text);
         assert!(
@@ -157,7 +160,7 @@
     .await;
 }
 
-/// The answer to a pull that waited may be empty or a refusal, but it must come.
+/// Asserts that a waiting pull was answered, possibly without samples or with a refusal.
 fn assert_answered<T: std::fmt::Debug>(answer: &SingleAnswer<T>) {
     match answer {
         SingleAnswer::Given(_) => {}
--- a/crates/bench/tests/planned_stop/stalled_reader.rs
+++ b/crates/bench/tests/planned_stop/stalled_reader.rs
@@ -1,4 +1,4 @@
-//! A caller that has read nothing yet of an answer whose last bytes wait for it in the daemon.
+//! A caller that has not read an answer whose last bytes are still in the daemon.
 
 use std::time::{Duration, Instant};
 
@@ -7,23 +7,23 @@
 use crate::connections::{Body, Connection};
 
 const PATH: &str = "/v1/apps/prisverk/price";
-/// Longest request that is tried. Answers echo requests, so their lengths are alike.
+/// Maximum size of the tried requests, and thus of their echoed answers.
 const MOST_BYTES: usize = 4_000_000;
-/// The end of an answer waits in the daemon to less than this many bytes more.
+/// Maximum size of the part of an answer that remains in the daemon.
 const RESOLUTION_BYTES: usize = 16 * 1024;
-/// How long an answer has to get out of the daemon if nothing holds it up.
+/// Time for an answer to leave the daemon if nothing blocks it.
 const SETTLE: Duration = Duration::from_millis(400);
 const POLL: Duration = Duration::from_millis(20);
 
-/// The caller.
+/// Caller that has read the head of its answer only.
 pub struct StalledReader {
     connection: Connection,
     body: Body,
 }
 
 impl StalledReader {
-    /// Looks for the longest answer that the daemon still counts as given although its caller reads nothing: the
-    /// system's buffers are full then, and its end waits in the daemon.
+    /// Searches for the longest answer that the daemon counts as sent though its caller does not
+    /// read: the socket buffers are then full, and the end of the answer is still in the daemon.
     pub async fn with_end_in_daemon(daemon: &mut Daemon) -> Self {
         let process = daemon.process.as_mut().unwrap();
         let address = process.address("http").await.unwrap();
@@ -44,7 +44,7 @@
         longest_given.expect("an answer that fits into the buffers")
     }
 
-    /// Reads its answer.
+    /// Reads the rest of the answer.
     pub async fn read_to_end(&mut self) {
         self.connection.read_to_end(&self.body).await;
     }
--- a/crates/bench/tests/planned_stop/work.rs
+++ b/crates/bench/tests/planned_stop/work.rs
@@ -1,4 +1,4 @@
-//! Work of all kinds in flight at one daemon, and what the back ends ran of it.
+//! Work of all kinds in flight at one daemon, and the back ends' runs of it.
 
 use std::time::Duration;
 
@@ -16,17 +16,18 @@
 
 use crate::{BOUND, STEP, assert_answered};
 
-/// Trainer whose step is not finished while its pulls wait.
+/// Trainer whose step does not finish while its pulls wait.
 const WAITING_TRAINER: &str = "trainer-3";
 const EACH_KIND: usize = 3;
 const TOKEN_INTERVAL: Duration = Duration::from_millis(10);
 const LONG_TOKENS: u64 = 250;
 const APPLICATION_DELAY_MS: u64 = 3_000;
-/// Tokens of a sample that is not committed while the test lasts.
+/// Tokens of a sample that is not committed during the test.
 const ENDLESS_TOKENS: u32 = 6_000;
 const PULL_WAIT: Duration = Duration::from_secs(20);
 
-/// Three daemons that notice a silent owner within about a second, and two slow engines.
+/// Returns a configuration of three daemons with a failure detection time of about a second, and
+/// two slow engines.
 pub fn config() -> ClusterConfig {
     let timing = [
         ("probe_interval_ms", 300),
@@ -45,7 +46,7 @@
     config
 }
 
-/// Name of the journal's log of a step's first shard.
+/// Returns the name of the journal log of a step's first shard.
 pub fn shard_log(trainer: &str, step: u64) -> String {
     let key = ShardKey {
         trainer: trainer.to_owned(),
@@ -55,11 +56,11 @@
     key.log()
 }
 
-/// What all back ends have run.
+/// Runs of all back ends.
 pub struct Runs {
-    /// Digests of completions' prompts.
+    /// Prompt digest and ending of each completion.
     completions: Vec<(String, Ending)>,
-    /// Bodies of application requests.
+    /// Body and ending of each application request.
     applications: Vec<(String, Ending)>,
 }
 
@@ -83,7 +84,7 @@
         }
     }
 
-    /// How each run of the request with this prompt or body ended.
+    /// Returns the ending of each run of the request with this prompt or body.
     pub fn endings(&self, text: &str) -> Vec<Ending> {
         let digest = prompt_digest(text);
         let completions = self.completions.iter().filter(|run| run.0 == digest);
@@ -105,8 +106,8 @@
 }
 
 impl Work {
-    /// Starts streamed and gathered completions, application requests with and without a key, and pulls; returns
-    /// once the back ends run all of them.
+    /// Starts streamed and unstreamed completions, application requests with and without a key, and
+    /// pulls; returns once the back ends run all of them.
     pub async fn start(cluster: &Cluster, daemon: usize) -> Self {
         let url = cluster.daemons[daemon].url();
         slow_applications(cluster).await;
@@ -126,7 +127,7 @@
         Self { live, pulls }
     }
 
-    /// Every caller got its whole answer, and each request ran once, to its end.
+    /// Asserts that every caller got a complete answer and each request ran once, to its end.
     pub async fn assert_ends_whole(self, cluster: &Cluster) {
         for request in self.live {
             let text = request.text;
@@ -162,7 +163,7 @@
     LiveRequest { text, result }
 }
 
-/// Every other one is not to be repeated.
+/// Requests with even numbers have an idempotency key.
 fn application(url: &str, number: usize) -> LiveRequest {
     let caller = Caller::new(url);
     let text = format!("application request {number}");
@@ -177,7 +178,7 @@
     LiveRequest { text, result }
 }
 
-/// Pulls of a step that has nothing to give yet.
+/// Starts pulls of a step that has no samples yet.
 async fn waiting_pulls(
     cluster: &Cluster,
     url: &str,
--- a/crates/bench/tests/processes.rs
+++ b/crates/bench/tests/processes.rs
@@ -1,4 +1,4 @@
-//! Stand-ins run as processes, can be paused and killed, and end with their handle.
+//! Stand-ins run as processes, can be paused and killed, and end when their handle is dropped.
 
 use std::time::Duration;
 
--- a/crates/bench/tests/proxy.rs
+++ b/crates/bench/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! Each fault of the proxy does what it is named for.
+//! Each fault of the proxy has its described effect.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,10 +9,10 @@
 use tokio::time::timeout;
 
 const BOUND: Duration = Duration::from_secs(20);
-/// Long enough to see that nothing comes; a pass never depends on something coming within it.
+/// Time without data that counts as silence.
 const QUIET: Duration = Duration::from_millis(50);
 
-/// A server that sends back what it gets; stops with the runtime.
+/// Starts an echo server that ends with the runtime.
 async fn echo_server() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
--- a/crates/bench/tests/sample_truth/bundles.rs
+++ b/crates/bench/tests/sample_truth/bundles.rs
@@ -1,4 +1,5 @@
-//! Bundles that come into force while samples wait: none that they do not admit is delivered.
+//! Bundles that come into force while samples wait: samples that they do not allow are not
+//! delivered.
 
 use std::time::{Duration, Instant};
 
@@ -15,14 +16,14 @@
 
 const SAMPLES: u32 = 24;
 const TOKENS: u32 = 10;
-/// A step all of whose samples are committed by weight version 1; the second is the owner.
+/// Returns a scenario whose samples are all committed with weight version 1, and its owner.
 async fn all_committed(config: &ClusterConfig) -> (Scenario, usize) {
     let scenario = Scenario::submitted(config, SAMPLES, TOKENS).await;
     let owner = scenario.owner_with_all_committed().await;
     (scenario, owner)
 }
 
-/// No attempt stands in both answers.
+/// Asserts that the answers have no attempt in common.
 fn assert_disjoint(first: &SamplesAnswer, second: &SamplesAnswer) {
     let first = attempts(first);
     let repeated = attempts(second)
@@ -89,7 +90,7 @@
     let cursor = taken.cursor.clone();
     judge.take(taken, asked_at);
     scenario.roll_beyond_bound().await;
-    // An answer that the trainer loses replaces the stale samples by new attempts.
+    // This answer, which the trainer loses, replaces the stale samples by new attempts.
     scenario.answer(1, None, MAX).await;
 
     let report = scenario.pull_rest(judge, Some(cursor)).await;
@@ -114,7 +115,7 @@
         .unwrap();
     evidence_is_too_old(outage_began).await;
 
-    // From here on only the replicas can tell that this bundle is the newest.
+    // From here on only the replicas can confirm that this bundle is the newest.
     let instead = scenario.answer(1, None, MAX).await;
     assert_disjoint(&lost, &instead);
     let judge = scenario.judge();
@@ -140,7 +141,7 @@
     scenario.assert_rest_is_fresh(judge, None).await;
 }
 
-/// A pull is refused with `Retry-After` long before its long poll is over.
+/// Asserts that a pull is refused with `Retry-After` well before the end of its long poll.
 async fn assert_held_back_at_once(scenario: &Scenario, daemon: usize) {
     let url = format!(
         "{}/v1/trainers/{}/steps/{STEP}/samples?max={MAX}&wait_ms=30000",
@@ -153,6 +154,6 @@
     let has_retry_after = answer.headers().contains_key("Retry-After");
     let body = answer.text().await.unwrap();
     assert_eq!((status, has_retry_after), (503, true), "{body}");
-    // Not the journal's timeout but the age of what is known of the bundle has decided.
+    // The refusal must come from the age of the bundle evidence, not from a journal timeout.
     assert!(body.contains("held back"), "{body}");
 }
--- a/crates/bench/tests/sample_truth/engines.rs
+++ b/crates/bench/tests/sample_truth/engines.rs
@@ -1,4 +1,5 @@
-//! Engines whose swaps fail or lie, that are killed, or that name no versions: the samples' labels stay true.
+//! Engines whose swaps fail or are falsely reported, that are killed, or that omit versions: the
+//! samples' labels stay true.
 
 use std::collections::BTreeSet;
 
@@ -11,22 +12,22 @@
 
 const SAMPLES: u32 = 24;
 const TOKENS: u32 = 10;
-/// None of these few samples is one of the five times longer ones.
+/// Few enough that none is one of the longer samples.
 const FEW_SAMPLES: u32 = 9;
 const MANY_TOKENS: u32 = 300;
-/// Tokens after which a sample is in its middle.
+/// Tokens after which a sample counts as partly generated.
 const SOME_TOKENS: u64 = 20;
-/// The engine with the fault, and the other one.
+/// Index of the engine with the fault.
 const FAULTY: usize = 0;
 const SOUND: usize = 1;
 
-/// Versions that the sample's segments name, in order.
+/// Returns the versions of the sample's segments, in order.
 fn versions(sample: &Sample) -> Vec<u64> {
     let segments = sample.segments.iter();
     segments.map(|segment| segment.weight_version).collect()
 }
 
-/// Rolls weight version 2, which the faulty engine accepts but does not come to hold.
+/// Rolls weight version 2, which the faulty engine accepts but does not load.
 async fn roll_that_one_engine_does_not_follow(scenario: &Scenario, swap: SwapFault) {
     let faults = EngineFaults {
         swap,
@@ -123,7 +124,7 @@
 async fn an_attempt_with_chunks_without_version_is_run_again() {
     let scenario = Scenario::submitted(&config(3), FEW_SAMPLES, MANY_TOKENS).await;
     scenario.engine_generates(FAULTY, SOME_TOKENS).await;
-    // While they are stalled, all that is under way stays so; what is generated from then on is not labelled.
+    // Stalled runs stay in flight; tokens generated after the next fault are not labelled.
     let stall = EngineFaults {
         stall: true,
         ..EngineFaults::default()
--- a/crates/bench/tests/sample_truth/main.rs
+++ b/crates/bench/tests/sample_truth/main.rs
@@ -1,8 +1,10 @@
-//! Every sample names the weight versions that truly produced it, and none older than the staleness bound in force is
-//! delivered, whatever becomes of swaps, engines, owners, pulling daemons and the key-value service.
+//! Every sample names the weight versions that produced it, and none older than the staleness bound
+//! in force is delivered, despite failures of swaps, engines, owners, pulling daemons and the
+//! key-value service.
 //!
-//! The judges are the samples' texts, which are functions of prompt, position and weight version, and what the engines
-//! ran; for staleness the order of events: once a bundle is in force, no sample is taken that it does not admit.
+//! Checked by the samples' texts, which are functions of prompt, position and weight version, and
+//! by the engines' runs; for staleness by the order of events: once a bundle is in force, no sample
+//! that it does not allow is delivered.
 
 mod bundles;
 mod engines;
--- a/crates/bench/tests/sample_truth/paused_daemons.rs
+++ b/crates/bench/tests/sample_truth/paused_daemons.rs
@@ -1,4 +1,5 @@
-//! Daemons that sleep while a bundle comes into force: what they hand out when they wake is not stale.
+//! Daemons that are paused while a bundle comes into force deliver no stale samples when they
+//! resume.
 
 use std::time::{Duration, Instant};
 
@@ -12,13 +13,14 @@
 
 const SAMPLES: u32 = 24;
 const TOKENS: u32 = 10;
-/// Long poll that outlasts the pause.
+/// Long poll time that exceeds the pause.
 const LONG_WAIT: Duration = Duration::from_secs(8);
 const WAITING_PULLS: usize = 4;
-/// Longer than a pull takes to reach the owner; nothing is judged by it.
+/// Time for a pull to reach the owner; no check depends on it.
 const PULL_UNDER_WAY: Duration = Duration::from_millis(500);
 
-/// Rolls beyond the bound while a daemon sleeps, until it can know nothing recent of bundles.
+/// Rolls beyond the staleness bound while a daemon is paused, and waits until its bundle evidence
+/// is too old.
 async fn roll_during_sleep(scenario: &Scenario, sleeper: usize, asleep_since: Instant) {
     let others = scenario.all_but(&[sleeper]);
     scenario.roll_beyond_bound_among(&others).await;
@@ -28,7 +30,8 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_woken_owner_hands_out_nothing_stale() {
     let mut config = slow_takeover_config();
-    // Neither pings nor heartbeats tell it of the bundles before it answers: its evidence comes from the service.
+    // Neither probes nor heartbeats bring it newer bundles before it answers; its evidence comes
+    // from the key-value service.
     let rarely = [
         ("probe_interval_ms", 4_000),
         ("suspicion_ms", 20_000),
@@ -43,7 +46,8 @@
     let waiting: Vec<_> = (0..WAITING_PULLS)
         .map(|_| scenario.wait_in_background(owner, LONG_WAIT))
         .collect();
-    // Pushes to it are lost: when it wakes, it reaches the journal's majority but has not heard of the bundles.
+    // Pushes to the owner are lost: when it resumes, it reaches the journal's majority but does not
+    // know the new bundles.
     scenario.cluster.set_peer_faults(owner, SWALLOW);
     scenario.cluster.daemons[owner].key_value.set(FREEZE);
     roll_during_sleep(&scenario, owner, asleep_since).await;
@@ -70,7 +74,7 @@
     let puller = scenario.all_but(&[owner])[0];
     let pull = scenario.wait_in_background(puller, LONG_WAIT);
     tokio::time::sleep(PULL_UNDER_WAY).await;
-    // The owner's answer waits on its way to the puller until that one sleeps.
+    // Holds the owner's answer in the link until the puller is paused.
     scenario.cluster.set_link_faults(owner, puller, FREEZE);
     scenario.fault_engines(&EngineFaults::default()).await;
     scenario
--- a/crates/bench/tests/sample_truth/support.rs
+++ b/crates/bench/tests/sample_truth/support.rs
@@ -1,4 +1,4 @@
-//! What both guarantees' tests need besides the scenario.
+//! Helpers beyond the shared scenario.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -15,25 +15,25 @@
 
 use crate::scenario::{BOUND, STEP, Scenario, config};
 
-/// Most samples of one answer.
+/// Maximum number of samples per answer.
 pub const MAX: u32 = 8;
 /// Revision and weight version of the last bundle that [`Scenario::roll_beyond_bound`] rolls.
 pub const BEYOND_BOUND: u64 = 3;
-/// The oldest version that is admitted then.
+/// Oldest weight version that this bundle allows.
 pub const OLDEST_ADMITTED: u64 = 2;
-/// Evidence for the bundle in force may be this old in [`slow_takeover_config`].
+/// Maximum age of bundle evidence in [`slow_takeover_config`].
 const EVIDENCE_BOUND: Duration = Duration::from_millis(1_500);
-/// New connections are reset.
+/// Resets new connections.
 pub const REFUSE: Faults = Faults {
     refuse: true,
     ..NO_FAULTS
 };
-/// Nothing is forwarded, and nothing lost.
+/// Forwards nothing and loses nothing.
 pub const FREEZE: Faults = Faults {
     freeze: true,
     ..NO_FAULTS
 };
-/// All bytes are lost, and with them their connections in the end.
+/// Drops all bytes, and resets the connections that lost some when the fault ends.
 pub const SWALLOW: Faults = Faults {
     swallow_to_target: true,
     swallow_from_target: true,
@@ -49,7 +49,8 @@
 };
 const POLL: Duration = Duration::from_millis(20);
 
-/// Three daemons of which none takes over from a paused one, so that the epoch does not hold its deliveries back.
+/// Returns a configuration of three daemons that do not take over from a paused owner, so that the
+/// epoch does not stop its deliveries.
 pub fn slow_takeover_config() -> ClusterConfig {
     let mut config = config(3);
     let evidence_bound = EVIDENCE_BOUND.as_millis() as u64;
@@ -62,7 +63,7 @@
     config
 }
 
-/// Waits until what a daemon knew at `since` of the bundle in force is too old to deliver by.
+/// Waits until the bundle evidence that a daemon had at `since` is too old for deliveries.
 pub async fn evidence_is_too_old(since: Instant) {
     let margin = EVIDENCE_BOUND / 2;
     tokio::time::sleep_until((since + EVIDENCE_BOUND + margin).into()).await;
@@ -76,7 +77,7 @@
     }
 }
 
-/// Weight version of each token.
+/// Returns the weight version of each token.
 pub fn token_versions(segments: &[Segment]) -> Vec<u64> {
     let tokens = segments
         .iter()
@@ -84,7 +85,7 @@
     tokens.collect()
 }
 
-/// No sample of the answer holds a token of an older version than this.
+/// Asserts that no sample of the answer has a token of an older version.
 pub fn assert_none_older(answer: &SingleAnswer<SamplesAnswer>, oldest_admitted: u64) {
     let SingleAnswer::Given(answer) = answer else {
         return;
@@ -101,7 +102,7 @@
 }
 
 impl Scenario {
-    /// As [`Scenario::submitted`], but the step is not submitted yet.
+    /// Like [`Scenario::submitted`], without submitting the step.
     pub async fn prepared(config: &ClusterConfig, samples: u32, tokens: u32) -> Self {
         let cluster = Cluster::start_ready(config).await.unwrap();
         Self::new(cluster, samples, tokens)
@@ -118,20 +119,20 @@
         }
     }
 
-    /// What an engine truly ran.
+    /// Returns an engine's log.
     pub async fn engine_log(&self, engine: usize) -> EngineLog {
         let stand_in = &self.cluster.platform.engines[engine].stand_in;
         stand_in.log().await.unwrap()
     }
 
-    /// Versions by which an engine truly generated.
+    /// Returns the weight versions with which an engine generated tokens.
     pub async fn versions_run(&self, engine: usize) -> BTreeSet<u64> {
         let log = self.engine_log(engine).await;
         let segments = log.runs.iter().flat_map(|run| &run.segments);
         segments.map(|segment| segment.weight_version).collect()
     }
 
-    /// Waits until an engine says that it holds this version.
+    /// Waits until an engine reports this version as held.
     pub async fn engine_reports(&self, engine: usize, weight_version: u64) {
         let stand_in = &self.cluster.platform.engines[engine].stand_in;
         let url = format!("{}/v1/load", stand_in.url());
@@ -143,7 +144,7 @@
         .await;
     }
 
-    /// Waits until an engine has a sample under way and has generated this many tokens of it.
+    /// Waits until an engine has generated this many tokens of a running sample.
     pub async fn engine_generates(&self, engine: usize, tokens: u64) {
         until("the engine is in the middle of a sample", async || {
             let log = self.engine_log(engine).await;
@@ -153,7 +154,7 @@
         .await;
     }
 
-    /// Waits until a daemon has logged this.
+    /// Waits until a daemon has logged this text.
     pub async fn logged(&self, text: &str) {
         let daemons = &self.cluster.daemons;
         until(text, async || {
@@ -176,8 +177,8 @@
         in_force.await.unwrap();
     }
 
-    /// Rolls weight versions 2 and 3 through these daemons, which leaves version 1 behind the bound of 1. One bundle may
-    /// not move the version by more than its bound.
+    /// Rolls weight versions 2 and 3 through these daemons, which makes version 1 too old for the
+    /// staleness bound of 1. A single bundle must not raise the version by more than its bound.
     pub async fn roll_beyond_bound_among(&self, daemons: &[usize]) {
         for revision in 2..=BEYOND_BOUND {
             let bundle = self.cluster.bundle(revision, revision);
@@ -185,12 +186,13 @@
         }
     }
 
-    /// As [`Scenario::roll_beyond_bound_among`] through all daemons.
+    /// Like [`Scenario::roll_beyond_bound_among`], through all daemons.
     pub async fn roll_beyond_bound(&self) {
         self.roll_beyond_bound_among(&self.all_but(&[])).await;
     }
 
-    /// Pulls what follows the cursor up to the end of the step: each slot once, and nothing that has gone stale.
+    /// Pulls the step from the cursor to its end and asserts that each slot is delivered once and
+    /// none is stale.
     pub async fn assert_rest_is_fresh(&mut self, judge: Judge, cursor: Option<String>) {
         let report = self.pull_rest(judge, cursor).await;
         self.assert_exactly_once(&report);
@@ -204,7 +206,7 @@
         self.roll_among(&self.all_but(&[]), bundle).await;
     }
 
-    /// One pull from the beginning with this long poll, without retries, in the background.
+    /// Pulls once from the beginning with this long poll time, without retries, in the background.
     pub fn wait_in_background(
         &self,
         daemon: usize,
@@ -215,7 +217,7 @@
         tokio::spawn(async move { trainer.pull_at(&url, STEP, None, MAX, wait).await })
     }
 
-    /// Pulls the step to its end; the samples and what the judge says of them.
+    /// Pulls the step to its end; returns the samples and the report.
     pub async fn take_all(&self) -> (Vec<Sample>, StepReport) {
         let start = Instant::now();
         let mut judge = self.judge();
@@ -242,7 +244,7 @@
         }
     }
 
-    /// What the engines ran for this very attempt, in the order of the tokens.
+    /// Returns the engines' runs of this attempt, in token order.
     pub async fn runs_of(&self, sample: &Sample) -> Vec<Run> {
         let prefix = format!(
             "{}/{}/{}/{}/",
@@ -261,7 +263,8 @@
         runs
     }
 
-    /// Each sample names for each token the version by which an engine says that it generated it.
+    /// Asserts that each token's label is the version with which an engine's log says it was
+    /// generated.
     pub async fn assert_as_generated(&self, samples: &[Sample]) {
         for sample in samples {
             let mut generated = Vec::new();
--- a/crates/bench/tests/stand_ins.rs
+++ b/crates/bench/tests/stand_ins.rs
@@ -1,4 +1,5 @@
-//! The stand-ins do what docs/PLATFORM.md says, and their faults do what they are named for.
+//! The stand-ins behave as described in docs/PLATFORM.md, and their faults have the described
+//! effects.
 
 use std::time::Duration;
 
@@ -42,7 +43,7 @@
     engine::start(config).await.unwrap()
 }
 
-/// Text and segments of an event stream; whether it came to its end mark.
+/// Returns the text and segments of an event stream, and whether its end marker was received.
 fn read_events(body: &str) -> (String, Vec<Segment>, bool) {
     let mut text = String::new();
     let mut segments = Vec::new();
--- a/crates/bench/tests/whole_answers.rs
+++ b/crates/bench/tests/whole_answers.rs
@@ -1,5 +1,6 @@
-//! An answer that looks whole is the whole answer to its own request, and "not run" is true, whatever breaks between
-//! daemons and back ends. The engines' text function and the applications' own logs are the judges.
+//! An answer that appears complete is the complete answer to its own request, and "not run" is
+//! true, whatever breaks between daemons and back ends. Checked by the engines' text function and
+//! the applications' logs.
 
 use std::collections::BTreeMap;
 use std::sync::OnceLock;
@@ -24,9 +25,9 @@
 ];
 const CALLERS: usize = 18;
 const TOKENS: u64 = 24;
-/// Takes long enough that all engines are in mid-answer at some time.
+/// Long enough that every engine is partway through an answer at some time.
 const MANY_TOKENS: u64 = 200;
-/// Longer than what a daemon reads whole before it passes any of it on.
+/// Longer than the part of an answer that a daemon buffers before it forwards any of it.
 const LONG_ANSWER: usize = 400_000;
 const DEADLINE_MS: &str = "2000";
 
@@ -66,7 +67,8 @@
     runs
 }
 
-/// Many callers at all daemons; every third prompt is the same one, and half of the answers are streamed.
+/// Sends completions through all daemons; every third prompt is the same one, and half of the
+/// answers are streamed.
 async fn complete_all(cluster: &Cluster, tokens: u64) -> Vec<Result<Completion, LiveError>> {
     let calls = (0..CALLERS).map(|number| async move {
         let prompt = match number % 3 {
@@ -82,7 +84,8 @@
     join_all(calls).await
 }
 
-/// The callers compared whole texts with their own prompts; what is not whole must say so.
+/// Asserts that every answer is complete or fails visibly; callers have compared complete texts
+/// with their prompts.
 fn assert_whole_or_visibly_ended<T>(results: &[Result<T, LiveError>], case: &str) {
     for error in results.iter().filter_map(|result| result.as_ref().err()) {
         assert!(!error.is_violation(), "{case}: {error}");
@@ -117,7 +120,7 @@
     }
 }
 
-/// Engines cut some answers, then all.
+/// Checks completions while engines cut some answers, then all.
 async fn cut_completions(cluster: &Cluster, point: CutPoint) {
     for cuts in [4, u32::MAX] {
         engines_take_work(cluster).await;
@@ -140,7 +143,7 @@
     engines_take_work(cluster).await;
 }
 
-/// Applications cut long answers in mid-body.
+/// Checks long answers of applications that are cut in the body.
 async fn cut_application_answers(cluster: &Cluster, chunked: bool) {
     applications_take_work(cluster).await;
     let faults = ApplicationFaults {
@@ -184,7 +187,7 @@
     }
 }
 
-/// Nothing passes to or from the first engine that is seen in mid-answer; returns which it is.
+/// Freezes the connections of the first engine seen partway through an answer; returns its index.
 async fn stall_an_engine(cluster: &Cluster) -> usize {
     let stalled = OnceLock::new();
     until("an engine is in mid-answer", BOUND, async || {
@@ -207,7 +210,7 @@
     stalled
 }
 
-/// The stalled engine has answered a prompt to its end that another engine was given the rest of.
+/// Returns whether the stalled engine has completed a prompt that another engine resumed.
 async fn has_late_answer(cluster: &Cluster, stalled: usize) -> bool {
     let late = engine_runs(cluster, stalled).await;
     let mut elsewhere = Vec::new();
@@ -242,14 +245,14 @@
     }
 }
 
-/// What happens to the connections between daemons and applications.
+/// Fault of the connections between daemons and applications.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum LinkFault {
-    /// Before the request is sent: nobody listens.
+    /// Before the request is sent: connections are refused.
     Gone,
     /// While it is sent: reset on its first byte.
     Reset,
-    /// While it is sent: nothing passes until the caller was answered; then the request arrives after all.
+    /// While it is sent: frozen until the caller was answered; then the request arrives.
     Frozen,
     /// After it was sent: reset while it runs.
     CutWhileRunning,
@@ -265,7 +268,7 @@
     LinkFault::Reset,
 ];
 
-/// What a caller was told.
+/// Answer that a caller received.
 #[derive(Debug, PartialEq, Eq)]
 struct Told {
     status: u16,
@@ -273,7 +276,7 @@
     has_retry_after: bool,
 }
 
-/// Sends a marked request without a key. The method is one that could be repeated without the mark.
+/// Sends an at-most-once request without a key, with a method that would otherwise be idempotent.
 async fn put_once(cluster: &Cluster, number: usize, id: &str) -> Told {
     let daemon = &cluster.daemons[number % cluster.daemons.len()];
     let url = format!("{}/v1/apps/{APPLICATION_POOL}/price", daemon.url());
@@ -313,7 +316,7 @@
     }
 }
 
-/// Nobody listens at the applications' addresses while the requests are sent.
+/// Sends the requests while nothing listens at the applications' addresses.
 async fn put_all_while_gone(cluster: &mut Cluster) -> BTreeMap<String, Told> {
     for application in &mut cluster.platform.applications {
         application.proxy = Proxy::start(application.stand_in.address).await.unwrap();
@@ -327,7 +330,7 @@
     answers
 }
 
-/// Sends many requests while the links are faulty, and returns once all that was under way has arrived.
+/// Sends requests under a link fault; returns once those in flight have arrived.
 async fn put_under(cluster: &mut Cluster, fault: LinkFault) -> BTreeMap<String, Told> {
     let answers = match fault {
         LinkFault::Gone => put_all_while_gone(cluster).await,
@@ -383,7 +386,7 @@
     answers
 }
 
-/// Links break in one way while applications also refuse some requests as not run.
+/// Checks one link fault while applications also refuse some requests as not run.
 async fn break_links(cluster: &mut Cluster, fault: LinkFault) {
     applications_take_work(cluster).await;
     let faults = ApplicationFaults {
--- a/crates/bench/tests/whole_path.rs
+++ b/crates/bench/tests/whole_path.rs
@@ -1,4 +1,5 @@
-//! The whole path with real processes: live completions, application requests, steps of samples, and a roll.
+//! End-to-end test with real processes: live completions, application requests, steps of samples,
+//! and a roll.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -43,7 +44,7 @@
     assert_eq!(counts, (u64::from(SAMPLES), 0, 0));
 }
 
-/// Both kinds of completion through each daemon; the versions that they name.
+/// Sends both kinds of completion through each daemon; returns the versions that they name.
 async fn live_versions(cluster: &Cluster, round: &str) -> BTreeSet<u64> {
     let mut versions = BTreeSet::new();
     for (index, url) in cluster.urls().iter().enumerate() {
