--- a/crates/bench/src/chaos/evidence.rs
+++ b/crates/bench/src/chaos/evidence.rs
@@ -57,7 +57,6 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// A complete answer.
     Completed,
     /// Refused as not run.
     NotRun,
@@ -82,9 +81,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RequestKind {
-    /// A completion.
     Completion,
-    /// A streamed completion.
     Streamed,
     /// An application request that may run more than once.
     Repeatable,
@@ -108,11 +105,9 @@
 /// A request and all its attempts, in the order in which they ended.
 #[derive(Debug, Clone, Serialize)]
 pub(super) struct Request {
-    /// Kind of the request.
     pub(super) kind: RequestKind,
     /// Prompt or body, unique to this request.
     pub(super) content: String,
-    /// Attempts to send it.
     pub(super) tries: Vec<Try>,
     /// Whether the answer omits the weight version of some tokens.
     pub(super) lacks_versions: bool,
@@ -129,7 +124,6 @@
     pub(super) answers_dropped: u64,
     /// Number of steps pulled to their end.
     pub(super) steps: u64,
-    /// Number of bundles accepted.
     pub(super) bundles: u64,
     /// Number of rolls that were refused or not accepted in time.
     pub(super) bundles_given_up: u64,
@@ -149,7 +143,6 @@
         change(&mut lock(&self.notes));
     }
 
-    /// Records a violation.
     pub(super) fn violation(&self, guarantee: Guarantee, evidence: String) {
         self.write(|notes| {
             notes.violations.push(Violation {
--- a/crates/bench/src/chaos/fault.rs
+++ b/crates/bench/src/chaos/fault.rs
@@ -11,9 +11,7 @@
 pub struct Layout {
     /// Zone index of each daemon.
     pub zones: Vec<usize>,
-    /// Number of engines.
     pub engines: usize,
-    /// Number of application back ends.
     pub applications: usize,
 }
 
@@ -25,7 +23,6 @@
     Cut,
     /// Bytes from the first daemon to the second are dropped.
     OneWay,
-    /// Bytes are delayed.
     Delayed,
     /// Open connections and the next few are reset.
     Reset,
@@ -33,27 +30,20 @@
     Frozen,
 }
 
-/// Fault of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EngineFault {
-    /// The process is killed.
     Killed,
     /// Some answers are cut.
     Cuts {
         /// Point at which an answer is cut.
         point: CutPoint,
-        /// Number of answers.
         answers: u32,
     },
-    /// Some requests are refused.
     Refuses {
-        /// Number of requests.
         requests: u32,
     },
-    /// Streams stall.
     Stalls,
-    /// Weight swaps fail.
     SwapFails,
     /// Weight swaps fail but are reported as done.
     ClaimsSwap,
@@ -71,12 +61,9 @@
     Cuts {
         /// Point at which an answer is cut.
         point: CutPoint,
-        /// Number of answers.
         answers: u32,
     },
-    /// Some requests are refused.
     Refuses {
-        /// Number of requests.
         requests: u32,
     },
     /// Requests are delayed.
@@ -89,11 +76,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum KeyValueFault {
-    /// The service is down.
     Down,
     /// Every answer is delayed.
     Slow {
-        /// Delay in milliseconds.
         delay_ms: u64,
     },
     /// The service accepts only a few requests per second.
@@ -118,37 +103,25 @@
     AllDaemonsKilled,
     /// Faulty connections between two daemons.
     Link {
-        /// First daemon.
         first: usize,
-        /// Second daemon.
         second: usize,
-        /// Kind of the fault.
         fault: LinkFault,
     },
     /// Daemons of a zone are partitioned from those of other zones and from the platform's
     /// services.
     ZoneCut(usize),
-    /// A faulty engine.
     Engine {
-        /// Index of the engine.
         engine: usize,
-        /// Kind of the fault.
         fault: EngineFault,
     },
-    /// A faulty application back end.
     Application {
-        /// Index of the application back end.
         application: usize,
-        /// Kind of the fault.
         fault: ApplicationFault,
     },
-    /// A faulty key-value service.
     KeyValue(KeyValueFault),
-    /// The machine list is down.
     MachineListDown,
     /// The machine list shows changes with a delay.
     MachineListLate,
-    /// The scorer is down.
     ScorerDown,
 }
 
--- a/crates/bench/src/chaos/load/mod.rs
+++ b/crates/bench/src/chaos/load/mod.rs
@@ -59,7 +59,6 @@
     }
 }
 
-/// Running load.
 pub(super) struct Load {
     stop: signal::Sender<bool>,
     tasks: JoinSet<()>,
--- a/crates/bench/src/chaos/plan.rs
+++ b/crates/bench/src/chaos/plan.rs
@@ -23,27 +23,21 @@
     pub begin: Duration,
     /// End, relative to the start of the run.
     pub end: Duration,
-    /// Fault to inject.
     pub fault: Fault,
 }
 
-/// Action of a plan.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
-    /// The fault begins.
     Begin,
-    /// The fault ends.
     End,
 }
 
-/// A timed action.
 #[derive(Debug, Clone)]
 pub struct PlannedAction {
     /// Time since the start of the run.
     pub at: Duration,
     /// Whether the fault begins or ends.
     pub action: Action,
-    /// Fault to begin or end.
     pub fault: Fault,
 }
 
--- a/crates/bench/src/chaos/report.rs
+++ b/crates/bench/src/chaos/report.rs
@@ -13,7 +13,6 @@
 /// Result of a run.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct ChaosReport {
-    /// Seed of the run.
     pub seed: u64,
     /// Length of the load, in seconds.
     pub seconds: u64,
@@ -25,13 +24,11 @@
     pub answers_dropped: u64,
     /// Number of steps pulled to their end.
     pub steps: u64,
-    /// Number of bundles accepted.
     pub bundles: u64,
     /// Number of rolls that lost to a concurrent one or were not accepted in time.
     pub bundles_given_up: u64,
     /// Number of faults by kind.
     pub faults: BTreeMap<&'static str, u64>,
-    /// All violated guarantees.
     pub violations: Vec<Violation>,
     /// Folder of the logs, kept only after a violation.
     pub logs: Option<PathBuf>,
--- a/crates/bench/src/chaos/violation.rs
+++ b/crates/bench/src/chaos/violation.rs
@@ -10,7 +10,6 @@
 pub enum Guarantee {
     /// Each slot is delivered once, with true labels, and no sample is too stale.
     Samples,
-    /// All steps complete.
     StepsComplete,
     /// An answer that appears complete is complete, correct and addressed to its caller.
     WholeAnswer,
@@ -18,7 +17,6 @@
     NotRun,
     /// A request that must not be repeated runs at most once.
     AtMostOnce,
-    /// A completed request ran.
     Ran,
     /// Revisions never decrease, and all daemons end on the newest accepted bundle.
     Bundles,
@@ -32,7 +30,6 @@
     NoCrash,
 }
 
-/// A violated guarantee.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Violation {
     /// Guarantee that does not hold.
--- a/crates/bench/src/cluster/daemon.rs
+++ b/crates/bench/src/cluster/daemon.rs
@@ -56,7 +56,6 @@
         }
     }
 
-    /// Returns the daemon's name.
     pub fn name(&self) -> &str {
         &self.settings.node
     }
@@ -97,14 +96,12 @@
         }
     }
 
-    /// Sends SIGCONT.
     pub fn resume(&mut self) {
         if let Some(process) = &mut self.process {
             process.resume();
         }
     }
 
-    /// Sends SIGTERM.
     pub fn terminate(&mut self) {
         if let Some(process) = &mut self.process {
             process.terminate();
--- a/crates/bench/src/cluster/mod.rs
+++ b/crates/bench/src/cluster/mod.rs
@@ -44,21 +44,17 @@
 /// Error of a cluster operation.
 #[derive(Debug, thiserror::Error)]
 pub enum ClusterError {
-    /// A process failed.
     #[error("{0}")]
     Process(#[from] ProcessError),
     /// A file or socket operation failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// An HTTP call failed.
     #[error("{0:?}")]
     Http(#[from] reqwest::Error),
     /// A daemon refused the request.
     #[error("refused with {status}: {body}")]
     Refused {
-        /// HTTP status.
         status: StatusCode,
-        /// Response body.
         body: String,
     },
     /// A condition did not hold in time.
@@ -71,27 +67,20 @@
     },
 }
 
-/// A daemon to start.
 #[derive(Debug, Clone)]
 pub struct DaemonPlan {
-    /// Name of the daemon.
     pub node: String,
-    /// Zone of the daemon.
     pub zone: String,
     /// Whether it has a data folder and belongs to the initial replica set.
     pub is_replica: bool,
 }
 
-/// Configuration of a cluster.
 #[derive(Debug, Clone)]
 pub struct ClusterConfig {
-    /// Daemons to start.
     pub daemons: Vec<DaemonPlan>,
     /// Region of all zones.
     pub region: String,
-    /// Engines of the model pool.
     pub engines: Vec<EngineConfig>,
-    /// Back ends of the application pool.
     pub applications: Vec<ApplicationConfig>,
     /// Whether stand-ins run as processes instead of tasks in this process.
     pub stand_ins_as_processes: bool,
@@ -166,9 +155,7 @@
 /// A running cluster. Dropping it kills all its processes and removes its files.
 #[derive(Debug)]
 pub struct Cluster {
-    /// Daemons of the cluster.
     pub daemons: Vec<Daemon>,
-    /// Stand-ins of the platform.
     pub platform: Platform,
     /// Requirements of each rolled bundle, for checks of samples.
     pub facts: BundleFacts,
--- a/crates/bench/src/cluster/operator.rs
+++ b/crates/bench/src/cluster/operator.rs
@@ -27,14 +27,12 @@
 pub struct SignedText {
     /// Bundle text in TOML.
     pub text: String,
-    /// Signatures of the text.
     pub signatures: Vec<SignatureText>,
 }
 
 /// Signature of a bundle.
 #[derive(Debug, Clone, Serialize)]
 pub struct SignatureText {
-    /// Id of the key.
     pub key_id: String,
     /// Signature in hex.
     pub signature: String,
@@ -101,9 +99,7 @@
 /// A pool and its back ends.
 #[derive(Debug, Clone, Default)]
 pub struct PoolNames {
-    /// Name of the pool.
     pub pool: String,
-    /// Names of its back ends.
     pub backends: Vec<String>,
 }
 
@@ -119,11 +115,9 @@
 /// Answer of a daemon to a roll or to a query of a proposal.
 #[derive(Debug, Clone)]
 pub struct RollReply {
-    /// HTTP status.
     pub status: StatusCode,
     /// Whether the answer has a `Retry-After` header.
     pub may_retry: bool,
-    /// Body of the answer.
     pub body: RollBody,
 }
 
@@ -150,17 +144,13 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct RollBody {
-    /// Outcome of the roll.
     pub outcome: String,
-    /// Id of the proposal.
     pub proposal_id: String,
     /// SHA-256 digest of the accepted bundle's text.
     pub winner_digest: String,
     /// Id of the accepted proposal.
     pub winner_proposal_id: String,
-    /// Reason of a refusal.
     pub reason: String,
-    /// Description of the failure.
     pub detail: String,
     /// Errors in the bundle text.
     pub findings: Vec<FindingText>,
@@ -171,9 +161,7 @@
 pub struct FindingText {
     /// Line number, starting at 1.
     pub line: u32,
-    /// Text found there.
     pub found: String,
-    /// Text allowed there.
     pub allowed: String,
 }
 
@@ -182,7 +170,6 @@
 pub struct CurrentBundle {
     /// Revision in force, or 0 for none.
     pub revision: u64,
-    /// Bundle text.
     pub text: String,
 }
 
--- a/crates/bench/src/cluster/platform.rs
+++ b/crates/bench/src/cluster/platform.rs
@@ -33,7 +33,6 @@
     pub as_processes: bool,
 }
 
-/// A running stand-in.
 #[derive(Debug)]
 pub struct StandIn {
     /// Address on which it listens.
@@ -65,7 +64,6 @@
         })
     }
 
-    /// Returns the base URL.
     pub fn url(&self) -> String {
         format!("http://{}", self.address)
     }
@@ -98,7 +96,6 @@
 /// A back end behind a proxy whose address is in the machine list.
 #[derive(Debug)]
 pub struct Backend {
-    /// Name in the machine list.
     pub name: String,
     /// Entry in the machine list.
     pub machine: Machine,
@@ -111,17 +108,11 @@
 /// All stand-ins of a cluster.
 #[derive(Debug)]
 pub struct Platform {
-    /// Key-value service.
     pub key_value: StandIn,
-    /// Machine list.
     pub machine_list: StandIn,
-    /// Weight store.
     pub weight_store: StandIn,
-    /// Scorer.
     pub scorer: StandIn,
-    /// Engines.
     pub engines: Vec<Backend>,
-    /// Application back ends.
     pub applications: Vec<Backend>,
 }
 
--- a/crates/bench/src/cluster/settings.rs
+++ b/crates/bench/src/cluster/settings.rs
@@ -14,11 +14,8 @@
 /// Settings of a daemon, with the same field names as in the daemon itself.
 #[derive(Debug, Clone, Serialize)]
 pub struct DaemonSettings {
-    /// Name.
     pub node: String,
-    /// Zone.
     pub zone: String,
-    /// Region.
     pub region: String,
     /// Address on which it listens for callers.
     pub http_listen: SocketAddr,
@@ -27,11 +24,8 @@
     /// Folder of its journal replica.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub data_folder: Option<PathBuf>,
-    /// Base URLs of the key-value service.
     pub key_value: Vec<String>,
-    /// Base URL of the machine list.
     pub machine_list: String,
-    /// Base URL of the scorer.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub scorer: Option<String>,
     /// Addresses of daemons to join the cluster through.
--- a/crates/bench/src/cluster/status.rs
+++ b/crates/bench/src/cluster/status.rs
@@ -19,7 +19,6 @@
     pub replica_set_version: u64,
     /// Number of requests in flight.
     pub in_flight: usize,
-    /// Shards that the daemon owns.
     pub shards: Vec<OwnedShard>,
 }
 
@@ -30,7 +29,6 @@
     pub log: String,
     /// Whether it was taken over and its last append has an outcome.
     pub accepting: bool,
-    /// Number of slots.
     pub slots: usize,
     /// Number of slots whose samples the trainer has acknowledged.
     pub settled: usize,
@@ -41,7 +39,6 @@
 }
 
 impl Daemon {
-    /// Returns the daemon's status.
     pub async fn status(&self) -> Result<DaemonStatus, ClusterError> {
         let url = format!("{}/v1/status", self.url());
         let request = crate::http_client().get(url).timeout(CALL_TIMEOUT);
--- a/crates/bench/src/command_line/mod.rs
+++ b/crates/bench/src/command_line/mod.rs
@@ -24,7 +24,6 @@
   proxy      runs a fault-injecting TCP proxy
 ";
 
-/// Error of a subcommand.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
     /// An argument is missing or malformed.
--- a/crates/bench/src/demo/mod.rs
+++ b/crates/bench/src/demo/mod.rs
@@ -39,10 +39,8 @@
     /// The temporary folder could not be created.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// The settings are invalid.
     #[error("settings: {0}")]
     Settings(String),
-    /// A node did not start.
     #[error("node: {0}")]
     Node(String),
     /// A step did not finish.
--- a/crates/bench/src/demo/nodes.rs
+++ b/crates/bench/src/demo/nodes.rs
@@ -16,7 +16,6 @@
     ("daemon-3", "bergen-a"),
 ];
 
-/// Running nodes.
 pub(super) struct Nodes {
     nodes: Vec<Node>,
 }
@@ -34,7 +33,6 @@
         Ok(Self { nodes })
     }
 
-    /// Returns the base URLs.
     pub(super) fn urls(&self) -> Vec<String> {
         let addresses = self.nodes.iter().map(Node::http_address);
         addresses
--- a/crates/bench/src/demo/report.rs
+++ b/crates/bench/src/demo/report.rs
@@ -36,7 +36,6 @@
     pub bundle_revision: u64,
     /// Duration in seconds.
     pub seconds: f64,
-    /// All violations.
     pub violations: Vec<String>,
 }
 
--- a/crates/bench/src/http_server.rs
+++ b/crates/bench/src/http_server.rs
@@ -50,7 +50,6 @@
 pub struct Handle {
     /// Address on which it listens.
     pub address: SocketAddr,
-    /// Traffic counters.
     pub traffic: Arc<HttpTraffic>,
     tasks: Vec<JoinHandle<()>>,
 }
@@ -87,13 +86,10 @@
 pub struct Request {
     /// Method in upper case.
     pub method: String,
-    /// Path without the query.
     pub path: String,
     /// Query without `?`; empty if absent.
     pub query: String,
-    /// Headers as received.
     pub headers: Vec<(String, String)>,
-    /// Body.
     pub body: Vec<u8>,
 }
 
@@ -114,7 +110,6 @@
 
 /// Answers requests. An error from `handle` closes the connection without completing the answer.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request.
     fn handle(
         &self,
         request: Request,
@@ -167,7 +162,6 @@
         self.raw(&bytes).await
     }
 
-    /// Starts a chunked answer.
     pub async fn begin_chunked(&mut self, status: u16, headers: &[(&str, &str)]) -> io::Result<()> {
         let bytes = head(status, headers, "Transfer-Encoding: chunked");
         self.raw(&bytes).await
--- a/crates/bench/src/live/mod.rs
+++ b/crates/bench/src/live/mod.rs
@@ -24,24 +24,17 @@
     /// The daemon refused the request as not run.
     #[error("not run: {status} {body}")]
     NotRun {
-        /// HTTP status.
         status: StatusCode,
-        /// Response body.
         body: String,
-        /// `Retry-After` time.
         retry_after: Option<Duration>,
     },
     /// The request failed, or it is unknown whether it ran.
     #[error("unknown outcome: {status} {body}")]
     Unknown {
-        /// HTTP status.
         status: StatusCode,
-        /// Response body.
         body: String,
-        /// `Retry-After` time.
         retry_after: Option<Duration>,
     },
-    /// The connection broke.
     #[error("broken: {0:?}")]
     Broken(#[from] reqwest::Error),
     /// The answer ended without its end marker or with an error event.
@@ -75,7 +68,6 @@
 /// A checked completion.
 #[derive(Debug, Clone)]
 pub struct Completion {
-    /// Completion text.
     pub text: String,
     /// Weight versions named in the answer.
     pub weight_versions: BTreeSet<u64>,
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -26,7 +26,6 @@
     Gathered,
     /// A completion that is streamed.
     Streamed,
-    /// An application request.
     Application,
 }
 
@@ -39,7 +38,6 @@
 /// A request that was neither answered completely nor refused as not run.
 #[derive(Debug)]
 pub struct Failure {
-    /// Kind of the request.
     pub kind: RequestKind,
     /// Prompt or body, unique to this request.
     pub text: String,
@@ -56,7 +54,6 @@
     pub refused: u64,
     /// Requests that failed otherwise.
     pub failures: Vec<Failure>,
-    /// Steps that trainers completed.
     pub steps: Vec<StepReport>,
     /// Errors of steps that did not finish.
     pub unfinished_steps: Vec<TrainerError>,
--- a/crates/bench/src/processes.rs
+++ b/crates/bench/src/processes.rs
@@ -30,17 +30,13 @@
     /// The process or one of its files could not be used.
     #[error("{name}: {source}")]
     Io {
-        /// Name of the process.
         name: String,
-        /// Underlying error.
         source: io::Error,
     },
     /// The process exited before it was ready.
     #[error("{name} ended with {status}; its log ends:\n{log}")]
     Ended {
-        /// Name of the process.
         name: String,
-        /// Exit status.
         status: ExitStatus,
         /// Last lines of its log.
         log: String,
@@ -48,7 +44,6 @@
     /// The process did not act in time.
     #[error("{name} did not {what} in time; its log ends:\n{log}")]
     TimedOut {
-        /// Name of the process.
         name: String,
         /// Action that was expected.
         what: String,
@@ -113,7 +108,6 @@
         })
     }
 
-    /// Returns the process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
@@ -170,7 +164,6 @@
         let _ = self.child.wait();
     }
 
-    /// Sends SIGTERM.
     pub fn terminate(&mut self) {
         self.signal(Signal::SIGTERM);
     }
@@ -187,7 +180,6 @@
         }
     }
 
-    /// Sends SIGCONT.
     pub fn resume(&mut self) {
         self.is_paused = false;
         self.signal(Signal::SIGCONT);
--- a/crates/bench/src/stand_in/application.rs
+++ b/crates/bench/src/stand_in/application.rs
@@ -16,9 +16,7 @@
 /// Configuration of an application back end.
 #[derive(Debug, Clone)]
 pub struct ApplicationConfig {
-    /// Address to listen on.
     pub listen: SocketAddr,
-    /// Name in the machine list.
     pub name: String,
     /// Capacity that load reports state, in concurrent requests.
     pub capacity: u32,
@@ -66,11 +64,9 @@
 pub struct ApplicationRun {
     /// Request id given by the caller; empty if absent.
     pub request_id: String,
-    /// Method.
     pub method: String,
     /// Path and query.
     pub path: String,
-    /// Body as text.
     pub body: String,
     /// State or outcome of the run.
     pub ending: Ending,
@@ -92,15 +88,11 @@
 pub struct Echo {
     /// Name of the back end that answered.
     pub name: String,
-    /// Id of the request.
     pub request_id: String,
-    /// Method.
     pub method: String,
     /// Path and query.
     pub path: String,
-    /// Body as text.
     pub body: String,
-    /// Padding.
     pub padding: String,
 }
 
--- a/crates/bench/src/stand_in/engine/control.rs
+++ b/crates/bench/src/stand_in/engine/control.rs
@@ -12,7 +12,6 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SwapFault {
-    /// No fault.
     #[default]
     None,
     /// The held version stays, and load reports state it.
@@ -25,7 +24,6 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineFaults {
-    /// Fault of weight swaps.
     pub swap: SwapFault,
     /// Omit the weight version in chunks.
     pub omit_weight_version: bool,
--- a/crates/bench/src/stand_in/engine/mod.rs
+++ b/crates/bench/src/stand_in/engine/mod.rs
@@ -27,11 +27,9 @@
 /// Configuration of an engine.
 #[derive(Debug, Clone)]
 pub struct EngineConfig {
-    /// Address to listen on.
     pub listen: SocketAddr,
     /// Name in the machine list.
     pub name: String,
-    /// Name of the model.
     pub model: String,
     /// Weight version held at the start.
     pub weight_version: u64,
@@ -72,7 +70,6 @@
     }
 }
 
-/// Starts an engine.
 pub async fn start(config: EngineConfig) -> io::Result<Handle> {
     let listen = config.listen;
     let engine = Arc::new(Engine::new(config));
--- a/crates/bench/src/stand_in/engine/record.rs
+++ b/crates/bench/src/stand_in/engine/record.rs
@@ -10,7 +10,6 @@
 pub struct Run {
     /// Request id given by the caller.
     pub request_id: String,
-    /// Requested model.
     pub model: String,
     /// Digest of the prompt, see [`crate::text::prompt_digest`].
     pub prompt_digest: String,
--- a/crates/bench/src/stand_in/key_value/mod.rs
+++ b/crates/bench/src/stand_in/key_value/mod.rs
@@ -22,7 +22,6 @@
 /// Configuration of the key-value service.
 #[derive(Debug, Clone)]
 pub struct KeyValueConfig {
-    /// Address to listen on.
     pub listen: SocketAddr,
     /// Maximum number of requests per second; 0 means no limit.
     pub requests_per_second: f64,
@@ -69,7 +68,6 @@
     pub changes: BTreeMap<String, u64>,
 }
 
-/// Starts a key-value service.
 pub async fn start(config: KeyValueConfig) -> io::Result<Handle> {
     let service = KeyValue {
         requests_per_second: config.requests_per_second,
--- a/crates/bench/src/stand_in/machine_list.rs
+++ b/crates/bench/src/stand_in/machine_list.rs
@@ -30,25 +30,21 @@
     Leaving,
 }
 
-/// A machine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
     /// Name used in bundles.
     pub name: String,
     /// Address of its back end.
     pub address: SocketAddr,
-    /// Zone of the machine.
     pub zone: String,
     /// Kind of its back end.
     pub kind: MachineKind,
-    /// State of the machine.
     pub state: MachineState,
 }
 
 /// Machine list; also the body of `POST /control/machines`, which replaces it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machines {
-    /// All machines.
     pub machines: Vec<Machine>,
 }
 
@@ -65,7 +61,6 @@
 /// Configuration of the machine list.
 #[derive(Debug, Clone)]
 pub struct MachineListConfig {
-    /// Address to listen on.
     pub listen: SocketAddr,
     /// Initial machines.
     pub machines: Machines,
@@ -80,7 +75,6 @@
     }
 }
 
-/// Starts a machine list.
 pub async fn start(config: MachineListConfig) -> io::Result<Handle> {
     let list = MachineList {
         state: Mutex::new(State {
--- a/crates/bench/src/stand_in/scorer.rs
+++ b/crates/bench/src/stand_in/scorer.rs
@@ -11,10 +11,8 @@
 use super::{lock, loopback, take_one};
 use crate::http_server::{Handle, Handler, Request, Responder, cut, serve};
 
-/// Configuration of the scorer.
 #[derive(Debug, Clone)]
 pub struct ScorerConfig {
-    /// Address to listen on.
     pub listen: SocketAddr,
     /// Duration of a request.
     pub delay: Duration,
@@ -41,20 +39,14 @@
     pub delay_ms: u64,
 }
 
-/// Request of a score.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScoreRequest {
-    /// Trainer of the sample.
     pub trainer: String,
-    /// Step of the trainer.
     pub step: u64,
-    /// Slot within the step.
     pub slot: u32,
     /// Attempt number of the slot.
     pub attempt: u32,
-    /// Prompt of the sample.
     pub prompt: String,
-    /// Text of the sample.
     pub text: String,
 }
 
@@ -68,7 +60,6 @@
     f64::from(Sha256::digest(text.as_bytes())[0]) / 255.0
 }
 
-/// Starts a scorer.
 pub async fn start(config: ScorerConfig) -> io::Result<Handle> {
     let listen = config.listen;
     let scorer = Scorer {
--- a/crates/bench/src/stand_in/weight_store.rs
+++ b/crates/bench/src/stand_in/weight_store.rs
@@ -15,7 +15,6 @@
 /// Configuration of the weight store.
 #[derive(Debug, Clone)]
 pub struct WeightStoreConfig {
-    /// Address to listen on.
     pub listen: SocketAddr,
     /// Maximum number of loads per second; 0 means no limit.
     pub loads_per_second: f64,
@@ -43,7 +42,6 @@
     pub versions: Vec<u64>,
 }
 
-/// Starts a weight store.
 pub async fn start(config: WeightStoreConfig) -> io::Result<Handle> {
     let listen = config.listen;
     let store = WeightStore {
--- a/crates/bench/src/text.rs
+++ b/crates/bench/src/text.rs
@@ -32,7 +32,6 @@
 pub struct Segment {
     /// Weight version that produced the tokens.
     pub weight_version: u64,
-    /// Number of tokens.
     pub tokens: u64,
 }
 
@@ -52,7 +51,6 @@
     Mislabelled {
         /// Position of the token, from 0.
         position: u64,
-        /// Claimed version.
         weight_version: u64,
     },
 }
@@ -85,7 +83,6 @@
 pub struct LabelledTokens {
     /// Claimed version, if any.
     pub weight_version: Option<u64>,
-    /// Number of tokens.
     pub tokens: u64,
 }
 
--- a/crates/bench/src/trainer/judge.rs
+++ b/crates/bench/src/trainer/judge.rs
@@ -80,7 +80,6 @@
     /// A slot was delivered again after its acknowledgement.
     #[error("slot {slot} delivered twice, as attempts {first} and {second}")]
     Doubled {
-        /// Slot within the step.
         slot: u32,
         /// Attempt that was delivered first.
         first: u32,
@@ -90,19 +89,16 @@
     /// The step ended without a sample of this slot.
     #[error("slot {slot} lost")]
     Lost {
-        /// Slot within the step.
         slot: u32,
     },
     /// A sample has a prompt that differs from its slot's.
     #[error("slot {slot} answers another prompt")]
     WrongPrompt {
-        /// Slot within the step.
         slot: u32,
     },
     /// A sample has more or fewer tokens than requested.
     #[error("slot {slot} has {tokens} tokens instead of {asked}")]
     WrongLength {
-        /// Slot within the step.
         slot: u32,
         /// Number of tokens in the sample.
         tokens: u64,
@@ -112,7 +108,6 @@
     /// A sample names versions that did not produce it.
     #[error("slot {slot} is mislabelled: {reason}")]
     Mislabelled {
-        /// Slot within the step.
         slot: u32,
         /// Mismatch that was found.
         reason: String,
@@ -120,7 +115,6 @@
     /// A sample is older than its answer's bundle allows.
     #[error("slot {slot} holds version {oldest} under bundle {revision}, which demands {demanded}")]
     Stale {
-        /// Slot within the step.
         slot: u32,
         /// Oldest version in the sample.
         oldest: u64,
@@ -162,7 +156,6 @@
     pub weight_versions: BTreeSet<u64>,
     /// Bundle revisions named in the answers.
     pub bundle_revisions: BTreeSet<u64>,
-    /// All violations.
     pub violations: Vec<Violation>,
 }
 
--- a/crates/bench/src/trainer/messages.rs
+++ b/crates/bench/src/trainer/messages.rs
@@ -7,7 +7,6 @@
 /// A sample that a step requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SampleSpec {
-    /// Prompt to complete.
     pub prompt: String,
     /// Maximum number of tokens.
     pub max_tokens: u32,
@@ -46,17 +45,12 @@
 /// A delivered sample.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Sample {
-    /// Trainer of the sample.
     pub trainer: String,
-    /// Step of the trainer.
     pub step: u64,
-    /// Slot within the step.
     pub slot: u32,
     /// Attempt number of the slot.
     pub attempt: u32,
-    /// Prompt.
     pub prompt: String,
-    /// Text.
     pub text: String,
     /// Weight versions that produced the text, in order.
     pub segments: Vec<Segment>,
@@ -70,7 +64,6 @@
 /// Answer to a pull.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct SamplesAnswer {
-    /// Delivered samples.
     pub samples: Vec<Sample>,
     /// Cursor that acknowledges these samples in the next pull.
     pub cursor: String,
--- a/crates/bench/src/trainer/mod.rs
+++ b/crates/bench/src/trainer/mod.rs
@@ -26,9 +26,7 @@
     /// The daemons finally refused the step.
     #[error("refused with {status}: {body}")]
     Refused {
-        /// HTTP status.
         status: StatusCode,
-        /// Response body.
         body: String,
     },
     /// The time limit was exceeded; holds the last error.
@@ -96,13 +94,11 @@
         }
     }
 
-    /// Replaces the daemons.
     pub fn use_daemons(&mut self, daemons: impl IntoIterator<Item = String>) {
         self.daemons = daemons.into_iter().collect();
         self.current = 0;
     }
 
-    /// Returns the trainer's name.
     pub fn name(&self) -> &str {
         &self.name
     }
--- a/crates/bench/src/trainer/single_calls.rs
+++ b/crates/bench/src/trainer/single_calls.rs
@@ -11,11 +11,8 @@
 pub enum SingleAnswer<T> {
     /// The daemon answered with success.
     Given(T),
-    /// The daemon refused.
     Refused {
-        /// HTTP status.
         status: StatusCode,
-        /// Response body.
         body: String,
     },
     /// No complete answer was received.
--- a/crates/bench/tests/planned_stop/connections.rs
+++ b/crates/bench/tests/planned_stop/connections.rs
@@ -12,7 +12,6 @@
 /// Receive buffer size of a narrow connection, in bytes.
 const NARROW_BYTES: u32 = 16 * 1024;
 
-/// Connection to a daemon.
 pub struct Connection {
     stream: TcpStream,
 }
--- a/crates/bench/tests/sample_truth/support.rs
+++ b/crates/bench/tests/sample_truth/support.rs
@@ -119,7 +119,6 @@
         }
     }
 
-    /// Returns an engine's log.
     pub async fn engine_log(&self, engine: usize) -> EngineLog {
         let stand_in = &self.cluster.platform.engines[engine].stand_in;
         stand_in.log().await.unwrap()
