--- a/crates/bench/src/chaos/judge.rs
+++ b/crates/bench/src/chaos/checker.rs
@@ -11,21 +11,21 @@
 const LEAVING_BOUND_MS: u64 = 6_000;
 
 /// Returns every violation that the back ends' logs show.
-pub(super) fn judge(requests: &[Request], logs: &BackendLogs) -> Vec<Violation> {
-    let mut violations = judge_leaving(logs);
+pub(super) fn check_all(requests: &[Request], logs: &BackendLogs) -> Vec<Violation> {
+    let mut violations = check_leaving(logs);
     let completions = logs.completions();
     let applications = logs.requests();
-    violations.extend(judge_labels(requests, &completions));
+    violations.extend(check_labels(requests, &completions));
     for request in requests {
         let runs = match request.kind {
             RequestKind::Completion | RequestKind::Streamed => {
                 let digest = prompt_digest(&request.content);
-                described(&completions, &digest)
+                describe_runs(&completions, &digest)
             }
-            _ => described(&applications, &request.content),
+            _ => describe_runs(&applications, &request.content),
         };
-        let broken = broken_guarantee(request, runs.len());
-        violations.extend(broken.map(|guarantee| Violation {
+        let violated = violated_guarantee(request, runs.len());
+        violations.extend(violated.map(|guarantee| Violation {
             guarantee,
             evidence: format!("{request:?}; runs: {runs:?}"),
         }));
@@ -34,7 +34,7 @@
 }
 
 /// Formats the runs of a request as evidence.
-fn described<R: std::fmt::Debug>(
+fn describe_runs<R: std::fmt::Debug>(
     runs: &BTreeMap<&str, Vec<(&str, R)>>,
     content: &str,
 ) -> Vec<String> {
@@ -43,7 +43,7 @@
 }
 
 /// Returns the guarantee that a request with this number of runs violates.
-fn broken_guarantee(request: &Request, runs: usize) -> Option<Guarantee> {
+fn violated_guarantee(request: &Request, runs: usize) -> Option<Guarantee> {
     let is_at_most_once = matches!(request.kind, RequestKind::AtMostOnce | RequestKind::Keyed);
     if is_at_most_once && runs > 1 {
         return Some(Guarantee::AtMostOnce);
@@ -57,12 +57,12 @@
     let was_completed = request
         .tries
         .iter()
-        .any(|tried| is_completed(tried.outcome));
+        .any(|attempt| is_completed(attempt.outcome));
     (was_completed && runs == 0).then_some(Guarantee::Ran)
 }
 
 /// Finds answers that omit weight versions which their engines named.
-fn judge_labels(
+fn check_labels(
     requests: &[Request],
     completions: &BTreeMap<&str, Vec<(&str, &Run)>>,
 ) -> Vec<Violation> {
@@ -80,7 +80,7 @@
     violations
 }
 
-fn judge_leaving(logs: &BackendLogs) -> Vec<Violation> {
+fn check_leaving(logs: &BackendLogs) -> Vec<Violation> {
     let mut violations = Vec::new();
     for (name, log) in &logs.engines {
         let Some(leaving_ms) = log.leaving_ms else {
--- a/crates/bench/src/chaos/evidence.rs
+++ b/crates/bench/src/chaos/evidence.rs
@@ -93,7 +93,7 @@
 
 /// One attempt to send a request.
 #[derive(Debug, Clone, Serialize)]
-pub(super) struct Try {
+pub(super) struct Attempt {
     /// Base URL of the daemon.
     pub(super) daemon: String,
     /// Outcome as the caller saw it.
@@ -108,14 +108,14 @@
     pub(super) kind: RequestKind,
     /// Prompt or body, unique to this request.
     pub(super) content: String,
-    pub(super) tries: Vec<Try>,
+    pub(super) tries: Vec<Attempt>,
     /// Whether the answer omits the weight version of some tokens.
     pub(super) lacks_versions: bool,
 }
 
 /// Observations of a run's callers, trainers and operators.
 #[derive(Debug, Default, Serialize)]
-pub(super) struct Notes {
+pub(super) struct Observations {
     /// Requests that have ended.
     pub(super) requests: Vec<Request>,
     /// Number of samples that trainers received.
@@ -133,19 +133,19 @@
 
 /// Observations shared by all tasks of a run.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Notebook {
-    notes: Arc<Mutex<Notes>>,
+pub(super) struct Recorder {
+    observations: Arc<Mutex<Observations>>,
 }
 
-impl Notebook {
+impl Recorder {
     /// Updates the observations.
-    pub(super) fn write(&self, change: impl FnOnce(&mut Notes)) {
-        change(&mut lock(&self.notes));
+    pub(super) fn update(&self, change: impl FnOnce(&mut Observations)) {
+        change(&mut lock(&self.observations));
     }
 
-    pub(super) fn violation(&self, guarantee: Guarantee, evidence: String) {
-        self.write(|notes| {
-            notes.violations.push(Violation {
+    pub(super) fn record_violation(&self, guarantee: Guarantee, evidence: String) {
+        self.update(|observations| {
+            observations.violations.push(Violation {
                 guarantee,
                 evidence,
             });
@@ -153,7 +153,7 @@
     }
 
     /// Returns the observations and resets them.
-    pub(super) fn take(&self) -> Notes {
-        std::mem::take(&mut lock(&self.notes))
+    pub(super) fn take(&self) -> Observations {
+        std::mem::take(&mut lock(&self.observations))
     }
 }
--- a/crates/bench/src/chaos/fault.rs
+++ b/crates/bench/src/chaos/fault.rs
@@ -127,7 +127,7 @@
 
 /// A cluster resource that at most one active fault may affect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Part {
+enum Resource {
     Daemon(usize),
     Links,
     Engine(usize),
@@ -171,23 +171,25 @@
     }
 
     /// Returns whether both faults affect a common resource.
-    pub(super) fn meets(&self, other: &Self, layout: &Layout) -> bool {
-        let others = other.parts(layout);
-        self.parts(layout).iter().any(|part| others.contains(part))
+    pub(super) fn conflicts_with(&self, other: &Self, layout: &Layout) -> bool {
+        let other_resources = other.resources(layout);
+        self.resources(layout)
+            .iter()
+            .any(|resource| other_resources.contains(resource))
     }
 
-    fn parts(&self, layout: &Layout) -> Vec<Part> {
+    fn resources(&self, layout: &Layout) -> Vec<Resource> {
         match self {
             Self::DaemonKilled(daemon)
             | Self::DaemonPaused(daemon)
-            | Self::DaemonTerminated(daemon) => vec![Part::Daemon(*daemon)],
-            Self::AllDaemonsKilled => (0..layout.zones.len()).map(Part::Daemon).collect(),
-            Self::Link { .. } | Self::ZoneCut(_) => vec![Part::Links],
-            Self::Engine { engine, .. } => vec![Part::Engine(*engine)],
-            Self::Application { application, .. } => vec![Part::Application(*application)],
-            Self::KeyValue(_) => vec![Part::KeyValue],
-            Self::MachineListDown | Self::MachineListLate => vec![Part::MachineList],
-            Self::ScorerDown => vec![Part::Scorer],
+            | Self::DaemonTerminated(daemon) => vec![Resource::Daemon(*daemon)],
+            Self::AllDaemonsKilled => (0..layout.zones.len()).map(Resource::Daemon).collect(),
+            Self::Link { .. } | Self::ZoneCut(_) => vec![Resource::Links],
+            Self::Engine { engine, .. } => vec![Resource::Engine(*engine)],
+            Self::Application { application, .. } => vec![Resource::Application(*application)],
+            Self::KeyValue(_) => vec![Resource::KeyValue],
+            Self::MachineListDown | Self::MachineListLate => vec![Resource::MachineList],
+            Self::ScorerDown => vec![Resource::Scorer],
         }
     }
 }
--- a/crates/bench/src/chaos/faults/applications.rs
+++ b/crates/bench/src/chaos/faults/applications.rs
@@ -7,10 +7,10 @@
 
 const DELAY_MS: u64 = 800;
 /// Number of consecutive connections to reset.
-const RESETS: u32 = 8;
+const RESET_CONNECTIONS: u32 = 8;
 
 impl Injector {
-    pub(super) async fn begin_application_fault(
+    pub(super) async fn start_application_fault(
         &self,
         application: usize,
         fault: ApplicationFault,
@@ -26,10 +26,10 @@
             ApplicationFault::Slow => faults.delay_ms = DELAY_MS,
             ApplicationFault::Reset => {
                 backend.proxy.cut();
-                backend.proxy.reset_next(RESETS);
+                backend.proxy.reset_next(RESET_CONNECTIONS);
             }
         }
-        backend.stand_in.fault(&faults).await
+        backend.stand_in.set_faults(&faults).await
     }
 
     pub(super) async fn end_application_fault(
@@ -38,6 +38,9 @@
     ) -> Result<(), ClusterError> {
         let backend = &self.cluster.platform.applications[application];
         backend.proxy.reset_next(0);
-        backend.stand_in.fault(&ApplicationFaults::default()).await
+        backend
+            .stand_in
+            .set_faults(&ApplicationFaults::default())
+            .await
     }
 }
--- a/crates/bench/src/chaos/faults/daemons.rs
+++ b/crates/bench/src/chaos/faults/daemons.rs
@@ -6,7 +6,7 @@
 use crate::cluster::ClusterError;
 
 /// Time for a planned stop before the process is killed.
-const STOP_BOUND: Duration = Duration::from_secs(5);
+const STOP_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl Injector {
     pub(super) fn kill_all_daemons(&mut self) {
@@ -28,7 +28,7 @@
     ) -> Result<(), ClusterError> {
         let daemon = &mut self.cluster.daemons[index];
         if let Some(process) = &mut daemon.process
-            && process.wait(STOP_BOUND).await.is_err()
+            && process.wait(STOP_TIMEOUT).await.is_err()
         {
             log::info!("event=stop_took_long daemon={}", daemon.name());
         }
--- a/crates/bench/src/chaos/faults/engines.rs
+++ b/crates/bench/src/chaos/faults/engines.rs
@@ -12,10 +12,10 @@
 
 const POLL: Duration = Duration::from_millis(20);
 /// Time for an unreachable engine to end all its runs.
-const IDLE_BOUND: Duration = Duration::from_secs(5);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl Injector {
-    pub(super) async fn begin_engine_fault(
+    pub(super) async fn start_engine_fault(
         &mut self,
         engine: usize,
         fault: EngineFault,
@@ -25,7 +25,7 @@
             EngineFault::Leaving => self.order_to_leave(engine).await,
             _ => {
                 let stand_in = &self.cluster.platform.engines[engine].stand_in;
-                stand_in.fault(&engine_faults(fault)).await
+                stand_in.set_faults(&engine_faults(fault)).await
             }
         }
     }
@@ -37,7 +37,7 @@
     ) -> Result<(), ClusterError> {
         if !replaces_engine(fault) {
             let stand_in = &self.cluster.platform.engines[engine].stand_in;
-            return stand_in.fault(&EngineFaults::default()).await;
+            return stand_in.set_faults(&EngineFaults::default()).await;
         }
         if fault == EngineFault::Leaving {
             self.kill_engine(engine).await?;
@@ -63,7 +63,7 @@
         let log = loop {
             let log: EngineLog = backend.stand_in.log().await?;
             let is_idle = log.runs.iter().all(|run| run.ending != Ending::Running);
-            if is_idle || start.elapsed() > IDLE_BOUND {
+            if is_idle || start.elapsed() > IDLE_TIMEOUT {
                 break log;
             }
             tokio::time::sleep(POLL).await;
@@ -71,7 +71,7 @@
         if let Some(process) = &mut backend.stand_in.process {
             process.kill();
         }
-        self.past_logs.add_engine(&backend.name, log);
+        self.logs_of_exited.add_engine(&backend.name, log);
         Ok(())
     }
 
--- a/crates/bench/src/chaos/faults/links.rs
+++ b/crates/bench/src/chaos/faults/links.rs
@@ -6,13 +6,13 @@
 
 const DELAY_MS: u64 = 300;
 /// Number of consecutive connections to reset in each direction.
-const RESETS: u32 = 4;
+const RESET_CONNECTIONS: u32 = 4;
 
 impl Injector {
-    pub(super) fn begin_link_fault(&self, first: usize, second: usize, fault: LinkFault) {
+    pub(super) fn start_link_fault(&self, first: usize, second: usize, fault: LinkFault) {
         let faults = match fault {
-            LinkFault::Cut => cut(),
-            LinkFault::OneWay => return self.swallow(first, second),
+            LinkFault::Cut => refusing_faults(),
+            LinkFault::OneWay => return self.drop_one_way(first, second),
             LinkFault::Delayed => Faults {
                 delay_ms: DELAY_MS,
                 ..Faults::default()
@@ -32,7 +32,7 @@
     }
 
     /// Drops the bytes from one daemon to the other, whichever of them opened the connection.
-    fn swallow(&self, from: usize, to: usize) {
+    fn drop_one_way(&self, from: usize, to: usize) {
         let opened = Faults {
             swallow_to_target: true,
             ..Faults::default()
@@ -54,16 +54,16 @@
             let target = self.cluster.daemons[target].name();
             if let Some(link) = self.cluster.daemons[opener].links.get(target) {
                 link.cut();
-                link.reset_next(RESETS);
+                link.reset_next(RESET_CONNECTIONS);
             }
         }
     }
 
-    pub(super) fn cut_zone(&self, zone: usize) {
-        self.set_zone_faults(zone, cut());
+    pub(super) fn isolate_zone(&self, zone: usize) {
+        self.set_zone_faults(zone, refusing_faults());
     }
 
-    pub(super) fn join_zone(&self, zone: usize) {
+    pub(super) fn reconnect_zone(&self, zone: usize) {
         self.set_zone_faults(zone, Faults::default());
     }
 
@@ -86,7 +86,7 @@
     }
 }
 
-fn cut() -> Faults {
+fn refusing_faults() -> Faults {
     Faults {
         refuse: true,
         ..Faults::default()
--- a/crates/bench/src/chaos/faults/mod.rs
+++ b/crates/bench/src/chaos/faults/mod.rs
@@ -18,7 +18,7 @@
     pub(super) cluster: Cluster,
     config: ClusterConfig,
     /// Logs of back ends that have exited.
-    past_logs: BackendLogs,
+    logs_of_exited: BackendLogs,
 }
 
 impl Injector {
@@ -26,7 +26,7 @@
         Self {
             cluster,
             config,
-            past_logs: BackendLogs::default(),
+            logs_of_exited: BackendLogs::default(),
         }
     }
 
@@ -46,8 +46,8 @@
                 planned.fault
             );
             match planned.action {
-                Action::Begin => self.begin(&planned.fault).await?,
-                Action::End => self.end(&planned.fault).await?,
+                Action::Begin => self.start_fault(&planned.fault).await?,
+                Action::End => self.end_fault(&planned.fault).await?,
             }
         }
         Ok(())
@@ -55,7 +55,7 @@
 
     /// Returns the logs of all back ends, including those that have exited.
     pub(super) async fn backend_logs(&self) -> Result<BackendLogs, ClusterError> {
-        let mut logs = self.past_logs.clone();
+        let mut logs = self.logs_of_exited.clone();
         for engine in &self.cluster.platform.engines {
             logs.add_engine(&engine.name, engine.stand_in.log().await?);
         }
@@ -65,7 +65,7 @@
         Ok(logs)
     }
 
-    async fn begin(&mut self, fault: &Fault) -> Result<(), ClusterError> {
+    async fn start_fault(&mut self, fault: &Fault) -> Result<(), ClusterError> {
         match fault {
             Fault::DaemonKilled(daemon) => self.cluster.daemons[*daemon].kill(),
             Fault::DaemonPaused(daemon) => self.cluster.daemons[*daemon].pause(),
@@ -75,13 +75,13 @@
                 first,
                 second,
                 fault,
-            } => self.begin_link_fault(*first, *second, *fault),
-            Fault::ZoneCut(zone) => self.cut_zone(*zone),
-            Fault::Engine { engine, fault } => self.begin_engine_fault(*engine, *fault).await?,
+            } => self.start_link_fault(*first, *second, *fault),
+            Fault::ZoneCut(zone) => self.isolate_zone(*zone),
+            Fault::Engine { engine, fault } => self.start_engine_fault(*engine, *fault).await?,
             Fault::Application { application, fault } => {
-                self.begin_application_fault(*application, *fault).await?;
+                self.start_application_fault(*application, *fault).await?;
             }
-            Fault::KeyValue(fault) => self.begin_key_value_fault(*fault).await?,
+            Fault::KeyValue(fault) => self.start_key_value_fault(*fault).await?,
             Fault::MachineListDown => self.set_machine_list_down().await?,
             Fault::MachineListLate => self.set_machine_list_late().await?,
             Fault::ScorerDown => self.set_scorer_down().await?,
@@ -89,7 +89,7 @@
         Ok(())
     }
 
-    async fn end(&mut self, fault: &Fault) -> Result<(), ClusterError> {
+    async fn end_fault(&mut self, fault: &Fault) -> Result<(), ClusterError> {
         match fault {
             Fault::DaemonKilled(daemon) => self.cluster.start_daemon(*daemon).await,
             Fault::DaemonPaused(daemon) => {
@@ -103,7 +103,7 @@
                 Ok(())
             }
             Fault::ZoneCut(zone) => {
-                self.join_zone(*zone);
+                self.reconnect_zone(*zone);
                 Ok(())
             }
             Fault::Engine { engine, fault } => self.end_engine_fault(*engine, *fault).await,
--- a/crates/bench/src/chaos/faults/services.rs
+++ b/crates/bench/src/chaos/faults/services.rs
@@ -9,10 +9,10 @@
 
 const LIMITED_REQUESTS_PER_SECOND: f64 = 2.0;
 const LOST_ANSWERS: u32 = 3;
-const LATE_MS: u64 = 10_000;
+const LIST_DELAY_MS: u64 = 10_000;
 
 impl Injector {
-    pub(super) async fn begin_key_value_fault(
+    pub(super) async fn start_key_value_fault(
         &self,
         fault: KeyValueFault,
     ) -> Result<(), ClusterError> {
@@ -24,12 +24,12 @@
             KeyValueFault::LosesAnswers => faults.lost_answers = LOST_ANSWERS,
             KeyValueFault::Stale => faults.stale_reads = true,
         }
-        self.cluster.platform.key_value.fault(&faults).await
+        self.cluster.platform.key_value.set_faults(&faults).await
     }
 
     pub(super) async fn end_key_value_fault(&self) -> Result<(), ClusterError> {
         let key_value = &self.cluster.platform.key_value;
-        key_value.fault(&KeyValueFaults::default()).await
+        key_value.set_faults(&KeyValueFaults::default()).await
     }
 
     pub(super) async fn set_machine_list_down(&self) -> Result<(), ClusterError> {
@@ -37,20 +37,20 @@
             down: true,
             ..MachineListFaults::default()
         };
-        self.cluster.platform.machine_list.fault(&faults).await
+        self.cluster.platform.machine_list.set_faults(&faults).await
     }
 
     pub(super) async fn set_machine_list_late(&self) -> Result<(), ClusterError> {
         let faults = MachineListFaults {
-            late_ms: LATE_MS,
+            late_ms: LIST_DELAY_MS,
             ..MachineListFaults::default()
         };
-        self.cluster.platform.machine_list.fault(&faults).await
+        self.cluster.platform.machine_list.set_faults(&faults).await
     }
 
     pub(super) async fn end_machine_list_fault(&self) -> Result<(), ClusterError> {
         let machine_list = &self.cluster.platform.machine_list;
-        machine_list.fault(&MachineListFaults::default()).await
+        machine_list.set_faults(&MachineListFaults::default()).await
     }
 
     pub(super) async fn set_scorer_down(&self) -> Result<(), ClusterError> {
@@ -58,11 +58,11 @@
             down: true,
             ..ScorerFaults::default()
         };
-        self.cluster.platform.scorer.fault(&faults).await
+        self.cluster.platform.scorer.set_faults(&faults).await
     }
 
     pub(super) async fn end_scorer_fault(&self) -> Result<(), ClusterError> {
         let scorer = &self.cluster.platform.scorer;
-        scorer.fault(&ScorerFaults::default()).await
+        scorer.set_faults(&ScorerFaults::default()).await
     }
 }
--- a/crates/bench/src/chaos/load/applications.rs
+++ b/crates/bench/src/chaos/load/applications.rs
@@ -7,8 +7,8 @@
 use rand::RngExt;
 use reqwest::Method;
 
-use super::super::evidence::{Notebook, Outcome, Request, RequestKind, Try};
-use super::{Task, note_error};
+use super::super::evidence::{Attempt, Outcome, Recorder, Request, RequestKind};
+use super::{Task, record_error};
 use crate::cluster::APPLICATION_POOL;
 use crate::live::Caller;
 use crate::stand_in::lock;
@@ -16,9 +16,9 @@
 const PATH: &str = "price?currency=nok";
 const PAUSE_MS: std::ops::Range<u64> = 20..150;
 /// Time after which the caller of a keyed request abandons an attempt and sends it again.
-const KEYED_PATIENCE: Duration = Duration::from_secs(2);
+const KEYED_TIMEOUT: Duration = Duration::from_secs(2);
 /// Number of attempts of a keyed request.
-const KEYED_TRIES: usize = 3;
+const KEYED_ATTEMPTS: usize = 3;
 const KEYED_PAUSE_MS: std::ops::Range<u64> = 1..400;
 
 /// Sends requests until stopped.
@@ -32,19 +32,19 @@
             1 => at_most_once(&mut task, content).await,
             _ => keyed(&mut task, content).await,
         };
-        let notebook = &task.shared.notebook;
-        notebook.write(|notes| notes.requests.push(request));
+        let recorder = &task.shared.recorder;
+        recorder.update(|observations| observations.requests.push(request));
         task.pause(PAUSE_MS).await;
     }
 }
 
 async fn repeatable(task: &mut Task, content: String) -> Request {
     let daemon = task.any_daemon();
-    let tried = send(&task.shared.notebook, daemon, Method::PUT, &content, &[]).await;
+    let attempt = send(&task.shared.recorder, daemon, Method::PUT, &content, &[]).await;
     Request {
         kind: RequestKind::Repeatable,
         content,
-        tries: vec![tried],
+        tries: vec![attempt],
         lacks_versions: false,
     }
 }
@@ -57,11 +57,11 @@
         true => (Method::POST, &[] as &[_]),
         false => (Method::PUT, marked),
     };
-    let tried = send(&task.shared.notebook, daemon, method, &content, headers).await;
+    let attempt = send(&task.shared.recorder, daemon, method, &content, headers).await;
     Request {
         kind: RequestKind::AtMostOnce,
         content,
-        tries: vec![tried],
+        tries: vec![attempt],
         lacks_versions: false,
     }
 }
@@ -71,12 +71,13 @@
     let tries = Mutex::new(Vec::new());
     if task.random.random_range(0..3) == 0 {
         let daemons = [task.any_daemon(), task.any_daemon()];
-        let both = daemons.map(|daemon| keyed_try(&task.shared.notebook, daemon, &content, &tries));
+        let both =
+            daemons.map(|daemon| keyed_attempt(&task.shared.recorder, daemon, &content, &tries));
         join_all(both).await;
     }
-    while lock(&tries).len() < KEYED_TRIES {
+    while lock(&tries).len() < KEYED_ATTEMPTS {
         let daemon = task.any_daemon();
-        keyed_try(&task.shared.notebook, daemon, &content, &tries).await;
+        keyed_attempt(&task.shared.recorder, daemon, &content, &tries).await;
         task.pause(KEYED_PAUSE_MS).await;
     }
     Request {
@@ -87,33 +88,38 @@
     }
 }
 
-async fn keyed_try(notebook: &Notebook, daemon: String, content: &str, tries: &Mutex<Vec<Try>>) {
+async fn keyed_attempt(
+    recorder: &Recorder,
+    daemon: String,
+    content: &str,
+    tries: &Mutex<Vec<Attempt>>,
+) {
     let key = content.replace(' ', "-");
     let headers = [("Idempotency-Key", key.as_str())];
-    let sent = send(notebook, daemon.clone(), Method::POST, content, &headers);
-    let tried = tokio::time::timeout(KEYED_PATIENCE, sent).await;
-    let tried = tried.unwrap_or_else(|_| Try {
+    let sent = send(recorder, daemon.clone(), Method::POST, content, &headers);
+    let attempt = tokio::time::timeout(KEYED_TIMEOUT, sent).await;
+    let attempt = attempt.unwrap_or_else(|_| Attempt {
         daemon,
         outcome: Outcome::Broken,
         detail: "given up by the caller".to_owned(),
     });
-    lock(tries).push(tried);
+    lock(tries).push(attempt);
 }
 
 async fn send(
-    notebook: &Notebook,
+    recorder: &Recorder,
     daemon: String,
     method: Method,
     content: &str,
     headers: &[(&str, &str)],
-) -> Try {
+) -> Attempt {
     let caller = Caller::new(&daemon);
     let call = caller.application_with(APPLICATION_POOL, method, PATH, content, headers);
     let result = call.await;
     if let Err(error) = &result {
-        note_error(notebook, content, error);
+        record_error(recorder, content, error);
     }
-    Try {
+    Attempt {
         daemon,
         outcome: Outcome::of(&result),
         detail: result
--- a/crates/bench/src/chaos/load/completions.rs
+++ b/crates/bench/src/chaos/load/completions.rs
@@ -2,8 +2,8 @@
 
 use rand::RngExt;
 
-use super::super::evidence::{Outcome, Request, RequestKind, Try};
-use super::{Task, note_error};
+use super::super::evidence::{Attempt, Outcome, Request, RequestKind};
+use super::{Task, record_error};
 use crate::cluster::MODEL_POOL;
 use crate::live::Caller;
 
@@ -21,16 +21,16 @@
         let daemon = task.any_daemon();
         let tokens = task.random.random_range(TOKENS);
         let stream = task.random.random();
-        let caller = Caller::new(&daemon).accepting_unnamed(POSSIBLE_VERSIONS);
+        let caller = Caller::new(&daemon).with_possible_versions(POSSIBLE_VERSIONS);
         let result = caller.complete(MODEL_POOL, &prompt, tokens, stream).await;
-        let notebook = &task.shared.notebook;
+        let recorder = &task.shared.recorder;
         if let Err(error) = &result {
-            note_error(notebook, &prompt, error);
+            record_error(recorder, &prompt, error);
         }
-        let names_all = result
+        let is_fully_labelled = result
             .as_ref()
-            .map_or(true, |completion| completion.names_all);
-        let tried = Try {
+            .map_or(true, |completion| completion.is_fully_labelled);
+        let attempt = Attempt {
             daemon,
             outcome: Outcome::of(&result),
             detail: result
@@ -42,12 +42,12 @@
             true => RequestKind::Streamed,
             false => RequestKind::Completion,
         };
-        notebook.write(|notes| {
-            notes.requests.push(Request {
+        recorder.update(|observations| {
+            observations.requests.push(Request {
                 kind,
                 content: prompt,
-                tries: vec![tried],
-                lacks_versions: !names_all,
+                tries: vec![attempt],
+                lacks_versions: !is_fully_labelled,
             });
         });
         task.pause(PAUSE_MS).await;
--- a/crates/bench/src/chaos/load/mod.rs
+++ b/crates/bench/src/chaos/load/mod.rs
@@ -14,12 +14,12 @@
 use tokio::sync::watch as signal;
 use tokio::task::JoinSet;
 
-use super::evidence::Notebook;
+use super::evidence::Recorder;
 use super::violation::Guarantee;
 use crate::cluster::Cluster;
 use crate::live::LiveError;
 
-pub(super) use operators::Rolls;
+pub(super) use operators::BundleRoller;
 
 const COMPLETION_CALLERS: u64 = 4;
 const APPLICATION_CALLERS: u64 = 4;
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone)]
 struct Shared {
     daemons: Vec<String>,
-    notebook: Notebook,
+    recorder: Recorder,
     stopped: signal::Receiver<bool>,
 }
 
@@ -71,15 +71,15 @@
     pub(super) fn start(
         seed: u64,
         cluster: &Cluster,
-        rolls: &Rolls,
-        notebook: &Notebook,
+        roller: &BundleRoller,
+        recorder: &Recorder,
         step_bound: Duration,
     ) -> Self {
         let (stop, stopped) = signal::channel(false);
         let (stop_watching, watching_stopped) = signal::channel(false);
         let shared = Shared {
             daemons: cluster.urls(),
-            notebook: notebook.clone(),
+            recorder: recorder.clone(),
             stopped,
         };
         let task = |kind: u64, number| Task {
@@ -98,7 +98,7 @@
             let trainer = cluster.trainer(&format!("trainer-{number}"));
             tasks.spawn(training::run(task(3, number), trainer, step_bound));
         }
-        tasks.spawn(operators::run(task(4, 0), rolls.clone()));
+        tasks.spawn(operators::run(task(4, 0), roller.clone()));
         let watchers = watch::start(&shared, &watching_stopped);
         Self {
             stop,
@@ -122,11 +122,11 @@
 }
 
 /// Records the violations that an error shows.
-fn note_error(notebook: &Notebook, content: &str, error: &LiveError) {
+fn record_error(recorder: &Recorder, content: &str, error: &LiveError) {
     if error.is_violation() {
-        notebook.violation(Guarantee::WholeAnswer, format!("{content}: {error}"));
+        recorder.record_violation(Guarantee::WholeAnswer, format!("{content}: {error}"));
     }
     if error.lacks_retry_after() {
-        notebook.violation(Guarantee::RetryAfter, format!("{content}: {error}"));
+        recorder.record_violation(Guarantee::RetryAfter, format!("{content}: {error}"));
     }
 }
--- a/crates/bench/src/chaos/load/operators.rs
+++ b/crates/bench/src/chaos/load/operators.rs
@@ -8,7 +8,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use super::super::evidence::Notebook;
+use super::super::evidence::Recorder;
 use super::super::violation::Guarantee;
 use super::Task;
 use crate::cluster::{Cluster, ClusterError, Operator, current_bundle};
@@ -16,18 +16,18 @@
 
 const PAUSE_MS: std::ops::Range<u64> = 1_000..4_000;
 /// Time limit for rolling one bundle.
-const ROLL_BOUND: Duration = Duration::from_secs(8);
+const ROLL_TIMEOUT: Duration = Duration::from_secs(8);
 /// Time limit for reading the bundle in force at one daemon.
-const READ_BOUND: Duration = Duration::from_millis(500);
+const READ_TIMEOUT: Duration = Duration::from_millis(500);
 const STALENESS_BOUNDS: std::ops::Range<u64> = 0..3;
 /// Average number of rolls per race between two operators.
-const RACE_EVERY: u32 = 3;
+const ROLLS_PER_RACE: u32 = 3;
 
 /// Source of a run's bundles. Clones share its state.
 #[derive(Debug, Clone)]
-pub(in super::super) struct Rolls {
+pub(in super::super) struct BundleRoller {
     operator: Operator,
-    notebook: Notebook,
+    recorder: Recorder,
     seed: u64,
     first: Bundle,
     state: Arc<Mutex<State>>,
@@ -41,12 +41,12 @@
     accepted: BTreeMap<u64, String>,
 }
 
-impl Rolls {
+impl BundleRoller {
     /// Creates a roller whose bundles succeed the first bundle of `cluster`.
-    pub(in super::super) fn new(seed: u64, cluster: &Cluster, notebook: &Notebook) -> Self {
+    pub(in super::super) fn new(seed: u64, cluster: &Cluster, recorder: &Recorder) -> Self {
         Self {
             operator: cluster.operator(),
-            notebook: notebook.clone(),
+            recorder: recorder.clone(),
             seed,
             first: cluster.bundle(1, 1),
             state: Arc::default(),
@@ -63,7 +63,7 @@
     pub(in super::super) async fn next(&self) -> Bundle {
         let mut newest = self.newest_accepted();
         for daemon in &self.operator.daemons {
-            let current = tokio::time::timeout(READ_BOUND, current_bundle(daemon)).await;
+            let current = tokio::time::timeout(READ_TIMEOUT, current_bundle(daemon)).await;
             if let Ok(Ok(current)) = current {
                 newest = newest.max(current.revision);
             }
@@ -100,49 +100,52 @@
         operator.daemons.rotate_left(first_daemon);
         let result = operator.roll(bundle, bound).await;
         match result {
-            Ok(()) => self.note_accepted(bundle),
-            Err(_) => self.notebook.write(|notes| notes.bundles_given_up += 1),
+            Ok(()) => self.record_accepted(bundle),
+            Err(_) => self
+                .recorder
+                .update(|observations| observations.bundles_given_up += 1),
         }
         result
     }
 
-    fn note_accepted(&self, bundle: &Bundle) {
-        self.notebook.write(|notes| notes.bundles += 1);
+    fn record_accepted(&self, bundle: &Bundle) {
+        self.recorder
+            .update(|observations| observations.bundles += 1);
         let notes = format!("{:?}", bundle.notes);
         let revision = bundle.revision;
         let earlier = lock(&self.state).accepted.insert(revision, notes.clone());
         if let Some(earlier) = earlier.filter(|earlier| *earlier != notes) {
             let evidence = format!("revision {revision} accepted as {earlier} and as {notes}");
-            self.notebook.violation(Guarantee::Bundles, evidence);
+            self.recorder.record_violation(Guarantee::Bundles, evidence);
         }
     }
 }
 
 /// Rolls bundles until stopped.
-pub(super) async fn run(mut task: Task, rolls: Rolls) {
+pub(super) async fn run(mut task: Task, roller: BundleRoller) {
     loop {
         task.pause(PAUSE_MS).await;
         if task.is_stopped() {
             return;
         }
-        let bundle = rolls.next().await;
+        let bundle = roller.next().await;
         let first = task.random.random_range(0..task.shared.daemons.len());
-        let races = task.random.random_range(0..RACE_EVERY) == 0;
-        if races {
+        let is_race = task.random.random_range(0..ROLLS_PER_RACE) == 0;
+        if is_race {
             let second = (first + 1) % task.shared.daemons.len();
-            race(&rolls, bundle, first, second).await;
+            race(&roller, bundle, first, second).await;
         } else {
             // The next round rolls a newer bundle.
-            let _ = rolls.roll(&bundle, first, ROLL_BOUND).await;
+            let _ = roller.roll(&bundle, first, ROLL_TIMEOUT).await;
         }
     }
 }
 
 /// Rolls two different bundles of the same revision concurrently; at most one may be accepted.
-async fn race(rolls: &Rolls, bundle: Bundle, first: usize, second: usize) {
-    let other = rolls.bundle(bundle.revision);
+async fn race(roller: &BundleRoller, bundle: Bundle, first: usize, second: usize) {
+    let other = roller.bundle(bundle.revision);
     let _ = tokio::join!(
-        rolls.roll(&bundle, first, ROLL_BOUND),
-        rolls.roll(&other, second, ROLL_BOUND)
+        roller.roll(&bundle, first, ROLL_TIMEOUT),
+        roller.roll(&other, second, ROLL_TIMEOUT)
     );
 }
--- a/crates/bench/src/chaos/load/training.rs
+++ b/crates/bench/src/chaos/load/training.rs
@@ -11,15 +11,15 @@
 
 const SAMPLES: u32 = 40;
 const TOKENS: std::ops::Range<u32> = 8..40;
-const SAMPLES_AN_ANSWER: u32 = 7;
-const DROP_EVERY: u32 = 4;
+const SAMPLES_PER_ANSWER: u32 = 7;
+const PULLS_PER_DROP: u32 = 4;
 
 /// Runs steps until stopped and completes the last one. `bound` is the time limit per step.
 pub(super) async fn run(mut task: Task, mut trainer: Trainer, bound: Duration) {
     let options = PullOptions {
-        max: SAMPLES_AN_ANSWER,
-        drop_every: DROP_EVERY,
-        moves: true,
+        max: SAMPLES_PER_ANSWER,
+        drop_every: PULLS_PER_DROP,
+        rotates_daemons: true,
         deadline: bound,
         ..PullOptions::default()
     };
@@ -29,25 +29,25 @@
         let tokens = task.random.random_range(TOKENS);
         let spec = step_spec(trainer.name(), step, tokens);
         let result = trainer.run(step, &spec, &options).await;
-        let notebook = &task.shared.notebook;
-        for refusal in trainer.hasty_refusals.drain(..) {
-            notebook.violation(Guarantee::RetryAfter, refusal);
+        let recorder = &task.shared.recorder;
+        for refusal in trainer.refusals_without_retry_after.drain(..) {
+            recorder.record_violation(Guarantee::RetryAfter, refusal);
         }
         let report = match result {
             Ok(report) => report,
             Err(error) => {
                 let evidence = format!("{} step {step}: {error}", trainer.name());
-                return notebook.violation(Guarantee::StepsComplete, evidence);
+                return recorder.record_violation(Guarantee::StepsComplete, evidence);
             }
         };
         for violation in &report.violations {
             let evidence = format!("{} step {step}: {violation}", trainer.name());
-            notebook.violation(Guarantee::Samples, evidence);
+            recorder.record_violation(Guarantee::Samples, evidence);
         }
-        notebook.write(|notes| {
-            notes.steps += 1;
-            notes.samples += report.delivered;
-            notes.answers_dropped += report.answers_dropped;
+        recorder.update(|observations| {
+            observations.steps += 1;
+            observations.samples += report.delivered;
+            observations.answers_dropped += report.answers_dropped;
         });
     }
 }
--- a/crates/bench/src/chaos/load/watch.rs
+++ b/crates/bench/src/chaos/load/watch.rs
@@ -7,7 +7,7 @@
 use tokio::sync::watch as signal;
 use tokio::task::JoinSet;
 
-use super::super::evidence::Notebook;
+use super::super::evidence::Recorder;
 use super::super::violation::Guarantee;
 use super::Shared;
 use crate::cluster::{CurrentBundle, current_bundle};
@@ -25,7 +25,7 @@
     for daemon in &shared.daemons {
         let watcher = Watcher {
             daemon: daemon.clone(),
-            notebook: shared.notebook.clone(),
+            recorder: shared.recorder.clone(),
             newest: 0,
             texts: texts.clone(),
         };
@@ -36,7 +36,7 @@
 
 struct Watcher {
     daemon: String,
-    notebook: Notebook,
+    recorder: Recorder,
     /// Highest revision that the daemon has shown, across its restarts.
     newest: u64,
     texts: Texts,
@@ -58,7 +58,7 @@
         let revision = current.revision;
         if revision < self.newest {
             let evidence = format!("{}: {revision} after {}", self.daemon, self.newest);
-            self.notebook.violation(Guarantee::Bundles, evidence);
+            self.recorder.record_violation(Guarantee::Bundles, evidence);
         }
         self.newest = self.newest.max(revision);
         let mut texts = lock(&self.texts);
@@ -67,7 +67,7 @@
             .or_insert_with(|| current.text.clone());
         if *known != current.text {
             let evidence = format!("{}: another text of {revision}", self.daemon);
-            self.notebook.violation(Guarantee::Bundles, evidence);
+            self.recorder.record_violation(Guarantee::Bundles, evidence);
         }
     }
 }
--- a/crates/bench/src/chaos/mod.rs
+++ b/crates/bench/src/chaos/mod.rs
@@ -1,11 +1,11 @@
 //! Fault injection with seeded random faults on real daemons and stand-ins under load. Results are
 //! checked against the logs of stand-ins and callers, not against the daemons' own statements.
 
+mod checker;
 mod draw;
 mod evidence;
 mod fault;
 mod faults;
-mod judge;
 mod load;
 mod plan;
 mod recovery;
@@ -16,19 +16,19 @@
 use std::time::{Duration, Instant};
 
 use crate::cluster::{Cluster, ClusterConfig, ClusterError, DaemonPlan};
-use evidence::{BackendLogs, Notebook, Notes};
+use evidence::{BackendLogs, Observations, Recorder};
 pub use evidence::{Outcome, RequestKind};
 pub use fault::{ApplicationFault, EngineFault, Fault, KeyValueFault, Layout, LinkFault};
 use faults::Injector;
-use load::{Load, Rolls};
+use load::{BundleRoller, Load};
 pub use plan::{Action, Plan, PlannedAction, PlannedFault};
 pub use report::ChaosReport;
 pub use violation::{Guarantee, Violation};
 
 /// Minimum length of a run, in seconds.
-pub const LEAST_SECONDS: u64 = 8;
+pub const MIN_SECONDS: u64 = 8;
 /// Fault-free time at the end of a run.
-const QUIET: Duration = Duration::from_secs(5);
+const FAULT_FREE_TIME: Duration = Duration::from_secs(5);
 /// Time for steps to complete after the load has ended.
 const STEP_GRACE: Duration = Duration::from_secs(60);
 const ENGINES: usize = 4;
@@ -66,33 +66,33 @@
     let cluster_config = cluster_config();
     let plan = Plan::new(
         config.seed,
-        config.length.saturating_sub(QUIET),
+        config.length.saturating_sub(FAULT_FREE_TIME),
         &layout(&cluster_config),
     );
     let cluster = Cluster::start_ready(&cluster_config).await?;
-    let notebook = Notebook::default();
-    let rolls = Rolls::new(config.seed, &cluster, &notebook);
+    let recorder = Recorder::default();
+    let roller = BundleRoller::new(config.seed, &cluster, &recorder);
     let start = Instant::now();
     let step_bound = config.length + STEP_GRACE;
-    let load = Load::start(config.seed, &cluster, &rolls, &notebook, step_bound);
+    let load = Load::start(config.seed, &cluster, &roller, &recorder, step_bound);
     let mut injector = Injector::new(cluster, cluster_config);
     if let Err(error) = injector.run(&plan).await {
-        notebook.violation(Guarantee::Recovery, format!("a fault did not end: {error}"));
+        recorder.record_violation(Guarantee::Recovery, format!("a fault did not end: {error}"));
     }
     tokio::time::sleep(config.length.saturating_sub(start.elapsed())).await;
     load.stop();
-    recovery::check(&injector.cluster, &rolls, &notebook).await;
+    recovery::check(&injector.cluster, &roller, &recorder).await;
     load.finish().await;
-    check_daemons(&mut injector.cluster, &notebook);
+    check_daemons(&mut injector.cluster, &recorder);
 
     let logs = injector.backend_logs().await?;
-    let mut notes = notebook.take();
-    notes
+    let mut observations = recorder.take();
+    observations
         .violations
-        .extend(judge::judge(&notes.requests, &logs));
-    let kept = keep(&mut injector.cluster, &plan, &notes, &logs)?;
-    let mut report = ChaosReport::new(config.seed, config.length.as_secs(), &plan, notes);
-    report.logs = kept;
+        .extend(checker::check_all(&observations.requests, &logs));
+    let log_folder = keep_logs(&mut injector.cluster, &plan, &observations, &logs)?;
+    let mut report = ChaosReport::new(config.seed, config.length.as_secs(), &plan, observations);
+    report.logs = log_folder;
     Ok(report)
 }
 
@@ -129,7 +129,7 @@
 }
 
 /// Checks that all daemons still run and that none has panicked.
-fn check_daemons(cluster: &mut Cluster, notebook: &Notebook) {
+fn check_daemons(cluster: &mut Cluster, recorder: &Recorder) {
     for daemon in &mut cluster.daemons {
         let name = daemon.name().to_owned();
         let Some(process) = &mut daemon.process else {
@@ -137,7 +137,7 @@
         };
         if let Ok(Some(status)) = process.exit_status() {
             let evidence = format!("{name} ended with {status}:\n{}", process.log_tail());
-            notebook.violation(Guarantee::NoCrash, evidence);
+            recorder.record_violation(Guarantee::NoCrash, evidence);
         }
     }
     for daemon in &cluster.daemons {
@@ -146,25 +146,25 @@
         let log = String::from_utf8_lossy(&log);
         for line in log.lines().filter(|line| line.contains("panicked at")) {
             let evidence = format!("{}: {line}", daemon.name());
-            notebook.violation(Guarantee::NoCrash, evidence);
+            recorder.record_violation(Guarantee::NoCrash, evidence);
         }
     }
 }
 
 /// Keeps the logs if a guarantee was violated, and returns their folder.
-fn keep(
+fn keep_logs(
     cluster: &mut Cluster,
     plan: &Plan,
-    notes: &Notes,
+    observations: &Observations,
     logs: &BackendLogs,
 ) -> Result<Option<std::path::PathBuf>, ChaosError> {
-    if notes.violations.is_empty() {
+    if observations.violations.is_empty() {
         return Ok(None);
     }
     cluster.keep_folder();
     let folder = cluster.folder();
     write_json(&folder.join("plan.json"), plan)?;
-    write_json(&folder.join("callers.json"), notes)?;
+    write_json(&folder.join("callers.json"), observations)?;
     write_json(&folder.join("back-ends.json"), logs)?;
     Ok(Some(folder.to_owned()))
 }
--- a/crates/bench/src/chaos/plan.rs
+++ b/crates/bench/src/chaos/plan.rs
@@ -8,13 +8,13 @@
 use super::fault::{Fault, Layout};
 
 /// Maximum number of faults active at the same time.
-const MOST_AT_ONCE: usize = 2;
+const MAX_CONCURRENT_FAULTS: usize = 2;
 /// Delay before the first fault.
-const LEAD: Duration = Duration::from_millis(500);
+const INITIAL_DELAY: Duration = Duration::from_millis(500);
 /// Range of the delay between the starts of two faults, in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 300..1_500;
 /// Maximum number of draws to find a fault without a conflict.
-const DRAWS: usize = 16;
+const MAX_DRAWS: usize = 16;
 
 /// A fault and its times.
 #[derive(Debug, Clone, PartialEq, serde::Serialize)]
@@ -54,10 +54,10 @@
     pub fn new(seed: u64, length: Duration, layout: &Layout) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
         let mut faults: Vec<PlannedFault> = Vec::new();
-        let mut at = LEAD;
+        let mut at = INITIAL_DELAY;
         while at < length {
             let active: Vec<Fault> = active_at(&faults, at);
-            if active.len() < MOST_AT_ONCE
+            if active.len() < MAX_CONCURRENT_FAULTS
                 && let Some(fault) = draw(&mut random, layout, &active)
             {
                 let duration = Duration::from_millis(random.random_range(fault.duration_ms()));
@@ -97,7 +97,11 @@
 
 /// Draws a fault that affects no resource of an active one.
 fn draw(random: &mut StdRng, layout: &Layout, active: &[Fault]) -> Option<Fault> {
-    (0..DRAWS)
+    (0..MAX_DRAWS)
         .map(|_| Fault::draw(random, layout))
-        .find(|fault| !active.iter().any(|other| fault.meets(other, layout)))
+        .find(|fault| {
+            !active
+                .iter()
+                .any(|other| fault.conflicts_with(other, layout))
+        })
 }
--- a/crates/bench/src/chaos/report.rs
+++ b/crates/bench/src/chaos/report.rs
@@ -6,7 +6,7 @@
 
 use serde::Serialize;
 
-use super::evidence::{Notes, Outcome, RequestKind};
+use super::evidence::{Observations, Outcome, RequestKind};
 use super::plan::Plan;
 use super::violation::Violation;
 
@@ -36,32 +36,32 @@
 
 impl ChaosReport {
     /// Summarizes the observations of a run.
-    pub(super) fn new(seed: u64, seconds: u64, plan: &Plan, notes: Notes) -> Self {
+    pub(super) fn new(seed: u64, seconds: u64, plan: &Plan, observations: Observations) -> Self {
         let mut report = Self {
             seed,
             seconds,
-            samples: notes.samples,
-            answers_dropped: notes.answers_dropped,
-            steps: notes.steps,
-            bundles: notes.bundles,
-            bundles_given_up: notes.bundles_given_up,
-            violations: notes.violations,
+            samples: observations.samples,
+            answers_dropped: observations.answers_dropped,
+            steps: observations.steps,
+            bundles: observations.bundles,
+            bundles_given_up: observations.bundles_given_up,
+            violations: observations.violations,
             ..Self::default()
         };
         for planned in &plan.faults {
             *report.faults.entry(planned.fault.kind()).or_default() += 1;
         }
-        for request in &notes.requests {
+        for request in &observations.requests {
             let outcomes = report.requests.entry(request.kind).or_default();
-            for tried in &request.tries {
-                *outcomes.entry(tried.outcome).or_default() += 1;
+            for attempt in &request.tries {
+                *outcomes.entry(attempt.outcome).or_default() += 1;
             }
         }
         report
     }
 
     /// Returns whether all guarantees held.
-    pub fn is_faultless(&self) -> bool {
+    pub fn has_passed(&self) -> bool {
         self.violations.is_empty()
     }
 }
--- a/crates/bench/src/cluster/daemon.rs
+++ b/crates/bench/src/cluster/daemon.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use super::settings::DaemonSettings;
-use super::{ClusterError, NOWHERE};
+use super::{ClusterError, UNREACHABLE};
 use crate::processes::Process;
 use crate::proxy::{Faults, Proxy, ProxyTarget};
 
@@ -82,8 +82,8 @@
     /// Sends SIGKILL and waits for the exit.
     pub fn kill(&mut self) {
         // The kernel may give the ports of a dead process to another one.
-        self.front.retarget(NOWHERE);
-        self.inbound.iter().for_each(|link| link.set(NOWHERE));
+        self.front.retarget(UNREACHABLE);
+        self.inbound.iter().for_each(|link| link.set(UNREACHABLE));
         if let Some(mut process) = self.process.take() {
             process.kill();
         }
@@ -128,29 +128,29 @@
     }
 
     /// Waits until `/healthz` answers.
-    pub async fn healthy(&self, bound: Duration) -> Result<(), ClusterError> {
-        self.answers("/healthz", bound).await
+    pub async fn wait_until_healthy(&self, bound: Duration) -> Result<(), ClusterError> {
+        self.wait_for_success("/healthz", bound).await
     }
 
     /// Waits until `/readyz` answers 200: the daemon has a bundle in force and accepts work.
-    pub async fn ready(&self, bound: Duration) -> Result<(), ClusterError> {
-        self.answers("/readyz", bound).await
+    pub async fn wait_until_ready(&self, bound: Duration) -> Result<(), ClusterError> {
+        self.wait_for_success("/readyz", bound).await
     }
 
-    async fn answers(&self, path: &str, bound: Duration) -> Result<(), ClusterError> {
+    async fn wait_for_success(&self, path: &str, bound: Duration) -> Result<(), ClusterError> {
         let client = crate::http_client();
         let url = format!("{}{path}", self.url());
         let start = Instant::now();
         loop {
-            let trouble = match client.get(&url).timeout(CALL_TIMEOUT).send().await {
+            let last_error = match client.get(&url).timeout(CALL_TIMEOUT).send().await {
                 Ok(answer) if answer.status().is_success() => return Ok(()),
                 Ok(answer) => answer.text().await.unwrap_or_default(),
                 Err(error) => format!("{error:?}"),
             };
             if start.elapsed() > bound {
-                return Err(ClusterError::NotInTime {
+                return Err(ClusterError::Timeout {
                     what: format!("{path} of {}", self.name()),
-                    trouble: format!("{trouble}; log:\n{}", self.log_tail()),
+                    last_error: format!("{last_error}; log:\n{}", self.log_tail()),
                 });
             }
             tokio::time::sleep(POLL).await;
--- a/crates/bench/src/cluster/mod.rs
+++ b/crates/bench/src/cluster/mod.rs
@@ -21,7 +21,7 @@
 use crate::proxy::{Faults, Proxy};
 use crate::stand_in::application::ApplicationConfig;
 use crate::stand_in::engine::EngineConfig;
-use crate::trainer::{BundleFacts, Trainer};
+use crate::trainer::{BundleRequirements, Trainer};
 pub use daemon::Daemon;
 use daemon::PlatformProxies;
 pub use operator::{
@@ -37,9 +37,10 @@
 /// Name of the application pool in test bundles.
 pub const APPLICATION_POOL: &str = "prisverk";
 
-const START_BOUND: Duration = Duration::from_secs(30);
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 /// Initial target of proxies, on which nothing listens.
-const NOWHERE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 1);
+const UNREACHABLE: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 1);
 
 /// Error of a cluster operation.
 #[derive(Debug, thiserror::Error)]
@@ -53,17 +54,14 @@
     Http(#[from] reqwest::Error),
     /// A daemon refused the request.
     #[error("refused with {status}: {body}")]
-    Refused {
-        status: StatusCode,
-        body: String,
-    },
+    Refused { status: StatusCode, body: String },
     /// A condition did not hold in time.
-    #[error("not in time: {what}; last trouble: {trouble}")]
-    NotInTime {
+    #[error("not in time: {what}; last trouble: {last_error}")]
+    Timeout {
         /// Condition that was waited for.
         what: String,
         /// Last error or observed state.
-        trouble: String,
+        last_error: String,
     },
 }
 
@@ -93,11 +91,11 @@
 impl ClusterConfig {
     /// Returns a configuration of three daemons with data folders in two zones, this many engines,
     /// and two application back ends.
-    pub fn three(engines: usize) -> Self {
+    pub fn three_daemons(engines: usize) -> Self {
         Self::with_daemons(3, engines)
     }
 
-    /// Like [`ClusterConfig::three`], with this many daemons.
+    /// Like [`ClusterConfig::three_daemons`], with this many daemons.
     pub fn with_daemons(daemons: usize, engines: usize) -> Self {
         let zones = ["bergen-a", "bergen-b"].iter().cycle().take(daemons);
         let daemons = zones.enumerate().map(|(index, zone)| DaemonPlan {
@@ -158,7 +156,7 @@
     pub daemons: Vec<Daemon>,
     pub platform: Platform,
     /// Requirements of each rolled bundle, for checks of samples.
-    pub facts: BundleFacts,
+    pub requirements: BundleRequirements,
     folder: TempDir,
 }
 
@@ -170,19 +168,19 @@
         let mut cluster = Self {
             daemons: Vec::new(),
             platform,
-            facts: BundleFacts::default(),
+            requirements: BundleRequirements::default(),
             folder,
         };
         for plan in &config.daemons {
             let daemon = cluster.prepare(config, plan).await?;
             cluster.daemons.push(daemon);
         }
-        cluster.join_links();
+        cluster.collect_inbound_links();
         for index in 0..cluster.daemons.len() {
             cluster.start_daemon(index).await?;
         }
         for daemon in &cluster.daemons {
-            daemon.healthy(START_BOUND).await?;
+            daemon.wait_until_healthy(START_TIMEOUT).await?;
         }
         Ok(cluster)
     }
@@ -191,7 +189,7 @@
     pub async fn start_ready(config: &ClusterConfig) -> Result<Self, ClusterError> {
         let cluster = Self::start(config).await?;
         cluster.roll(&cluster.bundle(1, 1)).await?;
-        cluster.all_ready().await?;
+        cluster.wait_until_all_ready().await?;
         Ok(cluster)
     }
 
@@ -225,13 +223,13 @@
     }
 
     /// Waits until all running daemons are ready.
-    pub async fn all_ready(&self) -> Result<(), ClusterError> {
+    pub async fn wait_until_all_ready(&self) -> Result<(), ClusterError> {
         for daemon in self
             .daemons
             .iter()
             .filter(|daemon| daemon.process.is_some())
         {
-            daemon.ready(START_BOUND).await?;
+            daemon.wait_until_ready(START_TIMEOUT).await?;
         }
         Ok(())
     }
@@ -260,18 +258,18 @@
     pub fn operator(&self) -> Operator {
         Operator {
             daemons: self.urls(),
-            facts: self.facts.clone(),
+            requirements: self.requirements.clone(),
         }
     }
 
     /// Rolls a bundle through any daemon.
     pub async fn roll(&self, bundle: &Bundle) -> Result<(), ClusterError> {
-        self.operator().roll(bundle, START_BOUND).await
+        self.operator().roll(bundle, START_TIMEOUT).await
     }
 
     /// Returns a trainer that can reach all daemons.
     pub fn trainer(&self, name: &str) -> Trainer {
-        Trainer::new(name, self.urls(), self.facts.clone())
+        Trainer::new(name, self.urls(), self.requirements.clone())
     }
 
     /// Sets faults on the connections between two daemons, in both directions.
@@ -305,7 +303,7 @@
     }
 
     /// Collects, for each daemon, the targets of the proxies that lead to it.
-    fn join_links(&mut self) {
+    fn collect_inbound_links(&mut self) {
         for index in 0..self.daemons.len() {
             let name = self.daemons[index].name().to_owned();
             let links = self.daemons.iter().map(|daemon| &daemon.links);
@@ -326,7 +324,7 @@
         };
         let mut links = BTreeMap::new();
         for peer in config.daemons.iter().filter(|peer| peer.node != plan.node) {
-            links.insert(peer.node.clone(), Proxy::start(NOWHERE).await?);
+            links.insert(peer.node.clone(), Proxy::start(UNREACHABLE).await?);
         }
         let mut settings = config.settings(plan);
         if plan.is_replica {
@@ -340,7 +338,7 @@
             .iter()
             .map(|(name, link)| (name.clone(), link.address))
             .collect();
-        let front = Proxy::start(NOWHERE).await?;
+        let front = Proxy::start(UNREACHABLE).await?;
         Ok(Daemon::new(
             settings,
             front,
--- a/crates/bench/src/cluster/operator.rs
+++ b/crates/bench/src/cluster/operator.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::ClusterError;
-use crate::trainer::{BundleFacts, PoolFacts};
+use crate::trainer::{BundleRequirements, PoolRequirements};
 
 /// Id of the key that signs test bundles.
 pub const KEY_ID: &str = "bench";
@@ -109,7 +109,7 @@
     /// Base URLs of the daemons.
     pub daemons: Vec<String>,
     /// Requirements of each bundle, recorded before it is rolled.
-    pub facts: BundleFacts,
+    pub requirements: BundleRequirements,
 }
 
 /// Answer of a daemon to a roll or to a query of a proposal.
@@ -177,7 +177,7 @@
     /// Rolls a bundle, retrying through all daemons until it is accepted or finally refused.
     pub async fn roll(&self, bundle: &Bundle, bound: Duration) -> Result<(), ClusterError> {
         let start = Instant::now();
-        let mut trouble = String::new();
+        let mut last_error = String::new();
         for daemon in self.daemons.iter().cycle() {
             if start.elapsed() > bound {
                 break;
@@ -187,13 +187,13 @@
                 Err(ClusterError::Refused { status, body }) if status.is_client_error() => {
                     return Err(ClusterError::Refused { status, body });
                 }
-                Err(error) => trouble = error.to_string(),
+                Err(error) => last_error = error.to_string(),
             }
             tokio::time::sleep(RETRY_PAUSE).await;
         }
-        Err(ClusterError::NotInTime {
+        Err(ClusterError::Timeout {
             what: format!("bundle {} accepted", bundle.revision),
-            trouble,
+            last_error,
         })
     }
 
@@ -202,11 +202,11 @@
     /// # Errors
     /// If the bundle is not accepted.
     pub async fn roll_once(&self, daemon: &str, bundle: &Bundle) -> Result<(), ClusterError> {
-        self.note_facts(bundle);
+        self.record_requirements(bundle);
         let signed = signed(bundle);
         let reply = post_bundle(daemon, &signed).await?;
         if reply.status.is_success() || current_bundle(daemon).await?.text == signed.text {
-            self.facts.accepted(bundle.revision);
+            self.requirements.mark_accepted(bundle.revision);
             return Ok(());
         }
         Err(reply.into())
@@ -214,16 +214,16 @@
 
     /// Posts a bundle to one daemon once and returns its reply, including refusals.
     pub async fn offer(&self, daemon: &str, bundle: &Bundle) -> Result<RollReply, ClusterError> {
-        self.note_facts(bundle);
+        self.record_requirements(bundle);
         let reply = post_bundle(daemon, &signed(bundle)).await?;
         if reply.status.is_success() {
-            self.facts.accepted(bundle.revision);
+            self.requirements.mark_accepted(bundle.revision);
         }
         Ok(reply)
     }
 
     /// Waits until every daemon has a bundle of at least this revision in force.
-    pub async fn in_force_everywhere(
+    pub async fn wait_until_in_force_everywhere(
         &self,
         revision: u64,
         bound: Duration,
@@ -232,9 +232,9 @@
         for daemon in &self.daemons {
             while !has_revision(daemon, revision).await {
                 if start.elapsed() > bound {
-                    return Err(ClusterError::NotInTime {
+                    return Err(ClusterError::Timeout {
                         what: format!("bundle {revision} in force"),
-                        trouble: daemon.clone(),
+                        last_error: daemon.clone(),
                     });
                 }
                 tokio::time::sleep(RETRY_PAUSE).await;
@@ -243,17 +243,18 @@
         Ok(())
     }
 
-    fn note_facts(&self, bundle: &Bundle) {
+    fn record_requirements(&self, bundle: &Bundle) {
         let models = bundle
             .pools
             .iter()
             .filter(|pool| pool.kind == PoolKind::Model);
         for pool in models {
-            let facts = PoolFacts {
+            let requirements = PoolRequirements {
                 weight_version: pool.weight_version,
                 staleness_bound: pool.staleness_bound,
             };
-            self.facts.add(bundle.revision, &pool.name, facts);
+            self.requirements
+                .add(bundle.revision, &pool.name, requirements);
         }
     }
 }
--- a/crates/bench/src/cluster/platform.rs
+++ b/crates/bench/src/cluster/platform.rs
@@ -77,7 +77,7 @@
     }
 
     /// Sets the stand-in's faults; the type depends on its kind.
-    pub async fn fault(&self, faults: &impl Serialize) -> Result<(), ClusterError> {
+    pub async fn set_faults(&self, faults: &impl Serialize) -> Result<(), ClusterError> {
         self.control("fault", faults).await
     }
 
@@ -119,7 +119,7 @@
 impl Platform {
     /// Starts the stand-ins; processes write their logs to `folder`.
     pub async fn start(config: &PlatformConfig, folder: &Path) -> Result<Self, ClusterError> {
-        let starter = Starter {
+        let starter = StandInStarter {
             as_processes: config.as_processes,
             folder,
         };
@@ -160,7 +160,7 @@
         config: &EngineConfig,
         folder: &Path,
     ) -> Result<(), ClusterError> {
-        let starter = Starter {
+        let starter = StandInStarter {
             as_processes: true,
             folder,
         };
@@ -211,12 +211,12 @@
 }
 
 /// Starts stand-ins as tasks or as processes.
-struct Starter<'a> {
+struct StandInStarter<'a> {
     as_processes: bool,
     folder: &'a Path,
 }
 
-impl Starter<'_> {
+impl StandInStarter<'_> {
     async fn spawn(&self, name: &str, arguments: Vec<String>) -> Result<StandIn, ClusterError> {
         let mut all = vec!["stand-in".to_owned()];
         all.extend(arguments);
--- a/crates/bench/src/cluster/status.rs
+++ b/crates/bench/src/cluster/status.rs
@@ -49,12 +49,12 @@
 impl Cluster {
     /// Waits until one of these daemons owns the log and its shard meets the condition; returns the
     /// daemon's index.
-    pub async fn owner_among(
+    pub async fn wait_for_owner_among(
         &self,
         daemons: &[usize],
         log: &str,
         bound: Duration,
-        is_wanted: impl Fn(&OwnedShard) -> bool,
+        condition: impl Fn(&OwnedShard) -> bool,
     ) -> Result<usize, ClusterError> {
         let start = Instant::now();
         let mut seen = Vec::new();
@@ -65,7 +65,7 @@
                 };
                 let owned = status.shards.into_iter().filter(|shard| shard.log == log);
                 for shard in owned.filter(|shard| shard.accepting) {
-                    if is_wanted(&shard) {
+                    if condition(&shard) {
                         return Ok(*index);
                     }
                     seen.push(shard);
@@ -73,9 +73,9 @@
             }
             tokio::time::sleep(POLL).await;
         }
-        Err(ClusterError::NotInTime {
+        Err(ClusterError::Timeout {
             what: format!("an owner of {log}"),
-            trouble: format!("last seen: {:?}", seen.last()),
+            last_error: format!("last seen: {:?}", seen.last()),
         })
     }
 
@@ -91,7 +91,7 @@
     }
 
     /// Waits until these daemons know a replica set of at least this version.
-    pub async fn replica_set_known(
+    pub async fn wait_for_replica_set(
         &self,
         daemons: &[usize],
         version: u64,
@@ -106,9 +106,9 @@
                 .is_ok_and(|status| status.replica_set_version >= version)
             {
                 if start.elapsed() > bound {
-                    return Err(ClusterError::NotInTime {
+                    return Err(ClusterError::Timeout {
                         what: format!("replica set {version} at {}", daemon.name()),
-                        trouble: daemon.log_tail(),
+                        last_error: daemon.log_tail(),
                     });
                 }
                 tokio::time::sleep(POLL).await;
--- a/crates/bench/src/command_line/chaos.rs
+++ b/crates/bench/src/command_line/chaos.rs
@@ -5,8 +5,8 @@
 
 use pico_args::Arguments;
 
-use super::{CommandError, finish, print_help, value};
-use crate::chaos::{self, ChaosConfig, LEAST_SECONDS};
+use super::{CommandError, print_help, reject_remaining, value};
+use crate::chaos::{self, ChaosConfig, MIN_SECONDS};
 
 const HELP: &str = "\
 Runs four daemons and the stand-ins as processes under load, with faults that follow from the seed, and judges what
@@ -31,10 +31,10 @@
     let as_json = arguments.contains("--json");
     let seed = value(&mut arguments, "--seed", u64::from(rand::random::<u32>()))?;
     let seconds = value(&mut arguments, "--seconds", DEFAULT_SECONDS)?;
-    finish(arguments)?;
+    reject_remaining(arguments)?;
     let config = ChaosConfig {
         seed,
-        length: Duration::from_secs(seconds.max(LEAST_SECONDS)),
+        length: Duration::from_secs(seconds.max(MIN_SECONDS)),
     };
     if as_json {
         eprintln!("seed {seed}");
@@ -47,7 +47,7 @@
     } else {
         print!("{report}");
     }
-    if report.is_faultless() {
+    if report.has_passed() {
         return Ok(ExitCode::SUCCESS);
     }
     Ok(ExitCode::FAILURE)
--- a/crates/bench/src/command_line/demo.rs
+++ b/crates/bench/src/command_line/demo.rs
@@ -4,7 +4,7 @@
 
 use pico_args::Arguments;
 
-use super::{CommandError, finish, print_help};
+use super::{CommandError, print_help, reject_remaining};
 use crate::demo;
 
 const HELP: &str = "\
@@ -25,14 +25,14 @@
         return Ok(ExitCode::SUCCESS);
     }
     let as_json = arguments.contains("--json");
-    finish(arguments)?;
+    reject_remaining(arguments)?;
     let report = demo::run().await?;
     if as_json {
         println!("{}", serde_json::to_string(&report)?);
     } else {
         print!("{report}");
     }
-    if report.is_faultless() {
+    if report.has_passed() {
         return Ok(ExitCode::SUCCESS);
     }
     Ok(ExitCode::FAILURE)
--- a/crates/bench/src/command_line/mod.rs
+++ b/crates/bench/src/command_line/mod.rs
@@ -34,7 +34,7 @@
     UnknownSubcommand(String),
     /// Unknown arguments were given.
     #[error("unknown arguments {0:?}; see --help")]
-    LeftOver(Vec<OsString>),
+    UnknownArguments(Vec<OsString>),
     /// A file could not be read, or an address could not be bound.
     #[error("{0}")]
     Io(#[from] io::Error),
@@ -89,10 +89,10 @@
     Ok(given.map_or(default, std::time::Duration::from_millis))
 }
 
-fn finish(arguments: Arguments) -> Result<(), CommandError> {
-    let left_over = arguments.finish();
-    if left_over.is_empty() {
+fn reject_remaining(arguments: Arguments) -> Result<(), CommandError> {
+    let remaining = arguments.reject_remaining();
+    if remaining.is_empty() {
         return Ok(());
     }
-    Err(CommandError::LeftOver(left_over))
+    Err(CommandError::UnknownArguments(remaining))
 }
--- a/crates/bench/src/command_line/proxy.rs
+++ b/crates/bench/src/command_line/proxy.rs
@@ -6,7 +6,7 @@
 
 use pico_args::Arguments;
 
-use super::{CommandError, finish, print_help, value};
+use super::{CommandError, print_help, reject_remaining, value};
 use crate::http_server::{Handler, Request, Responder, serve};
 use crate::proxy::Proxy;
 
@@ -31,7 +31,7 @@
     let target: SocketAddr = arguments.value_from_str("--target")?;
     let listen = value(&mut arguments, "--listen", crate::stand_in::loopback())?;
     let control = value(&mut arguments, "--control", crate::stand_in::loopback())?;
-    finish(arguments)?;
+    reject_remaining(arguments)?;
     let proxy = Proxy::start_at(listen, target).await?;
     let address = proxy.address;
     let control = serve(control, Arc::new(Control { proxy })).await?;
--- a/crates/bench/src/command_line/stand_in.rs
+++ b/crates/bench/src/command_line/stand_in.rs
@@ -4,7 +4,7 @@
 
 use pico_args::Arguments;
 
-use super::{CommandError, finish, milliseconds, print_help, value};
+use super::{CommandError, milliseconds, print_help, reject_remaining, value};
 use crate::http_server::Handle;
 use crate::stand_in::application::{self, ApplicationConfig};
 use crate::stand_in::engine::{self, EngineConfig};
@@ -48,17 +48,17 @@
     match kind {
         "engine" => {
             let config = engine_config(&mut arguments)?;
-            finish(arguments)?;
+            reject_remaining(arguments)?;
             Ok(engine::start(EngineConfig { listen, ..config }).await?)
         }
         "application" => {
             let config = application_config(&mut arguments)?;
-            finish(arguments)?;
+            reject_remaining(arguments)?;
             Ok(application::start(ApplicationConfig { listen, ..config }).await?)
         }
         "key-value" => {
             let requests_per_second = value(&mut arguments, "--requests-per-second", 0.0)?;
-            finish(arguments)?;
+            reject_remaining(arguments)?;
             let config = KeyValueConfig {
                 listen,
                 requests_per_second,
@@ -67,17 +67,17 @@
         }
         "machine-list" => {
             let config = machine_list_config(&mut arguments)?;
-            finish(arguments)?;
+            reject_remaining(arguments)?;
             Ok(machine_list::start(MachineListConfig { listen, ..config }).await?)
         }
         "weight-store" => {
             let config = weight_store_config(&mut arguments)?;
-            finish(arguments)?;
+            reject_remaining(arguments)?;
             Ok(weight_store::start(WeightStoreConfig { listen, ..config }).await?)
         }
         "scorer" => {
             let delay = milliseconds(&mut arguments, "--delay-ms", ScorerConfig::default().delay)?;
-            finish(arguments)?;
+            reject_remaining(arguments)?;
             Ok(scorer::start(ScorerConfig { listen, delay }).await?)
         }
         other => Err(CommandError::UnknownSubcommand(other.to_owned())),
--- a/crates/bench/src/demo/callers.rs
+++ b/crates/bench/src/demo/callers.rs
@@ -53,7 +53,7 @@
         let result = loop {
             let call = self.caller.complete(MODEL_POOL, prompt, TOKENS, stream);
             match call.await {
-                Err(error) if retries.again(&error).await => {}
+                Err(error) if retries.wait_to_retry(&error).await => {}
                 result => break result,
             }
         };
@@ -61,13 +61,13 @@
             Ok(completion) => {
                 self.report.live_completed += 1;
                 self.report.live_streamed += u64::from(stream);
-                self.see(&completion.weight_versions);
+                self.record_versions(&completion.weight_versions);
             }
             Err(error) => self.report.add_failure("completion", &error),
         }
     }
 
-    fn see(&mut self, versions: &BTreeSet<u64>) {
+    fn record_versions(&mut self, versions: &BTreeSet<u64>) {
         self.report.weight_versions_seen.extend(versions);
         self.seen.send_modify(|seen| seen.extend(versions));
     }
@@ -78,7 +78,7 @@
             let caller = &self.caller;
             let call = caller.application(APPLICATION_POOL, Method::POST, PRICE_PATH, body);
             match call.await {
-                Err(error) if retries.again(&error).await => {}
+                Err(error) if retries.wait_to_retry(&error).await => {}
                 result => break result,
             }
         };
--- a/crates/bench/src/demo/mod.rs
+++ b/crates/bench/src/demo/mod.rs
@@ -15,7 +15,7 @@
     APPLICATION_POOL, Backend, ClusterConfig, ClusterError, MODEL_POOL, Operator, Platform,
     PlatformConfig, PoolNames, plain_bundle,
 };
-use crate::trainer::{BundleFacts, PullOptions, StepSpec, Trainer, TrainerError};
+use crate::trainer::{BundleRequirements, PullOptions, StepSpec, Trainer, TrainerError};
 use callers::DemoCaller;
 use nodes::Nodes;
 pub use report::DemoReport;
@@ -25,10 +25,10 @@
 const SAMPLES: u32 = 64;
 const TOKENS: u32 = 40;
 const TRAINER: &str = "fitting-notes";
-const START_BOUND: Duration = Duration::from_secs(10);
-const STEP_BOUND: Duration = Duration::from_secs(10);
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+const STEP_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time limit of the demo.
-const WHOLE_BOUND: Duration = Duration::from_secs(28);
+const TIMEOUT: Duration = Duration::from_secs(28);
 
 /// Error of the demo itself.
 #[derive(Debug, thiserror::Error)]
@@ -47,7 +47,7 @@
     #[error("trainer: {0}")]
     Trainer(#[from] TrainerError),
     /// The demo exceeded its time limit.
-    #[error("not done within {} s", WHOLE_BOUND.as_secs())]
+    #[error("not done within {} s", TIMEOUT.as_secs())]
     TimedOut,
 }
 
@@ -57,33 +57,33 @@
 /// If the demo itself fails; violated guarantees are in the report.
 pub async fn run() -> Result<DemoReport, DemoError> {
     let start = Instant::now();
-    let running = tokio::time::timeout(WHOLE_BOUND, run_unbounded());
+    let running = tokio::time::timeout(TIMEOUT, run_without_timeout());
     let mut report = running.await.map_err(|_| DemoError::TimedOut)??;
     report.seconds = start.elapsed().as_secs_f64();
     Ok(report)
 }
 
-async fn run_unbounded() -> Result<DemoReport, DemoError> {
+async fn run_without_timeout() -> Result<DemoReport, DemoError> {
     let folder = tempfile::tempdir()?;
     let platform = Platform::start(&platform_config(), folder.path()).await?;
     let nodes = Nodes::start(&platform, folder.path()).await?;
     let scenario = Scenario {
         operator: Operator {
             daemons: nodes.urls(),
-            facts: BundleFacts::default(),
+            requirements: BundleRequirements::default(),
         },
         platform,
     };
-    let report = scenario.play().await?;
+    let report = scenario.run().await?;
     nodes.stop().await;
     Ok(report)
 }
 
 fn platform_config() -> PlatformConfig {
-    let three = ClusterConfig::three(ENGINES);
+    let config = ClusterConfig::three_daemons(ENGINES);
     PlatformConfig {
-        engines: three.engines,
-        applications: three.applications,
+        engines: config.engines,
+        applications: config.applications,
         zones: vec!["bergen-a".to_owned(), "bergen-b".to_owned()],
         as_processes: false,
     }
@@ -95,7 +95,7 @@
 }
 
 impl Scenario {
-    async fn play(&self) -> Result<DemoReport, DemoError> {
+    async fn run(&self) -> Result<DemoReport, DemoError> {
         self.roll(1, 1).await?;
         let (stop, stopped) = watch::channel(false);
         let (seen, mut seen_versions) = watch::channel(BTreeSet::new());
@@ -106,7 +106,7 @@
         // The roll overlaps the first step; the second step runs on the new version.
         let (first, rolled) = tokio::join!(
             run_step(&mut trainer, 1),
-            self.roll_once_seen(&mut seen_versions)
+            self.roll_after_first_version(&mut seen_versions)
         );
         rolled?;
         report.add_step(&first?);
@@ -133,15 +133,15 @@
         let model = names(MODEL_POOL, &self.platform.engines);
         let application = names(APPLICATION_POOL, &self.platform.applications);
         let bundle = plain_bundle(revision, weight_version, model, application);
-        self.operator.roll(&bundle, START_BOUND).await?;
+        self.operator.roll(&bundle, START_TIMEOUT).await?;
         self.operator
-            .in_force_everywhere(revision, START_BOUND)
+            .wait_until_in_force_everywhere(revision, START_TIMEOUT)
             .await?;
         Ok(())
     }
 
     /// Rolls the second bundle once live callers have received version 1.
-    async fn roll_once_seen(
+    async fn roll_after_first_version(
         &self,
         seen_versions: &mut watch::Receiver<BTreeSet<u64>>,
     ) -> Result<(), DemoError> {
@@ -165,7 +165,7 @@
 
     fn trainer(&self) -> Trainer {
         let daemons = self.operator.daemons.clone();
-        Trainer::new(TRAINER, daemons, self.operator.facts.clone())
+        Trainer::new(TRAINER, daemons, self.operator.requirements.clone())
     }
 
     /// Returns the lowest revision in force at any daemon.
@@ -187,8 +187,8 @@
     let options = PullOptions {
         max: 8,
         drop_every: 4,
-        moves: true,
-        deadline: STEP_BOUND,
+        rotates_daemons: true,
+        deadline: STEP_TIMEOUT,
         ..PullOptions::default()
     };
     trainer.run(step, &spec, &options).await
--- a/crates/bench/src/demo/report.rs
+++ b/crates/bench/src/demo/report.rs
@@ -9,7 +9,7 @@
 use crate::trainer::StepReport;
 
 /// Maximum number of violations in the summary.
-const LISTED_VIOLATIONS: usize = 20;
+const MAX_LISTED_VIOLATIONS: usize = 20;
 
 /// Result of the demo.
 #[derive(Debug, Clone, Default, Serialize)]
@@ -41,7 +41,7 @@
 
 impl DemoReport {
     /// Returns whether nothing was lost, duplicated or mislabelled.
-    pub fn is_faultless(&self) -> bool {
+    pub fn has_passed(&self) -> bool {
         self.violations.is_empty()
             && self.samples_lost == 0
             && self.samples_duplicated == 0
@@ -104,10 +104,10 @@
         writeln!(formatter, "weight versions seen   {}", versions.join(", "))?;
         writeln!(formatter, "bundle in force        {}", self.bundle_revision)?;
         writeln!(formatter, "time                   {:.1} s", self.seconds)?;
-        for violation in self.violations.iter().take(LISTED_VIOLATIONS) {
+        for violation in self.violations.iter().take(MAX_LISTED_VIOLATIONS) {
             writeln!(formatter, "VIOLATION              {violation}")?;
         }
-        let verdict = if self.is_faultless() {
+        let verdict = if self.has_passed() {
             "nothing lost, doubled or mislabelled"
         } else {
             "FAILED"
--- a/crates/bench/src/http_server.rs
+++ b/crates/bench/src/http_server.rs
@@ -135,7 +135,7 @@
     ) -> io::Result<()> {
         let mut bytes = head(status, headers, &format!("Content-Length: {}", body.len()));
         bytes.extend_from_slice(body);
-        self.raw(&bytes).await
+        self.send_raw(&bytes).await
     }
 
     /// Sends a complete JSON answer.
@@ -151,20 +151,20 @@
             .await
     }
 
-    /// Starts an answer of known length; the body follows through [`Self::raw`].
-    pub async fn begin_sized(
+    /// Starts an answer of known length; the body follows through [`Self::send_raw`].
+    pub async fn start_sized(
         &mut self,
         status: u16,
         headers: &[(&str, &str)],
         length: usize,
     ) -> io::Result<()> {
         let bytes = head(status, headers, &format!("Content-Length: {length}"));
-        self.raw(&bytes).await
+        self.send_raw(&bytes).await
     }
 
-    pub async fn begin_chunked(&mut self, status: u16, headers: &[(&str, &str)]) -> io::Result<()> {
+    pub async fn start_chunked(&mut self, status: u16, headers: &[(&str, &str)]) -> io::Result<()> {
         let bytes = head(status, headers, "Transfer-Encoding: chunked");
-        self.raw(&bytes).await
+        self.send_raw(&bytes).await
     }
 
     /// Sends one chunk.
@@ -172,22 +172,22 @@
         let mut framed = format!("{:x}\r\n", bytes.len()).into_bytes();
         framed.extend_from_slice(bytes);
         framed.extend_from_slice(b"\r\n");
-        self.raw(&framed).await
+        self.send_raw(&framed).await
     }
 
     /// Sends the final chunk.
-    pub async fn end_chunks(&mut self) -> io::Result<()> {
-        self.raw(b"0\r\n\r\n").await
+    pub async fn finish_chunks(&mut self) -> io::Result<()> {
+        self.send_raw(b"0\r\n\r\n").await
     }
 
     /// Sends bytes unchanged.
-    pub async fn raw(&mut self, bytes: &[u8]) -> io::Result<()> {
+    pub async fn send_raw(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.traffic.add_bytes(bytes.len());
         self.writer.write_all(bytes).await
     }
 
     /// Waits until the caller has closed the connection.
-    pub async fn caller_gone(&mut self) {
+    pub async fn caller_disconnected(&mut self) {
         match self.reader.fill_buf().await {
             Ok([]) | Err(_) => {}
             Ok(_) => std::future::pending().await,
@@ -196,7 +196,7 @@
 }
 
 /// Returns the error with which a handler cuts its connection on purpose.
-pub fn cut() -> io::Error {
+pub fn injected_cut() -> io::Error {
     io::Error::new(io::ErrorKind::ConnectionAborted, "cut on purpose")
 }
 
@@ -259,7 +259,7 @@
         .header("Expect")
         .is_some_and(|value| value.eq_ignore_ascii_case("100-continue"));
     if expects_continue {
-        responder.raw(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
+        responder.send_raw(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
     }
     let is_chunked = request
         .header("Transfer-Encoding")
--- a/crates/bench/src/live/mod.rs
+++ b/crates/bench/src/live/mod.rs
@@ -11,11 +11,11 @@
 
 use crate::stand_in::application::Echo;
 use crate::text::{self, TextError};
-use reading::{read_stream, read_whole};
+use reading::{read_object, read_stream};
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
-const LONGEST_RETRY_PAUSE: Duration = Duration::from_secs(1);
+const MAX_RETRY_PAUSE: Duration = Duration::from_secs(1);
 const MAX_RETRIES: u32 = 100;
 
 /// Error of a live request.
@@ -39,7 +39,7 @@
     Broken(#[from] reqwest::Error),
     /// The answer ended without its end marker or with an error event.
     #[error("answer without its end mark: {0}")]
-    NotWhole(String),
+    Incomplete(String),
     /// The answer does not belong to this request.
     #[error("wrong answer: {0}")]
     WrongAnswer(String),
@@ -72,7 +72,7 @@
     /// Weight versions named in the answer.
     pub weight_versions: BTreeSet<u64>,
     /// Whether the answer names the version of each token.
-    pub names_all: bool,
+    pub is_fully_labelled: bool,
 }
 
 /// Caller of one daemon.
@@ -95,7 +95,7 @@
     }
 
     /// Accepts tokens without a named version if one of these versions produced them.
-    pub fn accepting_unnamed(mut self, versions: impl IntoIterator<Item = u64>) -> Self {
+    pub fn with_possible_versions(mut self, versions: impl IntoIterator<Item = u64>) -> Self {
         self.possible_versions = versions.into_iter().collect();
         self
     }
@@ -115,12 +115,12 @@
             "stream": stream,
         });
         let url = format!("{}/v1/completions", self.daemon);
-        let answer = answered(self.client.post(url).json(&body)).await?;
+        let answer = send_successfully(self.client.post(url).json(&body)).await?;
         let completion = if stream {
             let body = answer.text().await?;
             read_stream(prompt, &body, &self.possible_versions)?
         } else {
-            read_whole(prompt, whole_json(answer).await?, &self.possible_versions)?
+            read_object(prompt, read_json(answer).await?, &self.possible_versions)?
         };
         let found = text::count_tokens(&completion.text);
         if found != tokens {
@@ -155,8 +155,8 @@
         for (name, value) in headers {
             request = request.header(*name, *value);
         }
-        let answer = answered(request.body(body.to_owned())).await?;
-        let echo: Echo = whole_json(answer).await?;
+        let answer = send_successfully(request.body(body.to_owned())).await?;
+        let echo: Echo = read_json(answer).await?;
         if echo.method != method.as_str() || echo.path != format!("/{path}") || echo.body != body {
             return Err(LiveError::WrongAnswer(format!("{echo:?}")));
         }
@@ -172,7 +172,7 @@
 
 impl Retries {
     /// Returns whether to retry after this error, after waiting for its `Retry-After` time.
-    pub async fn again(&mut self, error: &LiveError) -> bool {
+    pub async fn wait_to_retry(&mut self, error: &LiveError) -> bool {
         let LiveError::NotRun { retry_after, .. } = error else {
             return false;
         };
@@ -181,12 +181,12 @@
             return false;
         }
         let pause = retry_after.unwrap_or(RETRY_PAUSE);
-        tokio::time::sleep(pause.clamp(RETRY_PAUSE, LONGEST_RETRY_PAUSE)).await;
+        tokio::time::sleep(pause.clamp(RETRY_PAUSE, MAX_RETRY_PAUSE)).await;
         true
     }
 }
 
-async fn answered(request: RequestBuilder) -> Result<Response, LiveError> {
+async fn send_successfully(request: RequestBuilder) -> Result<Response, LiveError> {
     let answer = request.timeout(CALL_TIMEOUT).send().await?;
     let status = answer.status();
     if status.is_success() {
@@ -216,7 +216,7 @@
 
 /// Parses a JSON body. Invalid contents of a complete body are a wrong answer, not a broken
 /// connection.
-async fn whole_json<T: DeserializeOwned>(answer: Response) -> Result<T, LiveError> {
+async fn read_json<T: DeserializeOwned>(answer: Response) -> Result<T, LiveError> {
     let body = answer.text().await?;
     serde_json::from_str(&body).map_err(|_| LiveError::WrongAnswer(body))
 }
--- a/crates/bench/src/live/reading.rs
+++ b/crates/bench/src/live/reading.rs
@@ -34,7 +34,7 @@
     }
 }
 
-pub(super) fn read_whole(
+pub(super) fn read_object(
     prompt: &str,
     object: CompletionObject,
     possible_versions: &[u64],
@@ -45,7 +45,7 @@
         return Ok(Completion {
             text: object.text().to_owned(),
             weight_versions: named,
-            names_all: false,
+            is_fully_labelled: false,
         });
     }
     let candidates: Vec<u64> = named.iter().copied().collect();
@@ -61,7 +61,7 @@
     Ok(Completion {
         text: object.text().to_owned(),
         weight_versions: named,
-        names_all: true,
+        is_fully_labelled: true,
     })
 }
 
@@ -77,11 +77,11 @@
             return check_stream(prompt, text, &labels, possible_versions);
         }
         let object: CompletionObject =
-            serde_json::from_str(line).map_err(|_| LiveError::NotWhole(line.to_owned()))?;
+            serde_json::from_str(line).map_err(|_| LiveError::Incomplete(line.to_owned()))?;
         text.push_str(object.text());
         labels.push(label(&object));
     }
-    Err(LiveError::NotWhole(body.to_owned()))
+    Err(LiveError::Incomplete(body.to_owned()))
 }
 
 /// Returns the token count and label of a chunk. The usage field counts only in chunks with a
@@ -106,18 +106,18 @@
 ) -> Result<Completion, LiveError> {
     let named = labels.iter().filter_map(|label| label.weight_version);
     let weight_versions: BTreeSet<u64> = named.collect();
-    let is_unnamed = |label: &LabelledTokens| label.weight_version.is_none() && label.tokens > 0;
-    let names_all = !labels.iter().any(is_unnamed);
+    let is_unlabelled = |label: &LabelledTokens| label.weight_version.is_none() && label.tokens > 0;
+    let is_fully_labelled = !labels.iter().any(is_unlabelled);
     let mut candidates: Vec<u64> = weight_versions.iter().copied().collect();
     candidates.extend(possible_versions);
     verify_labels(prompt, &text, labels, &candidates)?;
-    if !names_all && possible_versions.is_empty() {
+    if !is_fully_labelled && possible_versions.is_empty() {
         let detail = "tokens without their version".to_owned();
         return Err(LiveError::WrongAnswer(detail));
     }
     Ok(Completion {
         text,
         weight_versions,
-        names_all,
+        is_fully_labelled,
     })
 }
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -23,14 +23,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestKind {
     /// A completion that is answered once it is complete.
-    Gathered,
+    Buffered,
     /// A completion that is streamed.
     Streamed,
     Application,
 }
 
 const KINDS: [RequestKind; 3] = [
-    RequestKind::Gathered,
+    RequestKind::Buffered,
     RequestKind::Streamed,
     RequestKind::Application,
 ];
@@ -71,7 +71,7 @@
     }
 
     /// Asserts that there was at least one step and that every step delivered each sample once.
-    pub fn assert_steps_whole(&self) {
+    pub fn assert_steps_complete(&self) {
         assert!(
             self.unfinished_steps.is_empty(),
             "{:?}",
@@ -125,8 +125,8 @@
     pub async fn stop(mut self) -> LoadReport {
         self.stopped.send_replace(true);
         let mut report = LoadReport::default();
-        while let Some(part) = self.tasks.join_next().await {
-            report.add(part.expect("load tasks do not panic"));
+        while let Some(task_report) = self.tasks.join_next().await {
+            report.add(task_report.expect("load tasks do not panic"));
         }
         report
     }
@@ -157,7 +157,7 @@
                 Ok(()) => *self.report.completed.entry(daemon).or_default() += 1,
                 Err(error) => {
                     current += 1;
-                    self.note(kind, text, error);
+                    self.record_failure(kind, text, error);
                 }
             }
             tokio::time::sleep(PAUSE).await;
@@ -165,7 +165,7 @@
         self.report
     }
 
-    fn note(&mut self, kind: RequestKind, text: String, error: LiveError) {
+    fn record_failure(&mut self, kind: RequestKind, text: String, error: LiveError) {
         match error {
             LiveError::NotRun { .. } => self.report.refused += 1,
             error => self.report.failures.push(Failure { kind, text, error }),
@@ -177,7 +177,7 @@
     let caller = Caller::new(daemon);
     let is_streamed = kind == RequestKind::Streamed;
     match kind {
-        RequestKind::Gathered | RequestKind::Streamed => caller
+        RequestKind::Buffered | RequestKind::Streamed => caller
             .complete(MODEL_POOL, text, TOKENS, is_streamed)
             .await
             .map(drop),
@@ -192,7 +192,7 @@
     let mut report = LoadReport::default();
     let options = PullOptions {
         max: 5,
-        moves: true,
+        rotates_daemons: true,
         ..PullOptions::default()
     };
     for step in 1.. {
--- a/crates/bench/src/processes.rs
+++ b/crates/bench/src/processes.rs
@@ -14,7 +14,7 @@
 use nix::unistd::Pid;
 
 /// Time for a process to print its addresses.
-const START_BOUND: Duration = Duration::from_secs(30);
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 const POLL: Duration = Duration::from_millis(5);
 /// Interval of checks whether a process has stopped.
 const STOP_POLL: Duration = Duration::from_millis(1);
@@ -29,13 +29,10 @@
     Missing(PathBuf),
     /// The process or one of its files could not be used.
     #[error("{name}: {source}")]
-    Io {
-        name: String,
-        source: io::Error,
-    },
+    Io { name: String, source: io::Error },
     /// The process exited before it was ready.
     #[error("{name} ended with {status}; its log ends:\n{log}")]
-    Ended {
+    Exited {
         name: String,
         status: ExitStatus,
         /// Last lines of its log.
@@ -114,8 +111,11 @@
 
     /// Returns the output of this process.
     pub fn log(&self) -> String {
-        let whole = read_log(&self.log_path);
-        whole.get(self.log_offset..).unwrap_or_default().to_owned()
+        let content = read_log(&self.log_path);
+        content
+            .get(self.log_offset..)
+            .unwrap_or_default()
+            .to_owned()
     }
 
     /// Waits until the output contains `<key>=ip:port`.
@@ -126,10 +126,10 @@
                 return Ok(address);
             }
             if let Some(status) = self.exit_status()? {
-                return Err(self.ended(status));
+                return Err(self.exited_error(status));
             }
-            if start.elapsed() > START_BOUND {
-                return Err(self.timed_out(&format!("tell its {key} address")));
+            if start.elapsed() > START_TIMEOUT {
+                return Err(self.timeout_error(&format!("tell its {key} address")));
             }
             tokio::time::sleep(POLL).await;
         }
@@ -152,7 +152,7 @@
                 return Ok(status);
             }
             if start.elapsed() > bound {
-                return Err(self.timed_out("end"));
+                return Err(self.timeout_error("end"));
             }
             tokio::time::sleep(POLL).await;
         }
@@ -199,15 +199,15 @@
         matches!(status, Ok(WaitStatus::Stopped(..)))
     }
 
-    fn ended(&self, status: ExitStatus) -> ProcessError {
-        ProcessError::Ended {
+    fn exited_error(&self, status: ExitStatus) -> ProcessError {
+        ProcessError::Exited {
             name: self.name.clone(),
             status,
             log: self.log_tail(),
         }
     }
 
-    fn timed_out(&self, what: &str) -> ProcessError {
+    fn timeout_error(&self, what: &str) -> ProcessError {
         ProcessError::TimedOut {
             name: self.name.clone(),
             what: what.to_owned(),
@@ -256,8 +256,8 @@
 
 /// Returns the address after `<key>=` in the complete lines of a log.
 fn find_address(log: &str, key: &str) -> Option<SocketAddr> {
-    let whole_lines = log.rfind('\n').map_or("", |end| &log[..end]);
-    whole_lines
+    let complete_lines = log.rfind('\n').map_or("", |end| &log[..end]);
+    complete_lines
         .split_whitespace()
         .filter_map(|word| word.strip_prefix(key)?.strip_prefix('='))
         .find_map(|value| value.parse().ok())
--- a/crates/bench/src/proxy.rs
+++ b/crates/bench/src/proxy.rs
@@ -16,9 +16,9 @@
 
 const READ_BYTES: usize = 16 * 1024;
 /// Maximum number of delayed reads in flight per direction.
-const DELAYED_READS: usize = 256;
+const MAX_DELAYED_READS: usize = 256;
 /// Delay before a reset, which would discard bytes in flight.
-const BEFORE_RESET: Duration = Duration::from_millis(5);
+const RESET_DELAY: Duration = Duration::from_millis(5);
 const ACCEPT_RETRY: Duration = Duration::from_millis(20);
 
 /// Faults of a proxy. The default is none.
@@ -54,9 +54,9 @@
     faults: Faults,
     target: SocketAddr,
     /// Incremented to reset all open connections.
-    cuts: u64,
+    reset_generation: u64,
     /// Number of further connections to reset on their first byte.
-    resets: u32,
+    pending_resets: u32,
 }
 
 /// A running proxy. Dropping it closes its connections.
@@ -81,8 +81,8 @@
         let control = watch::Sender::new(Control {
             faults: Faults::default(),
             target,
-            cuts: 0,
-            resets: 0,
+            reset_generation: 0,
+            pending_resets: 0,
         });
         let task = tokio::spawn(accept_all(listener, control.clone()));
         Ok(Self {
@@ -116,13 +116,14 @@
 
     /// Resets all open connections.
     pub fn cut(&self) {
-        self.control.send_modify(|control| control.cuts += 1);
+        self.control
+            .send_modify(|control| control.reset_generation += 1);
     }
 
     /// Resets the next `connections` connections on their first byte.
     pub fn reset_next(&self, connections: u32) {
         self.control
-            .send_modify(|control| control.resets = connections);
+            .send_modify(|control| control.pending_resets = connections);
     }
 }
 
@@ -167,7 +168,7 @@
     if current.faults.refuse {
         return reset(&client);
     }
-    if take_reset(&control) {
+    if consume_reset(&control) {
         let _ = client.readable().await;
         return reset(&client);
     }
@@ -180,15 +181,15 @@
     let (mut server_reader, server_writer) = server.split();
     let to_target = Direction::ToTarget;
     let from_target = Direction::FromTarget;
-    let mut cut_watch = control.subscribe();
+    let mut reset_watch = control.subscribe();
     let outcome = tokio::select! {
         outcome = async {
             tokio::try_join!(
-                pump(&mut client_reader, server_writer, &control, to_target),
-                pump(&mut server_reader, client_writer, &control, from_target),
+                forward(&mut client_reader, server_writer, &control, to_target),
+                forward(&mut server_reader, client_writer, &control, from_target),
             )
         } => outcome.map(drop),
-        _ = cut_watch.wait_for(|control| control.cuts > current.cuts) => Err(Broken),
+        _ = reset_watch.wait_for(|control| control.reset_generation > current.reset_generation) => Err(ConnectionBroken),
     };
     if outcome.is_err() {
         reset(&client);
@@ -196,13 +197,13 @@
     }
 }
 
-fn take_reset(control: &watch::Sender<Control>) -> bool {
-    if control.borrow().resets == 0 {
+fn consume_reset(control: &watch::Sender<Control>) -> bool {
+    if control.borrow().pending_resets == 0 {
         return false;
     }
     control.send_if_modified(|control| {
-        let had_one = control.resets > 0;
-        control.resets = control.resets.saturating_sub(1);
+        let had_one = control.pending_resets > 0;
+        control.pending_resets = control.pending_resets.saturating_sub(1);
         had_one
     })
 }
@@ -219,7 +220,7 @@
 }
 
 impl Direction {
-    fn is_swallowed(self, faults: &Faults) -> bool {
+    fn is_dropped(self, faults: &Faults) -> bool {
         match self {
             Self::ToTarget => faults.swallow_to_target,
             Self::FromTarget => faults.swallow_from_target,
@@ -227,7 +228,7 @@
     }
 
     /// Returns how many of `length` further bytes may pass before the connection is cut.
-    fn allowance(self, faults: &Faults, forwarded: u64, length: usize) -> usize {
+    fn bytes_allowed(self, faults: &Faults, forwarded: u64, length: usize) -> usize {
         match (self, faults.cut_after_bytes) {
             (Self::FromTarget, Some(limit)) => {
                 let left = limit.saturating_sub(forwarded);
@@ -240,16 +241,16 @@
 
 /// The connection must be reset.
 #[derive(Debug)]
-struct Broken;
+struct ConnectionBroken;
 
-impl From<io::Error> for Broken {
+impl From<io::Error> for ConnectionBroken {
     fn from(_: io::Error) -> Self {
         Self
     }
 }
 
 /// Bytes of one read, to be written when due.
-struct Delayed {
+struct DelayedBytes {
     due: Instant,
     bytes: Vec<u8>,
     /// Whether the connection is reset after these bytes.
@@ -257,13 +258,13 @@
 }
 
 /// Forwards one direction until the reader ends and all bytes are written.
-async fn pump(
+async fn forward(
     reader: &mut ReadHalf<'_>,
     writer: WriteHalf<'_>,
     control: &watch::Sender<Control>,
     direction: Direction,
-) -> Result<(), Broken> {
-    let (sender, receiver) = mpsc::channel(DELAYED_READS);
+) -> Result<(), ConnectionBroken> {
+    let (sender, receiver) = mpsc::channel(MAX_DELAYED_READS);
     let reading = read(reader, sender, control.subscribe(), direction);
     let writing = write(writer, receiver, control.subscribe());
     tokio::try_join!(reading, writing)?;
@@ -272,10 +273,10 @@
 
 async fn read(
     reader: &mut ReadHalf<'_>,
-    sender: mpsc::Sender<Delayed>,
+    sender: mpsc::Sender<DelayedBytes>,
     mut control: watch::Receiver<Control>,
     direction: Direction,
-) -> Result<(), Broken> {
+) -> Result<(), ConnectionBroken> {
     let mut has_lost_bytes = false;
     let mut forwarded = 0;
     let mut buffer = vec![0; READ_BYTES];
@@ -283,53 +284,59 @@
         let length = tokio::select! {
             read = reader.read(&mut buffer) => read?,
             changed = control.changed() => {
-                changed.map_err(|_| Broken)?;
+                changed.map_err(|_| ConnectionBroken)?;
                 let faults = control.borrow_and_update().faults;
-                if has_lost_bytes && !direction.is_swallowed(&faults) {
-                    return Err(Broken);
+                if has_lost_bytes && !direction.is_dropped(&faults) {
+                    return Err(ConnectionBroken);
                 }
                 continue;
             }
         };
         let faults = control.borrow().faults;
-        if length > 0 && direction.is_swallowed(&faults) {
+        if length > 0 && direction.is_dropped(&faults) {
             has_lost_bytes = true;
             continue;
         }
         if length == 0 {
-            return if has_lost_bytes { Err(Broken) } else { Ok(()) };
+            return if has_lost_bytes {
+                Err(ConnectionBroken)
+            } else {
+                Ok(())
+            };
         }
-        let allowed = direction.allowance(&faults, forwarded, length);
+        let allowed = direction.bytes_allowed(&faults, forwarded, length);
         forwarded += length as u64;
-        let delayed = Delayed {
+        let delayed = DelayedBytes {
             due: Instant::now() + Duration::from_millis(faults.delay_ms),
             bytes: buffer[..allowed].to_vec(),
             is_last: allowed < length,
         };
-        sender.send(delayed).await.map_err(|_| Broken)?;
+        sender.send(delayed).await.map_err(|_| ConnectionBroken)?;
     }
 }
 
 async fn write(
     mut writer: WriteHalf<'_>,
-    mut receiver: mpsc::Receiver<Delayed>,
+    mut receiver: mpsc::Receiver<DelayedBytes>,
     mut control: watch::Receiver<Control>,
-) -> Result<(), Broken> {
+) -> Result<(), ConnectionBroken> {
     while let Some(delayed) = receiver.recv().await {
         tokio::time::sleep_until(delayed.due).await;
-        thawed(&mut control).await?;
+        wait_until_unfrozen(&mut control).await?;
         writer.write_all(&delayed.bytes).await?;
         if delayed.is_last {
-            tokio::time::sleep(BEFORE_RESET).await;
-            return Err(Broken);
+            tokio::time::sleep(RESET_DELAY).await;
+            return Err(ConnectionBroken);
         }
     }
-    thawed(&mut control).await?;
+    wait_until_unfrozen(&mut control).await?;
     writer.shutdown().await?;
     Ok(())
 }
 
-async fn thawed(control: &mut watch::Receiver<Control>) -> Result<(), Broken> {
-    let thawed = control.wait_for(|control| !control.faults.freeze).await;
-    thawed.map(drop).map_err(|_| Broken)
+async fn wait_until_unfrozen(
+    control: &mut watch::Receiver<Control>,
+) -> Result<(), ConnectionBroken> {
+    let wait_until_unfrozen = control.wait_for(|control| !control.faults.freeze).await;
+    wait_until_unfrozen.map(drop).map_err(|_| ConnectionBroken)
 }
--- a/crates/bench/src/stand_in/application.rs
+++ b/crates/bench/src/stand_in/application.rs
@@ -9,9 +9,9 @@
 
 use super::{
     CutPoint, ENGINE_HEADER, Ending, LeavingOrder, LoadReport, NOT_RUN, NOT_RUN_LEAVING,
-    REQUEST_ID_HEADER, lock, loopback, take_one,
+    REQUEST_ID_HEADER, consume_one, lock, loopback,
 };
-use crate::http_server::{Handle, Handler, Request, Responder, cut, serve};
+use crate::http_server::{Handle, Handler, Request, Responder, injected_cut, serve};
 
 /// Configuration of an application back end.
 #[derive(Debug, Clone)]
@@ -164,18 +164,18 @@
     }
 
     async fn run(&self, request: Request, responder: &mut Responder) -> io::Result<()> {
-        if self.refuses_as_leaving() {
+        if self.refuses_because_leaving() {
             let headers = [(ENGINE_HEADER, NOT_RUN_LEAVING)];
             return responder.send(503, &headers, b"leaving").await;
         }
-        if take_one(&mut lock(&self.state).faults.refusals) {
+        if consume_one(&mut lock(&self.state).faults.refusals) {
             let headers = [(ENGINE_HEADER, NOT_RUN)];
             return responder.send(503, &headers, b"refused on purpose").await;
         }
         let (faults, is_cut, is_error) = {
             let state = &mut *lock(&self.state);
-            let is_cut = state.faults.cut.is_some() && take_one(&mut state.faults.cuts);
-            let is_error = take_one(&mut state.faults.errors);
+            let is_cut = state.faults.cut.is_some() && consume_one(&mut state.faults.cuts);
+            let is_error = consume_one(&mut state.faults.errors);
             (state.faults.clone(), is_cut, is_error)
         };
         let echo = self.echo(&request, faults.padding);
@@ -183,7 +183,7 @@
         let delay = self.config.delay + Duration::from_millis(faults.delay_ms);
         tokio::select! {
             () = tokio::time::sleep(delay) => {}
-            () = responder.caller_gone() => return Err(cut()),
+            () = responder.caller_disconnected() => return Err(injected_cut()),
         }
         let body = serde_json::to_vec(&echo).map_err(io::Error::other)?;
         let status = if is_error { 500 } else { 200 };
@@ -196,7 +196,7 @@
         Ok(())
     }
 
-    fn refuses_as_leaving(&self) -> bool {
+    fn refuses_because_leaving(&self) -> bool {
         let state = lock(&self.state);
         state.leaving && state.faults.refuse_when_leaving
     }
@@ -279,12 +279,12 @@
         return responder.send(status, &headers, body).await;
     }
     send_halves(responder, status, body).await?;
-    responder.end_chunks().await
+    responder.finish_chunks().await
 }
 
 async fn send_halves(responder: &mut Responder, status: u16, body: &[u8]) -> io::Result<()> {
     let headers = [("Content-Type", "application/json")];
-    responder.begin_chunked(status, &headers).await?;
+    responder.start_chunked(status, &headers).await?;
     let (first, second) = body.split_at(body.len() / 2);
     responder.chunk(first).await?;
     responder.chunk(second).await
@@ -301,16 +301,16 @@
     match point {
         Some(CutPoint::BeforeHeaders) | None => {}
         Some(CutPoint::MidBody) => {
-            responder.begin_sized(status, &[], body.len()).await?;
-            responder.raw(&body[..body.len() / 2]).await?;
+            responder.start_sized(status, &[], body.len()).await?;
+            responder.send_raw(&body[..body.len() / 2]).await?;
         }
         Some(CutPoint::BeforeEnd) if chunked => send_halves(responder, status, body).await?,
         Some(CutPoint::BeforeEnd) => {
-            responder.begin_sized(status, &[], body.len()).await?;
-            responder.raw(all_but_last).await?;
+            responder.start_sized(status, &[], body.len()).await?;
+            responder.send_raw(all_but_last).await?;
         }
     }
-    Err(cut())
+    Err(injected_cut())
 }
 
 impl Handler for Application {
--- a/crates/bench/src/stand_in/engine/generation.rs
+++ b/crates/bench/src/stand_in/engine/generation.rs
@@ -9,11 +9,11 @@
 use tokio::sync::Notify;
 
 use super::super::{
-    CutPoint, ENGINE_HEADER, Ending, NOT_RUN, NOT_RUN_LEAVING, REQUEST_ID_HEADER, lock, take_one,
+    CutPoint, ENGINE_HEADER, Ending, NOT_RUN, NOT_RUN_LEAVING, REQUEST_ID_HEADER, consume_one, lock,
 };
 use super::Engine;
 use super::record::{Run, RunIndex};
-use crate::http_server::{Request, Responder, cut};
+use crate::http_server::{Request, Responder, injected_cut};
 use crate::text;
 
 const STALL_CHECK: Duration = Duration::from_millis(10);
@@ -51,7 +51,7 @@
 /// Reason why a wait ended early.
 enum Interruption {
     Cancelled,
-    CallerGone,
+    CallerDisconnected,
 }
 
 /// Registration for `/v1/cancel`, removed on drop.
@@ -121,11 +121,11 @@
         if text::count_tokens(resumed) != completion.resume_tokens {
             return refuse(responder, 400, "resume_tokens does not match resume_text").await;
         }
-        if self.refuses_as_leaving() {
+        if self.refuses_because_leaving() {
             let headers = [(ENGINE_HEADER, NOT_RUN_LEAVING)];
             return responder.send(503, &headers, b"leaving").await;
         }
-        if take_one(&mut lock(&self.state).faults.refusals) {
+        if consume_one(&mut lock(&self.state).faults.refusals) {
             return refuse(responder, 503, "refused on purpose").await;
         }
         self.queue_and_run(&completion, responder).await
@@ -138,12 +138,12 @@
     ) -> io::Result<()> {
         let cancel = self.register_cancel(&completion.request_id);
         let acquiring = self.slots.acquire(completion.priority);
-        let acquired = interruptible(acquiring, &cancel.notify, responder).await;
+        let acquired = run_interruptibly(acquiring, &cancel.notify, responder).await;
         let slot = match acquired {
             Ok(Ok(slot)) => slot,
             Ok(Err(full)) => return refuse(responder, 429, &full.to_string()).await,
             Err(Interruption::Cancelled) => return refuse(responder, 503, "cancelled").await,
-            Err(Interruption::CallerGone) => return Err(cut()),
+            Err(Interruption::CallerDisconnected) => return Err(injected_cut()),
         };
         let outcome = self.run(completion, &cancel.notify, responder).await;
         drop(slot);
@@ -157,42 +157,42 @@
         responder: &mut Responder,
     ) -> io::Result<()> {
         let mut run = self.begin_run(completion);
-        let cut_point = self.take_cut();
+        let cut_point = self.consume_cut();
         if cut_point == Some(CutPoint::BeforeHeaders) {
             run.ending = Ending::Cut;
-            return Err(cut());
+            return Err(injected_cut());
         }
         if pause(self.config.prefill, cancelled, responder)
             .await
             .is_err()
         {
-            return Err(cut());
+            return Err(injected_cut());
         }
         responder
-            .begin_chunked(200, &[("Content-Type", "text/event-stream")])
+            .start_chunked(200, &[("Content-Type", "text/event-stream")])
             .await?;
         let middle = (completion.resume_tokens + completion.max_tokens) / 2;
         for position in completion.resume_tokens..completion.max_tokens {
             match self.wait_for_token(cancelled, responder).await {
                 Ok(()) => {}
-                Err(Interruption::Cancelled) => return responder.end_chunks().await,
-                Err(Interruption::CallerGone) => return Err(cut()),
+                Err(Interruption::Cancelled) => return responder.finish_chunks().await,
+                Err(Interruption::CallerDisconnected) => return Err(injected_cut()),
             }
             let event = self.generate(completion, position, run.index);
             if cut_point == Some(CutPoint::MidBody) && position == middle {
                 run.ending = Ending::Cut;
                 let half = &event.as_bytes()[..event.len() / 2];
                 responder.chunk(half).await?;
-                return Err(cut());
+                return Err(injected_cut());
             }
             responder.chunk(event.as_bytes()).await?;
         }
         if cut_point.is_some() {
             run.ending = Ending::Cut;
-            return Err(cut());
+            return Err(injected_cut());
         }
         responder.chunk(b"data: [DONE]\n\n").await?;
-        responder.end_chunks().await?;
+        responder.finish_chunks().await?;
         run.ending = Ending::Completed;
         Ok(())
     }
@@ -243,15 +243,15 @@
         }
     }
 
-    fn refuses_as_leaving(&self) -> bool {
+    fn refuses_because_leaving(&self) -> bool {
         let state = lock(&self.state);
         state.leaving && state.faults.refuse_when_leaving
     }
 
-    fn take_cut(&self) -> Option<CutPoint> {
+    fn consume_cut(&self) -> Option<CutPoint> {
         let faults = &mut lock(&self.state).faults;
         let point = faults.cut?;
-        take_one(&mut faults.cuts).then_some(point)
+        consume_one(&mut faults.cuts).then_some(point)
     }
 
     fn register_cancel(&self, request_id: &str) -> CancelGuard<'_> {
@@ -280,11 +280,11 @@
     cancelled: &Notify,
     responder: &mut Responder,
 ) -> Result<(), Interruption> {
-    interruptible(tokio::time::sleep(duration), cancelled, responder).await
+    run_interruptibly(tokio::time::sleep(duration), cancelled, responder).await
 }
 
 /// Waits for `work` unless the request is cancelled or its caller disconnects first.
-async fn interruptible<T>(
+async fn run_interruptibly<T>(
     work: impl Future<Output = T>,
     cancelled: &Notify,
     responder: &mut Responder,
@@ -293,6 +293,6 @@
         biased;
         () = cancelled.notified() => Err(Interruption::Cancelled),
         done = work => Ok(done),
-        () = responder.caller_gone() => Err(Interruption::CallerGone),
+        () = responder.caller_disconnected() => Err(Interruption::CallerDisconnected),
     }
 }
--- a/crates/bench/src/stand_in/engine/mod.rs
+++ b/crates/bench/src/stand_in/engine/mod.rs
@@ -158,7 +158,7 @@
         report
     }
 
-    async fn take_order(&self, request: Request, responder: &mut Responder) -> io::Result<()> {
+    async fn accept_order(&self, request: Request, responder: &mut Responder) -> io::Result<()> {
         let order: Order = match request.json() {
             Ok(order) => order,
             Err(error) => return responder.reject(400, &error.to_string()).await,
@@ -191,7 +191,7 @@
                 responder.reject(503, "hidden on purpose").await
             }
             ("GET", "/v1/load") => responder.json(200, &self.load_report()).await,
-            ("POST", "/v1/orders") => self.take_order(request, responder).await,
+            ("POST", "/v1/orders") => self.accept_order(request, responder).await,
             (_, path) if path.starts_with("/control/") => self.control(request, responder).await,
             _ => responder.reject(404, "no such path").await,
         }
--- a/crates/bench/src/stand_in/engine/slots.rs
+++ b/crates/bench/src/stand_in/engine/slots.rs
@@ -34,7 +34,7 @@
 }
 
 /// An entry of the queue, removed on drop.
-struct Place<'a> {
+struct QueueEntry<'a> {
     slots: &'a Slots,
     key: (i64, u64),
     granted: oneshot::Receiver<()>,
@@ -59,19 +59,19 @@
 
     /// Waits for a slot. Lower `priority` values go first, then earlier arrivals.
     pub(super) async fn acquire(&self, priority: i64) -> Result<Slot<'_>, QueueFull> {
-        let Some(mut place) = self.enter(priority)? else {
+        let Some(mut entry) = self.enqueue(priority)? else {
             return Ok(Slot { slots: self });
         };
-        let granted = (&mut place.granted).await;
+        let granted = (&mut entry.granted).await;
         debug_assert!(
             granted.is_ok(),
             "the sender stays in the queue until granted"
         );
-        place.granted.close();
+        entry.granted.close();
         Ok(Slot { slots: self })
     }
 
-    fn enter(&self, priority: i64) -> Result<Option<Place<'_>>, QueueFull> {
+    fn enqueue(&self, priority: i64) -> Result<Option<QueueEntry<'_>>, QueueFull> {
         let mut state = lock(&self.state);
         if state.running < self.capacity {
             state.running += 1;
@@ -84,7 +84,7 @@
         state.next_arrival += 1;
         let (grant, granted) = oneshot::channel();
         state.waiting.insert(key, grant);
-        Ok(Some(Place {
+        Ok(Some(QueueEntry {
             slots: self,
             key,
             granted,
@@ -108,12 +108,12 @@
     }
 }
 
-impl Drop for Place<'_> {
+impl Drop for QueueEntry<'_> {
     fn drop(&mut self) {
         lock(&self.slots.state).waiting.remove(&self.key);
         self.granted.close();
-        let granted_unseen = self.granted.try_recv().is_ok();
-        if granted_unseen {
+        let was_granted = self.granted.try_recv().is_ok();
+        if was_granted {
             self.slots.release();
         }
     }
--- a/crates/bench/src/stand_in/engine/swap.rs
+++ b/crates/bench/src/stand_in/engine/swap.rs
@@ -21,12 +21,12 @@
         if let Some(order) = order
             && order.weight_version != engine.held_version()
         {
-            carry_out(&engine, &client, &order).await;
+            execute(&engine, &client, &order).await;
         }
     }
 }
 
-async fn carry_out(engine: &Engine, client: &Client, order: &Order) {
+async fn execute(engine: &Engine, client: &Client, order: &Order) {
     let is_loaded = load(engine, client, order).await;
     tokio::time::sleep(engine.config.swap).await;
     if !is_loaded {
--- a/crates/bench/src/stand_in/key_value/messages.rs
+++ b/crates/bench/src/stand_in/key_value/messages.rs
@@ -39,13 +39,13 @@
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         #[derive(Deserialize)]
         #[serde(untagged)]
-        enum Form {
+        enum TextOrNumber {
             Text(String),
             Number(i64),
         }
-        match Form::deserialize(deserializer)? {
-            Form::Text(text) => text.parse().map(Self).map_err(D::Error::custom),
-            Form::Number(number) => Ok(Self(number)),
+        match TextOrNumber::deserialize(deserializer)? {
+            TextOrNumber::Text(text) => text.parse().map(Self).map_err(D::Error::custom),
+            TextOrNumber::Number(number) => Ok(Self(number)),
         }
     }
 }
--- a/crates/bench/src/stand_in/key_value/mod.rs
+++ b/crates/bench/src/stand_in/key_value/mod.rs
@@ -14,8 +14,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::rate::Rate;
-use super::{lock, loopback, take_one};
-use crate::http_server::{Handle, Handler, Request, Responder, cut, serve};
+use super::{consume_one, lock, loopback};
+use crate::http_server::{Handle, Handler, Request, Responder, injected_cut, serve};
 use messages::{PutRequest, RangeRequest, TransactionRequest};
 use store::Store;
 
@@ -102,20 +102,20 @@
 enum Admission {
     Answer(Duration),
     Refuse,
-    Break,
+    Disconnect,
 }
 
 impl KeyValue {
     fn admit(&self) -> Admission {
         let state = &mut *lock(&self.state);
         if state.faults.down {
-            return Admission::Break;
+            return Admission::Disconnect;
         }
         let per_second = match state.faults.requests_per_second {
             rate if rate > 0.0 => rate,
             _ => self.requests_per_second,
         };
-        if !state.rate.take(per_second, Instant::now()) {
+        if !state.rate.try_acquire(per_second, Instant::now()) {
             state.counts.refused += 1;
             return Admission::Refuse;
         }
@@ -140,11 +140,15 @@
         }
     }
 
-    async fn serve_gateway(&self, request: Request, responder: &mut Responder) -> io::Result<()> {
+    async fn handle_gateway_request(
+        &self,
+        request: Request,
+        responder: &mut Responder,
+    ) -> io::Result<()> {
         let delay = match self.admit() {
             Admission::Answer(delay) => delay,
             Admission::Refuse => return responder.reject(429, "over the rate").await,
-            Admission::Break => return Err(cut()),
+            Admission::Disconnect => return Err(injected_cut()),
         };
         tokio::time::sleep(delay).await;
         match request.path.as_str() {
@@ -193,11 +197,11 @@
             state.faults.down |= took_effect && state.faults.down_after_change;
             (
                 answer,
-                took_effect && take_one(&mut state.faults.lost_answers),
+                took_effect && consume_one(&mut state.faults.lost_answers),
             )
         };
         if is_lost {
-            return Err(cut());
+            return Err(injected_cut());
         }
         responder.json(200, &answer).await
     }
@@ -217,7 +221,7 @@
                 }
                 Err(error) => responder.reject(400, &error.to_string()).await,
             },
-            ("POST", _) => self.serve_gateway(request, responder).await,
+            ("POST", _) => self.handle_gateway_request(request, responder).await,
             _ => responder.reject(404, "no such path").await,
         }
     }
--- a/crates/bench/src/stand_in/key_value/store.rs
+++ b/crates/bench/src/stand_in/key_value/store.rs
@@ -64,7 +64,10 @@
     }
 
     pub(super) fn transact(&mut self, request: TransactionRequest) -> TransactionAnswer {
-        let succeeded = request.compare.iter().all(|compare| self.holds(compare));
+        let succeeded = request
+            .compare
+            .iter()
+            .all(|compare| self.is_satisfied(compare));
         let operations = if succeeded {
             request.success
         } else {
@@ -106,7 +109,7 @@
         }
     }
 
-    fn holds(&self, compare: &Compare) -> bool {
+    fn is_satisfied(&self, compare: &Compare) -> bool {
         let stored = self.keys.get(&compare.key);
         let revision = stored.map_or(0, |stored| stored.mod_revision);
         match compare.result {
--- a/crates/bench/src/stand_in/machine_list.rs
+++ b/crates/bench/src/stand_in/machine_list.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{lock, loopback};
-use crate::http_server::{Handle, Handler, Request, Responder, cut, serve};
+use crate::http_server::{Handle, Handler, Request, Responder, injected_cut, serve};
 
 /// Kind of a machine's back end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -128,7 +128,7 @@
         match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/v1/machines") => {
                 if lock(&self.state).faults.down {
-                    return Err(cut());
+                    return Err(injected_cut());
                 }
                 let machines = lock(&self.state).visible().clone();
                 responder.json(200, &machines).await
--- a/crates/bench/src/stand_in/mod.rs
+++ b/crates/bench/src/stand_in/mod.rs
@@ -96,10 +96,10 @@
 }
 
 /// Decrements a count of faults to inject; returns whether it was positive.
-pub(crate) fn take_one(remaining: &mut u32) -> bool {
-    let had_one = *remaining > 0;
+pub(crate) fn consume_one(remaining: &mut u32) -> bool {
+    let was_positive = *remaining > 0;
     *remaining = remaining.saturating_sub(1);
-    had_one
+    was_positive
 }
 
 /// Locks a mutex, ignoring poisoning.
--- a/crates/bench/src/stand_in/rate.rs
+++ b/crates/bench/src/stand_in/rate.rs
@@ -19,7 +19,7 @@
     }
 
     /// Removes a token if there is one; `per_second` 0 means no limit.
-    pub(crate) fn take(&mut self, per_second: f64, now: Instant) -> bool {
+    pub(crate) fn try_acquire(&mut self, per_second: f64, now: Instant) -> bool {
         if per_second <= 0.0 {
             return true;
         }
--- a/crates/bench/src/stand_in/scorer.rs
+++ b/crates/bench/src/stand_in/scorer.rs
@@ -8,8 +8,8 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-use super::{lock, loopback, take_one};
-use crate::http_server::{Handle, Handler, Request, Responder, cut, serve};
+use super::{consume_one, lock, loopback};
+use crate::http_server::{Handle, Handler, Request, Responder, injected_cut, serve};
 
 #[derive(Debug, Clone)]
 pub struct ScorerConfig {
@@ -77,19 +77,19 @@
 
 impl Scorer {
     async fn answer(&self, request: &Request, responder: &mut Responder) -> io::Result<()> {
-        let asked: ScoreRequest = match request.json() {
-            Ok(asked) => asked,
+        let score_request: ScoreRequest = match request.json() {
+            Ok(score_request) => score_request,
             Err(error) => return responder.reject(400, &error.to_string()).await,
         };
         let faults = lock(&self.faults).clone();
         if faults.down {
-            return Err(cut());
+            return Err(injected_cut());
         }
         tokio::time::sleep(self.config.delay + Duration::from_millis(faults.delay_ms)).await;
-        if take_one(&mut lock(&self.faults).errors) {
+        if consume_one(&mut lock(&self.faults).errors) {
             return responder.reject(500, "failed on purpose").await;
         }
-        let score = score(&asked.text);
+        let score = score(&score_request.text);
         responder.json(200, &ScoreAnswer { score }).await
     }
 }
--- a/crates/bench/src/stand_in/weight_store.rs
+++ b/crates/bench/src/stand_in/weight_store.rs
@@ -74,7 +74,7 @@
         if !is_known {
             return responder.reject(404, "unknown version").await;
         }
-        let is_allowed = lock(&self.rate).take(self.config.loads_per_second, Instant::now());
+        let is_allowed = lock(&self.rate).try_acquire(self.config.loads_per_second, Instant::now());
         if !is_allowed {
             return responder.reject(429, "over the rate").await;
         }
--- a/crates/bench/src/trainer/judge.rs
+++ b/crates/bench/src/trainer/checker.rs
@@ -11,11 +11,11 @@
 use crate::text::{TextError, verify};
 
 /// Time for an accepted bundle to be in force everywhere.
-const IN_FORCE_WITHIN: Duration = Duration::from_secs(10);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Requirements of a bundle for a pool's samples.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PoolFacts {
+pub struct PoolRequirements {
     /// Weight version in force.
     pub weight_version: u64,
     /// Maximum number of versions that a sample may be behind.
@@ -24,40 +24,40 @@
 
 /// Requirements of each known bundle. Clones share one table.
 #[derive(Debug, Clone, Default)]
-pub struct BundleFacts {
+pub struct BundleRequirements {
     table: Arc<Mutex<Table>>,
 }
 
 #[derive(Debug, Default)]
 struct Table {
-    pools: BTreeMap<(u64, String), PoolFacts>,
+    pools: BTreeMap<(u64, String), PoolRequirements>,
     accepted: BTreeMap<u64, Instant>,
 }
 
-impl BundleFacts {
+impl BundleRequirements {
     /// Records the requirements of a bundle; must be called before the bundle is rolled.
-    pub fn add(&self, revision: u64, pool: &str, facts: PoolFacts) {
+    pub fn add(&self, revision: u64, pool: &str, requirements: PoolRequirements) {
         let key = (revision, pool.to_owned());
-        lock(&self.table).pools.insert(key, facts);
+        lock(&self.table).pools.insert(key, requirements);
     }
 
     /// Records that a bundle was accepted now.
-    pub fn accepted(&self, revision: u64) {
+    pub fn mark_accepted(&self, revision: u64) {
         let mut table = lock(&self.table);
         table.accepted.entry(revision).or_insert_with(Instant::now);
     }
 
-    fn find(&self, revision: u64, pool: &str) -> Option<PoolFacts> {
+    fn find(&self, revision: u64, pool: &str) -> Option<PoolRequirements> {
         let key = (revision, pool.to_owned());
         lock(&self.table).pools.get(&key).copied()
     }
 
     /// Returns the newest revision that must be in force everywhere at that time, or 0 for none.
-    fn due_by(&self, at: Instant) -> u64 {
+    fn required_revision(&self, at: Instant) -> u64 {
         lock(&self.table)
             .accepted
             .iter()
-            .filter(|(_, accepted)| **accepted + IN_FORCE_WITHIN <= at)
+            .filter(|(_, accepted)| **accepted + IN_FORCE_TIMEOUT <= at)
             .map(|(revision, _)| *revision)
             .max()
             .unwrap_or(0)
@@ -88,14 +88,10 @@
     },
     /// The step ended without a sample of this slot.
     #[error("slot {slot} lost")]
-    Lost {
-        slot: u32,
-    },
+    Lost { slot: u32 },
     /// A sample has a prompt that differs from its slot's.
     #[error("slot {slot} answers another prompt")]
-    WrongPrompt {
-        slot: u32,
-    },
+    WrongPrompt { slot: u32 },
     /// A sample has more or fewer tokens than requested.
     #[error("slot {slot} has {tokens} tokens instead of {asked}")]
     WrongLength {
@@ -161,61 +157,65 @@
 
 /// Checks the answers of one step.
 #[derive(Debug)]
-pub struct Judge {
+pub struct StepChecker {
     trainer: String,
     step: u64,
     spec: StepSpec,
-    facts: BundleFacts,
-    taken: BTreeMap<u32, u32>,
+    requirements: BundleRequirements,
+    delivered_attempts: BTreeMap<u32, u32>,
     report: StepReport,
 }
 
-impl Judge {
+impl StepChecker {
     /// Creates a checker for the step that was submitted as `spec`.
-    pub fn new(trainer: &str, step: u64, spec: StepSpec, facts: BundleFacts) -> Self {
+    pub fn new(trainer: &str, step: u64, spec: StepSpec, requirements: BundleRequirements) -> Self {
         Self {
             trainer: trainer.to_owned(),
             step,
             spec,
-            facts,
-            taken: BTreeMap::new(),
+            requirements,
+            delivered_attempts: BTreeMap::new(),
             report: StepReport::default(),
         }
     }
 
     /// Checks an answer whose cursor the trainer continues with; `asked_at` is the time of the
     /// pull.
-    pub fn take(&mut self, answer: SamplesAnswer, asked_at: Instant) {
+    pub fn add_answer(&mut self, answer: SamplesAnswer, asked_at: Instant) {
         let revision = answer.bundle_revision;
-        let due = self.facts.due_by(asked_at);
+        let due = self.requirements.required_revision(asked_at);
         if revision < due && !answer.samples.is_empty() {
             self.violation(Violation::BundleOutOfForce { revision, due });
         }
         for sample in &answer.samples {
-            self.take_sample(sample, revision);
+            self.check_sample(sample, revision);
         }
     }
 
     /// Counts a refusal or a broken connection.
-    pub fn trouble(&mut self) {
+    pub fn count_failure(&mut self) {
         self.report.troubles += 1;
     }
 
     /// Counts an answer dropped on purpose.
-    pub fn dropped(&mut self) {
+    pub fn count_dropped_answer(&mut self) {
         self.report.answers_dropped += 1;
     }
 
     /// Describes the progress of the step, for error messages.
     pub fn progress(&self) -> String {
-        format!("{} of {} slots", self.taken.len(), self.spec.samples.len())
+        format!(
+            "{} of {} slots",
+            self.delivered_attempts.len(),
+            self.spec.samples.len()
+        )
     }
 
     /// Ends the step and returns its report; slots without a sample are lost.
     pub fn finish(mut self) -> StepReport {
         let slots = 0..self.spec.samples.len() as u32;
         let missing: Vec<u32> = slots
-            .filter(|slot| !self.taken.contains_key(slot))
+            .filter(|slot| !self.delivered_attempts.contains_key(slot))
             .collect();
         for slot in missing {
             self.report.lost += 1;
@@ -224,10 +224,14 @@
         self.report
     }
 
-    fn take_sample(&mut self, sample: &Sample, revision: u64) {
+    fn check_sample(&mut self, sample: &Sample, revision: u64) {
         let slot = sample.slot;
-        let is_ours = sample.trainer == self.trainer && sample.step == self.step;
-        let spec = self.spec.samples.get(slot as usize).filter(|_| is_ours);
+        let belongs_to_step = sample.trainer == self.trainer && sample.step == self.step;
+        let spec = self
+            .spec
+            .samples
+            .get(slot as usize)
+            .filter(|_| belongs_to_step);
         let Some(spec) = spec.cloned() else {
             return self.violation(Violation::NotAskedFor {
                 trainer: sample.trainer.clone(),
@@ -235,7 +239,7 @@
                 slot,
             });
         };
-        if let Some(first) = self.taken.insert(slot, sample.attempt) {
+        if let Some(first) = self.delivered_attempts.insert(slot, sample.attempt) {
             self.report.duplicated += 1;
             self.violation(Violation::Doubled {
                 slot,
@@ -249,7 +253,7 @@
             self.violation(Violation::WrongPrompt { slot });
         }
         self.check_text(sample, &spec.prompt, u64::from(spec.max_tokens));
-        self.check_age(sample, revision);
+        self.check_staleness(sample, revision);
     }
 
     fn check_text(&mut self, sample: &Sample, prompt: &str, asked: u64) {
@@ -269,15 +273,17 @@
         }
     }
 
-    fn check_age(&mut self, sample: &Sample, revision: u64) {
+    fn check_staleness(&mut self, sample: &Sample, revision: u64) {
         let versions = sample.segments.iter().map(|segment| segment.weight_version);
         self.report.weight_versions.extend(versions.clone());
         self.report.bundle_revisions.insert(revision);
         let oldest = versions.min().unwrap_or(0);
-        let Some(facts) = self.facts.find(revision, &self.spec.pool) else {
+        let Some(requirements) = self.requirements.find(revision, &self.spec.pool) else {
             return self.violation(Violation::UnknownBundle { revision });
         };
-        let demanded = facts.weight_version.saturating_sub(facts.staleness_bound);
+        let demanded = requirements
+            .weight_version
+            .saturating_sub(requirements.staleness_bound);
         if oldest < demanded {
             self.violation(Violation::Stale {
                 slot: sample.slot,
--- a/crates/bench/src/trainer/mod.rs
+++ b/crates/bench/src/trainer/mod.rs
@@ -3,7 +3,7 @@
 //! Retries refusals after their `Retry-After` time, uses another daemon after broken connections,
 //! and can drop answers on purpose to pull again with the old cursor.
 
-mod judge;
+mod checker;
 mod messages;
 mod single_calls;
 
@@ -11,12 +11,12 @@
 
 use reqwest::{Client, Response, StatusCode};
 
-pub use judge::{BundleFacts, Judge, PoolFacts, StepReport, Violation};
+pub use checker::{BundleRequirements, PoolRequirements, StepChecker, StepReport, Violation};
 pub use messages::{Sample, SampleSpec, SamplesAnswer, StepSpec};
 pub use single_calls::SingleAnswer;
 
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
-const LONGEST_RETRY_PAUSE: Duration = Duration::from_secs(1);
+const MAX_RETRY_PAUSE: Duration = Duration::from_secs(1);
 /// Time limit of a call, in addition to its long poll.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
@@ -25,10 +25,7 @@
 pub enum TrainerError {
     /// The daemons finally refused the step.
     #[error("refused with {status}: {body}")]
-    Refused {
-        status: StatusCode,
-        body: String,
-    },
+    Refused { status: StatusCode, body: String },
     /// The time limit was exceeded; holds the last error.
     #[error("not done in time; last trouble: {0}")]
     TimedOut(String),
@@ -44,7 +41,7 @@
     /// Drops one in this number of answers and pulls again; 0 drops none.
     pub drop_every: u32,
     /// Uses the next daemon for each pull instead of only after a failure.
-    pub moves: bool,
+    pub rotates_daemons: bool,
     /// Time limit of the step.
     pub deadline: Duration,
 }
@@ -55,7 +52,7 @@
             max: 16,
             wait: Duration::from_millis(500),
             drop_every: 0,
-            moves: false,
+            rotates_daemons: false,
             deadline: Duration::from_secs(30),
         }
     }
@@ -68,29 +65,29 @@
     /// Base URLs of the daemons.
     daemons: Vec<String>,
     current: usize,
-    facts: BundleFacts,
+    requirements: BundleRequirements,
     client: Client,
     /// Retryable refusals without a `Retry-After` header.
-    pub hasty_refusals: Vec<String>,
+    pub refusals_without_retry_after: Vec<String>,
 }
 
 /// Result of one pull.
-enum Outcome {
+enum PullOutcome {
     Answer(SamplesAnswer),
-    Trouble { text: String, pause: Duration },
+    Failure { text: String, pause: Duration },
 }
 
 impl Trainer {
     /// Creates a trainer of the daemons at these base URLs; `facts` holds the requirements of each
     /// bundle.
-    pub fn new(name: &str, daemons: Vec<String>, facts: BundleFacts) -> Self {
+    pub fn new(name: &str, daemons: Vec<String>, requirements: BundleRequirements) -> Self {
         Self {
             name: name.to_owned(),
             daemons,
             current: 0,
-            facts,
+            requirements,
             client: crate::http_client(),
-            hasty_refusals: Vec::new(),
+            refusals_without_retry_after: Vec::new(),
         }
     }
 
@@ -135,7 +132,7 @@
                 Ok(answer) => self.retry_or_refuse(answer).await?,
                 Err(error) => (format!("{error:?}"), RETRY_PAUSE),
             };
-            self.wait_and_move(end, text, pause).await?;
+            self.wait_and_use_next_daemon(end, text, pause).await?;
         }
     }
 
@@ -146,20 +143,20 @@
         spec: &StepSpec,
         options: &PullOptions,
     ) -> Result<StepReport, TrainerError> {
-        self.pull_on(step, self.judge(step, spec), None, options)
+        self.pull_from(step, self.checker(step, spec), None, options)
             .await
     }
 
     /// Creates a checker of a step that this trainer submitted.
-    pub fn judge(&self, step: u64, spec: &StepSpec) -> Judge {
-        Judge::new(&self.name, step, spec.clone(), self.facts.clone())
+    pub fn checker(&self, step: u64, spec: &StepSpec) -> StepChecker {
+        StepChecker::new(&self.name, step, spec.clone(), self.requirements.clone())
     }
 
     /// Pulls a step to its end from a cursor whose earlier answers `judge` has checked.
-    pub async fn pull_on(
+    pub async fn pull_from(
         &mut self,
         step: u64,
-        mut judge: Judge,
+        mut checker: StepChecker,
         mut cursor: Option<String>,
         options: &PullOptions,
     ) -> Result<StepReport, TrainerError> {
@@ -170,31 +167,31 @@
             let asked_at = Instant::now();
             let outcome = self.pull_once(step, cursor.as_deref(), options).await?;
             let answer = match outcome {
-                Outcome::Answer(answer) => answer,
-                Outcome::Trouble { text, pause } => {
-                    judge.trouble();
-                    self.wait_and_move(end, text, pause).await?;
+                PullOutcome::Answer(answer) => answer,
+                PullOutcome::Failure { text, pause } => {
+                    checker.count_failure();
+                    self.wait_and_use_next_daemon(end, text, pause).await?;
                     continue;
                 }
             };
             answers += 1;
             dropped = !dropped && options.drop_every > 0 && answers % options.drop_every == 0;
             if dropped {
-                judge.dropped();
-                self.move_on();
+                checker.count_dropped_answer();
+                self.use_next_daemon();
                 continue;
             }
             let is_end = answer.complete && answer.samples.is_empty();
             cursor = Some(answer.cursor.clone());
-            judge.take(answer, asked_at);
+            checker.add_answer(answer, asked_at);
             if is_end {
-                return Ok(judge.finish());
+                return Ok(checker.finish());
             }
             if Instant::now() > end {
-                return Err(TrainerError::TimedOut(judge.progress()));
+                return Err(TrainerError::TimedOut(checker.progress()));
             }
-            if options.moves {
-                self.move_on();
+            if options.rotates_daemons {
+                self.use_next_daemon();
             }
         }
     }
@@ -204,7 +201,7 @@
         step: u64,
         cursor: Option<&str>,
         options: &PullOptions,
-    ) -> Result<Outcome, TrainerError> {
+    ) -> Result<PullOutcome, TrainerError> {
         let mut query = vec![
             ("max", options.max.to_string()),
             ("wait_ms", options.wait.as_millis().to_string()),
@@ -214,15 +211,15 @@
         let timeout = CALL_TIMEOUT + options.wait;
         let answer = match self.client.get(url).timeout(timeout).send().await {
             Ok(answer) => answer,
-            Err(error) => return Ok(trouble(format!("{error:?}"))),
+            Err(error) => return Ok(failure(format!("{error:?}"))),
         };
         if !answer.status().is_success() {
             let (text, pause) = self.retry_or_refuse(answer).await?;
-            return Ok(Outcome::Trouble { text, pause });
+            return Ok(PullOutcome::Failure { text, pause });
         }
         match answer.json().await {
-            Ok(answer) => Ok(Outcome::Answer(answer)),
-            Err(error) => Ok(trouble(format!("{error:?}"))),
+            Ok(answer) => Ok(PullOutcome::Answer(answer)),
+            Err(error) => Ok(failure(format!("{error:?}"))),
         }
     }
 
@@ -234,21 +231,21 @@
         format!("{daemon}/v1/trainers/{}/steps/{step}", self.name)
     }
 
-    fn move_on(&mut self) {
+    fn use_next_daemon(&mut self) {
         self.current = (self.current + 1) % self.daemons.len();
     }
 
-    async fn wait_and_move(
+    async fn wait_and_use_next_daemon(
         &mut self,
         end: Instant,
-        trouble: String,
+        failure: String,
         pause: Duration,
     ) -> Result<(), TrainerError> {
         if Instant::now() + pause > end {
-            return Err(TrainerError::TimedOut(trouble));
+            return Err(TrainerError::TimedOut(failure));
         }
         tokio::time::sleep(pause).await;
-        self.move_on();
+        self.use_next_daemon();
         Ok(())
     }
 
@@ -273,15 +270,15 @@
         }
         let text = format!("{status}: {body}");
         if retry_after.is_none() {
-            self.hasty_refusals.push(text.clone());
+            self.refusals_without_retry_after.push(text.clone());
         }
         let pause = retry_after.unwrap_or(RETRY_PAUSE);
-        Ok((text, pause.clamp(RETRY_PAUSE, LONGEST_RETRY_PAUSE)))
+        Ok((text, pause.clamp(RETRY_PAUSE, MAX_RETRY_PAUSE)))
     }
 }
 
-fn trouble(text: String) -> Outcome {
-    Outcome::Trouble {
+fn failure(text: String) -> PullOutcome {
+    PullOutcome::Failure {
         text,
         pause: RETRY_PAUSE,
     }
--- a/crates/bench/src/trainer/single_calls.rs
+++ b/crates/bench/src/trainer/single_calls.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum SingleAnswer<T> {
     /// The daemon answered with success.
-    Given(T),
+    Success(T),
     Refused {
         status: StatusCode,
         body: String,
@@ -23,7 +23,7 @@
     /// Returns the HTTP status, if an answer was received.
     pub fn status(&self) -> Option<StatusCode> {
         match self {
-            Self::Given(_) => Some(StatusCode::OK),
+            Self::Success(_) => Some(StatusCode::OK),
             Self::Refused { status, .. } => Some(*status),
             Self::Lost(_) => None,
         }
@@ -41,7 +41,7 @@
         };
         let status = answer.status();
         match answer.text().await {
-            Ok(_) if status.is_success() => SingleAnswer::Given(()),
+            Ok(_) if status.is_success() => SingleAnswer::Success(()),
             Ok(body) => SingleAnswer::Refused { status, body },
             Err(error) => SingleAnswer::Lost(format!("{error:?}")),
         }
@@ -76,7 +76,7 @@
             return SingleAnswer::Refused { status, body };
         }
         match answer.json().await {
-            Ok(answer) => SingleAnswer::Given(answer),
+            Ok(answer) => SingleAnswer::Success(answer),
             Err(error) => SingleAnswer::Lost(format!("{error:?}")),
         }
     }
--- a/crates/bench/tests/adapters.rs
+++ b/crates/bench/tests/adapters.rs
@@ -78,7 +78,7 @@
 }
 
 #[tokio::test]
-async fn engine_outcomes_are_judged_by_what_ran() {
+async fn engine_errors_tell_whether_the_request_ran() {
     let engine = engine::start(EngineConfig::default()).await.unwrap();
     fault(&engine, json!({"refusals": 1})).await;
     let refused = generate(&engine, &request("refused")).await.unwrap_err();
--- a/crates/bench/tests/bundle_in_force/refusals.rs
+++ b/crates/bench/tests/bundle_in_force/refusals.rs
@@ -7,8 +7,8 @@
 use ladderstage_bench::stand_in::key_value::KeyValueFaults;
 
 use crate::scenario::{
-    ALL, DISKLESS, config, engines_hold, head_record, in_force, other_key, restart_trusting, roll,
-    set_key_value, signed_by, started, until,
+    ALL, DISKLESS, config, head_record, restart_trusting, roll, set_key_value_faults, signed_by,
+    start_cluster, until, untrusted_key, wait_until_engines_hold, wait_until_in_force,
 };
 
 /// Cause of the refusal in a daemon's log.
@@ -20,13 +20,13 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn every_daemon_refuses_a_bundle_with_a_wrong_signature() {
-    let cluster = started(&config()).await;
+    let cluster = start_cluster(&config()).await;
     let before = head_record(&cluster).await;
     let bundle = cluster.bundle(2, 2);
     let mut altered = signed(&bundle);
     altered.text = text_of(&cluster.bundle(2, 3));
-    let forged = signed_by(&other_key(KEY_ID), text_of(&bundle));
-    let unknown = signed_by(&other_key("stranger"), text_of(&bundle));
+    let forged = signed_by(&untrusted_key(KEY_ID), text_of(&bundle));
+    let unknown = signed_by(&untrusted_key("stranger"), text_of(&bundle));
     let unsigned = SignedText {
         signatures: Vec::new(),
         ..signed(&bundle)
@@ -39,13 +39,13 @@
         }
     }
     assert_eq!(head_record(&cluster).await, before);
-    in_force(&cluster, &ALL, &cluster.bundle(1, 1)).await;
-    engines_hold(&cluster, 1).await;
+    wait_until_in_force(&cluster, &ALL, &cluster.bundle(1, 1)).await;
+    wait_until_engines_hold(&cluster, 1).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn every_daemon_refuses_a_bundle_with_a_wrong_text() {
-    let cluster = started(&config()).await;
+    let cluster = start_cluster(&config()).await;
     let before = head_record(&cluster).await;
     let wrong_successor = signed(&cluster.bundle(3, 2));
     let malformed = text_of(&cluster.bundle(2, 2)).replace("karm-lm", "");
@@ -64,22 +64,22 @@
         assert!(!reply.body.findings.is_empty(), "{reply:?}");
     }
     assert_eq!(head_record(&cluster).await, before);
-    in_force(&cluster, &ALL, &cluster.bundle(1, 1)).await;
+    wait_until_in_force(&cluster, &ALL, &cluster.bundle(1, 1)).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_daemon_without_the_key_refuses_the_bundle_that_others_push() {
-    let mut cluster = started(&config()).await;
-    restart_trusting(&mut cluster, DISKLESS, &other_key("stranger")).await;
+    let mut cluster = start_cluster(&config()).await;
+    restart_trusting(&mut cluster, DISKLESS, &untrusted_key("stranger")).await;
     // The daemon must receive the bundle by a push, not from the key-value service.
     let faults = KeyValueFaults {
         down_after_change: true,
         ..KeyValueFaults::default()
     };
-    set_key_value(&cluster, &faults).await;
+    set_key_value_faults(&cluster, &faults).await;
     let bundle = cluster.bundle(2, 2);
     roll(&cluster, 0, &bundle).await;
-    in_force(&cluster, &[0, 1, 2], &bundle).await;
+    wait_until_in_force(&cluster, &[0, 1, 2], &bundle).await;
     until("the push is refused", async || {
         let log = cluster.daemons[DISKLESS].log();
         log.lines().any(|line| {
@@ -89,6 +89,6 @@
     .await;
     let log = cluster.daemons[DISKLESS].log();
     assert!(!log.contains("event=bundle_in_force"), "{log}");
-    let ready = cluster.daemons[DISKLESS].ready(Duration::ZERO);
+    let ready = cluster.daemons[DISKLESS].wait_until_ready(Duration::ZERO);
     assert!(ready.await.is_err(), "ready without a bundle");
 }
--- a/crates/bench/tests/bundle_in_force/scenario.rs
+++ b/crates/bench/tests/bundle_in_force/scenario.rs
@@ -20,7 +20,7 @@
 use ladderstage_wire::messages::SignedBundle;
 use tokio::task::JoinHandle;
 
-pub const BOUND: Duration = Duration::from_secs(30);
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 pub const POLL: Duration = Duration::from_millis(20);
 /// Index of the daemon that has no data folder and is not a replica.
 pub const DISKLESS: usize = 3;
@@ -49,9 +49,9 @@
 }
 
 /// Starts a cluster with bundle 1 in force everywhere.
-pub async fn started(config: &ClusterConfig) -> Cluster {
+pub async fn start_cluster(config: &ClusterConfig) -> Cluster {
     let cluster = Cluster::start_ready(config).await.unwrap();
-    let known = cluster.replica_set_known(&ALL, 1, BOUND);
+    let known = cluster.wait_for_replica_set(&ALL, 1, TIMEOUT);
     known.await.unwrap();
     cluster
 }
@@ -68,8 +68,8 @@
 }
 
 /// Sets the faults of the key-value service.
-pub async fn set_key_value(cluster: &Cluster, faults: &KeyValueFaults) {
-    cluster.platform.key_value.fault(faults).await.unwrap();
+pub async fn set_key_value_faults(cluster: &Cluster, faults: &KeyValueFaults) {
+    cluster.platform.key_value.set_faults(faults).await.unwrap();
 }
 
 /// Returns faults that make the key-value service unavailable.
@@ -94,7 +94,7 @@
 }
 
 /// Returns a key that no daemon trusts by default.
-pub fn other_key(key_id: &str) -> BundleKey {
+pub fn untrusted_key(key_id: &str) -> BundleKey {
     BundleKey::from_secret(key_id, &[8; 32])
 }
 
@@ -119,7 +119,7 @@
 }
 
 /// Waits until these daemons have exactly this bundle in force.
-pub async fn in_force(cluster: &Cluster, daemons: &[usize], bundle: &Bundle) {
+pub async fn wait_until_in_force(cluster: &Cluster, daemons: &[usize], bundle: &Bundle) {
     let expected = signed(bundle).text;
     let start = Instant::now();
     for daemon in daemons {
@@ -130,7 +130,7 @@
                 break;
             }
             let revision = current.map(|now| now.revision);
-            let is_in_time = start.elapsed() < BOUND;
+            let is_in_time = start.elapsed() < TIMEOUT;
             assert!(is_in_time, "daemon {daemon} holds {revision:?}");
             tokio::time::sleep(POLL).await;
         }
@@ -138,7 +138,7 @@
 }
 
 /// Waits until all engines hold only this version.
-pub async fn engines_hold(cluster: &Cluster, weight_version: u64) {
+pub async fn wait_until_engines_hold(cluster: &Cluster, weight_version: u64) {
     until("the engines hold the bundle's version", async || {
         cluster.held_versions().await.unwrap() == [weight_version].into()
     })
@@ -149,7 +149,7 @@
 pub async fn until(what: &str, condition: impl AsyncFn() -> bool) {
     let start = Instant::now();
     while !condition().await {
-        assert!(start.elapsed() < BOUND, "still not true: {what}");
+        assert!(start.elapsed() < TIMEOUT, "still not true: {what}");
         tokio::time::sleep(POLL).await;
     }
 }
@@ -176,13 +176,13 @@
 }
 
 /// Asserts that completions through these daemons and a step of samples succeed.
-pub async fn work_is_done(cluster: &Cluster, daemons: &[usize], step: u64) {
+pub async fn assert_work_succeeds(cluster: &Cluster, daemons: &[usize], step: u64) {
     for daemon in daemons {
         let caller = Caller::new(&cluster.daemons[*daemon].url());
         let mut retries = Retries::default();
         loop {
             match caller.complete(MODEL_POOL, "a facade", 10, false).await {
-                Err(error) if retries.again(&error).await => {}
+                Err(error) if retries.wait_to_retry(&error).await => {}
                 result => break drop(result.unwrap()),
             }
         }
@@ -191,7 +191,7 @@
     let spec = StepSpec::generate(MODEL_POOL, step, SAMPLES, TOKENS);
     let options = PullOptions {
         max: 4,
-        moves: true,
+        rotates_daemons: true,
         ..PullOptions::default()
     };
     let report = trainer.run(step, &spec, &options).await.unwrap();
@@ -201,29 +201,32 @@
 
 /// Polls the revision in force at all daemons.
 pub struct RevisionWatch {
-    is_over: Arc<AtomicBool>,
-    falls: JoinHandle<Vec<String>>,
+    is_stopped: Arc<AtomicBool>,
+    regressions: JoinHandle<Vec<String>>,
 }
 
 impl RevisionWatch {
     pub fn start(cluster: &Cluster) -> Self {
-        let is_over = Arc::new(AtomicBool::new(false));
-        let watch = watch_revisions(cluster.urls(), is_over.clone());
-        let falls = tokio::spawn(watch);
-        Self { is_over, falls }
+        let is_stopped = Arc::new(AtomicBool::new(false));
+        let watch = watch_revisions(cluster.urls(), is_stopped.clone());
+        let regressions = tokio::spawn(watch);
+        Self {
+            is_stopped,
+            regressions,
+        }
     }
 
     /// Ends the watch and asserts that no daemon has shown a lower revision than before.
-    pub async fn assert_none_fell(self) {
-        self.is_over.store(true, Ordering::Relaxed);
-        assert_eq!(self.falls.await.unwrap(), Vec::<String>::new());
+    pub async fn assert_no_regressions(self) {
+        self.is_stopped.store(true, Ordering::Relaxed);
+        assert_eq!(self.regressions.await.unwrap(), Vec::<String>::new());
     }
 }
 
-async fn watch_revisions(urls: Vec<String>, is_over: Arc<AtomicBool>) -> Vec<String> {
+async fn watch_revisions(urls: Vec<String>, is_stopped: Arc<AtomicBool>) -> Vec<String> {
     let mut highest: BTreeMap<&String, u64> = BTreeMap::new();
-    let mut falls = Vec::new();
-    while !is_over.load(Ordering::Relaxed) {
+    let mut regressions = Vec::new();
+    while !is_stopped.load(Ordering::Relaxed) {
         for url in &urls {
             // A daemon that has just started has no revision yet.
             let current = current_bundle(url).await.map(|current| current.revision);
@@ -232,11 +235,11 @@
             };
             let seen = highest.entry(url).or_default();
             if revision < *seen {
-                falls.push(format!("{url}: {revision} after {seen}"));
+                regressions.push(format!("{url}: {revision} after {seen}"));
             }
             *seen = revision.max(*seen);
         }
         tokio::time::sleep(POLL).await;
     }
-    falls
+    regressions
 }
--- a/crates/bench/tests/bundle_in_force/stragglers.rs
+++ b/crates/bench/tests/bundle_in_force/stragglers.rs
@@ -9,8 +9,9 @@
 use tokio::task::JoinHandle;
 
 use crate::scenario::{
-    ALL, BOUND, DISKLESS, RevisionWatch, config, engines_hold, in_force, other_key, refuse,
-    restart_trusting, roll, signed_by, started, until, work_is_done,
+    ALL, DISKLESS, RevisionWatch, TIMEOUT, assert_work_succeeds, config, refuse, restart_trusting,
+    roll, signed_by, start_cluster, until, untrusted_key, wait_until_engines_hold,
+    wait_until_in_force,
 };
 
 const TRAINER: &str = "trainer-1";
@@ -20,12 +21,12 @@
 /// Default of the setting `bundle_evidence_bound_ms`.
 const EVIDENCE_BOUND: Duration = Duration::from_secs(3);
 /// Number of pulls that wait at a paused daemon.
-const QUEUED_PULLS: usize = 6;
+const WAITING_PULLS: usize = 6;
 
 /// Submits a step and waits until all its samples are committed; returns the owner and the step.
 async fn committed_step(cluster: &Cluster, trainer: &mut Trainer) -> (usize, StepSpec) {
     let spec = StepSpec::generate(MODEL_POOL, STEP, SAMPLES, TOKENS);
-    trainer.submit(STEP, &spec, BOUND).await.unwrap();
+    trainer.submit(STEP, &spec, TIMEOUT).await.unwrap();
     let key = ShardKey {
         trainer: TRAINER.to_owned(),
         step: STEP,
@@ -33,7 +34,8 @@
     };
     let is_committed = |committed| committed == SAMPLES as usize;
     let log = key.log();
-    let owner = cluster.owner_among(&ALL, &log, BOUND, |shard| is_committed(shard.committed));
+    let owner =
+        cluster.wait_for_owner_among(&ALL, &log, TIMEOUT, |shard| is_committed(shard.committed));
     (owner.await.unwrap(), spec)
 }
 
@@ -49,45 +51,45 @@
 /// Returns the answer if it contains samples.
 fn delivered(answer: SingleAnswer<SamplesAnswer>) -> Option<SamplesAnswer> {
     match answer {
-        SingleAnswer::Given(answer) if !answer.samples.is_empty() => Some(answer),
+        SingleAnswer::Success(answer) if !answer.samples.is_empty() => Some(answer),
         _ => None,
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_daemon_frozen_across_two_rolls_delivers_nothing_under_the_older_one() {
-    let mut cluster = started(&config()).await;
+async fn a_daemon_paused_during_two_rolls_delivers_nothing_under_the_older_bundle() {
+    let mut cluster = start_cluster(&config()).await;
     let mut trainer = cluster.trainer(TRAINER);
     let (owner, spec) = committed_step(&cluster, &mut trainer).await;
     // Not the owner, which the journal would fence; and the daemon has already served this step.
-    let frozen = (owner + 1) % ALL.len();
+    let paused = (owner + 1) % ALL.len();
     until("samples are given", async || {
-        delivered(pull(&cluster, frozen).await.unwrap()).is_some()
+        delivered(pull(&cluster, paused).await.unwrap()).is_some()
     })
     .await;
-    let others: Vec<usize> = ALL.into_iter().filter(|index| *index != frozen).collect();
+    let others: Vec<usize> = ALL.into_iter().filter(|index| *index != paused).collect();
     let watch = RevisionWatch::start(&cluster);
 
-    cluster.daemons[frozen].pause();
-    let queued: Vec<Pull> = (0..QUEUED_PULLS).map(|_| pull(&cluster, frozen)).collect();
+    cluster.daemons[paused].pause();
+    let waiting: Vec<Pull> = (0..WAITING_PULLS).map(|_| pull(&cluster, paused)).collect();
     for revision in [2, 3] {
         let bundle = cluster.bundle(revision, revision);
         roll(&cluster, others[0], &bundle).await;
-        in_force(&cluster, &others, &bundle).await;
+        wait_until_in_force(&cluster, &others, &bundle).await;
     }
-    engines_hold(&cluster, 3).await;
+    wait_until_engines_hold(&cluster, 3).await;
     tokio::time::sleep(EVIDENCE_BOUND).await;
-    cut_but_for_its_way_to(&cluster, frozen, owner);
-    cluster.daemons[frozen].resume();
-    for queued in queued {
-        if let Some(answer) = delivered(queued.await.unwrap()) {
+    partition_except_owner(&cluster, paused, owner);
+    cluster.daemons[paused].resume();
+    for waiting in waiting {
+        if let Some(answer) = delivered(waiting.await.unwrap()) {
             assert_eq!(answer.bundle_revision, 3, "{answer:?}");
         }
     }
-    cluster.set_peer_faults(frozen, Faults::default());
-    cluster.daemons[frozen].key_value.heal();
-    in_force(&cluster, &ALL, &cluster.bundle(3, 3)).await;
-    watch.assert_none_fell().await;
+    cluster.set_peer_faults(paused, Faults::default());
+    cluster.daemons[paused].key_value.heal();
+    wait_until_in_force(&cluster, &ALL, &cluster.bundle(3, 3)).await;
+    watch.assert_no_regressions().await;
     let report = trainer.pull(STEP, &spec, &PullOptions::default()).await;
     let report = report.unwrap();
     assert_eq!(report.violations, [], "{report:?}");
@@ -100,8 +102,8 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_daemon_that_cannot_verify_the_newest_bundle_delivers_nothing() {
     let mut cluster = Cluster::start(&config()).await.unwrap();
-    let (key, behind) = (other_key("old"), DISKLESS);
-    restart_trusting(&mut cluster, behind, &key).await;
+    let (key, outdated) = (untrusted_key("old"), DISKLESS);
+    restart_trusting(&mut cluster, outdated, &key).await;
     // Bundle 1 is signed with the keys of all daemons, the later ones with the test key only.
     let mut first = signed(&cluster.bundle(1, 1));
     let by_old_key = signed_by(&key, first.text.clone());
@@ -109,44 +111,44 @@
     let url = cluster.daemons[0].url();
     let reply = post_bundle(&url, &first).await.unwrap();
     assert_eq!(reply.body.outcome, "accepted", "{reply:?}");
-    cluster.all_ready().await.unwrap();
+    cluster.wait_until_all_ready().await.unwrap();
     let mut trainer = cluster.trainer(TRAINER);
     let (_, spec) = committed_step(&cluster, &mut trainer).await;
     until("samples are given", async || {
-        delivered(pull(&cluster, behind).await.unwrap()).is_some()
+        delivered(pull(&cluster, outdated).await.unwrap()).is_some()
     })
     .await;
 
-    cluster.daemons[behind].pause();
+    cluster.daemons[outdated].pause();
     for revision in [2, 3] {
         roll(&cluster, 0, &cluster.bundle(revision, revision)).await;
     }
-    engines_hold(&cluster, 3).await;
+    wait_until_engines_hold(&cluster, 3).await;
     tokio::time::sleep(EVIDENCE_BOUND).await;
-    cluster.daemons[behind].resume();
+    cluster.daemons[outdated].resume();
     let has_refused = async || {
-        cluster.daemons[behind]
+        cluster.daemons[outdated]
             .log()
             .contains("event=bundle_refused")
     };
     until("the newest bundle is refused", async || {
-        assert_gives_nothing(&cluster, behind).await;
+        assert_delivers_nothing(&cluster, outdated).await;
         has_refused().await
     })
     .await;
-    for _ in 0..QUEUED_PULLS {
-        assert_gives_nothing(&cluster, behind).await;
+    for _ in 0..WAITING_PULLS {
+        assert_delivers_nothing(&cluster, outdated).await;
     }
 
-    restart_trusting(&mut cluster, behind, &test_key()).await;
-    in_force(&cluster, &ALL, &cluster.bundle(3, 3)).await;
+    restart_trusting(&mut cluster, outdated, &test_key()).await;
+    wait_until_in_force(&cluster, &ALL, &cluster.bundle(3, 3)).await;
     let report = trainer.pull(STEP, &spec, &PullOptions::default()).await;
     let report = report.unwrap();
     assert_eq!(report.violations, [], "{report:?}");
     assert_eq!(report.bundle_revisions, [3].into());
 }
 
-async fn assert_gives_nothing(cluster: &Cluster, daemon: usize) {
+async fn assert_delivers_nothing(cluster: &Cluster, daemon: usize) {
     let answer = pull(cluster, daemon).await.unwrap();
     assert_eq!(
         delivered(answer),
@@ -156,39 +158,39 @@
 }
 
 /// Partitions a daemon, except for its connection to the owner.
-fn cut_but_for_its_way_to(cluster: &Cluster, daemon: usize, owner: usize) {
+fn partition_except_owner(cluster: &Cluster, daemon: usize, owner: usize) {
     cluster.set_peer_faults(daemon, refuse());
-    let way = &cluster.daemons[daemon].links[cluster.daemons[owner].name()];
-    way.set(Faults::default());
+    let link = &cluster.daemons[daemon].links[cluster.daemons[owner].name()];
+    link.set(Faults::default());
     cluster.daemons[daemon].key_value.set(refuse());
     cluster.daemons[daemon].key_value.cut();
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_zone_cut_off_during_a_roll_delivers_nothing_beyond_its_evidence() {
-    let cluster = started(&config()).await;
+async fn a_zone_partitioned_during_a_roll_delivers_nothing_after_its_evidence_expires() {
+    let cluster = start_cluster(&config()).await;
     let mut trainer = cluster.trainer(TRAINER);
     let (_, spec) = committed_step(&cluster, &mut trainer).await;
     let watch = RevisionWatch::start(&cluster);
     let (rest, zone) = ([0, 2], [1, DISKLESS]);
-    cut_off(&cluster, &rest, &zone, refuse());
+    partition_zone(&cluster, &rest, &zone, refuse());
 
     let bundle = cluster.bundle(2, 2);
     roll(&cluster, rest[0], &bundle).await;
-    in_force(&cluster, &rest, &bundle).await;
+    wait_until_in_force(&cluster, &rest, &bundle).await;
     tokio::time::sleep(EVIDENCE_BOUND).await;
-    for daemon in zone.iter().cycle().take(QUEUED_PULLS) {
+    for daemon in zone.iter().cycle().take(WAITING_PULLS) {
         let answer = pull(&cluster, *daemon).await.unwrap();
-        assert!(!matches!(answer, SingleAnswer::Given(_)), "{answer:?}");
+        assert!(!matches!(answer, SingleAnswer::Success(_)), "{answer:?}");
     }
-    work_is_done(&cluster, &rest, 2).await;
+    assert_work_succeeds(&cluster, &rest, 2).await;
 
     // The zone cannot reach the key-value service yet and must learn the bundle from its peers.
     for (inside, outside) in pairs(&zone, &rest) {
         cluster.set_link_faults(inside, outside, Faults::default());
     }
-    in_force(&cluster, &ALL, &bundle).await;
-    watch.assert_none_fell().await;
+    wait_until_in_force(&cluster, &ALL, &bundle).await;
+    watch.assert_no_regressions().await;
     let report = trainer.pull(STEP, &spec, &PullOptions::default()).await;
     assert_eq!(report.unwrap().violations, []);
 }
@@ -201,7 +203,7 @@
 }
 
 /// Sets faults between a zone's daemons and the others, and between them and the key-value service.
-fn cut_off(cluster: &Cluster, rest: &[usize], zone: &[usize], faults: Faults) {
+fn partition_zone(cluster: &Cluster, rest: &[usize], zone: &[usize], faults: Faults) {
     for (inside, outside) in pairs(zone, rest) {
         cluster.set_link_faults(inside, outside, faults);
     }
--- a/crates/bench/tests/chaos.rs
+++ b/crates/bench/tests/chaos.rs
@@ -14,7 +14,7 @@
     println!("{report}");
     assert!(!report.faults.is_empty(), "nothing went wrong");
     assert!(report.steps > 0 && report.samples > 0, "no steps were run");
-    assert!(report.is_faultless(), "seed {seed}:\n{report}");
+    assert!(report.has_passed(), "seed {seed}:\n{report}");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
--- a/crates/bench/tests/exactly_once/restarts.rs
+++ b/crates/bench/tests/exactly_once/restarts.rs
@@ -20,19 +20,19 @@
 
 /// Restarts all daemons while the trainer keeps pulling.
 async fn restart_all(key_value_faults: Faults) {
-    let mut scenario = Scenario::submitted(&config(3), 30, 40).await;
+    let mut scenario = Scenario::with_submitted_step(&config(3), 30, 40).await;
     scenario.cluster.set_key_value_faults(key_value_faults);
     let spec = scenario.spec.clone();
     let mut trainer = scenario.cluster.trainer(scenario.trainer.name());
     let pulling = tokio::spawn(async move { trainer.pull(STEP, &spec, &pull_options()).await });
 
     scenario
-        .owner(|shard| shard.settled > 0 && shard.in_flight > 0)
+        .wait_for_owner(|shard| shard.settled > 0 && shard.in_flight > 0)
         .await;
     for daemon in &mut scenario.cluster.daemons {
         daemon.kill();
     }
-    for index in scenario.all_but(&[]) {
+    for index in scenario.daemons_except(&[]) {
         scenario.cluster.start_daemon(index).await.unwrap();
     }
     let report = pulling.await.unwrap().unwrap();
--- a/crates/bench/tests/exactly_once/scenario.rs
+++ b/crates/bench/tests/exactly_once/scenario.rs
@@ -7,11 +7,11 @@
 use ladderstage_bench::stand_in::Ending;
 use ladderstage_bench::stand_in::engine::{EngineLog, Run};
 use ladderstage_bench::trainer::{
-    Judge, PullOptions, SamplesAnswer, SingleAnswer, StepReport, StepSpec, Trainer,
+    PullOptions, SamplesAnswer, SingleAnswer, StepChecker, StepReport, StepSpec, Trainer,
 };
 use tokio::task::JoinHandle;
 
-pub const BOUND: Duration = Duration::from_secs(30);
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 pub const STEP: u64 = 1;
 pub const TRAINER: &str = "trainer-1";
 const ENGINES: usize = 2;
@@ -43,7 +43,7 @@
 
 impl Scenario {
     /// Starts a cluster and submits a step of this many samples, most of them of `tokens` tokens.
-    pub async fn submitted(config: &ClusterConfig, samples: u32, tokens: u32) -> Self {
+    pub async fn with_submitted_step(config: &ClusterConfig, samples: u32, tokens: u32) -> Self {
         let cluster = Cluster::start_ready(config).await.unwrap();
         let mut scenario = Self::new(cluster, samples, tokens);
         scenario.submit().await;
@@ -61,40 +61,43 @@
 
     /// Submits the step through any daemon.
     pub async fn submit(&mut self) {
-        let submitted = self.trainer.submit(STEP, &self.spec, BOUND);
+        let submitted = self.trainer.submit(STEP, &self.spec, TIMEOUT);
         submitted.await.unwrap();
     }
 
     /// Returns the indices of all other daemons.
-    pub fn all_but(&self, excluded: &[usize]) -> Vec<usize> {
+    pub fn daemons_except(&self, excluded: &[usize]) -> Vec<usize> {
         let all = 0..self.cluster.daemons.len();
         all.filter(|index| !excluded.contains(index)).collect()
     }
 
     /// Waits until one of these daemons owns the shard and the shard meets the condition.
-    pub async fn owner_among(
+    pub async fn wait_for_owner_among(
         &self,
         daemons: &[usize],
-        is_wanted: impl Fn(&OwnedShard) -> bool,
+        condition: impl Fn(&OwnedShard) -> bool,
     ) -> usize {
         let log = shard_log();
-        let owner = self.cluster.owner_among(daemons, &log, BOUND, is_wanted);
+        let owner = self
+            .cluster
+            .wait_for_owner_among(daemons, &log, TIMEOUT, condition);
         owner.await.unwrap()
     }
 
     /// Waits until any daemon owns the shard and the shard meets the condition.
-    pub async fn owner(&self, is_wanted: impl Fn(&OwnedShard) -> bool) -> usize {
-        self.owner_among(&self.all_but(&[]), is_wanted).await
+    pub async fn wait_for_owner(&self, condition: impl Fn(&OwnedShard) -> bool) -> usize {
+        self.wait_for_owner_among(&self.daemons_except(&[]), condition)
+            .await
     }
 
     /// Waits until every sample is committed; returns the owner.
-    pub async fn owner_with_all_committed(&self) -> usize {
+    pub async fn wait_for_all_committed(&self) -> usize {
         let slots = self.spec.samples.len();
-        self.owner(|shard| shard.committed == slots).await
+        self.wait_for_owner(|shard| shard.committed == slots).await
     }
 
     /// Pulls once, without retries.
-    pub async fn ask(
+    pub async fn pull_once(
         &self,
         daemon: usize,
         after: Option<&str>,
@@ -105,7 +108,7 @@
     }
 
     /// Pulls once from the beginning, without retries, in the background.
-    pub fn ask_in_background(
+    pub fn pull_in_background(
         &self,
         daemon: usize,
         max: u32,
@@ -116,7 +119,7 @@
     }
 
     /// Repeats a pull until the answer is not a server error.
-    pub async fn final_answer(
+    pub async fn pull_until_final(
         &self,
         daemon: usize,
         after: Option<&str>,
@@ -124,41 +127,48 @@
     ) -> SingleAnswer<SamplesAnswer> {
         let start = Instant::now();
         loop {
-            let answer = self.ask(daemon, after, max).await;
+            let answer = self.pull_once(daemon, after, max).await;
             match answer.status() {
                 Some(status) if !status.is_server_error() => return answer,
-                _ => assert!(start.elapsed() < BOUND, "no answer in time: {answer:?}"),
+                _ => assert!(start.elapsed() < TIMEOUT, "no answer in time: {answer:?}"),
             }
             tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
 
     /// Pulls from this daemon until samples follow the cursor.
-    pub async fn answer(&self, daemon: usize, after: Option<&str>, max: u32) -> SamplesAnswer {
+    pub async fn pull_samples(
+        &self,
+        daemon: usize,
+        after: Option<&str>,
+        max: u32,
+    ) -> SamplesAnswer {
         let start = Instant::now();
         loop {
-            match self.final_answer(daemon, after, max).await {
-                SingleAnswer::Given(answer) if !answer.samples.is_empty() => return answer,
-                SingleAnswer::Given(_) => assert!(start.elapsed() < BOUND, "no samples in time"),
+            match self.pull_until_final(daemon, after, max).await {
+                SingleAnswer::Success(answer) if !answer.samples.is_empty() => return answer,
+                SingleAnswer::Success(_) => {
+                    assert!(start.elapsed() < TIMEOUT, "no samples in time")
+                }
                 other => panic!("refused for good: {other:?}"),
             }
         }
     }
 
-    pub fn judge(&self) -> Judge {
-        self.trainer.judge(STEP, &self.spec)
+    pub fn checker(&self) -> StepChecker {
+        self.trainer.checker(STEP, &self.spec)
     }
 
     /// Pulls the step from its beginning to its end.
     pub async fn pull_all(&mut self) -> StepReport {
-        let judge = self.judge();
-        self.pull_rest(judge, None).await
+        let checker = self.checker();
+        self.pull_rest(checker, None).await
     }
 
     /// Pulls the step from the cursor to its end, dropping some answers.
-    pub async fn pull_rest(&mut self, judge: Judge, cursor: Option<String>) -> StepReport {
+    pub async fn pull_rest(&mut self, checker: StepChecker, cursor: Option<String>) -> StepReport {
         let options = pull_options();
-        let rest = self.trainer.pull_on(STEP, judge, cursor, &options);
+        let rest = self.trainer.pull_from(STEP, checker, cursor, &options);
         rest.await.unwrap()
     }
 
@@ -171,21 +181,21 @@
     }
 
     /// Waits until the engines are idle; returns their number of runs.
-    pub async fn runs_so_far(&self) -> usize {
+    pub async fn wait_for_idle_engines(&self) -> usize {
         let start = Instant::now();
         loop {
             let runs = self.runs().await;
             if runs.iter().all(|run| run.ending != Ending::Running) {
                 return runs.len();
             }
-            assert!(start.elapsed() < BOUND, "still running: {runs:?}");
+            assert!(start.elapsed() < TIMEOUT, "still running: {runs:?}");
             tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
 
     /// Asserts that the engines have run nothing since they had this many runs, so that no
     /// committed sample was lost.
-    pub async fn assert_nothing_generated_since(&self, runs_before: usize) {
+    pub async fn assert_no_runs_since(&self, runs_before: usize) {
         let runs = self.runs().await;
         let since: Vec<&Run> = runs.iter().skip(runs_before).collect();
         assert!(since.is_empty(), "generated anew, at least: {since:?}");
@@ -209,7 +219,7 @@
     PullOptions {
         max: 5,
         drop_every: 3,
-        moves: true,
+        rotates_daemons: true,
         ..PullOptions::default()
     }
 }
--- a/crates/bench/tests/exactly_once/submissions.rs
+++ b/crates/bench/tests/exactly_once/submissions.rs
@@ -6,27 +6,27 @@
 use ladderstage_bench::trainer::{SingleAnswer, StepSpec};
 use reqwest::StatusCode;
 
-use crate::scenario::{BOUND, STEP, Scenario, config};
+use crate::scenario::{STEP, Scenario, TIMEOUT, config};
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn step_submitted_again_across_owner_failures() {
-    let mut scenario = Scenario::submitted(&config(3), 24, 30).await;
+    let mut scenario = Scenario::with_submitted_step(&config(3), 24, 30).await;
     for _ in 0..2 {
-        scenario.assert_only_the_first_body_is_taken().await;
-        let owner = scenario.owner(|_| true).await;
+        scenario.assert_only_first_body_is_accepted().await;
+        let owner = scenario.wait_for_owner(|_| true).await;
         scenario.cluster.daemons[owner].kill();
-        scenario.assert_only_the_first_body_is_taken().await;
+        scenario.assert_only_first_body_is_accepted().await;
         scenario.cluster.start_daemon(owner).await.unwrap();
     }
     let report = scenario.pull_all().await;
     scenario.assert_exactly_once(&report);
-    scenario.assert_only_the_first_body_is_taken().await;
+    scenario.assert_only_first_body_is_accepted().await;
 }
 
 impl Scenario {
     /// Asserts that every running daemon accepts the same body again and refuses others as a
     /// conflict.
-    pub async fn assert_only_the_first_body_is_taken(&self) {
+    pub async fn assert_only_first_body_is_accepted(&self) {
         let longer = StepSpec::generate(MODEL_POOL, STEP, 300, 10);
         let mut reworded = self.spec.clone();
         reworded.samples[7].prompt.push('!');
@@ -48,7 +48,7 @@
             let answer = self.trainer.submit_at(daemon, STEP, spec).await;
             match answer.status() {
                 Some(status) if !status.is_server_error() => return status,
-                _ => assert!(start.elapsed() < BOUND, "no answer in time: {answer:?}"),
+                _ => assert!(start.elapsed() < TIMEOUT, "no answer in time: {answer:?}"),
             }
             if let SingleAnswer::Lost(_) = answer {
                 tokio::task::yield_now().await;
--- a/crates/bench/tests/failover.rs
+++ b/crates/bench/tests/failover.rs
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 use tokio::task::JoinHandle;
 
-const BOUND: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 const TRAINER: &str = "fitting-notes";
 const SAMPLES: u32 = 60;
 const TOKENS: u32 = 60;
@@ -22,8 +22,8 @@
     PullOptions {
         max: 4,
         drop_every: 5,
-        moves: true,
-        deadline: BOUND,
+        rotates_daemons: true,
+        deadline: TIMEOUT,
         ..PullOptions::default()
     }
 }
@@ -33,7 +33,7 @@
     trainer.run(step, &spec, &options()).await.unwrap()
 }
 
-fn assert_whole(report: &StepReport) {
+fn assert_complete(report: &StepReport) {
     assert_eq!(report.violations, []);
     let counts = (report.delivered, report.duplicated, report.lost);
     assert_eq!(counts, (u64::from(SAMPLES), 0, 0));
@@ -83,15 +83,15 @@
         let running = tokio::spawn(async move { run_step(&mut trainer, step).await });
         match owner_of(&running, cluster, step, None).await {
             Some(owner) => return (running, owner, step + 1),
-            None => assert_whole(&running.await.unwrap()),
+            None => assert_complete(&running.await.unwrap()),
         }
         step += 1;
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn owners_killed_under_their_steps() {
-    let mut cluster = Cluster::start_ready(&ClusterConfig::three(4))
+async fn owners_killed_during_their_steps() {
+    let mut cluster = Cluster::start_ready(&ClusterConfig::three_daemons(4))
         .await
         .unwrap();
     let mut next_step = 1;
@@ -99,15 +99,18 @@
         let (step, owner, next) = start_step(&cluster, next_step).await;
         next_step = next;
         cluster.daemons[owner].kill();
-        assert_whole(&step.await.unwrap());
+        assert_complete(&step.await.unwrap());
         cluster.start_daemon(owner).await.unwrap();
-        cluster.daemons[owner].ready(BOUND).await.unwrap();
+        cluster.daemons[owner]
+            .wait_until_ready(TIMEOUT)
+            .await
+            .unwrap();
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn owners_paused_past_their_successors_takeover() {
-    let mut cluster = Cluster::start_ready(&ClusterConfig::three(4))
+    let mut cluster = Cluster::start_ready(&ClusterConfig::three_daemons(4))
         .await
         .unwrap();
     let mut next_step = 1;
@@ -117,13 +120,13 @@
         cluster.daemons[owner].pause();
         owner_of(&step, &cluster, next - 1, Some(owner)).await;
         cluster.daemons[owner].resume();
-        assert_whole(&step.await.unwrap());
+        assert_complete(&step.await.unwrap());
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn engines_that_cut_and_swap_falsely_across_a_roll() {
-    let cluster = Cluster::start_ready(&ClusterConfig::three(4))
+async fn engines_that_cut_answers_and_fail_swaps_during_a_roll() {
+    let cluster = Cluster::start_ready(&ClusterConfig::three_daemons(4))
         .await
         .unwrap();
     let engines = &cluster.platform.engines;
@@ -131,13 +134,13 @@
     let claim = json!({"swap": "claims-done", "cut": "before-end", "cuts": 20});
     let fails = json!({"swap": "fails", "cut": "before-headers", "cuts": 20});
     for (engine, fault) in engines.iter().zip([&cut, &claim, &fails]) {
-        engine.stand_in.fault(fault).await.unwrap();
+        engine.stand_in.set_faults(fault).await.unwrap();
     }
     let mut trainer = cluster.trainer(TRAINER);
     let bundle = cluster.bundle(2, 2);
     let (rolled, first) = tokio::join!(cluster.roll(&bundle), run_step(&mut trainer, 1));
     rolled.unwrap();
-    assert_whole(&first);
+    assert_complete(&first);
     let strict = {
         let mut bundle = cluster.bundle(3, 2);
         bundle.pools[0].staleness_bound = 0;
@@ -145,7 +148,7 @@
     };
     let (rolled, second) = tokio::join!(cluster.roll(&strict), run_step(&mut trainer, 2));
     rolled.unwrap();
-    assert_whole(&second);
+    assert_complete(&second);
 }
 
 /// Returns the number of requests that engines have started to run.
@@ -160,7 +163,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_planned_stop_cuts_nothing_off() {
-    let mut cluster = Cluster::start_ready(&ClusterConfig::three(4))
+    let mut cluster = Cluster::start_ready(&ClusterConfig::three_daemons(4))
         .await
         .unwrap();
     let url = cluster.daemons[0].url();
@@ -192,6 +195,6 @@
     }
     assert!(completed > 0, "no call was under way at the stop");
     let process = cluster.daemons[0].process.as_mut().unwrap();
-    assert!(process.wait(BOUND).await.unwrap().success());
-    assert_whole(&step.await.unwrap());
+    assert!(process.wait(TIMEOUT).await.unwrap().success());
+    assert_complete(&step.await.unwrap());
 }
--- a/crates/bench/tests/isolation.rs
+++ b/crates/bench/tests/isolation.rs
@@ -16,12 +16,12 @@
 use ladderstage_bench::waiting::until;
 use reqwest::{Method, StatusCode};
 
-const BOUND: Duration = Duration::from_secs(30);
-const CUT_OFF: usize = 2;
+const TIMEOUT: Duration = Duration::from_secs(30);
+const ISOLATED: usize = 2;
 const TOKENS: u64 = 5;
 const STEP: u64 = 1;
 /// Distinguishes an immediate refusal from one at the request's deadline of 20 s.
-const AT_ONCE: Duration = Duration::from_secs(5);
+const REFUSAL_TIMEOUT: Duration = Duration::from_secs(5);
 fn config() -> ClusterConfig {
     let timing = [
         ("probe_interval_ms", 300),
@@ -30,57 +30,57 @@
     ];
     ClusterConfig {
         timing: Timing::from(timing.map(|(name, value)| (name.to_owned(), value))),
-        ..ClusterConfig::three(2)
+        ..ClusterConfig::three_daemons(2)
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn isolated_daemon_takes_no_new_work_until_healed() {
     let cluster = Cluster::start_ready(&config()).await.unwrap();
-    let daemon = &cluster.daemons[CUT_OFF];
+    let daemon = &cluster.daemons[ISOLATED];
     let url = daemon.url();
     // A daemon may be ready a second before it has the engines' first load reports.
-    until("first load reports", BOUND, async || {
+    until("first load reports", TIMEOUT, async || {
         let caller = Caller::new(&url);
         let probe = caller.complete(MODEL_POOL, "first", TOKENS, false);
         probe.await.is_ok()
     })
     .await;
     assert_serves(&url, "before").await;
-    cut_off(&cluster);
-    until("no new work taken", BOUND, async || {
+    isolate(&cluster);
+    until("no new work taken", TIMEOUT, async || {
         let caller = Caller::new(&url);
         let probe = caller.complete(MODEL_POOL, "probe", TOKENS, false);
         matches!(probe.await, Err(LiveError::NotRun { .. }))
     })
     .await;
     let runs_before = run_count(&cluster).await;
-    tokio::time::timeout(AT_ONCE, assert_refuses(&url))
+    tokio::time::timeout(REFUSAL_TIMEOUT, assert_refuses(&url))
         .await
         .expect("refusals at once");
     assert_eq!(run_count(&cluster).await, runs_before, "refused work ran");
     let (status, body) = readiness(&url).await;
     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE, "{body}");
     assert!(body.contains("members of the region"), "{body}");
-    for other in &cluster.daemons[..CUT_OFF] {
+    for other in &cluster.daemons[..ISOLATED] {
         assert_serves(&other.url(), "meanwhile").await;
     }
 
     heal(&cluster);
-    daemon.ready(BOUND).await.unwrap();
+    daemon.wait_until_ready(TIMEOUT).await.unwrap();
     assert_serves(&url, "after").await;
 }
 
-fn cut_off(cluster: &Cluster) {
-    cluster.set_peer_faults(CUT_OFF, Faults::refusing());
-    let daemon = &cluster.daemons[CUT_OFF];
+fn isolate(cluster: &Cluster) {
+    cluster.set_peer_faults(ISOLATED, Faults::refusing());
+    let daemon = &cluster.daemons[ISOLATED];
     daemon.key_value.set(Faults::refusing());
     daemon.key_value.cut();
 }
 
 fn heal(cluster: &Cluster) {
-    cluster.set_peer_faults(CUT_OFF, Faults::default());
-    cluster.daemons[CUT_OFF].key_value.heal();
+    cluster.set_peer_faults(ISOLATED, Faults::default());
+    cluster.daemons[ISOLATED].key_value.heal();
 }
 
 async fn assert_serves(url: &str, when: &str) {
--- a/crates/bench/tests/judge.rs
+++ b/crates/bench/tests/judge.rs
@@ -4,7 +4,8 @@
 
 use ladderstage_bench::text::{self, Segment};
 use ladderstage_bench::trainer::{
-    BundleFacts, Judge, PoolFacts, Sample, SamplesAnswer, StepReport, StepSpec, Violation,
+    BundleRequirements, PoolRequirements, Sample, SamplesAnswer, StepChecker, StepReport, StepSpec,
+    Violation,
 };
 
 const TOKENS: u32 = 4;
@@ -30,34 +31,34 @@
     }
 }
 
-fn judge(samples: Vec<Sample>) -> StepReport {
-    let facts = BundleFacts::default();
-    let demands = PoolFacts {
+fn check(samples: Vec<Sample>) -> StepReport {
+    let requirements = BundleRequirements::default();
+    let demands = PoolRequirements {
         weight_version: 5,
         staleness_bound: 1,
     };
-    facts.add(3, "karm-lm", demands);
+    requirements.add(3, "karm-lm", demands);
     let spec = StepSpec::generate("karm-lm", 7, 2, TOKENS);
-    let mut judge = Judge::new("karm", 7, spec, facts);
+    let mut checker = StepChecker::new("karm", 7, spec, requirements);
     let answer = SamplesAnswer {
         samples,
         cursor: "a".to_owned(),
         complete: true,
         bundle_revision: 3,
     };
-    judge.take(answer, Instant::now());
-    judge.finish()
+    checker.add_answer(answer, Instant::now());
+    checker.finish()
 }
 
 #[test]
-fn accepts_a_faultless_step() {
-    let report = judge(vec![sample(1, [4, 5]), sample(0, [5, 5])]);
+fn accepts_a_correct_step() {
+    let report = check(vec![sample(1, [4, 5]), sample(0, [5, 5])]);
     assert_eq!((report.delivered, report.violations), (2, vec![]));
 }
 
 #[test]
-fn finds_lost_and_doubled_slots() {
-    let report = judge(vec![sample(0, [5, 5]), sample(0, [5, 5])]);
+fn finds_lost_and_duplicated_slots() {
+    let report = check(vec![sample(0, [5, 5]), sample(0, [5, 5])]);
     let doubled = Violation::Doubled {
         slot: 0,
         first: 1,
@@ -74,7 +75,7 @@
 fn finds_stale_and_mislabelled_samples() {
     let mut mislabelled = sample(1, [4, 5]);
     mislabelled.segments[0].weight_version = 5;
-    let report = judge(vec![sample(0, [3, 5]), mislabelled]);
+    let report = check(vec![sample(0, [3, 5]), mislabelled]);
     let stale = Violation::Stale {
         slot: 0,
         oldest: 3,
@@ -95,7 +96,7 @@
     short.segments.truncate(1);
     let mut foreign = sample(1, [5, 5]);
     foreign.step = 8;
-    let violations = judge(vec![short, foreign]).violations;
+    let violations = check(vec![short, foreign]).violations;
     assert_eq!(
         violations[0],
         Violation::WrongLength {
--- a/crates/bench/tests/leaving_backends.rs
+++ b/crates/bench/tests/leaving_backends.rs
@@ -18,7 +18,7 @@
 use serde_json::Value;
 use tokio::task::JoinHandle;
 
-const BOUND: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 /// Time after which a leaving back end must receive no new work.
 const LEAVING_BOUND: Duration = Duration::from_secs(5);
 const ENGINES: usize = 3;
@@ -41,9 +41,9 @@
     };
     scenario.set_machine_list(&late).await;
     scenario.run_load(&[0, 1, 2]).await;
-    let engine = scenario.engine_with_long_work().await;
-    scenario.list_as_leaving(engine.index).await;
-    scenario.report_leaving(engine.index, &[0]).await;
+    let engine = scenario.find_busy_engine().await;
+    scenario.set_machine_leaving(engine.index).await;
+    scenario.set_reported_leaving(engine.index, &[0]).await;
     scenario.assert_no_new_work(engine.index, &[0]).await;
     scenario.finish(engine).await;
 }
@@ -52,19 +52,19 @@
 async fn machine_list_says_leaving_while_reports_say_live() {
     let mut scenario = Scenario::start().await;
     scenario.run_load(&[0, 1, 2]).await;
-    let engine = scenario.engine_with_long_work().await;
-    scenario.list_as_leaving(engine.index).await;
+    let engine = scenario.find_busy_engine().await;
+    scenario.set_machine_leaving(engine.index).await;
     scenario.assert_no_new_work(engine.index, &[]).await;
     scenario.finish(engine).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn daemon_that_hears_only_the_engine() {
+async fn daemon_that_learns_of_leaving_only_from_the_engine() {
     let mut scenario = Scenario::start().await;
     scenario.cut_off_from_peers_and_machine_list(2).await;
     scenario.run_load(&[0, 1]).await;
-    let engine = scenario.engine_with_long_work().await;
-    scenario.report_leaving(engine.index, &[0]).await;
+    let engine = scenario.find_busy_engine().await;
+    scenario.set_reported_leaving(engine.index, &[0]).await;
     scenario.assert_no_new_work(engine.index, &[0]).await;
     scenario.finish(engine).await;
 }
@@ -79,10 +79,10 @@
     scenario.set_machine_list(&down).await;
     scenario.cluster.daemons[2].kill();
     scenario.cluster.start_daemon(2).await.unwrap();
-    scenario.cluster.all_ready().await.unwrap();
+    scenario.cluster.wait_until_all_ready().await.unwrap();
     scenario.run_load(&[0, 1, 2]).await;
-    let engine = scenario.engine_with_long_work().await;
-    scenario.report_leaving(engine.index, &[0]).await;
+    let engine = scenario.find_busy_engine().await;
+    scenario.set_reported_leaving(engine.index, &[0]).await;
     scenario.assert_no_new_work(engine.index, &[0]).await;
     scenario.finish(engine).await;
 }
@@ -92,9 +92,9 @@
     let mut scenario = Scenario::start().await;
     scenario.cluster.set_key_value_faults(Faults::refusing());
     scenario.run_load(&[0, 1, 2]).await;
-    let engine = scenario.engine_with_long_work().await;
-    scenario.list_as_leaving(engine.index).await;
-    scenario.report_leaving(engine.index, &[0]).await;
+    let engine = scenario.find_busy_engine().await;
+    scenario.set_machine_leaving(engine.index).await;
+    scenario.set_reported_leaving(engine.index, &[0]).await;
     scenario.assert_no_new_work(engine.index, &[0]).await;
     scenario.finish(engine).await;
 }
@@ -121,7 +121,7 @@
 struct Scenario {
     cluster: Cluster,
     load: Load,
-    long: Vec<LongCompletion>,
+    long_completions: Vec<LongCompletion>,
 }
 
 impl Scenario {
@@ -129,7 +129,7 @@
         let timing = [("probe_interval_ms", 300), ("suspicion_ms", 900)];
         let mut config = ClusterConfig {
             timing: Timing::from(timing.map(|(name, value)| (name.to_owned(), value))),
-            ..ClusterConfig::three(ENGINES)
+            ..ClusterConfig::three_daemons(ENGINES)
         };
         for engine in &mut config.engines {
             *engine = EngineConfig {
@@ -140,16 +140,16 @@
         Self {
             cluster: Cluster::start_ready(&config).await.unwrap(),
             load: Load::new(),
-            long: Vec::new(),
+            long_completions: Vec::new(),
         }
     }
 
     async fn set_machine_list(&self, faults: &MachineListFaults) {
         let list = &self.cluster.platform.machine_list;
-        list.fault(faults).await.unwrap();
+        list.set_faults(faults).await.unwrap();
     }
 
-    async fn list_as_leaving(&mut self, engine: usize) {
+    async fn set_machine_leaving(&mut self, engine: usize) {
         let platform = &mut self.cluster.platform;
         platform.engines[engine].machine.state = MachineState::Leaving;
         platform.publish_machines().await.unwrap();
@@ -157,7 +157,7 @@
 
     /// Makes the engine and these applications report that they are leaving, though they still run
     /// requests.
-    async fn report_leaving(&self, engine: usize, applications: &[usize]) {
+    async fn set_reported_leaving(&self, engine: usize, applications: &[usize]) {
         for backend in self.backends(engine, applications) {
             let order = LeavingOrder { leaving: true };
             backend.stand_in.control("leaving", &order).await.unwrap();
@@ -170,7 +170,7 @@
         daemon.machine_list.set(Faults::refusing());
         daemon.machine_list.cut();
         for event in ["event=machine_list_failed", "isolated=true"] {
-            until(event, BOUND, async || daemon.log().contains(event)).await;
+            until(event, TIMEOUT, async || daemon.log().contains(event)).await;
         }
     }
 
@@ -186,18 +186,18 @@
         trainer.use_daemons(trainer_daemons.iter().map(|index| urls[*index].clone()));
         self.load.add_trainer(trainer);
         for backend in self.all_backends() {
-            until("work at each back end", BOUND, async || {
+            until("work at each back end", TIMEOUT, async || {
                 runs(backend).await.len() >= RUNS_BEFORE
             })
             .await;
         }
         for (number, url) in urls.iter().cycle().take(LONG_COMPLETIONS).enumerate() {
-            self.long.push(long_completion(url, number));
+            self.long_completions.push(long_completion(url, number));
         }
-        until("all long completions run", BOUND, async || {
+        until("all long completions run", TIMEOUT, async || {
             let mut running = 0;
             for engine in 0..ENGINES {
-                running += self.long_work_at(engine).await.len();
+                running += self.long_completions_at(engine).await.len();
             }
             running == LONG_COMPLETIONS
         })
@@ -205,21 +205,24 @@
     }
 
     /// Returns the prompts of the long completions that an engine is running.
-    async fn long_work_at(&self, engine: usize) -> Vec<&str> {
+    async fn long_completions_at(&self, engine: usize) -> Vec<&str> {
         let log = self.engine_log(engine).await;
         let runs_here = |prompt: &str| {
             let digest = prompt_digest(prompt);
             let mut running = log.runs.iter().filter(|run| run.ending == Ending::Running);
             running.any(|run| run.prompt_digest == digest)
         };
-        let prompts = self.long.iter().map(|long| long.prompt.as_str());
+        let prompts = self
+            .long_completions
+            .iter()
+            .map(|long_completions| long_completions.prompt.as_str());
         prompts.filter(|prompt| runs_here(prompt)).collect()
     }
 
     /// Returns an engine that runs long completions.
-    async fn engine_with_long_work(&self) -> BusyEngine {
+    async fn find_busy_engine(&self) -> BusyEngine {
         for index in 0..ENGINES {
-            let prompts = self.long_work_at(index).await;
+            let prompts = self.long_completions_at(index).await;
             if !prompts.is_empty() {
                 let prompts = prompts.into_iter().map(str::to_owned).collect();
                 return BusyEngine { index, prompts };
@@ -271,9 +274,9 @@
     /// Asserts that the long completions ended on the engine on which they started, and that all
     /// load succeeded.
     async fn finish(mut self, engine: BusyEngine) {
-        for long in std::mem::take(&mut self.long) {
-            let whole = long.result.await.unwrap();
-            whole.unwrap_or_else(|error| panic!("{}: {error}", long.prompt));
+        for long_completions in std::mem::take(&mut self.long_completions) {
+            let whole = long_completions.result.await.unwrap();
+            whole.unwrap_or_else(|error| panic!("{}: {error}", long_completions.prompt));
         }
         let log = self.engine_log(engine.index).await;
         for prompt in engine.prompts {
@@ -285,18 +288,18 @@
         }
         let report = self.load.stop().await;
         assert!(report.failures.is_empty(), "{:?}", report.failures);
-        report.assert_steps_whole();
+        report.assert_steps_complete();
     }
 }
 
 fn long_completion(daemon: &str, number: usize) -> LongCompletion {
     let prompt = format!("{number}: a long note on sills and hinges");
     let caller = Caller::new(daemon);
-    let asked = prompt.clone();
+    let submitted_prompt = prompt.clone();
     let result = tokio::spawn(async move {
         let is_streamed = number % 2 == 0;
         caller
-            .complete(MODEL_POOL, &asked, LONG_TOKENS, is_streamed)
+            .complete(MODEL_POOL, &submitted_prompt, LONG_TOKENS, is_streamed)
             .await
     });
     LongCompletion { prompt, result }
--- a/crates/bench/tests/live_faults.rs
+++ b/crates/bench/tests/live_faults.rs
@@ -9,11 +9,11 @@
 use reqwest::RequestBuilder;
 use serde_json::json;
 
-const BOUND: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 const POLL: Duration = Duration::from_millis(10);
 
 async fn cluster(delay_ms: u64) -> Cluster {
-    let cluster = Cluster::start_ready(&ClusterConfig::three(2))
+    let cluster = Cluster::start_ready(&ClusterConfig::three_daemons(2))
         .await
         .unwrap();
     let faults = ApplicationFaults {
@@ -21,7 +21,7 @@
         ..ApplicationFaults::default()
     };
     for application in &cluster.platform.applications {
-        application.stand_in.fault(&faults).await.unwrap();
+        application.stand_in.set_faults(&faults).await.unwrap();
     }
     cluster
 }
@@ -33,7 +33,7 @@
         "{}/v1/apps/{APPLICATION_POOL}/price",
         cluster.daemons[daemon].url()
     );
-    let request = http_client().post(url).timeout(BOUND);
+    let request = http_client().post(url).timeout(TIMEOUT);
     request.header("Idempotency-Key", key).body(key.to_owned())
 }
 
@@ -60,7 +60,7 @@
 async fn until(what: &str, condition: impl AsyncFn() -> bool) {
     let start = Instant::now();
     while !condition().await {
-        assert!(start.elapsed() < BOUND, "still not true: {what}");
+        assert!(start.elapsed() < TIMEOUT, "still not true: {what}");
         tokio::time::sleep(POLL).await;
     }
 }
@@ -74,7 +74,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_runs_once_though_its_daemon_froze() {
+async fn a_keyed_request_runs_once_when_its_daemon_is_paused() {
     let mut cluster = cluster(1_000).await;
     let first = tokio::spawn(answer(price(&cluster, 0, "k")));
     until("the request runs", async || runs(&cluster, "k").await == 1).await;
@@ -90,7 +90,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_runs_once_wherever_its_daemon_freezes() {
+async fn a_keyed_request_runs_once_whenever_its_daemon_is_paused() {
     let mut cluster = cluster(0).await;
     for step in 0..24 {
         let key = format!("k{step}");
@@ -109,7 +109,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_is_not_run_again_after_its_daemon_was_killed() {
+async fn a_keyed_request_is_not_run_again_after_its_daemon_was_killed() {
     let mut cluster = cluster(1_000).await;
     let first = tokio::spawn(answer(price(&cluster, 0, "k")));
     until("the request runs", async || runs(&cluster, "k").await == 1).await;
--- a/crates/bench/tests/metrics.rs
+++ b/crates/bench/tests/metrics.rs
@@ -7,7 +7,7 @@
 use ladderstage_bench::http_client;
 use ladderstage_bench::trainer::{PullOptions, StepSpec};
 
-const BOUND: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 const POLL: Duration = Duration::from_millis(100);
 const SAMPLES: u32 = 12;
 const TOKENS: u32 = 20;
@@ -46,14 +46,14 @@
         if is_rolled_out(&sums) {
             return sums;
         }
-        assert!(start.elapsed() < BOUND, "not rolled out: {sums:#?}");
+        assert!(start.elapsed() < TIMEOUT, "not rolled out: {sums:#?}");
         tokio::time::sleep(POLL).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn work_and_refusals_are_counted() {
-    let cluster = Cluster::start_ready(&ClusterConfig::three(2))
+    let cluster = Cluster::start_ready(&ClusterConfig::three_daemons(2))
         .await
         .unwrap();
     let mut trainer = cluster.trainer("counted");
