--- a/crates/bench/tests/planned_stop/connections.rs
+++ b/crates/bench/tests/planned_stop/connections.rs
@@ -6,7 +6,7 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::time::timeout;
 
-use crate::BOUND;
+use crate::TIMEOUT;
 
 const HEAD_END: &[u8] = b"\r\n\r\n";
 /// Receive buffer size of a narrow connection, in bytes.
@@ -39,12 +39,12 @@
 
     /// Sends a request and reads the complete answer, after which the connection is idle.
     pub async fn get(&mut self, path: &str) {
-        let body = self.begin("GET", path, "").await;
+        let body = self.send("GET", path, "").await;
         self.read_to_end(&body).await;
     }
 
     /// Sends a request and reads the head of its answer.
-    pub async fn begin(&mut self, method: &str, path: &str, body: &str) -> Body {
+    pub async fn send(&mut self, method: &str, path: &str, body: &str) -> Body {
         let length = body.len();
         let head = format!("{method} {path} HTTP/1.1\r\nHost: daemon\r\nContent-Length: {length}");
         self.stream.write_all(head.as_bytes()).await.unwrap();
@@ -78,7 +78,7 @@
     /// Asserts that the server has closed the connection.
     pub async fn assert_closed(&mut self) {
         let mut byte = [0];
-        let read = timeout(BOUND, self.stream.read(&mut byte)).await;
+        let read = timeout(TIMEOUT, self.stream.read(&mut byte)).await;
         let count = read.expect("closed in time").unwrap_or(0);
         assert_eq!(count, 0, "bytes on an idle connection");
     }
--- a/crates/bench/tests/planned_stop/main.rs
+++ b/crates/bench/tests/planned_stop/main.rs
@@ -21,10 +21,10 @@
 use stalled_reader::StalledReader;
 use work::{Runs, Work, config, shard_log};
 
-const BOUND: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 /// Shorter than the time that callers have to read the end of an answer: idle connections must not
 /// delay a stop that long.
-const STOP_BOUND: Duration = Duration::from_secs(20);
+const STOP_TIMEOUT: Duration = Duration::from_secs(20);
 const STEP: u64 = 1;
 /// Time during which a reader stalls after the drain has finished.
 const STALL: Duration = Duration::from_secs(4);
@@ -44,11 +44,11 @@
     let mut cluster = Cluster::start_ready(&config()).await.unwrap();
     let mut trainer = cluster.trainer("trainer-1");
     let spec = StepSpec::generate(MODEL_POOL, STEP, 16, 60);
-    trainer.submit(STEP, &spec, BOUND).await.unwrap();
+    trainer.submit(STEP, &spec, TIMEOUT).await.unwrap();
     let log = shard_log("trainer-1", STEP);
     let all = [0, 1, 2];
     let is_half_done = |committed, in_flight| committed > 0 && in_flight > 0;
-    let owner = cluster.owner_among(&all, &log, BOUND, |shard| {
+    let owner = cluster.wait_for_owner_among(&all, &log, TIMEOUT, |shard| {
         is_half_done(shard.committed, shard.in_flight)
     });
     let stopping = owner.await.unwrap();
@@ -61,13 +61,13 @@
     for signal in 1..=signals {
         cluster.daemons[stopping].terminate();
         let daemon = &cluster.daemons[stopping];
-        let told = ["event=drain_started", "event=stop_already_under_way"][signal - 1];
-        until(told, BOUND, async || daemon.log().contains(told)).await;
+        let event = ["event=drain_started", "event=stop_already_under_way"][signal - 1];
+        until(event, TIMEOUT, async || daemon.log().contains(event)).await;
     }
     assert_refuses_new_work(&cluster, &url).await;
-    work.assert_ends_whole(&cluster).await;
+    work.assert_completes(&cluster).await;
     let process = cluster.daemons[stopping].process.as_mut().unwrap();
-    let status = process.wait(STOP_BOUND).await.unwrap();
+    let status = process.wait(STOP_TIMEOUT).await.unwrap();
     assert_eq!(status.code(), Some(0), "{}", process.log_tail());
     idle.assert_closed().await;
     unused.assert_closed().await;
@@ -99,17 +99,17 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn reader_that_stalls_gets_its_whole_answer() {
+async fn reader_that_stalls_gets_its_complete_answer() {
     let mut cluster = Cluster::start_ready(&config()).await.unwrap();
-    let mut reader = StalledReader::with_end_in_daemon(&mut cluster.daemons[0]).await;
+    let mut reader = StalledReader::with_unsent_end(&mut cluster.daemons[0]).await;
     cluster.daemons[0].terminate();
     let daemon = &cluster.daemons[0];
     let finished = "event=drain_finished";
-    until(finished, BOUND, async || daemon.log().contains(finished)).await;
+    until(finished, TIMEOUT, async || daemon.log().contains(finished)).await;
     tokio::time::sleep(STALL).await;
     reader.read_to_end().await;
     let process = cluster.daemons[0].process.as_mut().unwrap();
-    let status = process.wait(STOP_BOUND).await.unwrap();
+    let status = process.wait(STOP_TIMEOUT).await.unwrap();
     assert_eq!(status.code(), Some(0), "{}", process.log_tail());
 }
 
@@ -124,16 +124,19 @@
     }
     load.add_trainer(cluster.trainer("trainer-1"));
     for index in 0..cluster.daemons.len() {
-        has_work(&cluster.daemons[index]).await;
+        wait_for_work(&cluster.daemons[index]).await;
         let daemon = &mut cluster.daemons[index];
         daemon.terminate();
         let process = daemon.process.as_mut().unwrap();
-        let status = process.wait(STOP_BOUND).await.unwrap();
+        let status = process.wait(STOP_TIMEOUT).await.unwrap();
         assert_eq!(status.code(), Some(0), "{}", process.log_tail());
         cluster.start_daemon(index).await.unwrap();
-        cluster.all_ready().await.unwrap();
-        cluster.replica_set_known(&[index], 1, BOUND).await.unwrap();
-        has_work(&cluster.daemons[index]).await;
+        cluster.wait_until_all_ready().await.unwrap();
+        cluster
+            .wait_for_replica_set(&[index], 1, TIMEOUT)
+            .await
+            .unwrap();
+        wait_for_work(&cluster.daemons[index]).await;
     }
     let report = load.stop().await;
     let runs = Runs::read(&cluster).await;
@@ -149,11 +152,11 @@
     for url in &urls {
         assert!(report.completed.contains_key(url), "{:?}", report.completed);
     }
-    report.assert_steps_whole();
+    report.assert_steps_complete();
 }
 
-async fn has_work(daemon: &Daemon) {
-    until("work at each daemon", BOUND, async || {
+async fn wait_for_work(daemon: &Daemon) {
+    until("work at each daemon", TIMEOUT, async || {
         let status = daemon.status().await;
         status.is_ok_and(|status| status.in_flight > 0)
     })
@@ -163,7 +166,7 @@
 /// Asserts that a waiting pull was answered, possibly without samples or with a refusal.
 fn assert_answered<T: std::fmt::Debug>(answer: &SingleAnswer<T>) {
     match answer {
-        SingleAnswer::Given(_) => {}
+        SingleAnswer::Success(_) => {}
         SingleAnswer::Refused { status, .. } if status.as_u16() == 503 => {}
         other => panic!("pull in flight: {other:?}"),
     }
--- a/crates/bench/tests/planned_stop/stalled_reader.rs
+++ b/crates/bench/tests/planned_stop/stalled_reader.rs
@@ -8,7 +8,7 @@
 
 const PATH: &str = "/v1/apps/prisverk/price";
 /// Maximum size of the tried requests, and thus of their echoed answers.
-const MOST_BYTES: usize = 4_000_000;
+const MAX_BYTES: usize = 4_000_000;
 /// Maximum size of the part of an answer that remains in the daemon.
 const RESOLUTION_BYTES: usize = 16 * 1024;
 /// Time for an answer to leave the daemon if nothing blocks it.
@@ -24,24 +24,24 @@
 impl StalledReader {
     /// Searches for the longest answer that the daemon counts as sent though its caller does not
     /// read: the socket buffers are then full, and the end of the answer is still in the daemon.
-    pub async fn with_end_in_daemon(daemon: &mut Daemon) -> Self {
+    pub async fn with_unsent_end(daemon: &mut Daemon) -> Self {
         let process = daemon.process.as_mut().unwrap();
         let address = process.address("http").await.unwrap();
-        let (mut given, mut held) = (0, MOST_BYTES);
-        let mut longest_given = None;
-        while held - given > RESOLUTION_BYTES {
-            let middle = (given + held) / 2;
+        let (mut sent_length, mut held_length) = (0, MAX_BYTES);
+        let mut longest_sent = None;
+        while held_length - sent_length > RESOLUTION_BYTES {
+            let middle = (sent_length + held_length) / 2;
             let mut connection = Connection::open_narrow(address).await;
             let request = "x".repeat(middle);
-            let body = connection.begin("POST", PATH, &request).await;
-            if counts_as_given(daemon).await {
-                given = middle;
-                longest_given = Some(Self { connection, body });
+            let body = connection.send("POST", PATH, &request).await;
+            if counts_as_sent(daemon).await {
+                sent_length = middle;
+                longest_sent = Some(Self { connection, body });
             } else {
-                held = middle;
+                held_length = middle;
             }
         }
-        longest_given.expect("an answer that fits into the buffers")
+        longest_sent.expect("an answer that fits into the buffers")
     }
 
     /// Reads the rest of the answer.
@@ -50,7 +50,7 @@
     }
 }
 
-async fn counts_as_given(daemon: &Daemon) -> bool {
+async fn counts_as_sent(daemon: &Daemon) -> bool {
     let start = Instant::now();
     while start.elapsed() < SETTLE {
         if daemon.status().await.unwrap().in_flight == 0 {
--- a/crates/bench/tests/planned_stop/work.rs
+++ b/crates/bench/tests/planned_stop/work.rs
@@ -14,11 +14,11 @@
 use reqwest::Method;
 use tokio::task::JoinHandle;
 
-use crate::{BOUND, STEP, assert_answered};
+use crate::{STEP, TIMEOUT, assert_answered};
 
 /// Trainer whose step does not finish while its pulls wait.
 const WAITING_TRAINER: &str = "trainer-3";
-const EACH_KIND: usize = 3;
+const REQUESTS_PER_KIND: usize = 3;
 const TOKEN_INTERVAL: Duration = Duration::from_millis(10);
 const LONG_TOKENS: u64 = 250;
 const APPLICATION_DELAY_MS: u64 = 3_000;
@@ -37,7 +37,7 @@
     ];
     let mut config = ClusterConfig {
         timing: Timing::from(timing.map(|(name, value)| (name.to_owned(), value))),
-        ..ClusterConfig::three(2)
+        ..ClusterConfig::three_daemons(2)
     };
     for engine in &mut config.engines {
         engine.token_interval = TOKEN_INTERVAL;
@@ -112,13 +112,13 @@
         let url = cluster.daemons[daemon].url();
         slow_applications(cluster).await;
         let mut live = Vec::new();
-        for number in 0..EACH_KIND {
+        for number in 0..REQUESTS_PER_KIND {
             live.push(completion(&url, number, true));
             live.push(completion(&url, number, false));
             live.push(application(&url, number));
         }
         let pulls = waiting_pulls(cluster, &url).await;
-        until("all requests run", BOUND, async || {
+        until("all requests run", TIMEOUT, async || {
             let runs = Runs::read(cluster).await;
             let mut texts = live.iter().map(|request: &LiveRequest| &request.text);
             texts.all(|text| !runs.endings(text).is_empty())
@@ -128,7 +128,7 @@
     }
 
     /// Asserts that every caller got a complete answer and each request ran once, to its end.
-    pub async fn assert_ends_whole(self, cluster: &Cluster) {
+    pub async fn assert_completes(self, cluster: &Cluster) {
         for request in self.live {
             let text = request.text;
             let result = request.result.await.unwrap();
@@ -148,7 +148,7 @@
         ..ApplicationFaults::default()
     };
     for application in &cluster.platform.applications {
-        application.stand_in.fault(&faults).await.unwrap();
+        application.stand_in.set_faults(&faults).await.unwrap();
     }
 }
 
@@ -185,11 +185,11 @@
 ) -> Vec<JoinHandle<SingleAnswer<SamplesAnswer>>> {
     let mut trainer = cluster.trainer(WAITING_TRAINER);
     let spec = StepSpec::generate(MODEL_POOL, STEP, 1, ENDLESS_TOKENS);
-    trainer.submit(STEP, &spec, BOUND).await.unwrap();
+    trainer.submit(STEP, &spec, TIMEOUT).await.unwrap();
     let pull = || {
         let trainer = cluster.trainer(WAITING_TRAINER);
         let url = url.to_owned();
         tokio::spawn(async move { trainer.pull_at(&url, STEP, None, 1, PULL_WAIT).await })
     };
-    (0..EACH_KIND).map(|_| pull()).collect()
+    (0..REQUESTS_PER_KIND).map(|_| pull()).collect()
 }
--- a/crates/bench/tests/processes.rs
+++ b/crates/bench/tests/processes.rs
@@ -7,7 +7,7 @@
 use ladderstage_bench::processes::{Process, ProcessError};
 use ladderstage_bench::stand_in::engine::EngineConfig;
 
-const BOUND: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 #[tokio::test]
 async fn a_platform_of_processes_answers_and_pauses() {
@@ -37,9 +37,16 @@
     let unanswered = http_client().get(&load).timeout(Duration::from_millis(100));
     assert!(unanswered.send().await.is_err());
     process.resume();
-    assert!(http_client().get(&load).timeout(BOUND).send().await.is_ok());
+    assert!(
+        http_client()
+            .get(&load)
+            .timeout(TIMEOUT)
+            .send()
+            .await
+            .is_ok()
+    );
     process.terminate();
-    assert!(!process.wait(BOUND).await.unwrap().success());
+    assert!(!process.wait(TIMEOUT).await.unwrap().success());
 }
 
 #[tokio::test]
@@ -49,7 +56,7 @@
     let mut process =
         Process::start("ladderstage-bench", "wrong", arguments, folder.path()).unwrap();
     match process.address("listening").await {
-        Err(ProcessError::Ended { log, .. }) => assert!(log.contains("sundial"), "{log}"),
+        Err(ProcessError::Exited { log, .. }) => assert!(log.contains("sundial"), "{log}"),
         other => panic!("{other:?}"),
     }
     let missing = Process::start("no-such-program", "missing", [""], folder.path());
--- a/crates/bench/tests/proxy.rs
+++ b/crates/bench/tests/proxy.rs
@@ -8,7 +8,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-const BOUND: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 /// Time without data that counts as silence.
 const QUIET: Duration = Duration::from_millis(50);
 
@@ -37,7 +37,7 @@
 async fn echo(stream: &mut TcpStream, bytes: &[u8]) -> Vec<u8> {
     stream.write_all(bytes).await.unwrap();
     let mut back = vec![0; bytes.len()];
-    timeout(BOUND, stream.read_exact(&mut back))
+    timeout(TIMEOUT, stream.read_exact(&mut back))
         .await
         .unwrap()
         .unwrap();
@@ -45,7 +45,7 @@
 }
 
 async fn is_broken(stream: &mut TcpStream) -> bool {
-    let read = timeout(BOUND, stream.read(&mut [0; 64])).await.unwrap();
+    let read = timeout(TIMEOUT, stream.read(&mut [0; 64])).await.unwrap();
     read.is_err()
 }
 
@@ -70,7 +70,7 @@
     assert!(is_quiet(&mut stream).await);
     proxy.heal();
     let mut back = [0; 5];
-    timeout(BOUND, stream.read_exact(&mut back))
+    timeout(TIMEOUT, stream.read_exact(&mut back))
         .await
         .unwrap()
         .unwrap();
@@ -101,7 +101,7 @@
 }
 
 #[tokio::test]
-async fn one_way_cuts_swallow_and_break_on_heal() {
+async fn one_way_faults_drop_bytes_and_reset_when_healed() {
     let swallow_to_target = Faults {
         swallow_to_target: true,
         ..Faults::default()
@@ -132,7 +132,7 @@
     let mut stream = TcpStream::connect(proxy.address).await.unwrap();
     stream.write_all(b"hello").await.unwrap();
     let mut received = Vec::new();
-    let read = timeout(BOUND, stream.read_to_end(&mut received))
+    let read = timeout(TIMEOUT, stream.read_to_end(&mut received))
         .await
         .unwrap();
     assert!(read.is_err());
@@ -140,7 +140,7 @@
 }
 
 #[tokio::test]
-async fn goes_to_a_new_target() {
+async fn new_connections_go_to_a_new_target() {
     let (proxy, mut first) = connected().await;
     proxy.retarget("127.0.0.1:1".parse().unwrap());
     assert_eq!(echo(&mut first, b"still").await, b"still");
--- a/crates/bench/tests/sample_truth/support.rs
+++ b/crates/bench/tests/sample_truth/support.rs
@@ -10,14 +10,14 @@
 use ladderstage_bench::stand_in::engine::{EngineFaults, EngineLog, Run};
 use ladderstage_bench::stand_in::{Ending, LoadReport};
 use ladderstage_bench::text::Segment;
-use ladderstage_bench::trainer::{Judge, Sample, SamplesAnswer, SingleAnswer, StepReport};
+use ladderstage_bench::trainer::{Sample, SamplesAnswer, SingleAnswer, StepChecker, StepReport};
 use tokio::task::JoinHandle;
 
-use crate::scenario::{BOUND, STEP, Scenario, config};
+use crate::scenario::{STEP, Scenario, TIMEOUT, config};
 
 /// Maximum number of samples per answer.
 pub const MAX: u32 = 8;
-/// Revision and weight version of the last bundle that [`Scenario::roll_beyond_bound`] rolls.
+/// Revision and weight version of the last bundle that [`Scenario::roll_beyond_staleness_bound`] rolls.
 pub const BEYOND_BOUND: u64 = 3;
 /// Oldest weight version that this bundle allows.
 pub const OLDEST_ADMITTED: u64 = 2;
@@ -64,7 +64,7 @@
 }
 
 /// Waits until the bundle evidence that a daemon had at `since` is too old for deliveries.
-pub async fn evidence_is_too_old(since: Instant) {
+pub async fn wait_until_evidence_expires(since: Instant) {
     let margin = EVIDENCE_BOUND / 2;
     tokio::time::sleep_until((since + EVIDENCE_BOUND + margin).into()).await;
 }
@@ -72,7 +72,7 @@
 pub async fn until(what: &str, condition: impl AsyncFn() -> bool) {
     let start = Instant::now();
     while !condition().await {
-        assert!(start.elapsed() < BOUND, "still not true: {what}");
+        assert!(start.elapsed() < TIMEOUT, "still not true: {what}");
         tokio::time::sleep(POLL).await;
     }
 }
@@ -87,14 +87,14 @@
 
 /// Asserts that no sample of the answer has a token of an older version.
 pub fn assert_none_older(answer: &SingleAnswer<SamplesAnswer>, oldest_admitted: u64) {
-    let SingleAnswer::Given(answer) = answer else {
+    let SingleAnswer::Success(answer) = answer else {
         return;
     };
     for sample in &answer.samples {
         let versions = token_versions(&sample.segments);
-        let is_fresh = versions.iter().all(|version| *version >= oldest_admitted);
+        let is_not_stale = versions.iter().all(|version| *version >= oldest_admitted);
         assert!(
-            is_fresh,
+            is_not_stale,
             "slot {} attempt {} holds {:?} under bundle {}",
             sample.slot, sample.attempt, sample.segments, answer.bundle_revision
         );
@@ -102,20 +102,20 @@
 }
 
 impl Scenario {
-    /// Like [`Scenario::submitted`], without submitting the step.
-    pub async fn prepared(config: &ClusterConfig, samples: u32, tokens: u32) -> Self {
+    /// Like [`Scenario::with_submitted_step`], without submitting the step.
+    pub async fn with_unsubmitted_step(config: &ClusterConfig, samples: u32, tokens: u32) -> Self {
         let cluster = Cluster::start_ready(config).await.unwrap();
         Self::new(cluster, samples, tokens)
     }
 
-    pub async fn fault_engine(&self, engine: usize, faults: EngineFaults) {
+    pub async fn set_engine_faults(&self, engine: usize, faults: EngineFaults) {
         let stand_in = &self.cluster.platform.engines[engine].stand_in;
-        stand_in.fault(&faults).await.unwrap();
+        stand_in.set_faults(&faults).await.unwrap();
     }
 
-    pub async fn fault_engines(&self, faults: &EngineFaults) {
+    pub async fn set_all_engine_faults(&self, faults: &EngineFaults) {
         for engine in 0..self.cluster.platform.engines.len() {
-            self.fault_engine(engine, faults.clone()).await;
+            self.set_engine_faults(engine, faults.clone()).await;
         }
     }
 
@@ -132,7 +132,7 @@
     }
 
     /// Waits until an engine reports this version as held.
-    pub async fn engine_reports(&self, engine: usize, weight_version: u64) {
+    pub async fn wait_for_reported_version(&self, engine: usize, weight_version: u64) {
         let stand_in = &self.cluster.platform.engines[engine].stand_in;
         let url = format!("{}/v1/load", stand_in.url());
         until("the engine reports the version", async || {
@@ -144,17 +144,18 @@
     }
 
     /// Waits until an engine has generated this many tokens of a running sample.
-    pub async fn engine_generates(&self, engine: usize, tokens: u64) {
+    pub async fn wait_for_tokens(&self, engine: usize, tokens: u64) {
         until("the engine is in the middle of a sample", async || {
             let log = self.engine_log(engine).await;
-            let is_amid = |run: &Run| run.ending == Ending::Running && run.end_token >= tokens;
-            log.runs.iter().any(is_amid)
+            let is_partly_generated =
+                |run: &Run| run.ending == Ending::Running && run.end_token >= tokens;
+            log.runs.iter().any(is_partly_generated)
         })
         .await;
     }
 
     /// Waits until a daemon has logged this text.
-    pub async fn logged(&self, text: &str) {
+    pub async fn wait_for_log(&self, text: &str) {
         let daemons = &self.cluster.daemons;
         until(text, async || {
             daemons.iter().any(|daemon| daemon.log().contains(text))
@@ -171,29 +172,30 @@
             daemons: urls.collect(),
             ..self.cluster.operator()
         };
-        operator.roll(bundle, BOUND).await.unwrap();
-        let in_force = operator.in_force_everywhere(bundle.revision, BOUND);
+        operator.roll(bundle, TIMEOUT).await.unwrap();
+        let in_force = operator.wait_until_in_force_everywhere(bundle.revision, TIMEOUT);
         in_force.await.unwrap();
     }
 
     /// Rolls weight versions 2 and 3 through these daemons, which makes version 1 too old for the
     /// staleness bound of 1. A single bundle must not raise the version by more than its bound.
-    pub async fn roll_beyond_bound_among(&self, daemons: &[usize]) {
+    pub async fn roll_beyond_staleness_bound_among(&self, daemons: &[usize]) {
         for revision in 2..=BEYOND_BOUND {
             let bundle = self.cluster.bundle(revision, revision);
             self.roll_among(daemons, &bundle).await;
         }
     }
 
-    /// Like [`Scenario::roll_beyond_bound_among`], through all daemons.
-    pub async fn roll_beyond_bound(&self) {
-        self.roll_beyond_bound_among(&self.all_but(&[])).await;
+    /// Like [`Scenario::roll_beyond_staleness_bound_among`], through all daemons.
+    pub async fn roll_beyond_staleness_bound(&self) {
+        self.roll_beyond_staleness_bound_among(&self.daemons_except(&[]))
+            .await;
     }
 
     /// Pulls the step from the cursor to its end and asserts that each slot is delivered once and
     /// none is stale.
-    pub async fn assert_rest_is_fresh(&mut self, judge: Judge, cursor: Option<String>) {
-        let report = self.pull_rest(judge, cursor).await;
+    pub async fn assert_rest_is_not_stale(&mut self, checker: StepChecker, cursor: Option<String>) {
+        let report = self.pull_rest(checker, cursor).await;
         self.assert_exactly_once(&report);
         assert_eq!(report.bundle_revisions, [BEYOND_BOUND].into());
         let oldest = report.weight_versions.first();
@@ -202,11 +204,11 @@
 
     /// Rolls a bundle and waits until it is in force everywhere.
     pub async fn roll(&self, bundle: &Bundle) {
-        self.roll_among(&self.all_but(&[]), bundle).await;
+        self.roll_among(&self.daemons_except(&[]), bundle).await;
     }
 
     /// Pulls once from the beginning with this long poll time, without retries, in the background.
-    pub fn wait_in_background(
+    pub fn long_poll_in_background(
         &self,
         daemon: usize,
         wait: Duration,
@@ -217,17 +219,20 @@
     }
 
     /// Pulls the step to its end; returns the samples and the report.
-    pub async fn take_all(&self) -> (Vec<Sample>, StepReport) {
+    pub async fn pull_all_samples(&self) -> (Vec<Sample>, StepReport) {
         let start = Instant::now();
-        let mut judge = self.judge();
+        let mut checker = self.checker();
         let mut samples = Vec::new();
         let mut cursor = None;
         loop {
             let asked_at = Instant::now();
-            let answer = match self.ask(0, cursor.as_deref(), MAX).await {
-                SingleAnswer::Given(answer) => answer,
+            let answer = match self.pull_once(0, cursor.as_deref(), MAX).await {
+                SingleAnswer::Success(answer) => answer,
                 other => {
-                    assert!(start.elapsed() < BOUND, "not at its end in time: {other:?}");
+                    assert!(
+                        start.elapsed() < TIMEOUT,
+                        "not at its end in time: {other:?}"
+                    );
                     tokio::time::sleep(POLL).await;
                     continue;
                 }
@@ -235,11 +240,15 @@
             let is_end = answer.complete && answer.samples.is_empty();
             cursor = Some(answer.cursor.clone());
             samples.extend(answer.samples.iter().cloned());
-            judge.take(answer, asked_at);
+            checker.add_answer(answer, asked_at);
             if is_end {
-                return (samples, judge.finish());
+                return (samples, checker.finish());
             }
-            assert!(start.elapsed() < BOUND, "at {} in time", judge.progress());
+            assert!(
+                start.elapsed() < TIMEOUT,
+                "at {} in time",
+                checker.progress()
+            );
         }
     }
 
@@ -264,7 +273,7 @@
 
     /// Asserts that each token's label is the version with which an engine's log says it was
     /// generated.
-    pub async fn assert_as_generated(&self, samples: &[Sample]) {
+    pub async fn assert_labels_match_runs(&self, samples: &[Sample]) {
         for sample in samples {
             let mut generated = Vec::new();
             let runs = self.runs_of(sample).await;
--- a/crates/bench/tests/stand_ins.rs
+++ b/crates/bench/tests/stand_ins.rs
@@ -13,7 +13,7 @@
 use ladderstage_bench::{http_client, text};
 use serde_json::{Value, json};
 
-const BOUND: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 async fn post(handle: &Handle, path: &str, body: Value) -> reqwest::Result<reqwest::Response> {
     let url = format!("{}{path}", handle.url());
@@ -29,7 +29,7 @@
 async fn eventually(what: &str, mut holds: impl AsyncFnMut() -> bool) {
     let start = std::time::Instant::now();
     while !holds().await {
-        assert!(start.elapsed() < BOUND, "not seen in time: {what}");
+        assert!(start.elapsed() < TIMEOUT, "not seen in time: {what}");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
@@ -90,7 +90,7 @@
 }
 
 #[tokio::test]
-async fn engine_swaps_under_fences_and_may_only_claim_to() {
+async fn engine_swaps_obey_fences_and_can_be_reported_falsely() {
     let engine = fast_engine().await;
     let order = |fence: u64, version: u64| json!({"fence": fence, "model": "karm-lm", "weight_version": version});
     let accepted = post(&engine, "/v1/orders", order(5, 2)).await.unwrap();
--- a/crates/bench/tests/whole_answers.rs
+++ b/crates/bench/tests/whole_answers.rs
@@ -17,7 +17,7 @@
 use ladderstage_bench::waiting::until;
 use reqwest::Method;
 
-const BOUND: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 const CUT_POINTS: [CutPoint; 3] = [
     CutPoint::BeforeHeaders,
     CutPoint::MidBody,
@@ -32,7 +32,7 @@
 const DEADLINE_MS: &str = "2000";
 
 async fn cluster() -> Cluster {
-    Cluster::start_ready(&ClusterConfig::three(3))
+    Cluster::start_ready(&ClusterConfig::three_daemons(3))
         .await
         .unwrap()
 }
@@ -41,15 +41,15 @@
     Caller::new(&cluster.daemons[number % cluster.daemons.len()].url())
 }
 
-async fn fault_engines(cluster: &Cluster, faults: &EngineFaults) {
+async fn set_all_engine_faults(cluster: &Cluster, faults: &EngineFaults) {
     for engine in &cluster.platform.engines {
-        engine.stand_in.fault(faults).await.unwrap();
+        engine.stand_in.set_faults(faults).await.unwrap();
     }
 }
 
-async fn fault_applications(cluster: &Cluster, faults: &ApplicationFaults) {
+async fn set_all_application_faults(cluster: &Cluster, faults: &ApplicationFaults) {
     for application in &cluster.platform.applications {
-        application.stand_in.fault(faults).await.unwrap();
+        application.stand_in.set_faults(faults).await.unwrap();
     }
 }
 
@@ -86,21 +86,21 @@
 
 /// Asserts that every answer is complete or fails visibly; callers have compared complete texts
 /// with their prompts.
-fn assert_whole_or_visibly_ended<T>(results: &[Result<T, LiveError>], case: &str) {
+fn assert_complete_or_failed<T>(results: &[Result<T, LiveError>], case: &str) {
     for error in results.iter().filter_map(|result| result.as_ref().err()) {
         assert!(!error.is_violation(), "{case}: {error}");
-        if let LiveError::NotWhole(last) = error {
+        if let LiveError::Incomplete(last) = error {
             let has_error_event = last.contains("\"outcome\":");
             assert!(has_error_event, "{case}: neither whole nor failed: {last}");
         }
     }
 }
 
-async fn engines_take_work(cluster: &Cluster) {
-    fault_engines(cluster, &EngineFaults::default()).await;
+async fn wait_until_engines_serve(cluster: &Cluster) {
+    set_all_engine_faults(cluster, &EngineFaults::default()).await;
     for number in 0..cluster.daemons.len() {
         let caller = caller(cluster, number);
-        until("engines take work", BOUND, async || {
+        until("engines take work", TIMEOUT, async || {
             let completion = caller.complete(MODEL_POOL, "probe", TOKENS, false);
             completion.await.is_ok()
         })
@@ -108,11 +108,11 @@
     }
 }
 
-async fn applications_take_work(cluster: &Cluster) {
-    fault_applications(cluster, &ApplicationFaults::default()).await;
+async fn wait_until_applications_serve(cluster: &Cluster) {
+    set_all_application_faults(cluster, &ApplicationFaults::default()).await;
     for number in 0..cluster.daemons.len() {
         let caller = caller(cluster, number);
-        until("applications take work", BOUND, async || {
+        until("applications take work", TIMEOUT, async || {
             let answer = caller.application(APPLICATION_POOL, Method::POST, "probe", "probe");
             answer.await.is_ok()
         })
@@ -123,29 +123,29 @@
 /// Checks completions while engines cut some answers, then all.
 async fn cut_completions(cluster: &Cluster, point: CutPoint) {
     for cuts in [4, u32::MAX] {
-        engines_take_work(cluster).await;
+        wait_until_engines_serve(cluster).await;
         let faults = EngineFaults {
             cut: Some(point),
             cuts,
             ..EngineFaults::default()
         };
-        fault_engines(cluster, &faults).await;
+        set_all_engine_faults(cluster, &faults).await;
         let results = complete_all(cluster, TOKENS).await;
         let case = format!("{point:?}, {cuts} cuts");
-        assert_whole_or_visibly_ended(&results, &case);
-        let whole = results.iter().filter(|result| result.is_ok()).count();
+        assert_complete_or_failed(&results, &case);
+        let complete_count = results.iter().filter(|result| result.is_ok()).count();
         if cuts == u32::MAX {
-            assert_eq!(whole, 0, "{case}: no engine sent an end mark");
+            assert_eq!(complete_count, 0, "{case}: no engine sent an end mark");
         } else {
-            assert!(whole > 0, "{case}: {results:?}");
+            assert!(complete_count > 0, "{case}: {results:?}");
         }
     }
-    engines_take_work(cluster).await;
+    wait_until_engines_serve(cluster).await;
 }
 
 /// Checks long answers of applications that are cut in the body.
 async fn cut_application_answers(cluster: &Cluster, chunked: bool) {
-    applications_take_work(cluster).await;
+    wait_until_applications_serve(cluster).await;
     let faults = ApplicationFaults {
         cut: Some(CutPoint::MidBody),
         cuts: 3,
@@ -153,7 +153,7 @@
         padding: LONG_ANSWER,
         ..ApplicationFaults::default()
     };
-    fault_applications(cluster, &faults).await;
+    set_all_application_faults(cluster, &faults).await;
     let body = |number| format!("cut {chunked} {number}");
     let calls = (0..CALLERS).map(|number| async move {
         let caller = caller(cluster, number);
@@ -162,7 +162,7 @@
         answer.await
     });
     let results = join_all(calls).await;
-    assert_whole_or_visibly_ended(&results, "application");
+    assert_complete_or_failed(&results, "application");
     let runs = application_runs(cluster).await;
     let mut cut = 0;
     for (number, result) in results.iter().enumerate() {
@@ -173,7 +173,7 @@
         }
     }
     assert!(cut > 0, "nothing was cut: {runs:?}");
-    applications_take_work(cluster).await;
+    wait_until_applications_serve(cluster).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -188,14 +188,14 @@
 }
 
 /// Freezes the connections of the first engine seen partway through an answer; returns its index.
-async fn stall_an_engine(cluster: &Cluster) -> usize {
+async fn freeze_an_engine(cluster: &Cluster) -> usize {
     let stalled = OnceLock::new();
-    until("an engine is in mid-answer", BOUND, async || {
+    until("an engine is in mid-answer", TIMEOUT, async || {
         for engine in 0..cluster.platform.engines.len() {
             let runs = engine_runs(cluster, engine).await;
-            let is_in_mid_answer =
+            let is_partly_answered =
                 |run: &Run| run.ending == Ending::Running && run.end_token > run.first_token;
-            if runs.iter().any(is_in_mid_answer) {
+            if runs.iter().any(is_partly_answered) {
                 return stalled.set(engine).is_ok();
             }
         }
@@ -213,11 +213,11 @@
 /// Returns whether the stalled engine has completed a prompt that another engine resumed.
 async fn has_late_answer(cluster: &Cluster, stalled: usize) -> bool {
     let late = engine_runs(cluster, stalled).await;
-    let mut elsewhere = Vec::new();
+    let mut other_runs = Vec::new();
     for engine in (0..cluster.platform.engines.len()).filter(|engine| *engine != stalled) {
-        elsewhere.extend(engine_runs(cluster, engine).await);
+        other_runs.extend(engine_runs(cluster, engine).await);
     }
-    let mut resumed = elsewhere.iter().filter(|run| run.first_token > 0);
+    let mut resumed = other_runs.iter().filter(|run| run.first_token > 0);
     resumed.any(|resumed| {
         let is_same = |run: &Run| run.prompt_digest == resumed.prompt_digest;
         let mut completed = late.iter().filter(|run| run.ending == Ending::Completed);
@@ -226,21 +226,21 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn late_answers_change_nothing() {
+async fn late_answers_are_ignored() {
     let cluster = cluster().await;
-    engines_take_work(&cluster).await;
-    let asking = complete_all(&cluster, MANY_TOKENS);
-    let (results, stalled) = tokio::join!(asking, stall_an_engine(&cluster));
-    assert_whole_or_visibly_ended(&results, "stalled");
+    wait_until_engines_serve(&cluster).await;
+    let completions = complete_all(&cluster, MANY_TOKENS);
+    let (results, stalled) = tokio::join!(completions, freeze_an_engine(&cluster));
+    assert_complete_or_failed(&results, "stalled");
     assert!(results.iter().any(Result::is_ok), "{results:?}");
-    until("an answer is late", BOUND, async || {
+    until("an answer is late", TIMEOUT, async || {
         has_late_answer(&cluster, stalled).await
     })
     .await;
     cluster.platform.engines[stalled].proxy.heal();
     for _ in 0..3 {
         let results = complete_all(&cluster, TOKENS).await;
-        assert_whole_or_visibly_ended(&results, "late answers arrive");
+        assert_complete_or_failed(&results, "late answers arrive");
         assert!(results.iter().any(Result::is_ok), "{results:?}");
     }
 }
@@ -270,23 +270,23 @@
 
 /// Answer that a caller received.
 #[derive(Debug, PartialEq, Eq)]
-struct Told {
+struct CallerAnswer {
     status: u16,
     outcome: String,
     has_retry_after: bool,
 }
 
 /// Sends an at-most-once request without a key, with a method that would otherwise be idempotent.
-async fn put_once(cluster: &Cluster, number: usize, id: &str) -> Told {
+async fn put_once(cluster: &Cluster, number: usize, id: &str) -> CallerAnswer {
     let daemon = &cluster.daemons[number % cluster.daemons.len()];
     let url = format!("{}/v1/apps/{APPLICATION_POOL}/price", daemon.url());
-    let request = http_client().put(url).timeout(BOUND).body(id.to_owned());
+    let request = http_client().put(url).timeout(TIMEOUT).body(id.to_owned());
     let request = request.header("Ladderstage-At-Most-Once", "true");
     let request = request.header("Ladderstage-Request-Id", id);
     let request = request.header("Ladderstage-Deadline-Ms", DEADLINE_MS);
     let answer = request.send().await.unwrap();
     let header = |name| answer.headers().get(name);
-    Told {
+    CallerAnswer {
         status: answer.status().as_u16(),
         outcome: header("Ladderstage-Outcome").map_or_else(String::new, |value| {
             value.to_str().unwrap_or_default().to_owned()
@@ -295,16 +295,16 @@
     }
 }
 
-async fn put_all(cluster: &Cluster, fault: LinkFault) -> BTreeMap<String, Told> {
+async fn put_all(cluster: &Cluster, fault: LinkFault) -> BTreeMap<String, CallerAnswer> {
     let calls = (0..CALLERS).map(|number| async move {
         let id = format!("{fault:?}-{number}");
-        let told = put_once(cluster, number, &id).await;
-        (id, told)
+        let caller_answer = put_once(cluster, number, &id).await;
+        (id, caller_answer)
     });
     join_all(calls).await.into_iter().collect()
 }
 
-async fn has_run_under(cluster: &Cluster, fault: LinkFault) -> bool {
+async fn has_run_during(cluster: &Cluster, fault: LinkFault) -> bool {
     let prefix = format!("{fault:?}-");
     let runs = application_runs(cluster).await;
     runs.iter().any(|run| run.body.starts_with(&prefix))
@@ -317,7 +317,7 @@
 }
 
 /// Sends the requests while nothing listens at the applications' addresses.
-async fn put_all_while_gone(cluster: &mut Cluster) -> BTreeMap<String, Told> {
+async fn put_all_while_gone(cluster: &mut Cluster) -> BTreeMap<String, CallerAnswer> {
     for application in &mut cluster.platform.applications {
         application.proxy = Proxy::start(application.stand_in.address).await.unwrap();
     }
@@ -331,7 +331,7 @@
 }
 
 /// Sends requests under a link fault; returns once those in flight have arrived.
-async fn put_under(cluster: &mut Cluster, fault: LinkFault) -> BTreeMap<String, Told> {
+async fn put_during(cluster: &mut Cluster, fault: LinkFault) -> BTreeMap<String, CallerAnswer> {
     let answers = match fault {
         LinkFault::Gone => put_all_while_gone(cluster).await,
         LinkFault::Reset => {
@@ -351,16 +351,16 @@
             put_all(cluster, fault).await
         }
         LinkFault::CutWhileRunning => {
-            let cutting = async {
-                until("a request runs", BOUND, async || {
-                    has_run_under(cluster, fault).await
+            let cut_connections = async {
+                until("a request runs", TIMEOUT, async || {
+                    has_run_during(cluster, fault).await
                 })
                 .await;
                 for application in &cluster.platform.applications {
                     application.proxy.cut();
                 }
             };
-            tokio::join!(put_all(cluster, fault), cutting).0
+            tokio::join!(put_all(cluster, fault), cut_connections).0
         }
         LinkFault::CutAnswer => {
             set_links(
@@ -378,8 +378,8 @@
         application.proxy.heal();
     }
     if fault == LinkFault::Frozen {
-        until("frozen requests arrive", BOUND, async || {
-            has_run_under(cluster, fault).await
+        until("frozen requests arrive", TIMEOUT, async || {
+            has_run_during(cluster, fault).await
         })
         .await;
     }
@@ -388,32 +388,37 @@
 
 /// Checks one link fault while applications also refuse some requests as not run.
 async fn break_links(cluster: &mut Cluster, fault: LinkFault) {
-    applications_take_work(cluster).await;
+    wait_until_applications_serve(cluster).await;
     let faults = ApplicationFaults {
         refusals: 4,
         delay_ms: 200,
         ..ApplicationFaults::default()
     };
-    fault_applications(cluster, &faults).await;
-    let answers = put_under(cluster, fault).await;
-    applications_take_work(cluster).await;
+    set_all_application_faults(cluster, &faults).await;
+    let answers = put_during(cluster, fault).await;
+    wait_until_applications_serve(cluster).await;
     let runs = application_runs(cluster).await;
-    for (id, told) in &answers {
+    for (id, caller_answer) in &answers {
         let count = runs.iter().filter(|run| run.body == *id).count();
-        let case = format!("{id} ran {count} times: {told:?}");
+        let case = format!("{id} ran {count} times: {caller_answer:?}");
         assert!(count <= 1, "{case}");
-        match told.outcome.as_str() {
+        match caller_answer.outcome.as_str() {
             "not-run" => assert_eq!(count, 0, "{case}"),
             "completed" => assert_eq!(count, 1, "{case}"),
             outcome => assert_eq!(outcome, "unknown", "{case}"),
         }
-        assert!(told.status == 200 || told.has_retry_after, "{case}");
+        assert!(
+            caller_answer.status == 200 || caller_answer.has_retry_after,
+            "{case}"
+        );
     }
     let expected = match fault {
         LinkFault::Gone => "not-run",
         _ => "unknown",
     };
-    let has_expected = answers.values().any(|told| told.outcome == expected);
+    let has_expected = answers
+        .values()
+        .any(|caller_answer| caller_answer.outcome == expected);
     assert!(has_expected, "{fault:?} had no effect: {answers:?}");
 }
 
--- a/crates/bench/tests/whole_path.rs
+++ b/crates/bench/tests/whole_path.rs
@@ -11,7 +11,7 @@
 use ladderstage_bench::trainer::{PullOptions, StepReport, StepSpec, Trainer};
 use reqwest::Method;
 
-const BOUND: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 const POLL: Duration = Duration::from_millis(20);
 const SAMPLES: u32 = 40;
 const TOKENS: u32 = 30;
@@ -21,7 +21,7 @@
     let mut retries = Retries::default();
     loop {
         match caller.complete(MODEL_POOL, prompt, 10, stream).await {
-            Err(error) if retries.again(&error).await => {}
+            Err(error) if retries.wait_to_retry(&error).await => {}
             result => return result.unwrap(),
         }
     }
@@ -32,13 +32,13 @@
     let options = PullOptions {
         max: 8,
         drop_every: 3,
-        moves: true,
+        rotates_daemons: true,
         ..PullOptions::default()
     };
     trainer.run(step, &spec, &options).await.unwrap()
 }
 
-fn assert_whole(report: &StepReport) {
+fn assert_complete(report: &StepReport) {
     assert_eq!(report.violations, []);
     let counts = (report.delivered, report.duplicated, report.lost);
     assert_eq!(counts, (u64::from(SAMPLES), 0, 0));
@@ -77,10 +77,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn all_kinds_of_work_across_a_roll() {
+async fn all_kinds_of_work_during_a_roll() {
     let config = ClusterConfig {
         stand_ins_as_processes: true,
-        ..ClusterConfig::three(4)
+        ..ClusterConfig::three_daemons(4)
     };
     let cluster = Cluster::start_ready(&config).await.unwrap();
     assert_eq!(live_versions(&cluster, "before").await, [1].into());
@@ -88,30 +88,30 @@
 
     let mut trainer = cluster.trainer("fitting-notes");
     let first = run_step(&mut trainer, 1).await;
-    assert_whole(&first);
+    assert_complete(&first);
     assert_eq!(first.weight_versions, [1].into());
 
     let bundle = cluster.bundle(2, 2);
     let (rolled, second) = tokio::join!(cluster.roll(&bundle), run_step(&mut trainer, 2));
     rolled.unwrap();
-    assert_whole(&second);
+    assert_complete(&second);
     cluster
         .operator()
-        .in_force_everywhere(2, BOUND)
+        .wait_until_in_force_everywhere(2, TIMEOUT)
         .await
         .unwrap();
 
     let start = Instant::now();
     while cluster.held_versions().await.unwrap() != [2].into() {
         assert!(
-            start.elapsed() < BOUND,
+            start.elapsed() < TIMEOUT,
             "not all engines hold version 2 in time"
         );
         tokio::time::sleep(POLL).await;
     }
     assert_eq!(live_versions(&cluster, "after").await, [2].into());
     let third = run_step(&mut trainer, 3).await;
-    assert_whole(&third);
+    assert_complete(&third);
     assert_eq!(third.weight_versions, [2].into());
     assert_eq!(third.bundle_revisions, [2].into());
 
