--- a/crates/bench/src/chaos/checker.rs
+++ b/crates/bench/src/chaos/checker.rs
@@ -73,7 +73,7 @@
         if !runs.any(|(_, run)| run.unnamed_tokens > 0) {
             violations.push(Violation {
                 guarantee: Guarantee::WholeAnswer,
-                evidence: format!("{request:?} leaves versions out that its engines named"),
+                evidence: format!("{request:?} omits versions that its engines named"),
             });
         }
     }
@@ -90,7 +90,7 @@
         for run in log.runs.iter().filter(|run| is_late(run.started_ms)) {
             violations.push(Violation {
                 guarantee: Guarantee::Leaving,
-                evidence: format!("{name} is leaving since {leaving_ms} ms, but got {run:?}"),
+                evidence: format!("{name} is leaving since {leaving_ms} ms, but received {run:?}"),
             });
         }
     }
--- a/crates/bench/src/chaos/load/applications.rs
+++ b/crates/bench/src/chaos/load/applications.rs
@@ -101,7 +101,7 @@
     let attempt = attempt.unwrap_or_else(|_| Attempt {
         daemon,
         outcome: Outcome::Broken,
-        detail: "given up by the caller".to_owned(),
+        detail: "abandoned by the caller".to_owned(),
     });
     lock(tries).push(attempt);
 }
--- a/crates/bench/src/chaos/load/mod.rs
+++ b/crates/bench/src/chaos/load/mod.rs
@@ -73,7 +73,7 @@
         cluster: &Cluster,
         roller: &BundleRoller,
         recorder: &Recorder,
-        step_bound: Duration,
+        step_timeout: Duration,
     ) -> Self {
         let (stop, stopped) = signal::channel(false);
         let (stop_watching, watching_stopped) = signal::channel(false);
@@ -96,7 +96,7 @@
         }
         for number in 0..TRAINERS {
             let trainer = cluster.trainer(&format!("trainer-{number}"));
-            tasks.spawn(training::run(task(3, number), trainer, step_bound));
+            tasks.spawn(training::run(task(3, number), trainer, step_timeout));
         }
         tasks.spawn(operators::run(task(4, 0), roller.clone()));
         let watchers = watch::start(&shared, &watching_stopped);
--- a/crates/bench/src/chaos/load/operators.rs
+++ b/crates/bench/src/chaos/load/operators.rs
@@ -94,11 +94,11 @@
         &self,
         bundle: &Bundle,
         first_daemon: usize,
-        bound: Duration,
+        timeout: Duration,
     ) -> Result<(), ClusterError> {
         let mut operator = self.operator.clone();
         operator.daemons.rotate_left(first_daemon);
-        let result = operator.roll(bundle, bound).await;
+        let result = operator.roll(bundle, timeout).await;
         match result {
             Ok(()) => self.record_accepted(bundle),
             Err(_) => self
--- a/crates/bench/src/chaos/load/training.rs
+++ b/crates/bench/src/chaos/load/training.rs
@@ -14,13 +14,13 @@
 const SAMPLES_PER_ANSWER: u32 = 7;
 const PULLS_PER_DROP: u32 = 4;
 
-/// Runs steps until stopped and completes the last one. `bound` is the time limit per step.
-pub(super) async fn run(mut task: Task, mut trainer: Trainer, bound: Duration) {
+/// Runs steps until stopped and completes the last one. `step_timeout` is the time limit per step.
+pub(super) async fn run(mut task: Task, mut trainer: Trainer, step_timeout: Duration) {
     let options = PullOptions {
         max: SAMPLES_PER_ANSWER,
         drop_every: PULLS_PER_DROP,
         rotates_daemons: true,
-        deadline: bound,
+        deadline: step_timeout,
         ..PullOptions::default()
     };
     let mut step = 0;
--- a/crates/bench/src/chaos/load/watch.rs
+++ b/crates/bench/src/chaos/load/watch.rs
@@ -57,7 +57,7 @@
     fn check(&mut self, current: CurrentBundle) {
         let revision = current.revision;
         if revision < self.newest {
-            let evidence = format!("{}: {revision} after {}", self.daemon, self.newest);
+            let evidence = format!("{}: revision {revision} after {}", self.daemon, self.newest);
             self.recorder.record_violation(Guarantee::Bundles, evidence);
         }
         self.newest = self.newest.max(revision);
@@ -66,7 +66,7 @@
             .entry(revision)
             .or_insert_with(|| current.text.clone());
         if *known != current.text {
-            let evidence = format!("{}: another text of {revision}", self.daemon);
+            let evidence = format!("{}: different text of revision {revision}", self.daemon);
             self.recorder.record_violation(Guarantee::Bundles, evidence);
         }
     }
--- a/crates/bench/src/chaos/mod.rs
+++ b/crates/bench/src/chaos/mod.rs
@@ -73,11 +73,14 @@
     let recorder = Recorder::default();
     let roller = BundleRoller::new(config.seed, &cluster, &recorder);
     let start = Instant::now();
-    let step_bound = config.length + STEP_GRACE;
-    let load = Load::start(config.seed, &cluster, &roller, &recorder, step_bound);
+    let step_timeout = config.length + STEP_GRACE;
+    let load = Load::start(config.seed, &cluster, &roller, &recorder, step_timeout);
     let mut injector = Injector::new(cluster, cluster_config);
     if let Err(error) = injector.run(&plan).await {
-        recorder.record_violation(Guarantee::Recovery, format!("a fault did not end: {error}"));
+        recorder.record_violation(
+            Guarantee::Recovery,
+            format!("could not start or end a fault: {error}"),
+        );
     }
     tokio::time::sleep(config.length.saturating_sub(start.elapsed())).await;
     load.stop();
@@ -136,7 +139,7 @@
             continue;
         };
         if let Ok(Some(status)) = process.exit_status() {
-            let evidence = format!("{name} ended with {status}:\n{}", process.log_tail());
+            let evidence = format!("{name} exited with {status}:\n{}", process.log_tail());
             recorder.record_violation(Guarantee::NoCrash, evidence);
         }
     }
--- a/crates/bench/src/chaos/recovery.rs
+++ b/crates/bench/src/chaos/recovery.rs
@@ -55,7 +55,7 @@
         let current = current_bundle(&daemon).await;
         let revision = current.as_ref().map(|current| current.revision);
         if !revision.as_ref().is_ok_and(|revision| *revision == newest) {
-            let evidence = format!("{daemon} ends on {revision:?} instead of {newest}");
+            let evidence = format!("{daemon} has revision {revision:?} instead of {newest}");
             recorder.record_violation(Guarantee::Bundles, evidence);
         }
     }
--- a/crates/bench/src/cluster/daemon.rs
+++ b/crates/bench/src/cluster/daemon.rs
@@ -128,16 +128,16 @@
     }
 
     /// Waits until `/healthz` answers.
-    pub async fn wait_until_healthy(&self, bound: Duration) -> Result<(), ClusterError> {
-        self.wait_for_success("/healthz", bound).await
+    pub async fn wait_until_healthy(&self, timeout: Duration) -> Result<(), ClusterError> {
+        self.wait_for_success("/healthz", timeout).await
     }
 
     /// Waits until `/readyz` answers 200: the daemon has a bundle in force and accepts work.
-    pub async fn wait_until_ready(&self, bound: Duration) -> Result<(), ClusterError> {
-        self.wait_for_success("/readyz", bound).await
+    pub async fn wait_until_ready(&self, timeout: Duration) -> Result<(), ClusterError> {
+        self.wait_for_success("/readyz", timeout).await
     }
 
-    async fn wait_for_success(&self, path: &str, bound: Duration) -> Result<(), ClusterError> {
+    async fn wait_for_success(&self, path: &str, timeout: Duration) -> Result<(), ClusterError> {
         let client = crate::http_client();
         let url = format!("{}{path}", self.url());
         let start = Instant::now();
@@ -147,7 +147,7 @@
                 Ok(answer) => answer.text().await.unwrap_or_default(),
                 Err(error) => format!("{error:?}"),
             };
-            if start.elapsed() > bound {
+            if start.elapsed() > timeout {
                 return Err(ClusterError::Timeout {
                     what: format!("{path} of {}", self.name()),
                     last_error: format!("{last_error}; log:\n{}", self.log_tail()),
--- a/crates/bench/src/cluster/mod.rs
+++ b/crates/bench/src/cluster/mod.rs
@@ -56,7 +56,7 @@
     #[error("refused with {status}: {body}")]
     Refused { status: StatusCode, body: String },
     /// A condition did not hold in time.
-    #[error("not in time: {what}; last trouble: {last_error}")]
+    #[error("timed out waiting for {what}: {last_error}")]
     Timeout {
         /// Condition that was waited for.
         what: String,
--- a/crates/bench/src/cluster/operator.rs
+++ b/crates/bench/src/cluster/operator.rs
@@ -40,7 +40,7 @@
 
 /// Signs a bundle with the test key.
 pub fn signed(bundle: &Bundle) -> SignedText {
-    let text = toml::to_string(bundle).expect("bundles hold only what TOML can say");
+    let text = toml::to_string(bundle).expect("bundles can be represented in TOML");
     let signature = sign(&text, &test_key());
     SignedText {
         text,
@@ -175,11 +175,11 @@
 
 impl Operator {
     /// Rolls a bundle, retrying through all daemons until it is accepted or finally refused.
-    pub async fn roll(&self, bundle: &Bundle, bound: Duration) -> Result<(), ClusterError> {
+    pub async fn roll(&self, bundle: &Bundle, timeout: Duration) -> Result<(), ClusterError> {
         let start = Instant::now();
         let mut last_error = String::new();
         for daemon in self.daemons.iter().cycle() {
-            if start.elapsed() > bound {
+            if start.elapsed() > timeout {
                 break;
             }
             match self.roll_once(daemon, bundle).await {
@@ -192,7 +192,7 @@
             tokio::time::sleep(RETRY_PAUSE).await;
         }
         Err(ClusterError::Timeout {
-            what: format!("bundle {} accepted", bundle.revision),
+            what: format!("acceptance of bundle {}", bundle.revision),
             last_error,
         })
     }
@@ -226,14 +226,14 @@
     pub async fn wait_until_in_force_everywhere(
         &self,
         revision: u64,
-        bound: Duration,
+        timeout: Duration,
     ) -> Result<(), ClusterError> {
         let start = Instant::now();
         for daemon in &self.daemons {
             while !has_revision(daemon, revision).await {
-                if start.elapsed() > bound {
+                if start.elapsed() > timeout {
                     return Err(ClusterError::Timeout {
-                        what: format!("bundle {revision} in force"),
+                        what: format!("bundle {revision} to be in force"),
                         last_error: daemon.clone(),
                     });
                 }
--- a/crates/bench/src/cluster/settings.rs
+++ b/crates/bench/src/cluster/settings.rs
@@ -67,6 +67,6 @@
 
     /// Returns the text of the settings file.
     pub fn to_toml(&self) -> String {
-        toml::to_string(self).expect("settings hold only what TOML can say")
+        toml::to_string(self).expect("settings can be represented in TOML")
     }
 }
--- a/crates/bench/src/cluster/status.rs
+++ b/crates/bench/src/cluster/status.rs
@@ -53,12 +53,12 @@
         &self,
         daemons: &[usize],
         log: &str,
-        bound: Duration,
+        timeout: Duration,
         condition: impl Fn(&OwnedShard) -> bool,
     ) -> Result<usize, ClusterError> {
         let start = Instant::now();
         let mut seen = Vec::new();
-        while start.elapsed() < bound {
+        while start.elapsed() < timeout {
             for index in daemons {
                 let Ok(status) = self.daemons[*index].status().await else {
                     continue;
@@ -95,7 +95,7 @@
         &self,
         daemons: &[usize],
         version: u64,
-        bound: Duration,
+        timeout: Duration,
     ) -> Result<(), ClusterError> {
         let start = Instant::now();
         for index in daemons {
@@ -105,7 +105,7 @@
                 .await
                 .is_ok_and(|status| status.replica_set_version >= version)
             {
-                if start.elapsed() > bound {
+                if start.elapsed() > timeout {
                     return Err(ClusterError::Timeout {
                         what: format!("replica set {version} at {}", daemon.name()),
                         last_error: daemon.log_tail(),
--- a/crates/bench/src/command_line/chaos.rs
+++ b/crates/bench/src/command_line/chaos.rs
@@ -9,15 +9,15 @@
 use crate::chaos::{self, ChaosConfig, MIN_SECONDS};
 
 const HELP: &str = "\
-Runs four daemons and the stand-ins as processes under load, with faults that follow from the seed, and judges what
-callers and trainers got by the back ends' own logs. Faults end 5 s before the end of the load. The daemons' program
+Runs four daemons and the stand-ins as processes under load, with faults that follow from the seed, and checks what
+callers and trainers received against the back ends' logs. Faults end 5 s before the end of the load. The daemons' program
 must have been built (`cargo build --workspace --bins`). Exits 1 on a violation and then keeps the logs.
 
 USAGE: ladderstage-bench chaos [OPTIONS]
 
 OPTIONS:
-  --seed N      gives the faults and the load (default: random)
-  --seconds N   length of the load, 8 at least (default 30)
+  --seed N      seed of the faults and the load (default: random)
+  --seconds N   length of the load, at least 8 (default 30)
   --json        prints one JSON object instead of the summary; the seed goes to standard error
 ";
 const DEFAULT_SECONDS: u64 = 30;
--- a/crates/bench/src/command_line/demo.rs
+++ b/crates/bench/src/command_line/demo.rs
@@ -8,9 +8,9 @@
 use crate::demo;
 
 const HELP: &str = "\
-Runs the whole path in one process and ends by itself within 30 s: three daemons, stand-ins for the platform,
-live callers, a trainer, and a bundle rolled from weight version 1 to 2 on the way. Needs no other service.
-Exits 1 if anything was lost, doubled or mislabelled.
+Runs the complete system in one process and exits within 30 s: three daemons, stand-ins for the platform,
+live callers, a trainer, and a bundle rolled from weight version 1 to 2 under load. Needs no other service.
+Exits 1 if anything was lost, duplicated or mislabelled.
 
 USAGE: ladderstage-bench demo [--json]
 
--- a/crates/bench/src/command_line/mod.rs
+++ b/crates/bench/src/command_line/mod.rs
@@ -18,8 +18,8 @@
 USAGE: ladderstage-bench <SUBCOMMAND> [--help]
 
 SUBCOMMANDS:
-  demo       runs the whole path in one process and ends by itself
-  chaos      runs daemons and load under random faults and judges them
+  demo       runs the complete system in one process and exits
+  chaos      runs daemons and load under random faults and checks the guarantees
   stand-in   runs one stand-in of the platform as a process
   proxy      runs a fault-injecting TCP proxy
 ";
@@ -90,7 +90,7 @@
 }
 
 fn reject_remaining(arguments: Arguments) -> Result<(), CommandError> {
-    let remaining = arguments.reject_remaining();
+    let remaining = arguments.finish();
     if remaining.is_empty() {
         return Ok(());
     }
--- a/crates/bench/src/command_line/proxy.rs
+++ b/crates/bench/src/command_line/proxy.rs
@@ -16,8 +16,8 @@
 USAGE: ladderstage-bench proxy --target IP:PORT [--listen IP:PORT] [--control IP:PORT]
 
 Control by HTTP:
-  POST /faults    JSON, all optional: delay_ms, refuse, freeze, swallow_to_target, swallow_from_target,
-                  cut_after_bytes; what is left out ends
+  POST /faults    JSON with optional fields: delay_ms, refuse, freeze, swallow_to_target, swallow_from_target,
+                  cut_after_bytes; faults left out end
   POST /cut       resets all open connections
   POST /reset-next/N   resets the next N connections on their first byte
 ";
@@ -55,7 +55,7 @@
             },
             ("POST", "/cut", _) => self.proxy.cut(),
             ("POST", _, Some(Ok(connections))) => self.proxy.reset_next(connections),
-            _ => return responder.reject(404, "no such path").await,
+            _ => return responder.reject(404, "unknown path").await,
         }
         responder.send(200, &[], b"").await
     }
--- a/crates/bench/src/demo/mod.rs
+++ b/crates/bench/src/demo/mod.rs
@@ -39,15 +39,15 @@
     /// The temporary folder could not be created.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    #[error("settings: {0}")]
+    #[error("invalid settings: {0}")]
     Settings(String),
-    #[error("node: {0}")]
+    #[error("node did not start: {0}")]
     Node(String),
     /// A step did not finish.
-    #[error("trainer: {0}")]
+    #[error("step did not finish: {0}")]
     Trainer(#[from] TrainerError),
     /// The demo exceeded its time limit.
-    #[error("not done within {} s", TIMEOUT.as_secs())]
+    #[error("demo did not finish within {} s", TIMEOUT.as_secs())]
     TimedOut,
 }
 
@@ -205,7 +205,9 @@
 fn check_versions(report: &mut DemoReport) {
     if !report.weight_versions_seen.is_superset(&[1, 2].into()) {
         let seen = format!("{:?}", report.weight_versions_seen);
-        report.violations.push(format!("only versions {seen} seen"));
+        report
+            .violations
+            .push(format!("only weight versions {seen} were received"));
     }
     if report.bundle_revision != 2 {
         let text = format!("bundle {} in force instead of 2", report.bundle_revision);
--- a/crates/bench/src/http_server.rs
+++ b/crates/bench/src/http_server.rs
@@ -197,7 +197,7 @@
 
 /// Returns the error with which a handler cuts its connection on purpose.
 pub fn injected_cut() -> io::Error {
-    io::Error::new(io::ErrorKind::ConnectionAborted, "cut on purpose")
+    io::Error::new(io::ErrorKind::ConnectionAborted, "cut by an injected fault")
 }
 
 /// Listens and answers with `handler` until the returned handle is stopped or dropped.
--- a/crates/bench/src/live/mod.rs
+++ b/crates/bench/src/live/mod.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum LiveError {
     /// The daemon refused the request as not run.
-    #[error("not run: {status} {body}")]
+    #[error("refused as not run: {status} {body}")]
     NotRun {
         status: StatusCode,
         body: String,
@@ -35,16 +35,16 @@
         body: String,
         retry_after: Option<Duration>,
     },
-    #[error("broken: {0:?}")]
+    #[error("connection broken: {0:?}")]
     Broken(#[from] reqwest::Error),
     /// The answer ended without its end marker or with an error event.
-    #[error("answer without its end mark: {0}")]
+    #[error("incomplete answer: {0}")]
     Incomplete(String),
     /// The answer does not belong to this request.
     #[error("wrong answer: {0}")]
     WrongAnswer(String),
     /// The answer names weight versions that did not produce it.
-    #[error("mislabelled: {0}")]
+    #[error("mislabelled answer: {0}")]
     Mislabelled(#[from] TextError),
 }
 
--- a/crates/bench/src/live/reading.rs
+++ b/crates/bench/src/live/reading.rs
@@ -55,7 +55,7 @@
         .map(|segment| segment.weight_version)
         .collect();
     if found != named {
-        let detail = format!("names versions {named:?}, was made by {found:?}");
+        let detail = format!("answer names versions {named:?}, but was produced by {found:?}");
         return Err(LiveError::WrongAnswer(detail));
     }
     Ok(Completion {
@@ -112,7 +112,7 @@
     candidates.extend(possible_versions);
     verify_labels(prompt, &text, labels, &candidates)?;
     if !is_fully_labelled && possible_versions.is_empty() {
-        let detail = "tokens without their version".to_owned();
+        let detail = "tokens without a weight version".to_owned();
         return Err(LiveError::WrongAnswer(detail));
     }
     Ok(Completion {
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -77,7 +77,7 @@
             "{:?}",
             self.unfinished_steps
         );
-        assert!(!self.steps.is_empty(), "no step was finished");
+        assert!(!self.steps.is_empty(), "no step was completed");
         for step in &self.steps {
             assert_eq!(step.violations, [], "{step:?}");
             let counts = (step.delivered, step.duplicated, step.lost);
--- a/crates/bench/src/processes.rs
+++ b/crates/bench/src/processes.rs
@@ -31,7 +31,7 @@
     #[error("{name}: {source}")]
     Io { name: String, source: io::Error },
     /// The process exited before it was ready.
-    #[error("{name} ended with {status}; its log ends:\n{log}")]
+    #[error("{name} exited with {status}; last lines of its log:\n{log}")]
     Exited {
         name: String,
         status: ExitStatus,
@@ -39,7 +39,7 @@
         log: String,
     },
     /// The process did not act in time.
-    #[error("{name} did not {what} in time; its log ends:\n{log}")]
+    #[error("{name} did not {what} in time; last lines of its log:\n{log}")]
     TimedOut {
         name: String,
         /// Action that was expected.
@@ -129,7 +129,7 @@
                 return Err(self.exited_error(status));
             }
             if start.elapsed() > START_TIMEOUT {
-                return Err(self.timeout_error(&format!("tell its {key} address")));
+                return Err(self.timeout_error(&format!("print its {key} address")));
             }
             tokio::time::sleep(POLL).await;
         }
@@ -145,14 +145,14 @@
     }
 
     /// Waits until the process has exited.
-    pub async fn wait(&mut self, bound: Duration) -> Result<ExitStatus, ProcessError> {
+    pub async fn wait(&mut self, timeout: Duration) -> Result<ExitStatus, ProcessError> {
         let start = Instant::now();
         loop {
             if let Some(status) = self.exit_status()? {
                 return Ok(status);
             }
-            if start.elapsed() > bound {
-                return Err(self.timeout_error("end"));
+            if start.elapsed() > timeout {
+                return Err(self.timeout_error("exit"));
             }
             tokio::time::sleep(POLL).await;
         }
--- a/crates/bench/src/stand_in/application.rs
+++ b/crates/bench/src/stand_in/application.rs
@@ -170,7 +170,9 @@
         }
         if consume_one(&mut lock(&self.state).faults.refusals) {
             let headers = [(ENGINE_HEADER, NOT_RUN)];
-            return responder.send(503, &headers, b"refused on purpose").await;
+            return responder
+                .send(503, &headers, b"refused by an injected fault")
+                .await;
         }
         let (faults, is_cut, is_error) = {
             let state = &mut *lock(&self.state);
@@ -191,7 +193,7 @@
             run.ending = Ending::Cut;
             return send_cut(responder, faults.cut, faults.chunked, status, &body).await;
         }
-        send_whole(responder, faults.chunked, status, &body).await?;
+        send_complete(responder, faults.chunked, status, &body).await?;
         run.ending = Ending::Completed;
         Ok(())
     }
@@ -263,12 +265,12 @@
                 }
                 Err(error) => responder.reject(400, &error.to_string()).await,
             },
-            _ => responder.reject(404, "no such control").await,
+            _ => responder.reject(404, "unknown control path").await,
         }
     }
 }
 
-async fn send_whole(
+async fn send_complete(
     responder: &mut Responder,
     chunked: bool,
     status: u16,
@@ -317,7 +319,7 @@
     async fn handle(&self, request: Request, responder: &mut Responder) -> io::Result<()> {
         match request.path.as_str() {
             "/ladderstage/load" if lock(&self.state).faults.hide_load => {
-                responder.reject(503, "hidden on purpose").await
+                responder.reject(503, "hidden by an injected fault").await
             }
             "/ladderstage/load" => responder.json(200, &self.load_report()).await,
             path if path.starts_with("/control/") => self.control(request, responder).await,
--- a/crates/bench/src/stand_in/engine/control.rs
+++ b/crates/bench/src/stand_in/engine/control.rs
@@ -66,7 +66,7 @@
                 }
                 Err(error) => responder.reject(400, &error.to_string()).await,
             },
-            _ => responder.reject(404, "no such control").await,
+            _ => responder.reject(404, "unknown control path").await,
         }
     }
 
--- a/crates/bench/src/stand_in/engine/generation.rs
+++ b/crates/bench/src/stand_in/engine/generation.rs
@@ -115,7 +115,7 @@
             completion.request_id = id.to_owned();
         }
         if completion.model != self.config.model {
-            return refuse(responder, 404, "another model").await;
+            return refuse(responder, 404, "model is not served here").await;
         }
         let resumed = completion.resume_text.as_deref().unwrap_or_default();
         if text::count_tokens(resumed) != completion.resume_tokens {
@@ -126,7 +126,7 @@
             return responder.send(503, &headers, b"leaving").await;
         }
         if consume_one(&mut lock(&self.state).faults.refusals) {
-            return refuse(responder, 503, "refused on purpose").await;
+            return refuse(responder, 503, "refused by an injected fault").await;
         }
         self.queue_and_run(&completion, responder).await
     }
--- a/crates/bench/src/stand_in/engine/mod.rs
+++ b/crates/bench/src/stand_in/engine/mod.rs
@@ -164,7 +164,7 @@
             Err(error) => return responder.reject(400, &error.to_string()).await,
         };
         if order.model != self.config.model {
-            return responder.reject(404, "another model").await;
+            return responder.reject(404, "model is not served here").await;
         }
         let mut highest_fence = 0;
         let accepted = self.order.send_if_modified(|current| {
@@ -188,12 +188,12 @@
             ("POST", "/v1/completions") => self.complete(request, responder).await,
             ("POST", "/v1/cancel") => self.cancel(request, responder).await,
             ("GET", "/v1/load") if lock(&self.state).faults.hide_load => {
-                responder.reject(503, "hidden on purpose").await
+                responder.reject(503, "hidden by an injected fault").await
             }
             ("GET", "/v1/load") => responder.json(200, &self.load_report()).await,
             ("POST", "/v1/orders") => self.accept_order(request, responder).await,
             (_, path) if path.starts_with("/control/") => self.control(request, responder).await,
-            _ => responder.reject(404, "no such path").await,
+            _ => responder.reject(404, "unknown path").await,
         }
     }
 }
--- a/crates/bench/src/stand_in/key_value/mod.rs
+++ b/crates/bench/src/stand_in/key_value/mod.rs
@@ -147,7 +147,7 @@
     ) -> io::Result<()> {
         let delay = match self.admit() {
             Admission::Answer(delay) => delay,
-            Admission::Refuse => return responder.reject(429, "over the rate").await,
+            Admission::Refuse => return responder.reject(429, "rate limit exceeded").await,
             Admission::Disconnect => return Err(injected_cut()),
         };
         tokio::time::sleep(delay).await;
@@ -161,7 +161,7 @@
                 let apply = |store: &mut Store, txn: TransactionRequest| store.transact(txn);
                 self.write(&request, responder, apply).await
             }
-            _ => responder.reject(404, "no such path").await,
+            _ => responder.reject(404, "unknown path").await,
         }
     }
 
@@ -222,7 +222,7 @@
                 Err(error) => responder.reject(400, &error.to_string()).await,
             },
             ("POST", _) => self.handle_gateway_request(request, responder).await,
-            _ => responder.reject(404, "no such path").await,
+            _ => responder.reject(404, "unknown path").await,
         }
     }
 }
--- a/crates/bench/src/stand_in/machine_list.rs
+++ b/crates/bench/src/stand_in/machine_list.rs
@@ -147,7 +147,7 @@
                 }
                 Err(error) => responder.reject(400, &error.to_string()).await,
             },
-            _ => responder.reject(404, "no such path").await,
+            _ => responder.reject(404, "unknown path").await,
         }
     }
 }
--- a/crates/bench/src/stand_in/scorer.rs
+++ b/crates/bench/src/stand_in/scorer.rs
@@ -87,7 +87,7 @@
         }
         tokio::time::sleep(self.config.delay + Duration::from_millis(faults.delay_ms)).await;
         if consume_one(&mut lock(&self.faults).errors) {
-            return responder.reject(500, "failed on purpose").await;
+            return responder.reject(500, "failed by an injected fault").await;
         }
         let score = score(&score_request.text);
         responder.json(200, &ScoreAnswer { score }).await
@@ -105,7 +105,7 @@
                 }
                 Err(error) => responder.reject(400, &error.to_string()).await,
             },
-            _ => responder.reject(404, "no such path").await,
+            _ => responder.reject(404, "unknown path").await,
         }
     }
 }
--- a/crates/bench/src/stand_in/weight_store.rs
+++ b/crates/bench/src/stand_in/weight_store.rs
@@ -72,11 +72,11 @@
             .parse()
             .is_ok_and(|version| self.versions(model).versions.contains(&version));
         if !is_known {
-            return responder.reject(404, "unknown version").await;
+            return responder.reject(404, "unknown weight version").await;
         }
         let is_allowed = lock(&self.rate).try_acquire(self.config.loads_per_second, Instant::now());
         if !is_allowed {
-            return responder.reject(429, "over the rate").await;
+            return responder.reject(429, "rate limit exceeded").await;
         }
         tokio::time::sleep(self.config.load).await;
         responder.send(200, &[], b"").await
@@ -108,7 +108,7 @@
                 self.load(model, version, responder).await
             }
             ("POST", ["control", "weights", model]) => self.set(model, &request, responder).await,
-            _ => responder.reject(404, "no such path").await,
+            _ => responder.reject(404, "unknown path").await,
         }
     }
 }
--- a/crates/bench/src/text.rs
+++ b/crates/bench/src/text.rs
@@ -39,7 +39,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum TextError {
     /// The segments claim another number of tokens than the text has.
-    #[error("segments name {claimed} tokens, the text has {found}")]
+    #[error("segments claim {claimed} tokens, but the text has {found}")]
     Length {
         /// Number of tokens in the segments.
         claimed: u64,
--- a/crates/bench/src/trainer/checker.rs
+++ b/crates/bench/src/trainer/checker.rs
@@ -68,7 +68,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, thiserror::Error)]
 pub enum Violation {
     /// A sample of another trainer or step, or of a slot that does not exist.
-    #[error("sample of {trainer}/{step}/{slot} was not asked for")]
+    #[error("sample of {trainer}/{step}/{slot} was not requested")]
     NotAskedFor {
         /// Trainer named in the sample.
         trainer: String,
@@ -78,7 +78,7 @@
         slot: u32,
     },
     /// A slot was delivered again after its acknowledgement.
-    #[error("slot {slot} delivered twice, as attempts {first} and {second}")]
+    #[error("slot {slot} was delivered twice, as attempts {first} and {second}")]
     Doubled {
         slot: u32,
         /// Attempt that was delivered first.
@@ -87,10 +87,10 @@
         second: u32,
     },
     /// The step ended without a sample of this slot.
-    #[error("slot {slot} lost")]
+    #[error("slot {slot} was not delivered")]
     Lost { slot: u32 },
     /// A sample has a prompt that differs from its slot's.
-    #[error("slot {slot} answers another prompt")]
+    #[error("slot {slot} has a different prompt")]
     WrongPrompt { slot: u32 },
     /// A sample has more or fewer tokens than requested.
     #[error("slot {slot} has {tokens} tokens instead of {asked}")]
@@ -109,7 +109,9 @@
         reason: String,
     },
     /// A sample is older than its answer's bundle allows.
-    #[error("slot {slot} holds version {oldest} under bundle {revision}, which demands {demanded}")]
+    #[error(
+        "slot {slot} has tokens of version {oldest}, but bundle {revision} requires at least {demanded}"
+    )]
     Stale {
         slot: u32,
         /// Oldest version in the sample.
@@ -120,13 +122,13 @@
         demanded: u64,
     },
     /// An answer names a bundle that was never rolled.
-    #[error("answer under unknown bundle {revision}")]
+    #[error("answer names unknown bundle {revision}")]
     UnknownBundle {
         /// Revision named in the answer.
         revision: u64,
     },
     /// An answer was checked against a bundle that should no longer have been in force.
-    #[error("answer under bundle {revision}, but {due} was accepted long before")]
+    #[error("answer names bundle {revision}, but bundle {due} must be in force")]
     BundleOutOfForce {
         /// Revision named in the answer.
         revision: u64,
--- a/crates/bench/src/trainer/mod.rs
+++ b/crates/bench/src/trainer/mod.rs
@@ -27,7 +27,7 @@
     #[error("refused with {status}: {body}")]
     Refused { status: StatusCode, body: String },
     /// The time limit was exceeded; holds the last error.
-    #[error("not done in time; last trouble: {0}")]
+    #[error("timed out; last error: {0}")]
     TimedOut(String),
 }
 
@@ -78,7 +78,7 @@
 }
 
 impl Trainer {
-    /// Creates a trainer of the daemons at these base URLs; `facts` holds the requirements of each
+    /// Creates a trainer of the daemons at these base URLs; `requirements` holds the requirements of each
     /// bundle.
     pub fn new(name: &str, daemons: Vec<String>, requirements: BundleRequirements) -> Self {
         Self {
@@ -152,7 +152,7 @@
         StepChecker::new(&self.name, step, spec.clone(), self.requirements.clone())
     }
 
-    /// Pulls a step to its end from a cursor whose earlier answers `judge` has checked.
+    /// Pulls a step to its end from a cursor whose earlier answers `checker` has checked.
     pub async fn pull_from(
         &mut self,
         step: u64,
@@ -285,7 +285,7 @@
 }
 
 fn with_query(url: &str, query: &[(&str, String)]) -> reqwest::Url {
-    let mut url = reqwest::Url::parse(url).expect("daemons' base URLs are valid");
+    let mut url = reqwest::Url::parse(url).expect("base URLs of daemons are valid");
     url.query_pairs_mut().extend_pairs(query);
     url
 }
--- a/crates/bench/src/waiting.rs
+++ b/crates/bench/src/waiting.rs
@@ -7,11 +7,11 @@
 /// Waits until the condition holds.
 ///
 /// # Panics
-/// If it does not hold within `bound`; the message names `what`.
-pub async fn until(what: &str, bound: Duration, condition: impl AsyncFn() -> bool) {
+/// If it does not hold within `timeout`; the message names `what`.
+pub async fn until(what: &str, timeout: Duration, condition: impl AsyncFn() -> bool) {
     let start = Instant::now();
     while !condition().await {
-        assert!(start.elapsed() < bound, "not in time: {what}");
+        assert!(start.elapsed() < timeout, "timed out waiting for: {what}");
         tokio::time::sleep(POLL).await;
     }
 }
--- a/crates/bench/tests/bundle_in_force/scenario.rs
+++ b/crates/bench/tests/bundle_in_force/scenario.rs
@@ -149,7 +149,7 @@
 pub async fn until(what: &str, condition: impl AsyncFn() -> bool) {
     let start = Instant::now();
     while !condition().await {
-        assert!(start.elapsed() < TIMEOUT, "still not true: {what}");
+        assert!(start.elapsed() < TIMEOUT, "timed out waiting until {what}");
         tokio::time::sleep(POLL).await;
     }
 }
--- a/crates/bench/tests/bundle_in_force/stragglers.rs
+++ b/crates/bench/tests/bundle_in_force/stragglers.rs
@@ -63,7 +63,7 @@
     let (owner, spec) = committed_step(&cluster, &mut trainer).await;
     // Not the owner, which the journal would fence; and the daemon has already served this step.
     let paused = (owner + 1) % ALL.len();
-    until("samples are given", async || {
+    until("samples are delivered", async || {
         delivered(pull(&cluster, paused).await.unwrap()).is_some()
     })
     .await;
@@ -81,8 +81,8 @@
     tokio::time::sleep(EVIDENCE_BOUND).await;
     partition_except_owner(&cluster, paused, owner);
     cluster.daemons[paused].resume();
-    for waiting in waiting {
-        if let Some(answer) = delivered(waiting.await.unwrap()) {
+    for pull in waiting {
+        if let Some(answer) = delivered(pull.await.unwrap()) {
             assert_eq!(answer.bundle_revision, 3, "{answer:?}");
         }
     }
@@ -114,7 +114,7 @@
     cluster.wait_until_all_ready().await.unwrap();
     let mut trainer = cluster.trainer(TRAINER);
     let (_, spec) = committed_step(&cluster, &mut trainer).await;
-    until("samples are given", async || {
+    until("samples are delivered", async || {
         delivered(pull(&cluster, outdated).await.unwrap()).is_some()
     })
     .await;
--- a/crates/bench/tests/chaos.rs
+++ b/crates/bench/tests/chaos.rs
@@ -12,7 +12,7 @@
     println!("seed {seed}");
     let report = chaos::run(&ChaosConfig { seed, length }).await.unwrap();
     println!("{report}");
-    assert!(!report.faults.is_empty(), "nothing went wrong");
+    assert!(!report.faults.is_empty(), "no faults were injected");
     assert!(report.steps > 0 && report.samples > 0, "no steps were run");
     assert!(report.has_passed(), "seed {seed}:\n{report}");
 }
--- a/crates/bench/tests/exactly_once/disks.rs
+++ b/crates/bench/tests/exactly_once/disks.rs
@@ -58,7 +58,7 @@
     for daemon in scenario.daemons_except(&[first, second]) {
         let again = scenario.pull_until_final(daemon, None, 8).await;
         let conflict = Some(StatusCode::CONFLICT);
-        assert_eq!(again.status(), conflict, "the step is over: {again:?}");
+        assert_eq!(again.status(), conflict, "the step has finished: {again:?}");
     }
     scenario.assert_no_runs_since(runs).await;
 }
--- a/crates/bench/tests/exactly_once/owners.rs
+++ b/crates/bench/tests/exactly_once/owners.rs
@@ -64,7 +64,7 @@
     .await;
 }
 
-/// Pulls from the paused owner what follows the answer that `asked_after` returns.
+/// Pulls from the paused owner what follows `position_after` of its first answer.
 async fn paused_owner_delivers_nothing(position_after: impl Fn(&SamplesAnswer) -> u64) {
     let mut config = config(3);
     // The fence alone must stop the old owner, not the age of its bundle evidence.
@@ -98,8 +98,12 @@
         .pull_samples(successor, Some(&next.cursor), 4)
         .await;
     scenario.cluster.daemons[owner].resume();
-    assert_eq!(attempts(&again), attempts(&first), "open answer repeated");
-    assert_eq!(peer_pull.await.unwrap(), 0, "samples given to a peer");
+    assert_eq!(
+        attempts(&again),
+        attempts(&first),
+        "unacknowledged answer must be repeated"
+    );
+    assert_eq!(peer_pull.await.unwrap(), 0, "samples delivered to a peer");
     let late = trainer_pull.await.unwrap();
     for answer in [late, scenario.pull_once(owner, None, 4).await] {
         assert_delivers_nothing(&answer);
@@ -117,7 +121,7 @@
 
 fn assert_delivers_nothing(answer: &SingleAnswer<SamplesAnswer>) {
     if let SingleAnswer::Success(given) = answer {
-        assert_eq!(attempts(given), [], "given by the old owner");
+        assert_eq!(attempts(given), [], "delivered by the old owner");
     }
 }
 
@@ -161,7 +165,7 @@
         let daemon = &self.cluster.daemons[daemon];
         let ends = ["event=shard_released", "event=log_fenced"];
         while !ends.iter().any(|end| daemon.log().contains(end)) {
-            assert!(start.elapsed() < TIMEOUT, "a fenced owner goes on");
+            assert!(start.elapsed() < TIMEOUT, "ownership did not end in time");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
--- a/crates/bench/tests/exactly_once/restarts.rs
+++ b/crates/bench/tests/exactly_once/restarts.rs
@@ -37,5 +37,8 @@
     }
     let report = pulling.await.unwrap().unwrap();
     scenario.assert_exactly_once(&report);
-    assert!(report.troubles > 0, "the trainer noticed: {report:?}");
+    assert!(
+        report.troubles > 0,
+        "the trainer saw no failure: {report:?}"
+    );
 }
--- a/crates/bench/tests/exactly_once/scenario.rs
+++ b/crates/bench/tests/exactly_once/scenario.rs
@@ -150,7 +150,7 @@
                 SingleAnswer::Success(_) => {
                     assert!(start.elapsed() < TIMEOUT, "no samples in time")
                 }
-                other => panic!("refused for good: {other:?}"),
+                other => panic!("finally refused: {other:?}"),
             }
         }
     }
@@ -198,7 +198,7 @@
     pub async fn assert_no_runs_since(&self, runs_before: usize) {
         let runs = self.runs().await;
         let since: Vec<&Run> = runs.iter().skip(runs_before).collect();
-        assert!(since.is_empty(), "generated anew, at least: {since:?}");
+        assert!(since.is_empty(), "runs since then: {since:?}");
     }
 
     /// Returns the runs in the engines' logs.
--- a/crates/bench/tests/failover.rs
+++ b/crates/bench/tests/failover.rs
@@ -193,7 +193,7 @@
             Err(error) => panic!("cut off: {error}"),
         }
     }
-    assert!(completed > 0, "no call was under way at the stop");
+    assert!(completed > 0, "no call was in flight at the stop");
     let process = cluster.daemons[0].process.as_mut().unwrap();
     assert!(process.wait(TIMEOUT).await.unwrap().success());
     assert_complete(&step.await.unwrap());
--- a/crates/bench/tests/isolation.rs
+++ b/crates/bench/tests/isolation.rs
@@ -48,7 +48,7 @@
     .await;
     assert_serves(&url, "before").await;
     isolate(&cluster);
-    until("no new work taken", TIMEOUT, async || {
+    until("new work is refused", TIMEOUT, async || {
         let caller = Caller::new(&url);
         let probe = caller.complete(MODEL_POOL, "probe", TOKENS, false);
         matches!(probe.await, Err(LiveError::NotRun { .. }))
--- a/crates/bench/tests/leaving_backends.rs
+++ b/crates/bench/tests/leaving_backends.rs
@@ -186,7 +186,7 @@
         trainer.use_daemons(trainer_daemons.iter().map(|index| urls[*index].clone()));
         self.load.add_trainer(trainer);
         for backend in self.all_backends() {
-            until("work at each back end", TIMEOUT, async || {
+            until("each back end has run requests", TIMEOUT, async || {
                 runs(backend).await.len() >= RUNS_BEFORE
             })
             .await;
@@ -215,7 +215,7 @@
         let prompts = self
             .long_completions
             .iter()
-            .map(|long_completions| long_completions.prompt.as_str());
+            .map(|completion| completion.prompt.as_str());
         prompts.filter(|prompt| runs_here(prompt)).collect()
     }
 
@@ -274,9 +274,9 @@
     /// Asserts that the long completions ended on the engine on which they started, and that all
     /// load succeeded.
     async fn finish(mut self, engine: BusyEngine) {
-        for long_completions in std::mem::take(&mut self.long_completions) {
-            let whole = long_completions.result.await.unwrap();
-            whole.unwrap_or_else(|error| panic!("{}: {error}", long_completions.prompt));
+        for completion in std::mem::take(&mut self.long_completions) {
+            let completion_result = completion.result.await.unwrap();
+            completion_result.unwrap_or_else(|error| panic!("{}: {error}", completion.prompt));
         }
         let log = self.engine_log(engine.index).await;
         for prompt in engine.prompts {
--- a/crates/bench/tests/live_faults.rs
+++ b/crates/bench/tests/live_faults.rs
@@ -60,7 +60,7 @@
 async fn until(what: &str, condition: impl AsyncFn() -> bool) {
     let start = Instant::now();
     while !condition().await {
-        assert!(start.elapsed() < TIMEOUT, "still not true: {what}");
+        assert!(start.elapsed() < TIMEOUT, "timed out waiting until {what}");
         tokio::time::sleep(POLL).await;
     }
 }
--- a/crates/bench/tests/planned_stop/main.rs
+++ b/crates/bench/tests/planned_stop/main.rs
@@ -156,7 +156,7 @@
 }
 
 async fn wait_for_work(daemon: &Daemon) {
-    until("work at each daemon", TIMEOUT, async || {
+    until("each daemon has work", TIMEOUT, async || {
         let status = daemon.status().await;
         status.is_ok_and(|status| status.in_flight > 0)
     })
--- a/crates/bench/tests/planned_stop/stalled_reader.rs
+++ b/crates/bench/tests/planned_stop/stalled_reader.rs
@@ -41,7 +41,7 @@
                 held_length = middle;
             }
         }
-        longest_sent.expect("an answer that fits into the buffers")
+        longest_sent.expect("no answer fits into the buffers")
     }
 
     /// Reads the rest of the answer.
--- a/crates/bench/tests/sample_truth/bundles.rs
+++ b/crates/bench/tests/sample_truth/bundles.rs
@@ -29,10 +29,7 @@
     let repeated = attempts(second)
         .into_iter()
         .find(|attempt| first.contains(attempt));
-    assert_eq!(
-        repeated, None,
-        "attempt handed out again though it is stale"
-    );
+    assert_eq!(repeated, None, "stale attempt delivered again");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
--- a/crates/bench/tests/sample_truth/engines.rs
+++ b/crates/bench/tests/sample_truth/engines.rs
@@ -87,7 +87,7 @@
     scenario.assert_labels_match_runs(&samples).await;
     let is_split = |sample: &Sample| versions(sample) == [1, 2];
     let split = samples.iter().filter(|sample| is_split(sample)).count();
-    assert!(split > 0, "no sample was in its middle at the swap");
+    assert!(split > 0, "no sample was partly generated at the swap");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -113,10 +113,7 @@
                 && run.segments == sample.segments[1..]
         };
         let rest = survivor.runs.iter().find(is_resumption);
-        assert!(
-            rest.is_some(),
-            "{sample:?} was not resumed so: {survivor:?}"
-        );
+        assert!(rest.is_some(), "{sample:?} was not resumed: {survivor:?}");
         resumed += 1;
     }
     assert!(resumed > 0, "no sample was resumed: {report:?}");
@@ -141,7 +138,7 @@
     let is_in_flight = |run: &&Run| run.ending == Ending::Running;
     let in_flight = log.runs.iter().filter(is_in_flight);
     let unlabelled: BTreeSet<&str> = in_flight.map(|run| run.request_id.as_str()).collect();
-    assert!(!unlabelled.is_empty(), "nothing was under way: {log:?}");
+    assert!(!unlabelled.is_empty(), "nothing was in flight: {log:?}");
     until("the unlabelled runs end", async || {
         let log = scenario.engine_log(FAULTY).await;
         let is_unlabelled = |run: &Run| unlabelled.contains(run.request_id.as_str());
--- a/crates/bench/tests/sample_truth/support.rs
+++ b/crates/bench/tests/sample_truth/support.rs
@@ -72,7 +72,7 @@
 pub async fn until(what: &str, condition: impl AsyncFn() -> bool) {
     let start = Instant::now();
     while !condition().await {
-        assert!(start.elapsed() < TIMEOUT, "still not true: {what}");
+        assert!(start.elapsed() < TIMEOUT, "timed out waiting until {what}");
         tokio::time::sleep(POLL).await;
     }
 }
@@ -145,7 +145,7 @@
 
     /// Waits until an engine has generated this many tokens of a running sample.
     pub async fn wait_for_tokens(&self, engine: usize, tokens: u64) {
-        until("the engine is in the middle of a sample", async || {
+        until("the engine has partly generated a sample", async || {
             let log = self.engine_log(engine).await;
             let is_partly_generated =
                 |run: &Run| run.ending == Ending::Running && run.end_token >= tokens;
@@ -231,7 +231,7 @@
                 other => {
                     assert!(
                         start.elapsed() < TIMEOUT,
-                        "not at its end in time: {other:?}"
+                        "step did not finish in time: {other:?}"
                     );
                     tokio::time::sleep(POLL).await;
                     continue;
@@ -246,7 +246,7 @@
             }
             assert!(
                 start.elapsed() < TIMEOUT,
-                "at {} in time",
+                "timed out at {}",
                 checker.progress()
             );
         }
--- a/crates/bench/tests/stand_ins.rs
+++ b/crates/bench/tests/stand_ins.rs
@@ -29,7 +29,7 @@
 async fn eventually(what: &str, mut holds: impl AsyncFnMut() -> bool) {
     let start = std::time::Instant::now();
     while !holds().await {
-        assert!(start.elapsed() < TIMEOUT, "not seen in time: {what}");
+        assert!(start.elapsed() < TIMEOUT, "timed out waiting for: {what}");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
@@ -72,19 +72,19 @@
 async fn engine_names_the_held_version_and_resumes() {
     let engine = fast_engine().await;
     let answer = post(&engine, "/v1/completions", completion("a", 6)).await;
-    let (whole, segments, ended) = read_events(&answer.unwrap().text().await.unwrap());
+    let (full_text, segments, ended) = read_events(&answer.unwrap().text().await.unwrap());
     assert!(ended);
-    verify("sill", &whole, &segments).unwrap();
-    assert_eq!(text::count_tokens(&whole), 6);
+    verify("sill", &full_text, &segments).unwrap();
+    assert_eq!(text::count_tokens(&full_text), 6);
 
-    let first_half: String = whole.split_inclusive(' ').take(3).collect();
+    let first_half: String = full_text.split_inclusive(' ').take(3).collect();
     let mut resumed = completion("b", 6);
     resumed["resume_text"] = json!(first_half);
     resumed["resume_tokens"] = json!(3);
     let answer = post(&engine, "/v1/completions", resumed).await.unwrap();
     let (rest, _, ended) = read_events(&answer.text().await.unwrap());
     assert!(ended);
-    assert_eq!(first_half + &rest, whole);
+    assert_eq!(first_half + &rest, full_text);
     let runs = log_of(&engine).await.runs;
     assert_eq!((runs[1].first_token, runs[1].end_token), (3, 6));
 }
--- a/crates/bench/tests/whole_answers.rs
+++ b/crates/bench/tests/whole_answers.rs
@@ -91,7 +91,10 @@
         assert!(!error.is_violation(), "{case}: {error}");
         if let LiveError::Incomplete(last) = error {
             let has_error_event = last.contains("\"outcome\":");
-            assert!(has_error_event, "{case}: neither whole nor failed: {last}");
+            assert!(
+                has_error_event,
+                "{case}: neither complete nor failed: {last}"
+            );
         }
     }
 }
@@ -168,7 +171,7 @@
     for (number, result) in results.iter().enumerate() {
         let is_cut = |run: &&ApplicationRun| run.body == body(number) && run.ending == Ending::Cut;
         if let Some(run) = runs.iter().find(is_cut) {
-            assert!(result.is_err(), "cut, but passed for whole: {run:?}");
+            assert!(result.is_err(), "cut, but appeared complete: {run:?}");
             cut += 1;
         }
     }
@@ -177,7 +180,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn cut_answers_never_pass_for_whole() {
+async fn cut_answers_never_appear_complete() {
     let cluster = cluster().await;
     for point in CUT_POINTS {
         cut_completions(&cluster, point).await;
@@ -190,17 +193,21 @@
 /// Freezes the connections of the first engine seen partway through an answer; returns its index.
 async fn freeze_an_engine(cluster: &Cluster) -> usize {
     let stalled = OnceLock::new();
-    until("an engine is in mid-answer", TIMEOUT, async || {
-        for engine in 0..cluster.platform.engines.len() {
-            let runs = engine_runs(cluster, engine).await;
-            let is_partly_answered =
-                |run: &Run| run.ending == Ending::Running && run.end_token > run.first_token;
-            if runs.iter().any(is_partly_answered) {
-                return stalled.set(engine).is_ok();
+    until(
+        "an engine is partway through an answer",
+        TIMEOUT,
+        async || {
+            for engine in 0..cluster.platform.engines.len() {
+                let runs = engine_runs(cluster, engine).await;
+                let is_partly_answered =
+                    |run: &Run| run.ending == Ending::Running && run.end_token > run.first_token;
+                if runs.iter().any(is_partly_answered) {
+                    return stalled.set(engine).is_ok();
+                }
             }
-        }
-        false
-    })
+            false
+        },
+    )
     .await;
     let stalled = *stalled.get().unwrap();
     cluster.platform.engines[stalled].proxy.set(Faults {
