--- a/crates/bench/src/stand_in/application.rs
+++ b/crates/bench/src/stand_in/application.rs
@@ -145,7 +145,7 @@
         self.started.elapsed().as_millis() as u64
     }
 
-    fn begin(&self, request: &Request, echo: &Echo) -> RunGuard<'_> {
+    fn start_run(&self, request: &Request, echo: &Echo) -> RunGuard<'_> {
         let mut state = lock(&self.state);
         state.running += 1;
         state.log.runs.push(ApplicationRun {
@@ -181,7 +181,7 @@
             (state.faults.clone(), is_cut, is_error)
         };
         let echo = self.echo(&request, faults.padding);
-        let mut run = self.begin(&request, &echo);
+        let mut run = self.start_run(&request, &echo);
         let delay = self.config.delay + Duration::from_millis(faults.delay_ms);
         tokio::select! {
             () = tokio::time::sleep(delay) => {}
--- a/crates/bench/src/stand_in/engine/control.rs
+++ b/crates/bench/src/stand_in/engine/control.rs
@@ -74,7 +74,7 @@
         lock(&self.state).leaving = leaving;
         if leaving {
             let now = self.started.elapsed().as_millis() as u64;
-            lock(&self.record).leaving(now);
+            lock(&self.record).record_leaving(now);
         }
     }
 }
--- a/crates/bench/src/stand_in/engine/generation.rs
+++ b/crates/bench/src/stand_in/engine/generation.rs
@@ -82,7 +82,7 @@
 
 impl Drop for RunGuard<'_> {
     fn drop(&mut self) {
-        lock(&self.engine.record).end(self.index, self.ending);
+        lock(&self.engine.record).finish_run(self.index, self.ending);
     }
 }
 
@@ -156,7 +156,7 @@
         cancelled: &Notify,
         responder: &mut Responder,
     ) -> io::Result<()> {
-        let mut run = self.begin_run(completion);
+        let mut run = self.start_run(completion);
         let cut_point = self.consume_cut();
         if cut_point == Some(CutPoint::BeforeHeaders) {
             run.ending = Ending::Cut;
@@ -201,7 +201,7 @@
     fn generate(&self, completion: &CompletionRequest, position: u64, index: RunIndex) -> String {
         let held = self.held_version();
         let omits_version = lock(&self.state).faults.omit_weight_version;
-        lock(&self.record).token(index, held, !omits_version);
+        lock(&self.record).record_token(index, held, !omits_version);
         let chunk = Chunk {
             request_id: &completion.request_id,
             text: &text::token(&completion.prompt, position, held),
@@ -224,8 +224,8 @@
         Ok(())
     }
 
-    fn begin_run(&self, completion: &CompletionRequest) -> RunGuard<'_> {
-        let index = lock(&self.record).begin(Run {
+    fn start_run(&self, completion: &CompletionRequest) -> RunGuard<'_> {
+        let index = lock(&self.record).start_run(Run {
             request_id: completion.request_id.clone(),
             model: completion.model.clone(),
             prompt_digest: text::prompt_digest(&completion.prompt),
--- a/crates/bench/src/stand_in/engine/record.rs
+++ b/crates/bench/src/stand_in/engine/record.rs
@@ -51,12 +51,12 @@
         &self.log
     }
 
-    pub(super) fn begin(&mut self, run: Run) -> RunIndex {
+    pub(super) fn start_run(&mut self, run: Run) -> RunIndex {
         self.log.runs.push(run);
         RunIndex(self.log.runs.len() - 1)
     }
 
-    pub(super) fn token(&mut self, index: RunIndex, weight_version: u64, is_named: bool) {
+    pub(super) fn record_token(&mut self, index: RunIndex, weight_version: u64, is_named: bool) {
         let run = &mut self.log.runs[index.0];
         run.unnamed_tokens += u64::from(!is_named);
         run.end_token += 1;
@@ -69,11 +69,11 @@
         }
     }
 
-    pub(super) fn end(&mut self, index: RunIndex, ending: Ending) {
+    pub(super) fn finish_run(&mut self, index: RunIndex, ending: Ending) {
         self.log.runs[index.0].ending = ending;
     }
 
-    pub(super) fn leaving(&mut self, at_ms: u64) {
+    pub(super) fn record_leaving(&mut self, at_ms: u64) {
         self.log.leaving_ms.get_or_insert(at_ms);
     }
 }
--- a/crates/bench/tests/adapters.rs
+++ b/crates/bench/tests/adapters.rs
@@ -16,7 +16,7 @@
 
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-async fn fault(handle: &Handle, faults: Value) {
+async fn set_faults(handle: &Handle, faults: Value) {
     let url = format!("{}/control/fault", handle.url());
     let answer = http_client().post(url).json(&faults).send().await.unwrap();
     assert_eq!(answer.status(), 200);
@@ -61,7 +61,7 @@
 #[tokio::test]
 async fn engine_completions_resume_where_they_were_cut() {
     let engine = engine::start(EngineConfig::default()).await.unwrap();
-    fault(&engine, json!({"cut": "mid-body", "cuts": 1})).await;
+    set_faults(&engine, json!({"cut": "mid-body", "cuts": 1})).await;
     let (mut text, mut segments, end) = generate(&engine, &request("a")).await.unwrap();
     assert!(matches!(end, Err(StreamError::Cut(_))), "{end:?}");
     let resumed = CompletionRequest {
@@ -80,10 +80,10 @@
 #[tokio::test]
 async fn engine_errors_tell_whether_the_request_ran() {
     let engine = engine::start(EngineConfig::default()).await.unwrap();
-    fault(&engine, json!({"refusals": 1})).await;
+    set_faults(&engine, json!({"refusals": 1})).await;
     let refused = generate(&engine, &request("refused")).await.unwrap_err();
     assert!(refused.certainly_not_run());
-    fault(&engine, json!({"cut": "before-headers", "cuts": 1})).await;
+    set_faults(&engine, json!({"cut": "before-headers", "cuts": 1})).await;
     let cut = generate(&engine, &request("cut")).await.unwrap_err();
     assert!(!cut.certainly_not_run());
     let url = format!("{}/control/log", engine.url());
@@ -120,7 +120,7 @@
         .unwrap();
     assert!(matches!(lost, SwapOutcome::Lost(Some(entry)) if entry.value == b"1"));
 
-    fault(&service, json!({"lost_answers": 1, "stale_reads": true})).await;
+    set_faults(&service, json!({"lost_answers": 1, "stale_reads": true})).await;
     assert_eq!(
         client.get_current("head").await.unwrap().unwrap().value,
         b"1"
@@ -135,7 +135,7 @@
         client.get_current("head").await.unwrap().unwrap().value,
         b"3"
     );
-    fault(&service, json!({})).await;
+    set_faults(&service, json!({})).await;
     client.put("heap", b"4".to_vec()).await.unwrap();
     assert_eq!(client.list("hea").await.unwrap().len(), 2);
 }
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -25,7 +25,7 @@
 use std::time::Duration;
 
 use ladderstage::ids::ProcessId;
-use ladderstage::journal::read::{LogRead, LogListing};
+use ladderstage::journal::read::{LogListing, LogRead};
 use ladderstage::journal::writer::{SealProgress, SealedLog, Sealing, WriterIdentity};
 use ladderstage::journal::{EpochSource, WriterEpoch, quorum};
 use ladderstage_storage::Storage;
--- a/crates/journal/src/replica.rs
+++ b/crates/journal/src/replica.rs
@@ -200,7 +200,8 @@
             false => (log, timeout),
         });
         let now = self.now();
-        self.lock_heartbeats().orphaned_by_timeout(open, now, timeout)
+        self.lock_heartbeats()
+            .orphaned_by_timeout(open, now, timeout)
     }
 
     fn storage_for(&self, log: &str) -> Result<&Storage, Response> {
