--- a/crates/bench/src/chaos/fault.rs
+++ b/crates/bench/src/chaos/fault.rs
@@ -1,4 +1,4 @@
-//! The kinds of faults and the parts that they touch.
+//! Fault kinds and the cluster resources that they affect.
 
 use std::ops::Range;
 
@@ -6,154 +6,128 @@
 
 use crate::stand_in::CutPoint;
 
-/// How large the cluster is.
+/// Size of the cluster.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Layout {
-    /// Zone of each daemon, as an index.
+    /// Zone index of each daemon.
     pub zones: Vec<usize>,
-    /// Engines.
     pub engines: usize,
-    /// Application back ends.
     pub applications: usize,
 }
 
-/// What becomes of the connections between two daemons.
+/// Fault of the connections between two daemons.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LinkFault {
-    /// Reset and refused.
+    /// Connections are reset and refused.
     Cut,
-    /// Bytes from the first to the second disappear.
+    /// Bytes from the first daemon to the second are dropped.
     OneWay,
-    /// Bytes arrive late.
     Delayed,
-    /// Reset, now and a few times on.
+    /// Open connections and the next few are reset.
     Reset,
-    /// Nothing moves, nothing is lost.
+    /// Nothing is forwarded, and no bytes are lost.
     Frozen,
 }
 
-/// What an engine does wrong.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EngineFault {
-    /// It dies.
     Killed,
-    /// It breaks some answers off.
+    /// Some answers are cut.
     Cuts {
-        /// Where.
+        /// Point at which an answer is cut.
         point: CutPoint,
-        /// How many.
         answers: u32,
     },
-    /// It refuses some requests.
     Refuses {
-        /// How many.
         requests: u32,
     },
-    /// Its streams stall.
     Stalls,
-    /// Its swaps fail.
     SwapFails,
-    /// Its swaps fail, and it says that they are done.
+    /// Weight swaps fail but are reported as done.
     ClaimsSwap,
-    /// Its chunks name no version.
+    /// Chunks do not name their weight version.
     OmitsVersion,
-    /// It is leaving, until it ends and another takes its place.
+    /// The engine is leaving; at the end of the fault it is killed and replaced.
     Leaving,
 }
 
-/// What an application back end, or the way to it, does wrong.
+/// Fault of an application back end or of its connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ApplicationFault {
-    /// It breaks some answers off after their requests ran.
+    /// Some answers are cut after their requests ran.
     Cuts {
-        /// Where.
+        /// Point at which an answer is cut.
         point: CutPoint,
-        /// How many.
         answers: u32,
     },
-    /// It refuses some requests.
     Refuses {
-        /// How many.
         requests: u32,
     },
-    /// It takes long.
+    /// Requests are delayed.
     Slow,
-    /// Connections to it are reset, now and a few times on.
+    /// Open connections and the next few are reset.
     Reset,
 }
 
-/// What the key-value service does wrong.
+/// Fault of the key-value service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum KeyValueFault {
-    /// It is down.
     Down,
-    /// Each answer takes this long, in milliseconds.
+    /// Every answer is delayed.
     Slow {
-        /// Milliseconds.
         delay_ms: u64,
     },
-    /// It takes few requests a second.
+    /// The service accepts only a few requests per second.
     RateLimited,
-    /// Changes take effect and their answers are lost.
+    /// Changes take effect but their answers are lost.
     LosesAnswers,
-    /// Reads show old contents.
+    /// Reads return outdated contents.
     Stale,
 }
 
-/// One fault. Numbers are indices of daemons, zones or engines.
+/// A fault. Numbers are indices of daemons, zones, engines or applications.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
-    /// SIGKILL, and a restart at the end.
+    /// SIGKILL at the start, and a restart at the end.
     DaemonKilled(usize),
-    /// SIGSTOP, and SIGCONT at the end.
+    /// SIGSTOP at the start, and SIGCONT at the end.
     DaemonPaused(usize),
-    /// SIGTERM, and a restart at the end.
+    /// SIGTERM at the start, and a restart at the end.
     DaemonTerminated(usize),
-    /// All daemons at once: SIGKILL, and a restart at the end.
+    /// SIGKILL to all daemons at the start, and a restart at the end.
     AllDaemonsKilled,
-    /// Between two daemons.
+    /// Faulty connections between two daemons.
     Link {
-        /// The one.
         first: usize,
-        /// The other.
         second: usize,
-        /// What.
         fault: LinkFault,
     },
-    /// Daemons of a zone are cut off from those of other zones and from the platform's services.
+    /// Daemons of a zone are partitioned from those of other zones and from the platform's
+    /// services.
     ZoneCut(usize),
-    /// An engine.
     Engine {
-        /// Which.
         engine: usize,
-        /// What.
         fault: EngineFault,
     },
-    /// An application back end.
     Application {
-        /// Which.
         application: usize,
-        /// What.
         fault: ApplicationFault,
     },
-    /// The key-value service.
     KeyValue(KeyValueFault),
-    /// The machine list is down.
     MachineListDown,
-    /// The machine list shows changes late.
+    /// The machine list shows changes with a delay.
     MachineListLate,
-    /// The scorer is down.
     ScorerDown,
 }
 
-/// A part of the cluster that one fault at a time may hold.
+/// A cluster resource that at most one active fault may affect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Part {
+enum Resource {
     Daemon(usize),
     Links,
     Engine(usize),
@@ -164,7 +138,7 @@
 }
 
 impl Fault {
-    /// Stable name for counts.
+    /// Returns the fault's stable name, which reports count by.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::DaemonKilled(_) => "daemon-killed",
@@ -182,7 +156,7 @@
         }
     }
 
-    /// How long it may last, in milliseconds.
+    /// Returns the range of the fault's duration, in milliseconds.
     pub(super) fn duration_ms(&self) -> Range<u64> {
         match self {
             Self::AllDaemonsKilled => 200..1_500,
@@ -196,24 +170,26 @@
         }
     }
 
-    /// Whether both hold a part in common.
-    pub(super) fn meets(&self, other: &Self, layout: &Layout) -> bool {
-        let others = other.parts(layout);
-        self.parts(layout).iter().any(|part| others.contains(part))
+    /// Returns whether both faults affect a common resource.
+    pub(super) fn conflicts_with(&self, other: &Self, layout: &Layout) -> bool {
+        let other_resources = other.resources(layout);
+        self.resources(layout)
+            .iter()
+            .any(|resource| other_resources.contains(resource))
     }
 
-    fn parts(&self, layout: &Layout) -> Vec<Part> {
+    fn resources(&self, layout: &Layout) -> Vec<Resource> {
         match self {
             Self::DaemonKilled(daemon)
             | Self::DaemonPaused(daemon)
-            | Self::DaemonTerminated(daemon) => vec![Part::Daemon(*daemon)],
-            Self::AllDaemonsKilled => (0..layout.zones.len()).map(Part::Daemon).collect(),
-            Self::Link { .. } | Self::ZoneCut(_) => vec![Part::Links],
-            Self::Engine { engine, .. } => vec![Part::Engine(*engine)],
-            Self::Application { application, .. } => vec![Part::Application(*application)],
-            Self::KeyValue(_) => vec![Part::KeyValue],
-            Self::MachineListDown | Self::MachineListLate => vec![Part::MachineList],
-            Self::ScorerDown => vec![Part::Scorer],
+            | Self::DaemonTerminated(daemon) => vec![Resource::Daemon(*daemon)],
+            Self::AllDaemonsKilled => (0..layout.zones.len()).map(Resource::Daemon).collect(),
+            Self::Link { .. } | Self::ZoneCut(_) => vec![Resource::Links],
+            Self::Engine { engine, .. } => vec![Resource::Engine(*engine)],
+            Self::Application { application, .. } => vec![Resource::Application(*application)],
+            Self::KeyValue(_) => vec![Resource::KeyValue],
+            Self::MachineListDown | Self::MachineListLate => vec![Resource::MachineList],
+            Self::ScorerDown => vec![Resource::Scorer],
         }
     }
 }
--- a/crates/bench/src/chaos/faults/daemons.rs
+++ b/crates/bench/src/chaos/faults/daemons.rs
@@ -1,12 +1,12 @@
-//! Daemons that are killed, stopped and started again.
+//! Daemons that are killed, stopped and restarted.
 
 use std::time::Duration;
 
 use super::Injector;
 use crate::cluster::ClusterError;
 
-/// How long a planned stop may take before the process is killed.
-const STOP_BOUND: Duration = Duration::from_secs(5);
+/// Time for a planned stop before the process is killed.
+const STOP_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl Injector {
     pub(super) fn kill_all_daemons(&mut self) {
@@ -28,7 +28,7 @@
     ) -> Result<(), ClusterError> {
         let daemon = &mut self.cluster.daemons[index];
         if let Some(process) = &mut daemon.process
-            && process.wait(STOP_BOUND).await.is_err()
+            && process.wait(STOP_TIMEOUT).await.is_err()
         {
             log::info!("event=stop_took_long daemon={}", daemon.name());
         }
--- a/crates/bench/src/chaos/load/mod.rs
+++ b/crates/bench/src/chaos/load/mod.rs
@@ -1,4 +1,5 @@
-//! Load during a run: live callers, trainers, operators, and a watch on the bundle in force at each daemon.
+//! Load of a run: live callers, trainers, operators, and a watch on the bundle in force at each
+//! daemon.
 
 mod applications;
 mod completions;
@@ -13,26 +14,26 @@
 use tokio::sync::watch as signal;
 use tokio::task::JoinSet;
 
-use super::evidence::Notebook;
+use super::evidence::Recorder;
 use super::violation::Guarantee;
 use crate::cluster::Cluster;
 use crate::live::LiveError;
 
-pub(super) use operators::Rolls;
+pub(super) use operators::BundleRoller;
 
 const COMPLETION_CALLERS: u64 = 4;
 const APPLICATION_CALLERS: u64 = 4;
 const TRAINERS: u64 = 2;
 
-/// What every task of the load knows.
+/// State shared by all load tasks.
 #[derive(Debug, Clone)]
 struct Shared {
     daemons: Vec<String>,
-    notebook: Notebook,
+    recorder: Recorder,
     stopped: signal::Receiver<bool>,
 }
 
-/// One task's own numbers.
+/// A load task's number and random generator.
 #[derive(Debug)]
 struct Task {
     shared: Shared,
@@ -50,7 +51,7 @@
         self.shared.daemons[index].clone()
     }
 
-    /// Waits some milliseconds in this range, or until the load is stopped.
+    /// Waits for a random time in this range, in milliseconds, or until the load is stopped.
     async fn pause(&mut self, milliseconds: std::ops::Range<u64>) {
         let pause = Duration::from_millis(self.random.random_range(milliseconds));
         let mut stopped = self.shared.stopped.clone();
@@ -58,7 +59,6 @@
     }
 }
 
-/// The load under way.
 pub(super) struct Load {
     stop: signal::Sender<bool>,
     tasks: JoinSet<()>,
@@ -67,19 +67,19 @@
 }
 
 impl Load {
-    /// Starts all tasks; those of one seed draw the same numbers each run.
+    /// Starts all tasks. Equal seeds give equal random numbers.
     pub(super) fn start(
         seed: u64,
         cluster: &Cluster,
-        rolls: &Rolls,
-        notebook: &Notebook,
-        step_bound: Duration,
+        roller: &BundleRoller,
+        recorder: &Recorder,
+        step_timeout: Duration,
     ) -> Self {
         let (stop, stopped) = signal::channel(false);
         let (stop_watching, watching_stopped) = signal::channel(false);
         let shared = Shared {
             daemons: cluster.urls(),
-            notebook: notebook.clone(),
+            recorder: recorder.clone(),
             stopped,
         };
         let task = |kind: u64, number| Task {
@@ -96,9 +96,9 @@
         }
         for number in 0..TRAINERS {
             let trainer = cluster.trainer(&format!("trainer-{number}"));
-            tasks.spawn(training::run(task(3, number), trainer, step_bound));
+            tasks.spawn(training::run(task(3, number), trainer, step_timeout));
         }
-        tasks.spawn(operators::run(task(4, 0), rolls.clone()));
+        tasks.spawn(operators::run(task(4, 0), roller.clone()));
         let watchers = watch::start(&shared, &watching_stopped);
         Self {
             stop,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Lets no task begin anything new.
+    /// Signals all tasks to start no further request.
     pub(super) fn stop(&self) {
         let _ = self.stop.send(true);
     }
@@ -121,12 +121,12 @@
     }
 }
 
-/// Notes what an error says against the daemons.
-fn note_error(notebook: &Notebook, content: &str, error: &LiveError) {
+/// Records the violations that an error shows.
+fn record_error(recorder: &Recorder, content: &str, error: &LiveError) {
     if error.is_violation() {
-        notebook.violation(Guarantee::WholeAnswer, format!("{content}: {error}"));
+        recorder.record_violation(Guarantee::WholeAnswer, format!("{content}: {error}"));
     }
     if error.lacks_retry_after() {
-        notebook.violation(Guarantee::RetryAfter, format!("{content}: {error}"));
+        recorder.record_violation(Guarantee::RetryAfter, format!("{content}: {error}"));
     }
 }
--- a/crates/bench/src/chaos/load/watch.rs
+++ b/crates/bench/src/chaos/load/watch.rs
@@ -1,4 +1,4 @@
-//! Watches the bundle in force at each daemon.
+//! Monitors the bundle in force at each daemon.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -7,7 +7,7 @@
 use tokio::sync::watch as signal;
 use tokio::task::JoinSet;
 
-use super::super::evidence::Notebook;
+use super::super::evidence::Recorder;
 use super::super::violation::Guarantee;
 use super::Shared;
 use crate::cluster::{CurrentBundle, current_bundle};
@@ -15,17 +15,17 @@
 
 const POLL: Duration = Duration::from_millis(100);
 
-/// Texts by revision, seen at any daemon.
+/// Bundle texts seen at any daemon, by revision.
 type Texts = Arc<Mutex<BTreeMap<u64, String>>>;
 
-/// Starts a watch on each daemon.
+/// Starts a watcher for each daemon.
 pub(super) fn start(shared: &Shared, stopped: &signal::Receiver<bool>) -> JoinSet<()> {
     let texts = Texts::default();
     let mut watchers = JoinSet::new();
     for daemon in &shared.daemons {
         let watcher = Watcher {
             daemon: daemon.clone(),
-            notebook: shared.notebook.clone(),
+            recorder: shared.recorder.clone(),
             newest: 0,
             texts: texts.clone(),
         };
@@ -36,8 +36,8 @@
 
 struct Watcher {
     daemon: String,
-    notebook: Notebook,
-    /// Highest revision that the daemon showed, over its restarts.
+    recorder: Recorder,
+    /// Highest revision that the daemon has shown, across its restarts.
     newest: u64,
     texts: Texts,
 }
@@ -57,8 +57,8 @@
     fn check(&mut self, current: CurrentBundle) {
         let revision = current.revision;
         if revision < self.newest {
-            let evidence = format!("{}: {revision} after {}", self.daemon, self.newest);
-            self.notebook.violation(Guarantee::Bundles, evidence);
+            let evidence = format!("{}: revision {revision} after {}", self.daemon, self.newest);
+            self.recorder.record_violation(Guarantee::Bundles, evidence);
         }
         self.newest = self.newest.max(revision);
         let mut texts = lock(&self.texts);
@@ -66,8 +66,8 @@
             .entry(revision)
             .or_insert_with(|| current.text.clone());
         if *known != current.text {
-            let evidence = format!("{}: another text of {revision}", self.daemon);
-            self.notebook.violation(Guarantee::Bundles, evidence);
+            let evidence = format!("{}: different text of revision {revision}", self.daemon);
+            self.recorder.record_violation(Guarantee::Bundles, evidence);
         }
     }
 }
--- a/crates/bench/src/cluster/mod.rs
+++ b/crates/bench/src/cluster/mod.rs
@@ -1,4 +1,5 @@
-//! A cluster for tests: daemons as processes, stand-ins around them, and a proxy on every way between them.
+//! Test cluster: daemon processes, stand-ins of the platform, and a proxy on every connection
+//! between them.
 
 mod daemon;
 mod operator;
@@ -20,7 +21,7 @@
 use crate::proxy::{Faults, Proxy};
 use crate::stand_in::application::ApplicationConfig;
 use crate::stand_in::engine::EngineConfig;
-use crate::trainer::{BundleFacts, Trainer};
+use crate::trainer::{BundleRequirements, Trainer};
 pub use daemon::Daemon;
 use daemon::PlatformProxies;
 pub use operator::{
@@ -31,82 +32,70 @@
 pub use settings::{DaemonSettings, Timing};
 pub use status::{DaemonStatus, OwnedShard};
 
-/// Name of the model pool in the clusters' bundles.
+/// Name of the model pool in test bundles.
 pub const MODEL_POOL: &str = "karm-lm";
-/// Name of the application pool in the clusters' bundles.
+/// Name of the application pool in test bundles.
 pub const APPLICATION_POOL: &str = "prisverk";
 
-const START_BOUND: Duration = Duration::from_secs(30);
-/// Where proxies point until their target has started; nothing listens there.
-const NOWHERE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 1);
+const START_TIMEOUT: Duration = Duration::from_secs(30);
+/// Initial target of proxies, on which nothing listens.
+const UNREACHABLE: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 1);
 
-/// Why a cluster could not do something.
+/// Error of a cluster operation.
 #[derive(Debug, thiserror::Error)]
 pub enum ClusterError {
-    /// A process failed.
     #[error("{0}")]
     Process(#[from] ProcessError),
-    /// A file or socket failed.
+    /// A file or socket operation failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// An HTTP call failed.
     #[error("{0:?}")]
     Http(#[from] reqwest::Error),
-    /// A daemon refused.
+    /// A daemon refused the request.
     #[error("refused with {status}: {body}")]
-    Refused {
-        /// HTTP status.
-        status: StatusCode,
-        /// What it said.
-        body: String,
-    },
-    /// Something did not come true in time.
-    #[error("not in time: {what}; last trouble: {trouble}")]
-    NotInTime {
-        /// What was waited for.
+    Refused { status: StatusCode, body: String },
+    /// A condition did not hold in time.
+    #[error("timed out waiting for {what}: {last_error}")]
+    Timeout {
+        /// Condition that was waited for.
         what: String,
-        /// Last trouble on the way.
-        trouble: String,
+        /// Last error or observed state.
+        last_error: String,
     },
 }
 
-/// One daemon to start.
 #[derive(Debug, Clone)]
 pub struct DaemonPlan {
-    /// Name.
     pub node: String,
-    /// Zone.
     pub zone: String,
-    /// Whether it has a data folder and belongs to the first replica set.
+    /// Whether it has a data folder and belongs to the initial replica set.
     pub is_replica: bool,
 }
 
-/// What a cluster consists of.
 #[derive(Debug, Clone)]
 pub struct ClusterConfig {
-    /// Daemons.
     pub daemons: Vec<DaemonPlan>,
     /// Region of all zones.
     pub region: String,
-    /// Engines of the model pool.
     pub engines: Vec<EngineConfig>,
-    /// Back ends of the application pool.
     pub applications: Vec<ApplicationConfig>,
-    /// Whether stand-ins are processes of their own too.
+    /// Whether stand-ins run as processes instead of tasks in this process.
     pub stand_ins_as_processes: bool,
-    /// Daemons' intervals and bounds that differ from the defaults.
+    /// Timing settings that differ from the daemons' defaults.
     pub timing: Timing,
-    /// Names of daemons that have a data folder but do not belong to the first replica set.
+    /// Names of daemons that have a data folder but do not belong to the initial replica set.
     pub spares: Vec<String>,
 }
 
 impl ClusterConfig {
-    /// Three daemons with data folders in two zones, this many engines, and two application back ends.
-    pub fn three(engines: usize) -> Self {
+    /// Returns a configuration of three daemons with data folders in two zones, this many engines,
+    /// and two application back ends.
+    pub fn three_daemons(engines: usize) -> Self {
         Self::with_daemons(3, engines)
     }
 
-    /// As [`ClusterConfig::three`] with this many daemons.
+    /// Like [`ClusterConfig::three_daemons`], with this many daemons.
     pub fn with_daemons(daemons: usize, engines: usize) -> Self {
         let zones = ["bergen-a", "bergen-b"].iter().cycle().take(daemons);
         let daemons = zones.enumerate().map(|(index, zone)| DaemonPlan {
@@ -161,57 +150,56 @@
     }
 }
 
-/// A running cluster. Dropping it ends all its processes and removes its files.
+/// A running cluster. Dropping it kills all its processes and removes its files.
 #[derive(Debug)]
 pub struct Cluster {
-    /// Daemons.
     pub daemons: Vec<Daemon>,
-    /// Stand-ins.
     pub platform: Platform,
-    /// What each rolled bundle demands, for judges.
-    pub facts: BundleFacts,
+    /// Requirements of each rolled bundle, for checks of samples.
+    pub requirements: BundleRequirements,
     folder: TempDir,
 }
 
 impl Cluster {
-    /// Starts all parts and waits until the daemons answer. No bundle is in force yet.
+    /// Starts all parts and waits until the daemons are healthy. No bundle is in force yet.
     pub async fn start(config: &ClusterConfig) -> Result<Self, ClusterError> {
         let folder = tempfile::tempdir()?;
         let platform = Platform::start(&config.platform(), folder.path()).await?;
         let mut cluster = Self {
             daemons: Vec::new(),
             platform,
-            facts: BundleFacts::default(),
+            requirements: BundleRequirements::default(),
             folder,
         };
         for plan in &config.daemons {
             let daemon = cluster.prepare(config, plan).await?;
             cluster.daemons.push(daemon);
         }
-        cluster.join_links();
+        cluster.collect_inbound_links();
         for index in 0..cluster.daemons.len() {
             cluster.start_daemon(index).await?;
         }
         for daemon in &cluster.daemons {
-            daemon.healthy(START_BOUND).await?;
+            daemon.wait_until_healthy(START_TIMEOUT).await?;
         }
         Ok(cluster)
     }
 
-    /// Starts and rolls a first bundle, and waits until all daemons are ready.
+    /// Starts a cluster, rolls a first bundle, and waits until all daemons are ready.
     pub async fn start_ready(config: &ClusterConfig) -> Result<Self, ClusterError> {
         let cluster = Self::start(config).await?;
         cluster.roll(&cluster.bundle(1, 1)).await?;
-        cluster.all_ready().await?;
+        cluster.wait_until_all_ready().await?;
         Ok(cluster)
     }
 
-    /// Starts a daemon that is not running; peers and callers reach it where they reached it before.
+    /// Starts a daemon that is not running. Its addresses for peers and callers are the same as
+    /// before.
     pub async fn start_daemon(&mut self, index: usize) -> Result<(), ClusterError> {
         self.daemons[index].spawn().await
     }
 
-    /// Starts a new engine process in the place of one that ended; daemons reach it where they reached that one.
+    /// Starts a new engine process in place of one that exited, reachable at the same address.
     pub async fn restart_engine(
         &mut self,
         index: usize,
@@ -223,34 +211,36 @@
             .await
     }
 
-    /// Folder of logs, settings and data; it goes with the cluster unless kept.
+    /// Returns the folder of logs, settings and data, which is removed with the cluster unless
+    /// kept.
     pub fn folder(&self) -> &Path {
         self.folder.path()
     }
 
-    /// Keeps the folder after the cluster's end.
+    /// Keeps the folder when the cluster is dropped.
     pub fn keep_folder(&mut self) {
         self.folder.disable_cleanup(true);
     }
 
-    /// Waits until all running daemons take work.
-    pub async fn all_ready(&self) -> Result<(), ClusterError> {
+    /// Waits until all running daemons are ready.
+    pub async fn wait_until_all_ready(&self) -> Result<(), ClusterError> {
         for daemon in self
             .daemons
             .iter()
             .filter(|daemon| daemon.process.is_some())
         {
-            daemon.ready(START_BOUND).await?;
+            daemon.wait_until_ready(START_TIMEOUT).await?;
         }
         Ok(())
     }
 
-    /// Base URLs of all daemons.
+    /// Returns the base URLs of all daemons.
     pub fn urls(&self) -> Vec<String> {
         self.daemons.iter().map(Daemon::url).collect()
     }
 
-    /// A bundle over all back ends; `karm-lm` is to hold this version, with a staleness bound of 1.
+    /// Returns a bundle over all back ends that requires this weight version of `karm-lm`, with a
+    /// staleness bound of 1.
     pub fn bundle(&self, revision: u64, weight_version: u64) -> Bundle {
         let names = |pool: &str, backends: &[Backend]| PoolNames {
             pool: pool.to_owned(),
@@ -264,25 +254,25 @@
         plain_bundle(revision, weight_version, model, application)
     }
 
-    /// An operator who can reach all daemons.
+    /// Returns an operator that can reach all daemons.
     pub fn operator(&self) -> Operator {
         Operator {
             daemons: self.urls(),
-            facts: self.facts.clone(),
+            requirements: self.requirements.clone(),
         }
     }
 
     /// Rolls a bundle through any daemon.
     pub async fn roll(&self, bundle: &Bundle) -> Result<(), ClusterError> {
-        self.operator().roll(bundle, START_BOUND).await
+        self.operator().roll(bundle, START_TIMEOUT).await
     }
 
-    /// A trainer that can reach all daemons.
+    /// Returns a trainer that can reach all daemons.
     pub fn trainer(&self, name: &str) -> Trainer {
-        Trainer::new(name, self.urls(), self.facts.clone())
+        Trainer::new(name, self.urls(), self.requirements.clone())
     }
 
-    /// Sets faults on both ways between two daemons.
+    /// Sets faults on the connections between two daemons, in both directions.
     pub fn set_link_faults(&self, first: usize, second: usize, faults: Faults) {
         for (from, to) in [(first, second), (second, first)] {
             let to = self.daemons[to].name();
@@ -295,7 +285,7 @@
         }
     }
 
-    /// Sets faults on all ways between a daemon and its peers.
+    /// Sets faults on all connections between a daemon and its peers.
     pub fn set_peer_faults(&self, index: usize, faults: Faults) {
         for other in (0..self.daemons.len()).filter(|other| *other != index) {
             self.set_link_faults(index, other, faults);
@@ -312,8 +302,8 @@
         }
     }
 
-    /// Tells each daemon which proxies lead to it.
-    fn join_links(&mut self) {
+    /// Collects, for each daemon, the targets of the proxies that lead to it.
+    fn collect_inbound_links(&mut self) {
         for index in 0..self.daemons.len() {
             let name = self.daemons[index].name().to_owned();
             let links = self.daemons.iter().map(|daemon| &daemon.links);
@@ -334,7 +324,7 @@
         };
         let mut links = BTreeMap::new();
         for peer in config.daemons.iter().filter(|peer| peer.node != plan.node) {
-            links.insert(peer.node.clone(), Proxy::start(NOWHERE).await?);
+            links.insert(peer.node.clone(), Proxy::start(UNREACHABLE).await?);
         }
         let mut settings = config.settings(plan);
         if plan.is_replica {
@@ -348,7 +338,7 @@
             .iter()
             .map(|(name, link)| (name.clone(), link.address))
             .collect();
-        let front = Proxy::start(NOWHERE).await?;
+        let front = Proxy::start(UNREACHABLE).await?;
         Ok(Daemon::new(
             settings,
             front,
@@ -360,7 +350,8 @@
 }
 
 impl Drop for Cluster {
-    /// Shows the logs' ends when a test has failed: the files go with the cluster.
+    /// Prints the end of each daemon's log if a test failed, since the files are removed with the
+    /// cluster.
     fn drop(&mut self) {
         if !std::thread::panicking() {
             return;
--- a/crates/bench/src/command_line/demo.rs
+++ b/crates/bench/src/command_line/demo.rs
@@ -1,16 +1,16 @@
-//! `ladderstage-bench demo`: the whole path in one process.
+//! `ladderstage-bench demo`: runs the complete system in one process.
 
 use std::process::ExitCode;
 
 use pico_args::Arguments;
 
-use super::{CommandError, finish, print_help};
+use super::{CommandError, print_help, reject_remaining};
 use crate::demo;
 
 const HELP: &str = "\
-Runs the whole path in one process and ends by itself within 30 s: three daemons, stand-ins for the platform,
-live callers, a trainer, and a bundle rolled from weight version 1 to 2 on the way. Needs no other service.
-Exits 1 if anything was lost, doubled or mislabelled.
+Runs the complete system in one process and exits within 30 s: three daemons, stand-ins for the platform,
+live callers, a trainer, and a bundle rolled from weight version 1 to 2 under load. Needs no other service.
+Exits 1 if anything was lost, duplicated or mislabelled.
 
 USAGE: ladderstage-bench demo [--json]
 
@@ -25,14 +25,14 @@
         return Ok(ExitCode::SUCCESS);
     }
     let as_json = arguments.contains("--json");
-    finish(arguments)?;
+    reject_remaining(arguments)?;
     let report = demo::run().await?;
     if as_json {
         println!("{}", serde_json::to_string(&report)?);
     } else {
         print!("{report}");
     }
-    if report.is_faultless() {
+    if report.has_passed() {
         return Ok(ExitCode::SUCCESS);
     }
     Ok(ExitCode::FAILURE)
--- a/crates/bench/src/command_line/mod.rs
+++ b/crates/bench/src/command_line/mod.rs
@@ -18,34 +18,33 @@
 USAGE: ladderstage-bench <SUBCOMMAND> [--help]
 
 SUBCOMMANDS:
-  demo       runs the whole path in one process and ends by itself
-  chaos      runs daemons and load under random faults and judges them
+  demo       runs the complete system in one process and exits
+  chaos      runs daemons and load under random faults and checks the guarantees
   stand-in   runs one stand-in of the platform as a process
   proxy      runs a fault-injecting TCP proxy
 ";
 
-/// Why a subcommand failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
     /// An argument is missing or malformed.
     #[error("{0}")]
     Arguments(#[from] pico_args::Error),
-    /// No such subcommand.
+    /// The subcommand does not exist.
     #[error("unknown subcommand {0:?}; see --help")]
     UnknownSubcommand(String),
-    /// Arguments were left over.
+    /// Unknown arguments were given.
     #[error("unknown arguments {0:?}; see --help")]
-    LeftOver(Vec<OsString>),
-    /// A file could not be read or an address not be used.
+    UnknownArguments(Vec<OsString>),
+    /// A file could not be read, or an address could not be bound.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// A file does not hold what it should.
+    /// A file is not valid JSON for its purpose.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
     /// The demo could not run.
     #[error("{0}")]
     Demo(#[from] crate::demo::DemoError),
-    /// There is no verdict on a run under faults.
+    /// The fault run gave no result.
     #[error("{0}")]
     Chaos(#[from] crate::chaos::ChaosError),
 }
@@ -67,7 +66,7 @@
     print!("{text}");
 }
 
-/// Takes a value that has a default.
+/// Parses an option that has a default.
 fn value<T>(
     arguments: &mut Arguments,
     name: &'static str,
@@ -80,7 +79,7 @@
     Ok(arguments.opt_value_from_str(name)?.unwrap_or(default))
 }
 
-/// Takes a duration in milliseconds that has a default.
+/// Parses a duration in milliseconds that has a default.
 fn milliseconds(
     arguments: &mut Arguments,
     name: &'static str,
@@ -90,10 +89,10 @@
     Ok(given.map_or(default, std::time::Duration::from_millis))
 }
 
-fn finish(arguments: Arguments) -> Result<(), CommandError> {
-    let left_over = arguments.finish();
-    if left_over.is_empty() {
+fn reject_remaining(arguments: Arguments) -> Result<(), CommandError> {
+    let remaining = arguments.finish();
+    if remaining.is_empty() {
         return Ok(());
     }
-    Err(CommandError::LeftOver(left_over))
+    Err(CommandError::UnknownArguments(remaining))
 }
--- a/crates/bench/src/command_line/proxy.rs
+++ b/crates/bench/src/command_line/proxy.rs
@@ -1,4 +1,4 @@
-//! `ladderstage-bench proxy`: the fault-injecting proxy as a process.
+//! `ladderstage-bench proxy`: runs the fault-injecting proxy.
 
 use std::io::{self, Write};
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 
 use pico_args::Arguments;
 
-use super::{CommandError, finish, print_help, value};
+use super::{CommandError, print_help, reject_remaining, value};
 use crate::http_server::{Handler, Request, Responder, serve};
 use crate::proxy::Proxy;
 
@@ -16,8 +16,8 @@
 USAGE: ladderstage-bench proxy --target IP:PORT [--listen IP:PORT] [--control IP:PORT]
 
 Control by HTTP:
-  POST /faults    JSON, all optional: delay_ms, refuse, freeze, swallow_to_target, swallow_from_target,
-                  cut_after_bytes; what is left out ends
+  POST /faults    JSON with optional fields: delay_ms, refuse, freeze, swallow_to_target, swallow_from_target,
+                  cut_after_bytes; faults left out end
   POST /cut       resets all open connections
   POST /reset-next/N   resets the next N connections on their first byte
 ";
@@ -31,7 +31,7 @@
     let target: SocketAddr = arguments.value_from_str("--target")?;
     let listen = value(&mut arguments, "--listen", crate::stand_in::loopback())?;
     let control = value(&mut arguments, "--control", crate::stand_in::loopback())?;
-    finish(arguments)?;
+    reject_remaining(arguments)?;
     let proxy = Proxy::start_at(listen, target).await?;
     let address = proxy.address;
     let control = serve(control, Arc::new(Control { proxy })).await?;
@@ -55,7 +55,7 @@
             },
             ("POST", "/cut", _) => self.proxy.cut(),
             ("POST", _, Some(Ok(connections))) => self.proxy.reset_next(connections),
-            _ => return responder.reject(404, "no such path").await,
+            _ => return responder.reject(404, "unknown path").await,
         }
         responder.send(200, &[], b"").await
     }
--- a/crates/bench/src/demo/callers.rs
+++ b/crates/bench/src/demo/callers.rs
@@ -14,17 +14,17 @@
 const PAUSE: Duration = Duration::from_millis(20);
 const PRICE_PATH: &str = "price?currency=nok";
 
-/// A caller that repeats a completion, a streamed one, and a price.
+/// Caller that repeats a completion, a streamed completion, and an application request.
 pub(super) struct DemoCaller {
     index: usize,
     caller: Caller,
-    /// Versions that any caller has seen.
+    /// Weight versions that any caller has received.
     seen: watch::Sender<BTreeSet<u64>>,
     report: DemoReport,
 }
 
 impl DemoCaller {
-    /// A caller of the daemon at this base URL.
+    /// Creates a caller of the daemon at this base URL.
     pub(super) fn new(index: usize, daemon: &str, seen: watch::Sender<BTreeSet<u64>>) -> Self {
         Self {
             index,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Calls until told to stop, and reports what it saw.
+    /// Sends requests until stopped and returns its report.
     pub(super) async fn run(mut self, stopped: watch::Receiver<bool>) -> DemoReport {
         let mut round = 0;
         while !*stopped.borrow() {
@@ -53,7 +53,7 @@
         let result = loop {
             let call = self.caller.complete(MODEL_POOL, prompt, TOKENS, stream);
             match call.await {
-                Err(error) if retries.again(&error).await => {}
+                Err(error) if retries.wait_to_retry(&error).await => {}
                 result => break result,
             }
         };
@@ -61,13 +61,13 @@
             Ok(completion) => {
                 self.report.live_completed += 1;
                 self.report.live_streamed += u64::from(stream);
-                self.see(&completion.weight_versions);
+                self.record_versions(&completion.weight_versions);
             }
             Err(error) => self.report.add_failure("completion", &error),
         }
     }
 
-    fn see(&mut self, versions: &BTreeSet<u64>) {
+    fn record_versions(&mut self, versions: &BTreeSet<u64>) {
         self.report.weight_versions_seen.extend(versions);
         self.seen.send_modify(|seen| seen.extend(versions));
     }
@@ -78,7 +78,7 @@
             let caller = &self.caller;
             let call = caller.application(APPLICATION_POOL, Method::POST, PRICE_PATH, body);
             match call.await {
-                Err(error) if retries.again(&error).await => {}
+                Err(error) if retries.wait_to_retry(&error).await => {}
                 result => break result,
             }
         };
--- a/crates/bench/src/demo/mod.rs
+++ b/crates/bench/src/demo/mod.rs
@@ -1,4 +1,5 @@
-//! The whole path in one process: stand-ins, three nodes, live callers, a trainer, and a bundle rolled on the way.
+//! Demo in one process: stand-ins, three nodes, live callers, a trainer, and a bundle that is
+//! rolled under load.
 
 mod callers;
 mod nodes;
@@ -14,7 +15,7 @@
     APPLICATION_POOL, Backend, ClusterConfig, ClusterError, MODEL_POOL, Operator, Platform,
     PlatformConfig, PoolNames, plain_bundle,
 };
-use crate::trainer::{BundleFacts, PullOptions, StepSpec, Trainer, TrainerError};
+use crate::trainer::{BundleRequirements, PullOptions, StepSpec, Trainer, TrainerError};
 use callers::DemoCaller;
 use nodes::Nodes;
 pub use report::DemoReport;
@@ -24,64 +25,65 @@
 const SAMPLES: u32 = 64;
 const TOKENS: u32 = 40;
 const TRAINER: &str = "fitting-notes";
-const START_BOUND: Duration = Duration::from_secs(10);
-const STEP_BOUND: Duration = Duration::from_secs(10);
-/// The whole demo ends by then, come what may.
-const WHOLE_BOUND: Duration = Duration::from_secs(28);
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+const STEP_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time limit of the demo.
+const TIMEOUT: Duration = Duration::from_secs(28);
 
-/// Why the demo could not run.
+/// Error of the demo itself.
 #[derive(Debug, thiserror::Error)]
 pub enum DemoError {
-    /// A stand-in or an operator's call failed.
+    /// A stand-in or a call of the operator failed.
     #[error("{0}")]
     Cluster(#[from] ClusterError),
-    /// A folder could not be made.
+    /// The temporary folder could not be created.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// Settings were not taken.
-    #[error("settings: {0}")]
+    #[error("invalid settings: {0}")]
     Settings(String),
-    /// A node did not start.
-    #[error("node: {0}")]
+    #[error("node did not start: {0}")]
     Node(String),
-    /// A step was not finished.
-    #[error("trainer: {0}")]
+    /// A step did not finish.
+    #[error("step did not finish: {0}")]
     Trainer(#[from] TrainerError),
-    /// The demo took too long.
-    #[error("not done within {} s", WHOLE_BOUND.as_secs())]
+    /// The demo exceeded its time limit.
+    #[error("demo did not finish within {} s", TIMEOUT.as_secs())]
     TimedOut,
 }
 
 /// Runs the demo.
+///
+/// # Errors
+/// If the demo itself fails; violated guarantees are in the report.
 pub async fn run() -> Result<DemoReport, DemoError> {
     let start = Instant::now();
-    let running = tokio::time::timeout(WHOLE_BOUND, run_unbounded());
+    let running = tokio::time::timeout(TIMEOUT, run_without_timeout());
     let mut report = running.await.map_err(|_| DemoError::TimedOut)??;
     report.seconds = start.elapsed().as_secs_f64();
     Ok(report)
 }
 
-async fn run_unbounded() -> Result<DemoReport, DemoError> {
+async fn run_without_timeout() -> Result<DemoReport, DemoError> {
     let folder = tempfile::tempdir()?;
     let platform = Platform::start(&platform_config(), folder.path()).await?;
     let nodes = Nodes::start(&platform, folder.path()).await?;
     let scenario = Scenario {
         operator: Operator {
             daemons: nodes.urls(),
-            facts: BundleFacts::default(),
+            requirements: BundleRequirements::default(),
         },
         platform,
     };
-    let report = scenario.play().await?;
+    let report = scenario.run().await?;
     nodes.stop().await;
     Ok(report)
 }
 
 fn platform_config() -> PlatformConfig {
-    let three = ClusterConfig::three(ENGINES);
+    let config = ClusterConfig::three_daemons(ENGINES);
     PlatformConfig {
-        engines: three.engines,
-        applications: three.applications,
+        engines: config.engines,
+        applications: config.applications,
         zones: vec!["bergen-a".to_owned(), "bergen-b".to_owned()],
         as_processes: false,
     }
@@ -93,7 +95,7 @@
 }
 
 impl Scenario {
-    async fn play(&self) -> Result<DemoReport, DemoError> {
+    async fn run(&self) -> Result<DemoReport, DemoError> {
         self.roll(1, 1).await?;
         let (stop, stopped) = watch::channel(false);
         let (seen, mut seen_versions) = watch::channel(BTreeSet::new());
@@ -101,10 +103,10 @@
 
         let mut report = DemoReport::default();
         let mut trainer = self.trainer();
-        // The roll meets the first step under way; the second runs on the new version.
+        // The roll overlaps the first step; the second step runs on the new version.
         let (first, rolled) = tokio::join!(
             run_step(&mut trainer, 1),
-            self.roll_once_seen(&mut seen_versions)
+            self.roll_after_first_version(&mut seen_versions)
         );
         rolled?;
         report.add_step(&first?);
@@ -131,15 +133,15 @@
         let model = names(MODEL_POOL, &self.platform.engines);
         let application = names(APPLICATION_POOL, &self.platform.applications);
         let bundle = plain_bundle(revision, weight_version, model, application);
-        self.operator.roll(&bundle, START_BOUND).await?;
+        self.operator.roll(&bundle, START_TIMEOUT).await?;
         self.operator
-            .in_force_everywhere(revision, START_BOUND)
+            .wait_until_in_force_everywhere(revision, START_TIMEOUT)
             .await?;
         Ok(())
     }
 
-    /// Rolls the second bundle once live callers have seen the first one's version.
-    async fn roll_once_seen(
+    /// Rolls the second bundle once live callers have received version 1.
+    async fn roll_after_first_version(
         &self,
         seen_versions: &mut watch::Receiver<BTreeSet<u64>>,
     ) -> Result<(), DemoError> {
@@ -163,10 +165,10 @@
 
     fn trainer(&self) -> Trainer {
         let daemons = self.operator.daemons.clone();
-        Trainer::new(TRAINER, daemons, self.operator.facts.clone())
+        Trainer::new(TRAINER, daemons, self.operator.requirements.clone())
     }
 
-    /// The lowest revision in force at any daemon.
+    /// Returns the lowest revision in force at any daemon.
     async fn revision_everywhere(&self) -> Result<u64, DemoError> {
         let mut lowest = u64::MAX;
         for daemon in &self.operator.daemons {
@@ -185,25 +187,27 @@
     let options = PullOptions {
         max: 8,
         drop_every: 4,
-        moves: true,
-        deadline: STEP_BOUND,
+        rotates_daemons: true,
+        deadline: STEP_TIMEOUT,
         ..PullOptions::default()
     };
     trainer.run(step, &spec, &options).await
 }
 
-/// Waits until live callers have seen the version; the demo's own bound ends a wait in vain.
+/// Waits until live callers have received the version; limited by the demo's time limit.
 async fn wait_for(seen_versions: &mut watch::Receiver<BTreeSet<u64>>, weight_version: u64) {
     let seen = seen_versions.wait_for(|seen| seen.contains(&weight_version));
-    // The sender lives as long as the scenario.
+    // The sender outlives this call.
     let _ = seen.await;
 }
 
-/// The roll must show: both versions were seen, and the second bundle is in force.
+/// Checks that both versions were received and that the second bundle is in force.
 fn check_versions(report: &mut DemoReport) {
     if !report.weight_versions_seen.is_superset(&[1, 2].into()) {
         let seen = format!("{:?}", report.weight_versions_seen);
-        report.violations.push(format!("only versions {seen} seen"));
+        report
+            .violations
+            .push(format!("only weight versions {seen} were received"));
     }
     if report.bundle_revision != 2 {
         let text = format!("bundle {} in force instead of 2", report.bundle_revision);
--- a/crates/bench/src/demo/report.rs
+++ b/crates/bench/src/demo/report.rs
@@ -1,4 +1,4 @@
-//! What the demo found, for people and for programs.
+//! Report of the demo, as text and as JSON.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -8,48 +8,47 @@
 use crate::live::LiveError;
 use crate::trainer::StepReport;
 
-/// Most violations that the summary lists.
-const LISTED_VIOLATIONS: usize = 20;
+/// Maximum number of violations in the summary.
+const MAX_LISTED_VIOLATIONS: usize = 20;
 
 /// Result of the demo.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct DemoReport {
-    /// Live completions answered whole, streamed ones included.
+    /// Number of live completions answered completely, including streamed ones.
     pub live_completed: u64,
-    /// Of these, streamed ones.
+    /// Number of streamed completions among these.
     pub live_streamed: u64,
-    /// Application requests answered whole.
+    /// Number of application requests answered completely.
     pub application_completed: u64,
-    /// Live requests and application requests given up.
+    /// Number of failed completions and application requests.
     pub live_failed: u64,
-    /// Samples delivered to the trainer.
+    /// Number of samples delivered to the trainer.
     pub samples_delivered: u64,
-    /// Samples delivered again.
+    /// Number of samples delivered more than once.
     pub samples_duplicated: u64,
-    /// Samples asked for and not delivered.
+    /// Number of requested samples that were not delivered.
     pub samples_lost: u64,
-    /// Answers to pulls that the trainer dropped and asked for again.
+    /// Number of pull answers that the trainer dropped and requested again.
     pub answers_dropped: u64,
     /// Weight versions in live answers and samples.
     pub weight_versions_seen: BTreeSet<u64>,
     /// Bundle in force at all daemons at the end.
     pub bundle_revision: u64,
-    /// How long it took, in seconds.
+    /// Duration in seconds.
     pub seconds: f64,
-    /// All that was wrong.
     pub violations: Vec<String>,
 }
 
 impl DemoReport {
-    /// Whether nothing was lost, doubled or mislabelled.
-    pub fn is_faultless(&self) -> bool {
+    /// Returns whether nothing was lost, duplicated or mislabelled.
+    pub fn has_passed(&self) -> bool {
         self.violations.is_empty()
             && self.samples_lost == 0
             && self.samples_duplicated == 0
             && self.live_failed == 0
     }
 
-    /// Adds what became of a step.
+    /// Adds the result of a step.
     pub(super) fn add_step(&mut self, step: &StepReport) {
         self.samples_delivered += step.delivered;
         self.samples_duplicated += step.duplicated;
@@ -60,13 +59,13 @@
         self.violations.extend(violations);
     }
 
-    /// Adds a live request that failed.
+    /// Adds a failed live request.
     pub(super) fn add_failure(&mut self, what: &str, error: &LiveError) {
         self.live_failed += 1;
         self.violations.push(format!("{what}: {error}"));
     }
 
-    /// Adds what live callers saw.
+    /// Adds a live caller's report.
     pub(super) fn merge(&mut self, other: Self) {
         self.live_completed += other.live_completed;
         self.live_streamed += other.live_streamed;
@@ -105,10 +104,10 @@
         writeln!(formatter, "weight versions seen   {}", versions.join(", "))?;
         writeln!(formatter, "bundle in force        {}", self.bundle_revision)?;
         writeln!(formatter, "time                   {:.1} s", self.seconds)?;
-        for violation in self.violations.iter().take(LISTED_VIOLATIONS) {
+        for violation in self.violations.iter().take(MAX_LISTED_VIOLATIONS) {
             writeln!(formatter, "VIOLATION              {violation}")?;
         }
-        let verdict = if self.is_faultless() {
+        let verdict = if self.has_passed() {
             "nothing lost, doubled or mislabelled"
         } else {
             "FAILED"
--- a/crates/bench/src/stand_in/application.rs
+++ b/crates/bench/src/stand_in/application.rs
@@ -1,4 +1,4 @@
-//! Stand-in of an application back end, such as a pricing service: echoes requests and records what ran.
+//! Stand-in of an application back end: echoes requests and records its runs.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,20 +9,18 @@
 
 use super::{
     CutPoint, ENGINE_HEADER, Ending, LeavingOrder, LoadReport, NOT_RUN, NOT_RUN_LEAVING,
-    REQUEST_ID_HEADER, lock, loopback, take_one,
+    REQUEST_ID_HEADER, consume_one, lock, loopback,
 };
-use crate::http_server::{Handle, Handler, Request, Responder, cut, serve};
+use crate::http_server::{Handle, Handler, Request, Responder, injected_cut, serve};
 
-/// How one application back end behaves.
+/// Configuration of an application back end.
 #[derive(Debug, Clone)]
 pub struct ApplicationConfig {
-    /// Where to listen.
     pub listen: SocketAddr,
-    /// Name in the machine list.
     pub name: String,
-    /// Requests that it says it can run at a time.
+    /// Capacity that load reports state, in concurrent requests.
     pub capacity: u32,
-    /// How long a request takes.
+    /// Duration of a request.
     pub delay: Duration,
 }
 
@@ -37,42 +35,40 @@
     }
 }
 
-/// Faults, set whole by `POST /control/fault`.
+/// Faults of an application back end, replaced by `POST /control/fault`.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ApplicationFaults {
-    /// Where answers are broken off, after the request ran.
+    /// Point at which answers are cut after the request ran.
     pub cut: Option<CutPoint>,
-    /// How many answers are broken off.
+    /// Number of answers to cut.
     pub cuts: u32,
-    /// How many requests are refused as not run.
+    /// Number of requests to refuse as not run.
     pub refusals: u32,
-    /// Once leaving, new requests are refused as not run; otherwise they still run.
+    /// Refuse new requests as not run while leaving; by default they still run.
     pub refuse_when_leaving: bool,
-    /// How many requests run but are answered 500.
+    /// Number of requests that run but are answered with 500.
     pub errors: u32,
-    /// Added to the delay of each request, in milliseconds.
+    /// Additional delay of each request, in milliseconds.
     pub delay_ms: u64,
-    /// Answers are sent in chunks, without their length.
+    /// Send answers chunked instead of with their length.
     pub chunked: bool,
-    /// Bytes of filling in each answer.
+    /// Bytes of padding in each answer.
     pub padding: usize,
-    /// Load reports are answered 503 while set.
+    /// Answer load reports with 503.
     pub hide_load: bool,
 }
 
-/// One request that ran.
+/// A request that ran.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ApplicationRun {
-    /// The caller's id of the request; empty if it gave none.
+    /// Request id given by the caller; empty if absent.
     pub request_id: String,
-    /// Method.
     pub method: String,
     /// Path and query.
     pub path: String,
-    /// Body as text.
     pub body: String,
-    /// How it ended.
+    /// State or outcome of the run.
     pub ending: Ending,
     /// Milliseconds from the back end's start to the run's.
     pub started_ms: u64,
@@ -81,26 +77,22 @@
 /// Answer to `GET /control/log`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ApplicationLog {
-    /// Runs in order of their start.
+    /// Runs ordered by start.
     pub runs: Vec<ApplicationRun>,
-    /// Milliseconds from the back end's start to the order to leave, if there was one.
+    /// Milliseconds from the back end's start to the order to leave, if any.
     pub leaving_ms: Option<u64>,
 }
 
-/// What a request is answered with.
+/// Answer to a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
-    /// Back end that answered.
+    /// Name of the back end that answered.
     pub name: String,
-    /// Id of the request that it answers.
     pub request_id: String,
-    /// Method.
     pub method: String,
     /// Path and query.
     pub path: String,
-    /// Body as text.
     pub body: String,
-    /// Filling.
     pub padding: String,
 }
 
@@ -133,7 +125,7 @@
     log: ApplicationLog,
 }
 
-/// Ends the run in the record, also when its task is dropped.
+/// Records the end of a run, also when its task is dropped.
 struct RunGuard<'a> {
     application: &'a Application,
     index: usize,
@@ -153,7 +145,7 @@
         self.started.elapsed().as_millis() as u64
     }
 
-    fn begin(&self, request: &Request, echo: &Echo) -> RunGuard<'_> {
+    fn start_run(&self, request: &Request, echo: &Echo) -> RunGuard<'_> {
         let mut state = lock(&self.state);
         state.running += 1;
         state.log.runs.push(ApplicationRun {
@@ -172,26 +164,28 @@
     }
 
     async fn run(&self, request: Request, responder: &mut Responder) -> io::Result<()> {
-        if self.refuses_as_leaving() {
+        if self.refuses_because_leaving() {
             let headers = [(ENGINE_HEADER, NOT_RUN_LEAVING)];
             return responder.send(503, &headers, b"leaving").await;
         }
-        if take_one(&mut lock(&self.state).faults.refusals) {
+        if consume_one(&mut lock(&self.state).faults.refusals) {
             let headers = [(ENGINE_HEADER, NOT_RUN)];
-            return responder.send(503, &headers, b"refused on purpose").await;
+            return responder
+                .send(503, &headers, b"refused by an injected fault")
+                .await;
         }
         let (faults, is_cut, is_error) = {
             let state = &mut *lock(&self.state);
-            let is_cut = state.faults.cut.is_some() && take_one(&mut state.faults.cuts);
-            let is_error = take_one(&mut state.faults.errors);
+            let is_cut = state.faults.cut.is_some() && consume_one(&mut state.faults.cuts);
+            let is_error = consume_one(&mut state.faults.errors);
             (state.faults.clone(), is_cut, is_error)
         };
         let echo = self.echo(&request, faults.padding);
-        let mut run = self.begin(&request, &echo);
+        let mut run = self.start_run(&request, &echo);
         let delay = self.config.delay + Duration::from_millis(faults.delay_ms);
         tokio::select! {
             () = tokio::time::sleep(delay) => {}
-            () = responder.caller_gone() => return Err(cut()),
+            () = responder.caller_disconnected() => return Err(injected_cut()),
         }
         let body = serde_json::to_vec(&echo).map_err(io::Error::other)?;
         let status = if is_error { 500 } else { 200 };
@@ -199,12 +193,12 @@
             run.ending = Ending::Cut;
             return send_cut(responder, faults.cut, faults.chunked, status, &body).await;
         }
-        send_whole(responder, faults.chunked, status, &body).await?;
+        send_complete(responder, faults.chunked, status, &body).await?;
         run.ending = Ending::Completed;
         Ok(())
     }
 
-    fn refuses_as_leaving(&self) -> bool {
+    fn refuses_because_leaving(&self) -> bool {
         let state = lock(&self.state);
         state.leaving && state.faults.refuse_when_leaving
     }
@@ -271,12 +265,12 @@
                 }
                 Err(error) => responder.reject(400, &error.to_string()).await,
             },
-            _ => responder.reject(404, "no such control").await,
+            _ => responder.reject(404, "unknown control path").await,
         }
     }
 }
 
-async fn send_whole(
+async fn send_complete(
     responder: &mut Responder,
     chunked: bool,
     status: u16,
@@ -287,12 +281,12 @@
         return responder.send(status, &headers, body).await;
     }
     send_halves(responder, status, body).await?;
-    responder.end_chunks().await
+    responder.finish_chunks().await
 }
 
 async fn send_halves(responder: &mut Responder, status: u16, body: &[u8]) -> io::Result<()> {
     let headers = [("Content-Type", "application/json")];
-    responder.begin_chunked(status, &headers).await?;
+    responder.start_chunked(status, &headers).await?;
     let (first, second) = body.split_at(body.len() / 2);
     responder.chunk(first).await?;
     responder.chunk(second).await
@@ -309,23 +303,23 @@
     match point {
         Some(CutPoint::BeforeHeaders) | None => {}
         Some(CutPoint::MidBody) => {
-            responder.begin_sized(status, &[], body.len()).await?;
-            responder.raw(&body[..body.len() / 2]).await?;
+            responder.start_sized(status, &[], body.len()).await?;
+            responder.send_raw(&body[..body.len() / 2]).await?;
         }
         Some(CutPoint::BeforeEnd) if chunked => send_halves(responder, status, body).await?,
         Some(CutPoint::BeforeEnd) => {
-            responder.begin_sized(status, &[], body.len()).await?;
-            responder.raw(all_but_last).await?;
+            responder.start_sized(status, &[], body.len()).await?;
+            responder.send_raw(all_but_last).await?;
         }
     }
-    Err(cut())
+    Err(injected_cut())
 }
 
 impl Handler for Application {
     async fn handle(&self, request: Request, responder: &mut Responder) -> io::Result<()> {
         match request.path.as_str() {
             "/ladderstage/load" if lock(&self.state).faults.hide_load => {
-                responder.reject(503, "hidden on purpose").await
+                responder.reject(503, "hidden by an injected fault").await
             }
             "/ladderstage/load" => responder.json(200, &self.load_report()).await,
             path if path.starts_with("/control/") => self.control(request, responder).await,
--- a/crates/bench/src/stand_in/engine/generation.rs
+++ b/crates/bench/src/stand_in/engine/generation.rs
@@ -1,4 +1,4 @@
-//! Completions: queueing, generation token by token, cancelling, and broken-off answers.
+//! Completions: queueing, generation of tokens, cancellation, and cut answers.
 
 use std::future::Future;
 use std::io;
@@ -9,11 +9,11 @@
 use tokio::sync::Notify;
 
 use super::super::{
-    CutPoint, ENGINE_HEADER, Ending, NOT_RUN, NOT_RUN_LEAVING, REQUEST_ID_HEADER, lock, take_one,
+    CutPoint, ENGINE_HEADER, Ending, NOT_RUN, NOT_RUN_LEAVING, REQUEST_ID_HEADER, consume_one, lock,
 };
 use super::Engine;
 use super::record::{Run, RunIndex};
-use crate::http_server::{Request, Responder, cut};
+use crate::http_server::{Request, Responder, injected_cut};
 use crate::text;
 
 const STALL_CHECK: Duration = Duration::from_millis(10);
@@ -22,7 +22,7 @@
 struct CompletionRequest {
     model: String,
     prompt: String,
-    /// Length of the whole text, resumed tokens included.
+    /// Length of the complete text, including resumed tokens.
     max_tokens: u64,
     #[serde(default)]
     priority: i64,
@@ -48,13 +48,13 @@
     request_id: String,
 }
 
-/// Why a wait ended early.
+/// Reason why a wait ended early.
 enum Interruption {
     Cancelled,
-    CallerGone,
+    CallerDisconnected,
 }
 
-/// Registration for `/v1/cancel`; dropping it takes it back.
+/// Registration for `/v1/cancel`, removed on drop.
 struct CancelGuard<'a> {
     engine: &'a Engine,
     request_id: String,
@@ -73,7 +73,7 @@
     }
 }
 
-/// Marks the run as cancelled unless it ended otherwise, also when its task is dropped.
+/// Records the end of a run, by default as cancelled, also when its task is dropped.
 struct RunGuard<'a> {
     engine: &'a Engine,
     index: RunIndex,
@@ -82,7 +82,7 @@
 
 impl Drop for RunGuard<'_> {
     fn drop(&mut self) {
-        lock(&self.engine.record).end(self.index, self.ending);
+        lock(&self.engine.record).finish_run(self.index, self.ending);
     }
 }
 
@@ -115,18 +115,18 @@
             completion.request_id = id.to_owned();
         }
         if completion.model != self.config.model {
-            return refuse(responder, 404, "another model").await;
+            return refuse(responder, 404, "model is not served here").await;
         }
         let resumed = completion.resume_text.as_deref().unwrap_or_default();
         if text::count_tokens(resumed) != completion.resume_tokens {
             return refuse(responder, 400, "resume_tokens does not match resume_text").await;
         }
-        if self.refuses_as_leaving() {
+        if self.refuses_because_leaving() {
             let headers = [(ENGINE_HEADER, NOT_RUN_LEAVING)];
             return responder.send(503, &headers, b"leaving").await;
         }
-        if take_one(&mut lock(&self.state).faults.refusals) {
-            return refuse(responder, 503, "refused on purpose").await;
+        if consume_one(&mut lock(&self.state).faults.refusals) {
+            return refuse(responder, 503, "refused by an injected fault").await;
         }
         self.queue_and_run(&completion, responder).await
     }
@@ -138,12 +138,12 @@
     ) -> io::Result<()> {
         let cancel = self.register_cancel(&completion.request_id);
         let acquiring = self.slots.acquire(completion.priority);
-        let acquired = interruptible(acquiring, &cancel.notify, responder).await;
+        let acquired = run_interruptibly(acquiring, &cancel.notify, responder).await;
         let slot = match acquired {
             Ok(Ok(slot)) => slot,
             Ok(Err(full)) => return refuse(responder, 429, &full.to_string()).await,
             Err(Interruption::Cancelled) => return refuse(responder, 503, "cancelled").await,
-            Err(Interruption::CallerGone) => return Err(cut()),
+            Err(Interruption::CallerDisconnected) => return Err(injected_cut()),
         };
         let outcome = self.run(completion, &cancel.notify, responder).await;
         drop(slot);
@@ -156,52 +156,52 @@
         cancelled: &Notify,
         responder: &mut Responder,
     ) -> io::Result<()> {
-        let mut run = self.begin_run(completion);
-        let cut_point = self.take_cut();
+        let mut run = self.start_run(completion);
+        let cut_point = self.consume_cut();
         if cut_point == Some(CutPoint::BeforeHeaders) {
             run.ending = Ending::Cut;
-            return Err(cut());
+            return Err(injected_cut());
         }
         if pause(self.config.prefill, cancelled, responder)
             .await
             .is_err()
         {
-            return Err(cut());
+            return Err(injected_cut());
         }
         responder
-            .begin_chunked(200, &[("Content-Type", "text/event-stream")])
+            .start_chunked(200, &[("Content-Type", "text/event-stream")])
             .await?;
         let middle = (completion.resume_tokens + completion.max_tokens) / 2;
         for position in completion.resume_tokens..completion.max_tokens {
             match self.wait_for_token(cancelled, responder).await {
                 Ok(()) => {}
-                Err(Interruption::Cancelled) => return responder.end_chunks().await,
-                Err(Interruption::CallerGone) => return Err(cut()),
+                Err(Interruption::Cancelled) => return responder.finish_chunks().await,
+                Err(Interruption::CallerDisconnected) => return Err(injected_cut()),
             }
             let event = self.generate(completion, position, run.index);
             if cut_point == Some(CutPoint::MidBody) && position == middle {
                 run.ending = Ending::Cut;
                 let half = &event.as_bytes()[..event.len() / 2];
                 responder.chunk(half).await?;
-                return Err(cut());
+                return Err(injected_cut());
             }
             responder.chunk(event.as_bytes()).await?;
         }
         if cut_point.is_some() {
             run.ending = Ending::Cut;
-            return Err(cut());
+            return Err(injected_cut());
         }
         responder.chunk(b"data: [DONE]\n\n").await?;
-        responder.end_chunks().await?;
+        responder.finish_chunks().await?;
         run.ending = Ending::Completed;
         Ok(())
     }
 
-    /// Generates one token with the version held now, records it, and returns its event.
+    /// Generates one token with the held version, records it, and returns its event.
     fn generate(&self, completion: &CompletionRequest, position: u64, index: RunIndex) -> String {
         let held = self.held_version();
         let omits_version = lock(&self.state).faults.omit_weight_version;
-        lock(&self.record).token(index, held, !omits_version);
+        lock(&self.record).record_token(index, held, !omits_version);
         let chunk = Chunk {
             request_id: &completion.request_id,
             text: &text::token(&completion.prompt, position, held),
@@ -224,8 +224,8 @@
         Ok(())
     }
 
-    fn begin_run(&self, completion: &CompletionRequest) -> RunGuard<'_> {
-        let index = lock(&self.record).begin(Run {
+    fn start_run(&self, completion: &CompletionRequest) -> RunGuard<'_> {
+        let index = lock(&self.record).start_run(Run {
             request_id: completion.request_id.clone(),
             model: completion.model.clone(),
             prompt_digest: text::prompt_digest(&completion.prompt),
@@ -243,15 +243,15 @@
         }
     }
 
-    fn refuses_as_leaving(&self) -> bool {
+    fn refuses_because_leaving(&self) -> bool {
         let state = lock(&self.state);
         state.leaving && state.faults.refuse_when_leaving
     }
 
-    fn take_cut(&self) -> Option<CutPoint> {
+    fn consume_cut(&self) -> Option<CutPoint> {
         let faults = &mut lock(&self.state).faults;
         let point = faults.cut?;
-        take_one(&mut faults.cuts).then_some(point)
+        consume_one(&mut faults.cuts).then_some(point)
     }
 
     fn register_cancel(&self, request_id: &str) -> CancelGuard<'_> {
@@ -280,11 +280,11 @@
     cancelled: &Notify,
     responder: &mut Responder,
 ) -> Result<(), Interruption> {
-    interruptible(tokio::time::sleep(duration), cancelled, responder).await
+    run_interruptibly(tokio::time::sleep(duration), cancelled, responder).await
 }
 
-/// Waits for `work` unless the request is cancelled or its caller goes away first.
-async fn interruptible<T>(
+/// Waits for `work` unless the request is cancelled or its caller disconnects first.
+async fn run_interruptibly<T>(
     work: impl Future<Output = T>,
     cancelled: &Notify,
     responder: &mut Responder,
@@ -293,6 +293,6 @@
         biased;
         () = cancelled.notified() => Err(Interruption::Cancelled),
         done = work => Ok(done),
-        () = responder.caller_gone() => Err(Interruption::CallerGone),
+        () = responder.caller_disconnected() => Err(Interruption::CallerDisconnected),
     }
 }
--- a/crates/bench/src/stand_in/engine/mod.rs
+++ b/crates/bench/src/stand_in/engine/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-in of a model engine: continuous batching, streams, fenced orders, and an honest record of what ran.
+//! Stand-in of a model engine: continuous batching, streams, fenced orders, and a reliable log of
+//! its runs.
 
 mod control;
 mod generation;
@@ -23,32 +24,30 @@
 pub use record::{EngineLog, Run};
 use slots::Slots;
 
-/// How one engine behaves.
+/// Configuration of an engine.
 #[derive(Debug, Clone)]
 pub struct EngineConfig {
-    /// Where to listen.
     pub listen: SocketAddr,
     /// Name in the machine list.
     pub name: String,
-    /// Model it serves.
     pub model: String,
-    /// Version it holds at the start.
+    /// Weight version held at the start.
     pub weight_version: u64,
-    /// Requests that run at a time.
+    /// Maximum number of concurrent requests.
     pub capacity: u32,
-    /// Requests that may wait for a slot; further ones are refused.
+    /// Maximum number of queued requests; further ones are refused.
     pub waiting_limit: u32,
-    /// Before the first token.
+    /// Time before the first token.
     pub prefill: Duration,
-    /// Between tokens of a request that runs alone.
+    /// Interval between tokens of a single running request.
     pub token_interval: Duration,
-    /// How much longer the interval grows with each further running request, in percent.
+    /// Increase of the interval for each further running request, in percent.
     pub interval_growth_percent: u32,
-    /// How long a swap takes besides the weight store.
+    /// Duration of a swap, excluding the load from the weight store.
     pub swap: Duration,
-    /// Base URL of the weight store that swaps load through.
+    /// Base URL of the weight store, if swaps load from one.
     pub weight_store: Option<String>,
-    /// Load reports are renewed only this often.
+    /// Minimum age before a load report is renewed.
     pub report_lag: Duration,
 }
 
@@ -71,7 +70,6 @@
     }
 }
 
-/// Starts an engine.
 pub async fn start(config: EngineConfig) -> io::Result<Handle> {
     let listen = config.listen;
     let engine = Arc::new(Engine::new(config));
@@ -80,7 +78,8 @@
     Ok(handle.with_task(swaps))
 }
 
-/// An order to hold a version. Orders with a fence lower than the highest seen are refused.
+/// An order to hold a weight version. Orders with a fence lower than the highest accepted one are
+/// refused.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 struct Order {
     fence: u64,
@@ -104,7 +103,7 @@
 struct State {
     faults: EngineFaults,
     leaving: bool,
-    /// Version that load reports name instead of the held one.
+    /// Version that load reports state instead of the held one.
     claimed_version: Option<u64>,
     report: Option<(Instant, LoadReport)>,
     sequence: u64,
@@ -129,7 +128,7 @@
         self.held_version.load(Ordering::SeqCst)
     }
 
-    /// Time between tokens at the present batch size.
+    /// Returns the interval between tokens at the current batch size.
     fn token_interval(&self) -> Duration {
         let others = self.slots.running().saturating_sub(1);
         let percent = 100 + others * self.config.interval_growth_percent;
@@ -159,13 +158,13 @@
         report
     }
 
-    async fn take_order(&self, request: Request, responder: &mut Responder) -> io::Result<()> {
+    async fn accept_order(&self, request: Request, responder: &mut Responder) -> io::Result<()> {
         let order: Order = match request.json() {
             Ok(order) => order,
             Err(error) => return responder.reject(400, &error.to_string()).await,
         };
         if order.model != self.config.model {
-            return responder.reject(404, "another model").await;
+            return responder.reject(404, "model is not served here").await;
         }
         let mut highest_fence = 0;
         let accepted = self.order.send_if_modified(|current| {
@@ -189,12 +188,12 @@
             ("POST", "/v1/completions") => self.complete(request, responder).await,
             ("POST", "/v1/cancel") => self.cancel(request, responder).await,
             ("GET", "/v1/load") if lock(&self.state).faults.hide_load => {
-                responder.reject(503, "hidden on purpose").await
+                responder.reject(503, "hidden by an injected fault").await
             }
             ("GET", "/v1/load") => responder.json(200, &self.load_report()).await,
-            ("POST", "/v1/orders") => self.take_order(request, responder).await,
+            ("POST", "/v1/orders") => self.accept_order(request, responder).await,
             (_, path) if path.starts_with("/control/") => self.control(request, responder).await,
-            _ => responder.reject(404, "no such path").await,
+            _ => responder.reject(404, "unknown path").await,
         }
     }
 }
--- a/crates/bench/src/stand_in/engine/record.rs
+++ b/crates/bench/src/stand_in/engine/record.rs
@@ -1,29 +1,28 @@
-//! Append-only record of what truly ran on an engine.
+//! Append-only record of the runs of an engine.
 
 use serde::{Deserialize, Serialize};
 
 use super::super::Ending;
 use crate::text::Segment;
 
-/// One run of a request. A request that is tried twice has two runs.
+/// One run of a request. A request that is retried has several runs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Run {
-    /// The caller's id of the request.
+    /// Request id given by the caller.
     pub request_id: String,
-    /// Model asked for.
     pub model: String,
     /// Digest of the prompt, see [`crate::text::prompt_digest`].
     pub prompt_digest: String,
-    /// Position of the first token that this run was to generate.
+    /// Position of the first token to generate.
     pub first_token: u64,
-    /// Position after the last token generated.
+    /// Position after the last generated token.
     pub end_token: u64,
-    /// Versions that generated the tokens, in order.
+    /// Weight versions of the generated tokens, in order.
     pub segments: Vec<Segment>,
-    /// Tokens that were sent without their version.
+    /// Number of tokens sent without their version.
     #[serde(default)]
     pub unnamed_tokens: u64,
-    /// How it ended.
+    /// State or outcome of the run.
     pub ending: Ending,
     /// Milliseconds from the engine's start to the run's.
     pub started_ms: u64,
@@ -32,13 +31,13 @@
 /// Answer to `GET /control/log`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLog {
-    /// Runs in order of their start.
+    /// Runs ordered by start.
     pub runs: Vec<Run>,
-    /// Milliseconds from the engine's start to the order to leave, if there was one.
+    /// Milliseconds from the engine's start to the order to leave, if any.
     pub leaving_ms: Option<u64>,
 }
 
-/// Names one run within the record.
+/// Index of a run in the record.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RunIndex(usize);
 
@@ -52,12 +51,12 @@
         &self.log
     }
 
-    pub(super) fn begin(&mut self, run: Run) -> RunIndex {
+    pub(super) fn start_run(&mut self, run: Run) -> RunIndex {
         self.log.runs.push(run);
         RunIndex(self.log.runs.len() - 1)
     }
 
-    pub(super) fn token(&mut self, index: RunIndex, weight_version: u64, is_named: bool) {
+    pub(super) fn record_token(&mut self, index: RunIndex, weight_version: u64, is_named: bool) {
         let run = &mut self.log.runs[index.0];
         run.unnamed_tokens += u64::from(!is_named);
         run.end_token += 1;
@@ -70,11 +69,11 @@
         }
     }
 
-    pub(super) fn end(&mut self, index: RunIndex, ending: Ending) {
+    pub(super) fn finish_run(&mut self, index: RunIndex, ending: Ending) {
         self.log.runs[index.0].ending = ending;
     }
 
-    pub(super) fn leaving(&mut self, at_ms: u64) {
+    pub(super) fn record_leaving(&mut self, at_ms: u64) {
         self.log.leaving_ms.get_or_insert(at_ms);
     }
 }
--- a/crates/bench/src/stand_in/engine/slots.rs
+++ b/crates/bench/src/stand_in/engine/slots.rs
@@ -1,4 +1,4 @@
-//! Running slots of an engine: the most urgent waiting request gets the next free one.
+//! Running slots of an engine, granted by priority, then arrival.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -7,7 +7,7 @@
 
 use super::super::lock;
 
-/// Slots in which requests run.
+/// Slots of running requests and the queue for them.
 #[derive(Debug)]
 pub(super) struct Slots {
     capacity: u32,
@@ -27,14 +27,14 @@
 #[error("queue full")]
 pub(super) struct QueueFull;
 
-/// A slot; dropping it frees the slot.
+/// An acquired slot, released on drop.
 #[derive(Debug)]
 pub(super) struct Slot<'a> {
     slots: &'a Slots,
 }
 
-/// A place in the queue; dropping it gives the place up.
-struct Place<'a> {
+/// An entry of the queue, removed on drop.
+struct QueueEntry<'a> {
     slots: &'a Slots,
     key: (i64, u64),
     granted: oneshot::Receiver<()>,
@@ -57,21 +57,21 @@
         lock(&self.state).waiting.len() as u32
     }
 
-    /// Waits for a slot; smaller `priority` goes first, then earlier arrival.
+    /// Waits for a slot. Lower `priority` values go first, then earlier arrivals.
     pub(super) async fn acquire(&self, priority: i64) -> Result<Slot<'_>, QueueFull> {
-        let Some(mut place) = self.enter(priority)? else {
+        let Some(mut entry) = self.enqueue(priority)? else {
             return Ok(Slot { slots: self });
         };
-        let granted = (&mut place.granted).await;
+        let granted = (&mut entry.granted).await;
         debug_assert!(
             granted.is_ok(),
             "the sender stays in the queue until granted"
         );
-        place.granted.close();
+        entry.granted.close();
         Ok(Slot { slots: self })
     }
 
-    fn enter(&self, priority: i64) -> Result<Option<Place<'_>>, QueueFull> {
+    fn enqueue(&self, priority: i64) -> Result<Option<QueueEntry<'_>>, QueueFull> {
         let mut state = lock(&self.state);
         if state.running < self.capacity {
             state.running += 1;
@@ -84,7 +84,7 @@
         state.next_arrival += 1;
         let (grant, granted) = oneshot::channel();
         state.waiting.insert(key, grant);
-        Ok(Some(Place {
+        Ok(Some(QueueEntry {
             slots: self,
             key,
             granted,
@@ -108,12 +108,12 @@
     }
 }
 
-impl Drop for Place<'_> {
+impl Drop for QueueEntry<'_> {
     fn drop(&mut self) {
         lock(&self.slots.state).waiting.remove(&self.key);
         self.granted.close();
-        let granted_unseen = self.granted.try_recv().is_ok();
-        if granted_unseen {
+        let was_granted = self.granted.try_recv().is_ok();
+        if was_granted {
             self.slots.release();
         }
     }
--- a/crates/bench/src/stand_in/scorer.rs
+++ b/crates/bench/src/stand_in/scorer.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the scoring service: a score is a function of the text.
+//! Stand-in of the scoring service, whose scores are a function of the text.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,15 +8,13 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-use super::{lock, loopback, take_one};
-use crate::http_server::{Handle, Handler, Request, Responder, cut, serve};
+use super::{consume_one, lock, loopback};
+use crate::http_server::{Handle, Handler, Request, Responder, injected_cut, serve};
 
-/// How the scorer behaves.
 #[derive(Debug, Clone)]
 pub struct ScorerConfig {
-    /// Where to listen.
     pub listen: SocketAddr,
-    /// How long a score takes.
+    /// Duration of a request.
     pub delay: Duration,
 }
 
@@ -29,32 +27,26 @@
     }
 }
 
-/// Faults, set whole by `POST /control/fault`.
+/// Faults of the scorer, replaced by `POST /control/fault`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ScorerFaults {
-    /// Connections are closed without an answer.
+    /// Close connections without an answer.
     pub down: bool,
-    /// How many requests are answered 500.
+    /// Number of requests to answer with 500.
     pub errors: u32,
-    /// Added to each score's delay, in milliseconds.
+    /// Additional delay of each request, in milliseconds.
     pub delay_ms: u64,
 }
 
-/// One request for a score.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScoreRequest {
-    /// Trainer that asked for the sample.
     pub trainer: String,
-    /// Step.
     pub step: u64,
-    /// Slot within the step.
     pub slot: u32,
-    /// Attempt at the slot.
+    /// Attempt number of the slot.
     pub attempt: u32,
-    /// Prompt of the sample.
     pub prompt: String,
-    /// Text of the sample.
     pub text: String,
 }
 
@@ -63,12 +55,11 @@
     score: f64,
 }
 
-/// The score that the stand-in gives a text, from 0 to 1.
+/// Returns the score of a text, from 0 to 1.
 pub fn score(text: &str) -> f64 {
     f64::from(Sha256::digest(text.as_bytes())[0]) / 255.0
 }
 
-/// Starts a scorer.
 pub async fn start(config: ScorerConfig) -> io::Result<Handle> {
     let listen = config.listen;
     let scorer = Scorer {
@@ -86,19 +77,19 @@
 
 impl Scorer {
     async fn answer(&self, request: &Request, responder: &mut Responder) -> io::Result<()> {
-        let asked: ScoreRequest = match request.json() {
-            Ok(asked) => asked,
+        let score_request: ScoreRequest = match request.json() {
+            Ok(score_request) => score_request,
             Err(error) => return responder.reject(400, &error.to_string()).await,
         };
         let faults = lock(&self.faults).clone();
         if faults.down {
-            return Err(cut());
+            return Err(injected_cut());
         }
         tokio::time::sleep(self.config.delay + Duration::from_millis(faults.delay_ms)).await;
-        if take_one(&mut lock(&self.faults).errors) {
-            return responder.reject(500, "failed on purpose").await;
+        if consume_one(&mut lock(&self.faults).errors) {
+            return responder.reject(500, "failed by an injected fault").await;
         }
-        let score = score(&asked.text);
+        let score = score(&score_request.text);
         responder.json(200, &ScoreAnswer { score }).await
     }
 }
@@ -114,7 +105,7 @@
                 }
                 Err(error) => responder.reject(400, &error.to_string()).await,
             },
-            _ => responder.reject(404, "no such path").await,
+            _ => responder.reject(404, "unknown path").await,
         }
     }
 }
--- a/crates/bench/src/trainer/single_calls.rs
+++ b/crates/bench/src/trainer/single_calls.rs
@@ -1,4 +1,4 @@
-//! Single calls of a trainer to a daemon of its choice, for tests that place a fault around one answer.
+//! Single calls of a trainer to a given daemon, for tests that inject a fault around one answer.
 
 use std::time::Duration;
 
@@ -6,27 +6,24 @@
 
 use super::{CALL_TIMEOUT, SamplesAnswer, StepSpec, Trainer, with_query};
 
-/// What a daemon answered to one call.
+/// Result of a single call.
 #[derive(Debug, Clone, PartialEq)]
 pub enum SingleAnswer<T> {
-    /// It answered with this.
-    Given(T),
-    /// It refused.
+    /// The daemon answered with success.
+    Success(T),
     Refused {
-        /// HTTP status.
         status: StatusCode,
-        /// What it said.
         body: String,
     },
-    /// No whole answer came.
+    /// No complete answer was received.
     Lost(String),
 }
 
 impl<T> SingleAnswer<T> {
-    /// HTTP status, if an answer came.
+    /// Returns the HTTP status, if an answer was received.
     pub fn status(&self) -> Option<StatusCode> {
         match self {
-            Self::Given(_) => Some(StatusCode::OK),
+            Self::Success(_) => Some(StatusCode::OK),
             Self::Refused { status, .. } => Some(*status),
             Self::Lost(_) => None,
         }
@@ -44,13 +41,13 @@
         };
         let status = answer.status();
         match answer.text().await {
-            Ok(_) if status.is_success() => SingleAnswer::Given(()),
+            Ok(_) if status.is_success() => SingleAnswer::Success(()),
             Ok(body) => SingleAnswer::Refused { status, body },
             Err(error) => SingleAnswer::Lost(format!("{error:?}")),
         }
     }
 
-    /// Asks one daemon once for at most `max` samples that follow the cursor.
+    /// Pulls at most `max` samples that follow the cursor from one daemon, once.
     pub async fn pull_at(
         &self,
         daemon: &str,
@@ -79,7 +76,7 @@
             return SingleAnswer::Refused { status, body };
         }
         match answer.json().await {
-            Ok(answer) => SingleAnswer::Given(answer),
+            Ok(answer) => SingleAnswer::Success(answer),
             Err(error) => SingleAnswer::Lost(format!("{error:?}")),
         }
     }
--- a/crates/bench/tests/bundle_in_force/scenario.rs
+++ b/crates/bench/tests/bundle_in_force/scenario.rs
@@ -1,4 +1,5 @@
-//! Three replicas and a daemon without disk, faults around them, and what is in force where.
+//! Three replicas and a daemon without a data folder, with faults and checks of the bundle in
+//! force.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,16 +20,17 @@
 use ladderstage_wire::messages::SignedBundle;
 use tokio::task::JoinHandle;
 
-pub const BOUND: Duration = Duration::from_secs(30);
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 pub const POLL: Duration = Duration::from_millis(20);
-/// Index of the daemon that has no data folder and is no replica.
+/// Index of the daemon that has no data folder and is not a replica.
 pub const DISKLESS: usize = 3;
 const HEAD_KEY: &str = "ladderstage/bundle/head";
 const KEY_VALUE_TIMEOUT: Duration = Duration::from_secs(5);
 const SAMPLES: u32 = 12;
 const TOKENS: u32 = 10;
 
-/// Three replicas and one daemon without disk over two zones, which notice a silent peer within about a second.
+/// Three replicas and one daemon without a data folder in two zones, with a failure detection time
+/// of about a second.
 pub fn config() -> ClusterConfig {
     let timing = [
         ("probe_interval_ms", 300),
@@ -46,10 +48,10 @@
     config
 }
 
-/// A cluster with bundle 1 in force everywhere.
-pub async fn started(config: &ClusterConfig) -> Cluster {
+/// Starts a cluster with bundle 1 in force everywhere.
+pub async fn start_cluster(config: &ClusterConfig) -> Cluster {
     let cluster = Cluster::start_ready(config).await.unwrap();
-    let known = cluster.replica_set_known(&ALL, 1, BOUND);
+    let known = cluster.wait_for_replica_set(&ALL, 1, TIMEOUT);
     known.await.unwrap();
     cluster
 }
@@ -57,7 +59,7 @@
 /// Indices of all daemons.
 pub const ALL: [usize; 4] = [0, 1, 2, DISKLESS];
 
-/// New connections are reset.
+/// Returns faults that reset new connections.
 pub fn refuse() -> Faults {
     Faults {
         refuse: true,
@@ -66,11 +68,11 @@
 }
 
 /// Sets the faults of the key-value service.
-pub async fn set_key_value(cluster: &Cluster, faults: &KeyValueFaults) {
-    cluster.platform.key_value.fault(faults).await.unwrap();
+pub async fn set_key_value_faults(cluster: &Cluster, faults: &KeyValueFaults) {
+    cluster.platform.key_value.set_faults(faults).await.unwrap();
 }
 
-/// The key-value service gives no answers until this changes.
+/// Returns faults that make the key-value service unavailable.
 pub fn key_value_down() -> KeyValueFaults {
     KeyValueFaults {
         down: true,
@@ -78,25 +80,25 @@
     }
 }
 
-/// Offers a bundle to one daemon once.
+/// Posts a bundle to one daemon once.
 pub async fn offer(cluster: &Cluster, daemon: usize, bundle: &Bundle) -> RollReply {
     let url = cluster.daemons[daemon].url();
     cluster.operator().offer(&url, bundle).await.unwrap()
 }
 
-/// Offers a bundle to one daemon once, which must accept it. Returns its proposal id.
+/// Posts a bundle to one daemon once, asserts its acceptance, and returns its proposal id.
 pub async fn roll(cluster: &Cluster, daemon: usize, bundle: &Bundle) -> String {
     let reply = offer(cluster, daemon, bundle).await;
     assert_eq!(reply.body.outcome, "accepted", "{reply:?}");
     reply.body.proposal_id
 }
 
-/// A key that no daemon trusts of itself.
-pub fn other_key(key_id: &str) -> BundleKey {
+/// Returns a key that no daemon trusts by default.
+pub fn untrusted_key(key_id: &str) -> BundleKey {
     BundleKey::from_secret(key_id, &[8; 32])
 }
 
-/// A text with the signature of one key.
+/// Signs a text with one key.
 pub fn signed_by(key: &BundleKey, text: String) -> SignedText {
     let signature = sign(&text, key);
     SignedText {
@@ -108,7 +110,7 @@
     }
 }
 
-/// Restarts a daemon with this key as the only one that it trusts.
+/// Restarts a daemon that trusts this key only.
 pub async fn restart_trusting(cluster: &mut Cluster, daemon: usize, key: &BundleKey) {
     let trusted = BTreeMap::from([(key.key_id().to_owned(), key.public_hex())]);
     cluster.daemons[daemon].kill();
@@ -117,7 +119,7 @@
 }
 
 /// Waits until these daemons have exactly this bundle in force.
-pub async fn in_force(cluster: &Cluster, daemons: &[usize], bundle: &Bundle) {
+pub async fn wait_until_in_force(cluster: &Cluster, daemons: &[usize], bundle: &Bundle) {
     let expected = signed(bundle).text;
     let start = Instant::now();
     for daemon in daemons {
@@ -128,39 +130,39 @@
                 break;
             }
             let revision = current.map(|now| now.revision);
-            let is_in_time = start.elapsed() < BOUND;
+            let is_in_time = start.elapsed() < TIMEOUT;
             assert!(is_in_time, "daemon {daemon} holds {revision:?}");
             tokio::time::sleep(POLL).await;
         }
     }
 }
 
-/// Waits until all engines hold just this version.
-pub async fn engines_hold(cluster: &Cluster, weight_version: u64) {
+/// Waits until all engines hold only this version.
+pub async fn wait_until_engines_hold(cluster: &Cluster, weight_version: u64) {
     until("the engines hold the bundle's version", async || {
         cluster.held_versions().await.unwrap() == [weight_version].into()
     })
     .await;
 }
 
-/// Waits until something is true.
+/// Waits until the condition holds.
 pub async fn until(what: &str, condition: impl AsyncFn() -> bool) {
     let start = Instant::now();
     while !condition().await {
-        assert!(start.elapsed() < BOUND, "still not true: {what}");
+        assert!(start.elapsed() < TIMEOUT, "timed out waiting until {what}");
         tokio::time::sleep(POLL).await;
     }
 }
 
-/// The record of the newest bundle in the key-value service.
+/// Record of the newest bundle in the key-value service.
 #[derive(Debug, PartialEq, Eq)]
 pub struct HeadRecord {
-    /// How often it was written.
+    /// Number of writes of the record.
     pub changes: u64,
     pub proposal_id: String,
 }
 
-/// Reads it from the service itself.
+/// Reads the record from the service, bypassing the daemons.
 pub async fn head_record(cluster: &Cluster) -> HeadRecord {
     let url = cluster.platform.key_value.url();
     let client = KeyValue::new(vec![url], KEY_VALUE_TIMEOUT);
@@ -173,14 +175,14 @@
     }
 }
 
-/// Completions through these daemons and a step of samples, all whole.
-pub async fn work_is_done(cluster: &Cluster, daemons: &[usize], step: u64) {
+/// Asserts that completions through these daemons and a step of samples succeed.
+pub async fn assert_work_succeeds(cluster: &Cluster, daemons: &[usize], step: u64) {
     for daemon in daemons {
         let caller = Caller::new(&cluster.daemons[*daemon].url());
         let mut retries = Retries::default();
         loop {
             match caller.complete(MODEL_POOL, "a facade", 10, false).await {
-                Err(error) if retries.again(&error).await => {}
+                Err(error) if retries.wait_to_retry(&error).await => {}
                 result => break drop(result.unwrap()),
             }
         }
@@ -189,7 +191,7 @@
     let spec = StepSpec::generate(MODEL_POOL, step, SAMPLES, TOKENS);
     let options = PullOptions {
         max: 4,
-        moves: true,
+        rotates_daemons: true,
         ..PullOptions::default()
     };
     let report = trainer.run(step, &spec, &options).await.unwrap();
@@ -197,44 +199,47 @@
     assert_eq!(report.delivered, u64::from(SAMPLES));
 }
 
-/// Asks all daemons for their revision again and again.
+/// Polls the revision in force at all daemons.
 pub struct RevisionWatch {
-    is_over: Arc<AtomicBool>,
-    falls: JoinHandle<Vec<String>>,
+    is_stopped: Arc<AtomicBool>,
+    regressions: JoinHandle<Vec<String>>,
 }
 
 impl RevisionWatch {
     pub fn start(cluster: &Cluster) -> Self {
-        let is_over = Arc::new(AtomicBool::new(false));
-        let watch = watch_revisions(cluster.urls(), is_over.clone());
-        let falls = tokio::spawn(watch);
-        Self { is_over, falls }
+        let is_stopped = Arc::new(AtomicBool::new(false));
+        let watch = watch_revisions(cluster.urls(), is_stopped.clone());
+        let regressions = tokio::spawn(watch);
+        Self {
+            is_stopped,
+            regressions,
+        }
     }
 
-    /// Ends it. No daemon has ever shown a lower revision than before.
-    pub async fn assert_none_fell(self) {
-        self.is_over.store(true, Ordering::Relaxed);
-        assert_eq!(self.falls.await.unwrap(), Vec::<String>::new());
+    /// Ends the watch and asserts that no daemon has shown a lower revision than before.
+    pub async fn assert_no_regressions(self) {
+        self.is_stopped.store(true, Ordering::Relaxed);
+        assert_eq!(self.regressions.await.unwrap(), Vec::<String>::new());
     }
 }
 
-async fn watch_revisions(urls: Vec<String>, is_over: Arc<AtomicBool>) -> Vec<String> {
+async fn watch_revisions(urls: Vec<String>, is_stopped: Arc<AtomicBool>) -> Vec<String> {
     let mut highest: BTreeMap<&String, u64> = BTreeMap::new();
-    let mut falls = Vec::new();
-    while !is_over.load(Ordering::Relaxed) {
+    let mut regressions = Vec::new();
+    while !is_stopped.load(Ordering::Relaxed) {
         for url in &urls {
-            // A daemon that has just started has none yet.
+            // A daemon that has just started has no revision yet.
             let current = current_bundle(url).await.map(|current| current.revision);
             let Ok(revision @ 1..) = current else {
                 continue;
             };
             let seen = highest.entry(url).or_default();
             if revision < *seen {
-                falls.push(format!("{url}: {revision} after {seen}"));
+                regressions.push(format!("{url}: {revision} after {seen}"));
             }
             *seen = revision.max(*seen);
         }
         tokio::time::sleep(POLL).await;
     }
-    falls
+    regressions
 }
--- a/crates/bench/tests/exactly_once/scenario.rs
+++ b/crates/bench/tests/exactly_once/scenario.rs
@@ -1,4 +1,4 @@
-//! A cluster with one trainer and one submitted step, and what the engines ran for it.
+//! A cluster with one trainer and one step, and the engines' runs of it.
 
 use std::time::{Duration, Instant};
 
@@ -7,19 +7,19 @@
 use ladderstage_bench::stand_in::Ending;
 use ladderstage_bench::stand_in::engine::{EngineLog, Run};
 use ladderstage_bench::trainer::{
-    Judge, PullOptions, SamplesAnswer, SingleAnswer, StepReport, StepSpec, Trainer,
+    PullOptions, SamplesAnswer, SingleAnswer, StepChecker, StepReport, StepSpec, Trainer,
 };
 use tokio::task::JoinHandle;
 
-pub const BOUND: Duration = Duration::from_secs(30);
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 pub const STEP: u64 = 1;
 pub const TRAINER: &str = "trainer-1";
 const ENGINES: usize = 2;
-/// Long poll of one pull.
+/// Long poll time of a pull.
 const WAIT: Duration = Duration::from_millis(500);
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Daemons that notice a silent peer within about a second.
+/// Returns a configuration with a failure detection time of about a second.
 pub fn config(daemons: usize) -> ClusterConfig {
     let timing = [
         ("probe_interval_ms", 300),
@@ -34,7 +34,7 @@
     }
 }
 
-/// A running cluster to which a trainer has submitted a step of one shard.
+/// A running cluster and a trainer with a step of one shard.
 pub struct Scenario {
     pub cluster: Cluster,
     pub trainer: Trainer,
@@ -42,15 +42,15 @@
 }
 
 impl Scenario {
-    /// Submits a step of this many samples, most of them of `tokens` tokens.
-    pub async fn submitted(config: &ClusterConfig, samples: u32, tokens: u32) -> Self {
+    /// Starts a cluster and submits a step of this many samples, most of them of `tokens` tokens.
+    pub async fn with_submitted_step(config: &ClusterConfig, samples: u32, tokens: u32) -> Self {
         let cluster = Cluster::start_ready(config).await.unwrap();
         let mut scenario = Self::new(cluster, samples, tokens);
         scenario.submit().await;
         scenario
     }
 
-    /// A step still to be submitted.
+    /// Creates a scenario whose step is not submitted yet.
     pub fn new(cluster: Cluster, samples: u32, tokens: u32) -> Self {
         Self {
             trainer: cluster.trainer(TRAINER),
@@ -61,40 +61,43 @@
 
     /// Submits the step through any daemon.
     pub async fn submit(&mut self) {
-        let submitted = self.trainer.submit(STEP, &self.spec, BOUND);
+        let submitted = self.trainer.submit(STEP, &self.spec, TIMEOUT);
         submitted.await.unwrap();
     }
 
-    /// Indices of all daemons but these.
-    pub fn all_but(&self, excluded: &[usize]) -> Vec<usize> {
+    /// Returns the indices of all other daemons.
+    pub fn daemons_except(&self, excluded: &[usize]) -> Vec<usize> {
         let all = 0..self.cluster.daemons.len();
         all.filter(|index| !excluded.contains(index)).collect()
     }
 
-    /// Waits until one of these daemons owns the shard and its state is as wanted.
-    pub async fn owner_among(
+    /// Waits until one of these daemons owns the shard and the shard meets the condition.
+    pub async fn wait_for_owner_among(
         &self,
         daemons: &[usize],
-        is_wanted: impl Fn(&OwnedShard) -> bool,
+        condition: impl Fn(&OwnedShard) -> bool,
     ) -> usize {
         let log = shard_log();
-        let owner = self.cluster.owner_among(daemons, &log, BOUND, is_wanted);
+        let owner = self
+            .cluster
+            .wait_for_owner_among(daemons, &log, TIMEOUT, condition);
         owner.await.unwrap()
     }
 
-    /// Waits until any daemon owns the shard and its state is as wanted.
-    pub async fn owner(&self, is_wanted: impl Fn(&OwnedShard) -> bool) -> usize {
-        self.owner_among(&self.all_but(&[]), is_wanted).await
+    /// Waits until any daemon owns the shard and the shard meets the condition.
+    pub async fn wait_for_owner(&self, condition: impl Fn(&OwnedShard) -> bool) -> usize {
+        self.wait_for_owner_among(&self.daemons_except(&[]), condition)
+            .await
     }
 
     /// Waits until every sample is committed; returns the owner.
-    pub async fn owner_with_all_committed(&self) -> usize {
+    pub async fn wait_for_all_committed(&self) -> usize {
         let slots = self.spec.samples.len();
-        self.owner(|shard| shard.committed == slots).await
+        self.wait_for_owner(|shard| shard.committed == slots).await
     }
 
-    /// One pull without retries.
-    pub async fn ask(
+    /// Pulls once, without retries.
+    pub async fn pull_once(
         &self,
         daemon: usize,
         after: Option<&str>,
@@ -104,8 +107,8 @@
         self.trainer.pull_at(&url, STEP, after, max, WAIT).await
     }
 
-    /// One pull from the beginning without retries, in the background.
-    pub fn ask_in_background(
+    /// Pulls once from the beginning, without retries, in the background.
+    pub fn pull_in_background(
         &self,
         daemon: usize,
         max: u32,
@@ -115,8 +118,8 @@
         tokio::spawn(async move { trainer.pull_at(&url, STEP, None, max, WAIT).await })
     }
 
-    /// What this daemon says once it does not ask to try again.
-    pub async fn final_answer(
+    /// Repeats a pull until the answer is not a server error.
+    pub async fn pull_until_final(
         &self,
         daemon: usize,
         after: Option<&str>,
@@ -124,45 +127,52 @@
     ) -> SingleAnswer<SamplesAnswer> {
         let start = Instant::now();
         loop {
-            let answer = self.ask(daemon, after, max).await;
+            let answer = self.pull_once(daemon, after, max).await;
             match answer.status() {
                 Some(status) if !status.is_server_error() => return answer,
-                _ => assert!(start.elapsed() < BOUND, "no answer in time: {answer:?}"),
+                _ => assert!(start.elapsed() < TIMEOUT, "no answer in time: {answer:?}"),
             }
             tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
 
-    /// Samples that follow the cursor, from this daemon, once there are some.
-    pub async fn answer(&self, daemon: usize, after: Option<&str>, max: u32) -> SamplesAnswer {
+    /// Pulls from this daemon until samples follow the cursor.
+    pub async fn pull_samples(
+        &self,
+        daemon: usize,
+        after: Option<&str>,
+        max: u32,
+    ) -> SamplesAnswer {
         let start = Instant::now();
         loop {
-            match self.final_answer(daemon, after, max).await {
-                SingleAnswer::Given(answer) if !answer.samples.is_empty() => return answer,
-                SingleAnswer::Given(_) => assert!(start.elapsed() < BOUND, "no samples in time"),
-                other => panic!("refused for good: {other:?}"),
+            match self.pull_until_final(daemon, after, max).await {
+                SingleAnswer::Success(answer) if !answer.samples.is_empty() => return answer,
+                SingleAnswer::Success(_) => {
+                    assert!(start.elapsed() < TIMEOUT, "no samples in time")
+                }
+                other => panic!("finally refused: {other:?}"),
             }
         }
     }
 
-    pub fn judge(&self) -> Judge {
-        self.trainer.judge(STEP, &self.spec)
+    pub fn checker(&self) -> StepChecker {
+        self.trainer.checker(STEP, &self.spec)
     }
 
     /// Pulls the step from its beginning to its end.
     pub async fn pull_all(&mut self) -> StepReport {
-        let judge = self.judge();
-        self.pull_rest(judge, None).await
+        let checker = self.checker();
+        self.pull_rest(checker, None).await
     }
 
-    /// Pulls what follows the cursor up to the end of the step, dropping some answers on the way.
-    pub async fn pull_rest(&mut self, judge: Judge, cursor: Option<String>) -> StepReport {
+    /// Pulls the step from the cursor to its end, dropping some answers.
+    pub async fn pull_rest(&mut self, checker: StepChecker, cursor: Option<String>) -> StepReport {
         let options = pull_options();
-        let rest = self.trainer.pull_on(STEP, judge, cursor, &options);
+        let rest = self.trainer.pull_from(STEP, checker, cursor, &options);
         rest.await.unwrap()
     }
 
-    /// Each slot was taken once, and nothing else was.
+    /// Asserts that each slot was delivered once and nothing else was.
     pub fn assert_exactly_once(&self, report: &StepReport) {
         assert_eq!(report.violations, [], "{report:?}");
         let counts = (report.delivered, report.duplicated, report.lost);
@@ -170,27 +180,28 @@
         assert_eq!(counts, (slots, 0, 0), "delivered, duplicated, lost");
     }
 
-    /// Waits until the engines run nothing; returns how many runs they have had.
-    pub async fn runs_so_far(&self) -> usize {
+    /// Waits until the engines are idle; returns their number of runs.
+    pub async fn wait_for_idle_engines(&self) -> usize {
         let start = Instant::now();
         loop {
             let runs = self.runs().await;
             if runs.iter().all(|run| run.ending != Ending::Running) {
                 return runs.len();
             }
-            assert!(start.elapsed() < BOUND, "still running: {runs:?}");
+            assert!(start.elapsed() < TIMEOUT, "still running: {runs:?}");
             tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
 
-    /// No sample was generated since the engines had had this many runs: none that was committed then was lost.
-    pub async fn assert_nothing_generated_since(&self, runs_before: usize) {
+    /// Asserts that the engines have run nothing since they had this many runs, so that no
+    /// committed sample was lost.
+    pub async fn assert_no_runs_since(&self, runs_before: usize) {
         let runs = self.runs().await;
         let since: Vec<&Run> = runs.iter().skip(runs_before).collect();
-        assert!(since.is_empty(), "generated anew, at least: {since:?}");
+        assert!(since.is_empty(), "runs since then: {since:?}");
     }
 
-    /// What the engines say they ran.
+    /// Returns the runs in the engines' logs.
     async fn runs(&self) -> Vec<Run> {
         let mut runs = Vec::new();
         for engine in &self.cluster.platform.engines {
@@ -202,17 +213,18 @@
     }
 }
 
-/// Small answers, each third of them dropped, each pull through another daemon.
+/// Returns options with small answers, one in three of them dropped, and a daemon change after each
+/// pull.
 pub fn pull_options() -> PullOptions {
     PullOptions {
         max: 5,
         drop_every: 3,
-        moves: true,
+        rotates_daemons: true,
         ..PullOptions::default()
     }
 }
 
-/// Name of the journal's log of the step's only shard.
+/// Returns the name of the journal log of the step's only shard.
 pub fn shard_log() -> String {
     let key = ShardKey {
         trainer: TRAINER.to_owned(),
@@ -222,7 +234,7 @@
     key.log()
 }
 
-/// Which attempts an answer holds.
+/// Returns the slot and attempt of each sample in an answer.
 pub fn attempts(answer: &SamplesAnswer) -> Vec<(u32, u32)> {
     let samples = answer.samples.iter();
     samples
--- a/crates/bench/tests/stand_ins.rs
+++ b/crates/bench/tests/stand_ins.rs
@@ -1,4 +1,5 @@
-//! The stand-ins do what docs/PLATFORM.md says, and their faults do what they are named for.
+//! The stand-ins behave as described in docs/PLATFORM.md, and their faults have the described
+//! effects.
 
 use std::time::Duration;
 
@@ -12,7 +13,7 @@
 use ladderstage_bench::{http_client, text};
 use serde_json::{Value, json};
 
-const BOUND: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 async fn post(handle: &Handle, path: &str, body: Value) -> reqwest::Result<reqwest::Response> {
     let url = format!("{}{path}", handle.url());
@@ -28,7 +29,7 @@
 async fn eventually(what: &str, mut holds: impl AsyncFnMut() -> bool) {
     let start = std::time::Instant::now();
     while !holds().await {
-        assert!(start.elapsed() < BOUND, "not seen in time: {what}");
+        assert!(start.elapsed() < TIMEOUT, "timed out waiting for: {what}");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
@@ -42,7 +43,7 @@
     engine::start(config).await.unwrap()
 }
 
-/// Text and segments of an event stream; whether it came to its end mark.
+/// Returns the text and segments of an event stream, and whether its end marker was received.
 fn read_events(body: &str) -> (String, Vec<Segment>, bool) {
     let mut text = String::new();
     let mut segments = Vec::new();
@@ -71,25 +72,25 @@
 async fn engine_names_the_held_version_and_resumes() {
     let engine = fast_engine().await;
     let answer = post(&engine, "/v1/completions", completion("a", 6)).await;
-    let (whole, segments, ended) = read_events(&answer.unwrap().text().await.unwrap());
+    let (full_text, segments, ended) = read_events(&answer.unwrap().text().await.unwrap());
     assert!(ended);
-    verify("sill", &whole, &segments).unwrap();
-    assert_eq!(text::count_tokens(&whole), 6);
+    verify("sill", &full_text, &segments).unwrap();
+    assert_eq!(text::count_tokens(&full_text), 6);
 
-    let first_half: String = whole.split_inclusive(' ').take(3).collect();
+    let first_half: String = full_text.split_inclusive(' ').take(3).collect();
     let mut resumed = completion("b", 6);
     resumed["resume_text"] = json!(first_half);
     resumed["resume_tokens"] = json!(3);
     let answer = post(&engine, "/v1/completions", resumed).await.unwrap();
     let (rest, _, ended) = read_events(&answer.text().await.unwrap());
     assert!(ended);
-    assert_eq!(first_half + &rest, whole);
+    assert_eq!(first_half + &rest, full_text);
     let runs = log_of(&engine).await.runs;
     assert_eq!((runs[1].first_token, runs[1].end_token), (3, 6));
 }
 
 #[tokio::test]
-async fn engine_swaps_under_fences_and_may_only_claim_to() {
+async fn engine_swaps_obey_fences_and_can_be_reported_falsely() {
     let engine = fast_engine().await;
     let order = |fence: u64, version: u64| json!({"fence": fence, "model": "karm-lm", "weight_version": version});
     let accepted = post(&engine, "/v1/orders", order(5, 2)).await.unwrap();
