--- a/crates/bench/src/chaos/judge.rs
+++ b/crates/bench/src/chaos/checker.rs
@@ -1,4 +1,4 @@
-//! Judges what callers were told by what the back ends' own logs say.
+//! Checks the answers that callers received against the back ends' logs.
 
 use std::collections::BTreeMap;
 
@@ -7,25 +7,25 @@
 use crate::stand_in::engine::Run;
 use crate::text::prompt_digest;
 
-/// A leaving back end may get new work for this long, in milliseconds.
+/// Time during which a leaving back end may still receive new work, in milliseconds.
 const LEAVING_BOUND_MS: u64 = 6_000;
 
-/// All that the logs say against what the callers were told.
-pub(super) fn judge(requests: &[Request], logs: &BackendLogs) -> Vec<Violation> {
-    let mut violations = judge_leaving(logs);
+/// Returns every violation that the back ends' logs show.
+pub(super) fn check_all(requests: &[Request], logs: &BackendLogs) -> Vec<Violation> {
+    let mut violations = check_leaving(logs);
     let completions = logs.completions();
     let applications = logs.requests();
-    violations.extend(judge_labels(requests, &completions));
+    violations.extend(check_labels(requests, &completions));
     for request in requests {
         let runs = match request.kind {
             RequestKind::Completion | RequestKind::Streamed => {
                 let digest = prompt_digest(&request.content);
-                described(&completions, &digest)
+                describe_runs(&completions, &digest)
             }
-            _ => described(&applications, &request.content),
+            _ => describe_runs(&applications, &request.content),
         };
-        let broken = broken_guarantee(request, runs.len());
-        violations.extend(broken.map(|guarantee| Violation {
+        let violated = violated_guarantee(request, runs.len());
+        violations.extend(violated.map(|guarantee| Violation {
             guarantee,
             evidence: format!("{request:?}; runs: {runs:?}"),
         }));
@@ -33,8 +33,8 @@
     violations
 }
 
-/// The runs of a request as evidence.
-fn described<R: std::fmt::Debug>(
+/// Formats the runs of a request as evidence.
+fn describe_runs<R: std::fmt::Debug>(
     runs: &BTreeMap<&str, Vec<(&str, R)>>,
     content: &str,
 ) -> Vec<String> {
@@ -42,13 +42,13 @@
     runs.map(|(name, run)| format!("{name}: {run:?}")).collect()
 }
 
-/// Which guarantee a request that ran this often breaks.
-fn broken_guarantee(request: &Request, runs: usize) -> Option<Guarantee> {
+/// Returns the guarantee that a request with this number of runs violates.
+fn violated_guarantee(request: &Request, runs: usize) -> Option<Guarantee> {
     let is_at_most_once = matches!(request.kind, RequestKind::AtMostOnce | RequestKind::Keyed);
     if is_at_most_once && runs > 1 {
         return Some(Guarantee::AtMostOnce);
     }
-    // An earlier try may have been refused as not run before a later one ran.
+    // An earlier attempt may be refused as not run before a later one runs.
     let last = request.tries.last().map(|last| last.outcome);
     if last == Some(Outcome::NotRun) && runs > 0 {
         return Some(Guarantee::NotRun);
@@ -57,12 +57,12 @@
     let was_completed = request
         .tries
         .iter()
-        .any(|tried| is_completed(tried.outcome));
+        .any(|attempt| is_completed(attempt.outcome));
     (was_completed && runs == 0).then_some(Guarantee::Ran)
 }
 
-/// An answer may leave versions out only where its engine did.
-fn judge_labels(
+/// Finds answers that omit weight versions which their engines named.
+fn check_labels(
     requests: &[Request],
     completions: &BTreeMap<&str, Vec<(&str, &Run)>>,
 ) -> Vec<Violation> {
@@ -73,14 +73,14 @@
         if !runs.any(|(_, run)| run.unnamed_tokens > 0) {
             violations.push(Violation {
                 guarantee: Guarantee::WholeAnswer,
-                evidence: format!("{request:?} leaves versions out that its engines named"),
+                evidence: format!("{request:?} omits versions that its engines named"),
             });
         }
     }
     violations
 }
 
-fn judge_leaving(logs: &BackendLogs) -> Vec<Violation> {
+fn check_leaving(logs: &BackendLogs) -> Vec<Violation> {
     let mut violations = Vec::new();
     for (name, log) in &logs.engines {
         let Some(leaving_ms) = log.leaving_ms else {
@@ -90,7 +90,7 @@
         for run in log.runs.iter().filter(|run| is_late(run.started_ms)) {
             violations.push(Violation {
                 guarantee: Guarantee::Leaving,
-                evidence: format!("{name} is leaving since {leaving_ms} ms, but got {run:?}"),
+                evidence: format!("{name} is leaving since {leaving_ms} ms, but received {run:?}"),
             });
         }
     }
--- a/crates/bench/src/chaos/faults/engines.rs
+++ b/crates/bench/src/chaos/faults/engines.rs
@@ -1,4 +1,4 @@
-//! Engines that fail, end, leave, and come back.
+//! Faults of engines, including exit, planned stop and replacement.
 
 use std::time::{Duration, Instant};
 
@@ -11,11 +11,11 @@
 use crate::stand_in::{Ending, LeavingOrder};
 
 const POLL: Duration = Duration::from_millis(20);
-/// How long an engine that nobody reaches may take until all its runs have ended.
-const IDLE_BOUND: Duration = Duration::from_secs(5);
+/// Time for an unreachable engine to end all its runs.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl Injector {
-    pub(super) async fn begin_engine_fault(
+    pub(super) async fn start_engine_fault(
         &mut self,
         engine: usize,
         fault: EngineFault,
@@ -25,7 +25,7 @@
             EngineFault::Leaving => self.order_to_leave(engine).await,
             _ => {
                 let stand_in = &self.cluster.platform.engines[engine].stand_in;
-                stand_in.fault(&engine_faults(fault)).await
+                stand_in.set_faults(&engine_faults(fault)).await
             }
         }
     }
@@ -37,7 +37,7 @@
     ) -> Result<(), ClusterError> {
         if !replaces_engine(fault) {
             let stand_in = &self.cluster.platform.engines[engine].stand_in;
-            return stand_in.fault(&EngineFaults::default()).await;
+            return stand_in.set_faults(&EngineFaults::default()).await;
         }
         if fault == EngineFault::Leaving {
             self.kill_engine(engine).await?;
@@ -50,8 +50,8 @@
         self.cluster.platform.publish_machines().await
     }
 
-    /// Ends the engine's process. To those who use it, it ends when its connections break; its record is read
-    /// between that and SIGKILL, so that nothing it ran goes unrecorded.
+    /// Kills the engine's process. Connections are reset first and the log is read before SIGKILL,
+    /// so that no run goes unrecorded.
     async fn kill_engine(&mut self, engine: usize) -> Result<(), ClusterError> {
         let backend = &mut self.cluster.platform.engines[engine];
         backend.proxy.set(Faults {
@@ -63,7 +63,7 @@
         let log = loop {
             let log: EngineLog = backend.stand_in.log().await?;
             let is_idle = log.runs.iter().all(|run| run.ending != Ending::Running);
-            if is_idle || start.elapsed() > IDLE_BOUND {
+            if is_idle || start.elapsed() > IDLE_TIMEOUT {
                 break log;
             }
             tokio::time::sleep(POLL).await;
@@ -71,7 +71,7 @@
         if let Some(process) = &mut backend.stand_in.process {
             process.kill();
         }
-        self.past_logs.add_engine(&backend.name, log);
+        self.logs_of_exited.add_engine(&backend.name, log);
         Ok(())
     }
 
--- a/crates/bench/src/cluster/status.rs
+++ b/crates/bench/src/cluster/status.rs
@@ -1,4 +1,5 @@
-//! What a daemon says of the shards it owns. It tells tests when a fault has had its effect; it is no judge.
+//! Status of daemons and their shards. Tests use it to wait for conditions, not to check
+//! guarantees.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -11,36 +12,33 @@
 const POLL: Duration = Duration::from_millis(20);
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The part of `/v1/status` that tests wait on.
+/// Subset of `/v1/status` that tests wait on.
 #[derive(Debug, Clone, Deserialize)]
 pub struct DaemonStatus {
-    /// Version of the journal's replica set; 0: none known.
+    /// Version of the journal's replica set, or 0 if none is known.
     pub replica_set_version: u64,
-    /// Requests that it counts as under way.
+    /// Number of requests in flight.
     pub in_flight: usize,
-    /// Shards owned there.
     pub shards: Vec<OwnedShard>,
 }
 
-/// A shard as its owner describes it.
+/// A shard as reported by its owner.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct OwnedShard {
-    /// Name of its log.
+    /// Name of its journal log.
     pub log: String,
-    /// Whether it was taken over and its last append is settled.
+    /// Whether it was taken over and its last append has an outcome.
     pub accepting: bool,
-    /// Slots.
     pub slots: usize,
-    /// Slots whose samples the trainer acknowledged.
+    /// Number of slots whose samples the trainer has acknowledged.
     pub settled: usize,
-    /// Slots whose samples are committed and wait for the trainer.
+    /// Number of slots whose samples are committed but not acknowledged.
     pub committed: usize,
-    /// Attempts under way.
+    /// Number of attempts in flight.
     pub in_flight: usize,
 }
 
 impl Daemon {
-    /// Asks for its status.
     pub async fn status(&self) -> Result<DaemonStatus, ClusterError> {
         let url = format!("{}/v1/status", self.url());
         let request = crate::http_client().get(url).timeout(CALL_TIMEOUT);
@@ -49,24 +47,25 @@
 }
 
 impl Cluster {
-    /// Waits until one of these daemons owns the log and its description is as wanted; returns its index.
-    pub async fn owner_among(
+    /// Waits until one of these daemons owns the log and its shard meets the condition; returns the
+    /// daemon's index.
+    pub async fn wait_for_owner_among(
         &self,
         daemons: &[usize],
         log: &str,
-        bound: Duration,
-        is_wanted: impl Fn(&OwnedShard) -> bool,
+        timeout: Duration,
+        condition: impl Fn(&OwnedShard) -> bool,
     ) -> Result<usize, ClusterError> {
         let start = Instant::now();
         let mut seen = Vec::new();
-        while start.elapsed() < bound {
+        while start.elapsed() < timeout {
             for index in daemons {
                 let Ok(status) = self.daemons[*index].status().await else {
                     continue;
                 };
                 let owned = status.shards.into_iter().filter(|shard| shard.log == log);
                 for shard in owned.filter(|shard| shard.accepting) {
-                    if is_wanted(&shard) {
+                    if condition(&shard) {
                         return Ok(*index);
                     }
                     seen.push(shard);
@@ -74,13 +73,13 @@
             }
             tokio::time::sleep(POLL).await;
         }
-        Err(ClusterError::NotInTime {
+        Err(ClusterError::Timeout {
             what: format!("an owner of {log}"),
-            trouble: format!("last seen: {:?}", seen.last()),
+            last_error: format!("last seen: {:?}", seen.last()),
         })
     }
 
-    /// Weight versions that the engines themselves say they hold.
+    /// Returns the weight versions that the engines report as held.
     pub async fn held_versions(&self) -> Result<BTreeSet<u64>, ClusterError> {
         let mut versions = BTreeSet::new();
         for engine in &self.platform.engines {
@@ -92,11 +91,11 @@
     }
 
     /// Waits until these daemons know a replica set of at least this version.
-    pub async fn replica_set_known(
+    pub async fn wait_for_replica_set(
         &self,
         daemons: &[usize],
         version: u64,
-        bound: Duration,
+        timeout: Duration,
     ) -> Result<(), ClusterError> {
         let start = Instant::now();
         for index in daemons {
@@ -106,10 +105,10 @@
                 .await
                 .is_ok_and(|status| status.replica_set_version >= version)
             {
-                if start.elapsed() > bound {
-                    return Err(ClusterError::NotInTime {
+                if start.elapsed() > timeout {
+                    return Err(ClusterError::Timeout {
                         what: format!("replica set {version} at {}", daemon.name()),
-                        trouble: daemon.log_tail(),
+                        last_error: daemon.log_tail(),
                     });
                 }
                 tokio::time::sleep(POLL).await;
--- a/crates/bench/src/stand_in/key_value/mod.rs
+++ b/crates/bench/src/stand_in/key_value/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-in of the key-value service: the part of etcd v3's JSON gateway that ladderstage uses, with its troubles.
+//! Stand-in of the key-value service: the subset of etcd v3's JSON gateway that ladderstage uses,
+//! with injected faults.
 
 mod messages;
 mod store;
@@ -13,17 +14,16 @@
 use serde::{Deserialize, Serialize};
 
 use super::rate::Rate;
-use super::{lock, loopback, take_one};
-use crate::http_server::{Handle, Handler, Request, Responder, cut, serve};
+use super::{consume_one, lock, loopback};
+use crate::http_server::{Handle, Handler, Request, Responder, injected_cut, serve};
 use messages::{PutRequest, RangeRequest, TransactionRequest};
 use store::Store;
 
-/// How the key-value service starts.
+/// Configuration of the key-value service.
 #[derive(Debug, Clone)]
 pub struct KeyValueConfig {
-    /// Where to listen.
     pub listen: SocketAddr,
-    /// Requests allowed a second; 0: no limit.
+    /// Maximum number of requests per second; 0 means no limit.
     pub requests_per_second: f64,
 }
 
@@ -36,38 +36,38 @@
     }
 }
 
-/// Faults, set whole by `POST /control/fault`.
+/// Faults of the key-value service, replaced by `POST /control/fault`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct KeyValueFaults {
-    /// Connections are closed without an answer, and nothing takes effect.
+    /// Close connections without an answer or an effect.
     pub down: bool,
-    /// Each answer takes this much longer, in milliseconds; changes take effect at its end.
+    /// Additional delay of each answer, in milliseconds. Changes take effect after it.
     pub slow_ms: u64,
-    /// Requests allowed a second instead of the configured number; 0: as configured.
+    /// Maximum number of requests per second, overriding the configuration; 0 means no override.
     pub requests_per_second: f64,
-    /// How many changes take effect without an answer; transactions that change nothing do not count.
+    /// Number of changes that take effect without an answer. Transactions that change nothing do
+    /// not count.
     pub lost_answers: u32,
-    /// The next change takes effect, and from then on the service is down.
+    /// Become `down` after the next change takes effect.
     pub down_after_change: bool,
-    /// Plain reads show the contents as of when this was set; transactions are never stale.
+    /// Return the contents of when this was set in plain reads; transactions are never stale.
     pub stale_reads: bool,
 }
 
-/// How often each call was answered or broken off, from `GET /control/counts`.
+/// Number of calls, from `GET /control/counts`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyValueCounts {
-    /// Reads.
+    /// Number of reads.
     pub reads: u64,
-    /// Transactions and puts that took effect or were compared.
+    /// Number of puts and transactions, including transactions that changed nothing.
     pub writes: u64,
-    /// Requests refused over the rate.
+    /// Number of requests refused by the rate limit.
     pub refused: u64,
-    /// How often each key was written.
+    /// Number of writes by key.
     pub changes: BTreeMap<String, u64>,
 }
 
-/// Starts a key-value service.
 pub async fn start(config: KeyValueConfig) -> io::Result<Handle> {
     let service = KeyValue {
         requests_per_second: config.requests_per_second,
@@ -92,30 +92,30 @@
 struct State {
     faults: KeyValueFaults,
     store: Store,
-    /// Contents that stale reads show.
+    /// Contents that stale reads return.
     stale: Option<Store>,
     rate: Rate,
     counts: KeyValueCounts,
 }
 
-/// What becomes of a request before it is looked at.
+/// Decision on a request before it is processed.
 enum Admission {
     Answer(Duration),
     Refuse,
-    Break,
+    Disconnect,
 }
 
 impl KeyValue {
     fn admit(&self) -> Admission {
         let state = &mut *lock(&self.state);
         if state.faults.down {
-            return Admission::Break;
+            return Admission::Disconnect;
         }
         let per_second = match state.faults.requests_per_second {
             rate if rate > 0.0 => rate,
             _ => self.requests_per_second,
         };
-        if !state.rate.take(per_second, Instant::now()) {
+        if !state.rate.try_acquire(per_second, Instant::now()) {
             state.counts.refused += 1;
             return Admission::Refuse;
         }
@@ -140,11 +140,15 @@
         }
     }
 
-    async fn serve_gateway(&self, request: Request, responder: &mut Responder) -> io::Result<()> {
+    async fn handle_gateway_request(
+        &self,
+        request: Request,
+        responder: &mut Responder,
+    ) -> io::Result<()> {
         let delay = match self.admit() {
             Admission::Answer(delay) => delay,
-            Admission::Refuse => return responder.reject(429, "over the rate").await,
-            Admission::Break => return Err(cut()),
+            Admission::Refuse => return responder.reject(429, "rate limit exceeded").await,
+            Admission::Disconnect => return Err(injected_cut()),
         };
         tokio::time::sleep(delay).await;
         match request.path.as_str() {
@@ -157,7 +161,7 @@
                 let apply = |store: &mut Store, txn: TransactionRequest| store.transact(txn);
                 self.write(&request, responder, apply).await
             }
-            _ => responder.reject(404, "no such path").await,
+            _ => responder.reject(404, "unknown path").await,
         }
     }
 
@@ -193,11 +197,11 @@
             state.faults.down |= took_effect && state.faults.down_after_change;
             (
                 answer,
-                took_effect && take_one(&mut state.faults.lost_answers),
+                took_effect && consume_one(&mut state.faults.lost_answers),
             )
         };
         if is_lost {
-            return Err(cut());
+            return Err(injected_cut());
         }
         responder.json(200, &answer).await
     }
@@ -217,8 +221,8 @@
                 }
                 Err(error) => responder.reject(400, &error.to_string()).await,
             },
-            ("POST", _) => self.serve_gateway(request, responder).await,
-            _ => responder.reject(404, "no such path").await,
+            ("POST", _) => self.handle_gateway_request(request, responder).await,
+            _ => responder.reject(404, "unknown path").await,
         }
     }
 }
--- a/crates/bench/src/stand_in/weight_store.rs
+++ b/crates/bench/src/stand_in/weight_store.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the weight store: rate-limited loads of known versions.
+//! Stand-in of the weight store: rate-limited loads of existing versions.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -12,16 +12,15 @@
 use super::{lock, loopback};
 use crate::http_server::{Handle, Handler, Request, Responder, serve};
 
-/// How the weight store behaves.
+/// Configuration of the weight store.
 #[derive(Debug, Clone)]
 pub struct WeightStoreConfig {
-    /// Where to listen.
     pub listen: SocketAddr,
-    /// Loads that it allows a second; 0: no limit.
+    /// Maximum number of loads per second; 0 means no limit.
     pub loads_per_second: f64,
-    /// How long a load takes.
+    /// Duration of a load.
     pub load: Duration,
-    /// Versions up to this one exist of every model that no one has set.
+    /// Newest version of models whose versions were not set explicitly.
     pub newest_version: u64,
 }
 
@@ -43,7 +42,6 @@
     pub versions: Vec<u64>,
 }
 
-/// Starts a weight store.
 pub async fn start(config: WeightStoreConfig) -> io::Result<Handle> {
     let listen = config.listen;
     let store = WeightStore {
@@ -74,11 +72,11 @@
             .parse()
             .is_ok_and(|version| self.versions(model).versions.contains(&version));
         if !is_known {
-            return responder.reject(404, "unknown version").await;
+            return responder.reject(404, "unknown weight version").await;
         }
-        let is_allowed = lock(&self.rate).take(self.config.loads_per_second, Instant::now());
+        let is_allowed = lock(&self.rate).try_acquire(self.config.loads_per_second, Instant::now());
         if !is_allowed {
-            return responder.reject(429, "over the rate").await;
+            return responder.reject(429, "rate limit exceeded").await;
         }
         tokio::time::sleep(self.config.load).await;
         responder.send(200, &[], b"").await
@@ -110,7 +108,7 @@
                 self.load(model, version, responder).await
             }
             ("POST", ["control", "weights", model]) => self.set(model, &request, responder).await,
-            _ => responder.reject(404, "no such path").await,
+            _ => responder.reject(404, "unknown path").await,
         }
     }
 }
--- a/crates/bench/tests/chaos.rs
+++ b/crates/bench/tests/chaos.rs
@@ -1,10 +1,10 @@
-//! Fixed seeds of the random fault run; more and longer ones are run by `ladderstage-bench chaos`.
+//! Fault runs with fixed seeds; `ladderstage-bench chaos` runs others.
 
 use std::time::Duration;
 
 use ladderstage_bench::chaos::{self, ChaosConfig, Layout, Plan};
 
-/// Eight seconds of faults.
+/// Eight seconds with faults and five without.
 const LENGTH: Duration = Duration::from_secs(13);
 
 async fn holds_under_faults(seed: u64) {
@@ -12,9 +12,9 @@
     println!("seed {seed}");
     let report = chaos::run(&ChaosConfig { seed, length }).await.unwrap();
     println!("{report}");
-    assert!(!report.faults.is_empty(), "nothing went wrong");
+    assert!(!report.faults.is_empty(), "no faults were injected");
     assert!(report.steps > 0 && report.samples > 0, "no steps were run");
-    assert!(report.is_faultless(), "seed {seed}:\n{report}");
+    assert!(report.has_passed(), "seed {seed}:\n{report}");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
--- a/crates/bench/tests/isolation.rs
+++ b/crates/bench/tests/isolation.rs
@@ -1,5 +1,5 @@
-//! A daemon that is cut off from its region's other members and from the key-value service takes no new work. The back
-//! ends' own records are the judge.
+//! A daemon that is partitioned from the region's other members and from the key-value service
+//! accepts no new work. Checked by the back ends' logs.
 
 mod common;
 
@@ -16,12 +16,12 @@
 use ladderstage_bench::waiting::until;
 use reqwest::{Method, StatusCode};
 
-const BOUND: Duration = Duration::from_secs(30);
-const CUT_OFF: usize = 2;
+const TIMEOUT: Duration = Duration::from_secs(30);
+const ISOLATED: usize = 2;
 const TOKENS: u64 = 5;
 const STEP: u64 = 1;
-/// A refusal at once takes far less, one near its request's deadline of 20 s far more.
-const AT_ONCE: Duration = Duration::from_secs(5);
+/// Distinguishes an immediate refusal from one at the request's deadline of 20 s.
+const REFUSAL_TIMEOUT: Duration = Duration::from_secs(5);
 fn config() -> ClusterConfig {
     let timing = [
         ("probe_interval_ms", 300),
@@ -30,57 +30,57 @@
     ];
     ClusterConfig {
         timing: Timing::from(timing.map(|(name, value)| (name.to_owned(), value))),
-        ..ClusterConfig::three(2)
+        ..ClusterConfig::three_daemons(2)
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn isolated_daemon_takes_no_new_work_until_healed() {
     let cluster = Cluster::start_ready(&config()).await.unwrap();
-    let daemon = &cluster.daemons[CUT_OFF];
+    let daemon = &cluster.daemons[ISOLATED];
     let url = daemon.url();
-    // A daemon is ready with its bundle, and has the engines' first load reports up to a second later.
-    until("first load reports", BOUND, async || {
+    // A daemon may be ready a second before it has the engines' first load reports.
+    until("first load reports", TIMEOUT, async || {
         let caller = Caller::new(&url);
         let probe = caller.complete(MODEL_POOL, "first", TOKENS, false);
         probe.await.is_ok()
     })
     .await;
     assert_serves(&url, "before").await;
-    cut_off(&cluster);
-    until("no new work taken", BOUND, async || {
+    isolate(&cluster);
+    until("new work is refused", TIMEOUT, async || {
         let caller = Caller::new(&url);
         let probe = caller.complete(MODEL_POOL, "probe", TOKENS, false);
         matches!(probe.await, Err(LiveError::NotRun { .. }))
     })
     .await;
     let runs_before = run_count(&cluster).await;
-    tokio::time::timeout(AT_ONCE, assert_refuses(&url))
+    tokio::time::timeout(REFUSAL_TIMEOUT, assert_refuses(&url))
         .await
         .expect("refusals at once");
     assert_eq!(run_count(&cluster).await, runs_before, "refused work ran");
     let (status, body) = readiness(&url).await;
     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE, "{body}");
     assert!(body.contains("members of the region"), "{body}");
-    for other in &cluster.daemons[..CUT_OFF] {
+    for other in &cluster.daemons[..ISOLATED] {
         assert_serves(&other.url(), "meanwhile").await;
     }
 
     heal(&cluster);
-    daemon.ready(BOUND).await.unwrap();
+    daemon.wait_until_ready(TIMEOUT).await.unwrap();
     assert_serves(&url, "after").await;
 }
 
-fn cut_off(cluster: &Cluster) {
-    cluster.set_peer_faults(CUT_OFF, Faults::refusing());
-    let daemon = &cluster.daemons[CUT_OFF];
+fn isolate(cluster: &Cluster) {
+    cluster.set_peer_faults(ISOLATED, Faults::refusing());
+    let daemon = &cluster.daemons[ISOLATED];
     daemon.key_value.set(Faults::refusing());
     daemon.key_value.cut();
 }
 
 fn heal(cluster: &Cluster) {
-    cluster.set_peer_faults(CUT_OFF, Faults::default());
-    cluster.daemons[CUT_OFF].key_value.heal();
+    cluster.set_peer_faults(ISOLATED, Faults::default());
+    cluster.daemons[ISOLATED].key_value.heal();
 }
 
 async fn assert_serves(url: &str, when: &str) {
@@ -94,7 +94,7 @@
     priced.await.unwrap();
 }
 
-/// Requests of all kinds are refused as not run, with a time to try again.
+/// Asserts that requests of all kinds are refused as not run, with a `Retry-After` header.
 async fn assert_refuses(url: &str) {
     let caller = Caller::new(url);
     for is_streamed in [false, true] {
@@ -106,7 +106,7 @@
     }
     let priced = caller.application(APPLICATION_POOL, Method::POST, "price", "cut off");
     assert_not_run(priced.await);
-    // Whether an earlier try of its key ran cannot be told here.
+    // The daemon cannot tell whether an earlier attempt with this key ran.
     let keyed = http_client()
         .post(format!("{url}/v1/apps/{APPLICATION_POOL}/price"))
         .header("Idempotency-Key", "cut-off");
@@ -123,7 +123,7 @@
     (answer.status(), answer.text().await.unwrap())
 }
 
-/// Runs at all back ends.
+/// Returns the number of runs at all back ends.
 async fn run_count(cluster: &Cluster) -> usize {
     let mut count = 0;
     for engine in &cluster.platform.engines {
--- a/crates/bench/tests/live_faults.rs
+++ b/crates/bench/tests/live_faults.rs
@@ -1,4 +1,5 @@
-//! Live requests through real daemons that are frozen, killed and stopped: the back ends' own logs are the judge.
+//! Live requests through daemons that are paused, killed and stopped. Checked by the back ends'
+//! logs.
 
 use std::time::{Duration, Instant};
 
@@ -8,11 +9,11 @@
 use reqwest::RequestBuilder;
 use serde_json::json;
 
-const BOUND: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 const POLL: Duration = Duration::from_millis(10);
 
 async fn cluster(delay_ms: u64) -> Cluster {
-    let cluster = Cluster::start_ready(&ClusterConfig::three(2))
+    let cluster = Cluster::start_ready(&ClusterConfig::three_daemons(2))
         .await
         .unwrap();
     let faults = ApplicationFaults {
@@ -20,22 +21,23 @@
         ..ApplicationFaults::default()
     };
     for application in &cluster.platform.applications {
-        application.stand_in.fault(&faults).await.unwrap();
+        application.stand_in.set_faults(&faults).await.unwrap();
     }
     cluster
 }
 
-/// A pricing call that must not run twice; its body names it in the back ends' logs.
+/// Returns a keyed pricing request, which must not run twice. Its body identifies it in the back
+/// ends' logs.
 fn price(cluster: &Cluster, daemon: usize, key: &str) -> RequestBuilder {
     let url = format!(
         "{}/v1/apps/{APPLICATION_POOL}/price",
         cluster.daemons[daemon].url()
     );
-    let request = http_client().post(url).timeout(BOUND);
+    let request = http_client().post(url).timeout(TIMEOUT);
     request.header("Idempotency-Key", key).body(key.to_owned())
 }
 
-/// Status and outcome; `None` if the connection broke.
+/// Returns the status and outcome, or `None` if the connection broke.
 async fn answer(request: RequestBuilder) -> Option<(u16, String)> {
     let response = request.send().await.ok()?;
     let outcome = response.headers().get("Ladderstage-Outcome");
@@ -45,7 +47,7 @@
     Some((response.status().as_u16(), outcome))
 }
 
-/// How often a key's request ran.
+/// Returns the number of runs of a key's request.
 async fn runs(cluster: &Cluster, key: &str) -> usize {
     let mut count = 0;
     for application in &cluster.platform.applications {
@@ -58,7 +60,7 @@
 async fn until(what: &str, condition: impl AsyncFn() -> bool) {
     let start = Instant::now();
     while !condition().await {
-        assert!(start.elapsed() < BOUND, "still not true: {what}");
+        assert!(start.elapsed() < TIMEOUT, "timed out waiting until {what}");
         tokio::time::sleep(POLL).await;
     }
 }
@@ -72,7 +74,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_runs_once_though_its_daemon_froze() {
+async fn a_keyed_request_runs_once_when_its_daemon_is_paused() {
     let mut cluster = cluster(1_000).await;
     let first = tokio::spawn(answer(price(&cluster, 0, "k")));
     until("the request runs", async || runs(&cluster, "k").await == 1).await;
@@ -88,7 +90,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_runs_once_wherever_its_daemon_freezes() {
+async fn a_keyed_request_runs_once_whenever_its_daemon_is_paused() {
     let mut cluster = cluster(0).await;
     for step in 0..24 {
         let key = format!("k{step}");
@@ -107,7 +109,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_is_not_run_again_after_its_daemon_was_killed() {
+async fn a_keyed_request_is_not_run_again_after_its_daemon_was_killed() {
     let mut cluster = cluster(1_000).await;
     let first = tokio::spawn(answer(price(&cluster, 0, "k")));
     until("the request runs", async || runs(&cluster, "k").await == 1).await;
@@ -126,7 +128,7 @@
     cluster.daemons[1].kill();
     cluster.daemons[2].kill();
     let (status, outcome) = answer(price(&cluster, 0, "k")).await.unwrap();
-    // An earlier try of the key might have run.
+    // An earlier attempt with the key might have run.
     assert_eq!((status, outcome.as_str()), (503, "unknown"));
     assert_eq!(runs(&cluster, "k").await, 0);
     cluster.start_daemon(1).await.unwrap();
--- a/crates/bench/tests/metrics.rs
+++ b/crates/bench/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! What `/metrics` of a cluster's daemons counts after a step, a roll and two refusals.
+//! Counters in `/metrics` after a step, a roll and two refusals.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -7,12 +7,12 @@
 use ladderstage_bench::http_client;
 use ladderstage_bench::trainer::{PullOptions, StepSpec};
 
-const BOUND: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 const POLL: Duration = Duration::from_millis(100);
 const SAMPLES: u32 = 12;
 const TOKENS: u32 = 20;
 
-/// Sums of all daemons' metrics, by name and labels.
+/// Returns the sums of all daemons' metrics, by name and labels.
 async fn scrape(cluster: &Cluster) -> Sums {
     let mut sums = BTreeMap::new();
     for url in cluster.urls() {
@@ -32,7 +32,7 @@
     sums.get(name).copied().unwrap_or_default()
 }
 
-/// Whether every daemon has the second bundle and sees its weight version on both engines.
+/// Returns whether every daemon has the second bundle and sees its weight version on both engines.
 fn is_rolled_out(sums: &Sums) -> bool {
     sum(sums, "ladderstage_bundle_revision") == 6.0
         && sum(sums, "ladderstage_weights_in_force_seconds_count") >= 2.0
@@ -46,14 +46,14 @@
         if is_rolled_out(&sums) {
             return sums;
         }
-        assert!(start.elapsed() < BOUND, "not rolled out: {sums:#?}");
+        assert!(start.elapsed() < TIMEOUT, "not rolled out: {sums:#?}");
         tokio::time::sleep(POLL).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn work_and_refusals_are_counted() {
-    let cluster = Cluster::start_ready(&ClusterConfig::three(2))
+    let cluster = Cluster::start_ready(&ClusterConfig::three_daemons(2))
         .await
         .unwrap();
     let mut trainer = cluster.trainer("counted");
