--- a/crates/cli/src/commands/bundle/roll.rs
+++ b/crates/cli/src/commands/bundle/roll.rs
@@ -74,7 +74,7 @@
 fn missing_members_error(revision: u64, members: usize, missing: &[MemberBundle]) -> CliError {
     let describe = |member: &MemberBundle| match (&member.error, member.revision) {
         (Some(error), _) => format!("{} ({error})", member.node),
-        (None, held) => format!("{} (has revision {})", member.node, held.unwrap_or(0)),
+        (None, current) => format!("{} (has revision {})", member.node, current.unwrap_or(0)),
     };
     let list = missing.iter().map(describe).collect::<Vec<_>>().join(", ");
     CliError::Failed(format!(
--- a/crates/daemon/src/live/application.rs
+++ b/crates/daemon/src/live/application.rs
@@ -153,13 +153,13 @@
 }
 
 async fn read_body(mut body: SizedBody) -> Result<Bytes, DispatchError> {
-    let mut whole = BytesMut::with_capacity(body.length() as usize);
+    let mut buffer = BytesMut::with_capacity(body.length() as usize);
     let unknown =
         |error: ladderstage_platform::application::BodyCut| DispatchError::Unknown(error.0);
     while let Some(bytes) = body.next().await.map_err(unknown)? {
-        whole.extend_from_slice(&bytes);
+        buffer.extend_from_slice(&bytes);
     }
-    Ok(whole.freeze())
+    Ok(buffer.freeze())
 }
 
 fn into_answer(
--- a/crates/daemon/src/live/mod.rs
+++ b/crates/daemon/src/live/mod.rs
@@ -57,7 +57,7 @@
     pub engine: EngineClient,
     /// Client to applications.
     pub application: ApplicationClient,
-    /// Work under way at this node.
+    /// Counter of work in flight on this node.
     pub drain: Drain,
 }
 
@@ -72,7 +72,7 @@
     pub engine: EngineClient,
     /// Client to applications.
     pub application: ApplicationClient,
-    /// Work under way at this node.
+    /// Counter of work in flight on this node.
     pub drain: Drain,
 }
 
