--- a/crates/front/src/backend/cold/state.rs
+++ b/crates/front/src/backend/cold/state.rs
@@ -38,7 +38,7 @@
 impl ColdState {
     /// Applies the remaining cold time of a discovery record received at `now`. It does not clear
     /// the uncertainty, since the record may predate the disconnect.
-    pub fn record_cold_time(&mut self, remaining: Duration, now: Instant) {
+    pub fn apply_discovery_record(&mut self, remaining: Duration, now: Instant) {
         if remaining.is_zero() {
             self.cold_until = None;
             return;
@@ -63,7 +63,7 @@
     }
 
     /// Records a response at `now`. After a disconnect, the instance may stay cold for `max_cold`.
-    pub fn record_reconnect(&mut self, now: Instant, max_cold: Duration) {
+    pub fn record_response(&mut self, now: Instant, max_cold: Duration) {
         if self.uncertainty == Uncertainty::Disconnected {
             self.uncertainty = Uncertainty::Until(now + max_cold);
         }
@@ -71,7 +71,7 @@
 
     /// Returns the status at `now`.
     pub fn cold_status(&self, now: Instant) -> ColdStatus {
-        if !self.remaining(now).is_zero() {
+        if !self.remaining_cold_time(now).is_zero() {
             return ColdStatus::Cold;
         }
         match self.uncertainty {
@@ -82,7 +82,7 @@
     }
 
     /// Returns the remaining cold time according to the discovery record.
-    pub fn remaining(&self, now: Instant) -> Duration {
+    pub fn remaining_cold_time(&self, now: Instant) -> Duration {
         self.cold_until
             .map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
--- a/crates/front/src/backend/instance.rs
+++ b/crates/front/src/backend/instance.rs
@@ -176,7 +176,7 @@
     /// Creates an instance from its discovery record.
     pub fn new(discovered: DiscoveredInstance, gates: SendGates) -> Self {
         let mut cold = ColdState::default();
-        cold.record_cold_time(Duration::from_millis(discovered.cold_ms), Instant::now());
+        cold.apply_discovery_record(Duration::from_millis(discovered.cold_ms), Instant::now());
         Self {
             id: discovered.id.clone(),
             started_unix_ms: discovered.started_unix_ms,
@@ -250,7 +250,7 @@
     /// Returns the last discovery record with the remaining cold time as of now.
     pub fn discovered(&self) -> DiscoveredInstance {
         let state = self.lock();
-        let cold = state.cold.remaining(Instant::now());
+        let cold = state.cold.remaining_cold_time(Instant::now());
         DiscoveredInstance {
             cold_ms: cold.as_millis() as u64,
             ..state.discovered.clone()
@@ -285,14 +285,14 @@
             *newer = (*newer).max(*version);
         }
         let (cold, now) = (Duration::from_millis(discovered.cold_ms), Instant::now());
-        if !cold.is_zero() && state.cold.remaining(now).is_zero() {
+        if !cold.is_zero() && state.cold.remaining_cold_time(now).is_zero() {
             log::info!(
                 "event=instance_cold instance={} remaining_ms={}",
                 self.id,
                 cold.as_millis()
             );
         }
-        state.cold.record_cold_time(cold, now);
+        state.cold.apply_discovery_record(cold, now);
         state.discovered = discovered;
     }
 
@@ -371,7 +371,7 @@
         let mut state = self.lock();
         let limit = self.gates.cold.get(&state.discovered.service);
         let time = limit.map_or(Duration::ZERO, |limit| limit.time);
-        state.cold.record_reconnect(now, time);
+        state.cold.record_response(now, time);
     }
 
     /// Records that it may have just become cold without reporting it.
--- a/crates/front/tests/cold_instances.rs
+++ b/crates/front/tests/cold_instances.rs
@@ -78,16 +78,16 @@
     let now = Instant::now();
     let mut state = ColdState::default();
     assert_eq!(state.cold_status(now), ColdStatus::Warm);
-    state.record_cold_time(ms(2_000), now);
+    state.apply_discovery_record(ms(2_000), now);
     assert_eq!(state.cold_status(now + ms(1_999)), ColdStatus::Cold);
     assert_eq!(state.cold_status(now + ms(2_000)), ColdStatus::Warm);
-    state.record_cold_time(ms(0), now + ms(500));
+    state.apply_discovery_record(ms(0), now + ms(500));
     assert_eq!(
         state.cold_status(now + ms(500)),
         ColdStatus::Warm,
         "a later record"
     );
-    state.record_cold_time(ms(3_000), now + ms(600));
+    state.apply_discovery_record(ms(3_000), now + ms(600));
     assert_eq!(
         state.cold_status(now + ms(3_000)),
         ColdStatus::Cold,
@@ -101,25 +101,25 @@
     let mut state = ColdState::default();
     state.record_disconnect();
     assert_eq!(state.cold_status(now + ms(60_000)), ColdStatus::Uncertain);
-    state.record_cold_time(ms(0), now);
+    state.apply_discovery_record(ms(0), now);
     assert_eq!(
         state.cold_status(now),
         ColdStatus::Uncertain,
         "the record may be older than the failure"
     );
-    state.record_reconnect(now + ms(1_000), COLD_TIME);
-    state.record_reconnect(now + ms(2_000), COLD_TIME);
+    state.record_response(now + ms(1_000), COLD_TIME);
+    state.record_response(now + ms(2_000), COLD_TIME);
     assert_eq!(state.cold_status(now + ms(3_999)), ColdStatus::Uncertain);
     assert_eq!(state.cold_status(now + ms(4_000)), ColdStatus::Warm);
     state.record_disconnect();
-    state.record_cold_time(ms(500), now + ms(5_000));
+    state.apply_discovery_record(ms(500), now + ms(5_000));
     assert_eq!(state.cold_status(now + ms(5_499)), ColdStatus::Cold);
     assert_eq!(
         state.cold_status(now + ms(5_500)),
         ColdStatus::Uncertain,
         "the record may describe the incarnation before the failure"
     );
-    state.record_reconnect(now + ms(6_000), COLD_TIME);
+    state.record_response(now + ms(6_000), COLD_TIME);
     assert_eq!(state.cold_status(now + ms(8_999)), ColdStatus::Uncertain);
     assert_eq!(state.cold_status(now + ms(9_000)), ColdStatus::Warm);
 }
