--- a/crates/front/src/backend/choice.rs
+++ b/crates/front/src/backend/choice.rs
@@ -1,7 +1,7 @@
 //! Chooses the instance for a request by a cost function.
 //!
-//! The cost grows with the expected time of one more request. Its unit is the load-dependent part of
-//! a typical request's time at full load. The cost of an instance in another region includes its
+//! The cost grows with the expected time of one more request. Its unit is the load-dependent part
+//! of a typical request's time at full load. The cost of an instance in another region includes its
 //! round trip, so the instance is chosen once closer ones are expected to be slower.
 
 use ladderstage::region::Distance;
@@ -25,15 +25,15 @@
 /// its load.
 const LONG_FIXED_TIME_RATIO: f64 = 4.0;
 
-/// Cost added for waiting for a slot; larger than the cost of any instance with a free slot.
+/// Cost added for waiting for a slot; large compared with the cost of an instance with a free slot.
 const QUEUE_COST: f64 = 100.0;
 
 /// Lower bound of an instance's relative time, so that one quick response does not attract all
 /// requests.
 const MIN_RELATIVE_TIME: f64 = 0.6;
 
-/// Minimum share of a measured time that remains after the round trip is subtracted, since the round
-/// trip may be overestimated.
+/// Minimum share of a measured time that remains after the round trip is subtracted, since the
+/// round trip may be overestimated.
 const MIN_WORK_SHARE: f64 = 0.25;
 
 /// State of an instance that may be chosen.
--- a/crates/front/src/backend/cold/limits.rs
+++ b/crates/front/src/backend/cold/limits.rs
@@ -12,7 +12,8 @@
 /// the instance is cold.
 const PERMIT_DIVISOR: u32 = 2;
 
-/// A front may send the bound divided by this without permits to an instance that it considers warm. Few fronts own jobs that use the same instance.
+/// A front may send the bound divided by this without permits to an instance that it considers
+/// warm. Few fronts own jobs that use the same instance.
 const WITHOUT_PERMIT_DIVISOR: u32 = 4;
 
 /// Excess over the configured rate that all callers together may cause.
--- a/crates/front/src/backend/cold/state.rs
+++ b/crates/front/src/backend/cold/state.rs
@@ -37,7 +37,7 @@
 
 impl ColdState {
     /// Applies the remaining cold time of a discovery record received at `now`. It does not clear
-    /// the uncertainty, since the record may predate the disconnect.
+    /// the uncertainty, since the record may predate its cause.
     pub fn apply_discovery_record(&mut self, remaining: Duration, now: Instant) {
         if remaining.is_zero() {
             self.cold_until = None;
--- a/crates/front/src/backend/connection.rs
+++ b/crates/front/src/backend/connection.rs
@@ -63,13 +63,13 @@
     shared: Arc<Shared>,
 }
 
-/// A connection in use. [`PooledConnection::return_to_pool`] returns it to the pool after a complete
-/// response; dropping it closes the connection.
+/// A connection in use. [`PooledConnection::return_to_pool`] returns it to the pool after a
+/// complete response; dropping it closes the connection.
 #[derive(Debug)]
 pub struct PooledConnection {
     /// Sends the request.
     pub sender: Sender,
-    /// True if the connection carried requests before.
+    /// Whether the connection carried requests before.
     pub is_reused: bool,
     shared: Arc<Shared>,
 }
--- a/crates/front/src/backend/exchange.rs
+++ b/crates/front/src/backend/exchange.rs
@@ -118,8 +118,8 @@
 /// Sends a request and waits for the head of its response.
 ///
 /// # Errors
-/// Returns an [`ExchangeError`] also if the instance refuses the request; any other status is a
-/// reply.
+/// Returns an [`ExchangeError`] if the exchange fails or the instance refuses the request; a response
+/// with any other status is a reply.
 pub async fn send(
     instance: &Arc<Instance>,
     names: &HeaderNames,
--- a/crates/front/src/backend/instance.rs
+++ b/crates/front/src/backend/instance.rs
@@ -49,8 +49,8 @@
     pub is_ready: bool,
     /// Number of requests that run concurrently.
     pub slots: u32,
-    /// Start of this incarnation (process run) in milliseconds since the epoch by the instance's clock; 0 if
-    /// unknown.
+    /// Start of this incarnation (process run) in milliseconds since the epoch by the instance's
+    /// clock; 0 if unknown.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub started_unix_ms: u64,
     /// Remaining time in milliseconds, as of the record, in which it handles few requests; 0 if it
@@ -120,8 +120,8 @@
 #[derive(Debug)]
 struct InstanceState {
     discovered: DiscoveredInstance,
-    /// Load caused by other nodes (the reported load minus this node's requests) and the time of the
-    /// report.
+    /// Load caused by other nodes (the reported load minus this node's requests) and the time of
+    /// the report.
     other_load: Option<(u32, Instant)>,
     unit_time: Option<(f64, Instant)>,
     failures: u32,
@@ -203,7 +203,7 @@
         &self.id
     }
 
-    /// Returns the name of this incarnation, which is the same at all nodes.
+    /// Returns the name of this incarnation, which is identical at all nodes.
     pub fn incarnation_name(&self) -> String {
         format!("{}@{}", self.id, self.started_unix_ms)
     }
@@ -366,7 +366,7 @@
         }
     }
 
-    /// Records that the instance responds, also after a failure.
+    /// Records a response, which shows that the instance is running.
     pub fn record_response(&self, now: Instant) {
         let mut state = self.lock();
         let limit = self.gates.cold.get(&state.discovered.service);
--- a/crates/front/src/backend/table.rs
+++ b/crates/front/src/backend/table.rs
@@ -207,8 +207,8 @@
         }
     }
 
-    /// Requests instances if none was ever added, and waits at most `max_wait` for the first one and
-    /// for the drained zones.
+    /// Requests instances if none was ever added, and waits at most `max_wait` for the first one
+    /// and for the drained zones.
     pub async fn wait_for_first_instance(&self, max_wait: Duration) {
         let drained = &self.gates.drained;
         if *self.is_populated.borrow() && drained.is_known() {
--- a/crates/front/src/config.rs
+++ b/crates/front/src/config.rs
@@ -54,8 +54,8 @@
     pub split: Vec<WeightedService>,
     /// Maximum number of instances that a request may be sent to.
     pub max_attempts: u32,
-    /// Time after a batch job's submission from which its items may be abandoned; `None`: items are
-    /// never abandoned by age.
+    /// Time after a batch job's submission from which its items may be abandoned; `None` if items
+    /// are never abandoned by age.
     pub max_queue_time: Option<Duration>,
     /// Time after a batch job's submission at which its results are due.
     pub result_deadline: Option<Duration>,
@@ -76,8 +76,8 @@
 const MAX_RETIRED_KEYS: usize = 4_096;
 
 impl Route {
-    /// Returns the value of the header that tells instances the priority of a request. A tenant's
-    /// priority overrides the route's.
+    /// Returns the value of the header that carries the priority of a request to instances. A
+    /// tenant's priority overrides the route's.
     pub fn priority_header(&self, tenant: Option<&Tenant>) -> HeaderValue {
         let tenant_priority = tenant.and_then(|tenant| tenant.priority);
         let priority = tenant_priority.unwrap_or(self.priority);
@@ -126,8 +126,8 @@
     pub max_per_zone: u32,
     /// Time from an order to the first request served by the new instance.
     pub boot_time: Duration,
-    /// Price of a preemptible instance relative to a regular one; `None`: there are no preemptible
-    /// ones.
+    /// Price of a preemptible instance relative to a regular one; `None` if there are no
+    /// preemptible ones.
     pub preemptible_price: Option<f64>,
     /// Price of an instance per second, by zone.
     pub zone_prices: BTreeMap<String, f64>,
@@ -140,11 +140,11 @@
     pub max_connections: u32,
     /// Models that the instances serve; empty for applications.
     pub models: Vec<String>,
-    /// Tokens per event of a stream; 0: unknown.
+    /// Tokens per event of a stream; 0 if unknown.
     pub tokens_per_event: u64,
-    /// Limits of cold instances; `None`: the same as for other instances.
+    /// Limits of cold instances; `None` if they have none.
     pub cold: Option<ColdSpec>,
-    /// Bounds of the number of instances; `None`: this system does not manage it.
+    /// Bounds of the number of instances; `None` if this system does not manage it.
     pub scaling: Option<ScalingSpec>,
 }
 
@@ -183,7 +183,7 @@
     pub services: BTreeMap<String, ServiceSpec>,
     /// Limits of client requests.
     pub limits: Limits,
-    /// Tenants that may send requests; empty: everybody may, without a key.
+    /// Tenants that may send requests; if empty, everybody may, without a key.
     pub tenants: Vec<Arc<Tenant>>,
     /// Removed keys with the version that removed them, for the log.
     pub retired_keys: BTreeMap<KeyDigest, u64>,
@@ -210,7 +210,7 @@
     }
 
     /// Returns the regions in which a tenant's requests for a host and path may be served and
-    /// stored; `None`: no route matches. Requests of a removed tenant, which may have had
+    /// stored; `None` if no route matches. Requests of a removed tenant, which may have had
     /// restrictions, are allowed nowhere.
     pub fn allowed_regions(&self, host: &str, path: &str, tenant: &str) -> Option<AllowedRegions> {
         let route = self.route(host, path)?;
@@ -327,7 +327,7 @@
     }
 
     /// Returns the regions in which a tenant's requests for a host and path may currently be served
-    /// and stored; `None`: no route matches.
+    /// and stored; `None` if no route matches.
     pub fn allowed_regions(&self, host: &str, path: &str, tenant: &str) -> Option<AllowedRegions> {
         if !self.restricts_regions.load(Ordering::Acquire) {
             return Some(AllowedRegions::default());
--- a/crates/front/src/coordination/following.rs
+++ b/crates/front/src/coordination/following.rs
@@ -40,7 +40,7 @@
     }
 }
 
-/// Delay after the first failed call, which may be an isolated failure.
+/// Delay before the retry of the first failed call, which may be an isolated failure.
 const FIRST_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Maximum wait after further failed calls. Failed calls cost as much as others, and the renewals
--- a/crates/front/src/explain/line.rs
+++ b/crates/front/src/explain/line.rs
@@ -53,8 +53,8 @@
         fields.any(|field| self.fields.get(*field).is_some_and(|value| matches(value)))
     }
 
-    /// Returns whether the event is a failure: a warning, an error or an unsuccessful outcome. A run
-    /// that `moved` to another instance counts, as it was interrupted.
+    /// Returns whether the event is a failure: a warning, an error or an unsuccessful outcome. A
+    /// run that `moved` to another instance counts, as it was interrupted.
     pub fn is_failure(&self) -> bool {
         let outcome = self.fields.get("outcome").map_or("", String::as_str);
         let is_failed_outcome =
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -63,20 +63,20 @@
     pub activities: Activities,
     /// Revision as of which this node knows the instances from discovery.
     pub view: DiscoveryView,
-    /// Revision as of which this node knows the drained zones from the store; `None`: this
+    /// Revision as of which this node knows the drained zones from the store; `None` if this
     /// deployment drains no zones.
     pub drains: Option<DiscoveryView>,
-    /// Timing of the roster (the record of the instances that live requests may go to); `None`: there
-    /// is no roster.
+    /// Timing of the roster (the record of the instances that live requests may go to); `None` if
+    /// there is no roster.
     pub roster: Option<RosterOptions>,
     /// Codec of the platform's headers and bodies.
     pub codec: SharedCodec,
-    /// Usage reports; `None`: they are disabled.
+    /// Usage reports; `None` if they are disabled.
     pub usage: Option<UsageInputs>,
-    /// Requests allowed to cold instances beyond their limits; `None`: cold instances are not
-    /// limited.
+    /// Requests allowed to cold instances beyond their limits; `None` if cold instances are
+    /// not limited.
     pub cold: Option<ColdAllowance>,
-    /// Capacity orders; `None`: this system does not manage the number of instances.
+    /// Capacity orders; `None` if this system does not manage the number of instances.
     pub capacity: Option<CapacityInputs>,
 }
 
--- a/crates/front/src/ingress/mod.rs
+++ b/crates/front/src/ingress/mod.rs
@@ -432,7 +432,7 @@
             }
         }
     };
-    // A slow client is not waited for.
+    // The body of a slow client is not read to its end.
     let _ = tokio::time::timeout(DISCARD_TIMEOUT, reading).await;
 }
 
--- a/crates/front/src/nodes/following.rs
+++ b/crates/front/src/nodes/following.rs
@@ -1,9 +1,9 @@
 //! Keeps track of the other nodes: follows their records while there is work with them, and reads
 //! them periodically otherwise.
 //!
-//! With hundreds of nodes, watch answers about restarts would be most of the calls to the store. A
-//! node without work needs the others only to forward requests, and a failed call shows soon enough
-//! that a node is gone.
+//! With hundreds of nodes, watch answers about restarts would be most of the calls to the store. An
+//! idle node needs the others only to forward requests, and a failed call shows soon enough that a
+//! node has left.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,9 +15,9 @@
 use crate::activity::Activity;
 use crate::coordination::{Coordination, Follower, Update, follow_with};
 
-/// Interval between watch answers at an active node: one with a disk, a job or the orders lease (its
-/// holder issues weight-load orders). The interval is short compared with a node's lease, which has to expire before the node is
-/// missed.
+/// Interval between watch answers at an active node: one with a disk, a job or the orders lease
+/// (its holder issues weight-load orders). The interval is short compared with a node's lease,
+/// which has to expire before the node is missed.
 const BATCH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Interval between watch answers during startup.
--- a/crates/front/src/nodes/mod.rs
+++ b/crates/front/src/nodes/mod.rs
@@ -31,8 +31,8 @@
 /// Key prefix of the records.
 const NODE_PREFIX: &str = "ladderstage/node/";
 
-/// Time for which a node still counts as present after its record is gone, as a record lost during
-/// store trouble may come back.
+/// Time for which a node still counts as present after its record was removed, as a record lost
+/// during a failure of the store may come back.
 const ABSENCE_GRACE: Duration = Duration::from_millis(400);
 
 /// Time after which a node without a record counts as removed.
@@ -55,9 +55,9 @@
 /// Record of a node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeRecord {
-    /// Name; stable across restarts.
+    /// Name of the node; stable across restarts.
     pub node: String,
-    /// Role.
+    /// Role of the node.
     pub role: NodeRole,
     /// Random identifier of this process incarnation.
     pub process: u64,
@@ -65,14 +65,14 @@
     pub peer_address: SocketAddr,
     /// Zone of the node.
     pub zone: String,
-    /// Identifier of its disk; 0: none.
+    /// Identifier of the node's disk; 0 if it has none.
     pub replica_id: u64,
     /// The node is being drained or stopped and gets no new work.
     pub is_leaving: bool,
-    /// CPU time available on its machine, in thousandths of a core; 0: unknown.
+    /// CPU time available on the node's machine, in thousandths of a core; 0 if unknown.
     #[serde(default)]
     pub cpu_millis: u32,
-    /// Region of the node; empty: none, or the record is of an older build.
+    /// Region of the node; empty if it has none or the record is of an older build.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub region: String,
     /// Formats that its build reads.
@@ -233,7 +233,7 @@
         strongest.iter().any(|record| record.node == own)
     }
 
-    /// Returns the time of the store's last answer to this node; `None`: there was none.
+    /// Returns the time of the store's last answer to this node; `None` if there was none.
     pub fn last_store_contact(&self) -> Option<Instant> {
         *self.store_contact.borrow()
     }
@@ -254,7 +254,7 @@
         lock(&self.own).is_leaving
     }
 
-    /// Returns the time at which a node's current process was first seen; `None`: never.
+    /// Returns the time at which a node's current process was first seen; `None` if never.
     pub fn first_seen(&self, node: &str) -> Option<Instant> {
         lock(&self.known).first_seen.get(node).copied()
     }
@@ -392,7 +392,7 @@
         record.is_ok_and(|record| self.records.get(&record.node) != Some(&record))
     }
 
-    /// Inserts a record; `is_logged`: log it if it changed.
+    /// Inserts a record, and logs it if it changed and `is_logged` is set.
     fn insert(&mut self, value: &[u8], is_logged: bool) {
         let Ok(record) = serde_json::from_slice::<NodeRecord>(value) else {
             log::warn!("event=node_record_unreadable");
--- a/crates/front/src/nodes/registration.rs
+++ b/crates/front/src/nodes/registration.rs
@@ -13,9 +13,9 @@
 /// Renewal interval of the short lease.
 const SHORT_RENEWAL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Lease duration of an idle front that is not one of the fronts with the most CPU time, or knows no
-/// other front. Such a front gets no jobs from other nodes, and its absence is noticed when a call
-/// to it fails. The long lease saves calls to the store.
+/// Lease duration of an idle front that is not one of the fronts with the most CPU time, or knows
+/// no other front. Such a front gets no jobs from other nodes, and its absence is noticed when a
+/// call to it fails. The long lease saves calls to the store.
 const LONG_LEASE: Duration = Duration::from_secs(9);
 
 /// Renewal interval of the long lease. Renewals also show whether the store answers: `ingress`
--- a/crates/front/src/program.rs
+++ b/crates/front/src/program.rs
@@ -57,7 +57,7 @@
     pub data_folder: Option<PathBuf>,
     /// Listen address of the metrics endpoint, if enabled.
     pub metrics_address: Option<SocketAddr>,
-    /// The whole system starts for the first time.
+    /// Whether the whole system starts for the first time, so that the journal may be created.
     pub is_first_start: bool,
     /// Number of disks that may be lost at once.
     pub tolerated_failures: usize,
@@ -66,7 +66,7 @@
     /// Minimum time between orders of two order leaders. Zero where instances reject the orders of
     /// an earlier one.
     pub order_quiet_period: Duration,
-    /// CPU time available on this machine, in thousandths of a core; 0: unknown.
+    /// CPU time available on this machine, in thousandths of a core; 0 if unknown.
     pub cpu_millis: u32,
     /// Maximum duration of a planned shutdown.
     pub shutdown_grace: Duration,
@@ -75,7 +75,7 @@
 }
 
 impl ProgramOptions {
-    /// Returns the region of this node; empty: none.
+    /// Returns the region of this node; empty if it has none.
     pub(crate) fn own_region(&self) -> String {
         let region = self.regions.region_of(&self.zone);
         region.unwrap_or_default().to_owned()
@@ -135,7 +135,8 @@
     }
 }
 
-/// Forwards journal events to the jobs. The journal of these programs carries no bundle.
+/// Forwards journal events to the jobs. Heartbeats of these programs carry no evidence about
+/// bundles.
 pub(crate) struct JobHooks {
     pub jobs: Option<JobRegistry>,
 }
--- a/crates/front/src/region_findings.rs
+++ b/crates/front/src/region_findings.rs
@@ -1,5 +1,5 @@
 //! Checks the regions named in a configuration. A configuration with findings still comes into
-//! force, as its other changes must; requests that it allows in no region are refused.
+//! force, so that its other changes apply; requests that it allows in no region are rejected.
 
 use std::sync::Arc;
 
--- a/crates/front/src/roster/options.rs
+++ b/crates/front/src/roster/options.rs
@@ -1,5 +1,5 @@
-//! Timing of the roster (the record that lists all fronts and instances for idle fronts), derived
-//! from the maximum delay of a change.
+//! Timing of the roster (the record of the instances that live requests may go to), derived from the
+//! maximum delay of a change.
 
 use std::time::Duration;
 
--- a/crates/front/src/roster/reader.rs
+++ b/crates/front/src/roster/reader.rs
@@ -21,7 +21,8 @@
     /// sets in `view` the revision as of which they are known.
     fn follow(&self, view: &DiscoveryView) -> impl Future<Output = ()> + Send;
 
-    /// Applies the drain records in the same way.
+    /// Applies the drain records to the table until the future is dropped, and sets in `view` the
+    /// revision as of which they are known.
     fn follow_drains(&self, view: &DiscoveryView) -> impl Future<Output = ()> + Send;
 }
 
@@ -46,9 +47,9 @@
     pub view: DiscoveryView,
     /// Work at this node that needs the instances' weights or prompt updates.
     pub activity: Activity,
-    /// Timing; `None`: there is no roster.
+    /// Timing; `None` if there is no roster.
     pub options: Option<RosterOptions>,
-    /// State for drained zones; `None`: this deployment drains no zones.
+    /// State for drained zones; `None` if this deployment drains no zones.
     pub drains: Option<DrainTracking>,
     /// Time for which a starting node waits for a roster before it follows discovery.
     pub startup_wait: Duration,
@@ -56,7 +57,7 @@
     pub source: S,
 }
 
-/// Latest roster read from the store; `None`: there is none.
+/// Latest roster read from the store; `None` if there is none.
 pub(super) type KnownRoster = watch::Sender<Option<Arc<Roster>>>;
 
 impl<S: DiscoverySource> RosterReader<S> {
@@ -121,8 +122,8 @@
         );
     }
 
-    /// Returns once there has been no work for [`DISCOVERY_LINGER`] and the roster is at least as new
-    /// as the discovery records known here.
+    /// Returns once there has been no work for [`DISCOVERY_LINGER`] and the roster is at least as
+    /// new as the discovery records known here.
     async fn wait_until_roster_suffices(&self, known: &KnownRoster) {
         loop {
             if self.activity.is_active() {
@@ -167,7 +168,7 @@
         config.is_none_or(|config| config.live_services().is_subset(&roster.services))
     }
 
-    /// Applies the roster until it is gone or does not cover the configuration, or work starts
+    /// Applies the roster until it is removed or does not cover the configuration, or work starts
     /// here.
     async fn follow_roster(&self, known: &KnownRoster) {
         let mut changed = known.subscribe();
--- a/crates/front/src/roster/record.rs
+++ b/crates/front/src/roster/record.rs
@@ -33,7 +33,7 @@
     /// All instances of these services, sorted by id. Those in drained zones are marked as not
     /// ready, for readers of older builds, which ignore `drains`.
     pub instances: Vec<DiscoveredInstance>,
-    /// Drained zones; `None`: unknown to the writer.
+    /// Drained zones; `None` if unknown to the writer.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub drains: Option<RosterDrains>,
 }
--- a/crates/front/src/roster/view.rs
+++ b/crates/front/src/roster/view.rs
@@ -1,5 +1,5 @@
-//! Store revision as of which this node knows the records that it follows itself rather than through
-//! the roster.
+//! Store revision as of which this node knows the records that it follows itself rather than
+//! through the roster.
 
 use tokio::sync::watch;
 
--- a/crates/front/src/roster/writer.rs
+++ b/crates/front/src/roster/writer.rs
@@ -46,21 +46,23 @@
     pub config: CurrentConfig,
     /// Revision as of which this node knows the instances.
     pub view: DiscoveryView,
-    /// Revision as of which this node knows the drained zones from the store; `None`: this
+    /// Revision as of which this node knows the drained zones from the store; `None` if this
     /// deployment drains no zones.
     pub drains: Option<DiscoveryView>,
     /// Other nodes.
     pub nodes: Nodes,
-    /// Timing; `None`: there is no roster.
+    /// Timing; `None` if there is no roster.
     pub options: Option<RosterOptions>,
 }
 
 /// Roster written under a lease.
 struct WrittenRoster {
     lease: LeaseId,
-    /// Revision of the record; `None`: unknown after a write without an answer or by another node.
+    /// Revision of the record; `None` if unknown, after a write without an answer or a write by
+    /// another node.
     revision: Option<u64>,
-    /// Last written roster; `None`: none under this lease, or the outcome of the write is unknown.
+    /// Last written roster; `None` if none was written under this lease, or the outcome of the
+    /// write is unknown.
     roster: Option<Roster>,
 }
 
--- a/crates/front/src/store.rs
+++ b/crates/front/src/store.rs
@@ -36,7 +36,7 @@
 /// Interval between checks of the disk.
 const DISK_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Progress of a retirement.
+/// Progress of a retirement, in which a disk leaves the replica set.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetirementState {
     /// The disk is still part of the replica set.
@@ -49,7 +49,7 @@
 pub struct StoreInputs {
     /// Whether this store has to leave the replica set.
     pub is_retired: watch::Receiver<bool>,
-    /// Receiver of the progress.
+    /// Receiver of the retirement's progress.
     pub retirement: mpsc::UnboundedSender<RetirementState>,
 }
 
--- a/crates/front/src/suspects/ledger.rs
+++ b/crates/front/src/suspects/ledger.rs
@@ -2,9 +2,9 @@
 //! instances.
 //!
 //! A content is what repetitions of a request have in common; it is identified by its digest. It
-//! becomes suspected when an instance crashes during a run of it. The cause may also be
-//! another run on the same instance or no request at all, so a suspect may still run, but no more
-//! runs of it start at once than crashes are left until it is held back. A run that completes
+//! becomes suspected when an instance crashes during a run of it. The cause may also be another run
+//! on the same instance or no request at all, so a suspect may still run, but the number of its
+//! concurrent runs is limited to the crashes left until it is held back. A run that completes
 //! clears its content.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -14,12 +14,12 @@
 use super::content::ContentDigest;
 use ladderstage_clock::Instant;
 
-/// Number of crashes after which a live request's content is held back. See `tests/suspect_load.rs` for the
-/// effect of other limits.
+/// Number of crashes after which a live request's content is held back. See `tests/suspect_load.rs`
+/// for the effect of other limits.
 pub const LIVE_MAX_CRASHES: usize = 2;
 
-/// Number of crashes after which an item's content is held back. Items run longer than live requests and meet
-/// more crashes with other causes.
+/// Number of crashes after which an item's content is held back. Items run longer than live
+/// requests and meet more crashes with other causes.
 pub const ITEM_MAX_CRASHES: usize = 3;
 
 /// Time that a content is held back after its last crash; doubles with each further one. One trial
--- a/crates/front/src/suspects/mod.rs
+++ b/crates/front/src/suspects/mod.rs
@@ -90,8 +90,8 @@
 /// Maximum number of changed contents waiting to be shared; more are dropped with a log line.
 const MAX_UNSHARED: usize = 256;
 
-/// Minimum number of crashes for which an item is announced to all fronts; few items meet two crashes with other
-/// causes.
+/// Minimum number of crashes for which an item is announced to all fronts; few items meet two
+/// crashes with other causes.
 const ITEM_MIN_CRASHES_TO_ANNOUNCE: usize = 2;
 
 /// Retry delay of a request that is refused while runs of the same content are in progress, most of
--- a/crates/front/src/tenant.rs
+++ b/crates/front/src/tenant.rs
@@ -33,7 +33,7 @@
 /// A tenant of the configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Tenant {
-    /// Name, which is also sent to instances.
+    /// Name of the tenant, which is sent to instances with each request.
     pub name: Arc<str>,
     /// Digests of its keys, any of which identifies the tenant.
     pub keys: Vec<KeyDigest>,
--- a/crates/front/src/usage/meter.rs
+++ b/crates/front/src/usage/meter.rs
@@ -1,8 +1,8 @@
 //! Counts of started requests, by window and by the process that sent them.
 //!
-//! Only a process itself adds to its counts. Of two messages about the same process and window the
-//! one with the larger counts is the newer, so that messages may be repeated, reordered and
-//! forwarded.
+//! A process counts only its own requests, and its counts never decrease. Of two messages about one
+//! process and window, the one with the larger counts is newer, so that messages may be repeated,
+//! reordered and forwarded.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
--- a/crates/front/src/usage/reporter.rs
+++ b/crates/front/src/usage/reporter.rs
@@ -1,5 +1,5 @@
-//! Sends usage reports while this node is the order leader (holds the orders lease): collects the counts of a finished
-//! window, commits the report to the store, and sends it.
+//! Sends usage reports while this node is the order leader (holds the orders lease): collects the
+//! counts of a finished window, commits the report to the store, and sends it.
 //!
 //! Only committed reports are sent, and committed reports never change. A later holder, or this one
 //! after a lost answer, sends the same counts again, which the receiver ignores.
@@ -146,7 +146,7 @@
 /// State of the reporter during one term of the lease.
 struct HolderState {
     clock: WindowClock,
-    /// Revision of the stored record; 0: there is none.
+    /// Revision of the stored record; 0 if there is none.
     revision: u64,
     committed: CommittedReports,
     /// Next window to commit.
--- a/crates/front/tests/following.rs
+++ b/crates/front/tests/following.rs
@@ -44,6 +44,7 @@
             assert_eq!(watched_at[0], listed_at[0]);
             assert_eq!(listed_at[1], listed_at[0] + batch_interval / 2);
         } else {
+            // The first watch starts after a pause, when the history is already compacted.
             assert_eq!(listed_at[1], watched_at[0]);
         }
     }
@@ -162,6 +163,7 @@
         () = follow_task => unreachable!("a follower never returns"),
         during_outage = renewals => during_outage,
     };
+    // The first call and its only retry before another call succeeds.
     assert_eq!(during_outage, 2);
     assert_eq!(store.calls("node", "list_stale", "instances/"), 3);
 }
--- a/crates/front/tests/nodes.rs
+++ b/crates/front/tests/nodes.rs
@@ -15,7 +15,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-/// Longer than the startup period with frequent reads.
+/// Longer than the startup period, in which a node reads the other nodes' records frequently.
 const STARTUP: Duration = Duration::from_secs(9);
 
 fn record(node: &str, process: u64) -> NodeRecord {
--- a/crates/front/tests/roster.rs
+++ b/crates/front/tests/roster.rs
@@ -278,7 +278,7 @@
         }
     }
 
-    /// Starts a node with work that maintains the roster.
+    /// Starts an active node that maintains the roster.
     fn start_writer(store: &MemoryStore, name: &str) -> Self {
         Self::start(store, name, options().writer_batch_interval).maintain_roster(name)
     }
@@ -376,7 +376,8 @@
     (store, writer, reader)
 }
 
-/// Starts the same fleet with an instance, `i-9`, of a service that the roster does not include.
+/// Starts a store, a writer and an idle reader as [`start_fleet`] does, with an instance, `i-9`, of
+/// a service that the roster does not include.
 async fn start_fleet_with_labeler() -> (MemoryStore, Node, Node) {
     let store = MemoryStore::default();
     let labeler = DiscoveredInstance {
