--- a/crates/front/src/backend/instance.rs
+++ b/crates/front/src/backend/instance.rs
@@ -49,8 +49,8 @@
     pub is_ready: bool,
     /// Number of requests that run concurrently.
     pub slots: u32,
-    /// Start of this incarnation in milliseconds since the epoch by the instance's clock; 0 if
-    /// unknown.
+    /// Start of this incarnation (process run) in milliseconds since the epoch by the instance's
+    /// clock; 0 if unknown.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub started_unix_ms: u64,
     /// Remaining time in milliseconds, as of the record, in which it handles few requests; 0 if it
@@ -120,8 +120,8 @@
 #[derive(Debug)]
 struct InstanceState {
     discovered: DiscoveredInstance,
-    /// Load from other nodes, which is the reported load less own requests, and when it was
-    /// reported.
+    /// Load caused by other nodes (the reported load minus this node's requests) and the time of
+    /// the report.
     other_load: Option<(u32, Instant)>,
     unit_time: Option<(f64, Instant)>,
     failures: u32,
@@ -176,7 +176,7 @@
     /// Creates an instance from its discovery record.
     pub fn new(discovered: DiscoveredInstance, gates: SendGates) -> Self {
         let mut cold = ColdState::default();
-        cold.record_cold_time(Duration::from_millis(discovered.cold_ms), Instant::now());
+        cold.apply_discovery_record(Duration::from_millis(discovered.cold_ms), Instant::now());
         Self {
             id: discovered.id.clone(),
             started_unix_ms: discovered.started_unix_ms,
@@ -203,7 +203,7 @@
         &self.id
     }
 
-    /// Returns the name of this incarnation, which is the same at all nodes.
+    /// Returns the name of this incarnation, which is identical at all nodes.
     pub fn incarnation_name(&self) -> String {
         format!("{}@{}", self.id, self.started_unix_ms)
     }
@@ -250,7 +250,7 @@
     /// Returns the last discovery record with the remaining cold time as of now.
     pub fn discovered(&self) -> DiscoveredInstance {
         let state = self.lock();
-        let cold = state.cold.remaining(Instant::now());
+        let cold = state.cold.remaining_cold_time(Instant::now());
         DiscoveredInstance {
             cold_ms: cold.as_millis() as u64,
             ..state.discovered.clone()
@@ -285,14 +285,14 @@
             *newer = (*newer).max(*version);
         }
         let (cold, now) = (Duration::from_millis(discovered.cold_ms), Instant::now());
-        if !cold.is_zero() && state.cold.remaining(now).is_zero() {
+        if !cold.is_zero() && state.cold.remaining_cold_time(now).is_zero() {
             log::info!(
                 "event=instance_cold instance={} remaining_ms={}",
                 self.id,
                 cold.as_millis()
             );
         }
-        state.cold.record_cold_time(cold, now);
+        state.cold.apply_discovery_record(cold, now);
         state.discovered = discovered;
     }
 
@@ -321,7 +321,7 @@
         }
     }
 
-    /// Returns the number of own requests in flight.
+    /// Returns the number of this node's requests in flight.
     pub fn in_flight(&self) -> u32 {
         self.in_flight.load(Ordering::Relaxed)
     }
@@ -366,12 +366,12 @@
         }
     }
 
-    /// Records that the instance responds, also after a failure.
+    /// Records a response, which shows that the instance is running.
     pub fn record_response(&self, now: Instant) {
         let mut state = self.lock();
         let limit = self.gates.cold.get(&state.discovered.service);
         let time = limit.map_or(Duration::ZERO, |limit| limit.time);
-        state.cold.record_reconnect(now, time);
+        state.cold.record_response(now, time);
     }
 
     /// Records that it may have just become cold without reporting it.
--- a/crates/front/src/roster/reader.rs
+++ b/crates/front/src/roster/reader.rs
@@ -21,7 +21,8 @@
     /// sets in `view` the revision as of which they are known.
     fn follow(&self, view: &DiscoveryView) -> impl Future<Output = ()> + Send;
 
-    /// Applies the drain records in the same way.
+    /// Applies the drain records to the table until the future is dropped, and sets in `view` the
+    /// revision as of which they are known.
     fn follow_drains(&self, view: &DiscoveryView) -> impl Future<Output = ()> + Send;
 }
 
@@ -46,9 +47,9 @@
     pub view: DiscoveryView,
     /// Work at this node that needs the instances' weights or prompt updates.
     pub activity: Activity,
-    /// Timing; `None`: there is no roster.
+    /// Timing; `None` if there is no roster.
     pub options: Option<RosterOptions>,
-    /// State for drained zones; `None`: this deployment drains no zones.
+    /// State for drained zones; `None` if this deployment drains no zones.
     pub drains: Option<DrainTracking>,
     /// Time for which a starting node waits for a roster before it follows discovery.
     pub startup_wait: Duration,
@@ -56,7 +57,7 @@
     pub source: S,
 }
 
-/// Latest roster read from the store; `None`: there is none.
+/// Latest roster read from the store; `None` if there is none.
 pub(super) type KnownRoster = watch::Sender<Option<Arc<Roster>>>;
 
 impl<S: DiscoverySource> RosterReader<S> {
@@ -121,8 +122,8 @@
         );
     }
 
-    /// Returns once there has been no work for a while and the roster is as new as discovery's
-    /// records known here.
+    /// Returns once there has been no work for [`DISCOVERY_LINGER`] and the roster is at least as
+    /// new as the discovery records known here.
     async fn wait_until_roster_suffices(&self, known: &KnownRoster) {
         loop {
             if self.activity.is_active() {
@@ -160,14 +161,14 @@
         self.covers_config(roster) && (roster.known_at >= at || roster.is_equivalent(&known_here()))
     }
 
-    /// Returns whether the roster includes all services that live requests may go to by the
-    /// configuration here.
+    /// Returns whether the roster includes all services that live requests may go to according
+    /// to this node's configuration.
     fn covers_config(&self, roster: &Roster) -> bool {
         let config = self.config.current();
         config.is_none_or(|config| config.live_services().is_subset(&roster.services))
     }
 
-    /// Applies the roster until it is gone or does not cover the configuration, or work starts
+    /// Applies the roster until it is removed or does not cover the configuration, or work starts
     /// here.
     async fn follow_roster(&self, known: &KnownRoster) {
         let mut changed = known.subscribe();
@@ -193,7 +194,7 @@
 }
 
 impl RosterFollower<'_> {
-    fn install(&self, record: &Record) {
+    fn apply_record(&self, record: &Record) {
         match Roster::read(&record.value) {
             Ok(roster) => {
                 self.known.send_replace(Some(Arc::new(roster)));
@@ -222,14 +223,14 @@
     fn on_update(&mut self, update: Update, _at: u64) {
         match update {
             Update::Snapshot(records) => match records.iter().find(|one| one.key == ROSTER_KEY) {
-                Some(record) => self.install(record),
+                Some(record) => self.apply_record(record),
                 None => {
                     self.known.send_replace(None);
                 }
             },
             // Only the last change reflects the current state.
             Update::Changes(changes) => match changes.last() {
-                Some(Change::Written(record)) => self.install(record),
+                Some(Change::Written(record)) => self.apply_record(record),
                 Some(Change::Removed { .. }) => {
                     self.known.send_replace(None);
                 }
--- a/crates/front/src/tenant.rs
+++ b/crates/front/src/tenant.rs
@@ -33,11 +33,11 @@
 /// A tenant of the configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Tenant {
-    /// Name, which is also sent to instances.
+    /// Name of the tenant, which is sent to instances with each request.
     pub name: Arc<str>,
     /// Digests of its keys, any of which identifies the tenant.
     pub keys: Vec<KeyDigest>,
-    /// Rank of its requests, 0 highest, which overrides that of their routes.
+    /// Priority of its requests, 0 highest, which overrides that of their routes.
     pub priority: Option<u8>,
     /// Regions in which its requests may be served and stored, further restricted by their routes.
     pub allowed_regions: AllowedRegions,
--- a/crates/front/src/usage/reporter.rs
+++ b/crates/front/src/usage/reporter.rs
@@ -1,5 +1,5 @@
-//! Sends usage reports while this node holds the orders lease: collects the counts of a finished
-//! window, commits the report to the store, and sends it.
+//! Sends usage reports while this node is the order leader (holds the orders lease): collects the
+//! counts of a finished window, commits the report to the store, and sends it.
 //!
 //! Only committed reports are sent, and committed reports never change. A later holder, or this one
 //! after a lost answer, sends the same counts again, which the receiver ignores.
@@ -47,7 +47,7 @@
 /// Delay after a report that was not accepted.
 const RETRY_DELAY: Duration = Duration::from_millis(700);
 
-/// Clock differences to the other fronts below this are not corrected, in milliseconds.
+/// Maximum clock difference to the other fronts that is not corrected, in milliseconds.
 const MAX_CLOCK_SKEW_MS: i64 = 250;
 
 /// Usage report of a window.
@@ -146,7 +146,7 @@
 /// State of the reporter during one term of the lease.
 struct HolderState {
     clock: WindowClock,
-    /// Revision of the stored record; 0: there is none.
+    /// Revision of the stored record; 0 if there is none.
     revision: u64,
     committed: CommittedReports,
     /// Next window to commit.
@@ -343,7 +343,7 @@
             let Some(usage) = usage else {
                 continue;
             };
-            self.meter.take(&usage.usage);
+            self.meter.merge(&usage.usage);
             state.answered_fronts.insert(front.node.clone());
             let own_ms = state.clock.since_epoch(now).as_millis() as i64;
             offsets.push(usage.unix_ms as i64 - own_ms);
