--- a/crates/daemon/src/backends/gossip.rs
+++ b/crates/daemon/src/backends/gossip.rs
@@ -1,4 +1,5 @@
-//! Gossip about back ends: pushes leaving ones to peers, and pulls load reports where a node does not read all itself.
+//! Gossip about back ends: pushes leaving back ends to peers, and pulls the load reports that this node does not read
+//! from the back ends itself.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,11 +15,11 @@
 use crate::bundles::BundleInForce;
 use crate::jitter::jittered;
 
-/// Members to which each update is pushed; each one that did not know it pushes it on.
+/// Number of members to which an update is pushed; members to which it is new forward it.
 const PUSH_FANOUT: usize = 3;
-/// Members queried for reports in each round.
+/// Number of members queried for reports in each round.
 const QUERY_FANOUT: usize = 2;
-/// Interval between repetitions of all leaving back ends, which replace lost pushes.
+/// Interval at which all leaving back ends are pushed again, in case a push was lost.
 const REPEAT_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Timeout of a call to a peer.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
@@ -70,7 +71,7 @@
     let interval = Duration::from_millis(shared.timing.report_poll_ms);
     loop {
         sleep(jittered(interval)).await;
-        if !reports_spread_by_gossip(shared.peers.alive().len()) && !lacks_placements(&shared) {
+        if !reports_spread_by_gossip(shared.peers.alive().len()) && !has_unknown_address(&shared) {
             continue;
         }
         let nodes = random_peers(&shared, QUERY_FANOUT);
@@ -80,7 +81,7 @@
 }
 
 /// Returns whether the bundle names a back end whose address is unknown.
-fn lacks_placements(shared: &Shared) -> bool {
+fn has_unknown_address(shared: &Shared) -> bool {
     let Some(bundle) = shared.bundle() else {
         return false;
     };
@@ -88,7 +89,7 @@
     shared.read(|table| names.any(|name| table.placement(name).is_none()))
 }
 
-/// Pulls the reports of the bundle's back ends that are fresher at a peer.
+/// Pulls the reports of the bundle's back ends for which a peer has newer ones.
 async fn query_peer(shared: &Shared, node: &str) {
     let Some(bundle) = shared.bundle() else {
         return;
@@ -118,7 +119,7 @@
     });
 }
 
-/// Answers a peer's query: the fresher reports if both nodes have the same bundle, otherwise all reports.
+/// Answers a peer's query: the newer reports if both nodes have the same bundle, otherwise all reports.
 pub(super) fn answer_query(shared: &Shared, known: Option<&KnownBackends>) -> BackendGossip {
     let now = shared.now();
     if let (Some(known), Some(bundle)) = (known, shared.bundle())
--- a/crates/daemon/src/backends/tasks.rs
+++ b/crates/daemon/src/backends/tasks.rs
@@ -1,4 +1,4 @@
-//! Group of background tasks.
+//! Background tasks that end with their owner.
 
 use std::future::Future;
 
--- a/crates/daemon/src/bundles/poll.rs
+++ b/crates/daemon/src/bundles/poll.rs
@@ -13,7 +13,7 @@
 use super::state::{Adoption, Shared};
 use crate::watchers::poll_interval_factor;
 
-/// Maximum factor of the poll interval while the service limits the request rate.
+/// Maximum multiplier of the poll interval while the key-value service rate-limits requests.
 const MAX_BACKOFF: u32 = 8;
 
 /// Polls the head record until the task is aborted.
@@ -30,7 +30,7 @@
         if outcome.is_err() {
             fetch_if_empty(&shared);
         }
-        let interval = shared.poll_interval * backoff * shared.poll_interval_factor();
+        let interval = shared.poll_interval * backoff * shared.own_poll_interval_factor();
         tokio::time::sleep(jittered(interval)).await;
     }
 }
@@ -65,9 +65,9 @@
 }
 
 impl Shared {
-    /// Returns the factor of the poll interval: 1 for the watchers, more for the other nodes, which receive bundles
-    /// by pushes, pings and heartbeats.
-    fn poll_interval_factor(&self) -> u32 {
+    /// Returns the multiplier of this node's poll interval: 1 for the watchers and for a node without a bundle, more
+    /// for the other nodes, which also receive bundles by pushes, pings and heartbeats.
+    fn own_poll_interval_factor(&self) -> u32 {
         if self.current().is_none() {
             return 1;
         }
@@ -84,10 +84,10 @@
             if let Err(error) = self.persist().await {
                 error!("event=bundle_store_failed cause={:?}", error.to_string());
             }
-            self.push_to_sample(0);
+            self.push_to_peers(0);
         }
-        let as_of = self.instant(sent_at);
-        self.state().evidence.observe_newest(revision, as_of);
+        let requested_at = self.instant(sent_at);
+        self.state().evidence.observe_newest(revision, requested_at);
     }
 }
 
--- a/crates/daemon/src/bundles/push.rs
+++ b/crates/daemon/src/bundles/push.rs
@@ -26,7 +26,7 @@
 
 impl Shared {
     /// Pushes the bundle in force to random members and all replicas, in the background.
-    pub(super) fn push_to_sample(self: &Arc<Self>, hops: u32) {
+    pub(super) fn push_to_peers(self: &Arc<Self>, hops: u32) {
         let others = self.peers.others();
         let picked = others.sample(&mut rand::rng(), FAN_OUT).cloned();
         let mut targets: BTreeSet<String> = picked.collect();
--- a/crates/daemon/src/bundles/receive.rs
+++ b/crates/daemon/src/bundles/receive.rs
@@ -35,7 +35,7 @@
             Err(error) => return refused(Reason::MALFORMED, error.to_string()),
         };
         if adoption == Adoption::Newer {
-            self.shared.push_to_sample(push.hops.saturating_add(1));
+            self.shared.push_to_peers(push.hops.saturating_add(1));
         }
         let revision = match self.shared.persist().await {
             Ok(revision) => revision,
@@ -195,7 +195,7 @@
             if let Err(error) = self.persist().await {
                 error!("event=bundle_store_failed cause={:?}", error.to_string());
             }
-            self.push_to_sample(1);
+            self.push_to_peers(1);
         }
         if let Some(evidence) = state.evidence
             && evidence.revision <= self.state().evidence.revision()
--- a/crates/daemon/src/bundles/roll.rs
+++ b/crates/daemon/src/bundles/roll.rs
@@ -285,7 +285,7 @@
             return None;
         }
         if let Ok(Adoption::Newer) = self.shared.adopt(winner.signed.clone(), "roll") {
-            self.shared.push_to_sample(0);
+            self.shared.push_to_peers(0);
         }
         if winner.digest() == proposal.digest {
             return Some(SwapResult::Settled(self.accept(proposal).await));
--- a/crates/daemon/src/members/mod.rs
+++ b/crates/daemon/src/members/mod.rs
@@ -47,8 +47,8 @@
 impl Members {
     /// Starts probing the other members and contacting the seeds. Must be called within a Tokio runtime.
     ///
-    /// `replica_id` is 0 without a data folder. `http_address` and `peer_address` are the listen addresses;
-    /// `settings.peer_advertise`, if set, is announced instead of the latter.
+    /// `replica_id` is 0 if this node has no data folder. `http_address` and `peer_address` are the listen addresses;
+    /// `settings.peer_advertise`, if set, is announced instead of `peer_address`.
     pub fn start(
         settings: &Settings,
         process: ProcessId,
@@ -138,8 +138,8 @@
         self.shared.membership().set_http_address(http_address);
     }
 
-    /// Announces the planned stop of this node. Some members receive it before this returns, within one probe timeout,
-    /// and forward it.
+    /// Announces the planned stop of this node to some members, which forward it. Waits for their answers for at most one
+    /// probe timeout.
     pub async fn announce_leaving(&self) {
         self.shared.membership().start_leaving();
         self.shared.announce_to_some().await;
@@ -153,7 +153,8 @@
     }
 
     /// Returns whether this node is partitioned from the majority of its region's members, as defined by
-    /// [`Membership::is_isolated`](ladderstage::membership::Membership::is_isolated). A sole member is not.
+    /// [`Membership::is_isolated`](ladderstage::membership::Membership::is_isolated). Returns `false` if this node is the
+    /// only member.
     pub fn is_isolated(&self) -> bool {
         self.shared.membership().is_isolated(self.shared.now())
     }
--- a/crates/daemon/src/shards/ages.rs
+++ b/crates/daemon/src/shards/ages.rs
@@ -1,11 +1,11 @@
-//! Ages of the samples that this process generated.
+//! Times at which the attempts of this process received their first tokens.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use ladderstage::shard::{AttemptId, SampleAges};
 
-/// Times at which the first tokens of this process's attempts arrived.
+/// First-token time of each attempt that this process ran.
 ///
 /// Attempts committed by earlier owners are missing: their age is unknown.
 #[derive(Debug, Default)]
--- a/crates/daemon/src/shards/delivery.rs
+++ b/crates/daemon/src/shards/delivery.rs
@@ -13,11 +13,11 @@
 use tokio::sync::oneshot;
 
 use super::log::CommitError;
-use super::owner::{Owner, Waiter};
+use super::owner::{Owner, PendingPull};
 use super::replies;
 
 /// Maximum number of waiting pulls of one shard.
-const MAX_WAITERS: usize = 32;
+const MAX_PENDING_PULLS: usize = 32;
 
 /// Maximum number of decisions on one pull; a decision is repeated if a newer bundle made its samples stale.
 const MAX_DECISIONS: usize = 4;
@@ -70,20 +70,20 @@
         wait: Duration,
         reply: oneshot::Sender<Response>,
     ) {
-        if self.waiters.len() >= MAX_WAITERS {
+        if self.pending_pulls.len() >= MAX_PENDING_PULLS {
             let _ = reply.send(replies::refused(Reason::OVERLOADED, "too many pulls wait"));
             return;
         }
-        self.waiters.push(Waiter {
+        self.pending_pulls.push(PendingPull {
             pull,
             deadline: Instant::now() + wait,
             reply,
         });
     }
 
-    pub(super) fn refuse_waiters(&mut self, reason: Reason, detail: &str) {
-        for waiter in self.waiters.drain(..) {
-            let _ = waiter.reply.send(replies::refused(reason, detail));
+    pub(super) fn refuse_pending_pulls(&mut self, reason: Reason, detail: &str) {
+        for pull in self.pending_pulls.drain(..) {
+            let _ = pull.reply.send(replies::refused(reason, detail));
         }
     }
 
@@ -93,7 +93,7 @@
             return Ok(());
         };
         let state = self.log.state();
-        let entries = state.stale_entries(&in_force.bound, &self.first_token_times);
+        let entries = state.discard_entries(&in_force.bound, &self.first_token_times);
         if !entries.is_empty() {
             self.shared.metrics.record_stale(entries.len());
             ::log::info!(
@@ -107,13 +107,14 @@
     }
 
     /// Answers the waiting pulls that have fresh samples, and those that have expired.
-    pub(super) async fn answer_waiters(&mut self) -> Result<(), CommitError> {
+    pub(super) async fn answer_pending_pulls(&mut self) -> Result<(), CommitError> {
         // Callers that have stopped waiting do not read the reply.
-        self.waiters.retain(|waiter| !waiter.reply.is_closed());
+        self.pending_pulls
+            .retain(|pull| !pull.reply.is_closed());
         let mut index = 0;
-        while index < self.waiters.len() {
-            let pull = self.waiters[index].pull;
-            let is_expired = self.waiters[index].deadline <= Instant::now();
+        while index < self.pending_pulls.len() {
+            let pull = self.pending_pulls[index].pull;
+            let is_expired = self.pending_pulls[index].deadline <= Instant::now();
             let response = match self.answer(pull).await? {
                 Some(response) => Some(response),
                 None if is_expired => Some(self.empty_reply(pull)),
@@ -121,8 +122,8 @@
             };
             match response {
                 Some(response) => {
-                    let waiter = self.waiters.swap_remove(index);
-                    let _ = waiter.reply.send(response);
+                    let pull = self.pending_pulls.swap_remove(index);
+                    let _ = pull.reply.send(response);
                 }
                 None => index += 1,
             }
--- a/crates/daemon/src/shards/fences.rs
+++ b/crates/daemon/src/shards/fences.rs
@@ -4,11 +4,11 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Time of the last fence of each log.
+/// Time at which this node's writer of each log was last fenced.
 ///
-/// A process that was paused during its successor's takeover then receives outdated notices about the log; acting on
-/// them would fence the live successor. If the successor fails too, the replicas send new notices later than
-/// `owner_timeout` after the fence.
+/// A process that resumes after another owner has taken over a log may still receive old notices from replicas that the
+/// log has no live owner. Notices are ignored for `owner_timeout` after the fence, because acting on one would fence the
+/// new owner. If that owner fails too, the replicas send notices again after this time.
 #[derive(Debug)]
 pub(super) struct RecentFences {
     owner_timeout: Duration,
@@ -16,7 +16,7 @@
 }
 
 impl RecentFences {
-    /// `owner_timeout` is the silence after which an owner is replaced.
+    /// `owner_timeout` is the time without heartbeats after which an owner is replaced.
     pub(super) fn new(owner_timeout: Duration) -> Self {
         Self {
             owner_timeout,
--- a/crates/daemon/src/shards/generation.rs
+++ b/crates/daemon/src/shards/generation.rs
@@ -66,14 +66,14 @@
         let state = self.log.state();
         let mut slots = BTreeSet::new();
         let mut entries = Vec::new();
-        for generated in &self.ready {
-            if let Some(entry) = state.accept(&generated.sample)
+        for generated in &self.generated {
+            if let Some(entry) = state.commit_entry(&generated.sample)
                 && slots.insert(generated.sample.slot)
             {
                 entries.push(entry);
             }
         }
-        for generated in self.ready.drain(..) {
+        for generated in self.generated.drain(..) {
             self.first_token_times
                 .insert(generated.id(), generated.first_token_at);
         }
@@ -97,7 +97,7 @@
         match ended {
             Ok((_, Ok(generated))) => {
                 self.backoffs.clear(slot);
-                self.ready.push(generated);
+                self.generated.push(generated);
             }
             Ok((_, Err(failure))) => self.handle_attempt_failure(slot, &failure),
             Err(error) => {
@@ -137,7 +137,7 @@
             return;
         };
         let busy: BTreeSet<u32> = self.in_flight.keys().copied().collect();
-        for need in self.log.state().attempts_needed(&busy) {
+        for need in self.log.state().needed_attempts(&busy) {
             if self.in_flight.len() >= MAX_ATTEMPTS {
                 return;
             }
@@ -162,6 +162,6 @@
 
     pub(super) fn has_idle_slot(&self) -> bool {
         let busy = self.in_flight.keys().copied().collect();
-        !self.log.state().attempts_needed(&busy).is_empty()
+        !self.log.state().needed_attempts(&busy).is_empty()
     }
 }
--- a/crates/daemon/src/shards/log.rs
+++ b/crates/daemon/src/shards/log.rs
@@ -51,7 +51,7 @@
     /// Takes the log over again after a change of the replica set.
     ///
     /// An append with an unknown outcome may or may not be in the log: the caller must decide again on the new state.
-    pub(super) async fn take_over_again(
+    pub(super) async fn retake(
         &mut self,
         journal: &Journal,
         log: &str,
--- a/crates/daemon/src/shards/owner.rs
+++ b/crates/daemon/src/shards/owner.rs
@@ -21,17 +21,18 @@
 use crate::jitter::{backoff, jittered};
 use crate::journal::JournalError;
 
-/// Messages that may wait for the task; further ones are refused.
+/// Maximum number of messages that wait for the task; further ones are refused.
 const MAILBOX_CAPACITY: usize = 64;
 
-/// Attempts at a takeover before it is left to the next shard notice.
-const MAX_TAKE_OVER_ATTEMPTS: u32 = 8;
+/// Maximum number of attempts at a takeover. After that the next shard notice (a replica's report that the log has no
+/// live owner) starts another one.
+const MAX_TAKEOVER_ATTEMPTS: u32 = 8;
 
 /// Delay after the first failed takeover.
-const FIRST_TAKE_OVER_DELAY: Duration = Duration::from_millis(100);
+const MIN_TAKEOVER_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Longest delay between attempts at a takeover.
-const MAX_TAKE_OVER_DELAY: Duration = Duration::from_secs(2);
+/// Maximum delay between attempts at a takeover.
+const MAX_TAKEOVER_BACKOFF: Duration = Duration::from_secs(2);
 
 /// Interval between attempts at an append whose outcome is unknown.
 const APPEND_RETRY_INTERVAL: Duration = Duration::from_millis(200);
@@ -45,7 +46,7 @@
 /// Message to the task.
 #[derive(Debug)]
 pub(super) enum Message {
-    /// Opens the shard, or compares the step with the one that is open.
+    /// Opens the shard; if it is already open, checks that the spec is the same.
     Open {
         spec: Box<ShardSpec>,
         reply: oneshot::Sender<Response>,
@@ -62,7 +63,7 @@
 
 /// Pull that waits for samples.
 #[derive(Debug)]
-pub(super) struct Waiter {
+pub(super) struct PendingPull {
     pub(super) pull: Pull,
     pub(super) deadline: Instant,
     pub(super) reply: oneshot::Sender<Response>,
@@ -88,16 +89,16 @@
     pub(super) key: ShardKey,
     pub(super) log: ShardLog,
     pub(super) first_token_times: FirstTokenTimes,
-    pub(super) waiters: Vec<Waiter>,
+    pub(super) pending_pulls: Vec<PendingPull>,
     pub(super) pending_opens: Vec<PendingOpen>,
     pub(super) attempts: JoinSet<AttemptResult>,
     pub(super) in_flight: BTreeMap<u32, SlotTask>,
-    pub(super) ready: Vec<GeneratedSample>,
+    pub(super) generated: Vec<GeneratedSample>,
     pub(super) backoffs: SlotBackoffs,
     bundle_changes: watch::Receiver<Option<Arc<BundleInForce>>>,
     mailbox: mpsc::Receiver<Message>,
     status: Arc<OwnerStatus>,
-    is_log_unresolved: bool,
+    is_log_unavailable: bool,
 }
 
 /// Returns the task of a shard and starts it if necessary. `None` if this process owns too many shards.
@@ -136,19 +137,19 @@
         key,
         log: shard_log,
         first_token_times: FirstTokenTimes::default(),
-        waiters: Vec::new(),
+        pending_pulls: Vec::new(),
         pending_opens: Vec::new(),
         attempts: JoinSet::new(),
         in_flight: BTreeMap::new(),
-        ready: Vec::new(),
+        generated: Vec::new(),
         backoffs: SlotBackoffs::default(),
         mailbox,
         status,
-        is_log_unresolved: false,
+        is_log_unavailable: false,
     };
     let reason = owner.run().await;
     ::log::info!("event=shard_released log={log} reason={reason}");
-    // Drops the writer first: once the registration is removed, the log must be released.
+    // The writer is dropped before the registration, so that no new owner starts while this one holds the log.
     drop(owner);
     drop(registration);
 }
@@ -170,7 +171,7 @@
 }
 
 async fn take_over(shared: &Shared, log: &str) -> Option<ShardLog> {
-    for failures in 0..MAX_TAKE_OVER_ATTEMPTS {
+    for failures in 0..MAX_TAKEOVER_ATTEMPTS {
         match ShardLog::take_over(&shared.dependencies.journal, log).await {
             Ok(shard_log) => return Some(shard_log),
             Err(error @ (JournalError::Fenced | JournalError::Retired)) => {
@@ -180,9 +181,9 @@
             Err(error) => ::log::warn!("event=takeover_failed log={log} error=\"{error}\""),
         }
         tokio::time::sleep(backoff(
-            FIRST_TAKE_OVER_DELAY,
+            MIN_TAKEOVER_BACKOFF,
             failures,
-            MAX_TAKE_OVER_DELAY,
+            MAX_TAKEOVER_BACKOFF,
         ))
         .await;
     }
@@ -194,28 +195,28 @@
     async fn run(&mut self) -> &'static str {
         loop {
             match self.advance().await {
-                Ok(Progress::Open) => self.is_log_unresolved = false,
+                Ok(Progress::Open) => self.is_log_unavailable = false,
                 Ok(Progress::Finished) => return "finished",
                 Err(CommitError::Fenced) => {
                     self.shared.recent_fences.record(&self.key.log());
                     return "fenced";
                 }
                 Err(CommitError::OutcomeUnknown) => {
-                    self.is_log_unresolved = true;
-                    self.refuse_waiters(Reason::NOT_READY, "no quorum of journal replicas");
+                    self.is_log_unavailable = true;
+                    self.refuse_pending_pulls(Reason::NOT_READY, "no quorum of journal replicas");
                 }
                 Err(CommitError::StaleReplicaSet) => {
-                    if self.take_over_again().await.is_err() {
+                    if self.retake().await.is_err() {
                         return "fenced";
                     }
                 }
             }
             self.publish();
-            let wake = tokio::time::sleep(self.next_wake());
+            let wake = tokio::time::sleep(self.next_wake_delay());
             tokio::select! {
                 message = self.mailbox.recv() => match message {
                     Some(Message::Drain) | None => {
-                        self.refuse_waiters(Reason::LEAVING, "draining");
+                        self.refuse_pending_pulls(Reason::LEAVING, "draining");
                         return "drained";
                     }
                     Some(message) => self.receive(message),
@@ -231,23 +232,24 @@
     /// Takes the log over again under the new replica set. Running attempts continue.
     ///
     /// # Errors
-    /// If another owner has taken the log over.
-    async fn take_over_again(&mut self) -> Result<(), CommitError> {
-        self.is_log_unresolved = true;
+    /// If another owner has taken the log over. After any other failure the result is `Ok` and the log is still
+    /// unavailable; the caller tries again.
+    async fn retake(&mut self) -> Result<(), CommitError> {
+        self.is_log_unavailable = true;
         self.publish();
-        self.refuse_waiters(
+        self.refuse_pending_pulls(
             Reason::NOT_READY,
             "the replica set of the journal is changing",
         );
         let log = self.key.log();
         match self
             .log
-            .take_over_again(&self.shared.dependencies.journal, &log)
+            .retake(&self.shared.dependencies.journal, &log)
             .await
         {
             Ok(()) => {
                 ::log::info!("event=shard_retaken log={log}");
-                self.is_log_unresolved = false;
+                self.is_log_unavailable = false;
                 Ok(())
             }
             Err(JournalError::Fenced | JournalError::Retired) => Err(CommitError::Fenced),
@@ -258,19 +260,19 @@
         }
     }
 
-    /// Does all work that is possible now. Each step decides on a committed state and commits before the next one.
+    /// Runs all steps that are possible now. Each step commits its entries before the next one reads the state.
     async fn advance(&mut self) -> Result<Progress, CommitError> {
         self.log.settle().await?;
         self.commit_pending_opens().await?;
         self.commit_generated().await?;
         self.discard_stale().await?;
-        self.answer_waiters().await?;
+        self.answer_pending_pulls().await?;
         if self.log.state().is_complete() {
             if !self.log.is_closed() {
                 self.log.commit(Vec::new(), true).await?;
             }
-            self.answer_waiters().await?;
-            self.refuse_waiters(Reason::NOT_OWNER, "the shard is finished");
+            self.answer_pending_pulls().await?;
+            self.refuse_pending_pulls(Reason::NOT_OWNER, "the shard is finished");
             return Ok(Progress::Finished);
         }
         self.cancel_unneeded_attempts();
@@ -296,8 +298,8 @@
         }
     }
 
-    fn next_wake(&self) -> Duration {
-        if self.is_log_unresolved {
+    fn next_wake_delay(&self) -> Duration {
+        if self.is_log_unavailable {
             return jittered(APPEND_RETRY_INTERVAL);
         }
         let mut wake = jittered(AGE_CHECK_INTERVAL);
@@ -305,14 +307,14 @@
             wake = wake.min(jittered(ENGINE_RETRY_INTERVAL));
         }
         let now = Instant::now();
-        for waiter in &self.waiters {
-            wake = wake.min(waiter.deadline.saturating_duration_since(now));
+        for pull in &self.pending_pulls {
+            wake = wake.min(pull.deadline.saturating_duration_since(now));
         }
         wake
     }
 
     fn publish(&self) {
-        self.status.set_accepting(!self.is_log_unresolved);
+        self.status.set_accepting(!self.is_log_unavailable);
         let state = self.log.state();
         self.status.publish(ShardDescription {
             slots: state.spec().map_or(0, |spec| spec.samples.len()),
--- a/crates/ladderstage/src/backend/entry.rs
+++ b/crates/ladderstage/src/backend/entry.rs
@@ -155,11 +155,11 @@
     }
 
     /// Returns whether a list of that time must refer to the current process, which was already
-    /// known `list_lag` before.
+    /// known `max_list_lag` before.
     fn list_refers_to_current(&self, sent_at: Duration, policy: &BackendPolicy) -> bool {
         self.processes
             .current()
-            .is_some_and(|current| current.first.received_at + policy.list_lag <= sent_at)
+            .is_some_and(|current| current.first.received_at + policy.max_list_lag <= sent_at)
     }
 
     pub(super) fn suggest_placement(&mut self, placement: Placement) {
@@ -180,7 +180,7 @@
         match self.processes.observe(report, observed, version) {
             ReportEffect::Ignored => return,
             ReportEffect::Confirmed => {}
-            ReportEffect::Replaced => self.reset_for_new_process(),
+            ReportEffect::NewProcess => self.reset_for_new_process(),
         }
         self.record_evidence(observed.sent_at);
     }
--- a/crates/ladderstage/src/backend/health.rs
+++ b/crates/ladderstage/src/backend/health.rs
@@ -1,6 +1,6 @@
 //! Ejection of a back end after consecutive failures of own requests.
 //!
-//! `eject_after` failures in a row eject it for a jittered time that doubles with each ejection.
+//! `consecutive_failures` failures in a row eject it for a jittered time that doubles with each ejection.
 //! Afterwards one trial request at a time is allowed: a success resets the state, a failure ejects
 //! again. A refusal because the back end is full proves it alive and only pauses it briefly.
 
@@ -71,7 +71,7 @@
             return;
         }
         self.failures = self.failures.saturating_add(1);
-        if self.failures >= policy.eject_after {
+        if self.failures >= policy.consecutive_failures {
             self.eject(now, policy, jitter);
         }
     }
@@ -90,7 +90,7 @@
 
     fn eject(&mut self, now: Duration, policy: &BackendPolicy, jitter: f64) {
         let factor = 1 << self.ejections.min(MAX_DOUBLINGS);
-        let span = (policy.eject_base * factor).min(policy.eject_limit);
+        let span = (policy.base_ejection_time * factor).min(policy.max_ejection_time);
         self.ejections = self.ejections.saturating_add(1);
         self.ejected_until = Some(now + jittered(span, jitter));
         self.trial = None;
--- a/crates/ladderstage/src/backend/listing.rs
+++ b/crates/ladderstage/src/backend/listing.rs
@@ -1,9 +1,9 @@
 //! State of one back end according to the machine list.
 //!
-//! The list lags by at most `list_lag`. Its "leaving" is permanent for a process that was known for
+//! The list lags by at most `max_list_lag`. Its "leaving" is permanent for a process that was known for
 //! that long before the answer. For a younger process the list may refer to the previous one, so it
 //! only withholds the back end, until a list reports it live after a new process was seen, or lists
-//! have reported it live for `list_lag` without interruption.
+//! have reported it live for `max_list_lag` without interruption.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -109,7 +109,7 @@
         };
         let live_since = *leaving.live_since.get_or_insert(sent_at);
         let replaced = replaced_at.is_some_and(|replaced_at| replaced_at > leaving.since);
-        let consistent = sent_at.saturating_sub(live_since) >= policy.list_lag;
+        let consistent = sent_at.saturating_sub(live_since) >= policy.max_list_lag;
         if replaced || consistent {
             self.leaving = None;
         }
--- a/crates/ladderstage/src/backend/process.rs
+++ b/crates/ladderstage/src/backend/process.rs
@@ -9,8 +9,8 @@
 use super::observation::{ObservationInterval, Report};
 use crate::ids::ProcessId;
 
-/// Maximum number of excluded processes stored per back end. When one is dropped, this many later
-/// ones have replaced it.
+/// Maximum number of excluded processes stored per back end; beyond it, the oldest one that is not
+/// the current process is dropped.
 const MAX_EXCLUDED: usize = 32;
 
 #[derive(Debug, Clone)]
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone)]
 pub(super) struct CurrentProcess {
     pub(super) report: Report,
-    /// Request time of the report with the highest sequence number.
+    /// Latest request time of the applied reports that have a known observation interval.
     pub(super) report_at: Duration,
     /// Observation intervals of the first and the last report.
     pub(super) first: ObservationInterval,
@@ -37,12 +37,13 @@
 /// Effect of a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReportEffect {
-    /// The report is from a replaced process, or its order in time is unclear.
+    /// The report is from a replaced process, or it cannot be ordered against the last report of
+    /// the current process.
     Ignored,
     /// The report confirms the known process.
     Confirmed,
-    /// The report is the first one of a new process.
-    Replaced,
+    /// The report is the first one of a process, which may be the first process seen.
+    NewProcess,
 }
 
 #[derive(Debug, Clone, Default)]
@@ -69,7 +70,8 @@
         self.replaced_at
     }
 
-    /// Returns whether the current process is leaving, or the first one to be seen is.
+    /// Returns whether the current process is leaving; before any process is known, whether the
+    /// first one will be treated as leaving.
     pub(super) fn is_leaving(&self) -> bool {
         match self.current_id() {
             Some(process) => self.is_excluded(process),
@@ -86,7 +88,8 @@
         version: u64,
     ) -> ReportEffect {
         let effect = self.classify(report, observed);
-        if effect == ReportEffect::Replaced && std::mem::take(&mut self.first_process_is_leaving) {
+        if effect == ReportEffect::NewProcess && std::mem::take(&mut self.first_process_is_leaving)
+        {
             self.mark_leaving(report.process, version);
         }
         if report.leaving {
@@ -95,7 +98,8 @@
         effect
     }
 
-    /// Applies the load of a report of unknown age if its sequence number is higher.
+    /// Replaces the current report by one of unknown age, if that is of the same process and has a
+    /// higher sequence number.
     pub(super) fn observe_load(&mut self, report: &Report) {
         if let Some(current) = &mut self.current
             && current.report.process == report.process
@@ -115,8 +119,8 @@
         is_new
     }
 
-    /// Marks the current process, or the first one to be seen, as leaving; returns whether this is
-    /// new.
+    /// Marks the current process as leaving; before any process is known, the first one to be seen.
+    /// Returns whether this is new.
     pub(super) fn mark_current_leaving(&mut self, version: u64) -> bool {
         match self.current_id() {
             Some(process) => self.mark_leaving(process, version),
@@ -141,7 +145,7 @@
     fn classify(&mut self, report: &Report, observed: ObservationInterval) -> ReportEffect {
         let Some(current) = &mut self.current else {
             self.current = Some(CurrentProcess::new(report, observed));
-            return ReportEffect::Replaced;
+            return ReportEffect::NewProcess;
         };
         if current.report.process == report.process {
             current.confirm(report, observed);
@@ -153,7 +157,7 @@
             return ReportEffect::Ignored;
         }
         self.replace(report, observed);
-        ReportEffect::Replaced
+        ReportEffect::NewProcess
     }
 
     fn is_replaced(&self, process: ProcessId) -> bool {
--- a/crates/ladderstage/src/document/key_positions.rs
+++ b/crates/ladderstage/src/document/key_positions.rs
@@ -1,17 +1,18 @@
-//! Positions of the keys of a document.
+//! Source text of a document with the positions of its keys, for findings.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::Finding;
 
-/// Position in a file, from 1.
+/// Line and column in a file, both counted from 1; columns are characters.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Position {
     line: u32,
     column: u32,
 }
 
-/// Position of each key of a document, by path such as `pool[0].backends[2]`.
+/// Source text of a document and the position of each key, by path such as
+/// `pool[0].backends[2]`. Builds findings at these positions.
 #[derive(Debug, Clone)]
 pub struct KeyPositions {
     file: String,
@@ -62,7 +63,12 @@
         self.faulty.insert(path.to_owned());
     }
 
-    pub(super) fn finding_at(&self, offset: usize, found: String, allowed: String) -> Finding {
+    pub(super) fn finding_at_offset(
+        &self,
+        offset: usize,
+        found: String,
+        allowed: String,
+    ) -> Finding {
         let position = self.locate(offset);
         Finding {
             file: self.file.clone(),
--- a/crates/ladderstage/src/document/table.rs
+++ b/crates/ladderstage/src/document/table.rs
@@ -35,16 +35,16 @@
     pub(super) fn add_syntax_error(&self, error: &toml::de::Error) {
         let offset = error.span().map_or(0, |span| span.start);
         let found = format!("malformed TOML: {}", error.message());
-        self.add(offset, found, "TOML 1.0".to_owned());
+        self.add_at_offset(offset, found, "TOML 1.0".to_owned());
     }
 
-    /// Adds a finding. A line with a syntax error gets no further findings, as they would be
-    /// follow-up errors.
-    fn add(&self, offset: usize, found: String, allowed: String) {
+    /// Adds a finding at a byte offset. If the text has syntax errors, each line gets at most one
+    /// finding, because further ones would be follow-up errors.
+    fn add_at_offset(&self, offset: usize, found: String, allowed: String) {
         let finding = self
             .key_positions
             .borrow()
-            .finding_at(offset, found, allowed);
+            .finding_at_offset(offset, found, allowed);
         let mut findings = self.findings.borrow_mut();
         let is_follow_up =
             self.has_syntax_errors && findings.iter().any(|other| other.line == finding.line);
@@ -53,7 +53,7 @@
         }
     }
 
-    fn add_at(&self, path: &str, found: String, allowed: String) {
+    fn add_at_path(&self, path: &str, found: String, allowed: String) {
         let finding = self.key_positions.borrow().finding(path, found, allowed);
         self.findings.borrow_mut().extend(finding);
         self.key_positions.borrow_mut().mark_faulty(path);
@@ -61,18 +61,18 @@
 
     fn reject(&self, path: &str, value: &Spanned<DeValue<'_>>, allowed: &str) {
         let found = describe(value.get_ref());
-        self.add(value.span().start, found, allowed.to_owned());
+        self.add_at_offset(value.span().start, found, allowed.to_owned());
         self.key_positions.borrow_mut().mark_faulty(path);
     }
 }
 
-/// A table being read. Keys that the reader did not query become findings when reading ends.
+/// A table being read. When reading ends, keys that were never read are reported as unknown.
 #[derive(Debug)]
 pub struct Table<'d> {
     report: &'d Report,
     entries: &'d DeTable<'d>,
     path: String,
-    known: Vec<&'static str>,
+    read_keys: Vec<&'static str>,
 }
 
 impl<'d> Table<'d> {
@@ -81,7 +81,7 @@
             report,
             entries,
             path,
-            known: Vec::new(),
+            read_keys: Vec::new(),
         }
     }
 
@@ -94,15 +94,15 @@
     /// Returns the value of a required key; a missing or wrong value is reported.
     pub fn required<T: FromToml>(&mut self, key: &'static str) -> Option<T> {
         if !self.has(key) {
-            self.known.push(key);
+            self.read_keys.push(key);
             self.report_missing(key, T::ALLOWED);
             return None;
         }
         self.optional(key)
     }
 
-    /// Returns the elements of an array; wrong elements are reported and left out. Paths count the
-    /// returned elements only.
+    /// Returns the elements of an array; wrong elements are reported and left out. Indexes in
+    /// paths count only the returned elements.
     pub fn list<T: FromToml>(&mut self, key: &'static str) -> Vec<T> {
         let Some((path, value)) = self.read_key(key) else {
             return Vec::new();
@@ -154,7 +154,7 @@
     }
 
     /// Reads an array of tables with known keys; elements that are not tables are reported and left
-    /// out. Paths count the returned elements only.
+    /// out. Indexes in paths count only the returned elements.
     pub fn tables<T>(
         &mut self,
         key: &'static str,
@@ -186,21 +186,21 @@
     /// Adds a finding at a key of this table.
     pub fn reject(&mut self, key: &str, found: String, allowed: String) {
         let path = self.path_of(key);
-        self.report.add_at(&path, found, allowed);
+        self.report.add_at_path(&path, found, allowed);
     }
 
     pub(super) fn finish(self) {
         for name in self.entries.keys() {
             let key = name.get_ref().as_ref();
-            if self.known.contains(&key) {
+            if self.read_keys.contains(&key) {
                 continue;
             }
             let found = format!("unknown key `{}`", shorten(key));
-            let allowed = match nearest(key, &self.known) {
-                Some(known) => format!("`{known}`?"),
-                None => format!("one of {}", self.known.join(", ")),
+            let allowed = match nearest(key, &self.read_keys) {
+                Some(suggestion) => format!("`{suggestion}`?"),
+                None => format!("one of {}", self.read_keys.join(", ")),
             };
-            self.report.add(name.span().start, found, allowed);
+            self.report.add_at_offset(name.span().start, found, allowed);
         }
     }
 
@@ -209,7 +209,7 @@
     }
 
     fn read_key(&mut self, key: &'static str) -> Option<(String, &'d Spanned<DeValue<'d>>)> {
-        self.known.push(key);
+        self.read_keys.push(key);
         let value = self.entries.get(key)?;
         let path = self.path_of(key);
         self.record_position(&path, value.span().start);
@@ -238,7 +238,7 @@
         if !self.report.has_syntax_errors {
             let found = format!("no key `{key}`");
             self.report
-                .add_at(&path, found, format!("`{key}` with {allowed}"));
+                .add_at_path(&path, found, format!("`{key}` with {allowed}"));
         }
         self.report.key_positions.borrow_mut().mark_faulty(&path);
     }
--- a/crates/ladderstage/src/membership/config.rs
+++ b/crates/ladderstage/src/membership/config.rs
@@ -27,7 +27,7 @@
 
 /// Time after which a dead member, or one that left, is omitted from full states, so that a node
 /// that has dropped it does not learn of it again.
-pub const SHARE_GONE_FOR: Duration = Duration::from_secs(1800);
+pub const OMIT_GONE_AFTER: Duration = Duration::from_secs(1800);
 
 /// Time during which a dead member counts in the isolation rule.
 pub const DEAD_COUNTED_FOR: Duration = Duration::from_secs(600);
--- a/crates/ladderstage/src/membership/probing.rs
+++ b/crates/ladderstage/src/membership/probing.rs
@@ -70,7 +70,7 @@
             && entry.member.incarnation == target.incarnation
         {
             entry.set_state(MemberState::SUSPECT, now);
-            self.updates.changed(&target.node);
+            self.updates.mark_changed(&target.node);
         }
     }
 
@@ -98,7 +98,7 @@
                 _ => continue,
             };
             entry.set_state(state, now);
-            self.updates.changed(node);
+            self.updates.mark_changed(node);
         }
     }
 
@@ -147,12 +147,12 @@
 
     /// Returns the next member of the round; each round is shuffled again.
     fn next_target<R: Rng + ?Sized>(&mut self, random: &mut R) -> Option<Member> {
-        if self.round.is_empty() {
-            let mut round: Vec<NodeName> = self.present_names().collect();
-            round.shuffle(random);
-            self.round = round;
+        if self.probe_queue.is_empty() {
+            let mut probe_queue: Vec<NodeName> = self.present_names().collect();
+            probe_queue.shuffle(random);
+            self.probe_queue = probe_queue;
         }
-        while let Some(node) = self.round.pop() {
+        while let Some(node) = self.probe_queue.pop() {
             if let Some(entry) = self.others.get(&node)
                 && entry.is_present()
             {
--- a/crates/ladderstage/src/membership/state.rs
+++ b/crates/ladderstage/src/membership/state.rs
@@ -6,7 +6,7 @@
 use ladderstage_wire::messages::{Member, MemberState};
 
 use super::MembershipConfig;
-use super::config::{MAX_MEMBERS, NAME_CLAIM_WINDOW, SHARE_GONE_FOR, UPDATES_PER_MESSAGE};
+use super::config::{MAX_MEMBERS, NAME_CLAIM_WINDOW, OMIT_GONE_AFTER, UPDATES_PER_MESSAGE};
 use super::entry::{Entry, is_well_formed};
 use super::precedence::{Precedence, is_later_process, supersedes};
 use super::updates::PendingUpdates;
@@ -14,9 +14,9 @@
 
 /// Members known to one node. Instants are durations since the start of its process.
 ///
-/// Invariants: `others` never contains this node's own name; the entry of each other node has the
-/// greatest [`Precedence`] of all entries merged and not dropped since; this
-/// node's own entry is ALIVE, LEAVING or LEFT and only moves forward.
+/// Invariants: `others` never contains this node's own name; for each other node it holds the entry
+/// with the greatest [`Precedence`] merged since the node was last dropped; this node's own state is
+/// ALIVE, LEAVING or LEFT and never moves back.
 #[derive(Debug, Clone)]
 pub struct Membership {
     pub(super) config: MembershipConfig,
@@ -24,22 +24,22 @@
     pub(super) others: BTreeMap<NodeName, Entry>,
     pub(super) updates: PendingUpdates,
     /// Members still to probe in this round, in reverse order.
-    pub(super) round: Vec<NodeName>,
+    pub(super) probe_queue: Vec<NodeName>,
     pub(super) next_sync: Duration,
     pub(super) last_tick: Duration,
 }
 
 impl Membership {
-    /// Creates the state of a node that knows only itself. `own` should be ALIVE.
+    /// Creates the state of a node that knows only itself. `own` must be ALIVE.
     pub fn new(own: Member, config: MembershipConfig) -> Self {
         let mut updates = PendingUpdates::default();
-        updates.changed(&own.node);
+        updates.mark_changed(&own.node);
         Self {
             config,
             own,
             others: BTreeMap::new(),
             updates,
-            round: Vec::new(),
+            probe_queue: Vec::new(),
             next_sync: Duration::ZERO,
             last_tick: Duration::ZERO,
         }
@@ -89,8 +89,8 @@
     /// not alive (so that the peer can refute), then the most recent updates.
     pub fn updates_for(&mut self, peer: &str) -> Vec<Member> {
         let mut nodes = vec![self.own.node.clone()];
-        let doubted = |entry: &&Entry| entry.member.state != MemberState::ALIVE;
-        if self.others.get(peer).filter(doubted).is_some() {
+        let is_not_alive = |entry: &&Entry| entry.member.state != MemberState::ALIVE;
+        if self.others.get(peer).filter(is_not_alive).is_some() {
             nodes.push(peer.to_owned());
         }
         let free_slots = UPDATES_PER_MESSAGE - nodes.len();
@@ -107,9 +107,10 @@
             .collect()
     }
 
-    /// Returns the entries for an exchange of the full state; members gone for long are omitted.
+    /// Returns the entries for an exchange of the full state; members that have
+    /// been dead or left for `OMIT_GONE_AFTER` are omitted.
     pub fn full_state(&self, now: Duration) -> Vec<Member> {
-        let is_shared = |entry: &&Entry| entry.is_present() || entry.age(now) < SHARE_GONE_FOR;
+        let is_shared = |entry: &&Entry| entry.is_present() || entry.age(now) < OMIT_GONE_AFTER;
         let others = self.others.values().filter(is_shared);
         let others = others.map(|entry| entry.member.clone());
         [self.own.clone()].into_iter().chain(others).collect()
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Changes the address for callers that this node announces.
+    /// Changes the HTTP address that this node announces.
     pub fn set_http_address(&mut self, http_address: String) {
         if self.own.http_address != http_address {
             self.own.http_address = http_address;
@@ -133,12 +134,12 @@
 
     /// Starts the planned stop of this process, which cannot be undone.
     pub fn start_leaving(&mut self) {
-        self.leave_as(MemberState::LEAVING);
+        self.advance_own_state(MemberState::LEAVING);
     }
 
     /// Marks the planned stop of this process as finished.
     pub fn finish_leaving(&mut self) {
-        self.leave_as(MemberState::LEFT);
+        self.advance_own_state(MemberState::LEFT);
     }
 
     /// Returns the other members that are not dead and have not left.
@@ -150,12 +151,12 @@
         self.present().map(|entry| entry.member.node.clone())
     }
 
-    fn leave_as(&mut self, state: MemberState) {
+    fn advance_own_state(&mut self, state: MemberState) {
         let mut leaving = self.own.clone();
         leaving.state = state;
         if supersedes(&leaving, &self.own) {
             self.own = leaving;
-            self.updates.changed(&self.own.node);
+            self.updates.mark_changed(&self.own.node);
         }
     }
 
@@ -172,23 +173,25 @@
             }
             _ => return false,
         }
-        self.updates.changed(&node);
+        self.updates.mark_changed(&node);
         true
     }
 
-    /// Merges an entry about this node: refutes wrong claims about this process, and claims the
-    /// name from an earlier process.
+    /// Merges an entry about this node: refutes wrong states of this process. If the entry is of a
+    /// later process, this process claims the name by raising its own start time, unless it has
+    /// run for `NAME_CLAIM_WINDOW`.
     fn merge_own_entry(&mut self, update: &Member, now: Duration) -> bool {
         if update.process != self.own.process {
             let claims_name = is_later_process(update, &self.own) && now < NAME_CLAIM_WINDOW;
             if claims_name {
                 self.own.started_unix_ms = update.started_unix_ms.saturating_add(1);
-                self.updates.changed(&self.own.node);
+                self.updates.mark_changed(&self.own.node);
             }
             return claims_name;
         }
         let contradicts = supersedes(update, &self.own);
-        // A stop is never refuted: others may mark a silent leaving process as left.
+        // An entry of a later phase is not refuted: other members may mark a silent LEAVING process
+        // as LEFT.
         let can_refute = Precedence::of(update).phase() <= Precedence::of(&self.own).phase();
         if contradicts && can_refute {
             self.raise_incarnation(update.incarnation);
@@ -200,6 +203,6 @@
     fn raise_incarnation(&mut self, incarnation: u64) {
         let highest = incarnation.max(self.own.incarnation);
         self.own.incarnation = highest.saturating_add(1);
-        self.updates.changed(&self.own.node);
+        self.updates.mark_changed(&self.own.node);
     }
 }
--- a/crates/ladderstage/src/membership/updates.rs
+++ b/crates/ladderstage/src/membership/updates.rs
@@ -1,4 +1,4 @@
-//! Updates that still have to be sent.
+//! Membership updates that are still to be piggybacked on messages.
 
 use std::collections::BTreeMap;
 
@@ -8,48 +8,48 @@
 /// Nodes whose entries changed recently, with the number of times each was sent since.
 #[derive(Debug, Clone, Default)]
 pub(super) struct PendingUpdates {
-    sent: BTreeMap<NodeName, u32>,
+    send_counts: BTreeMap<NodeName, u32>,
 }
 
 impl PendingUpdates {
     /// Marks the node's entry as changed.
-    pub fn changed(&mut self, node: &str) {
-        self.sent.insert(node.to_owned(), 0);
+    pub fn mark_changed(&mut self, node: &str) {
+        self.send_counts.insert(node.to_owned(), 0);
     }
 
     /// Stops sending updates about the node.
     pub fn discard(&mut self, node: &str) {
-        self.sent.remove(node);
+        self.send_counts.remove(node);
     }
 
     /// Selects up to `count` nodes for one message, least-sent first, and counts them as sent.
     pub fn pick(&mut self, count: usize, members: usize) -> Vec<NodeName> {
         let mut waiting: Vec<_> = self
-            .sent
+            .send_counts
             .iter()
-            .map(|(node, sent)| (*sent, node.clone()))
+            .map(|(node, times_sent)| (*times_sent, node.clone()))
             .collect();
         waiting.sort();
         waiting.truncate(count);
-        let limit = retransmissions(members);
+        let limit = retransmit_limit(members);
         waiting
             .into_iter()
-            .map(|(sent, node)| self.count_sent(node, sent + 1, limit))
+            .map(|(times_sent, node)| self.count_sent(node, times_sent + 1, limit))
             .collect()
     }
 
-    fn count_sent(&mut self, node: NodeName, sent: u32, limit: u32) -> NodeName {
-        if sent >= limit {
-            self.sent.remove(&node);
+    fn count_sent(&mut self, node: NodeName, times_sent: u32, limit: u32) -> NodeName {
+        if times_sent >= limit {
+            self.send_counts.remove(&node);
         } else {
-            self.sent.insert(node.clone(), sent);
+            self.send_counts.insert(node.clone(), times_sent);
         }
         node
     }
 }
 
-/// Returns the number of times each update is sent among `members` members.
-fn retransmissions(members: usize) -> u32 {
+/// Returns how often each update is sent in a cluster of `members` members.
+fn retransmit_limit(members: usize) -> u32 {
     let doublings = usize::BITS - members.leading_zeros();
     RETRANSMIT_FACTOR * doublings.max(1)
 }
--- a/crates/ladderstage/src/routing/mod.rs
+++ b/crates/ladderstage/src/routing/mod.rs
@@ -1,5 +1,6 @@
-//! Choice of a back end for a request, and rendezvous hashing for choices on which several
-//! processes must agree (shard owners, readers of load reports, senders of engine orders).
+//! Selects a back end for a request, and provides rendezvous hashing for assignments on which
+//! processes agree without communication (shard owners, readers of load reports, senders of engine
+//! orders).
 
 mod candidate;
 mod choice;
--- a/crates/ladderstage/src/shard/mod.rs
+++ b/crates/ladderstage/src/shard/mod.rs
@@ -3,9 +3,9 @@
 //! [`ShardState`] is computed from the committed entries of the shard's log alone. Its decisions
 //! return the entries that must be committed before their effect may leave the process:
 //!
-//! - [`ShardState::attempts_needed`] lists the slots that need an attempt, in order;
-//! - [`ShardState::accept`] decides whether to commit a generated sample;
-//! - [`ShardState::stale_entries`] discards committed attempts that a roll made stale;
+//! - [`ShardState::needed_attempts`] lists the slots that need an attempt, in order;
+//! - [`ShardState::commit_entry`] decides whether to commit a generated sample;
+//! - [`ShardState::discard_entries`] discards committed attempts that a roll made stale;
 //! - [`ShardState::pull`] acknowledges the answer named by a trainer's cursor and returns the next
 //!   one.
 
@@ -15,7 +15,7 @@
 mod state;
 mod step;
 
-pub use attempts::AttemptNeeded;
+pub use attempts::NeededAttempt;
 pub use cursor::{CursorError, StepCursor};
 pub use pull::{Pull, PullDecision, PullOutcome, SampleAges};
 pub use state::{AttemptId, ShardState};
--- a/crates/ladderstage/src/shard/pull.rs
+++ b/crates/ladderstage/src/shard/pull.rs
@@ -6,7 +6,7 @@
 use ladderstage_wire::messages::mod_ShardEntry::OneOfkind as Kind;
 use ladderstage_wire::messages::{Acknowledged, HandOut, ShardEntry};
 
-use super::attempts::discarded;
+use super::attempts::discard_entry;
 use super::state::Answer;
 use super::{AttemptId, ShardState};
 use crate::staleness::StalenessBound;
@@ -101,7 +101,7 @@
         let (fresh, stale): (Vec<_>, Vec<_>) = deliverable
             .into_iter()
             .partition(|id| self.is_fresh(*id, bound, ages));
-        entries.extend(stale.into_iter().map(discarded));
+        entries.extend(stale.into_iter().map(discard_entry));
         let repeated = match acked {
             // No answer can follow one that is only acknowledged now.
             Some(_) => None,
--- a/crates/ladderstage/tests/bundle_signature.rs
+++ b/crates/ladderstage/tests/bundle_signature.rs
@@ -1,4 +1,4 @@
-//! Bundle signatures: trusted, missing, wrong and by unknown keys.
+//! Verification of bundle signatures that are valid, missing, invalid or by unknown keys.
 
 use std::collections::BTreeMap;
 
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn keys_rotate_through_bundles_signed_by_both() {
+fn bundle_signed_with_old_and_new_key_verifies_with_either() {
     let (old, new) = (key("2026-a", 1), key("2026-b", 2));
     let both = signed(TEXT, &[&old, &new]);
     for trusted_keys in [trusted(&[&old]), trusted(&[&new]), trusted(&[&old, &new])] {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn unknown_missing_and_wrong_signatures_are_refused() {
+fn untrusted_missing_and_invalid_signatures_are_rejected() {
     let (ours, other) = (key("ours", 1), key("other", 2));
     let trusted_keys = trusted(&[&ours]);
     let unknown = verify(&signed(TEXT, &[&other]), &trusted_keys);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_signed_text_that_cannot_be_read_is_refused_with_findings() {
+fn signed_bundle_with_invalid_text_is_rejected_with_findings() {
     let ours = key("ours", 1);
     let outcome = verify(
         &signed("revision = 'x'\ncolour = 1\n", &[&ours]),
@@ -83,7 +83,7 @@
 fn all_unusable_public_keys_are_reported() {
     let keys: BTreeMap<String, String> = [
         ("short".to_owned(), "00ff".to_owned()),
-        // A point of small order accepts forged signatures.
+        // A public key of small order would accept forged signatures.
         ("weak".to_owned(), format!("01{}", "0".repeat(62))),
     ]
     .into();
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn secrets_are_not_shown() {
+fn debug_output_omits_the_secret_key() {
     let key = key("ours", 1);
     assert!(!format!("{key:?}").contains(&key.secret_hex()));
     assert_eq!(digest(b"").to_string()[..8], *"e3b0c442");
--- a/crates/ladderstage/tests/journal/interleavings.rs
+++ b/crates/ladderstage/tests/journal/interleavings.rs
@@ -14,7 +14,7 @@
         60 => number().prop_map(|message| Step::Deliver { message }),
         6 => number().prop_map(|message| Step::DeliverCopy { message }),
         3 => number().prop_map(|message| Step::Lose { message }),
-        1 => number().prop_map(|replica| Step::RestartReplica { replica }),
+        1 => number().prop_map(|replica| Step::DropMessagesOfReplica { replica }),
     ]
 }
 
@@ -24,8 +24,8 @@
     prop_oneof![
         30 => step(),
         1 => (number(), any::<bool>()).prop_map(|(member, is_lost)| Step::Replace { member, is_lost }),
-        4 => number().prop_map(|writer| Step::LearnSet { writer }),
-        2 => number().prop_map(|replica| Step::FenceReplica { replica }),
+        4 => number().prop_map(|writer| Step::UpdateWriterSet { writer }),
+        2 => number().prop_map(|replica| Step::UpdateReplicaSet { replica }),
         4 => number().prop_map(|source| Step::Copy { source }),
         2 => Just(Step::CompleteReplacement),
     ]
--- a/crates/ladderstage/tests/journal/rules.rs
+++ b/crates/ladderstage/tests/journal/rules.rs
@@ -1,4 +1,4 @@
-//! Individual rules of the journal: epochs, quorums, replica answers, heartbeats and reads.
+//! Unit tests of the journal: epochs, quorums, replica replies, heartbeats and reads.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_joint_set_needs_majorities_of_both_by_replica_id() {
+fn joint_replica_set_needs_a_majority_of_the_current_and_the_next_set() {
     let member = |id: u64| ReplicaMember {
         node: "same-name".to_owned(),
         replica_id: id,
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn an_append_is_acknowledged_again_and_stored_once() {
+fn repeated_append_is_acknowledged_but_stored_once() {
     let mut replica = new_replica(1);
     let mut writer = sealed_writer(epoch(1, 1), &mut replica);
     writer.add(vec![entry("a")], false);
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn an_append_behind_missing_entries_asks_for_an_install() {
+fn append_after_a_gap_requests_an_install() {
     let mut complete = new_replica(1);
     let mut writer = sealed_writer(epoch(1, 1), &mut complete);
     write_all(&mut writer, &mut complete);
@@ -155,7 +155,7 @@
     let sources = sealed.sources();
     let mut replies = replicas.iter().map(SimulatedReplica::read);
     let newest = replies.find(|reply| sources.contains(&reply.replica_id));
-    let newest = newest.expect("a source");
+    let newest = newest.expect("a source replica replied");
     assert!(sealed.is_empty() || sealed.is_newest(&newest));
     sealed.into_writer(newest.entries)
 }
@@ -187,7 +187,7 @@
     assert_eq!(
         sent,
         [0, 1, 3],
-        "holds all entries, lacks one, was not sealed"
+        "replica 1 holds all entries, 2 lacks one, 3 was not sealed"
     );
     assert!(second.is_committed());
     for replica in &replicas {
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn entries_of_another_epoch_are_never_kept() {
+fn uncommitted_entries_of_an_older_epoch_are_replaced() {
     let mut replicas = [1, 2, 3].map(new_replica);
     let mut former = writer_over_three(epoch(1, 1), &mut replicas);
     former.add(vec![entry("x"), entry("y")], false);
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn a_log_that_another_writer_has_sealed_since_is_not_adopted() {
+fn log_sealed_by_a_later_writer_is_not_adopted() {
     let mut replica = new_replica(1);
     let mut writer = sealed_writer(epoch(1, 1), &mut replica);
     writer.add(vec![entry("a")], false);
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn an_answer_with_another_replica_id_is_ignored() {
+fn reply_with_another_replica_id_is_ignored() {
     let mut replica = new_replica(1);
     let mut writer = sealed_writer(epoch(1, 1), &mut replica);
     let write = writer.next_write(1).unwrap();
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn a_retired_log_is_recognised_beside_a_longer_unfinished_one() {
+fn retired_log_wins_over_a_longer_unretired_copy() {
     let mut sealing = Sealing::new(identity(epoch(9, 1)), quorum_of(1..=3));
     let reply = |replica_id, retired, entries: &[&str]| SealReply {
         replica_id,
@@ -271,7 +271,7 @@
     let mut table = HeartbeatTable::default();
     assert!(
         table.orphaned(open(), at(100), timeout).is_empty(),
-        "owners get time after a restart of the replica"
+        "owners get a full timeout after the replica restarts"
     );
     assert!(!table.record(&owned(1), Some(&state), at(101)));
     assert!(table.orphaned(open(), at(102), timeout).is_empty());
@@ -284,7 +284,7 @@
 }
 
 #[test]
-fn a_paused_replica_gives_owners_time_before_declaring_logs_orphaned() {
+fn resumed_replica_waits_a_full_timeout_before_reporting_orphans() {
     let timeout = Duration::from_secs(2);
     let at = Duration::from_secs;
     let open = || [LOG.to_owned()];
@@ -364,11 +364,11 @@
         [reply(1, 9, 0), reply(2, 3, 5)],
         [reply(2, 3, 5), reply(1, 9, 0)],
     ] {
-        let mut survey = LogListing::new(quorum_of(1..=3));
+        let mut listing = LogListing::new(quorum_of(1..=3));
         replies.into_iter().for_each(|reply| {
-            survey.on_reply(reply);
+            listing.on_reply(reply);
         });
-        let found = survey.into_logs();
+        let found = listing.into_logs();
         assert_eq!(
             (found[0].length, found[0].owner_node.as_str()),
             (5, "node-9")
@@ -377,7 +377,7 @@
 }
 
 #[test]
-fn a_copy_omits_entries_the_receiver_holds_and_never_replaces_newer_ones() {
+fn export_omits_entries_the_receiver_holds_and_import_keeps_newer_ones() {
     let exported = |round, entries: u64| ExportedLog {
         log: LOG.to_owned(),
         promised: epoch(9, 1).to_wire(),
@@ -406,8 +406,12 @@
         assert_eq!(decision.entries == EntryChange::Replace, is_newer);
         assert_eq!(decision.state.promised, epoch(9, 1), "promises are copied");
     }
-    let mut behind = exported(5, 2);
-    omit_known(&mut behind, &known);
-    let decision = import(&LogState::default(), &behind);
-    assert_eq!(decision.entries, EntryChange::Keep, "entries are kept");
+    let mut without_entries = exported(5, 2);
+    omit_known(&mut without_entries, &known);
+    let decision = import(&LogState::default(), &without_entries);
+    assert_eq!(
+        decision.entries,
+        EntryChange::Keep,
+        "a copy whose entries were omitted replaces nothing"
+    );
 }
--- a/crates/ladderstage/tests/journal/support.rs
+++ b/crates/ladderstage/tests/journal/support.rs
@@ -86,18 +86,21 @@
     Lose {
         message: usize,
     },
-    RestartReplica {
+    /// Drops the messages in transit from and to a replica, as its restart does.
+    DropMessagesOfReplica {
         replica: usize,
     },
-    /// Requests a replacement for a replica, which is lost at that moment or continues to run.
+    /// Starts the replacement of a replica; `is_lost` says whether its disk is lost or it still runs.
     Replace {
         member: usize,
         is_lost: bool,
     },
-    LearnSet {
+    /// Gives a writer the current replica set.
+    UpdateWriterSet {
         writer: usize,
     },
-    FenceReplica {
+    /// Gives a replica the current replica set; it then refuses messages under older sets.
+    UpdateReplicaSet {
         replica: usize,
     },
     /// The joining replica fences a current replica and copies its log.
@@ -107,10 +110,11 @@
     CompleteReplacement,
 }
 
-/// The simulation, with the entries known to be committed by any writer.
+/// Simulated replicas, writers and network.
 #[derive(Debug)]
 pub struct Simulation {
     pub replicas: Vec<SimulatedReplica>,
+    /// Entries that some writer knows to be committed.
     pub committed: Vec<LogEntry>,
     /// Replica set stored in the key-value service.
     pub set: ReplicaSet,
@@ -162,16 +166,16 @@
                     self.network.swap_remove(index);
                 }
             }
-            Step::RestartReplica { replica } => {
+            Step::DropMessagesOfReplica { replica } => {
                 let replica = replica % self.replicas.len();
                 self.network.retain(|envelope| envelope.replica != replica);
             }
             Step::Replace { member, is_lost } => self.replace(member, is_lost),
-            Step::LearnSet { writer } => {
+            Step::UpdateWriterSet { writer } => {
                 let index = writer % self.writers.len();
                 self.writers[index].set = self.set.clone();
             }
-            Step::FenceReplica { replica } => {
+            Step::UpdateReplicaSet { replica } => {
                 let index = replica % self.replicas.len();
                 self.replicas[index].learn(&self.set);
             }
@@ -180,20 +184,20 @@
         }
     }
 
-    /// Replaces one replica at a time, and only while a spare is left.
+    /// Starts the replacement of a replica unless one is in progress or no spare is left.
     fn replace(&mut self, member: usize, is_lost: bool) {
         if !self.set.next.is_empty() {
             return;
         }
         let replaced = self.set.current[member % self.set.current.len()].replica_id;
-        let spares: Vec<_> = self
+        let candidates: Vec<_> = self
             .replicas
             .iter()
             .filter(|replica| !replica.lost)
             .map(member_of)
             .collect();
         let lost = BTreeSet::from([replaced]);
-        let Some(joint) = replica_set::propose_replacement(&self.set, &lost, &spares) else {
+        let Some(joint) = replica_set::propose_replacement(&self.set, &lost, &candidates) else {
             return;
         };
         self.replicas[index_of(replaced)].lost |= is_lost;
@@ -242,7 +246,7 @@
             if participants.iter().any(|replica| replica.lost) || !quorum.is_met_by(&ids) {
                 continue;
             }
-            let found = self.adopt_from(&participants);
+            let found = self.entries_adopted_from(&participants);
             assert!(
                 found.starts_with(&self.committed),
                 "lost entries: replicas {ids:?} hold {} of {} committed entries",
@@ -252,7 +256,7 @@
         }
     }
 
-    fn adopt_from(&self, participants: &[&SimulatedReplica]) -> Vec<LogEntry> {
+    fn entries_adopted_from(&self, participants: &[&SimulatedReplica]) -> Vec<LogEntry> {
         let epoch = WriterEpoch {
             round: u64::MAX,
             owner: 99,
@@ -277,7 +281,7 @@
 
     fn take_over(&mut self, index: usize) {
         let writer = &mut self.writers[index];
-        let epoch = writer.epochs.next_epoch().expect("rounds left");
+        let epoch = writer.epochs.next_epoch().expect("an epoch is left");
         writer.generation += 1;
         let quorum = Quorum::new(&writer.set);
         let replicas = quorum.replicas();
@@ -342,7 +346,7 @@
             Message::Read => Message::ReadReply(replica.read()),
             Message::Write(write) => Message::WriteReply(write.clone(), replica.write(write)),
             Message::SealReply(_) | Message::ReadReply(_) | Message::WriteReply(..) => {
-                return self.answer(envelope);
+                return self.handle_reply(envelope);
             }
         };
         self.network.push(Envelope {
@@ -351,7 +355,7 @@
         });
     }
 
-    fn answer(&mut self, envelope: Envelope) {
+    fn handle_reply(&mut self, envelope: Envelope) {
         let writer = &mut self.writers[envelope.writer];
         if writer.generation != envelope.generation {
             return;
@@ -394,13 +398,13 @@
             return;
         }
         let entries = state.entries();
-        let shared = entries.len().min(self.committed.len());
+        let common_len = entries.len().min(self.committed.len());
         assert_eq!(
-            entries[..shared],
-            self.committed[..shared],
-            "different entries committed at one index"
+            entries[..common_len],
+            self.committed[..common_len],
+            "different entries committed at the same index"
         );
-        self.committed.extend_from_slice(&entries[shared..]);
+        self.committed.extend_from_slice(&entries[common_len..]);
     }
 }
 
--- a/crates/ladderstage/tests/shard.rs
+++ b/crates/ladderstage/tests/shard.rs
@@ -161,13 +161,13 @@
 
     fn generate(&mut self, pick: usize, lag: i8) {
         self.commit(Vec::new());
-        let needed = self.owner().attempts_needed(&BTreeSet::new());
+        let needed = self.owner().needed_attempts(&BTreeSet::new());
         if needed.is_empty() {
             return;
         }
         let id = needed[pick % needed.len()].id;
         let version = self.bound.weight_version.saturating_add_signed(lag.into());
-        let entry = self.owner().accept(&sample(id, version)).unwrap();
+        let entry = self.owner().commit_entry(&sample(id, version)).unwrap();
         self.commit(vec![entry]);
     }
 
@@ -272,7 +272,7 @@
             Step::Roll { versions } => {
                 self.bound = bound(self.bound.weight_version + 1, versions);
                 if self.uncommitted.is_empty() {
-                    let stale = self.owner().stale_entries(&self.bound, &NoAges);
+                    let stale = self.owner().discard_entries(&self.bound, &NoAges);
                     self.commit(stale);
                 }
             }
@@ -321,9 +321,9 @@
 }
 
 fn committed(state: &mut ShardState, slot: u32, version: u64) {
-    let needed = state.attempts_needed(&BTreeSet::new());
+    let needed = state.needed_attempts(&BTreeSet::new());
     let need = needed.iter().find(|need| need.id.slot == slot).unwrap();
-    let entry = state.accept(&sample(need.id, version)).unwrap();
+    let entry = state.commit_entry(&sample(need.id, version)).unwrap();
     assert!(state.apply(&entry));
 }
 
@@ -367,8 +367,8 @@
         panic!("no answer");
     };
     assert_eq!(pull_and_commit(&mut state, 0, 2), PullOutcome::Wait);
-    let needed = state.attempts_needed(&BTreeSet::new());
-    assert!(needed[0].regenerates);
+    let needed = state.needed_attempts(&BTreeSet::new());
+    assert!(needed[0].is_regeneration);
     committed(&mut state, FIRST_SLOT, 2);
     assert_eq!(
         pull_and_commit(&mut state, answer, 2),
@@ -381,11 +381,11 @@
 fn regenerated_attempts_go_first_then_the_longest() {
     let mut state = ShardState::from_entries(&[opened(3)]);
     committed(&mut state, FIRST_SLOT + 1, 1);
-    for entry in state.stale_entries(&bound(5, 1), &NoAges) {
+    for entry in state.discard_entries(&bound(5, 1), &NoAges) {
         assert!(state.apply(&entry));
     }
     let order: Vec<(u32, u32)> = state
-        .attempts_needed(&BTreeSet::from([FIRST_SLOT]))
+        .needed_attempts(&BTreeSet::from([FIRST_SLOT]))
         .iter()
         .map(|need| (need.id.slot, need.id.attempt))
         .collect();
@@ -414,7 +414,7 @@
     let PullOutcome::Answer { answer: first, .. } = pull_and_commit(&mut state, 0, 1) else {
         panic!("no answer");
     };
-    for entry in state.stale_entries(&bound(2, 0), &NoAges) {
+    for entry in state.discard_entries(&bound(2, 0), &NoAges) {
         assert!(state.apply(&entry));
     }
     committed(&mut state, FIRST_SLOT + 1, 2);
