--- a/crates/daemon/src/backends/gossip.rs
+++ b/crates/daemon/src/backends/gossip.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ladderstage::backend::{GossipOrigin, ObservationInterval, reports_spread_by_gossip};
+use ladderstage::backend::{GossipOrigin, ObservationInterval, uses_report_gossip};
 use ladderstage_wire::messages::{
     BackendGossip, BackendReport, KnownBackends, Request, mod_Request, mod_Response,
 };
@@ -71,7 +71,7 @@
     let interval = Duration::from_millis(shared.timing.report_poll_ms);
     loop {
         sleep(jittered(interval)).await;
-        if !reports_spread_by_gossip(shared.peers.alive().len()) && !has_unknown_address(&shared) {
+        if !uses_report_gossip(shared.peers.alive().len()) && !has_unknown_address(&shared) {
             continue;
         }
         let nodes = random_peers(&shared, QUERY_FANOUT);
--- a/crates/daemon/src/backends/polling.rs
+++ b/crates/daemon/src/backends/polling.rs
@@ -25,7 +25,7 @@
 const LIST_TIMEOUT: Duration = Duration::from_secs(2);
 /// Key by which the watchers of the machine list are chosen.
 const LIST_KEY: &[u8] = b"machine-list";
-/// Load reports read concurrently.
+/// Maximum number of load reports read concurrently.
 const CONCURRENT_READS: usize = 32;
 
 /// Polls the machine list until the task is aborted.
@@ -44,7 +44,8 @@
     }
 }
 
-/// Returns the factor of the poll interval. Nodes that are not watchers receive changes by gossip.
+/// Returns the multiplier of this node's poll interval: 1 for the watchers (see [`crate::watchers`]), more for the
+/// other nodes.
 fn list_factor(shared: &Shared) -> u32 {
     let own = shared.peers.own();
     let members = shared.peers.alive();
--- a/crates/daemon/src/bundles/dependencies.rs
+++ b/crates/daemon/src/bundles/dependencies.rs
@@ -92,7 +92,7 @@
     /// Lists the weight versions of a model.
     ///
     /// # Errors
-    /// If they cannot be read.
+    /// If the weight versions cannot be read.
     fn versions<'a>(
         &'a self,
         model: &'a str,
--- a/crates/daemon/src/bundles/mod.rs
+++ b/crates/daemon/src/bundles/mod.rs
@@ -142,17 +142,18 @@
 
     /// Records the evidence in a peer's answer to a call that was sent at `sent_at`.
     pub fn observe_evidence(&self, from: &str, evidence: &BundleEvidence, sent_at: Instant) {
-        self.shared.learn_from_answer(from, evidence, sent_at);
+        self.shared.record_answer_evidence(from, evidence, sent_at);
     }
 
     /// Records the revision in a peer's call to this node. It is no evidence of freshness, because the call may have
     /// been delayed.
     pub fn observe_revision(&self, from: &str, revision: u64) {
-        self.shared.learn_revision(from, revision);
+        self.shared.record_revision(from, revision);
     }
 
     /// Records the answers of journal replicas to a heartbeat sent at `sent_at`; `majority` if a quorum answered.
     pub fn heartbeat_round(&self, sent_at: Instant, evidence: &[BundleEvidence], majority: bool) {
-        self.shared.learn_from_replicas(sent_at, evidence, majority);
+        self.shared
+            .record_replica_evidence(sent_at, evidence, majority);
     }
 }
--- a/crates/daemon/src/bundles/push.rs
+++ b/crates/daemon/src/bundles/push.rs
@@ -15,17 +15,18 @@
 use super::quorum::{self, Holder};
 use super::state::Shared;
 
-/// Random members that a node pushes a new bundle to, besides the replicas.
+/// Number of random members to which a node pushes a new bundle, besides the replicas.
 const FAN_OUT: usize = 5;
 
 /// Timeout for pushing a bundle to a peer.
 const PUSH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Concurrent pushes.
+/// Maximum number of concurrent pushes.
 const CONCURRENT_PUSHES: usize = 32;
 
 impl Shared {
-    /// Pushes the bundle in force to random members and all replicas, in the background.
+    /// Pushes the bundle in force to random members and all replicas, in the background. `hops` is the number of nodes
+    /// that have forwarded it before.
     pub(super) fn push_to_peers(self: &Arc<Self>, hops: u32) {
         let others = self.peers.others();
         let picked = others.sample(&mut rand::rng(), FAN_OUT).cloned();
@@ -34,7 +35,7 @@
         self.spawn_push(targets, hops);
     }
 
-    /// Pushes the bundle in force to all members, in the background.
+    /// Pushes the bundle in force to all members and replicas, in the background.
     pub(super) fn push_to_all(self: &Arc<Self>) {
         let mut targets: BTreeSet<String> = self.peers.others().into_iter().collect();
         targets.extend(self.replica_nodes());
@@ -91,7 +92,7 @@
         match self.peers.call(node, request, PUSH_TIMEOUT).await {
             Ok(response) => match response.kind {
                 ResponseKind::bundle_state(state) => {
-                    self.learn_revision(node, state.revision);
+                    self.record_revision(node, state.revision);
                     Some(state)
                 }
                 other => {
--- a/crates/daemon/src/bundles/quorum.rs
+++ b/crates/daemon/src/bundles/quorum.rs
@@ -11,7 +11,7 @@
 use super::state::Shared;
 use crate::jitter::jittered;
 
-/// Interval between attempts to reach a quorum.
+/// Interval between attempts to store the bundle at a quorum.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Node that has stored the bundle.
@@ -70,7 +70,8 @@
         }
     }
 
-    /// Pushes to the replicas that have not stored the bundle yet, and adds those that do.
+    /// Pushes to the replicas that are not among the holders yet, stores the bundle on this node's disk, and adds the
+    /// nodes that have stored it to the holders.
     async fn push_to_replicas(self: &Arc<Self>, holders: &mut Vec<Holder>) {
         let is_missing = |node: &String| !holders.iter().any(|holder| holder.node == *node);
         let is_own_missing = is_missing(&self.peers.own_node());
@@ -97,8 +98,8 @@
 
     /// Returns whether the holders form a quorum of the replica set.
     ///
-    /// A holder counts only if it knew no newer replica set after storing the bundle: data is copied to a newer set
-    /// from replicas that know that set, so the bundle is then copied too.
+    /// A holder counts only if it knew no newer replica set after storing the bundle. Replicas copy their data to a
+    /// newer set only after they know it, so the copy then includes the bundle.
     fn is_held_by_quorum(&self, holders: &[Holder]) -> bool {
         let Some(set) = (self.replica_set)() else {
             return false;
--- a/crates/daemon/src/bundles/receive.rs
+++ b/crates/daemon/src/bundles/receive.rs
@@ -44,7 +44,7 @@
                 return refused(Reason::INTERNAL, error.to_string());
             }
         };
-        // Must be read after the bundle is stored: the rolling node relies on it.
+        // Must be read after the bundle is stored: the node that rolls the bundle relies on this order.
         let holder = self.shared.own_holder();
         bundle_state(BundleState {
             revision,
@@ -88,18 +88,18 @@
 impl Shared {
     /// Records evidence from an answer. The answer was made after `sent_at`, so the evidence dates from `sent_at` minus
     /// its age or later.
-    pub(super) fn learn_from_answer(
+    pub(super) fn record_answer_evidence(
         self: &Arc<Self>,
         from: &str,
         evidence: &BundleEvidence,
         sent_at: Instant,
     ) {
         if !evidence.known {
-            return self.learn_revision(from, evidence.revision);
+            return self.record_revision(from, evidence.revision);
         }
         let age = Duration::from_millis(evidence.age_ms);
         let Some(as_of) = self.instant(sent_at).checked_sub(age) else {
-            return self.learn_revision(from, evidence.revision);
+            return self.record_revision(from, evidence.revision);
         };
         let effect = self
             .state()
@@ -108,14 +108,14 @@
         self.fetch_if_behind(from, effect);
     }
 
-    pub(super) fn learn_revision(self: &Arc<Self>, from: &str, revision: Revision) {
+    pub(super) fn record_revision(self: &Arc<Self>, from: &str, revision: Revision) {
         let effect = self.state().evidence.observe_existence(revision);
         self.fetch_if_behind(from, effect);
     }
 
     /// Records evidence from journal replicas. Every quorum includes a replica with the newest accepted bundle, so the
     /// highest revision that a quorum reports was the newest one at `sent_at`.
-    pub(super) fn learn_from_replicas(
+    pub(super) fn record_replica_evidence(
         self: &Arc<Self>,
         sent_at: Instant,
         evidence: &[BundleEvidence],
@@ -200,7 +200,7 @@
         if let Some(evidence) = state.evidence
             && evidence.revision <= self.state().evidence.revision()
         {
-            self.learn_from_answer(node, &evidence, sent_at);
+            self.record_answer_evidence(node, &evidence, sent_at);
         }
     }
 }
--- a/crates/daemon/src/bundles/roll.rs
+++ b/crates/daemon/src/bundles/roll.rs
@@ -1,4 +1,5 @@
-//! Rolls a bundle: checks, a compare-and-swap on the head record, and storage at a quorum of replicas.
+//! Rolls a bundle, that is, puts it in force on all nodes: checks, a compare-and-swap on the head record, and storage
+//! at a quorum of replicas.
 
 use std::time::{Duration, Instant};
 
@@ -17,7 +18,7 @@
 use super::state::Adoption;
 use crate::jitter::jittered;
 
-/// Attempts at a call that the key-value service did not execute.
+/// Maximum number of attempts at a call that the key-value service did not execute.
 const MAX_ATTEMPTS: u32 = 4;
 
 /// Interval between attempts.
--- a/crates/daemon/src/bundles/state.rs
+++ b/crates/daemon/src/bundles/state.rs
@@ -120,7 +120,7 @@
         self.state().evidence.age(now)
     }
 
-    /// Returns the bundle in force if the evidence for this bundle is within its bound.
+    /// Returns the bundle in force if the evidence that it is the newest is not older than `evidence_bound`.
     pub(super) fn current_if_fresh(&self) -> Option<Arc<BundleInForce>> {
         // Both are read under one lock, so that the evidence belongs to this bundle.
         let state = self.state();
--- a/crates/daemon/src/claims.rs
+++ b/crates/daemon/src/claims.rs
@@ -11,14 +11,15 @@
 
 use crate::journal::{Journal, JournalError, LogWriter};
 
-/// Maximum random delay before another takeover of a log, per earlier retry.
-const BACK_OFF_STEP: Duration = Duration::from_millis(50);
+/// Maximum random delay before another takeover of a log, multiplied by the number of earlier retries.
+const BACKOFF_STEP: Duration = Duration::from_millis(50);
 
-/// Maximum attempts at recording an outcome. Without a record later requests with the key are answered `unknown`.
+/// Maximum number of attempts at recording an outcome. Without a record later requests with the key are answered
+/// `unknown`.
 const MAX_SETTLE_ATTEMPTS: u32 = 8;
 
 /// Maximum random delay between attempts at recording an outcome.
-const MAX_SETTLE_BACK_OFF: Duration = Duration::from_secs(2);
+const MAX_SETTLE_BACKOFF: Duration = Duration::from_secs(2);
 
 /// Claims of idempotency keys. Cheap to clone.
 #[derive(Debug, Clone)]
@@ -58,7 +59,7 @@
         loop {
             step = match step {
                 ClaimStep::TakeOver => {
-                    sleep_up_to(BACK_OFF_STEP * claimant.retries()).await;
+                    sleep_up_to(BACKOFF_STEP * claimant.retries()).await;
                     match self.read_state(&mut claimant, &log, deadline).await {
                         ClaimStep::TakeOver => {
                             let (new_writer, result) = self.take_over(&log, deadline).await;
@@ -85,7 +86,8 @@
         }
     }
 
-    /// Reads the log without fencing its writer. Without a majority a takeover would fail too, but later.
+    /// Reads the log without fencing its writer. If no majority answers, counts as a takeover without a majority,
+    /// because a takeover would fail too, but later.
     async fn read_state(&self, claimant: &mut Claimant, log: &str, deadline: Instant) -> ClaimStep {
         match timeout_at(deadline, self.journal.read(log)).await {
             Ok(Ok(Some(entries))) => match fold(log, &entries) {
@@ -125,7 +127,7 @@
         let entry = settlement.into_entry();
         for attempt in 0..MAX_SETTLE_ATTEMPTS {
             if attempt > 0 {
-                sleep_up_to(MAX_SETTLE_BACK_OFF).await;
+                sleep_up_to(MAX_SETTLE_BACKOFF).await;
             }
             if self.try_settle(&entry, closes).await {
                 return;
@@ -187,6 +189,6 @@
     }
 }
 
-async fn sleep_up_to(longest: Duration) {
-    tokio::time::sleep(longest.mul_f64(rand::random())).await;
+async fn sleep_up_to(max_delay: Duration) {
+    tokio::time::sleep(max_delay.mul_f64(rand::random())).await;
 }
--- a/crates/daemon/src/members/handlers.rs
+++ b/crates/daemon/src/members/handlers.rs
@@ -34,7 +34,7 @@
             membership.record_contact(&ping.from, now);
         }
         if let Some(evidence) = ping.evidence {
-            self.learn_revision(&ping.from, evidence);
+            self.record_revision(&ping.from, evidence);
         }
         let hooks = &self.shared.hooks;
         hooks.observe_replica_set_version(&ping.from, ping.replica_set_version);
@@ -59,7 +59,7 @@
     }
 
     /// Records only the revision of the evidence in a ping: the ping may have been delayed, so its age is unknown.
-    fn learn_revision(&self, from: &str, evidence: BundleEvidence) {
+    fn record_revision(&self, from: &str, evidence: BundleEvidence) {
         let evidence = BundleEvidence {
             known: false,
             age_ms: 0,
--- a/crates/daemon/src/members/mod.rs
+++ b/crates/daemon/src/members/mod.rs
@@ -138,8 +138,8 @@
         self.shared.membership().set_http_address(http_address);
     }
 
-    /// Announces the planned stop of this node to some members, which forward it. Waits for their answers for at most one
-    /// probe timeout.
+    /// Announces the planned stop of this node to some members, which forward it. Waits for their answers for at most
+    /// one probe timeout.
     pub async fn announce_leaving(&self) {
         self.shared.membership().start_leaving();
         self.shared.announce_to_some().await;
@@ -153,8 +153,8 @@
     }
 
     /// Returns whether this node is partitioned from the majority of its region's members, as defined by
-    /// [`Membership::is_isolated`](ladderstage::membership::Membership::is_isolated). Returns `false` if this node is the
-    /// only member.
+    /// [`Membership::is_isolated`](ladderstage::membership::Membership::is_isolated). Returns `false` if this node is
+    /// the only member.
     pub fn is_isolated(&self) -> bool {
         self.shared.membership().is_isolated(self.shared.now())
     }
--- a/crates/daemon/src/members/probes.rs
+++ b/crates/daemon/src/members/probes.rs
@@ -14,13 +14,13 @@
 use super::messages;
 use super::shared::Shared;
 
-/// Timeout of an indirect probe, in probe timeouts; it includes the helper's own probe.
+/// Timeout of an indirect probe, as a multiple of the probe timeout; it includes the helper's own probe.
 const INDIRECT_PROBE_TIMEOUTS: u32 = 2;
 
-/// Timeout of a full state exchange, in probe timeouts.
+/// Timeout of a full state exchange, as a multiple of the probe timeout.
 const SYNC_TIMEOUTS: u32 = 8;
 
-/// Members to which this node announces its planned stop directly.
+/// Number of members to which this node announces its planned stop directly.
 const ANNOUNCEMENT_FANOUT: usize = 16;
 
 impl Shared {
--- a/crates/daemon/src/members/shared.rs
+++ b/crates/daemon/src/members/shared.rs
@@ -72,7 +72,7 @@
         self.membership().find(node)?.peer_address.parse().ok()
     }
 
-    /// Returns the address of a member that this node need not know.
+    /// Returns the address of a member: the override in the settings, or the one in its entry.
     pub fn address_of(&self, member: &Member) -> Option<SocketAddr> {
         let overridden = self.overrides.get(&member.node).copied();
         overridden.or_else(|| member.peer_address.parse().ok())
--- a/crates/daemon/src/orders/mod.rs
+++ b/crates/daemon/src/orders/mod.rs
@@ -30,7 +30,7 @@
 
 /// Interval between checks of all orders.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
-/// Longest wait for an engine's answer to an order.
+/// Timeout of an order to an engine.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Sender of orders to engines. Cheap to clone; sending stops when the last clone is dropped.
@@ -91,7 +91,8 @@
         registry.register(Box::new(self.shared.progress().swaps()))
     }
 
-    /// Returns the progress of each engine that the bundle orders, sorted by name. Only this node's attempts are counted.
+    /// Returns the progress of each engine for which the bundle has an order, sorted by name. Only this node's attempts
+    /// are counted.
     pub fn describe(&self) -> Vec<OrderDescription> {
         let now = self.shared.started.elapsed();
         self.shared
@@ -138,7 +139,7 @@
     }
 }
 
-/// Returns the engines that this node is a caretaker of, with its rank.
+/// Returns the engines whose orders this node sends, with its rank among the senders of each.
 fn own_ranks(bundle: &Bundle, own: &str, members: &[String]) -> BTreeMap<String, usize> {
     let ranked = orders(bundle).into_iter().filter_map(|order| {
         let rank = order_sender_rank(&order.backend, own, members)?;
--- a/crates/daemon/src/orders/progress.rs
+++ b/crates/daemon/src/orders/progress.rs
@@ -32,7 +32,7 @@
     pub state: String,
     /// How often this node has sent the order to the engine's present process.
     pub attempts: u32,
-    /// Milliseconds in this state, as known to this node.
+    /// Milliseconds for which the order has been in this state, as known to this node.
     pub since_ms: u64,
 }
 
@@ -117,7 +117,8 @@
             .collect()
     }
 
-    /// Decides the next action of an order and records it.
+    /// Decides the next action for an order and records it; observes the swap time if the engine now reports the
+    /// version.
     pub(super) fn advance(
         &mut self,
         order: &Order,
--- a/crates/daemon/src/shards/attempt/mod.rs
+++ b/crates/daemon/src/shards/attempt/mod.rs
@@ -22,13 +22,13 @@
 /// Interval between searches for an engine to resume on.
 const PLACEMENT_RETRY_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Longest time that an interrupted attempt waits for an engine.
+/// Maximum time for which an interrupted attempt waits for an engine.
 const PLACEMENT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Delay after the first failed call to the scorer.
 const FIRST_SCORE_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Longest delay between calls to the scorer.
+/// Maximum delay between calls to the scorer.
 const MAX_SCORE_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// Maximum number of calls to the scorer for one sample.
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub(super) struct GeneratedSample {
     pub(super) sample: Sample,
-    /// When the first token arrived.
+    /// Time at which the first token arrived.
     pub(super) first_token_at: Instant,
 }
 
--- a/crates/daemon/src/shards/attempt/stream.rs
+++ b/crates/daemon/src/shards/attempt/stream.rs
@@ -26,7 +26,7 @@
 /// Upper bound for the retry delay named by a refusal.
 const MAX_REFUSED_DELAY: Duration = Duration::from_secs(2);
 
-/// Why a dispatch ended before the engine's end mark. The partial sample is kept unless stated otherwise.
+/// Reason why a dispatch ended before the engine's end mark. The partial sample is kept unless stated otherwise.
 #[derive(Debug)]
 pub(super) enum Interruption {
     /// The engine ran nothing; retry after this delay.
--- a/crates/daemon/src/shards/collected_answers.rs
+++ b/crates/daemon/src/shards/collected_answers.rs
@@ -22,7 +22,7 @@
 /// Answer of one shard.
 pub(super) struct ShardAnswer {
     pub(super) shard: u32,
-    /// When the pull was sent to the shard.
+    /// Time at which the pull was sent to the shard.
     pub(super) sent_at: Instant,
     pub(super) pull: ShardPull,
 }
--- a/crates/daemon/src/shards/delivery.rs
+++ b/crates/daemon/src/shards/delivery.rs
@@ -12,9 +12,9 @@
 use ladderstage_wire::messages::{PullShardReply, Response, Sample, ShardEntry};
 use tokio::sync::oneshot;
 
-use super::log::CommitError;
 use super::owner::{Owner, PendingPull};
 use super::replies;
+use super::shard_log::CommitError;
 
 /// Maximum number of waiting pulls of one shard.
 const MAX_PENDING_PULLS: usize = 32;
@@ -109,8 +109,7 @@
     /// Answers the waiting pulls that have fresh samples, and those that have expired.
     pub(super) async fn answer_pending_pulls(&mut self) -> Result<(), CommitError> {
         // Callers that have stopped waiting do not read the reply.
-        self.pending_pulls
-            .retain(|pull| !pull.reply.is_closed());
+        self.pending_pulls.retain(|pull| !pull.reply.is_closed());
         let mut index = 0;
         while index < self.pending_pulls.len() {
             let pull = self.pending_pulls[index].pull;
@@ -122,8 +121,8 @@
             };
             match response {
                 Some(response) => {
-                    let pull = self.pending_pulls.swap_remove(index);
-                    let _ = pull.reply.send(response);
+                    let pending_pull = self.pending_pulls.swap_remove(index);
+                    let _ = pending_pull.reply.send(response);
                 }
                 None => index += 1,
             }
--- a/crates/daemon/src/shards/fences.rs
+++ b/crates/daemon/src/shards/fences.rs
@@ -7,8 +7,8 @@
 /// Time at which this node's writer of each log was last fenced.
 ///
 /// A process that resumes after another owner has taken over a log may still receive old notices from replicas that the
-/// log has no live owner. Notices are ignored for `owner_timeout` after the fence, because acting on one would fence the
-/// new owner. If that owner fails too, the replicas send notices again after this time.
+/// log has no live owner. Notices are ignored for `owner_timeout` after the fence, because acting on one would fence
+/// the new owner. If that owner fails too, the replicas send notices again after this time.
 #[derive(Debug)]
 pub(super) struct RecentFences {
     owner_timeout: Duration,
--- a/crates/daemon/src/shards/generation.rs
+++ b/crates/daemon/src/shards/generation.rs
@@ -6,18 +6,18 @@
 use tokio::task::{AbortHandle, Id, JoinError};
 
 use super::attempt::{Attempt, AttemptFailure, AttemptResult};
-use super::log::CommitError;
 use super::owner::Owner;
 use super::placement::{StaleEngines, place_rollout};
+use super::shard_log::CommitError;
 use crate::jitter::backoff;
 
-/// Concurrent attempts of one shard.
+/// Maximum number of concurrent attempts of one shard.
 const MAX_ATTEMPTS: usize = 32;
 
 /// Delay before the retry of a slot after its first failed attempt.
 const FIRST_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Longest delay before the retry of a slot.
+/// Maximum delay before the retry of a slot.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(3);
 
 /// Task that runs an attempt at a slot.
--- a/crates/daemon/src/shards/mod.rs
+++ b/crates/daemon/src/shards/mod.rs
@@ -1,5 +1,7 @@
 //! Shards of trainers' steps: ownership, generation, commits and deliveries.
 //!
+//! A step is a trainer's request for a number of samples; it is split into shards, each with a log in the journal.
+//!
 //! Each shard is owned by one task ([`owner`]), the only writer of its log. The task decides through
 //! [`ladderstage::shard::ShardState`] and commits to the log before it replies. Any daemon accepts a step
 //! ([`submission`]) or a trainer's pull ([`pulling`]) and finds the owners through the journal.
@@ -11,13 +13,13 @@
 mod dependencies;
 mod fences;
 mod generation;
-mod log;
 mod metrics;
 mod owner;
 mod placement;
 mod pulling;
 mod registry;
 mod replies;
+mod shard_log;
 mod step_index;
 mod submission;
 
@@ -51,13 +53,13 @@
 pub use step_index::{ShardStatus, StepStatus};
 pub use submission::{SubmitError, SubmittedStep};
 
-/// Longest time that a pull waits for samples.
+/// Maximum time for which a pull waits for samples.
 pub const MAX_PULL_WAIT: Duration = Duration::from_secs(30);
 
 /// Timeout for opening a shard, after which the outcome is unknown.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Longest time that a drain waits for the owned shards to be released.
+/// Maximum time for which a drain waits for the owned shards to be released.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Timeout for a notice to the task or the successor of a shard.
@@ -200,7 +202,8 @@
             .unwrap_or_else(|_| replies::refused(Reason::NOT_OWNER, "ownership of the shard ended"))
     }
 
-    /// Takes over shards whose owner a replica reports as silent.
+    /// Takes over the shards named in a notice: a replica reports that they have no live owner, or their draining owner
+    /// releases them. Logs whose writer on this node was fenced recently are skipped.
     pub async fn handle_shard_notice(&self, notice: ShardNotice) -> Response {
         if self.shared.is_draining() {
             return replies::refused(Reason::LEAVING, "draining");
--- a/crates/daemon/src/shards/owner.rs
+++ b/crates/daemon/src/shards/owner.rs
@@ -14,8 +14,8 @@
 use super::ages::FirstTokenTimes;
 use super::attempt::{AttemptResult, GeneratedSample};
 use super::generation::{SlotBackoffs, SlotTask};
-use super::log::{CommitError, ShardLog};
 use super::registry::{OwnedShard, OwnerStatus, Registration, ShardDescription};
+use super::shard_log::{CommitError, ShardLog};
 use super::{Shared, replies};
 use crate::bundles::BundleInForce;
 use crate::jitter::{backoff, jittered};
@@ -262,7 +262,7 @@
 
     /// Runs all steps that are possible now. Each step commits its entries before the next one reads the state.
     async fn advance(&mut self) -> Result<Progress, CommitError> {
-        self.log.settle().await?;
+        self.log.retry_unknown_append().await?;
         self.commit_pending_opens().await?;
         self.commit_generated().await?;
         self.discard_stale().await?;
--- a/crates/daemon/src/shards/placement.rs
+++ b/crates/daemon/src/shards/placement.rs
@@ -16,7 +16,7 @@
 /// Priority of rollouts if the bundle names none; lower values run first.
 const DEFAULT_PRIORITY: u32 = 100;
 
-/// How long an attempt avoids an engine whose weight version was too old.
+/// Time for which an attempt avoids an engine whose weight version was too old.
 const STALE_ENGINE_AVOIDANCE: Duration = Duration::from_secs(1);
 
 /// Class in the bundle that sets the priority of rollouts.
@@ -30,7 +30,7 @@
 
 /// Engines that recently generated tokens of an attempt with a weight version too old to deliver.
 ///
-/// Excluded because the prefix hash would choose the same engine again.
+/// They are excluded because the prefix hash would choose the same engine again.
 #[derive(Debug, Default)]
 pub(super) struct StaleEngines {
     until: BTreeMap<String, Instant>,
--- a/crates/daemon/src/shards/pulling.rs
+++ b/crates/daemon/src/shards/pulling.rs
@@ -19,7 +19,7 @@
 /// Time that a call to an owner may take in addition to the requested wait.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How long to wait for the other shards after the first one has returned samples.
+/// Time to wait for the other shards after the first one has returned samples.
 const COLLECT_GRACE: Duration = Duration::from_millis(20);
 
 /// Pull of a trainer.
@@ -74,7 +74,7 @@
         &self,
         pull_request: &StepPullRequest,
     ) -> Result<StepPullResponse, PullError> {
-        // Checked before the journal is queried: a partitioned node would have to wait for the timeout.
+        // Checked before the journal is queried, where a partitioned node would have to wait for the timeout.
         if self
             .shared
             .dependencies
@@ -127,7 +127,8 @@
             .await
     }
 
-    /// Queries all shards concurrently and returns [`COLLECT_GRACE`] after the first one with samples.
+    /// Queries all shards that are not complete concurrently. Returns when all have answered, [`COLLECT_GRACE`] after
+    /// the first answer that determines the response, or, if `wait` is not zero, when a drain starts.
     ///
     /// Shards that have not answered keep their position in the cursor.
     async fn query_shards(
--- a/crates/daemon/src/shards/registry.rs
+++ b/crates/daemon/src/shards/registry.rs
@@ -17,7 +17,7 @@
 pub struct ShardDescription {
     /// Name of its log.
     pub log: String,
-    /// Whether the log is taken over and no append has an unknown outcome.
+    /// Whether this node can append to the log: it is taken over and no append has an unknown outcome.
     pub accepting: bool,
     /// Number of slots of the shard.
     pub slots: usize,
--- a/crates/daemon/src/shards/log.rs
+++ b/crates/daemon/src/shards/shard_log.rs
@@ -62,7 +62,8 @@
         Ok(())
     }
 
-    /// Returns the state after all committed entries. Decisions on it need a successful [`settle`](Self::settle) first.
+    /// Returns the state after all committed entries. Decisions on it need a successful
+    /// [`retry_unknown_append`](Self::retry_unknown_append) first.
     pub(super) fn state(&self) -> &ShardState {
         &self.state
     }
@@ -72,7 +73,7 @@
     }
 
     /// Repeats the append whose outcome is unknown, if any, with the same entries at the same index.
-    pub(super) async fn settle(&mut self) -> Result<(), CommitError> {
+    pub(super) async fn retry_unknown_append(&mut self) -> Result<(), CommitError> {
         if self.writer.is_none() {
             return Err(CommitError::StaleReplicaSet);
         }
--- a/crates/daemon/src/shards/step_index.rs
+++ b/crates/daemon/src/shards/step_index.rs
@@ -8,10 +8,10 @@
 use ladderstage_wire::messages::LogDescription;
 use serde::Serialize;
 
-use super::log::fold;
+use super::shard_log::fold;
 use crate::journal::{Journal, JournalError};
 
-/// How long a description is used before the journal is read again.
+/// Time for which a description is used before the journal is read again.
 const CACHE_LIFETIME: Duration = Duration::from_secs(2);
 
 /// Maximum number of cached steps; the cache is cleared when it is full.
--- a/crates/daemon/src/shards/submission.rs
+++ b/crates/daemon/src/shards/submission.rs
@@ -16,15 +16,15 @@
 use ladderstage_wire::messages::{OpenShard, Refused, Request, Response, ShardSpec};
 use tokio::sync::oneshot;
 
-use super::log::fold;
 use super::owner::{Message, ensure_owner};
+use super::shard_log::fold;
 use super::{OPEN_TIMEOUT, Shards, Shared, replies};
 use crate::journal::LogSnapshot;
 
-/// Members tried for opening a shard, besides its present owner.
+/// Number of members tried for opening a shard, besides its present owner.
 const OPEN_CANDIDATES: usize = 2;
 
-/// Shards of one step that are opened concurrently.
+/// Maximum number of shards of one step that are opened concurrently.
 const OPEN_CONCURRENCY: usize = 8;
 
 /// Extra time for the call to another node, on top of [`OPEN_TIMEOUT`].
--- a/crates/daemon/src/watchers.rs
+++ b/crates/daemon/src/watchers.rs
@@ -1,17 +1,17 @@
 //! Choice of the nodes that poll a platform service at its full rate.
 //!
-//! A few watchers, chosen by rendezvous hash, poll at every interval; the other nodes poll less often and receive changes
-//! from them, so that the load of the service does not grow with the number of nodes.
+//! A few watchers, chosen by rendezvous hash, poll at every interval; the other nodes poll less often and receive
+//! changes from them, so that the load of the service does not grow with the number of nodes.
 
 use ladderstage::routing::rendezvous;
 
 /// Number of nodes that poll at every interval.
 const WATCHERS: usize = 6;
 
-/// Factor of the poll interval of all other nodes.
+/// Multiplier of the poll interval at all other nodes.
 const NON_WATCHER_FACTOR: u32 = 16;
 
-/// Returns the factor of the poll interval of node `own` for the service named by `key`. `members` includes `own`.
+/// Returns the multiplier of the poll interval of node `own` for the service named by `key`. `members` includes `own`.
 pub(crate) fn poll_interval_factor<'a>(
     key: &[u8],
     own: &str,
--- a/crates/daemon/tests/bundles.rs
+++ b/crates/daemon/tests/bundles.rs
@@ -1,4 +1,4 @@
-//! Rolls, races, lost answers and outages of bundles, with a key-value service with faults.
+//! Rolls of bundles with races, lost answers and outages, over a key-value service with injected faults.
 
 #[path = "support/bundle_cluster.rs"]
 mod bundle_cluster;
@@ -155,13 +155,13 @@
     cluster.short_deadline_node = "n1";
     let nodes = cluster.start_nodes(&["n1", "n2", "n3"]).await;
     for node in ["n2", "n3"] {
-        cluster.network.learn_replica_set(node, 2);
+        cluster.network.set_known_replica_set_version(node, 2);
     }
     let outcome = roll(&nodes[0], 1, "plain").await;
     let RollOutcome::Unknown { proposal_id, .. } = outcome else {
         panic!("accepted under an old replica set: {outcome:?}");
     };
-    cluster.network.learn_replica_set("n1", 2);
+    cluster.network.set_known_replica_set_version("n1", 2);
     let state = nodes[0].proposal(&proposal_id).await;
     assert!(
         matches!(state, ProposalState::Accepted { revision: 1, .. }),
--- a/crates/daemon/tests/journal/network.rs
+++ b/crates/daemon/tests/journal/network.rs
@@ -22,7 +22,7 @@
 use tempfile::TempDir;
 use tokio::sync::watch;
 
-/// Longest wait for a condition before a test fails.
+/// Maximum wait for a condition before a test fails.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Revision of the bundle that the initial replicas store.
--- a/crates/daemon/tests/members/cluster.rs
+++ b/crates/daemon/tests/members/cluster.rs
@@ -14,7 +14,7 @@
     BundleEvidence, MemberState, Request, Response, mod_Request::OneOfkind,
 };
 
-/// Longest wait for a condition before a test fails.
+/// Maximum wait for a condition before a test fails.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Hooks that announce `announced` and record what other nodes announce.
--- a/crates/daemon/tests/orders.rs
+++ b/crates/daemon/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines, with stand-in engines over HTTP.
+//! Orders to engines to load weight versions, with stand-in engines over HTTP.
 
 mod standin;
 
--- a/crates/daemon/tests/shards/http.rs
+++ b/crates/daemon/tests/shards/http.rs
@@ -1,4 +1,4 @@
-//! Refusals of the trainers' HTTP interface.
+//! Requests that the trainers' HTTP interface refuses.
 
 use rocket::http::Status;
 
--- a/crates/daemon/tests/shards/nodes.rs
+++ b/crates/daemon/tests/shards/nodes.rs
@@ -26,7 +26,7 @@
 
 use crate::platform::{TestBundles, TestEngines, start_scorer};
 
-/// Longest wait for a condition before a test fails.
+/// Maximum wait for a condition before a test fails.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Names of the nodes, which are all journal replicas.
--- a/crates/daemon/tests/shards/trainer.rs
+++ b/crates/daemon/tests/shards/trainer.rs
@@ -22,7 +22,7 @@
     pub complete: bool,
 }
 
-/// Status, retry delay in seconds and body of an answer.
+/// HTTP status, retry delay in seconds and body of an answer.
 pub struct Answer {
     pub status: Status,
     pub retry_after: Option<u64>,
--- a/crates/daemon/tests/support/bundle_cluster.rs
+++ b/crates/daemon/tests/support/bundle_cluster.rs
@@ -16,7 +16,7 @@
 use ladderstage_wire::messages::mod_Request::OneOfkind as RequestKind;
 use ladderstage_wire::messages::{ReplicaMember, ReplicaSet, Request, Response, SignedBundle};
 
-/// Longest wait for a condition before a test fails.
+/// Maximum wait for a condition before a test fails.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Returns the operators' signing key of all tests.
@@ -95,7 +95,7 @@
     }
 
     /// Sets the replica set version that a node knows; the members stay the same.
-    pub fn learn_replica_set(&self, node: &str, version: u64) {
+    pub fn set_known_replica_set_version(&self, node: &str, version: u64) {
         let mut versions = self.set_versions.lock().unwrap();
         versions.insert(node.to_owned(), version);
     }
--- a/crates/ladderstage/src/admission/mod.rs
+++ b/crates/ladderstage/src/admission/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::bundle::ClassSpec;
 
-/// Window over which completions and refusals are counted.
+/// Length of the window over which completions and refusals are counted.
 const RATE_WINDOW: Duration = Duration::from_secs(10);
 
 /// Minimum retry hint; `Retry-After` has a resolution of one second.
@@ -83,8 +83,8 @@
         limit.saturating_sub(self.in_flight)
     }
 
-    /// Counts a refusal and returns its retry hint: the time in which all recently refused requests
-    /// would find a slot at the measured completion rate.
+    /// Counts a refusal and returns its retry hint: the time after which all recently refused
+    /// requests would have a slot at the measured completion rate.
     fn refuse(&mut self, now: Duration) -> Duration {
         self.refusals.add(now);
         let rate = self.completions.rate(now);
@@ -92,8 +92,8 @@
             return DEFAULT_RETRY_AFTER;
         }
         let seconds = self.refusals.count(now) as f64 / rate;
-        let longest = MAX_RETRY_AFTER.as_secs_f64();
-        Duration::from_secs_f64(seconds.min(longest)).max(MIN_RETRY_AFTER)
+        let max_seconds = MAX_RETRY_AFTER.as_secs_f64();
+        Duration::from_secs_f64(seconds.min(max_seconds)).max(MIN_RETRY_AFTER)
     }
 }
 
@@ -161,8 +161,7 @@
         self.classes.get(name).map_or(0, |class| class.in_flight)
     }
 
-    /// Returns the number of slots left by requests in flight and by reservations for more
-    /// important classes.
+    /// Returns the number of free slots that are not reserved for more important classes.
     fn available(&self, name: &str) -> u32 {
         let Some(rule) = self.classes.get(name).and_then(|class| class.rule) else {
             return 0;
--- a/crates/ladderstage/src/admission/window.rs
+++ b/crates/ladderstage/src/admission/window.rs
@@ -20,9 +20,9 @@
 impl SlidingCounter {
     /// Creates an empty counter with the window length `window`.
     pub fn new(window: Duration) -> Self {
-        let shortest = Duration::from_millis(1);
+        let min_length = Duration::from_millis(1);
         Self {
-            bucket_length: (window / BUCKETS as u32).max(shortest),
+            bucket_length: (window / BUCKETS as u32).max(min_length),
             counts: [0; BUCKETS],
             newest: 0,
         }
--- a/crates/ladderstage/src/backend/entry.rs
+++ b/crates/ladderstage/src/backend/entry.rs
@@ -48,12 +48,12 @@
     pub(super) processes: Processes,
     pub(super) health: Health,
     pub(super) traffic: Traffic,
-    /// Send time of the newest request that proved the back end alive.
+    /// Time at which the newest request was sent whose answer proved the back end alive.
     pub(super) evidence_at: Option<Duration>,
-    /// Evidence from before this time refers to another address.
+    /// Evidence from before this time is ignored, because it refers to another address.
     evidence_not_before: Duration,
-    /// End of the exclusion after a refusal that may refer to the current process or the previous
-    /// one.
+    /// Time until which the back end is withheld after a leaving refusal that may refer to the
+    /// current process or the previous one.
     withheld_until: Duration,
 }
 
@@ -185,7 +185,8 @@
         self.record_evidence(observed.sent_at);
     }
 
-    /// Applies a report of unknown age, which proves nothing except that the process is leaving.
+    /// Applies a report of unknown age, which may update the load of the current process and mark
+    /// its own process as leaving, but is no evidence that the back end is alive.
     pub(super) fn observe_undated(&mut self, report: &Report, version: u64) {
         self.processes.observe_load(report);
         if report.leaving {
@@ -232,9 +233,10 @@
         self.health.refuse(now, policy, jitter);
     }
 
-    /// Records that the back end refused a request because it is leaving. If all requests in flight
-    /// started after the current process was first seen, the refusal refers to that process;
-    /// otherwise it may refer to the previous one.
+    /// Records that the back end refused a request because it is leaving. If the current process
+    /// replaced another one and a request in flight started before it was first seen, the refusal
+    /// may refer to the previous process, and the back end is only withheld for a while; otherwise
+    /// the current process is marked as leaving. Returns whether that is new.
     pub(super) fn record_leaving(
         &mut self,
         now: Duration,
--- a/crates/ladderstage/src/backend/health.rs
+++ b/crates/ladderstage/src/backend/health.rs
@@ -1,8 +1,9 @@
 //! Ejection of a back end after consecutive failures of own requests.
 //!
-//! `consecutive_failures` failures in a row eject it for a jittered time that doubles with each ejection.
-//! Afterwards one trial request at a time is allowed: a success resets the state, a failure ejects
-//! again. A refusal because the back end is full proves it alive and only pauses it briefly.
+//! After `consecutive_failures` failures in a row, no request is sent to the back end for a
+//! jittered time that doubles with each ejection. Afterwards one trial request at a time is
+//! allowed: a success resets the state, a failure ejects again. A refusal because the back end is
+//! full proves it alive and only pauses it briefly.
 
 use std::time::Duration;
 
--- a/crates/ladderstage/src/backend/listing.rs
+++ b/crates/ladderstage/src/backend/listing.rs
@@ -1,9 +1,9 @@
 //! State of one back end according to the machine list.
 //!
-//! The list lags by at most `max_list_lag`. Its "leaving" is permanent for a process that was known for
-//! that long before the answer. For a younger process the list may refer to the previous one, so it
-//! only withholds the back end, until a list reports it live after a new process was seen, or lists
-//! have reported it live for `max_list_lag` without interruption.
+//! The list lags by at most `max_list_lag`. Its "leaving" is permanent for a process that was known
+//! for that long before the answer. For a younger process the list may refer to the previous one,
+//! so it only withholds the back end, until a list reports it live after a new process was seen, or
+//! lists have reported it live for `max_list_lag` without interruption.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/ladderstage/src/backend/mod.rs
+++ b/crates/ladderstage/src/backend/mod.rs
@@ -35,7 +35,7 @@
 pub use observation::{ListedBackend, ObservationInterval, Report};
 pub use policy::BackendPolicy;
 pub use readers::{
-    MAX_DIRECT_READ_MEMBERS, READERS_PER_BACKEND, reads_reports_directly, reports_spread_by_gossip,
+    MAX_DIRECT_READ_MEMBERS, READERS_PER_BACKEND, reads_reports_directly, uses_report_gossip,
 };
 pub use refresh::MIN_AGE_GAIN;
 pub use table::{BackendTable, Dispatch};
--- a/crates/ladderstage/src/backend/readers.rs
+++ b/crates/ladderstage/src/backend/readers.rs
@@ -7,20 +7,21 @@
 
 use crate::routing::rendezvous;
 
-/// Maximum number of members with which each reads all reports directly.
+/// Maximum number of members up to which each member reads all reports directly.
 pub const MAX_DIRECT_READ_MEMBERS: usize = 8;
 
-/// Number of readers of one back end's reports with more members.
+/// Number of members that read one back end's reports in larger clusters.
 pub const READERS_PER_BACKEND: usize = 2;
 
-/// Returns whether reports spread through peers; `members` includes this process.
-pub fn reports_spread_by_gossip(members: usize) -> bool {
+/// Returns whether the cluster is so large that members also request reports from peers; `members`
+/// includes this process.
+pub fn uses_report_gossip(members: usize) -> bool {
     members > MAX_DIRECT_READ_MEMBERS
 }
 
 /// Returns whether the member `own` reads the reports of `backend` directly.
 pub fn reads_reports_directly(backend: &str, own: &str, members: &[String]) -> bool {
-    if !reports_spread_by_gossip(members.len()) {
+    if !uses_report_gossip(members.len()) {
         return true;
     }
     let key = format!("report-reader/{backend}");
--- a/crates/ladderstage/src/backend/refresh.rs
+++ b/crates/ladderstage/src/backend/refresh.rs
@@ -1,10 +1,11 @@
 //! Compact exchange of newer load reports between processes that know the same back ends.
 //!
 //! Two processes with the same bundle identify its back ends by position. The request contains the
-//! ages of the asker's reports; the answer contains only reports that are newer by at least
+//! ages of the requester's reports; the answer contains only reports that are newer by at least
 //! [`MIN_AGE_GAIN`]. These omit process and address and are accepted only if a fingerprint of both
-//! matches the asker's state, because they must not be mistaken for reports of another process or of a
-//! back end that has moved. On a mismatch, the asker requests the full report next time.
+//! matches the requester's state, because they must not be mistaken for reports of another process
+//! or of a back end that has moved. On a mismatch, the requester asks for the full report next
+//! time.
 
 use std::time::Duration;
 
--- a/crates/ladderstage/src/backend/table.rs
+++ b/crates/ladderstage/src/backend/table.rs
@@ -243,8 +243,8 @@
             .map(|(name, backend)| (name.as_str(), backend))
     }
 
-    /// Applies an observation with the next version, which takes effect if a leaving process was
-    /// learned.
+    /// Applies an observation with the next table version. The version is increased only if the
+    /// observation revealed a leaving process.
     fn change(&mut self, name: &str, apply: impl FnOnce(&mut Backend, u64, &BackendPolicy)) {
         if !self.backends.contains_key(name) && self.backends.len() >= MAX_BACKENDS {
             return;
--- a/crates/ladderstage/src/bundle/mod.rs
+++ b/crates/ladderstage/src/bundle/mod.rs
@@ -1,4 +1,5 @@
-//! Bundles written by operators: model, parsing with all findings, checks and signatures.
+//! Bundles, the signed configuration documents that operators roll to all daemons: data model,
+//! parsing with all findings, checks and signatures.
 
 mod check;
 mod difference;
--- a/crates/ladderstage/src/engine_orders/order.rs
+++ b/crates/ladderstage/src/engine_orders/order.rs
@@ -8,8 +8,8 @@
 
 /// Number of daemons that send the orders of one engine.
 pub const ORDER_SENDERS_PER_ENGINE: usize = 2;
-/// Time for which the second sender leaves a new bundle's orders to the first. The weight store is
-/// rate-limited, and an engine may reload the weights for each order.
+/// Time for which the second sender leaves a new bundle's orders to the first, because an engine
+/// may reload the weights from the rate-limited weight store for each order.
 pub const STANDBY_DELAY: Duration = Duration::from_secs(2);
 
 /// An order to one engine.
--- a/crates/ladderstage/src/engine_orders/wave.rs
+++ b/crates/ladderstage/src/engine_orders/wave.rs
@@ -12,7 +12,7 @@
 use super::Order;
 use crate::ids::{ProcessId, WeightVersion};
 
-/// Share of a pool that swaps at a time, in percent; at least one engine.
+/// Share of a pool's engines that swap at a time, in percent; always at least one engine.
 pub const WAVE_SHARE_PERCENT: usize = 34;
 /// Interval after which the wave widens by its initial size, counted from when the bundle came into
 /// force.
--- a/crates/ladderstage/src/evidence.rs
+++ b/crates/ladderstage/src/evidence.rs
@@ -1,8 +1,9 @@
 //! Tracks how recently the bundle in force was known to be the newest one.
 //!
-//! Instants are durations since an origin that the caller fixes at process start. Each source
-//! states that revision R was the newest at instant T; the latest such instant is kept for the
-//! revision held.
+//! The bundle is the configuration that operators roll; its revisions increase. A source (the
+//! key-value service, journal replicas or a peer) states that revision R was the newest at instant
+//! T. The latest such instant is kept for the revision held. Instants are durations since an origin
+//! that the caller fixes at process start.
 
 use std::time::Duration;
 
@@ -11,7 +12,7 @@
 /// Effect of a piece of evidence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EvidenceEffect {
-    /// The revision held was the newest at that instant.
+    /// The revision held was the newest at that instant, which is later than the one known before.
     Refreshed,
     /// The evidence is about a lower revision or adds nothing.
     Ignored,
--- a/crates/ladderstage/src/journal/mod.rs
+++ b/crates/ladderstage/src/journal/mod.rs
@@ -1,4 +1,5 @@
-//! Replicated logs with epoch-fenced writers.
+//! Replicated logs with epoch-fenced writers: replicas that have promised an epoch refuse writers
+//! of lower ones.
 //!
 //! [`replica`] holds the rules by which replicas answer, [`writer`] the side that seals, installs
 //! and appends, [`quorum`] counts replicas, [`replica_set`] changes the replica set, and
--- a/crates/ladderstage/src/journal/replica_set.rs
+++ b/crates/ladderstage/src/journal/replica_set.rs
@@ -1,11 +1,11 @@
 //! Changes of the replica set: one member at a time, through a joint set in which both halves must
-//! agree.
+//! agree. A replica is a node that stores copies of the journal's logs.
 //!
-//! The first update creates the joint set: `current` is unchanged, and `next` has the new replica
-//! in place of the lost one. Writers then need majorities of both. The new replica fences the
-//! current replicas against older sets and copies the logs of a majority of them; the second update
-//! makes `next` the current set. Because the sets differ by one replica, everything held by a
-//! majority of the old set is then held by a majority of the new one.
+//! For a replacement, the first update creates the joint set: `current` is unchanged, and `next`
+//! has the new replica in place of the lost one. Writers then need majorities of both. The new
+//! replica fences the current replicas against older sets and copies the logs of a majority of
+//! them; the second update makes `next` the current set. Because the sets differ by one replica,
+//! everything held by a majority of the old set is then held by a majority of the new one.
 
 use std::collections::BTreeSet;
 
@@ -73,8 +73,9 @@
 }
 
 /// Returns the set after `set` that brings in a spare for a replica in `lost`; `None` if no replica
-/// is lost or no spare is available. A lost joining replica is replaced first; without a spare for
-/// it, the change is rolled back.
+/// is lost or no spare is available. If `set` is joint, only a lost joining replica is replaced;
+/// without a spare for it, the change is rolled back. A removal is rolled back if a replica is
+/// lost.
 pub fn propose_replacement(
     set: &ReplicaSet,
     lost: &BTreeSet<ReplicaId>,
--- a/crates/ladderstage/src/journal/writer.rs
+++ b/crates/ladderstage/src/journal/writer.rs
@@ -34,7 +34,7 @@
     Fenced(WriterEpoch),
 }
 
-/// A writer that collects promises.
+/// A writer that asks the replicas of a quorum to promise its epoch.
 #[derive(Debug, Clone)]
 pub struct Sealing {
     identity: WriterIdentity,
--- a/crates/ladderstage/src/membership/config.rs
+++ b/crates/ladderstage/src/membership/config.rs
@@ -32,7 +32,7 @@
 /// Time during which a dead member counts in the isolation rule.
 pub const DEAD_COUNTED_FOR: Duration = Duration::from_secs(600);
 
-/// A dead member is probed on average once in this many ticks.
+/// One randomly chosen dead member is probed on average once in this many ticks.
 pub const DEAD_PROBE_ONE_IN: u32 = 4;
 
 /// Number of members probed per tick if at least half of them are silent.
--- a/crates/ladderstage/src/membership/entry.rs
+++ b/crates/ladderstage/src/membership/entry.rs
@@ -70,7 +70,8 @@
         now.saturating_sub(self.since)
     }
 
-    /// Returns whether there was no contact for longer than `bound`, or the last probe was missed.
+    /// Returns whether the member was never in contact, was not for longer than `bound`, or missed
+    /// the last probe.
     pub fn is_silent(&self, now: Duration, bound: Duration) -> bool {
         match self.last_contact {
             Some(at) => self.missed_since.is_some() || now.saturating_sub(at) > bound,
--- a/crates/ladderstage/src/membership/isolation.rs
+++ b/crates/ladderstage/src/membership/isolation.rs
@@ -33,8 +33,8 @@
     pub fn silence_timeout(&self) -> Duration {
         let others = self.present().count().max(1) as u32;
         let round = self.config.probe_interval * others;
-        let shortest = self.config.suspicion_timeout * SILENT_SUSPICION_TIMEOUTS;
-        shortest.max(round * SILENT_ROUNDS)
+        let min_timeout = self.config.suspicion_timeout * SILENT_SUSPICION_TIMEOUTS;
+        min_timeout.max(round * SILENT_ROUNDS)
     }
 
     fn counted_in_region(&self, now: Duration) -> impl Iterator<Item = &Entry> {
--- a/crates/ladderstage/src/membership/probing.rs
+++ b/crates/ladderstage/src/membership/probing.rs
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Restarts all suspicion timeouts after a pause of this process, which cannot have received
-    /// refutations during it.
+    /// Restarts all suspicion timeouts if this process was paused for at least half of one, because
+    /// it cannot have received refutations during the pause.
     fn restart_timers_after_own_pause(&mut self, now: Duration) {
         let pause = now.saturating_sub(self.last_tick);
         self.last_tick = now;
@@ -162,8 +162,8 @@
         None
     }
 
-    /// Occasionally probes a dead member, and always if no other member is present, so that healed
-    /// partitions merge.
+    /// Probes a random dead member in some ticks, and in every tick if no other member is present,
+    /// so that healed partitions merge.
     fn dead_probe<R: Rng + ?Sized>(&self, random: &mut R) -> Option<Action> {
         let alone = self.present().next().is_none();
         if !alone && random.random_range(0..DEAD_PROBE_ONE_IN) != 0 {
--- a/crates/ladderstage/src/membership/state.rs
+++ b/crates/ladderstage/src/membership/state.rs
@@ -15,8 +15,8 @@
 /// Members known to one node. Instants are durations since the start of its process.
 ///
 /// Invariants: `others` never contains this node's own name; for each other node it holds the entry
-/// with the greatest [`Precedence`] merged since the node was last dropped; this node's own state is
-/// ALIVE, LEAVING or LEFT and never moves back.
+/// with the greatest [`Precedence`] merged since the node was last dropped; this node's own state
+/// is ALIVE, LEAVING or LEFT and never moves back.
 #[derive(Debug, Clone)]
 pub struct Membership {
     pub(super) config: MembershipConfig,
--- a/crates/ladderstage/src/retry.rs
+++ b/crates/ladderstage/src/retry.rs
@@ -15,7 +15,7 @@
 /// Maximum number of retries of one request.
 pub const MAX_RETRIES_PER_REQUEST: u32 = 5;
 
-/// Minimum time before the deadline for a retry to be worth its load.
+/// Minimum time that must be left before the deadline after the backoff.
 const MIN_REMAINING_TIME: Duration = Duration::from_millis(50);
 
 /// Maximum backoff before the first retry; doubles with each further retry.
@@ -78,8 +78,8 @@
         if retries >= MAX_RETRIES_PER_REQUEST {
             return Err(RetryRefusal::RetryLimitReached);
         }
-        let longest = INITIAL_BACKOFF * 2u32.pow(retries);
-        let wait = longest.mul_f64(random.clamp(0.0, 1.0));
+        let max_backoff = INITIAL_BACKOFF * 2u32.pow(retries);
+        let wait = max_backoff.mul_f64(random.clamp(0.0, 1.0));
         if remaining < wait + MIN_REMAINING_TIME {
             return Err(RetryRefusal::DeadlineTooClose);
         }
@@ -90,7 +90,7 @@
         Ok(wait)
     }
 
-    /// Returns the retries allowed within the window that ends at `now`.
+    /// Returns the number of retries allowed within the window that ends at `now`.
     fn allowance(&mut self, now: Duration) -> u64 {
         let share = self.first_attempts.count(now) * u64::from(self.percent) / 100;
         share.max(MIN_RETRIES_PER_WINDOW)
--- a/crates/ladderstage/src/routing/choice.rs
+++ b/crates/ladderstage/src/routing/choice.rs
@@ -10,7 +10,7 @@
 
 /// Cost of a back end that serves as many requests as its capacity.
 const FULL_LOAD_COST: u64 = 1_000;
-/// Surcharge for a back end in another zone: a twentieth of its capacity.
+/// Cost added for a back end in another zone: a twentieth of its capacity.
 const OTHER_ZONE_COST: u64 = 50;
 /// Maximum load of a back end for prefix affinity, in percent of the mean load (consistent hashing
 /// with bounded loads).
@@ -60,8 +60,8 @@
         .or_else(|| choose_cheapest(candidates, options.zone, random))
 }
 
-/// Returns the best-ranked candidate for the prefix that is neither full nor loaded far above the
-/// mean.
+/// Returns the best-ranked candidate for the prefix whose load is below its capacity and below the
+/// affinity bound; `None` if there is none.
 fn choose_by_prefix(candidates: &[Candidate], prefix: &[u8]) -> Option<usize> {
     let bound = affinity_bound(candidates);
     candidates
--- a/crates/ladderstage/src/routing/rendezvous.rs
+++ b/crates/ladderstage/src/routing/rendezvous.rs
@@ -7,7 +7,8 @@
 
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
-/// Not a byte of UTF-8 text, which keeps key and name apart.
+/// Byte between key and name. It never occurs in UTF-8 text, so different pairs have different
+/// inputs.
 const SEPARATOR: u8 = 0xff;
 
 /// Returns the score of `name` for `key`; the highest score wins. Stable across versions and
--- a/crates/ladderstage/src/shard/attempts.rs
+++ b/crates/ladderstage/src/shard/attempts.rs
@@ -1,4 +1,5 @@
-//! Selection of slots that need an attempt, and acceptance of generated samples.
+//! Selects the slots that need an attempt, and builds the log entries that commit generated samples
+//! or discard stale ones.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
--- a/crates/ladderstage/src/shard/cursor.rs
+++ b/crates/ladderstage/src/shard/cursor.rs
@@ -39,7 +39,7 @@
         self.positions.get(&shard).copied().unwrap_or(0)
     }
 
-    /// Records that the trainer is sent this answer of a shard.
+    /// Sets the last answer that the trainer received from a shard; 0 changes nothing.
     pub fn advance(&mut self, shard: u32, answer: u64) {
         if answer > 0 {
             self.positions.insert(shard, answer);
--- a/crates/ladderstage/src/shard/mod.rs
+++ b/crates/ladderstage/src/shard/mod.rs
@@ -1,5 +1,8 @@
 //! One shard of a trainer's step: slots, attempts, answers to the trainer and acknowledgements.
 //!
+//! A step asks for a number of samples, each in a slot; an attempt is one generation of the sample
+//! of a slot. A slot is settled once the trainer has acknowledged an attempt.
+//!
 //! [`ShardState`] is computed from the committed entries of the shard's log alone. Its decisions
 //! return the entries that must be committed before their effect may leave the process:
 //!
--- a/crates/ladderstage/src/staleness.rs
+++ b/crates/ladderstage/src/staleness.rs
@@ -1,8 +1,8 @@
 //! Staleness bound of samples.
 //!
-//! A sample is as old as its oldest segment. Versions are those that the engine reported with each
-//! chunk, never the ordered ones. Ages are durations since the sample's first token, never
-//! wall-clock times.
+//! A segment is a run of tokens generated with one weight version. A sample is as old as its oldest
+//! segment. Versions are those that the engine reported with each chunk, never the ordered ones.
+//! Ages are durations since the sample's first token, never wall-clock times.
 
 use std::time::Duration;
 
--- a/crates/ladderstage/tests/backend.rs
+++ b/crates/ladderstage/tests/backend.rs
@@ -240,7 +240,7 @@
     ]
 }
 
-/// The most that an observer of all events may conclude.
+/// Everything that the events prove; the table must not conclude more.
 #[derive(Default)]
 struct ModelKnowledge {
     leaving: BTreeSet<u64>,
--- a/crates/ladderstage/tests/claim.rs
+++ b/crates/ladderstage/tests/claim.rs
@@ -1,5 +1,5 @@
-//! At-most-once claims: whatever the journal answers, and in any order, one key's request runs at
-//! most once.
+//! Claims of idempotency keys: the request of one key runs at most once, whatever the journal
+//! answers and in any order.
 
 use ladderstage::claim::{
     AppendResult, ClaimRefusal, ClaimState, ClaimStep, Claimant, Settlement, TakeOverResult,
--- a/crates/ladderstage/tests/engine_orders.rs
+++ b/crates/ladderstage/tests/engine_orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines.
+//! Orders to engines: contents, retries, fences and waves.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
--- a/crates/ladderstage/tests/evidence.rs
+++ b/crates/ladderstage/tests/evidence.rs
@@ -1,4 +1,5 @@
-//! Evidence of the newest bundle, checked against a model that stores all statements.
+//! Evidence that a bundle is the newest, checked against a model that stores all statements of the
+//! sources.
 
 use std::time::Duration;
 
--- a/crates/ladderstage/tests/journal/simulated_replica.rs
+++ b/crates/ladderstage/tests/journal/simulated_replica.rs
@@ -1,4 +1,4 @@
-//! In-memory replica.
+//! In-memory journal replica.
 
 use ladderstage::journal::replica::{self, Decision, EntryChange, LogState};
 use ladderstage::journal::replica_set;
@@ -25,7 +25,7 @@
         !self.lost && replica_set::accepts(self.set.as_ref(), self.id, version).is_ok()
     }
 
-    pub fn learn(&mut self, set: &ReplicaSet) {
+    pub fn apply_replica_set(&mut self, set: &ReplicaSet) {
         if self
             .set
             .as_ref()
--- a/crates/ladderstage/tests/journal/support.rs
+++ b/crates/ladderstage/tests/journal/support.rs
@@ -90,7 +90,8 @@
     DropMessagesOfReplica {
         replica: usize,
     },
-    /// Starts the replacement of a replica; `is_lost` says whether its disk is lost or it still runs.
+    /// Starts the replacement of a replica; `is_lost` says whether its disk is lost or it still
+    /// runs.
     Replace {
         member: usize,
         is_lost: bool,
@@ -138,7 +139,7 @@
             set,
         };
         for replica in &mut simulation.replicas[..replicas] {
-            replica.learn(&simulation.set);
+            replica.apply_replica_set(&simulation.set);
         }
         simulation
     }
@@ -177,7 +178,7 @@
             }
             Step::UpdateReplicaSet { replica } => {
                 let index = replica % self.replicas.len();
-                self.replicas[index].learn(&self.set);
+                self.replicas[index].apply_replica_set(&self.set);
             }
             Step::Copy { source } => self.copy(source),
             Step::CompleteReplacement => self.complete_replacement(),
@@ -217,8 +218,8 @@
         if self.replicas[index_of(source)].lost {
             return;
         }
-        self.replicas[joining].learn(&self.set);
-        self.replicas[index_of(source)].learn(&self.set);
+        self.replicas[joining].apply_replica_set(&self.set);
+        self.replicas[index_of(source)].apply_replica_set(&self.set);
         let exported = self.replicas[index_of(source)].export();
         self.replicas[joining].import(&exported);
         self.copied.insert(source);
--- a/crates/ladderstage/tests/routing.rs
+++ b/crates/ladderstage/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Choice of a back end.
+//! Selection of a back end and rendezvous hashing.
 
 use std::time::Duration;
 
--- a/crates/ladderstage/tests/shard.rs
+++ b/crates/ladderstage/tests/shard.rs
@@ -68,7 +68,7 @@
         max: usize,
         fate: Fate,
     },
-    /// A response in transit arrives.
+    /// A response in transit arrives at the trainer.
     Arrive {
         pick: usize,
     },
