--- a/crates/daemon/src/backends/gossip.rs
+++ b/crates/daemon/src/backends/gossip.rs
@@ -28,8 +28,8 @@
 pub(super) async fn push_leaving(shared: Arc<Shared>) {
     let mut pushed_version = 0;
     loop {
-        let updates = shared.leaving_updated.notified();
-        let _ = timeout(jittered(REPEAT_INTERVAL), updates).await;
+        let leaving_updated = shared.leaving_updated.notified();
+        let _ = timeout(jittered(REPEAT_INTERVAL), leaving_updated).await;
         let (version, updates) =
             shared.read(|table| (table.version(), table.leaving_since(pushed_version)));
         pushed_version = version;
--- a/crates/daemon/src/backends/mod.rs
+++ b/crates/daemon/src/backends/mod.rs
@@ -140,7 +140,7 @@
         });
     }
 
-    /// Records a completely answered request. Must be called while its [`InFlightGuard`] guard is held.
+    /// Records a completely answered request. Must be called while its [`InFlightGuard`] is held.
     pub fn record_success(&self, backend: &str) {
         self.shared.update(|table| table.record_success(backend));
     }
--- a/crates/daemon/src/backends/polling.rs
+++ b/crates/daemon/src/backends/polling.rs
@@ -126,7 +126,7 @@
     let mut reads = JoinSet::new();
     let mut own_names = MembersCache::default();
     loop {
-        for (name, placement) in targets(&shared, &mut own_names) {
+        for (name, placement) in backends_to_read(&shared, &mut own_names) {
             if !lock(&reading).insert(name.clone()) {
                 continue;
             }
@@ -146,7 +146,10 @@
 }
 
 /// Returns the back ends of the bundle in force whose reports this node reads.
-fn targets(shared: &Shared, own_names: &mut MembersCache<Vec<String>>) -> Vec<(String, Placement)> {
+fn backends_to_read(
+    shared: &Shared,
+    own_names: &mut MembersCache<Vec<String>>,
+) -> Vec<(String, Placement)> {
     let Some(bundle) = shared.bundle() else {
         return Vec::new();
     };
@@ -182,7 +185,7 @@
         PoolKind::Model => MachineKind::Engine,
         PoolKind::Application => MachineKind::Application,
     };
-    // A report that takes longer than the freshness bound is useless.
+    // A report that takes longer than the freshness bound would arrive stale.
     let timeout = Duration::from_millis(shared.timing.backend_freshness_ms);
     let sent_at = shared.now();
     match read_load(&shared.http, kind, name, address, timeout).await {
--- a/crates/daemon/src/bundles/receive.rs
+++ b/crates/daemon/src/bundles/receive.rs
@@ -113,8 +113,9 @@
         self.fetch_if_behind(from, effect);
     }
 
-    /// Records evidence from journal replicas. Every quorum includes a replica with the newest accepted bundle, so the
-    /// highest revision that a quorum reports was the newest one at `sent_at`.
+    /// Records evidence from journal replicas. Every quorum includes a replica with the newest accepted bundle. If a
+    /// quorum answered (`majority`) and every answer names a bundle, the highest of these revisions and the one in force
+    /// here was therefore the newest at `sent_at`. Otherwise the answers only show which revisions exist.
     pub(super) fn record_replica_evidence(
         self: &Arc<Self>,
         sent_at: Instant,
--- a/crates/daemon/src/bundles/state.rs
+++ b/crates/daemon/src/bundles/state.rs
@@ -21,7 +21,8 @@
 /// Number of past bundles kept to answer queries for their proposals.
 const HISTORY_LENGTH: usize = 64;
 
-/// Offset of the process start on the time scale of [`Evidence`], which may be older than the process.
+/// Instant of the process start on the time scale of [`Evidence`]; it is not 0 because evidence may be older than the
+/// process.
 const BEFORE_START: Duration = Duration::from_secs(24 * 60 * 60);
 
 /// Bundle that is or was in force on this node.
--- a/crates/daemon/src/members/changes.rs
+++ b/crates/daemon/src/members/changes.rs
@@ -15,7 +15,7 @@
 }
 
 impl ChangeLogger {
-    /// Logs the changes since the last call.
+    /// Logs the changes of members and of this node's isolation since the last call.
     pub fn log(&mut self, membership: &Membership, now: Duration) {
         let members = membership.all();
         self.logged
--- a/crates/daemon/tests/backends.rs
+++ b/crates/daemon/tests/backends.rs
@@ -11,7 +11,7 @@
 
 const ENGINE: &str = "engine-1";
 
-fn up() -> Arc<Mutex<bool>> {
+fn list_is_up() -> Arc<Mutex<bool>> {
     Arc::new(Mutex::new(true))
 }
 
@@ -26,9 +26,9 @@
 }
 
 #[tokio::test]
-async fn a_leaving_process_stays_out_until_another_one_reports() {
+async fn a_leaving_process_stays_excluded_until_another_one_reports() {
     let (engine, address) = engine(ENGINE).await;
-    let list = machine_list(vec![(ENGINE.to_owned(), address)], up()).await;
+    let list = machine_list(vec![(ENGINE.to_owned(), address)], list_is_up()).await;
     let backends = start("a", list, OnePeer::new("a", &[]));
     wait_until("the engine is usable", || usable(&backends)).await;
     engine.lock().unwrap().leaving = true;
@@ -49,7 +49,7 @@
 #[tokio::test]
 async fn engines_stay_usable_without_the_list_but_not_without_reports() {
     let (engine, address) = engine(ENGINE).await;
-    let list_up = up();
+    let list_up = list_is_up();
     let list = machine_list(vec![(ENGINE.to_owned(), address)], list_up.clone()).await;
     let backends = start("a", list, OnePeer::new("a", &[]));
     wait_until("the engine is usable", || usable(&backends)).await;
@@ -71,7 +71,7 @@
 #[tokio::test]
 async fn a_report_with_another_name_is_ignored() {
     let (_engine, address) = engine("engine-2").await;
-    let list = machine_list(vec![(ENGINE.to_owned(), address)], up()).await;
+    let list = machine_list(vec![(ENGINE.to_owned(), address)], list_is_up()).await;
     let backends = start("a", list, OnePeer::new("a", &[]));
     wait_until("the engine is listed", || {
         backends.observed(ENGINE).is_some()
@@ -84,7 +84,7 @@
 #[tokio::test]
 async fn a_leaving_engine_is_announced_to_peers() {
     let (_engine, address) = engine(ENGINE).await;
-    let list = machine_list(vec![(ENGINE.to_owned(), address)], up()).await;
+    let list = machine_list(vec![(ENGINE.to_owned(), address)], list_is_up()).await;
     let members = ["a".to_owned(), "b".to_owned()];
     let peers = OnePeer::new("a", &members);
     let peer = start("b", list, OnePeer::new("b", &members));
@@ -93,12 +93,12 @@
     wait_until("both know the engine", || usable(&peer) && usable(&sender)).await;
     sender.record_refusal(ENGINE, true);
     assert!(!usable(&sender));
-    wait_until("the peer knows", || !usable(&peer)).await;
+    wait_until("the peer excludes the engine", || !usable(&peer)).await;
     assert!(peer.describe()[0].leaving);
 }
 
 #[tokio::test]
-async fn in_a_large_cluster_reports_come_from_their_readers() {
+async fn in_a_large_cluster_nodes_receive_reports_from_the_readers() {
     let members: Vec<String> = (0..40).map(|index| format!("daemon-{index}")).collect();
     let reads = |node: &&String| reads_reports_directly(ENGINE, node, &members);
     assert_eq!(members.iter().filter(reads).count(), 2);
@@ -106,20 +106,20 @@
     let other = members.iter().find(|node| !reads(node)).expect("others");
 
     let (_engine, address) = engine(ENGINE).await;
-    let list = machine_list(vec![(ENGINE.to_owned(), address)], up()).await;
+    let list = machine_list(vec![(ENGINE.to_owned(), address)], list_is_up()).await;
     let reading = start(reader, list, OnePeer::new(reader, &members));
     let peers = OnePeer::new(other, &members);
-    let asking = start(other, list, peers.clone());
+    let requesting = start(other, list, peers.clone());
     wait_until("the reader has a report", || usable(&reading)).await;
-    assert!(!usable(&asking));
+    assert!(!usable(&requesting));
     *peers.other.lock().unwrap() = Some(reading.clone());
-    wait_until("the non-reader has the report", || usable(&asking)).await;
+    wait_until("the non-reader has the report", || usable(&requesting)).await;
 }
 
 #[tokio::test]
 async fn requests_in_flight_are_counted_until_their_guards_are_dropped() {
     let (_engine, address) = engine(ENGINE).await;
-    let list = machine_list(vec![(ENGINE.to_owned(), address)], up()).await;
+    let list = machine_list(vec![(ENGINE.to_owned(), address)], list_is_up()).await;
     let backends = start("a", list, OnePeer::new("a", &[]));
     wait_until("the engine is usable", || usable(&backends)).await;
     let guards: Vec<_> = (0..4)
@@ -136,7 +136,7 @@
 #[tokio::test]
 async fn a_daemon_that_starts_without_the_list_learns_addresses_from_peers() {
     let (_engine, address) = engine(ENGINE).await;
-    let list = machine_list(vec![(ENGINE.to_owned(), address)], up()).await;
+    let list = machine_list(vec![(ENGINE.to_owned(), address)], list_is_up()).await;
     let no_list = machine_list(Vec::new(), Arc::new(Mutex::new(false))).await;
     let members = ["a".to_owned(), "b".to_owned()];
     let older = start("a", list, OnePeer::new("a", &members));
--- a/crates/daemon/tests/journal/writers.rs
+++ b/crates/daemon/tests/journal/writers.rs
@@ -56,7 +56,7 @@
 
 /// A takeover that transfers a long log several times never finishes on a slow link.
 #[tokio::test]
-async fn a_take_over_carries_a_long_log_once() {
+async fn a_takeover_transfers_a_long_log_once() {
     const ENTRIES: usize = 40;
     const ENTRY_BYTES: usize = 32 * 1024;
     let network = Network::start(7, 5).await;
@@ -75,7 +75,7 @@
 }
 
 #[tokio::test]
-async fn concurrent_take_overs_in_one_process_do_not_share_an_epoch() {
+async fn concurrent_takeovers_in_one_process_do_not_share_an_epoch() {
     let network = Network::start(3, 3).await;
     let journal = network.journal("n0");
     let (first, second) = tokio::join!(journal.take_over(LOG), journal.take_over(LOG));
--- a/crates/ladderstage/src/journal/replica.rs
+++ b/crates/ladderstage/src/journal/replica.rs
@@ -97,7 +97,7 @@
 pub fn seal(state: &LogState, request: &Seal) -> Decision {
     let epoch = WriterEpoch::from(&request.epoch);
     if epoch < state.promised || epoch.is_none() {
-        return refuse(state, Outcome::FENCED);
+        return unchanged(state, Outcome::FENCED);
     }
     let mut state = state.clone();
     state.promised = epoch;
@@ -109,21 +109,21 @@
     }
 }
 
-/// Replaces the log, or the part of it after entries that the replica already holds. Under an epoch
-/// that has installed it before, a log never gets shorter: such a message is delayed or duplicated,
-/// and entries appended since may be committed.
+/// Replaces the log, or the part of it after entries that the replica already holds. If the epoch
+/// has installed the log before, an install that would not make it longer changes nothing: it is
+/// delayed or duplicated, and entries appended since may be committed.
 pub fn install(state: &LogState, request: &Install) -> Decision {
     let epoch = WriterEpoch::from(&request.epoch);
     if epoch < state.promised || epoch.is_none() {
-        return refuse(state, Outcome::FENCED);
+        return unchanged(state, Outcome::FENCED);
     }
     let kept = request.kept_length;
     let length = kept.saturating_add(request.entries.len() as u64);
     if state.log_epoch == epoch && state.length >= length {
-        return refuse(state, Outcome::STORED);
+        return unchanged(state, Outcome::STORED);
     }
     if kept > 0 && !holds(state, request, epoch) {
-        return refuse(state, Outcome::NEEDS_INSTALL);
+        return unchanged(state, Outcome::NEEDS_INSTALL);
     }
     let entries = match kept {
         0 => EntryChange::Replace,
@@ -156,10 +156,10 @@
 pub fn append(state: &LogState, request: &Append) -> Decision {
     let epoch = WriterEpoch::from(&request.epoch);
     if epoch < state.promised || epoch.is_none() {
-        return refuse(state, Outcome::FENCED);
+        return unchanged(state, Outcome::FENCED);
     }
     if state.log_epoch != epoch || state.retired || request.first_index > state.length {
-        return refuse(state, Outcome::NEEDS_INSTALL);
+        return unchanged(state, Outcome::NEEDS_INSTALL);
     }
     let end = request
         .first_index
@@ -181,7 +181,8 @@
     }
 }
 
-fn refuse(state: &LogState, outcome: Outcome) -> Decision {
+/// Returns the decision to answer `outcome` and store nothing.
+fn unchanged(state: &LogState, outcome: Outcome) -> Decision {
     Decision {
         outcome,
         state: state.clone(),
@@ -208,10 +209,10 @@
 pub fn import(state: &LogState, exported: &ExportedLog) -> Decision {
     let log_epoch = WriterEpoch::from(&exported.log_epoch);
     let promised = WriterEpoch::from(&exported.promised).max(log_epoch);
-    // The source omits entries if this replica reported a state at least as new; its state never
-    // becomes older than reported.
-    let is_whole = exported.retired || exported.entries.len() as u64 == exported.length;
-    let is_newer = is_whole && is_newer(exported, state.log_epoch, state.retired, state.length);
+    // The source omits the entries if this replica has reported a log at least as new. That log is
+    // then kept, because the state of a replica never becomes older than reported.
+    let is_complete = exported.retired || exported.entries.len() as u64 == exported.length;
+    let is_newer = is_complete && is_newer(exported, state.log_epoch, state.retired, state.length);
     let mut after = state.clone();
     if promised > state.promised {
         after.promised = promised;
--- a/crates/ladderstage/src/journal/writer.rs
+++ b/crates/ladderstage/src/journal/writer.rs
@@ -137,8 +137,8 @@
     }
 }
 
-/// A log that a quorum has sealed. Its newest entries are read next, from one replica that holds
-/// them.
+/// A log that a quorum has sealed. The newest log found is read next, from one replica that holds
+/// it.
 #[derive(Debug, Clone)]
 pub struct SealedLog {
     identity: WriterIdentity,
--- a/crates/ladderstage/src/shard/pull.rs
+++ b/crates/ladderstage/src/shard/pull.rs
@@ -67,7 +67,9 @@
 }
 
 impl ShardState {
-    /// Decides on a pull. The reply contains no sample that is stale under `bound`.
+    /// Decides on a pull: returns the entries to commit (the acknowledgement of the answer that the
+    /// trainer received, discards of stale samples, and a new answer) and the reply. The reply
+    /// contains no sample that is stale under `bound`.
     pub fn pull(&self, pull: Pull, bound: &StalenessBound, ages: &dyn SampleAges) -> PullDecision {
         if pull.after_answer == self.acknowledged {
             return self.pull_from(pull, None, bound, ages);
--- a/crates/ladderstage/tests/bundle_document.rs
+++ b/crates/ladderstage/tests/bundle_document.rs
@@ -5,7 +5,7 @@
 };
 use proptest::prelude::*;
 
-const GOOD: &str = r#"
+const VALID_TEXT: &str = r#"
 revision = 1
 objective = "trainer-idle"
 
@@ -37,8 +37,8 @@
 deadline_ms = 60000
 "#;
 
-fn good() -> Bundle {
-    parse(GOOD).expect("the sample bundle has no findings")
+fn valid_bundle() -> Bundle {
+    parse(VALID_TEXT).expect("the sample bundle has no findings")
 }
 
 fn findings_of(text: &str) -> Vec<Finding> {
@@ -48,8 +48,8 @@
 /// Returns the only finding after replacing `old` by `new` in the valid text, as `line:column
 /// found`.
 fn finding_after(old: &str, new: &str) -> String {
-    assert!(GOOD.contains(old), "{old}");
-    let findings = findings_of(&GOOD.replacen(old, new, 1));
+    assert!(VALID_TEXT.contains(old), "{old}");
+    let findings = findings_of(&VALID_TEXT.replacen(old, new, 1));
     assert_eq!(findings.len(), 1, "{findings:#?}");
     let finding = &findings[0];
     format!("{}:{} {}", finding.line, finding.column, finding.found)
@@ -168,9 +168,9 @@
 
 #[test]
 fn a_bundle_is_checked_against_the_one_in_force_and_the_weight_store() {
-    let current = good();
+    let current = valid_bundle();
     let known: KnownVersions = [("lm".to_owned(), [3, 4].into())].into();
-    let text = GOOD
+    let text = VALID_TEXT
         .replace("revision = 1", "revision = 3")
         .replace("weight_version = 3", "weight_version = 5");
     let context = CheckContext {
@@ -187,7 +187,7 @@
     assert!(findings[1].allowed.ends_with("whose newest is 4"));
     assert!(findings[2].found.contains("moves the weight version by 2"));
 
-    let mut successor = good();
+    let mut successor = valid_bundle();
     successor.revision = 2;
     successor.pools[0].weight_version = 4;
     assert_eq!(check(&successor, Some(&current), Some(&known)), []);
@@ -197,8 +197,8 @@
 
 #[test]
 fn differences_name_pools_and_classes() {
-    let old = good();
-    let mut new = good();
+    let old = valid_bundle();
+    let mut new = valid_bundle();
     new.revision = 2;
     new.pools[0].weight_version = 4;
     new.classes.pop();
@@ -228,9 +228,9 @@
 
     /// Damaged text yields findings with positions, or another valid bundle.
     #[test]
-    fn damaged_text_never_panics(position in 0..GOOD.len(), piece in "[\\[\\]=\"\n0-9a-z.{},]{0,6}", cut in 0..20_usize) {
-        let end = (position + cut).min(GOOD.len());
-        let text = format!("{}{piece}{}", &GOOD[..position], &GOOD[end..]);
+    fn damaged_text_never_panics(position in 0..VALID_TEXT.len(), piece in "[\\[\\]=\"\n0-9a-z.{},]{0,6}", cut in 0..20_usize) {
+        let end = (position + cut).min(VALID_TEXT.len());
+        let text = format!("{}{piece}{}", &VALID_TEXT[..position], &VALID_TEXT[end..]);
         if let Err(findings) = parse(&text) {
             prop_assert!(!findings.is_empty());
             prop_assert!(findings.iter().all(|finding| finding.line > 0 && finding.column > 0));
--- a/crates/ladderstage/tests/journal/rules.rs
+++ b/crates/ladderstage/tests/journal/rules.rs
@@ -327,7 +327,7 @@
 }
 
 #[test]
-fn a_read_takes_the_newest_log_of_a_quorum() {
+fn a_read_returns_the_newest_log_of_a_quorum() {
     let reply = |replica_id, round, entries: &[&str]| ReadLogReply {
         replica_id,
         found: round > 0,
--- a/crates/ladderstage/tests/shard_cursor.rs
+++ b/crates/ladderstage/tests/shard_cursor.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn text_form_reads_back() {
+fn text_form_round_trips() {
     let cursor = cursor(&[(0, 3), (7, 1)]);
     let text = cursor.encode("trainer", 9);
     assert_eq!(StepCursor::parse("trainer", 9, &text), Ok(cursor));
--- a/crates/ladderstage/tests/staleness.rs
+++ b/crates/ladderstage/tests/staleness.rs
@@ -20,24 +20,24 @@
 }
 
 #[test]
-fn oldest_segment_decides() {
+fn staleness_is_that_of_the_oldest_segment() {
     assert!(BOUND.admits(&segments(&[5, 6, 7]), None));
     assert!(!BOUND.admits(&segments(&[7, 4, 7]), None));
     assert_eq!(oldest_version(&segments(&[7, 4, 7])), Some(4));
 }
 
 #[test]
-fn newer_than_in_force_is_fresh() {
+fn segments_newer_than_the_version_in_force_are_fresh() {
     assert!(BOUND.admits(&segments(&[9]), None));
 }
 
 #[test]
-fn without_a_named_version_is_never_delivered() {
+fn samples_without_a_weight_version_are_never_admitted() {
     assert!(!BOUND.admits(&[], Some(Duration::ZERO)));
 }
 
 #[test]
-fn unknown_age_is_too_old_for_an_age_bound() {
+fn unknown_age_exceeds_any_age_bound() {
     let bound = StalenessBound {
         age: Some(Duration::from_secs(10)),
         ..BOUND
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn equal_neighbours_merge() {
+fn adjacent_segments_of_one_version_are_merged() {
     let merged = segments(&[3, 3, 4, 3]);
     let shape: Vec<(u64, u32)> = merged
         .iter()
