--- a/crates/daemon/src/backends/polling.rs
+++ b/crates/daemon/src/backends/polling.rs
@@ -25,7 +25,7 @@
 const LIST_TIMEOUT: Duration = Duration::from_secs(2);
 /// Key by which the watchers of the machine list are chosen.
 const LIST_KEY: &[u8] = b"machine-list";
-/// Load reports read concurrently.
+/// Maximum number of load reports read concurrently.
 const CONCURRENT_READS: usize = 32;
 
 /// Polls the machine list until the task is aborted.
@@ -44,7 +44,8 @@
     }
 }
 
-/// Returns the factor of the poll interval. Nodes that are not watchers receive changes by gossip.
+/// Returns the multiplier of this node's poll interval: 1 for the watchers (see [`crate::watchers`]), more for the
+/// other nodes.
 fn list_factor(shared: &Shared) -> u32 {
     let own = shared.peers.own();
     let members = shared.peers.alive();
@@ -125,7 +126,7 @@
     let mut reads = JoinSet::new();
     let mut own_names = MembersCache::default();
     loop {
-        for (name, placement) in targets(&shared, &mut own_names) {
+        for (name, placement) in backends_to_read(&shared, &mut own_names) {
             if !lock(&reading).insert(name.clone()) {
                 continue;
             }
@@ -145,7 +146,10 @@
 }
 
 /// Returns the back ends of the bundle in force whose reports this node reads.
-fn targets(shared: &Shared, own_names: &mut MembersCache<Vec<String>>) -> Vec<(String, Placement)> {
+fn backends_to_read(
+    shared: &Shared,
+    own_names: &mut MembersCache<Vec<String>>,
+) -> Vec<(String, Placement)> {
     let Some(bundle) = shared.bundle() else {
         return Vec::new();
     };
@@ -181,7 +185,7 @@
         PoolKind::Model => MachineKind::Engine,
         PoolKind::Application => MachineKind::Application,
     };
-    // A report that takes longer than the freshness bound is useless.
+    // A report that takes longer than the freshness bound would arrive stale.
     let timeout = Duration::from_millis(shared.timing.backend_freshness_ms);
     let sent_at = shared.now();
     match read_load(&shared.http, kind, name, address, timeout).await {
--- a/crates/daemon/src/bundles/state.rs
+++ b/crates/daemon/src/bundles/state.rs
@@ -21,7 +21,8 @@
 /// Number of past bundles kept to answer queries for their proposals.
 const HISTORY_LENGTH: usize = 64;
 
-/// Offset of the process start on the time scale of [`Evidence`], which may be older than the process.
+/// Instant of the process start on the time scale of [`Evidence`]; it is not 0 because evidence may be older than the
+/// process.
 const BEFORE_START: Duration = Duration::from_secs(24 * 60 * 60);
 
 /// Bundle that is or was in force on this node.
@@ -120,7 +121,7 @@
         self.state().evidence.age(now)
     }
 
-    /// Returns the bundle in force if the evidence for this bundle is within its bound.
+    /// Returns the bundle in force if the evidence that it is the newest is not older than `evidence_bound`.
     pub(super) fn current_if_fresh(&self) -> Option<Arc<BundleInForce>> {
         // Both are read under one lock, so that the evidence belongs to this bundle.
         let state = self.state();
--- a/crates/ladderstage/src/journal/writer.rs
+++ b/crates/ladderstage/src/journal/writer.rs
@@ -34,7 +34,7 @@
     Fenced(WriterEpoch),
 }
 
-/// A writer that collects promises.
+/// A writer that asks the replicas of a quorum to promise its epoch.
 #[derive(Debug, Clone)]
 pub struct Sealing {
     identity: WriterIdentity,
@@ -137,8 +137,8 @@
     }
 }
 
-/// A log that a quorum has sealed. Its newest entries are read next, from one replica that holds
-/// them.
+/// A log that a quorum has sealed. The newest log found is read next, from one replica that holds
+/// it.
 #[derive(Debug, Clone)]
 pub struct SealedLog {
     identity: WriterIdentity,
--- a/crates/ladderstage/src/membership/probing.rs
+++ b/crates/ladderstage/src/membership/probing.rs
@@ -70,12 +70,12 @@
             && entry.member.incarnation == target.incarnation
         {
             entry.set_state(MemberState::SUSPECT, now);
-            self.updates.changed(&target.node);
+            self.updates.mark_changed(&target.node);
         }
     }
 
-    /// Restarts all suspicion timeouts after a pause of this process, which cannot have received
-    /// refutations during it.
+    /// Restarts all suspicion timeouts if this process was paused for at least half of one, because
+    /// it cannot have received refutations during the pause.
     fn restart_timers_after_own_pause(&mut self, now: Duration) {
         let pause = now.saturating_sub(self.last_tick);
         self.last_tick = now;
@@ -98,7 +98,7 @@
                 _ => continue,
             };
             entry.set_state(state, now);
-            self.updates.changed(node);
+            self.updates.mark_changed(node);
         }
     }
 
@@ -147,12 +147,12 @@
 
     /// Returns the next member of the round; each round is shuffled again.
     fn next_target<R: Rng + ?Sized>(&mut self, random: &mut R) -> Option<Member> {
-        if self.round.is_empty() {
-            let mut round: Vec<NodeName> = self.present_names().collect();
-            round.shuffle(random);
-            self.round = round;
+        if self.probe_queue.is_empty() {
+            let mut probe_queue: Vec<NodeName> = self.present_names().collect();
+            probe_queue.shuffle(random);
+            self.probe_queue = probe_queue;
         }
-        while let Some(node) = self.round.pop() {
+        while let Some(node) = self.probe_queue.pop() {
             if let Some(entry) = self.others.get(&node)
                 && entry.is_present()
             {
@@ -162,8 +162,8 @@
         None
     }
 
-    /// Occasionally probes a dead member, and always if no other member is present, so that healed
-    /// partitions merge.
+    /// Probes a random dead member in some ticks, and in every tick if no other member is present,
+    /// so that healed partitions merge.
     fn dead_probe<R: Rng + ?Sized>(&self, random: &mut R) -> Option<Action> {
         let alone = self.present().next().is_none();
         if !alone && random.random_range(0..DEAD_PROBE_ONE_IN) != 0 {
--- a/crates/ladderstage/src/shard/pull.rs
+++ b/crates/ladderstage/src/shard/pull.rs
@@ -6,7 +6,7 @@
 use ladderstage_wire::messages::mod_ShardEntry::OneOfkind as Kind;
 use ladderstage_wire::messages::{Acknowledged, HandOut, ShardEntry};
 
-use super::attempts::discarded;
+use super::attempts::discard_entry;
 use super::state::Answer;
 use super::{AttemptId, ShardState};
 use crate::staleness::StalenessBound;
@@ -67,7 +67,9 @@
 }
 
 impl ShardState {
-    /// Decides on a pull. The reply contains no sample that is stale under `bound`.
+    /// Decides on a pull: returns the entries to commit (the acknowledgement of the answer that the
+    /// trainer received, discards of stale samples, and a new answer) and the reply. The reply
+    /// contains no sample that is stale under `bound`.
     pub fn pull(&self, pull: Pull, bound: &StalenessBound, ages: &dyn SampleAges) -> PullDecision {
         if pull.after_answer == self.acknowledged {
             return self.pull_from(pull, None, bound, ages);
@@ -101,7 +103,7 @@
         let (fresh, stale): (Vec<_>, Vec<_>) = deliverable
             .into_iter()
             .partition(|id| self.is_fresh(*id, bound, ages));
-        entries.extend(stale.into_iter().map(discarded));
+        entries.extend(stale.into_iter().map(discard_entry));
         let repeated = match acked {
             // No answer can follow one that is only acknowledged now.
             Some(_) => None,
