--- a/crates/front/src/capacity/desired.rs
+++ b/crates/front/src/capacity/desired.rs
@@ -6,21 +6,21 @@
 
 use super::counts::{InstanceKind, InstancePool};
 
-/// Desired instances of one pool; an order names the sum of `found` and `extra`.
+/// Desired instances of one pool; an order requests `found + extra` instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct DesiredCount {
-    /// Instances that exist without an order; orders never go below this count.
+    /// Instances that no order accounts for; the lower bound of every order.
     pub found: u32,
     /// Instances ordered beyond the found ones.
     #[serde(default)]
     pub extra: u32,
-    /// An order was sent at some time, so a later holder sends it again.
+    /// Whether an order was ever sent; if so, a new lease holder sends it again.
     #[serde(default)]
     pub is_ordered: bool,
 }
 
 impl DesiredCount {
-    /// Returns the total that an order names.
+    /// Returns the total number of instances that an order requests.
     pub fn desired(self) -> u32 {
         self.found + self.extra
     }
@@ -67,7 +67,7 @@
         zone.map_or_else(DesiredCount::default, |zone| *zone.of(pool.kind))
     }
 
-    /// Sets the desired instances of a pool.
+    /// Sets the desired instances of a pool. A zero count does not create a zone.
     pub fn set(&mut self, pool: &InstancePool, count: DesiredCount) {
         if count == DesiredCount::default() && !self.has_zone(pool) {
             return;
@@ -82,7 +82,7 @@
         self.services.contains_key(service)
     }
 
-    /// Returns all pools in order.
+    /// Returns all pools, sorted by service, zone and kind.
     pub fn pools(&self) -> impl Iterator<Item = (InstancePool, DesiredCount)> + '_ {
         const KINDS: [InstanceKind; 2] = [InstanceKind::OnDemand, InstanceKind::Preemptible];
         self.services.iter().flat_map(|(service, zones)| {
--- a/crates/front/src/capacity/outbox.rs
+++ b/crates/front/src/capacity/outbox.rs
@@ -8,13 +8,14 @@
 use super::counts::InstancePool;
 use super::sink::CapacityOrderError;
 
-/// Pause after the first order that failed; doubles with each further one.
+/// Backoff after the first failed order; doubles with each consecutive failure.
 const INITIAL_PAUSE: Duration = Duration::from_millis(400);
 
-/// Upper limit of the pause after failed orders.
+/// Maximum backoff after failed orders.
 const MAX_PAUSE: Duration = Duration::from_secs(4);
 
-/// Time within which an unanswered order may still take effect, overriding newer ones.
+/// Time after which an order with unknown outcome can no longer take effect. Until then it may
+/// override newer orders.
 pub const LATE_EXECUTION_WINDOW: Duration = Duration::from_secs(15);
 
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -23,8 +24,10 @@
     is_accepted: bool,
     /// Earliest time of the next attempt.
     next_attempt_at: Instant,
+    /// Delay after the next failed order.
     pause: Duration,
-    /// Time until which an unanswered order may still take effect.
+    /// End of the time in which an order with unknown outcome may still take effect. The count is
+    /// sent again afterwards, even if it was accepted.
     late_until: Option<Instant>,
 }
 
@@ -56,8 +59,8 @@
         self.entries.insert(pool.clone(), entry);
     }
 
-    /// Sets a count that an earlier holder ordered. It is sent once more after that holder's orders
-    /// can no longer take effect.
+    /// Sets a count that an earlier lease holder ordered. It is sent once more after that holder's
+    /// orders can no longer take effect.
     pub fn resume(&mut self, pool: &InstancePool, desired: u32, now: Instant) {
         self.set_desired(pool, desired, now);
         if let Some(entry) = self.entries.get_mut(pool) {
@@ -65,7 +68,8 @@
         }
     }
 
-    /// Makes the count of a pool due again, after the pause that followed its last outcome.
+    /// Sets the desired count of a pool and schedules it again, unless the pause after its last
+    /// outcome has not elapsed.
     pub fn repeat(&mut self, pool: &InstancePool, desired: u32, now: Instant) {
         self.set_desired(pool, desired, now);
         if let Some(entry) = self.entries.get_mut(pool)
@@ -86,8 +90,8 @@
             .collect()
     }
 
-    /// Records the outcome of an order. An accepted order, or one without available capacity, is
-    /// repeated after `pause` at the earliest.
+    /// Records the outcome of an order. An accepted order, or one without available capacity, is not
+    /// sent again before `pause` has elapsed.
     pub fn record_outcome(
         &mut self,
         pool: &InstancePool,
--- a/crates/front/src/capacity/sink.rs
+++ b/crates/front/src/capacity/sink.rs
@@ -21,12 +21,12 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum CapacityOrderError {
     /// No instance is available, or the receiver has seen a higher fencing token.
-    #[error("no instance available")]
+    #[error("no instance available or stale fencing token")]
     Unavailable,
     /// The order was rejected and has no effect.
     #[error("order rejected: {0}")]
     Refused(String),
-    /// The outcome is unknown; the order may take effect now or later.
+    /// The outcome is unknown; the order may still take effect.
     #[error("order outcome unknown: {0}")]
     Unknown(String),
 }
--- a/crates/front/src/job/appending.rs
+++ b/crates/front/src/job/appending.rs
@@ -1,4 +1,4 @@
-//! Appends to a job's log, retried until their outcome is known.
+//! Retries appends to a job's log until their outcome is known.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
     pub result: Result<(), JournalError>,
 }
 
-/// Appends `entries` after `pause`.
+/// Appends `entries` after `pause`. `closes` marks the last append, after which the log is closed.
 pub(super) fn append_after(
     pause: Duration,
     mut writer: LogWriter,
@@ -30,7 +30,7 @@
     })
 }
 
-/// Waits for the append in progress; never returns if there is none.
+/// Waits for the append in progress; never completes if there is none.
 pub(super) async fn wait_for_append(
     appending: &mut Option<BoxFuture<'static, AppendDone>>,
 ) -> AppendDone {
--- a/crates/front/src/job/context.rs
+++ b/crates/front/src/job/context.rs
@@ -1,4 +1,4 @@
-//! Dependencies that all jobs of this node share.
+//! Shared dependencies of the jobs at one node.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,19 +29,19 @@
     pub nodes: Nodes,
     /// Current configuration, with the routes.
     pub config: CurrentConfig,
-    /// Table of instances.
+    /// Known instances.
     pub backends: BackendTable,
-    /// Revision as of which this node knows the discovery records.
+    /// Revision of the discovery records that this node has seen.
     pub view: DiscoveryView,
-    /// Encoding of job requests and names of headers.
+    /// Codec for job requests and headers.
     pub codec: SharedCodec,
-    /// Metrics.
+    /// Metrics of this front.
     pub metrics: Arc<Metrics>,
     /// Time for which a job can be read after it was submitted.
     pub retention: Duration,
     /// Time of the last majority confirmation of this node's logs.
     pub confirmation: QuorumConfirmation,
-    /// Recent text lengths per model.
+    /// Longest recent text of each model.
     pub lengths: TextLengths,
     /// Latest step of each trainer.
     pub steps: LatestSteps,
--- a/crates/front/src/job/lengths.rs
+++ b/crates/front/src/job/lengths.rs
@@ -1,4 +1,4 @@
-//! Recent text lengths of each model.
+//! Longest recent text of each model.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard};
@@ -16,7 +16,7 @@
 }
 
 impl TextLengths {
-    /// Records a text of `events` events.
+    /// Records a text with the given number of events.
     pub fn record(&self, model: &str, events: u64) {
         let now = Instant::now();
         let mut longest = self.lock();
--- a/crates/front/src/job/locating.rs
+++ b/crates/front/src/job/locating.rs
@@ -18,14 +18,14 @@
 use super::reading::{ReadError, unavailable};
 use super::registry::JobRegistry;
 
-/// Time for a peer to answer, in addition to the wait that the request asks for.
+/// Timeout of a call to another node, in addition to the wait that the request specifies.
 pub(super) const PEER_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Location of a job.
 enum Location {
     /// This node owns the job.
     Local(Arc<Job>),
-    /// Another node owns the job, or owned it when that was last known.
+    /// Another node owns the job, according to `source`.
     Remote { node: String, source: Source },
 }
 
@@ -38,7 +38,8 @@
     Journal,
 }
 
-/// Reply to a request about a job.
+/// Owner of a job: this node, which then handles the request itself, or a remote one with its
+/// answer.
 pub(super) enum OwnerReply {
     /// This node owns the job.
     Local(Arc<Job>),
@@ -81,9 +82,9 @@
         }
     }
 
-    /// Becomes the owner of a job without one, or delegates that to a stronger front. Uses the
-    /// front to which replicas announce orphaned logs, so that after a restart of all nodes readers
-    /// do not place jobs on weak fronts.
+    /// Takes over an orphaned job, or forwards the request to the preferred takeover candidate: the
+    /// front to which replicas announce orphaned logs. Without this, the first reader after a
+    /// restart of all nodes could place the job at a front with little CPU.
     async fn adopt_or_delegate(
         &self,
         id: &str,
@@ -107,7 +108,8 @@
         }
     }
 
-    /// Returns the front that takes over a job without an owner, if it is not this node.
+    /// Returns the front that takes over an orphaned job. Returns `None` if this node takes it over:
+    /// because it is a candidate, is leaving, or no candidate is known.
     fn stronger_owner(&self, id: &str) -> Option<String> {
         if self.context.nodes.is_leaving() {
             return None;
@@ -126,12 +128,13 @@
         rendezvous_first(log_name(id).as_bytes(), names).map(str::to_owned)
     }
 
-    /// Checks whether a job was accepted before.
+    /// Returns the owner of a job that was accepted earlier. Takes the job over if it is orphaned.
     pub(super) async fn find_accepted(&self, id: &str) -> Result<OwnerReply, ReadError> {
         self.ask_owner(id, &empty_read(id), Duration::ZERO).await
     }
 
-    /// Returns whether another node answers as the confirmed owner of a job.
+    /// Returns whether another node answers as the confirmed owner of a job. Ignores and removes the
+    /// cached owner.
     pub(super) async fn is_owned(&self, id: &str) -> bool {
         lock(&self.shared.owners).remove(id);
         let Ok(Location::Remote { node, .. }) = self.locate(id).await else {
@@ -145,7 +148,7 @@
     async fn locate(&self, id: &str) -> Result<Location, ReadError> {
         if let Some(job) = self.local(id) {
             if job.state().spec().is_none() {
-                return Err(unavailable("the job is still being accepted"));
+                return Err(unavailable("the job's acceptance is not committed yet"));
             }
             return Ok(Location::Local(job));
         }
@@ -212,7 +215,7 @@
     request
 }
 
-/// Returns a read of no results, which only the owner of a job answers.
+/// Builds a read request that returns no results, to check who owns the job.
 fn empty_read(id: &str) -> RequestKind {
     RequestKind::read_job(ReadJob {
         job: id.to_owned(),
--- a/crates/front/src/job/owner.rs
+++ b/crates/front/src/job/owner.rs
@@ -1,5 +1,7 @@
 //! Owner of one batch job: starts its items, writes their results to the job's log, and notifies
 //! readers.
+//!
+//! A result is listed once it is queued for the log, from where readers receive it.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -33,7 +35,7 @@
 /// Pause before waiting items are scheduled again when no instance had free capacity.
 const NO_CAPACITY_PAUSE: Duration = Duration::from_millis(25);
 
-/// How an owner's task ended.
+/// Outcome of an owner's task, returned to the registry.
 pub(super) enum OwnerEnd {
     /// The client ended the job; a later job may reuse its unfinished items.
     Ended(Option<Box<UnfinishedItems>>),
@@ -41,10 +43,12 @@
     Lost,
 }
 
-/// Reason to stop an owner.
+/// Reason to stop an owner's task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StopCause {
+    /// The end of the job is committed.
     Ended,
+    /// Another node owns the job.
     Lost,
 }
 
@@ -61,22 +65,22 @@
     pub(super) in_flight: Vec<LogEntry>,
     /// Runs in progress, by item.
     pub(super) running: HashMap<usize, AbortHandle>,
-    /// Items whose results were queued or held by this owner; some are not in the log yet.
+    /// Items that finished at this owner, whether or not their results are in the log.
     pub(super) finished: HashSet<usize>,
     pub(super) runs: JoinSet<(usize, RunOutcome)>,
     /// Stops the runs.
     pub(super) stop: watch::Sender<bool>,
     /// Limits when requests may be sent for items.
     pub(super) window: SendWindow,
-    /// Number of results over time.
+    /// Number of committed results over time.
     pub(super) listing_history: ListingHistory,
-    /// Weight versions of the first events of the runs' texts.
+    /// Weight version that generated the first event of each item.
     pub(super) first_versions: FirstVersions,
     /// Content digests of items, computed on demand.
     pub(super) content_digests: HashMap<usize, ContentDigest>,
     /// Texts from earlier jobs for items that this job repeats.
     pub(super) earlier_texts: HashMap<String, KeptText>,
-    /// Request for texts of earlier jobs, while it is in progress.
+    /// Request for the earlier texts, while it is in progress.
     pub(super) text_collection: Option<BoxFuture<'static, Vec<KeptText>>>,
     /// Texts that were completed after the end of the job was queued, with their scores.
     pub(super) late_texts: HashMap<usize, (ItemText, String)>,
@@ -84,10 +88,11 @@
     pub(super) groups: Option<GroupListing>,
     /// Finished items that are not listed yet.
     pub(super) held: HashMap<usize, DoneItem>,
-    /// Whether this node accepted the job and therefore knows when its results are due.
+    /// Whether this node accepted the job; only then the due time of the results is known.
     pub(super) is_accepted_here: bool,
     pub(super) end_waiters: Vec<oneshot::Sender<()>>,
-    /// When the end was first requested at this node; `None` also for a job that had already ended.
+    /// Time of the first request to end the job at this node; `None` if there was none, as for a
+    /// job that had ended before this node took it over.
     pub(super) end_requested_at: Option<Instant>,
     pub(super) has_waiting_items: bool,
     pub(super) last_append: Instant,
@@ -99,7 +104,8 @@
 }
 
 impl Owner {
-    /// Creates the owner of a log that this node may append to; queues `spec` as the first entry.
+    /// Creates the owner of a job whose log this node may append to. `spec` is set for a newly
+    /// accepted job and is queued as the first entry.
     pub fn new(
         context: Arc<JobContext>,
         job: Arc<Job>,
@@ -167,6 +173,7 @@
                         self.end_requested_at.get_or_insert_with(Instant::now);
                         self.queue_end();
                     }
+                    // Wakes this loop, which schedules the takeover by `reclaim_at`.
                     Some(Command::Contested) => {}
                     Some(Command::Release) => {
                         self.stop.send_replace(true);
@@ -304,7 +311,8 @@
         self.job.notify();
     }
 
-    /// Takes over the log again, superseding a promise that a replica has made to a failed writer.
+    /// Takes over the log again because a replica has accepted another writer that did not reach
+    /// a majority.
     async fn reclaim(&mut self) -> Option<StopCause> {
         log::info!("event=job_log_reclaimed job={}", self.job.id);
         self.writer = None;
@@ -312,8 +320,8 @@
         self.retake_log().await
     }
 
-    /// Takes over the log under the latest replica set, which resolves the outcome of the last
-    /// append.
+    /// Takes over the log again, under the latest replica set, to learn whether the last append took
+    /// effect.
     async fn retake_log(&mut self) -> Option<StopCause> {
         let log = log_name(&self.job.id);
         loop {
@@ -358,7 +366,8 @@
     }
 
     /// Aborts all runs and drops their uncommitted texts, which may differ from those that another
-    /// owner has written. Items resume from the log's content.
+    /// owner has written. Items resume from the log's content. If the job's acceptance is not in the
+    /// log, the `pending` entries are queued again instead.
     fn reset_runs(&mut self, pending: Vec<LogEntry>) {
         self.runs = JoinSet::new();
         self.running.clear();
@@ -403,7 +412,7 @@
     }
 }
 
-/// Waits for the requested texts; never returns if none are requested.
+/// Waits for the requested texts; never completes if none are requested.
 async fn collected_texts(
     text_collection: &mut Option<BoxFuture<'static, Vec<KeptText>>>,
 ) -> Vec<KeptText> {
@@ -413,7 +422,7 @@
     }
 }
 
-/// Sleeps until `at`; never returns if it is `None`.
+/// Sleeps until `at`; never completes if it is `None`.
 async fn sleep_until(at: Option<Instant>) {
     match at {
         Some(at) => tokio::time::sleep_until(at.into()).await,
--- a/crates/front/src/job/queue.rs
+++ b/crates/front/src/job/queue.rs
@@ -5,8 +5,8 @@
 
 use super::state::encode_entry;
 
-/// Ordered queue of log entries. Accepts nothing after the end of the job: a result whose progress
-/// was rejected would lack a part of its text.
+/// Ordered queue of log entries. Entries after the end of the job are dropped, because a result
+/// without its progress would be incomplete.
 #[derive(Debug, Clone, Default)]
 pub struct EntryQueue {
     entries: Vec<LogEntry>,
@@ -59,7 +59,7 @@
         std::mem::take(&mut self.entries)
     }
 
-    /// Puts the entries of an append without effect back at the front of the queue.
+    /// Returns the entries of an append that had no effect to the front of the queue.
     pub fn requeue(&mut self, mut entries: Vec<LogEntry>) {
         entries.append(&mut self.entries);
         self.entries = entries;
--- a/crates/front/src/job/reading.rs
+++ b/crates/front/src/job/reading.rs
@@ -12,7 +12,8 @@
 use super::local_job::{Command, Job};
 use super::state::JobState;
 
-/// Limit of the texts in one answer, in bytes; a single larger result is still returned.
+/// Maximum total size of the texts in one answer, in bytes. A single larger result is still
+/// returned.
 const MAX_PAGE_BYTES: usize = 768 * 1024;
 
 /// Time limit for committing the acceptance or the end of a job.
@@ -24,7 +25,7 @@
     /// The job or the item does not exist.
     #[error("not found")]
     NotFound,
-    /// The owner could not be reached or has no recent confirmation.
+    /// The owner could not be reached or cannot confirm its ownership.
     #[error("unavailable: {0}")]
     Unavailable(String),
 }
@@ -51,7 +52,7 @@
     page_of(state.results(), total, after)
 }
 
-/// Returns the results of one answer, from position `after` on.
+/// Returns results from position `after` on, up to [`MAX_PAGE_BYTES`].
 pub(super) fn page_of(all: &[JobResult], total: u64, after: u64) -> JobResults {
     let start = usize::try_from(after).unwrap_or(usize::MAX).min(all.len());
     let mut bytes = 0;
--- a/crates/front/src/job/run_context.rs
+++ b/crates/front/src/job/run_context.rs
@@ -1,4 +1,4 @@
-//! Context that the runs of one job share.
+//! Shared context of the runs of one job. A run is one attempt at an item on an instance.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock};
@@ -19,28 +19,28 @@
     BrokenRun, ContentDigest, HeldBack, RequestContent, RunPermit, RunSubject, Suspects,
 };
 
-/// Longest wait for the first event of a run, in use while event intervals are unknown.
+/// Maximum timeout for the first event of a run; also used while event intervals are unknown.
 const MAX_FIRST_EVENT_WAIT: Duration = Duration::from_millis(2_500);
 
-/// The same wait as a multiple of the typical event interval; covers reading the prompt.
+/// Timeout for the first event, in typical event intervals.
 const FIRST_EVENT_INTERVALS: f64 = 20.0;
 
-/// Shortest wait for the first event; covers one reconnection after a lost packet.
+/// Minimum timeout for the first event of a run.
 const MIN_FIRST_EVENT_WAIT: Duration = Duration::from_millis(1_100);
 
-/// Interval at which a held back item is checked.
+/// Interval between checks of an item that is held back.
 const HOLD_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Context that the runs of one job share.
 #[derive(Clone)]
 pub struct RunContext {
-    /// Table of instances.
+    /// Known instances.
     pub backends: BackendTable,
-    /// Names of headers.
+    /// Codec for job requests and headers.
     pub codec: SharedCodec,
     /// Current configuration, with the routes of items and reward calls.
     pub config: CurrentConfig,
-    /// Metrics.
+    /// Metrics of this front.
     pub metrics: Arc<Metrics>,
     /// Specification of the job.
     pub spec: Arc<JobSpec>,
@@ -48,7 +48,7 @@
     pub service: String,
     /// Priority of the items at instances.
     pub priority_header: HeaderValue,
-    /// Regions in which the items may run by the configuration at the start of these runs.
+    /// Allowed regions when these runs started, used if no route matches any more.
     pub allowed_at_start: AllowedRegions,
     /// Number of failed attempts after which an item is terminated.
     pub max_attempts: u32,
@@ -62,7 +62,7 @@
     pub stop: watch::Receiver<bool>,
     /// Limits when requests may be sent for the items.
     pub window: SendWindow,
-    /// Weight versions of the first events of the runs' texts.
+    /// Weight version that generated the first event of each item.
     pub first_versions: FirstVersions,
     /// Number of tokens per event, or 0 if it is unknown.
     pub tokens_per_event: u64,
@@ -73,14 +73,15 @@
 }
 
 impl RunContext {
-    /// Returns the content digest of the item at `index`, which its repetitions share across jobs.
+    /// Returns the content digest of the item at `index`. It is the same if a later job repeats the
+    /// item.
     pub(super) fn item_content(&self, index: usize) -> ContentDigest {
         let item = &self.spec.items[index];
         self.content(&self.spec.host, &item.path, &item.body)
     }
 
-    /// Returns the regions in which the items may run: by the current configuration, or by that at
-    /// the start of the runs if no route matches any more.
+    /// Returns the regions in which the items may run, by the current configuration or, if no route
+    /// matches any more, by the one at the start of the runs.
     pub(super) fn allowed_regions(&self) -> AllowedRegions {
         let spec = &self.spec;
         self.config
@@ -127,8 +128,8 @@
         None
     }
 
-    /// Returns whether and how a request with `content` for the item at `index` is held back at
-    /// present.
+    /// Returns the current hold on a request with `content` for the item at `index`, or `None` if
+    /// the request may be sent.
     pub(super) fn held_back(
         &self,
         index: usize,
@@ -150,8 +151,8 @@
         }
     }
 
-    /// Finds out whether an instance crashed during a run of the item at `index` whose connection
-    /// broke, and reports that to the suspects ledger.
+    /// Checks whether the instance crashed in a run of the item at `index` whose connection broke.
+    /// Records the finding and announces it to other fronts.
     pub(super) async fn probe(
         &self,
         index: usize,
@@ -169,23 +170,23 @@
         self.suspects.announce_item(content);
     }
 
-    /// Returns the largest number of events of an item's text, or `None` if it is unknown.
+    /// Returns the maximum number of events of the item at `index`, or `None` if it is unknown.
     pub(super) fn max_events(&self, index: usize) -> Option<u64> {
         self.spec.items[index]
             .tokens
             .checked_div(self.tokens_per_event)
     }
 
-    /// Returns the longest wait for the first event of a run.
+    /// Returns the timeout for the first event of a run.
     pub(super) fn first_event_timeout(&self) -> Duration {
         let typical_ms = self.backends.typical_unit_time(&self.service);
         first_event_timeout(typical_ms)
     }
 }
 
-/// Returns for how long an instance is excluded for a model after it rejected an item, unless newer
-/// weights are reported earlier. An instance that rejects with `free_slots` is loading weights, so
-/// it is excluded for the typical load time.
+/// Returns for how long an instance is excluded for a model after it rejected an item. An instance
+/// that rejects an item despite free slots is loading weights, so it is excluded for the typical
+/// load time.
 pub fn refusal_pause(free_slots: bool, typical_load: Option<Duration>) -> Duration {
     match typical_load {
         Some(typical) if free_slots => typical.max(LOADING_PAUSE),
@@ -193,7 +194,8 @@
     }
 }
 
-/// Returns the longest wait for the first event of a run, given the typical event interval.
+/// Returns the timeout for the first event of a run, given the typical event interval in
+/// milliseconds.
 pub fn first_event_timeout(typical_ms: Option<f64>) -> Duration {
     let by_interval = typical_ms.and_then(|interval_ms| {
         let seconds = interval_ms * FIRST_EVENT_INTERVALS / 1e3;
@@ -204,7 +206,7 @@
     })
 }
 
-/// Weight version of the first event of each text in progress, by item. Cheap to clone.
+/// Weight version of the first event of each text in progress, by item index. Cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub struct FirstVersions {
     versions: Arc<Mutex<HashMap<usize, u64>>>,
--- a/crates/front/src/job/text.rs
+++ b/crates/front/src/job/text.rs
@@ -5,24 +5,24 @@
 
 use super::events::Event;
 
-/// Text generated so far, with the part of it that is saved in the journal.
+/// Text generated so far, with the part of it that has not been passed to the journal yet.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ItemText {
     text: String,
     events: u64,
     last_event: Option<u64>,
     versions: Vec<u64>,
-    /// Part that is not in the journal yet.
+    /// Part that has not been passed to the journal yet.
     unsaved: Unsaved,
-    /// Whether the text in the journal is invalid.
+    /// Whether the next append must discard the text in the journal.
     starts_over: bool,
-    /// Whether some of the text is in the journal.
+    /// Whether some of the text has been passed to the journal.
     has_saved: bool,
     /// Whether the last event ended the text.
     is_complete: bool,
 }
 
-/// Events that have not been handed to the journal.
+/// Events that have not been passed to the journal yet.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 struct Unsaved {
     text_start: usize,
@@ -37,7 +37,7 @@
         self.events
     }
 
-    /// Returns the number of the last event.
+    /// Returns the id of the last event, or `None` if there are no events.
     pub fn last_event(&self) -> Option<u64> {
         self.last_event
     }
@@ -52,7 +52,7 @@
         &self.text
     }
 
-    /// Returns the number of events that are not in the journal yet.
+    /// Returns the number of events that have not been passed to the journal yet.
     pub fn unsaved_events(&self) -> u64 {
         self.unsaved.events
     }
@@ -62,8 +62,8 @@
         self.is_complete
     }
 
-    /// Marks the text as complete and returns its unsaved part for the journal. Returns `None` for
-    /// a text without events.
+    /// Marks the text as complete and returns its unsaved part for the journal, or only the
+    /// completion if everything is saved. Returns `None` for a text without events.
     pub fn finish(&mut self, item: &str) -> Option<JobProgress> {
         self.is_complete = true;
         let last_event = self.last_event?;
@@ -136,7 +136,7 @@
         self.is_complete = true;
     }
 
-    /// Drops the text; the next progress or result invalidates the text in the journal.
+    /// Drops the text; the next progress or result discards the text in the journal.
     pub fn start_over(&mut self) {
         let starts_over = self.starts_over || self.has_saved;
         *self = Self {
@@ -189,8 +189,7 @@
         }
     }
 
-    /// Applies progress read from the journal. Ignores progress out of sequence, which comes from a
-    /// repeated append.
+    /// Applies progress read from the journal. Ignores duplicate progress from a retried append.
     pub fn apply(&mut self, progress: &JobProgress) {
         if progress.starts_over {
             *self = Self::default();
@@ -214,7 +213,8 @@
         self.has_saved = true;
     }
 
-    /// Combines the result from the journal with the progress saved before it.
+    /// Combines the result from the journal with the progress saved before it. A result that adds
+    /// events names their weight versions; its text alone may be empty.
     pub fn complete_result(self, mut result: JobResult) -> JobResult {
         if !std::mem::take(&mut result.follows_progress) || result.state != ResultState::COMPLETED {
             return result;
--- a/crates/front/src/job/unfinished.rs
+++ b/crates/front/src/job/unfinished.rs
@@ -1,9 +1,9 @@
-//! Unfinished items of an ended job, kept for a later job: a trainer submits incomplete groups
-//! again under the same ids.
+//! Unfinished items of an ended job. They are kept because a trainer submits incomplete groups again
+//! in a later job, under the same item ids.
 //!
-//! Their runs continue after the end of the job. Items whose weights the later job will not allow
-//! restart with newer ones, so that the later job can resume from partial texts at whichever front
-//! accepts it.
+//! Their runs continue after the end of the job. Items whose weight version is too old for the later
+//! job restart with newer weights. The front that accepts the later job requests the texts from all
+//! fronts.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
@@ -22,17 +22,16 @@
 use super::text::ItemText;
 use crate::backend::Demand;
 
-/// Time after the end of a job during which requests may be sent for its items; platforms forbid it
-/// 3 s after the end was confirmed.
+/// Time after the end of a job during which requests may be sent for its items.
 const SEND_GRACE: Duration = Duration::from_millis(2_000);
 
-/// Time for which the texts of an ended job are kept; covers the time until a trainer's next step.
+/// Time for which the texts of an ended job are kept.
 const RETENTION: Duration = Duration::from_secs(10);
 
-/// Results listed less than this time before the end may not have been read by the trainer.
+/// Results listed less than this time before the end of the job count as unread.
 const TRAINER_READ_INTERVAL: Duration = Duration::from_millis(800);
 
-/// Pause before an item is retried that found no instance.
+/// Interval between attempts to run an item while no instance is available.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 /// Request of a later job for texts of earlier jobs.
@@ -65,7 +64,7 @@
     running: HashMap<usize, RunningItem>,
     stop: watch::Sender<bool>,
     window: SendWindow,
-    /// Context for restarted runs; `None` while no route matches.
+    /// Context for restarted runs; `None` if no route matched when the job ended.
     context: Option<Arc<RunContext>>,
 }
 
@@ -79,10 +78,8 @@
 
 impl Owner {
     /// Splits off the items that a later job may repeat, with their runs, and aborts all other
-    /// runs. Returns `None` if there are no such items.
-    ///
-    /// Also returns `None` for a job that had already ended when its log was taken over, because
-    /// the time of its end is unknown.
+    /// runs. Returns `None` for a job that is not a trainer's step, and for one that had already
+    /// ended when its log was taken over, because the time of its end is unknown.
     pub(super) fn split_off_unfinished(&mut self) -> Option<UnfinishedItems> {
         let Some(end_requested_at) = self.end_requested_at else {
             self.runs.abort_all();
@@ -134,8 +131,8 @@
         })
     }
 
-    /// Returns the items of groups that the trainer has probably not read completely: an item lacks
-    /// a result, or its result was listed shortly before the end.
+    /// Returns the items of all groups that the trainer has probably not read completely. These are
+    /// the groups in which any item has no result or one that was listed shortly before the end.
     fn unread_items(&self, spec: &JobSpec, end_requested_at: Instant) -> Vec<usize> {
         let state = self.job.state();
         let cutoff = end_requested_at.checked_sub(TRAINER_READ_INTERVAL);
@@ -155,8 +152,8 @@
         groups.into_values().filter(is_unread).flatten().collect()
     }
 
-    /// Returns the texts of items without a result: completed too late to be listed, or saved in
-    /// the log.
+    /// Returns the texts of items without a result. They were either completed too late to be
+    /// listed, or are partial texts from the log.
     fn unlisted_texts(&self, spec: &JobSpec, items: &[usize]) -> HashMap<String, Vec<KeptText>> {
         let state = self.job.state();
         let text_of = |index: &usize| {
@@ -171,7 +168,7 @@
     }
 }
 
-/// Number of results over time.
+/// Number of committed results over time.
 #[derive(Debug, Default)]
 pub(super) struct ListingHistory {
     counts: Vec<(Instant, usize)>,
@@ -185,7 +182,7 @@
         }
     }
 
-    /// Returns the number of results that were listed by `time`.
+    /// Returns the number of results that were committed by `time`.
     pub fn listed_before(&self, time: Instant) -> usize {
         let before = self.counts.iter().take_while(|(at, _)| *at <= time);
         before.last().map_or(0, |(_, results)| *results)
@@ -261,7 +258,7 @@
         }
     }
 
-    /// Restarts items without a text that the later job is expected to allow.
+    /// Restarts items that have no text with weight versions of at least `min_version`.
     fn restart_outdated(&mut self, min_version: u64) {
         let Some(context) = &self.context else {
             return;
@@ -409,7 +406,8 @@
     }
 }
 
-/// Runs an item on the first instance with free capacity and weights that are new enough.
+/// Runs an item on the first instance with free capacity and weights that are new enough. Retries
+/// until the send window closes or the runs are stopped.
 async fn run_from_start(context: Arc<RunContext>, index: usize) -> RunOutcome {
     let mut stop = context.stop.clone();
     while context.window.is_open() && !*stop.borrow() {
--- a/crates/front/src/orders/announced_versions.rs
+++ b/crates/front/src/orders/announced_versions.rs
@@ -40,7 +40,8 @@
         );
     }
 
-    /// Returns the demand for each model's newest version.
+    /// Returns an entry with the newest version of each model. All models have equal weight and
+    /// unknown text lengths until the fronts' reports are applied.
     pub(super) fn demands(&self) -> Vec<ModelDemand> {
         let versions = lock(&self.versions);
         let demands = versions.iter();
--- a/crates/front/src/orders/load_checks.rs
+++ b/crates/front/src/orders/load_checks.rs
@@ -10,14 +10,14 @@
 use super::leader_state::{LeaderState, Load};
 use crate::backend::Instance;
 
-/// Timeout of a load's report. The checks of all other loads wait for it.
+/// Timeout of a request for an instance's report. Also bounds the duration of a round of checks.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Result of a check.
 enum LoadCheck {
     /// The instance's report shows the version.
     ReportedLoaded,
-    /// The version is already known by other means.
+    /// The version was recorded earlier, so no report was requested.
     KnownByOtherMeans,
     Loading,
     /// The instance did not answer.
--- a/crates/front/src/orders/load_limit.rs
+++ b/crates/front/src/orders/load_limit.rs
@@ -2,18 +2,18 @@
 //!
 //! All loads share one link. Up to the capacity of the link each load takes its typical time;
 //! beyond it, loads slow each other down. The capacity is not known, so it is estimated from
-//! finished loads: `proven` is the highest concurrency without slowdown, and `saturation` is the
-//! latest saturation. Before the first slowdown the limit is twice the proven concurrency, so it
-//! doubles with each wave of loads. After a slowdown it drops to the estimated capacity and then
-//! rises slowly, as links change.
+//! finished loads: `proven` is the highest concurrency without slowdown, and `saturation` describes
+//! the latest slowdown of most loads. Before the first slowdown the limit is twice the proven
+//! concurrency, so it doubles whenever loads at the limit run at full speed. After a slowdown it
+//! drops to the estimated capacity and then rises slowly, because the capacity may change.
 //!
-//! A saturated link slows all loads, an unhealthy instance only its own, and finish times are
-//! noticed with a delay. Decisions therefore use the latest loads together, relative to the median
-//! time of loads with few others at the same time.
+//! A saturated link slows all loads, an unhealthy instance only its own, and finished loads are
+//! detected with a delay. Decisions therefore use several recent loads, each relative to the typical
+//! time: the median duration at low concurrency.
 //!
 //! On some links a load's speed depends on the concurrency when it started, on others on the
-//! concurrency at each moment. Both estimates are kept, and the one with the smaller spread is
-//! used.
+//! concurrency at each moment. The capacity is estimated both ways, and the estimate with the
+//! smaller spread is used.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -27,24 +27,22 @@
 /// Ratio of the limit to the proven concurrency before the first slowdown.
 const PROBE_FACTOR: f64 = 2.0;
 
-/// Number of unslowed loads above the proven concurrency that raise it.
+/// Minimum number of loads above the proven concurrency that are required to raise it.
 const MIN_PROOF_LOADS: usize = 3;
 
-/// Maximum ratio to the typical time at which a load counts as unslowed.
+/// Maximum ratio to the typical time at which a load counts as running at full speed.
 const MAX_UNSLOWED_RATIO: f64 = 1.12;
 
-/// Same as [`MAX_UNSLOWED_RATIO`] close to the link's capacity, where one load too many must be
-/// detected.
+/// Same as [`MAX_UNSLOWED_RATIO`], but after the first slowdown.
 const MAX_UNSLOWED_RATIO_NEAR_CAPACITY: f64 = 1.08;
 
 /// Minimum ratio to the typical time at which a load counts as slow.
 const MIN_SLOW_RATIO: f64 = 1.25;
 
-/// Fraction of the latest loads that must be slow for the link to count as saturated; high enough
-/// that some unhealthy instances do not suffice.
+/// Fraction of the recent loads that must be slow for the link to count as saturated.
 const SATURATED_SHARE: f64 = 0.75;
 
-/// Minimum number of recent loads to evaluate; half of a larger limit.
+/// Minimum number of recent loads to evaluate; half of the limit is used if that is larger.
 const MIN_SAMPLES: usize = 6;
 
 /// Maximum number of recent loads to evaluate.
@@ -57,8 +55,8 @@
 /// time.
 const LOW_CONCURRENCY_RATIO: f64 = 0.8;
 
-/// Quantile of the slow loads' estimates that is used, as loads that are slow for another reason
-/// yield estimates that are too low.
+/// Quantile of the loads' estimates that is used. Loads that are slow for another reason than the
+/// link yield estimates that are too low.
 const ESTIMATE_QUANTILE: f64 = 0.75;
 
 /// Initial time without increases after a saturation; doubles while the capacity stays about the
@@ -71,16 +69,16 @@
 /// Factor within which two capacity estimates count as the same.
 const SAME_CAPACITY_FACTOR: f64 = 1.3;
 
-/// Maximum ratio of concurrency to that before a decrease at which it counts as lower.
+/// Concurrency counts as lowered up to this fraction of the concurrency before the decrease.
 const LOWER_CONCURRENCY_RATIO: f64 = 0.85;
 
-/// Ratio of slowness to that before a decrease from which on the decrease counts as ineffective.
+/// A decrease is ineffective if the slowness stays at or above this fraction of the earlier value.
 const INEFFECTIVE_RATIO: f64 = 0.95;
 
 /// Minimum ratio of concurrency to the limit at which a load counts as using the limit.
 const USED_LIMIT_RATIO: f64 = 0.5;
 
-/// Fraction by which the limit increases close to the link's capacity, at least one load.
+/// Relative increase of the limit after the first slowdown; at least one load.
 const INCREASE_RATIO: f64 = 0.1;
 
 /// Latest saturation of the link.
@@ -88,8 +86,9 @@
 struct Saturation {
     /// Estimated capacity in concurrent loads.
     capacity: f64,
-    /// Median slowness and concurrency of the loads.
+    /// Median load time relative to the typical one.
     ratio: f64,
+    /// Median concurrency of the loads.
     concurrent: f64,
     /// Limit before the decrease.
     limit_before: usize,
@@ -129,17 +128,19 @@
     limit: usize,
     /// Shortest load time so far.
     shortest: Option<Duration>,
-    /// Recent load times at low concurrency, and their median.
+    /// Recent load times at low concurrency.
     typical_times: VecDeque<Duration>,
+    /// Median of `typical_times`.
     typical_load_time: Option<Duration>,
-    /// Highest concurrency at which loads were not slowed down.
+    /// Highest concurrency at which loads ran at full speed.
     proven: f64,
     /// `None` if no saturation was observed here.
     saturation: Option<Saturation>,
     /// A slowdown was observed, here or by an earlier leader, so the limit no longer doubles.
     is_near_capacity: bool,
     samples: VecDeque<LoadSample>,
-    /// Unslowed loads since the last increase that used the limit.
+    /// Full-speed loads since the last increase, counting those whose concurrency was close to the
+    /// limit.
     unslowed_loads: usize,
 }
 
@@ -152,7 +153,7 @@
     pub link: LinkTimes,
     /// Loads in progress at the start, including this one.
     pub concurrent_at_start: usize,
-    /// Accuracy of `taken`.
+    /// Accuracy of `duration`.
     pub timing: LoadTiming,
 }
 
@@ -161,9 +162,9 @@
 pub enum LoadTiming {
     /// Start and finish are known.
     Exact,
-    /// The finish was noticed late, so the load may have taken less time.
+    /// The finish was detected late, so the load may have taken less time.
     NoticedLate,
-    /// The start is unknown, or the finish was observed by other means than for other loads.
+    /// The start is unknown, or the finish was not observed through the instance's report.
     Unknown,
 }
 
@@ -225,8 +226,8 @@
         self.is_near_capacity
     }
 
-    /// Updates the limit from a finished load. A load that was noticed late can count as unslowed,
-    /// but not as slow.
+    /// Updates the limit from a finished load. A load whose finish was detected late can count as
+    /// running at full speed, but not as slow.
     pub fn observe(&mut self, load: &FinishedLoad, now: Instant) {
         if load.timing == LoadTiming::Unknown {
             return;
@@ -282,9 +283,9 @@
         self.set_typical_times(times);
     }
 
-    /// Returns true if a slowed load says something about the link. A load at low concurrency is
-    /// slow for another reason, and one that started before the latest decrease was part of the
-    /// same burst, which must lower the limit only once.
+    /// Returns true if a slow load indicates a saturated link. A load at low concurrency is slow for
+    /// another reason. A load that started before the latest decrease is ignored, so that loads
+    /// under the old limit lower it only once.
     fn is_conclusive(&self, load: &FinishedLoad, now: Instant) -> bool {
         let started_before = |at: Instant| now.saturating_duration_since(at) < load.duration;
         let lowered_at = self.saturation.as_ref().map(|last| last.at);
@@ -361,8 +362,8 @@
         });
     }
 
-    /// Raises the proven concurrency if most loads above it were unslowed. The limit follows until
-    /// the first slowdown.
+    /// Raises the proven concurrency if most loads above it ran at full speed. The limit follows
+    /// until the first slowdown.
     fn prove(&mut self) {
         let above_proven: Vec<&LoadSample> = self
             .samples
@@ -382,7 +383,8 @@
         }
     }
 
-    /// Raises the limit by a fraction after a complete wave of unslowed loads that used it.
+    /// Raises the limit by a fraction after as many full-speed loads as the limit allows, counting
+    /// only loads at no less than [`USED_LIMIT_RATIO`] of the limit.
     fn increase_near_capacity(&mut self, concurrent: f64, now: Instant) {
         let is_holding = |last: &Saturation| now.saturating_duration_since(last.at) < last.hold;
         let is_on_hold = self.saturation.as_ref().is_some_and(is_holding);
@@ -404,12 +406,12 @@
     high <= low * SAME_CAPACITY_FACTOR
 }
 
-/// Statistics of a set of values.
+/// Quantiles of a set of values.
 #[derive(Debug, Clone, Copy)]
 struct Estimate {
     value: f64,
     median: f64,
-    /// Interquartile range relative to `value`.
+    /// Interquartile range relative to the upper quartile.
     spread: f64,
 }
 
@@ -427,7 +429,7 @@
     }
 }
 
-/// Returns the value that a `share` of the sorted values does not exceed; 0 if there are none.
+/// Returns the quantile `q`, from 0 to 1, of the sorted values; 0 if there are none.
 fn quantile(sorted: &[f64], share: f64) -> f64 {
     let last = sorted.len().saturating_sub(1);
     let index = (last as f64 * share).round() as usize;
--- a/crates/front/src/orders/mod.rs
+++ b/crates/front/src/orders/mod.rs
@@ -1,5 +1,8 @@
-//! Weight-load orders: planned without side effects and issued by the one node that holds the
-//! orders lease.
+//! Plans weight loads and issues them to instances.
+//!
+//! A weight-load order tells an instance to load a weight version of a model. Only the order leader
+//! issues orders: the node that holds the orders lease. The same node issues permits, which allow
+//! fronts to send requests to cold instances.
 
 mod announced_versions;
 mod calls;
--- a/crates/front/src/orders/permits/ledger.rs
+++ b/crates/front/src/orders/permits/ledger.rs
@@ -1,4 +1,5 @@
-//! Ledger of the permits issued by one lease holder in the recent past.
+//! Permits that one lease holder issued recently. A permit allows a front to send one request to a
+//! cold instance.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -7,8 +8,8 @@
 
 use crate::backend::{PERMIT_LIFETIME, SEND_WINDOW, WRITE_MARGIN};
 
-/// Window in which the issued permits are limited. Permits issued this far apart cannot be used in
-/// the same [`SEND_WINDOW`].
+/// Sliding window over which issued permits are counted. Permits issued further apart cannot be used
+/// in the same [`SEND_WINDOW`].
 const ISSUE_WINDOW: Duration = SEND_WINDOW
     .saturating_add(PERMIT_LIFETIME)
     .saturating_add(WRITE_MARGIN);
@@ -20,8 +21,9 @@
 /// Permits issued by one holder.
 #[derive(Debug)]
 pub struct PermitLedger {
+    /// Time from which permits are issued.
     issues_from: Instant,
-    /// Time and number of permits issued in the last window, by instance.
+    /// Time and number of permits issued in the current window, by instance.
     issued: BTreeMap<String, VecDeque<(Instant, u32)>>,
 }
 
@@ -34,8 +36,8 @@
         }
     }
 
-    /// Issues up to `requested` permits for an instance, at most `max` in any window. Returns the
-    /// number issued.
+    /// Issues up to `requested` permits for an instance, at most `max` in any sliding window.
+    /// Returns the number issued.
     pub fn issue(&mut self, instance: &str, requested: u32, max: u32, now: Instant) -> u32 {
         if now < self.issues_from {
             return 0;
@@ -51,7 +53,7 @@
         count
     }
 
-    /// Removes permits issued before the last window.
+    /// Removes permits issued before the current window.
     fn remove_expired(&mut self, now: Instant) {
         let is_over = |at: Instant| now.saturating_duration_since(at) > ISSUE_WINDOW;
         self.issued.retain(|_, recent| {
--- a/crates/front/src/orders/permits/permit_issuer.rs
+++ b/crates/front/src/orders/permits/permit_issuer.rs
@@ -9,7 +9,7 @@
 use super::ledger::PermitLedger;
 use crate::backend::ColdLimits;
 
-/// Maximum number of instances per request.
+/// Maximum number of instances per request; further ones are ignored.
 const MAX_INSTANCES: usize = 1_024;
 
 /// Answers permit requests. Cheap to clone.
@@ -19,14 +19,14 @@
     held: Arc<Mutex<Option<HeldLedger>>>,
 }
 
-/// Lease under which this node issues permits.
+/// Permits issued under the current lease, with the time until which the lease is valid.
 #[derive(Debug)]
 struct HeldLedger {
     valid_until: watch::Receiver<Instant>,
     ledger: PermitLedger,
 }
 
-/// Guard during whose lifetime this node issues permits.
+/// Stops issuing permits when it is dropped.
 #[derive(Debug)]
 pub struct IssuingGuard {
     issuer: PermitIssuer,
--- a/crates/front/src/orders/plan.rs
+++ b/crates/front/src/orders/plan.rs
@@ -1,27 +1,28 @@
 //! Plans which instance loads which weight version next.
 //!
-//! Each instance serves one model, assigned in proportion to demand, as loading all models
-//! everywhere would take longer than a version lasts. A job may still use the version before the
-//! newest one, so every instance loads every version of its model, after the burst of work that
-//! follows the announcement.
+//! Each instance serves one model, assigned in proportion to demand, because loading every model on
+//! every instance would take longer than the interval between versions. A job may use the newest
+//! version of its model or the one before. An instance would become unusable if it skipped versions,
+//! so it loads each one, but only after the burst of work that follows the announcement.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Time after an announcement during which work that allows the previous version starts; those
-/// instances are not reloaded yet.
+/// Time after an announcement during which instances with the previous version are not reloaded,
+/// because new work may still use them.
 const BURST_DURATION: Duration = Duration::from_millis(400);
 
-/// Number of versions behind the newest from which on no job may use an instance.
+/// Number of versions behind the newest at which no job may use an instance any more.
 const UNUSABLE_LAG: u64 = 2;
 
-/// Maximum text time, relative to the longest one, at which a model's texts count as short.
+/// Maximum duration of a model's longest text, relative to that of another model, at which its texts
+/// count as short.
 const SHORT_TEXT_RATIO: f64 = 0.8;
 
 /// Minimum event interval, relative to the fastest instance, at which an instance counts as slow.
 const SLOW_RATIO: f64 = 1.15;
 
-/// Relative event interval from which on the slowness counts as temporary.
+/// Relative event interval at or above which slowness counts as temporary.
 const TEMPORARY_RATIO: f64 = 2.0;
 
 /// Maximum relative event interval at which an instance counts as fast.
@@ -49,7 +50,7 @@
     pub model: String,
     /// Newest announced version.
     pub newest: u64,
-    /// Time since its announcement.
+    /// Time since the newest version was announced.
     pub announced_for: Duration,
     /// Amount of work, relative to other models.
     pub weight: f64,
@@ -72,13 +73,13 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Assignment {
     model_of: BTreeMap<String, String>,
-    /// Instances that were traded already; each is traded once, as its event interval may be
-    /// temporary.
+    /// Instances that were traded. An instance is traded at most once, because its event interval
+    /// may change.
     traded: BTreeSet<String>,
 }
 
-/// Divisor of a model's instances that yields the maximum number of trades per round, as a traded
-/// instance is unavailable while it loads other weights.
+/// At most one in this many instances of a model is traded per round, because a traded instance is
+/// unavailable while it loads other weights.
 const TRADE_DIVISOR: usize = 5;
 
 /// Returns the maximum number of trades per round.
@@ -86,7 +87,7 @@
     (fleet.len() / demands.len().max(1) / TRADE_DIVISOR).max(1)
 }
 
-/// Exchange of two instances between models.
+/// Trade: an exchange of two instances between models.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Trade {
     /// Model that received the fast instance.
@@ -111,8 +112,8 @@
         self.model_of.get(instance).map(String::as_str)
     }
 
-    /// Adapts the assignment to the fleet and the demand. An instance keeps its model unless
-    /// another model lacks at least two instances.
+    /// Adapts the assignment to the fleet and the demand. An instance keeps its model unless another
+    /// model lacks at least two instances or has none.
     pub fn update(&mut self, demands: &[ModelDemand], fleet: &[FleetInstance]) {
         self.model_of.retain(|id, model| {
             fleet.iter().any(|one| one.id == *id) && demands.iter().any(|one| one.model == *model)
@@ -130,7 +131,9 @@
         self.balance(&quotas, fleet);
     }
 
-    /// Returns the model with the newest weights at the instance among those that lack instances.
+    /// Returns the model for a new instance: among the models below their quota, or all models if
+    /// there are none, the one whose weights at the instance lag least. Ties go to the model that
+    /// lacks the most instances.
     fn best_model(
         &self,
         demands: &[ModelDemand],
@@ -247,8 +250,8 @@
     }
 }
 
-/// Returns the number of instances for each model: proportional to the weights by largest
-/// remainder, and at least one if there are enough instances.
+/// Returns the number of instances for each model: proportional to demand, by the largest remainder
+/// method, and at least one if there are enough instances.
 fn quotas(demands: &[ModelDemand], instances: usize) -> BTreeMap<String, usize> {
     let total: f64 = demands
         .iter()
@@ -276,10 +279,10 @@
         .collect()
 }
 
-/// Plans the next order, given the number of loads in progress and its limit.
+/// Plans the next order, given the number of loads in progress and its maximum.
 ///
-/// Instances that no job may use come first and without delay. Instances one version behind follow
-/// after the burst of work, the least loaded first.
+/// Instances whose weights are too old for any job come first and without delay. Instances one
+/// version behind follow after the burst of work, those with the fewest requests first.
 pub fn plan(
     demands: &[ModelDemand],
     assignment: &Assignment,
@@ -298,8 +301,8 @@
         .map(|(_, planned)| planned)
 }
 
-/// Urgency of an order: unusable instances first, then the model with the largest share of unusable
-/// instances, then the one with most outdated ones.
+/// Urgency of an order: whether its instance is unusable, then the model's unusable instances per
+/// thousand, then its number of outdated instances.
 type Urgency = (bool, u64, usize);
 
 /// Plans the next order for one model.
