--- a/crates/front/src/capacity/controller.rs
+++ b/crates/front/src/capacity/controller.rs
@@ -249,7 +249,7 @@
         let now = Instant::now();
         for pool in state.planner.pools_to_reorder(drained, now) {
             let desired = state.planner.desired_capacity().get(&pool).desired();
-            state.outbox.repeat(&pool, desired, now);
+            state.outbox.resend(&pool, desired, now);
         }
     }
 
--- a/crates/front/src/capacity/outbox.rs
+++ b/crates/front/src/capacity/outbox.rs
@@ -9,14 +9,14 @@
 use super::sink::CapacityOrderError;
 
 /// Backoff after the first failed order; doubles with each consecutive failure.
-const INITIAL_PAUSE: Duration = Duration::from_millis(400);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(400);
 
 /// Maximum backoff after failed orders.
-const MAX_PAUSE: Duration = Duration::from_secs(4);
+const MAX_BACKOFF: Duration = Duration::from_secs(4);
 
 /// Time after which an order with unknown outcome can no longer take effect. Until then it may
 /// override newer orders.
-pub const LATE_EXECUTION_WINDOW: Duration = Duration::from_secs(15);
+pub const MAX_EXECUTION_DELAY: Duration = Duration::from_secs(15);
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct OutboxEntry {
@@ -25,10 +25,10 @@
     /// Earliest time of the next attempt.
     next_attempt_at: Instant,
     /// Delay after the next failed order.
-    pause: Duration,
+    backoff: Duration,
     /// End of the time in which an order with unknown outcome may still take effect. The count is
     /// sent again afterwards, even if it was accepted.
-    late_until: Option<Instant>,
+    resend_after: Option<Instant>,
 }
 
 /// Latest order of each pool and the time of its next attempt.
@@ -53,8 +53,8 @@
             desired,
             is_accepted: false,
             next_attempt_at: now,
-            pause: INITIAL_PAUSE,
-            late_until: None,
+            backoff: INITIAL_BACKOFF,
+            resend_after: None,
         };
         self.entries.insert(pool.clone(), entry);
     }
@@ -64,13 +64,13 @@
     pub fn resume(&mut self, pool: &InstancePool, desired: u32, now: Instant) {
         self.set_desired(pool, desired, now);
         if let Some(entry) = self.entries.get_mut(pool) {
-            entry.late_until = Some(now + LATE_EXECUTION_WINDOW);
+            entry.resend_after = Some(now + MAX_EXECUTION_DELAY);
         }
     }
 
     /// Sets the desired count of a pool and schedules it again, unless the pause after its last
     /// outcome has not elapsed.
-    pub fn repeat(&mut self, pool: &InstancePool, desired: u32, now: Instant) {
+    pub fn resend(&mut self, pool: &InstancePool, desired: u32, now: Instant) {
         self.set_desired(pool, desired, now);
         if let Some(entry) = self.entries.get_mut(pool)
             && now >= entry.next_attempt_at
@@ -82,8 +82,8 @@
     /// Returns the orders that are due.
     pub fn due(&self, now: Instant) -> Vec<(InstancePool, u32)> {
         let is_due = |entry: &OutboxEntry| {
-            let has_late_window_passed = entry.late_until.is_some_and(|until| now >= until);
-            now >= entry.next_attempt_at && (!entry.is_accepted || has_late_window_passed)
+            let must_resend = entry.resend_after.is_some_and(|until| now >= until);
+            now >= entry.next_attempt_at && (!entry.is_accepted || must_resend)
         };
         let due = self.entries.iter().filter(|(_, entry)| is_due(entry));
         due.map(|(pool, entry)| (pool.clone(), entry.desired))
@@ -103,18 +103,18 @@
         let Some(entry) = self.entries.get_mut(pool) else {
             return;
         };
-        if entry.late_until.is_some_and(|until| now >= until) {
-            entry.late_until = None;
+        if entry.resend_after.is_some_and(|until| now >= until) {
+            entry.resend_after = None;
         }
         match outcome {
             Ok(()) => {
                 entry.is_accepted = entry.desired == desired;
-                entry.pause = INITIAL_PAUSE;
+                entry.backoff = INITIAL_BACKOFF;
                 entry.next_attempt_at = if entry.is_accepted { now + pause } else { now };
             }
             Err(CapacityOrderError::Unavailable) => {
                 entry.is_accepted = false;
-                entry.pause = INITIAL_PAUSE;
+                entry.backoff = INITIAL_BACKOFF;
                 entry.next_attempt_at = now + pause;
             }
             Err(CapacityOrderError::Refused(_)) => {
@@ -123,7 +123,7 @@
             }
             Err(CapacityOrderError::Unknown(_)) => {
                 entry.is_accepted = false;
-                entry.late_until = Some(now + LATE_EXECUTION_WINDOW);
+                entry.resend_after = Some(now + MAX_EXECUTION_DELAY);
                 entry.back_off(now);
             }
         }
@@ -133,7 +133,7 @@
 impl OutboxEntry {
     /// Delays the next attempt, with exponential backoff.
     fn back_off(&mut self, now: Instant) {
-        self.next_attempt_at = now + self.pause;
-        self.pause = (self.pause * 2).min(MAX_PAUSE);
+        self.next_attempt_at = now + self.backoff;
+        self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
     }
 }
--- a/crates/front/src/capacity/planner.rs
+++ b/crates/front/src/capacity/planner.rs
@@ -10,7 +10,7 @@
 use super::counts::{InstanceKind, InstancePool, PresentInstances, count_instances};
 use super::desired::{DesiredCapacity, DesiredCount};
 use super::losses::{LossReason, Losses};
-use super::outbox::LATE_EXECUTION_WINDOW;
+use super::outbox::MAX_EXECUTION_DELAY;
 use super::placement::{Placement, ZoneOffer, place};
 use crate::backend::DiscoveredInstance;
 use crate::config::{ScalingSpec, ServiceSpec};
@@ -96,7 +96,7 @@
         let ordered = desired_capacity
             .pools()
             .filter(|(_, count)| count.is_ordered);
-        let ordered = ordered.map(|(pool, _)| (pool, (u32::MAX, now + LATE_EXECUTION_WINDOW)));
+        let ordered = ordered.map(|(pool, _)| (pool, (u32::MAX, now + MAX_EXECUTION_DELAY)));
         Self {
             max_ordered_until: ordered.collect(),
             desired_capacity,
@@ -144,7 +144,7 @@
                 .unwrap_or((0, now));
             let max = if now < until { max.max(known) } else { max };
             self.max_ordered_until
-                .insert(pool, (max, now + LATE_EXECUTION_WINDOW));
+                .insert(pool, (max, now + MAX_EXECUTION_DELAY));
         }
         self.desired_capacity = desired_capacity;
     }
--- a/crates/front/src/job/appending.rs
+++ b/crates/front/src/job/appending.rs
@@ -16,16 +16,16 @@
     pub result: Result<(), JournalError>,
 }
 
-/// Appends `entries` after `pause`. `closes` marks the last append, after which the log is closed.
+/// Appends `entries` after `pause`. `closes_log` marks the last append, after which the log is closed.
 pub(super) fn append_after(
     pause: Duration,
     mut writer: LogWriter,
     entries: Vec<LogEntry>,
-    closes: bool,
+    closes_log: bool,
 ) -> BoxFuture<'static, AppendDone> {
     Box::pin(async move {
         tokio::time::sleep(pause).await;
-        let result = append_until_known(&mut writer, entries, closes).await;
+        let result = append_with_retries(&mut writer, entries, closes_log).await;
         AppendDone { writer, result }
     })
 }
@@ -41,12 +41,12 @@
 }
 
 /// Retries an append until its outcome is known.
-async fn append_until_known(
+async fn append_with_retries(
     writer: &mut LogWriter,
     entries: Vec<LogEntry>,
-    closes: bool,
+    closes_log: bool,
 ) -> Result<(), JournalError> {
-    let mut result = writer.append(entries, closes).await;
+    let mut result = writer.append(entries, closes_log).await;
     while let Err(JournalError::NoQuorum(cause)) = result {
         log::warn!(
             "event=append_in_doubt log={} cause=\"{cause}\"",
--- a/crates/front/src/job/done.rs
+++ b/crates/front/src/job/done.rs
@@ -43,7 +43,7 @@
             return;
         };
         for index in groups.drain_ready(Instant::now()) {
-            if let Some(done) = self.held.remove(&index) {
+            if let Some(done) = self.unlisted.remove(&index) {
                 let result = done.into_result(&spec.items[index].id);
                 self.queue.push_result(result);
             }
@@ -71,12 +71,12 @@
             let state = self.job.state();
             self.groups = Some(GroupListing::new(&spec, due, |item| state.is_listed(item)));
         }
-        self.held.insert(index, done);
+        self.unlisted.insert(index, done);
         if let Some(groups) = &mut self.groups {
             groups.add_result(index, Instant::now());
         }
         self.list_ready();
-        if let Some(DoneItem::Completed { text, .. }) = self.held.get_mut(&index)
+        if let Some(DoneItem::Completed { text, .. }) = self.unlisted.get_mut(&index)
             && let Some(progress) = text.finish(&spec.items[index].id)
         {
             self.queue.push_progress(progress);
--- a/crates/front/src/job/locating.rs
+++ b/crates/front/src/job/locating.rs
@@ -40,7 +40,7 @@
 
 /// Owner of a job: this node, which then handles the request itself, or a remote one with its
 /// answer.
-pub(super) enum OwnerReply {
+pub(super) enum JobOwner {
     /// This node owns the job.
     Local(Arc<Job>),
     /// Answer of the remote owner.
@@ -48,7 +48,7 @@
 }
 
 /// Reason why a node gave no answer about a job.
-enum AskError {
+enum NodeCallError {
     /// The node does not know the job or has left.
     NotOwner,
     /// The request could not be sent.
@@ -60,24 +60,26 @@
 impl JobRegistry {
     /// Sends a request to the owner of a job. Becomes the owner if the node that the journal names
     /// does not know the job or has left.
-    pub(super) async fn ask_owner(
+    pub(super) async fn call_owner(
         &self,
         id: &str,
         request: &RequestKind,
         wait: Duration,
-    ) -> Result<OwnerReply, ReadError> {
+    ) -> Result<JobOwner, ReadError> {
         loop {
             let (node, source) = match self.locate(id).await? {
-                Location::Local(job) => return Ok(OwnerReply::Local(job)),
+                Location::Local(job) => return Ok(JobOwner::Local(job)),
                 Location::Remote { node, source } => (node, source),
             };
-            match self.ask_node(id, &node, request.clone(), wait).await {
-                Ok(answer) => return Ok(OwnerReply::Answer(answer)),
-                Err(AskError::Unavailable(error)) => return Err(error),
+            match self.call_node(id, &node, request.clone(), wait).await {
+                Ok(answer) => return Ok(JobOwner::Answer(answer)),
+                Err(NodeCallError::Unavailable(error)) => return Err(error),
                 // The cached owner has been removed, so the next iteration queries the journal.
                 Err(_) if source == Source::Cache => {}
-                Err(AskError::NotOwner) => return self.adopt_or_delegate(id, request, wait).await,
-                Err(AskError::NotSent(error)) => return Err(error),
+                Err(NodeCallError::NotOwner) => {
+                    return self.adopt_or_forward(id, request, wait).await;
+                }
+                Err(NodeCallError::NotSent(error)) => return Err(error),
             }
         }
     }
@@ -85,32 +87,32 @@
     /// Takes over an orphaned job, or forwards the request to the preferred takeover candidate: the
     /// front to which replicas announce orphaned logs. Without this, the first reader after a
     /// restart of all nodes could place the job at a front with little CPU.
-    async fn adopt_or_delegate(
+    async fn adopt_or_forward(
         &self,
         id: &str,
         request: &RequestKind,
         wait: Duration,
-    ) -> Result<OwnerReply, ReadError> {
-        let Some(candidate) = self.stronger_owner(id) else {
-            return Ok(OwnerReply::Local(self.adopt(id).await?));
+    ) -> Result<JobOwner, ReadError> {
+        let Some(candidate) = self.preferred_takeover_node(id) else {
+            return Ok(JobOwner::Local(self.adopt(id).await?));
         };
-        let answer = self.ask_node(id, &candidate, with_forwarding(request), wait);
+        let answer = self.call_node(id, &candidate, with_forwarding(request), wait);
         match answer.await {
             Ok(answer) => {
                 log::info!("event=job_takeover_forwarded job={id} node={candidate}");
                 lock(&self.shared.owners).insert(id.to_owned(), (candidate, Instant::now()));
-                Ok(OwnerReply::Answer(answer))
+                Ok(JobOwner::Answer(answer))
             }
-            Err(AskError::Unavailable(error)) => Err(error),
-            Err(AskError::NotOwner | AskError::NotSent(_)) => {
-                Ok(OwnerReply::Local(self.adopt(id).await?))
+            Err(NodeCallError::Unavailable(error)) => Err(error),
+            Err(NodeCallError::NotOwner | NodeCallError::NotSent(_)) => {
+                Ok(JobOwner::Local(self.adopt(id).await?))
             }
         }
     }
 
     /// Returns the front that takes over an orphaned job. Returns `None` if this node takes it over:
     /// because it is a candidate, is leaving, or no candidate is known.
-    fn stronger_owner(&self, id: &str) -> Option<String> {
+    fn preferred_takeover_node(&self, id: &str) -> Option<String> {
         if self.context.nodes.is_leaving() {
             return None;
         }
@@ -129,18 +131,18 @@
     }
 
     /// Returns the owner of a job that was accepted earlier. Takes the job over if it is orphaned.
-    pub(super) async fn find_accepted(&self, id: &str) -> Result<OwnerReply, ReadError> {
-        self.ask_owner(id, &empty_read(id), Duration::ZERO).await
+    pub(super) async fn find_accepted(&self, id: &str) -> Result<JobOwner, ReadError> {
+        self.call_owner(id, &owner_probe(id), Duration::ZERO).await
     }
 
     /// Returns whether another node answers as the confirmed owner of a job. Ignores and removes the
     /// cached owner.
-    pub(super) async fn is_owned(&self, id: &str) -> bool {
+    pub(super) async fn is_owned_elsewhere(&self, id: &str) -> bool {
         lock(&self.shared.owners).remove(id);
         let Ok(Location::Remote { node, .. }) = self.locate(id).await else {
             return false;
         };
-        let answer = self.ask_node(id, &node, empty_read(id), Duration::ZERO);
+        let answer = self.call_node(id, &node, owner_probe(id), Duration::ZERO);
         matches!(answer.await, Ok(ResponseKind::job_results(_)))
     }
 
@@ -173,13 +175,13 @@
         Ok(Location::Remote { node, source })
     }
 
-    async fn ask_node(
+    async fn call_node(
         &self,
         id: &str,
         node: &str,
         kind: RequestKind,
         wait: Duration,
-    ) -> Result<ResponseKind, AskError> {
+    ) -> Result<ResponseKind, NodeCallError> {
         let nodes = &self.context.nodes;
         let timeout = wait + PEER_TIMEOUT;
         let answer = nodes.call(node, Request { kind }, timeout).await;
@@ -194,12 +196,12 @@
         if !is_not_owner && nodes.is_present(node) {
             let cause = unavailable(&format!("owner {node}: {error}"));
             return Err(match error {
-                CallError::NotSent(_) => AskError::NotSent(cause),
-                _ => AskError::Unavailable(cause),
+                CallError::NotSent(_) => NodeCallError::NotSent(cause),
+                _ => NodeCallError::Unavailable(cause),
             });
         }
         log::info!("event=job_owner_gone job={id} node={node} cause=\"{error}\"");
-        Err(AskError::NotOwner)
+        Err(NodeCallError::NotOwner)
     }
 }
 
@@ -216,7 +218,7 @@
 }
 
 /// Builds a read request that returns no results, to check who owns the job.
-fn empty_read(id: &str) -> RequestKind {
+fn owner_probe(id: &str) -> RequestKind {
     RequestKind::read_job(ReadJob {
         job: id.to_owned(),
         after: u64::MAX,
--- a/crates/front/src/job/mod.rs
+++ b/crates/front/src/job/mod.rs
@@ -50,7 +50,7 @@
 pub use reading::ReadError;
 pub use region_bounds::{RegionBoundsError, check_node_regions};
 pub use registry::{AcceptError, JobRegistry};
-pub use run_context::{first_event_timeout, refusal_pause};
+pub use run_context::{exclusion_after_rejection, first_event_timeout};
 pub use state::{JobState, encode_entry};
 pub use text::ItemText;
 pub use trainer_steps::LatestSteps;
--- a/crates/front/src/job/owner.rs
+++ b/crates/front/src/job/owner.rs
@@ -81,13 +81,13 @@
     /// Texts from earlier jobs for items that this job repeats.
     pub(super) earlier_texts: HashMap<String, KeptText>,
     /// Request for the earlier texts, while it is in progress.
-    pub(super) text_collection: Option<BoxFuture<'static, Vec<KeptText>>>,
+    pub(super) earlier_texts_request: Option<BoxFuture<'static, Vec<KeptText>>>,
     /// Texts that were completed after the end of the job was queued, with their scores.
     pub(super) late_texts: HashMap<usize, (ItemText, String)>,
     /// Schedule for listing results; `None` until the first result.
     pub(super) groups: Option<GroupListing>,
     /// Finished items that are not listed yet.
-    pub(super) held: HashMap<usize, DoneItem>,
+    pub(super) unlisted: HashMap<usize, DoneItem>,
     /// Whether this node accepted the job; only then the due time of the results is known.
     pub(super) is_accepted_here: bool,
     pub(super) end_waiters: Vec<oneshot::Sender<()>>,
@@ -116,7 +116,7 @@
         let mut queue = EntryQueue::default();
         let is_accepted_here = spec.is_some();
         if let Some(spec) = spec {
-            queue.push_accepted(spec);
+            queue.push_spec(spec);
         }
         let is_ended = job.state().is_ended();
         let mut owner = Self {
@@ -135,10 +135,10 @@
             first_versions: FirstVersions::default(),
             content_digests: HashMap::new(),
             earlier_texts: HashMap::new(),
-            text_collection: None,
+            earlier_texts_request: None,
             late_texts: HashMap::new(),
             groups: None,
-            held: HashMap::new(),
+            unlisted: HashMap::new(),
             is_accepted_here,
             end_waiters: Vec::new(),
             end_requested_at: None,
@@ -180,8 +180,8 @@
                     }
                     Some(Command::Lost) | None => return self.lost(),
                 },
-                texts = collected_texts(&mut self.text_collection) => {
-                    self.text_collection = None;
+                texts = requested_texts(&mut self.earlier_texts_request) => {
+                    self.earlier_texts_request = None;
                     self.earlier_texts = texts.into_iter().map(|text| (text.item.clone(), text)).collect();
                 }
                 Some(ended) = self.runs.join_next() => self.on_run_end(ended),
@@ -208,7 +208,7 @@
     /// Queues the end of the job and accepts no more results. Runs continue, as a later job may
     /// repeat their items.
     fn queue_end(&mut self) {
-        for (index, done) in std::mem::take(&mut self.held) {
+        for (index, done) in std::mem::take(&mut self.unlisted) {
             if let DoneItem::Completed { text, score } = done {
                 self.late_texts.insert(index, (text, score));
             }
@@ -254,15 +254,15 @@
         let writer = self.writer.take()?;
         self.in_flight = self.queue.drain();
         let entries = self.in_flight.clone();
-        let closes = self.queue.has_end();
+        let closes_log = self.queue.has_end();
         let is_first = self.job.state().spec().is_none();
-        let pause = if is_first || closes {
+        let pause = if is_first || closes_log {
             Duration::ZERO
         } else {
             MIN_APPEND_INTERVAL
         };
         let pause = pause.saturating_sub(self.last_append.elapsed());
-        Some(append_after(pause, writer, entries, closes))
+        Some(append_after(pause, writer, entries, closes_log))
     }
 
     async fn on_append(&mut self, done: AppendDone) -> Option<StopCause> {
@@ -281,7 +281,7 @@
                     self.job.id
                 );
                 drop(done.writer);
-                self.retake_log().await
+                self.take_over_again().await
             }
         }
     }
@@ -317,12 +317,12 @@
         log::info!("event=job_log_reclaimed job={}", self.job.id);
         self.writer = None;
         self.job.clear_contested();
-        self.retake_log().await
+        self.take_over_again().await
     }
 
     /// Takes over the log again, under the latest replica set, to learn whether the last append took
     /// effect.
-    async fn retake_log(&mut self) -> Option<StopCause> {
+    async fn take_over_again(&mut self) -> Option<StopCause> {
         let log = log_name(&self.job.id);
         loop {
             match self.context.journal.take_over(&log).await {
@@ -372,7 +372,7 @@
         self.runs = JoinSet::new();
         self.running.clear();
         self.finished.clear();
-        self.held.clear();
+        self.unlisted.clear();
         self.groups = None;
         self.progress = mpsc::unbounded_channel();
         let is_accepted = self.job.state().spec().is_some();
@@ -413,11 +413,11 @@
 }
 
 /// Waits for the requested texts; never completes if none are requested.
-async fn collected_texts(
-    text_collection: &mut Option<BoxFuture<'static, Vec<KeptText>>>,
+async fn requested_texts(
+    earlier_texts_request: &mut Option<BoxFuture<'static, Vec<KeptText>>>,
 ) -> Vec<KeptText> {
-    match text_collection {
-        Some(text_collection) => text_collection.await,
+    match earlier_texts_request {
+        Some(earlier_texts_request) => earlier_texts_request.await,
         None => std::future::pending().await,
     }
 }
--- a/crates/front/src/job/peer_handler.rs
+++ b/crates/front/src/job/peer_handler.rs
@@ -18,7 +18,7 @@
 use super::LOG_PREFIX;
 use super::local_job::Job;
 use super::lock::lock;
-use super::reading::{ReadError, body_local, end_local, results_answer};
+use super::reading::{ReadError, end_local_job, local_item_body, results_answer};
 use super::registry::JobRegistry;
 use crate::orders::LoadLimit;
 
@@ -155,7 +155,7 @@
             }
         } else {
             match self.local_or_refusal(job) {
-                Ok(job) => body_local(&job, item),
+                Ok(job) => local_item_body(&job, item),
                 Err(refused) => return ResponseKind::refused(refused),
             }
         };
@@ -170,7 +170,7 @@
             self.end_here_or_at_owner(&request.job).await
         } else {
             match self.local_or_refusal(&request.job) {
-                Ok(job) => end_local(&job).await,
+                Ok(job) => end_local_job(&job).await,
                 Err(refused) => return ResponseKind::refused(refused),
             }
         };
@@ -183,7 +183,7 @@
         for id in self.jobs_not_local(&logs) {
             let registry = self.clone();
             tokio::spawn(async move {
-                if registry.is_owned(&id).await {
+                if registry.is_owned_elsewhere(&id).await {
                     log::info!("event=job_is_owned job={id}");
                     return;
                 }
--- a/crates/front/src/job/queue.rs
+++ b/crates/front/src/job/queue.rs
@@ -15,7 +15,7 @@
 
 impl EntryQueue {
     /// Queues the job's specification.
-    pub fn push_accepted(&mut self, spec: JobSpec) {
+    pub fn push_spec(&mut self, spec: JobSpec) {
         self.entries.push(encode_entry(EntryKind::accepted(spec)));
     }
 
--- a/crates/front/src/job/reading.rs
+++ b/crates/front/src/job/reading.rs
@@ -31,7 +31,7 @@
 }
 
 /// Returns results from position `after` on; waits up to `wait` if there are none yet.
-pub(super) async fn read_local(job: &Job, after: u64, wait: Duration) -> JobResults {
+pub(super) async fn read_local_job(job: &Job, after: u64, wait: Duration) -> JobResults {
     let mut changed = job.watch();
     let deadline = Instant::now() + wait;
     loop {
@@ -49,11 +49,11 @@
 
 fn page(state: &JobState, after: u64) -> JobResults {
     let total = state.spec().map_or(0, |spec| spec.items.len()) as u64;
-    page_of(state.results(), total, after)
+    results_page(state.results(), total, after)
 }
 
 /// Returns results from position `after` on, up to [`MAX_PAGE_BYTES`].
-pub(super) fn page_of(all: &[JobResult], total: u64, after: u64) -> JobResults {
+pub(super) fn results_page(all: &[JobResult], total: u64, after: u64) -> JobResults {
     let start = usize::try_from(after).unwrap_or(usize::MAX).min(all.len());
     let mut bytes = 0;
     let mut results = Vec::new();
@@ -68,7 +68,7 @@
 }
 
 /// Returns the body of an item, or `None` if the item does not exist or the job has ended.
-pub(super) fn body_local(job: &Job, item: &str) -> Option<Vec<u8>> {
+pub(super) fn local_item_body(job: &Job, item: &str) -> Option<Vec<u8>> {
     let state = job.state();
     if state.is_ended() {
         return None;
@@ -77,7 +77,7 @@
 }
 
 /// Ends a job; returns `Ok` once the end is committed.
-pub(super) async fn end_local(job: &Job) -> Result<(), ReadError> {
+pub(super) async fn end_local_job(job: &Job) -> Result<(), ReadError> {
     if job.state().is_ended() {
         return Ok(());
     }
--- a/crates/front/src/job/registry.rs
+++ b/crates/front/src/job/registry.rs
@@ -12,13 +12,15 @@
 use super::context::JobContext;
 use super::digest::LogDigest;
 use super::local_job::{Command, Job};
-use super::locating::OwnerReply;
+use super::locating::JobOwner;
 use super::lock::lock;
 use super::owner::{Owner, OwnerEnd};
 use super::peer_requests::{
     body_from, body_request, done_from, end_request, read_request, results_from,
 };
-use super::reading::{COMMIT_TIMEOUT, ReadError, body_local, end_local, read_local, unavailable};
+use super::reading::{
+    COMMIT_TIMEOUT, ReadError, end_local_job, local_item_body, read_local_job, unavailable,
+};
 use super::result_cache::ResultCache;
 use super::state::JobState;
 use super::text_reuse::UnfinishedEntry;
@@ -91,8 +93,8 @@
     pub(super) async fn accept_here(&self, spec: JobSpec) -> Result<(), AcceptError> {
         let id = spec.job.clone();
         match self.find_accepted(&id).await {
-            Ok(OwnerReply::Local(job)) => return self.wait_accepted(&job).await,
-            Ok(OwnerReply::Answer(_)) => return Ok(()),
+            Ok(JobOwner::Local(job)) => return self.wait_accepted(&job).await,
+            Ok(JobOwner::Answer(_)) => return Ok(()),
             Err(ReadError::NotFound) => {}
             Err(ReadError::Unavailable(cause)) => return Err(AcceptError::NotStored(cause)),
         }
@@ -172,9 +174,9 @@
         let asked = if relayed {
             self.relay(id, &request, wait).await.and_then(results_from)
         } else {
-            match self.ask_owner(id, &request, wait).await {
-                Ok(OwnerReply::Local(job)) => return self.read_here(&job, after, wait).await,
-                Ok(OwnerReply::Answer(answer)) => results_from(answer),
+            match self.call_owner(id, &request, wait).await {
+                Ok(JobOwner::Local(job)) => return self.read_here(&job, after, wait).await,
+                Ok(JobOwner::Answer(answer)) => results_from(answer),
                 Err(error) => Err(error),
             }
         };
@@ -212,9 +214,9 @@
         item: &str,
     ) -> Result<Vec<u8>, ReadError> {
         let request = body_request(id, item, false);
-        match self.ask_owner(id, &request, Duration::ZERO).await? {
-            OwnerReply::Local(job) => body_local(&job, item).ok_or(ReadError::NotFound),
-            OwnerReply::Answer(answer) => body_from(answer),
+        match self.call_owner(id, &request, Duration::ZERO).await? {
+            JobOwner::Local(job) => local_item_body(&job, item).ok_or(ReadError::NotFound),
+            JobOwner::Answer(answer) => body_from(answer),
         }
     }
 
@@ -233,9 +235,9 @@
     /// Ends a job like [`JobRegistry::end`], but does not relay the request through another front.
     pub(super) async fn end_here_or_at_owner(&self, id: &str) -> Result<(), ReadError> {
         let request = end_request(id, false);
-        match self.ask_owner(id, &request, COMMIT_TIMEOUT).await? {
-            OwnerReply::Local(job) => end_local(&job).await,
-            OwnerReply::Answer(answer) => done_from(answer),
+        match self.call_owner(id, &request, COMMIT_TIMEOUT).await? {
+            JobOwner::Local(job) => end_local_job(&job).await,
+            JobOwner::Answer(answer) => done_from(answer),
         }
     }
 
@@ -274,7 +276,7 @@
         after: u64,
         wait: Duration,
     ) -> Result<JobResults, ReadError> {
-        let results = read_local(job, after, wait).await;
+        let results = read_local_job(job, after, wait).await;
         if !self.is_readable(job) {
             return Err(unavailable(
                 "no recent confirmation of this node's ownership",
@@ -371,7 +373,7 @@
         let trainer_spec = spec.as_ref().filter(|spec| spec.desired_groups > 0);
         let collection = trainer_spec.map(|spec| self.collect_kept_texts(spec));
         let mut owner = Owner::new(context, Arc::clone(&job), writer, digest, spec);
-        owner.text_collection = collection;
+        owner.earlier_texts_request = collection;
         let registry = self.clone();
         let owned = Arc::clone(&job);
         let activity = self.context.activity.start();
--- a/crates/front/src/job/result_cache.rs
+++ b/crates/front/src/job/result_cache.rs
@@ -9,7 +9,7 @@
 use ladderstage_clock::Instant;
 use ladderstage_wire::messages::{JobResult, JobResults};
 
-use super::reading::page_of;
+use super::reading::results_page;
 
 /// Limit of the cached texts of all jobs, in bytes.
 const MAX_BYTES: usize = 16 * 1024 * 1024;
@@ -41,7 +41,7 @@
         let cached = self.jobs.get_mut(job)?;
         cached.read_at = Instant::now();
         let is_known = after < cached.results.len() as u64;
-        is_known.then(|| page_of(&cached.results, cached.total, after))
+        is_known.then(|| results_page(&cached.results, cached.total, after))
     }
 
     /// Adds the results that a job's owner returned for position `after`.
--- a/crates/front/src/job/run.rs
+++ b/crates/front/src/job/run.rs
@@ -8,7 +8,7 @@
 use http::{HeaderMap, HeaderName, HeaderValue, Method, StatusCode, Uri};
 use ladderstage_clock::Instant;
 
-use super::run_context::{RunContext, refusal_pause};
+use super::run_context::{RunContext, exclusion_after_rejection};
 use super::run_end::{RunEnd, STALE_WEIGHTS_PAUSE, can_continue};
 use super::scoring::{ScoreEnd, score};
 use super::stream::follow_stream;
@@ -203,7 +203,11 @@
     log_run(context, index, instance, partial, started, &end);
     context.metrics.record_sent("item", instance.distance());
     match end {
-        RunEnd::Broken(_) => context.probe(index, instance, content(), started).await,
+        RunEnd::Broken(_) => {
+            context
+                .check_broken_run(index, instance, content(), started)
+                .await
+        }
         RunEnd::Complete | RunEnd::Unprocessable | RunEnd::Failed => {
             context.suspects.record_completion(content);
         }
@@ -341,7 +345,7 @@
                 .learned_load_limit
                 .get()
                 .and_then(|limit| limit.typical_load_time());
-            let pause = refusal_pause(instance.has_free_slot(), typical_load);
+            let pause = exclusion_after_rejection(instance.has_free_slot(), typical_load);
             instance.mark_loading(&context.spec.model, now + pause);
         }
         ExchangeError::Misdirected {
--- a/crates/front/src/job/run_context.rs
+++ b/crates/front/src/job/run_context.rs
@@ -49,7 +49,7 @@
     /// Priority of the items at instances.
     pub priority_header: HeaderValue,
     /// Allowed regions when these runs started, used if no route matches any more.
-    pub allowed_at_start: AllowedRegions,
+    pub initial_allowed_regions: AllowedRegions,
     /// Number of failed attempts after which an item is terminated.
     pub max_attempts: u32,
     /// Whether every text must come from a single weight version.
@@ -86,7 +86,7 @@
         let spec = &self.spec;
         self.config
             .allowed_regions(&spec.host, &spec.path, &spec.tenant)
-            .unwrap_or_else(|| self.allowed_at_start.clone())
+            .unwrap_or_else(|| self.initial_allowed_regions.clone())
     }
 
     /// Returns the content digest of a request that is sent for this job.
@@ -153,7 +153,7 @@
 
     /// Checks whether the instance crashed in a run of the item at `index` whose connection broke.
     /// Records the finding and announces it to other fronts.
-    pub(super) async fn probe(
+    pub(super) async fn check_broken_run(
         &self,
         index: usize,
         instance: &Arc<Instance>,
@@ -187,9 +187,9 @@
 /// Returns for how long an instance is excluded for a model after it rejected an item. An instance
 /// that rejects an item despite free slots is loading weights, so it is excluded for the typical
 /// load time.
-pub fn refusal_pause(free_slots: bool, typical_load: Option<Duration>) -> Duration {
+pub fn exclusion_after_rejection(has_free_slots: bool, typical_load: Option<Duration>) -> Duration {
     match typical_load {
-        Some(typical) if free_slots => typical.max(LOADING_PAUSE),
+        Some(typical) if has_free_slots => typical.max(LOADING_PAUSE),
         _ => LOADING_PAUSE,
     }
 }
--- a/crates/front/src/job/scheduling.rs
+++ b/crates/front/src/job/scheduling.rs
@@ -29,7 +29,7 @@
         if self.queue.has_end() || *self.stop.borrow() || self.context.nodes.is_leaving() {
             return;
         }
-        if self.text_collection.is_some() {
+        if self.earlier_texts_request.is_some() {
             return;
         }
         let age = self.context.confirmation.age(self.job.opened_at);
@@ -176,7 +176,7 @@
             spec: Arc::clone(spec),
             service: service.to_owned(),
             priority_header: route.priority_header(tenant.map(AsRef::as_ref)),
-            allowed_at_start: route.allowed_regions_for(tenant.map(AsRef::as_ref)),
+            initial_allowed_regions: route.allowed_regions_for(tenant.map(AsRef::as_ref)),
             max_attempts: route.max_attempts,
             single_version: route.single_version,
             progress: self.progress.0.clone(),
--- a/crates/front/src/job/scoring.rs
+++ b/crates/front/src/job/scoring.rs
@@ -122,7 +122,7 @@
             tokio::select! {
                 Some(ended) = in_flight.next() => {
                     hedge_at = Instant::now();
-                    self.probe_if_broken(index, &ended).await;
+                    self.check_if_broken(index, &ended).await;
                     if let Some(end) = self.apply_result(index, ended, failures) {
                         return Some(end);
                     }
@@ -224,7 +224,7 @@
     }
 
     /// Finds out whether the instance crashed if the connection broke.
-    async fn probe_if_broken(&self, index: usize, ended: &Attempt) {
+    async fn check_if_broken(&self, index: usize, ended: &Attempt) {
         if let Err(ExchangeError::Broken(_)) = &ended.result {
             let reward = self.reward;
             let content = self
@@ -232,7 +232,7 @@
                 .content(&reward.host, &reward.path, &reward.body);
             let context = self.context;
             context
-                .probe(index, &ended.instance, content, ended.started)
+                .check_broken_run(index, &ended.instance, content, ended.started)
                 .await;
         }
     }
--- a/crates/front/src/job/unfinished.rs
+++ b/crates/front/src/job/unfinished.rs
@@ -32,7 +32,7 @@
 const TRAINER_READ_INTERVAL: Duration = Duration::from_millis(800);
 
 /// Interval between attempts to run an item while no instance is available.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
+const NO_INSTANCE_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Request of a later job for texts of earlier jobs.
 pub(super) struct TextRequest {
@@ -92,7 +92,7 @@
             self.runs.abort_all();
             return None;
         };
-        let candidates = self.unread_items(&spec, end_requested_at);
+        let candidates = self.items_of_unread_groups(&spec, end_requested_at);
         let mut running = HashMap::new();
         for (index, handle) in &self.running {
             if candidates.contains(index) {
@@ -133,10 +133,10 @@
 
     /// Returns the items of all groups that the trainer has probably not read completely. These are
     /// the groups in which any item has no result or one that was listed shortly before the end.
-    fn unread_items(&self, spec: &JobSpec, end_requested_at: Instant) -> Vec<usize> {
+    fn items_of_unread_groups(&self, spec: &JobSpec, end_requested_at: Instant) -> Vec<usize> {
         let state = self.job.state();
         let cutoff = end_requested_at.checked_sub(TRAINER_READ_INTERVAL);
-        let read = cutoff.map_or(0, |cutoff| self.listing_history.listed_before(cutoff));
+        let read = cutoff.map_or(0, |cutoff| self.listing_history.listed_by(cutoff));
         let read_items: HashSet<&str> = state.results()[..read.min(state.results().len())]
             .iter()
             .map(|result| result.item.as_str())
@@ -183,7 +183,7 @@
     }
 
     /// Returns the number of results that were committed by `time`.
-    pub fn listed_before(&self, time: Instant) -> usize {
+    pub fn listed_by(&self, time: Instant) -> usize {
         let before = self.counts.iter().take_while(|(at, _)| *at <= time);
         before.last().map_or(0, |(_, results)| *results)
     }
@@ -291,7 +291,7 @@
             self.abort_run(&item.id);
             let context = Arc::clone(&context);
             let number = first + index;
-            let run = async move { (number, run_from_start(context, index).await) };
+            let run = async move { (number, run_when_available(context, index).await) };
             let handle = self.runs.spawn(run);
             let id = item.id.clone();
             let first_version = None;
@@ -408,7 +408,7 @@
 
 /// Runs an item on the first instance with free capacity and weights that are new enough. Retries
 /// until the send window closes or the runs are stopped.
-async fn run_from_start(context: Arc<RunContext>, index: usize) -> RunOutcome {
+async fn run_when_available(context: Arc<RunContext>, index: usize) -> RunOutcome {
     let mut stop = context.stop.clone();
     while context.window.is_open() && !*stop.borrow() {
         let is_new_enough = |instance: &crate::backend::Instance| {
@@ -429,7 +429,7 @@
                 outcome => return outcome,
             }
         }
-        let _ = tokio::time::timeout(RETRY_PAUSE, stop.changed()).await;
+        let _ = tokio::time::timeout(NO_INSTANCE_RETRY_INTERVAL, stop.changed()).await;
     }
     RunOutcome::NotStarted
 }
--- a/crates/front/src/orders/announced_versions.rs
+++ b/crates/front/src/orders/announced_versions.rs
@@ -8,7 +8,7 @@
 
 /// Version and the time at which this process learned of it.
 #[derive(Debug, Clone, Copy)]
-struct Announced {
+struct Announcement {
     version: u64,
     received_at: Instant,
 }
@@ -16,7 +16,7 @@
 /// Newest version announced for each model. Cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub struct AnnouncedVersions {
-    versions: Arc<Mutex<BTreeMap<String, Announced>>>,
+    versions: Arc<Mutex<BTreeMap<String, Announcement>>>,
 }
 
 impl AnnouncedVersions {
@@ -33,7 +33,7 @@
         let received_at = Instant::now();
         versions.insert(
             model.to_owned(),
-            Announced {
+            Announcement {
                 version,
                 received_at,
             },
@@ -49,7 +49,7 @@
             .map(|(model, announced)| ModelDemand {
                 model: model.clone(),
                 newest: announced.version,
-                announced_for: announced.received_at.elapsed(),
+                since_announcement: announced.received_at.elapsed(),
                 weight: 1.0,
                 longest_events: 0,
             })
--- a/crates/front/src/orders/candidates.rs
+++ b/crates/front/src/orders/candidates.rs
@@ -13,7 +13,10 @@
 
 /// Returns true if `own` is among the first present nodes, ranked by CPU (in millicores), then by
 /// rendezvous hash. Strong nodes come first because a weak one detects finished loads late.
-pub fn is_candidate<'a>(own: &str, present: impl IntoIterator<Item = (&'a str, u32)>) -> bool {
+pub fn is_lease_candidate<'a>(
+    own: &str,
+    present: impl IntoIterator<Item = (&'a str, u32)>,
+) -> bool {
     ranked_nodes(present)
         .iter()
         .take(MAX_CANDIDATES)
--- a/crates/front/src/orders/leader.rs
+++ b/crates/front/src/orders/leader.rs
@@ -9,7 +9,7 @@
 
 use super::announced_versions::AnnouncedVersions;
 use super::calls::{CALL_TIMEOUT, InstanceCalls};
-use super::candidates::is_candidate;
+use super::candidates::is_lease_candidate;
 use super::demand::FleetDemand;
 use super::former_leaders::announce_stop;
 use super::leader_state::{LeaderState, PLANNING_INTERVAL};
@@ -157,7 +157,7 @@
         };
         let mut foreign_orders = Vec::new();
         loop {
-            if !self.has_duties() || !self.is_candidate() {
+            if !self.has_duties() || !self.is_lease_candidate() {
                 tokio::time::sleep(CANDIDATE_CHECK_INTERVAL).await;
                 continue;
             }
@@ -168,7 +168,7 @@
             if let Err(error) = refreshed.await {
                 log::warn!("event=order_leader_nodes_read_failed cause=\"{error}\"");
             }
-            if !self.is_candidate() {
+            if !self.is_lease_candidate() {
                 continue;
             }
             match lease.acquire().await {
@@ -180,12 +180,12 @@
         }
     }
 
-    fn is_candidate(&self) -> bool {
+    fn is_lease_candidate(&self) -> bool {
         let own = self.nodes.own();
         let fronts = self.nodes.with_role(NodeRole::Front);
         let fronts = fronts.iter().filter(|front| !front.is_leaving);
         let ranked = fronts.map(|front| (front.node.as_str(), front.cpu_millis));
-        !own.is_leaving && is_candidate(&own.node, ranked)
+        !own.is_leaving && is_lease_candidate(&own.node, ranked)
     }
 
     /// Returns true if any duty of the lease holder is configured: models, cold instances that need
@@ -365,7 +365,7 @@
             .map(|instance| FleetInstance {
                 id: instance.id().to_owned(),
                 versions: instance.versions(),
-                load: instance.candidate("", now).load,
+                requests_in_progress: instance.candidate("", now).load,
                 is_busy: state.is_excluded(instance.id()),
                 event_interval_ms: state.demand.event_interval_ms(instance.id()),
             })
--- a/crates/front/src/orders/leader_state.rs
+++ b/crates/front/src/orders/leader_state.rs
@@ -84,7 +84,7 @@
 impl Load {
     fn mark_checked_late(&mut self) {
         if self.timing == LoadTiming::Exact {
-            self.timing = LoadTiming::NoticedLate;
+            self.timing = LoadTiming::DetectedLate;
         }
     }
 }
@@ -188,11 +188,11 @@
         self.link_use.set_loads(self.loads.len(), Instant::now());
     }
 
-    /// Learns from a finished load. `is_by_report`: the instance's own report showed it.
-    pub fn observe_load(&mut self, instance: &str, load: &Load, is_by_report: bool) {
+    /// Learns from a finished load. `was_reported`: the instance's own report showed it.
+    pub fn observe_load(&mut self, instance: &str, load: &Load, was_reported: bool) {
         let now = Instant::now();
         let mut load = load.clone();
-        if !is_by_report {
+        if !was_reported {
             // Reports describe an earlier state, so a load seen finished by other means appears
             // shorter than others.
             load.timing = LoadTiming::Unknown;
@@ -235,7 +235,7 @@
     }
 
     /// Schedules the next check of a load, sooner once typical load times are known.
-    pub fn check_again(&mut self, instance: &str) {
+    pub fn schedule_check(&mut self, instance: &str) {
         let pause = match self.load_limit.shortest() {
             Some(_) => LOAD_CHECK_INTERVAL,
             None => PLANNING_INTERVAL,
@@ -244,7 +244,7 @@
     }
 
     /// Schedules the next check of a load whose instance did not answer.
-    pub fn check_later(&mut self, instance: &str) {
+    pub fn back_off_check(&mut self, instance: &str) {
         if let Some(load) = self.loads.get_mut(instance) {
             load.mark_checked_late();
         }
--- a/crates/front/src/orders/load_checks.rs
+++ b/crates/front/src/orders/load_checks.rs
@@ -18,7 +18,7 @@
     /// The instance's report shows the version.
     ReportedLoaded,
     /// The version was recorded earlier, so no report was requested.
-    KnownByOtherMeans,
+    AlreadyLoaded,
     Loading,
     /// The instance did not answer.
     NoAnswer,
@@ -41,9 +41,9 @@
         let mut checks: FuturesUnordered<_> = checks.collect();
         while let Some((id, load, instance, check)) = checks.next().await {
             match check {
-                check @ (LoadCheck::ReportedLoaded | LoadCheck::KnownByOtherMeans) => {
-                    let is_by_report = matches!(check, LoadCheck::ReportedLoaded);
-                    state.observe_load(&id, &load, is_by_report);
+                check @ (LoadCheck::ReportedLoaded | LoadCheck::AlreadyLoaded) => {
+                    let was_reported = matches!(check, LoadCheck::ReportedLoaded);
+                    state.observe_load(&id, &load, was_reported);
                     if let Some(instance) = instance {
                         state
                             .weight_updates
@@ -51,8 +51,8 @@
                     }
                     state.remove_load(&id);
                 }
-                LoadCheck::Loading => state.check_again(&id),
-                LoadCheck::NoAnswer => state.check_later(&id),
+                LoadCheck::Loading => state.schedule_check(&id),
+                LoadCheck::NoAnswer => state.back_off_check(&id),
                 LoadCheck::Abandoned => state.remove_load(&id),
             }
         }
@@ -60,14 +60,15 @@
 
     /// Checks one load; `instance` is `None` if it is gone.
     async fn check_load(&self, instance: Option<&Arc<Instance>>, load: &Load) -> LoadCheck {
-        let is_same_start = |one: &&Arc<Instance>| one.matches_incarnation(load.started_unix_ms);
-        let instance = instance.filter(is_same_start);
+        let is_same_incarnation =
+            |one: &&Arc<Instance>| one.matches_incarnation(load.started_unix_ms);
+        let instance = instance.filter(is_same_incarnation);
         let Some(instance) = instance.filter(|_| Instant::now() < load.abandon_at) else {
             return LoadCheck::Abandoned;
         };
         let is_loaded = || instance.version(&load.model) >= load.version;
         if is_loaded() {
-            return LoadCheck::KnownByOtherMeans;
+            return LoadCheck::AlreadyLoaded;
         }
         let calls = self.calls();
         let request = tokio::time::timeout(REPORT_TIMEOUT, calls.report(instance));
--- a/crates/front/src/orders/load_limit.rs
+++ b/crates/front/src/orders/load_limit.rs
@@ -28,13 +28,13 @@
 const PROBE_FACTOR: f64 = 2.0;
 
 /// Minimum number of loads above the proven concurrency that are required to raise it.
-const MIN_PROOF_LOADS: usize = 3;
+const MIN_PROVING_LOADS: usize = 3;
 
 /// Maximum ratio to the typical time at which a load counts as running at full speed.
-const MAX_UNSLOWED_RATIO: f64 = 1.12;
+const MAX_FULL_SPEED_RATIO: f64 = 1.12;
 
-/// Same as [`MAX_UNSLOWED_RATIO`], but after the first slowdown.
-const MAX_UNSLOWED_RATIO_NEAR_CAPACITY: f64 = 1.08;
+/// Same as [`MAX_FULL_SPEED_RATIO`], but after the first slowdown.
+const MAX_FULL_SPEED_RATIO_NEAR_CAPACITY: f64 = 1.08;
 
 /// Minimum ratio to the typical time at which a load counts as slow.
 const MIN_SLOW_RATIO: f64 = 1.25;
@@ -61,10 +61,10 @@
 
 /// Initial time without increases after a saturation; doubles while the capacity stays about the
 /// same.
-const INITIAL_HOLD: Duration = Duration::from_secs(10);
+const INITIAL_COOLDOWN: Duration = Duration::from_secs(10);
 
 /// Maximum time without increases.
-const MAX_HOLD: Duration = Duration::from_secs(160);
+const MAX_COOLDOWN: Duration = Duration::from_secs(160);
 
 /// Factor within which two capacity estimates count as the same.
 const SAME_CAPACITY_FACTOR: f64 = 1.3;
@@ -94,14 +94,14 @@
     limit_before: usize,
     at: Instant,
     /// Time after `at` without increases.
-    hold: Duration,
+    cooldown: Duration,
 }
 
 impl Saturation {
     /// Returns true if loads are as slow as before a recent decrease, despite lower concurrency:
     /// then the link is not the cause.
-    fn was_ineffective(&self, ratio: f64, concurrent: f64, now: Instant) -> bool {
-        let is_recent = now.saturating_duration_since(self.at) < INITIAL_HOLD;
+    fn is_decrease_ineffective(&self, ratio: f64, concurrent: f64, now: Instant) -> bool {
+        let is_recent = now.saturating_duration_since(self.at) < INITIAL_COOLDOWN;
         is_recent
             && concurrent <= self.concurrent * LOWER_CONCURRENCY_RATIO
             && ratio >= self.ratio * INEFFECTIVE_RATIO
@@ -141,7 +141,7 @@
     samples: VecDeque<LoadSample>,
     /// Full-speed loads since the last increase, counting those whose concurrency was close to the
     /// limit.
-    unslowed_loads: usize,
+    full_speed_loads: usize,
 }
 
 /// Measurements of a finished load.
@@ -163,7 +163,7 @@
     /// Start and finish are known.
     Exact,
     /// The finish was detected late, so the load may have taken less time.
-    NoticedLate,
+    DetectedLate,
     /// The start is unknown, or the finish was not observed through the instance's report.
     Unknown,
 }
@@ -179,7 +179,7 @@
             saturation: None,
             is_near_capacity: false,
             samples: VecDeque::new(),
-            unslowed_loads: 0,
+            full_speed_loads: 0,
         }
     }
 }
@@ -248,7 +248,7 @@
         };
         let ratio =
             load.duration.as_secs_f64() / typical_load_time.as_secs_f64().max(f64::MIN_POSITIVE);
-        if ratio > MAX_UNSLOWED_RATIO && !self.is_conclusive(load, now) {
+        if ratio > MAX_FULL_SPEED_RATIO && !self.is_conclusive(load, now) {
             return;
         }
         self.push_sample(LoadSample {
@@ -258,13 +258,13 @@
             capacity_by_start: load.concurrent_at_start as f64 / ratio,
             capacity_by_share: load.link.capacity(typical_load_time),
         });
-        self.is_near_capacity |= self.holds_for_most(|load| load.ratio > MAX_UNSLOWED_RATIO);
-        if self.holds_for_most(|load| load.ratio >= MIN_SLOW_RATIO) {
+        self.is_near_capacity |= self.holds_for_most(|sample| sample.ratio > MAX_FULL_SPEED_RATIO);
+        if self.holds_for_most(|sample| sample.ratio >= MIN_SLOW_RATIO) {
             self.handle_saturation(now);
             return;
         }
-        self.prove();
-        if ratio <= MAX_UNSLOWED_RATIO_NEAR_CAPACITY {
+        self.raise_proven();
+        if ratio <= MAX_FULL_SPEED_RATIO_NEAR_CAPACITY {
             self.increase_near_capacity(concurrent, now);
         }
     }
@@ -294,8 +294,8 @@
             && !lowered_at.is_some_and(started_before)
     }
 
-    fn push_sample(&mut self, load: LoadSample) {
-        self.samples.push_back(load);
+    fn push_sample(&mut self, sample: LoadSample) {
+        self.samples.push_back(sample);
         let required = self.required_samples();
         while self.samples.len() > required {
             self.samples.pop_front();
@@ -310,27 +310,29 @@
     /// Returns true if a condition holds for enough samples to rule out a few unhealthy instances
     /// as the cause.
     fn holds_for_most(&self, holds: impl Fn(&LoadSample) -> bool) -> bool {
-        let count = self.samples.iter().filter(|load| holds(load)).count();
+        let count = self.samples.iter().filter(|sample| holds(sample)).count();
         self.samples.len() >= self.required_samples()
             && count as f64 >= SATURATED_SHARE * self.samples.len() as f64
     }
 
     /// Handles a slowdown of most recent loads.
     fn handle_saturation(&mut self, now: Instant) {
-        let ratio = Estimate::of(self.samples.iter().map(|load| load.ratio)).median;
-        let concurrent = Estimate::of(self.samples.iter().map(|load| load.concurrent)).median;
+        let ratio = Summary::of(self.samples.iter().map(|sample| sample.ratio)).median;
+        let concurrent = Summary::of(self.samples.iter().map(|sample| sample.concurrent)).median;
         match &self.saturation {
-            Some(last) if last.was_ineffective(ratio, concurrent, now) => self.undo_decrease(),
+            Some(last) if last.is_decrease_ineffective(ratio, concurrent, now) => {
+                self.undo_decrease()
+            }
             _ => self.decrease(ratio, concurrent, now),
         }
         self.samples.clear();
-        self.unslowed_loads = 0;
+        self.full_speed_loads = 0;
     }
 
     /// Undoes the latest decrease and adopts the current load times as typical, because all loads
     /// are slower at any concurrency.
     fn undo_decrease(&mut self) {
-        self.set_typical_times(self.samples.iter().map(|load| load.duration).collect());
+        self.set_typical_times(self.samples.iter().map(|sample| sample.duration).collect());
         if let Some(last) = self.saturation.take() {
             self.limit = last.limit_before;
         }
@@ -338,16 +340,18 @@
 
     /// Lowers the limit to the capacity that the slow loads indicate.
     fn decrease(&mut self, ratio: f64, concurrent: f64, now: Instant) {
-        let by_start = Estimate::of(self.samples.iter().map(|load| load.capacity_by_start));
-        let by_share = Estimate::of(self.samples.iter().map(|load| load.capacity_by_share));
+        let by_start = Summary::of(self.samples.iter().map(|sample| sample.capacity_by_start));
+        let by_share = Summary::of(self.samples.iter().map(|sample| sample.capacity_by_share));
         let capacity = if by_start.spread < by_share.spread {
-            by_start.value
+            by_start.upper_quartile
         } else {
-            by_share.value
+            by_share.upper_quartile
         };
-        let hold = match &self.saturation {
-            Some(last) if is_similar(last.capacity, capacity) => (last.hold * 2).min(MAX_HOLD),
-            _ => INITIAL_HOLD,
+        let cooldown = match &self.saturation {
+            Some(last) if is_similar(last.capacity, capacity) => {
+                (last.cooldown * 2).min(MAX_COOLDOWN)
+            }
+            _ => INITIAL_COOLDOWN,
         };
         let limit_before = self.limit;
         self.limit = (capacity.round() as usize).clamp(MIN_LIMIT, self.limit);
@@ -358,25 +362,27 @@
             concurrent,
             limit_before,
             at: now,
-            hold,
+            cooldown,
         });
     }
 
     /// Raises the proven concurrency if most loads above it ran at full speed. The limit follows
     /// until the first slowdown.
-    fn prove(&mut self) {
+    fn raise_proven(&mut self) {
         let above_proven: Vec<&LoadSample> = self
             .samples
             .iter()
-            .filter(|load| load.concurrent > self.proven)
+            .filter(|sample| sample.concurrent > self.proven)
             .collect();
-        if above_proven.len() < MIN_PROOF_LOADS.min(self.limit) {
+        if above_proven.len() < MIN_PROVING_LOADS.min(self.limit) {
             return;
         }
-        if Estimate::of(above_proven.iter().map(|load| load.ratio)).median > MAX_UNSLOWED_RATIO {
+        if Summary::of(above_proven.iter().map(|sample| sample.ratio)).median > MAX_FULL_SPEED_RATIO
+        {
             return;
         }
-        self.proven = Estimate::of(above_proven.iter().map(|load| load.concurrent)).value;
+        self.proven =
+            Summary::of(above_proven.iter().map(|sample| sample.concurrent)).upper_quartile;
         if !self.is_near_capacity {
             let probe = (self.proven * PROBE_FACTOR).round() as usize;
             self.limit = self.limit.max(probe);
@@ -386,16 +392,19 @@
     /// Raises the limit by a fraction after as many full-speed loads as the limit allows, counting
     /// only loads at no less than [`USED_LIMIT_RATIO`] of the limit.
     fn increase_near_capacity(&mut self, concurrent: f64, now: Instant) {
-        let is_holding = |last: &Saturation| now.saturating_duration_since(last.at) < last.hold;
-        let is_on_hold = self.saturation.as_ref().is_some_and(is_holding);
-        if !self.is_near_capacity || is_on_hold || concurrent < self.limit as f64 * USED_LIMIT_RATIO
+        let is_cooling_down =
+            |last: &Saturation| now.saturating_duration_since(last.at) < last.cooldown;
+        let is_in_cooldown = self.saturation.as_ref().is_some_and(is_cooling_down);
+        if !self.is_near_capacity
+            || is_in_cooldown
+            || concurrent < self.limit as f64 * USED_LIMIT_RATIO
         {
             return;
         }
-        self.unslowed_loads += 1;
-        if self.unslowed_loads >= self.limit {
+        self.full_speed_loads += 1;
+        if self.full_speed_loads >= self.limit {
             self.limit += ((self.limit as f64 * INCREASE_RATIO).round() as usize).max(1);
-            self.unslowed_loads = 0;
+            self.full_speed_loads = 0;
         }
     }
 }
@@ -408,30 +417,30 @@
 
 /// Quantiles of a set of values.
 #[derive(Debug, Clone, Copy)]
-struct Estimate {
-    value: f64,
+struct Summary {
+    upper_quartile: f64,
     median: f64,
     /// Interquartile range relative to the upper quartile.
     spread: f64,
 }
 
-impl Estimate {
+impl Summary {
     fn of(values: impl Iterator<Item = f64>) -> Self {
         let mut sorted: Vec<f64> = values.collect();
         sorted.sort_by(f64::total_cmp);
-        let value = quantile(&sorted, ESTIMATE_QUANTILE);
+        let upper_quartile = quantile(&sorted, ESTIMATE_QUANTILE);
         let interquartile_range = quantile(&sorted, 0.75) - quantile(&sorted, 0.25);
         Self {
-            value,
+            upper_quartile,
             median: quantile(&sorted, 0.5),
-            spread: interquartile_range / value.max(f64::MIN_POSITIVE),
+            spread: interquartile_range / upper_quartile.max(f64::MIN_POSITIVE),
         }
     }
 }
 
 /// Returns the quantile `q`, from 0 to 1, of the sorted values; 0 if there are none.
-fn quantile(sorted: &[f64], share: f64) -> f64 {
+fn quantile(sorted: &[f64], q: f64) -> f64 {
     let last = sorted.len().saturating_sub(1);
-    let index = (last as f64 * share).round() as usize;
+    let index = (last as f64 * q).round() as usize;
     sorted.get(index).copied().unwrap_or(0.0)
 }
--- a/crates/front/src/orders/mod.rs
+++ b/crates/front/src/orders/mod.rs
@@ -21,7 +21,7 @@
 mod weight_updates;
 
 pub use announced_versions::AnnouncedVersions;
-pub use candidates::is_candidate;
+pub use candidates::is_lease_candidate;
 pub use former_leaders::FormerLeaders;
 pub use leader::{OrderLeader, OrderOptions};
 pub use lease::{HeldLease, LastLeader, LeaseLoss, OrdersLease};
--- a/crates/front/src/orders/permits/ledger.rs
+++ b/crates/front/src/orders/permits/ledger.rs
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 pub struct PermitLedger {
     /// Time from which permits are issued.
-    issues_from: Instant,
+    quiet_until: Instant,
     /// Time and number of permits issued in the current window, by instance.
     issued: BTreeMap<String, VecDeque<(Instant, u32)>>,
 }
@@ -31,7 +31,7 @@
     /// Creates the ledger of a holder whose lease started at `held_from` or earlier.
     pub fn new(held_from: Instant) -> Self {
         Self {
-            issues_from: held_from + PERMIT_QUIET_PERIOD,
+            quiet_until: held_from + PERMIT_QUIET_PERIOD,
             issued: BTreeMap::new(),
         }
     }
@@ -39,13 +39,14 @@
     /// Issues up to `requested` permits for an instance, at most `max` in any sliding window.
     /// Returns the number issued.
     pub fn issue(&mut self, instance: &str, requested: u32, max: u32, now: Instant) -> u32 {
-        if now < self.issues_from {
+        if now < self.quiet_until {
             return 0;
         }
         self.remove_expired(now);
         let recent = self.issued.get(instance);
-        let used: u32 = recent.map_or(0, |recent| recent.iter().map(|(_, count)| count).sum());
-        let count = requested.min(max.saturating_sub(used));
+        let already_issued: u32 =
+            recent.map_or(0, |recent| recent.iter().map(|(_, count)| count).sum());
+        let count = requested.min(max.saturating_sub(already_issued));
         if count > 0 {
             let recent = self.issued.entry(instance.to_owned()).or_default();
             recent.push_back((now, count));
--- a/crates/front/src/orders/permits/permit_issuer.rs
+++ b/crates/front/src/orders/permits/permit_issuer.rs
@@ -16,12 +16,12 @@
 #[derive(Debug, Clone, Default)]
 pub struct PermitIssuer {
     limits: ColdLimits,
-    held: Arc<Mutex<Option<HeldLedger>>>,
+    held: Arc<Mutex<Option<ActiveLease>>>,
 }
 
 /// Permits issued under the current lease, with the time until which the lease is valid.
 #[derive(Debug)]
-struct HeldLedger {
+struct ActiveLease {
     valid_until: watch::Receiver<Instant>,
     ledger: PermitLedger,
 }
@@ -50,7 +50,7 @@
     /// Starts to issue permits under a newly acquired lease. `valid_until` is the time until which
     /// the lease is certain to be valid.
     pub fn start(&self, valid_until: watch::Receiver<Instant>) -> IssuingGuard {
-        *self.lock() = Some(HeldLedger {
+        *self.lock() = Some(ActiveLease {
             valid_until,
             ledger: PermitLedger::new(Instant::now()),
         });
@@ -88,7 +88,7 @@
         })
     }
 
-    fn lock(&self) -> MutexGuard<'_, Option<HeldLedger>> {
+    fn lock(&self) -> MutexGuard<'_, Option<ActiveLease>> {
         self.held
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
--- a/crates/front/src/orders/plan.rs
+++ b/crates/front/src/orders/plan.rs
@@ -10,7 +10,7 @@
 
 /// Time after an announcement during which instances with the previous version are not reloaded,
 /// because new work may still use them.
-const BURST_DURATION: Duration = Duration::from_millis(400);
+const RELOAD_DELAY: Duration = Duration::from_millis(400);
 
 /// Number of versions behind the newest at which no job may use an instance any more.
 const UNUSABLE_LAG: u64 = 2;
@@ -36,7 +36,7 @@
     /// Loaded version of each model.
     pub versions: BTreeMap<String, u64>,
     /// Known number of requests in progress.
-    pub load: u32,
+    pub requests_in_progress: u32,
     /// Excluded from orders, because one is in progress or was issued recently.
     pub is_busy: bool,
     /// Milliseconds between two events of a run; `None` while unknown.
@@ -51,7 +51,7 @@
     /// Newest announced version.
     pub newest: u64,
     /// Time since the newest version was announced.
-    pub announced_for: Duration,
+    pub since_announcement: Duration,
     /// Amount of work, relative to other models.
     pub weight: f64,
     /// Number of events in the longest recent text; 0 if unknown.
@@ -288,9 +288,9 @@
     assignment: &Assignment,
     fleet: &[FleetInstance],
     loads_in_progress: usize,
-    max_loading: usize,
+    max_loads: usize,
 ) -> Option<PlannedLoad> {
-    if loads_in_progress >= max_loading {
+    if loads_in_progress >= max_loads {
         return None;
     }
     let candidates = demands
@@ -313,7 +313,7 @@
 ) -> Option<(Urgency, PlannedLoad)> {
     let version = |one: &FleetInstance| one.versions.get(&demand.model).copied().unwrap_or(0);
     let lag = |one: &FleetInstance| demand.newest.saturating_sub(version(one));
-    let min_lag = if demand.announced_for < BURST_DURATION {
+    let min_lag = if demand.since_announcement < RELOAD_DELAY {
         UNUSABLE_LAG
     } else {
         1
@@ -325,17 +325,17 @@
     let next = served
         .iter()
         .filter(|one| !one.is_busy && lag(one) >= min_lag)
-        .min_by_key(|one| (version(one), one.load, &one.id))?;
+        .min_by_key(|one| (version(one), one.requests_in_progress, &one.id))?;
     let unusable = served.iter().filter(|one| lag(one) >= UNUSABLE_LAG).count();
     let outdated = served.iter().filter(|one| lag(one) >= 1).count();
-    let unusable_share = (unusable * 1_000 / served.len().max(1)) as u64;
+    let unusable_per_mille = (unusable * 1_000 / served.len().max(1)) as u64;
     let planned = PlannedLoad {
         instance: next.id.clone(),
         model: demand.model.clone(),
         version: demand.newest,
     };
     Some((
-        (lag(next) >= UNUSABLE_LAG, unusable_share, outdated),
+        (lag(next) >= UNUSABLE_LAG, unusable_per_mille, outdated),
         planned,
     ))
 }
--- a/crates/front/tests/load_limit.rs
+++ b/crates/front/tests/load_limit.rs
@@ -251,7 +251,7 @@
         }
     };
     let now = start + typical_time.mul_f64(1.3);
-    (0..10).for_each(|_| limit.observe(&slow(LoadTiming::NoticedLate), now));
+    (0..10).for_each(|_| limit.observe(&slow(LoadTiming::DetectedLate), now));
     assert_eq!(limit.get(), 6);
     (0..6).for_each(|_| limit.observe(&slow(LoadTiming::Exact), now));
     assert!(
--- a/crates/front/tests/order_candidates.rs
+++ b/crates/front/tests/order_candidates.rs
@@ -1,10 +1,12 @@
 //! Tests the selection of candidates for the orders lease.
 
-use ladderstage_front::orders::is_candidate;
+use ladderstage_front::orders::is_lease_candidate;
 
 fn candidates(nodes: &[String]) -> Vec<String> {
     let present = || nodes.iter().map(|node| (node.as_str(), 500));
-    let own = nodes.iter().filter(|own| is_candidate(own, present()));
+    let own = nodes
+        .iter()
+        .filter(|own| is_lease_candidate(own, present()));
     own.cloned().collect()
 }
 
@@ -23,7 +25,7 @@
 
 #[test]
 fn a_node_that_is_not_present_is_no_candidate() {
-    assert!(!is_candidate("front-1", [("front-2", 500)]));
+    assert!(!is_lease_candidate("front-1", [("front-2", 500)]));
 }
 
 /// Guards against an order leader with little CPU, which detects finished loads late and takes them
@@ -39,7 +41,7 @@
             indexed.map(|(index, node)| (node.as_str(), cpu_millis(index)))
         };
         let chosen: Vec<usize> = (0..250)
-            .filter(|index| is_candidate(&names[*index], present()))
+            .filter(|index| is_lease_candidate(&names[*index], present()))
             .collect();
         assert_eq!(chosen.len(), 4);
         let strong_ones = chosen.iter().filter(|index| **index < strong).count();
--- a/crates/front/tests/order_plan.rs
+++ b/crates/front/tests/order_plan.rs
@@ -10,7 +10,7 @@
     ModelDemand {
         model: model.to_owned(),
         newest,
-        announced_for: Duration::from_millis(announced_for_ms),
+        since_announcement: Duration::from_millis(announced_for_ms),
         weight: 1.0,
         longest_events: 0,
     }
@@ -23,7 +23,7 @@
     FleetInstance {
         id: id.to_owned(),
         versions: versions.collect(),
-        load: 0,
+        requests_in_progress: 0,
         is_busy: false,
         event_interval_ms: None,
     }
--- a/crates/front/tests/pace.rs
+++ b/crates/front/tests/pace.rs
@@ -6,8 +6,8 @@
 use ladderstage_front::backend::{Candidate, Demand, choose};
 
 use ladderstage_front::job::{
-    EventIntervals, expected_remaining_events, first_event_timeout, is_move_worthwhile,
-    refusal_pause, remaining_demand,
+    EventIntervals, exclusion_after_rejection, expected_remaining_events, first_event_timeout,
+    is_move_worthwhile, remaining_demand,
 };
 use ladderstage_front::region::Distance;
 
@@ -163,10 +163,10 @@
 #[test]
 fn an_instance_that_rejects_with_free_slots_is_excluded_for_the_typical_load_time() {
     let typical = Duration::from_millis(930);
-    let short = refusal_pause(false, Some(typical));
-    assert_eq!(refusal_pause(true, Some(typical)), typical);
+    let short = exclusion_after_rejection(false, Some(typical));
+    assert_eq!(exclusion_after_rejection(true, Some(typical)), typical);
     assert_eq!(
-        refusal_pause(true, None),
+        exclusion_after_rejection(true, None),
         short,
         "until it is known how long loads take"
     );
