--- a/crates/front/src/capacity/controller.rs
+++ b/crates/front/src/capacity/controller.rs
@@ -1,8 +1,8 @@
 //! Persists the desired capacity and sends the resulting orders while this node holds the orders
 //! lease.
 //!
-//! Only persisted counts are sent. An order names an absolute count, so sending it again, by this
-//! node or by a later holder, is harmless.
+//! Only persisted counts are sent. An order contains the total count of a pool, so this node or a
+//! later lease holder can safely send it again.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -33,7 +33,7 @@
 /// Pause after a failed call to the store.
 const RETRY_PAUSE: Duration = Duration::from_millis(700);
 
-/// Time beyond an instance's boot time before its order is repeated.
+/// Time in addition to an instance's boot time before its order is sent again.
 const START_MARGIN: Duration = Duration::from_secs(2);
 
 /// Orders capacity while this node holds the orders lease.
@@ -44,25 +44,25 @@
     pub node: String,
     /// Known instances and drained zones.
     pub backends: BackendTable,
-    /// Tells whether the list of instances is complete.
+    /// Watches whether the list of instances is complete.
     pub view: DiscoveryView,
     /// Services and their scaling bounds.
     pub config: CurrentConfig,
     /// Receiver of the orders.
     pub sink: Arc<dyn CapacitySink>,
-    /// Minimum time between orders of holders on two nodes.
+    /// Minimum time between orders of lease holders on two nodes.
     pub quiet_period: Duration,
     /// Metrics of this front.
     pub metrics: Arc<Metrics>,
 }
 
-/// State of one holder.
+/// State of one lease holder.
 struct HolderState {
     /// Revision of the stored record; 0 if there is none.
     revision: u64,
     planner: CapacityPlanner,
     outbox: Outbox,
-    /// Orders of earlier holders have been queued again.
+    /// Whether the orders of earlier lease holders have been queued again.
     has_resumed: bool,
     /// Earliest time of the next write to the store.
     next_write_at: Instant,
@@ -74,7 +74,7 @@
         let started_at = Instant::now();
         self.wait_for_scaled_service().await;
         let mut state = self.load_state().await;
-        // The end that the previous holder announced lists weight-load orders only, so it does not
+        // The announcement of the former leader lists only weight-load orders, so it does not
         // shorten this quiet period.
         let is_own = held.last.as_ref().is_none_or(|last| last.node == self.node);
         let quiet_until = if is_own {
@@ -244,7 +244,7 @@
         state.planner.apply(desired_capacity, now);
     }
 
-    /// Repeats orders for pools that lack preemptible instances.
+    /// Sends the orders of pools that lack preemptible instances again.
     fn reorder_lost(&self, drained: &BTreeSet<Arc<str>>, state: &mut HolderState) {
         let now = Instant::now();
         for pool in state.planner.pools_to_reorder(drained, now) {
--- a/crates/front/src/capacity/losses.rs
+++ b/crates/front/src/capacity/losses.rs
@@ -7,7 +7,7 @@
 use super::counts::PresentInstances;
 
 /// Time for which an instance may be missing without notice before it counts as lost. Exceeds the
-/// usual restart time of a crashed instance.
+/// typical restart time of a crashed instance.
 pub const MISSING_GRACE_PERIOD: Duration = Duration::from_secs(4);
 
 /// Reason for which instances count as lost.
--- a/crates/front/src/capacity/placement.rs
+++ b/crates/front/src/capacity/placement.rs
@@ -10,9 +10,9 @@
 pub struct ZoneOffer {
     /// Name of the zone.
     pub zone: Arc<str>,
-    /// Serving instances that were not ordered here.
+    /// Serving instances that no order accounts for.
     pub serving: u32,
-    /// Instances of all kinds that may be ordered beyond the found ones.
+    /// Maximum number of instances of all kinds that may be ordered in addition to the found ones.
     pub free_capacity: u32,
     /// Price of one second of an on-demand instance.
     pub price: f64,
--- a/crates/front/src/capacity/planner.rs
+++ b/crates/front/src/capacity/planner.rs
@@ -15,12 +15,12 @@
 use crate::backend::DiscoveredInstance;
 use crate::config::{ScalingSpec, ServiceSpec};
 
-/// Time after which additional instances count as found. A rolling replacement runs one additional
-/// instance for less than this.
+/// Time after which additional instances count as found. Exceeds the time for which a rolling
+/// replacement runs an additional instance.
 pub const ADOPTION_DELAY: Duration = Duration::from_secs(5);
 
-/// Time for which replacements stay after they are last needed. Returning instances are slow at
-/// first and may be lost again.
+/// Time for which replacements stay after they are no longer needed, because returning instances are
+/// slow at first and may be lost again.
 pub const RELEASE_DELAY: Duration = Duration::from_secs(10);
 
 /// Time for which a pool without available capacity, or with reclaimed instances, is skipped.
@@ -383,8 +383,8 @@
         if self.is_unavailable(pool, now) {
             return count.extra.min(arrived);
         }
-        // An order names the total of its pool. While found instances are missing, that total could
-        // be below the number running.
+        // An order contains the total of its pool. While found instances are missing, that total
+        // could be below the number running.
         let is_complete = present.serving >= count.found;
         // An order must not remove instances that somebody else has just added.
         let has_foreign_instances = arrived > self.max_ordered(pool, count.extra, now);
--- a/crates/front/src/job/appending.rs
+++ b/crates/front/src/job/appending.rs
@@ -16,7 +16,8 @@
     pub result: Result<(), JournalError>,
 }
 
-/// Appends `entries` after `pause`. `closes_log` marks the last append, after which the log is closed.
+/// Appends `entries` after `pause`. `closes_log` marks the last append, after which the log is
+/// closed.
 pub(super) fn append_after(
     pause: Duration,
     mut writer: LogWriter,
--- a/crates/front/src/job/done.rs
+++ b/crates/front/src/job/done.rs
@@ -31,12 +31,12 @@
 }
 
 impl Owner {
-    /// Returns the latest time at which held results are listed.
+    /// Returns the latest time at which the unlisted results are listed.
     pub(super) fn list_at(&self) -> Option<Instant> {
         self.groups.as_ref()?.list_at()
     }
 
-    /// Queues the results that are ready to be listed.
+    /// Queues the results that are to be listed now.
     pub(super) fn list_ready(&mut self) {
         let spec = self.job.state().spec().cloned();
         let (Some(spec), Some(groups)) = (spec, &mut self.groups) else {
--- a/crates/front/src/job/events.rs
+++ b/crates/front/src/job/events.rs
@@ -3,7 +3,7 @@
 /// One event of a stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// Number of the event in its stream.
+    /// Id of the event; ids in a text are consecutive.
     pub id: u64,
     /// Data of the event; multiple lines are joined by line feeds.
     pub data: String,
@@ -19,12 +19,12 @@
     buffer: Vec<u8>,
 }
 
-/// Error: the bytes are not a valid event.
+/// Error for bytes that form no valid event.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("invalid event: {0}")]
 pub struct EventError(String);
 
-/// Largest incomplete event that is buffered, in bytes.
+/// Maximum size of an incomplete event that is buffered, in bytes.
 const MAX_EVENT_BYTES: usize = 4 * 1024 * 1024;
 
 impl EventParser {
@@ -92,7 +92,7 @@
     }
 }
 
-/// Finds the next blank line; returns its position and the length of its line ends.
+/// Finds the next blank line. Returns the position and the length of the line breaks that form it.
 fn find_blank_line(bytes: &[u8]) -> Option<(usize, usize)> {
     let lf = bytes.windows(2).position(|pair| pair == b"\n\n");
     let crlf = bytes.windows(4).position(|quad| quad == b"\r\n\r\n");
--- a/crates/front/src/job/group_listing.rs
+++ b/crates/front/src/job/group_listing.rs
@@ -1,9 +1,10 @@
-//! Decides when the results of a trainer's step are listed: by complete groups.
+//! Decides when the results of a trainer's step are listed, that is, written to the job's log, from
+//! where readers receive them.
 //!
-//! A trainer polls about twice a second: a read that finds a new result returns at once and is
-//! followed by a pause, while a read that finds none blocks until the next result. Listing results
-//! one by one would keep the trainer in its pauses; listing complete groups lets a blocked read
-//! return as soon as the last required group is complete.
+//! A trainer polls about twice a second. A read that finds a new result returns at once, and the
+//! trainer then pauses; a read that finds none blocks until the next result. If results were listed
+//! one by one, the trainer would often be in a pause when the last required group is complete.
+//! Results are therefore listed by complete groups, so that a blocked read returns at that time.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,10 +12,10 @@
 use ladderstage_clock::Instant;
 use ladderstage_wire::messages::JobSpec;
 
-/// Longest time for which a complete group waits for others; equals the longest blocking read.
+/// Maximum time for which a complete group waits for others; equals the longest blocking read.
 const MAX_GROUP_WAIT: Duration = Duration::from_secs(1);
 
-/// Time reserved before results are due, for their commit and one read.
+/// Time between the first unconditional listing and the due time, for a commit and one read.
 const DUE_MARGIN: Duration = Duration::from_millis(150);
 
 /// Listing state of the groups of one step.
@@ -32,7 +33,7 @@
     complete_groups: usize,
     /// Time at which the first unlisted group became complete.
     complete_since: Option<Instant>,
-    /// Time from which results are listed as they arrive; `None` if they are always listed so.
+    /// Time from which results are listed as they arrive; `None` if all are listed as they arrive.
     due: Option<Instant>,
 }
 
@@ -101,7 +102,7 @@
         ready
     }
 
-    /// Returns the latest time at which the held results are listed, or `None` if no listing is
+    /// Returns the latest time at which the unlisted results are listed, or `None` if no listing is
     /// scheduled.
     pub fn list_at(&self) -> Option<Instant> {
         let due = self.due.filter(|_| !self.unlisted.is_empty());
--- a/crates/front/src/job/handover.rs
+++ b/crates/front/src/job/handover.rs
@@ -19,10 +19,10 @@
 /// Interval at which the remaining jobs are checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time for a job's owner to save the partial texts of its runs.
+/// Time limit for a job's owner to save the partial texts of its runs.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Interval between two notices about the same job.
+/// Interval between two requests to take over the same job.
 const NOTICE_INTERVAL: Duration = Duration::from_millis(150);
 
 impl JobRegistry {
@@ -78,7 +78,7 @@
         self.wait_removed(&job.id).await;
     }
 
-    /// Waits until a job has left this node, at most for the interval between two notices.
+    /// Waits until another front has taken over the job, for at most [`NOTICE_INTERVAL`].
     async fn wait_removed(&self, id: &str) {
         let deadline = Instant::now() + NOTICE_INTERVAL;
         while self.local(id).is_some() && Instant::now() < deadline {
@@ -87,8 +87,8 @@
     }
 
     /// Chooses the front that takes over the job at `index`: one of the strongest, in this region
-    /// if possible. Chooses from the half that started last, because a rolling restart reaches
-    /// those fronts last.
+    /// if possible. Chooses from the half that this node discovered last, because a rolling restart
+    /// reaches those fronts last.
     fn successor(&self, job: &Job, index: usize) -> Option<NodeRecord> {
         let nodes = &self.context.nodes;
         let own = nodes.own().node;
--- a/crates/front/src/job/local_job.rs
+++ b/crates/front/src/job/local_job.rs
@@ -10,31 +10,32 @@
 use super::lock::lock;
 use super::state::JobState;
 
-/// Time after which an owner whose log is contested at some replica takes over its log again. The
-/// other writer has given up if no majority has accepted it by then.
+/// Time after which an owner takes over its log again if a replica has accepted another writer. If
+/// no majority has accepted the other writer by then, it has given up.
 const RECLAIM_AFTER: Duration = Duration::from_millis(1_200);
 
 /// Command to the owner of a job.
 pub(super) enum Command {
-    /// End the job; answered once the end is committed.
+    /// Ends the job; the channel is notified once the end is committed.
     End(oneshot::Sender<()>),
-    /// Stop: another node has taken over the log.
+    /// Stops the owner, because another node has taken over the log.
     Lost,
-    /// A replica reports that another node has the log; the owner reclaims it after a delay.
+    /// Reports that a replica has accepted another writer of the log. The owner takes the log over
+    /// again after a delay.
     Contested,
-    /// Stop the runs and save their partial texts, so that another node can take over the job.
+    /// Stops the runs and saves their partial texts, so that another node can take over the job.
     Release,
 }
 
 /// A job that this node owns, as seen by readers.
 pub struct Job {
-    /// Id of the job.
+    /// Key of the job, which includes the tenant.
     pub id: String,
-    /// When this node became the owner.
+    /// Time at which this node became the owner.
     pub opened_at: Instant,
     state: Mutex<JobState>,
     changed: watch::Sender<u64>,
-    /// When a replica first reported that another node has the log.
+    /// Time of the first report that a replica has accepted another writer of the log.
     contested_at: Mutex<Option<Instant>>,
     /// Whether all runs have stopped and all partial texts are in the log.
     is_released: AtomicBool,
@@ -60,7 +61,7 @@
         lock(&self.state)
     }
 
-    /// Records that a replica reports another node as the writer of the log.
+    /// Records that a replica has accepted another writer of the log.
     pub(super) fn set_contested(&self) {
         let mut contested_at = lock(&self.contested_at);
         if contested_at.is_none() {
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Returns whether no replica has reported another writer of the log.
+    /// Returns whether no replica has reported another writer of the log since the last takeover.
     pub(super) fn is_uncontested(&self) -> bool {
         lock(&self.contested_at).is_none()
     }
@@ -100,7 +101,7 @@
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Clears the report that another node has the log.
+    /// Clears the reports of another writer of the log.
     pub(super) fn clear_contested(&self) {
         *lock(&self.contested_at) = None;
     }
--- a/crates/front/src/job/lock.rs
+++ b/crates/front/src/job/lock.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Mutex, MutexGuard};
 
-/// Locks a mutex, also a poisoned one: no holder leaves inconsistent data behind.
+/// Locks a mutex, even a poisoned one, because no holder leaves inconsistent data behind.
 pub(super) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex
         .lock()
--- a/crates/front/src/job/migration.rs
+++ b/crates/front/src/job/migration.rs
@@ -9,16 +9,16 @@
 /// A run migrates if its event interval exceeds the typical one by this factor.
 const SLOW_FACTOR: f64 = 1.5;
 
-/// The same factor for a run with many expected events.
+/// Same as [`SLOW_FACTOR`], for a run with many remaining events.
 const LONG_RUN_SLOW_FACTOR: f64 = 1.15;
 
-/// Number of events from which a text, or its remainder, counts as long.
+/// Minimum number of events at which a text, or its remainder, counts as long.
 const LONG_RUN_EVENTS: u64 = 24;
 
-/// Cost of a migration in milliseconds: connecting, admission and reading the prompt again.
-const MOVE_COST_MS: f64 = 60.0;
+/// Cost of a migration in milliseconds: connecting, admission and another prefill of the prompt.
+const MIGRATION_COST_MS: f64 = 60.0;
 
-/// Number of events after which a run's event interval is known.
+/// Number of events that a run must exceed before it can migrate because it is slow.
 const MIN_EVENTS: u32 = 3;
 
 /// A run also migrates if its most recent interval exceeds that of the other instance by this
@@ -75,7 +75,7 @@
     }
 
     /// Returns the reason to migrate the run if it is slow and a faster instance has free capacity.
-    pub(super) fn reason_to_move(
+    pub(super) fn reason_to_migrate(
         &self,
         context: &RunContext,
         instance: &Instance,
@@ -91,7 +91,7 @@
         let model = &context.spec.model;
         let remaining = expected_remaining_events(partial.events(), max_events);
         let own_ms = self.expected_interval_ms(mean_ms, typical);
-        if !is_move_worthwhile(own_ms, typical, remaining) {
+        if !is_migration_worthwhile(own_ms, typical, remaining) {
             return None;
         }
         let demand = remaining_demand(partial.events());
@@ -106,7 +106,7 @@
             .candidate("", Instant::now())
             .unit_time_ms
             .unwrap_or(typical);
-        let is_worthwhile = is_move_worthwhile(
+        let is_worthwhile = is_migration_worthwhile(
             self.expected_interval_ms(mean_ms, other_ms),
             other_ms,
             remaining,
@@ -143,12 +143,12 @@
 
 /// Returns whether a run with `remaining` expected events should migrate to an instance with the
 /// event interval `other_ms`: the time saved must exceed the cost of migration.
-pub fn is_move_worthwhile(own_ms: f64, other_ms: f64, remaining: u64) -> bool {
+pub fn is_migration_worthwhile(own_ms: f64, other_ms: f64, remaining: u64) -> bool {
     let factor = if remaining >= LONG_RUN_EVENTS {
         LONG_RUN_SLOW_FACTOR
     } else {
         SLOW_FACTOR
     };
     let saved_ms = (own_ms - other_ms) * remaining as f64;
-    own_ms > other_ms * factor && saved_ms > MOVE_COST_MS
+    own_ms > other_ms * factor && saved_ms > MIGRATION_COST_MS
 }
--- a/crates/front/src/job/mod.rs
+++ b/crates/front/src/job/mod.rs
@@ -1,5 +1,9 @@
 //! Batch jobs: accepted once a majority of store disks holds them, run item by item, readable at
 //! any front.
+//!
+//! A job consists of items, each of which generates one text. A job of a trainer is one training
+//! step; its items form groups, and the trainer needs a number of complete groups. One front is the
+//! owner of a job: it runs the items and is the only writer of the job's log in the journal.
 
 mod appending;
 mod confirmation;
@@ -43,7 +47,7 @@
 pub use group_listing::GroupListing;
 pub use lengths::TextLengths;
 pub use migration::{
-    EventIntervals, expected_remaining_events, is_move_worthwhile, remaining_demand,
+    EventIntervals, expected_remaining_events, is_migration_worthwhile, remaining_demand,
 };
 pub use preferred_owner::{preferred_owner, preferred_owner_in_region};
 pub use queue::EntryQueue;
--- a/crates/front/src/job/peer_handler.rs
+++ b/crates/front/src/job/peer_handler.rs
@@ -81,7 +81,7 @@
                 ResponseKind::packed_kept_texts(compress(&encode(&texts)))
             }
             RequestKind::weight_news(news) => {
-                self.apply_weight_news(&news);
+                self.apply_weight_updates(&news);
                 ResponseKind::done(Done {})
             }
             RequestKind::accept_job(request) => self.handle_accept(request).await,
@@ -104,7 +104,7 @@
     }
 
     /// Applies the order leader's update on the weights of instances.
-    fn apply_weight_news(&self, news: &WeightNews) {
+    fn apply_weight_updates(&self, news: &WeightNews) {
         let now = Instant::now();
         for update in &news.instances {
             let instance = self.context.backends.get(&update.instance);
@@ -177,8 +177,8 @@
         ended.map_or_else(refusal_from, |()| ResponseKind::done(Done {}))
     }
 
-    /// Takes over jobs whose logs a replica reports as orphaned, unless their owner answers: the
-    /// replica may be partitioned.
+    /// Takes over jobs whose logs a replica reports as orphaned. Skips jobs whose owner still answers,
+    /// because the replica may only be partitioned from it.
     pub fn on_orphaned_logs(&self, logs: Vec<String>) {
         for id in self.jobs_not_local(&logs) {
             let registry = self.clone();
--- a/crates/front/src/job/preferred_owner.rs
+++ b/crates/front/src/job/preferred_owner.rs
@@ -1,8 +1,9 @@
 //! Places each step of a trainer at its preferred owner, one of the strongest fronts of the zone.
+//! The strongest fronts are those with the most CPU.
 //!
-//! The owner of a step reads the events of hundreds of runs at once, which overloads a weak
-//! machine. Weaker fronts therefore forward steps to stronger ones of their zone, or at least of
-//! their region, so that reads do not cross zones. The steps of a trainer rotate among the
+//! The owner of a step reads the events of hundreds of runs at once, which overloads a machine with
+//! little CPU. Weaker fronts therefore forward steps to stronger ones: in their zone, so that reads
+//! do not cross zones, or else in their region. The steps of a trainer rotate among the
 //! strongest fronts, which spreads its open steps and reuses connections to instances.
 
 use std::time::Duration;
@@ -22,16 +23,17 @@
 use super::registry::{AcceptError, JobRegistry};
 use crate::nodes::{NodeRecord, NodeRole};
 
-/// Time for the preferred owner to accept a job; short enough to accept the job locally afterwards.
+/// Time limit for the preferred owner to accept a job; leaves time to accept the job locally
+/// afterwards.
 const REMOTE_ACCEPT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Outcome of forwarding a job to its preferred owner.
 enum RemoteAccept {
     /// The preferred owner has accepted the job.
     Accepted,
-    /// The preferred owner has stored nothing of the job.
+    /// The preferred owner has not stored the job.
     NotStored(String),
-    /// The preferred owner may have stored the job.
+    /// The preferred owner may or may not have stored the job.
     OutcomeUnknown(String),
 }
 
@@ -173,7 +175,7 @@
     let names = staying
         .filter(|front| front.cpu_millis == max_cpu_millis)
         .map(|front| front.node.as_str());
-    // All fronts compute the same ranking, so the steps of a model rotate among them.
+    // All fronts compute the same ranking, so consecutive steps of a model go to different owners.
     let ranked = rendezvous(model.as_bytes(), names);
     let position = (step % ranked.len() as u64) as usize;
     Some(ranked[position].to_owned())
--- a/crates/front/src/job/region_bounds.rs
+++ b/crates/front/src/job/region_bounds.rs
@@ -1,8 +1,8 @@
 //! Checks whether a job may be accepted if its route or tenant restricts the regions.
 //!
-//! Any node may come to hold a job: as its owner, as a front that forwards requests or takes it
-//! over, or as a replica of its log. A restricted job is therefore accepted only if all nodes lie
-//! in allowed regions, and is rejected before its body is sent to another node.
+//! Any node may receive a job's data: as its owner, as a front that forwards requests or takes the
+//! job over, or as a replica of its log. A restricted job is therefore accepted only if all nodes
+//! are in allowed regions, and is rejected before its body is sent to another node.
 
 use std::fmt;
 
@@ -22,7 +22,7 @@
     /// The route and the tenant have no allowed region in common.
     #[error("route and tenant allow no common region")]
     NoAllowedRegion,
-    /// A node lies outside the allowed regions.
+    /// A node is outside the allowed regions.
     #[error("node {node} in {region} is outside the allowed regions {allowed}")]
     Node {
         /// Name of the node.
@@ -66,10 +66,10 @@
     }
 }
 
-/// Checks that every node that may hold a job lies in an allowed region.
+/// Checks that every node that may receive a job's data is in an allowed region.
 ///
 /// # Errors
-/// Fails if a node lies outside the allowed regions or its region is unknown.
+/// Fails if a node is outside the allowed regions or its region is unknown.
 pub fn check_node_regions(
     allowed: &AllowedRegions,
     nodes: &Nodes,
@@ -120,7 +120,7 @@
     /// Checks that a job can be stored and served within its allowed regions.
     ///
     /// # Errors
-    /// Fails if a node or every instance of a service lies outside the allowed regions.
+    /// Fails if a node or every instance of a service is outside the allowed regions.
     pub(super) fn check_regions(&self, spec: &JobSpec) -> Result<(), RegionBoundsError> {
         let context = &self.context;
         let bound = context
--- a/crates/front/src/job/registry.rs
+++ b/crates/front/src/job/registry.rs
@@ -27,7 +27,7 @@
 use super::{LOG_PREFIX, log_name};
 use crate::orders::{FormerLeaders, LearnedLoadLimit};
 
-/// Largest age of the last majority confirmation at which an owner answers reads. Limits how long
+/// Maximum age of the last majority confirmation at which an owner answers reads. Limits how long
 /// readers may see the state of a superseded owner.
 const MAX_READ_CONFIRMATION_AGE: Duration = Duration::from_millis(700);
 
@@ -37,10 +37,10 @@
 /// Reason why a job was not accepted.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum AcceptError {
-    /// This attempt has stored nothing of the job.
+    /// This attempt has not stored the job.
     #[error("job not stored: {0}")]
     NotStored(String),
-    /// The job may be stored.
+    /// The job may or may not be stored.
     #[error("outcome unknown: {0}")]
     OutcomeUnknown(String),
 }
@@ -58,7 +58,7 @@
     pub(super) jobs: Mutex<HashMap<String, Arc<Job>>>,
     /// Jobs whose logs are being taken over.
     pub(super) opening: Mutex<HashSet<String>>,
-    /// Cached owners of other nodes' jobs, with the time of the information.
+    /// Cached owners of other nodes' jobs, with the time at which each was learned.
     pub(super) owners: Mutex<HashMap<String, (String, Instant)>>,
     /// Results that were read from other owners.
     pub(super) result_cache: Mutex<ResultCache>,
@@ -171,7 +171,7 @@
             (after, wait)
         };
         let request = read_request(id, from, wait, relayed);
-        let asked = if relayed {
+        let answered = if relayed {
             self.relay(id, &request, wait).await.and_then(results_from)
         } else {
             match self.call_owner(id, &request, wait).await {
@@ -181,7 +181,7 @@
             }
         };
         let mut result_cache = lock(&self.shared.result_cache);
-        match asked {
+        match answered {
             Ok(results) => {
                 result_cache.insert(id, from, &results);
                 Ok(result_cache.page(id, after).unwrap_or(results))
@@ -251,12 +251,12 @@
         &self.context.former_leaders
     }
 
-    /// Records that a majority of replicas answered a heartbeat sent at `asked_at`.
-    pub fn on_confirmed(&self, asked_at: Instant) {
-        self.context.confirmation.record(asked_at);
+    /// Records that a majority of replicas answered a heartbeat sent at `sent_at`.
+    pub fn on_confirmed(&self, sent_at: Instant) {
+        self.context.confirmation.record(sent_at);
     }
 
-    /// Handles the report of a replica that another node has the log.
+    /// Handles a replica's report that it has accepted another writer of the log.
     pub fn on_fence_reported(&self, log: &str) {
         let id = log.strip_prefix(LOG_PREFIX).unwrap_or_default();
         if let Some(job) = self.local(id) {
@@ -299,7 +299,7 @@
             tokio::time::sleep(SWEEP_INTERVAL).await;
             let retention = self.context.retention;
             lock(&self.shared.jobs).retain(|_, job| job.opened_at.elapsed() < retention * 2);
-            lock(&self.shared.owners).retain(|_, (_, heard)| heard.elapsed() < retention);
+            lock(&self.shared.owners).retain(|_, (_, learned_at)| learned_at.elapsed() < retention);
             lock(&self.shared.result_cache).remove_unread_for(retention);
         }
     }
--- a/crates/front/src/job/relay.rs
+++ b/crates/front/src/job/relay.rs
@@ -23,10 +23,10 @@
 /// unreachable. An idle node sends only every third heartbeat.
 const UNREACHABLE_AFTER: Duration = Duration::from_millis(1_500);
 
-/// Largest number of fronts that are tried, one after the other.
+/// Maximum number of fronts that are tried, one after the other.
 const MAX_RELAYS: usize = 2;
 
-/// Time for another front to find the job's owner, in addition to the requested wait.
+/// Time limit for another front to find the job's owner, in addition to the requested wait.
 const RELAY_MARGIN: Duration = Duration::from_millis(1_200);
 
 impl JobRegistry {
--- a/crates/front/src/job/result_cache.rs
+++ b/crates/front/src/job/result_cache.rs
@@ -11,7 +11,7 @@
 
 use super::reading::results_page;
 
-/// Limit of the cached texts of all jobs, in bytes.
+/// Maximum total size of the cached texts of all jobs, in bytes.
 const MAX_BYTES: usize = 16 * 1024 * 1024;
 
 /// Cached results of one job, from the first one on without a gap.
--- a/crates/front/src/job/run.rs
+++ b/crates/front/src/job/run.rs
@@ -1,5 +1,5 @@
-//! Runs one item of a batch job as a stream, and migrates it to another instance when the stream
-//! breaks or is slow, until its text is complete.
+//! Runs one item of a batch job until its text is complete and scored. Migrates the item to another
+//! instance when its event stream breaks or is slow.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,8 +19,8 @@
 /// Pause before instances are checked again when none has free capacity.
 const NO_CAPACITY_PAUSE: Duration = Duration::from_millis(25);
 
-/// Time for which a text that requires a single weight version waits for an instance with that
-/// version.
+/// Time for which a partial text that requires a single weight version waits for an instance with
+/// that version before it restarts.
 const VERSION_WAIT: Duration = Duration::from_millis(500);
 
 /// Outcome of running an item.
@@ -40,7 +40,7 @@
     Stopped(ItemText),
 }
 
-/// How the processing of an item ended.
+/// Outcome of processing an item until it is finished.
 enum ItemEnd {
     /// The text is complete; `score` is empty for an item without a reward call.
     Completed { score: String },
@@ -143,8 +143,9 @@
     }
 }
 
-/// How the generation of a text ended.
+/// Outcome of generating a text.
 enum TextEnd {
+    /// The text is complete.
     Complete,
     /// The item can never be processed, or failed as often as the route allows.
     Unprocessable,
@@ -174,8 +175,8 @@
                     return Some(TextEnd::Unprocessable);
                 }
             }
-            RunEnd::NotTaken(_) if partial.events() == 0 && failures == 0 => return None,
-            RunEnd::NotTaken(_) | RunEnd::Move(_) | RunEnd::Broken(_) => {}
+            RunEnd::NotStarted(_) if partial.events() == 0 && failures == 0 => return None,
+            RunEnd::NotStarted(_) | RunEnd::Migrate(_) | RunEnd::Broken(_) => {}
         }
         let Some(next) = next_instance(context, &instance, partial).await else {
             return Some(TextEnd::Closed);
@@ -184,8 +185,8 @@
     }
 }
 
-/// Waits until the item is admitted, runs it at one instance, and reports the outcome to the
-/// suspects ledger. Returns `None` once no more requests may be sent.
+/// Waits until the item is admitted, runs it at one instance, and records whether the instance
+/// crashed or answered. Returns `None` once no more requests may be sent.
 async fn run_admitted(
     context: &RunContext,
     index: usize,
@@ -197,7 +198,7 @@
     let started = Instant::now();
     let end = tokio::select! {
         end = run_once(context, index, instance, partial) => end,
-        // In a network partition the connection would stay silent until the next event times out.
+        // Detects a restart even if a network partition keeps the connection open without events.
         () = instance.wait_until_ended() => RunEnd::Broken("the instance was restarted".to_owned()),
     };
     log_run(context, index, instance, partial, started, &end);
@@ -211,7 +212,7 @@
         RunEnd::Complete | RunEnd::Unprocessable | RunEnd::Failed => {
             context.suspects.record_completion(content);
         }
-        RunEnd::NotTaken(_) | RunEnd::Move(_) => {}
+        RunEnd::NotStarted(_) | RunEnd::Migrate(_) => {}
     }
     Some(end)
 }
@@ -228,8 +229,8 @@
         RunEnd::Complete => "complete".to_owned(),
         RunEnd::Unprocessable => "impossible".to_owned(),
         RunEnd::Failed => "failed".to_owned(),
-        RunEnd::NotTaken(cause) => format!("not_taken cause=\"{cause}\""),
-        RunEnd::Move(cause) | RunEnd::Broken(cause) => format!("moved cause=\"{cause}\""),
+        RunEnd::NotStarted(cause) => format!("not_taken cause=\"{cause}\""),
+        RunEnd::Migrate(cause) | RunEnd::Broken(cause) => format!("moved cause=\"{cause}\""),
     };
     log::info!(
         "event=item_run item={} job={} group={} instance={} distance={} started={} tokens={} guess={} events={} versions={:?} elapsed_ms={} outcome={outcome}",
@@ -319,7 +320,7 @@
         Ok(Err(error)) => return on_exchange_error(context, instance, &error),
         Err(_) => {
             instance.record_failure(Instant::now());
-            return RunEnd::Move("timed out waiting for the first event".to_owned());
+            return RunEnd::Migrate("timed out waiting for the first event".to_owned());
         }
     };
     match reply.status {
@@ -328,7 +329,7 @@
         StatusCode::INTERNAL_SERVER_ERROR => RunEnd::Failed,
         status => {
             instance.record_failure(Instant::now());
-            RunEnd::Move(format!("status {}", status.as_u16()))
+            RunEnd::Migrate(format!("status {}", status.as_u16()))
         }
     }
 }
@@ -361,7 +362,7 @@
         }
     }
     if error.is_not_run() {
-        RunEnd::NotTaken(error.to_string())
+        RunEnd::NotStarted(error.to_string())
     } else {
         RunEnd::Broken(error.to_string())
     }
--- a/crates/front/src/job/run_end.rs
+++ b/crates/front/src/job/run_end.rs
@@ -11,15 +11,16 @@
 
 /// Outcome of one run at one instance.
 pub(super) enum RunEnd {
+    /// The text is complete.
     Complete,
     /// The instance answered that the item can never be processed.
     Unprocessable,
     /// The instance failed to process the item.
     Failed,
     /// The instance did not start the item.
-    NotTaken(String),
+    NotStarted(String),
     /// The item migrates to another instance.
-    Move(String),
+    Migrate(String),
     /// The connection broke; the item migrates to another instance.
     Broken(String),
 }
--- a/crates/front/src/job/scheduling.rs
+++ b/crates/front/src/job/scheduling.rs
@@ -13,8 +13,8 @@
 use crate::backend::{Demand, Instance};
 use crate::config::Route;
 
-/// Largest age of the last majority confirmation at which items are started: afterwards another
-/// owner may run the job, or it may have ended.
+/// Maximum age of the last majority confirmation at which items are started. With an older one,
+/// another owner may run the job, or the job may have ended.
 const MAX_START_CONFIRMATION_AGE: Duration = Duration::from_millis(1_500);
 
 /// An item counts as long if it is among the longest `1 / LONG_ITEM_DIVISOR` of its job.
@@ -34,7 +34,8 @@
         }
         let age = self.context.confirmation.age(self.job.opened_at);
         let is_owner = self.job.is_uncontested() && age <= MAX_START_CONFIRMATION_AGE;
-        // Until its discovery view is ready this front uses the roster, which lacks these instances.
+        // The roster, which this front uses until it has read the discovery records, lacks instances
+        // that run items.
         if !is_owner || !self.context.view.is_usable() {
             self.has_waiting_items = true;
             return;
@@ -191,7 +192,7 @@
     }
 }
 
-/// Returns the number of expected tokens from which an item counts as long.
+/// Returns the minimum number of expected tokens at which an item counts as long.
 fn long_item_threshold(spec: &JobSpec) -> u64 {
     let mut expected: Vec<u64> = spec.items.iter().map(|item| item.expected_tokens).collect();
     expected.sort_unstable();
--- a/crates/front/src/job/scoring.rs
+++ b/crates/front/src/job/scoring.rs
@@ -20,14 +20,14 @@
 /// Pause before a route and an instance are chosen again.
 const RETRY_PAUSE: Duration = Duration::from_millis(25);
 
-/// Multiple of the target latency after which a second instance is called, as the answer may be
-/// lost.
+/// Multiple of the target latency after which a second instance is called, because the first answer
+/// may be lost.
 const HEDGE_AFTER_TARGETS: u32 = 2;
 
-/// Largest number of concurrent calls for one text.
+/// Maximum number of concurrent calls for one text.
 const MAX_CONCURRENT_CALLS: usize = 2;
 
-/// Largest answer of a reward call, in bytes.
+/// Maximum size of the answer to a reward call, in bytes.
 const MAX_ANSWER_BYTES: usize = 1024 * 1024;
 
 /// Outcome of scoring a text.
@@ -193,10 +193,10 @@
         if !status.is_success() {
             return Ok(Answer::Failed(status));
         }
-        let stamp = headers.get(&names.response_signature);
-        let stamp = stamp.and_then(|stamp| stamp.to_str().ok());
+        let signature = headers.get(&names.response_signature);
+        let signature = signature.and_then(|signature| signature.to_str().ok());
         let unsigned = || ExchangeError::Broken("answer without a signature".to_owned());
-        Ok(Answer::Scored(stamp.ok_or_else(unsigned)?.to_owned()))
+        Ok(Answer::Scored(signature.ok_or_else(unsigned)?.to_owned()))
     }
 
     fn head(&self, instance: &Instance) -> Result<RequestHead, ExchangeError> {
@@ -223,7 +223,7 @@
         })
     }
 
-    /// Finds out whether the instance crashed if the connection broke.
+    /// Checks whether the instance crashed, if the connection broke.
     async fn check_if_broken(&self, index: usize, ended: &Attempt) {
         if let Err(ExchangeError::Broken(_)) = &ended.result {
             let reward = self.reward;
@@ -252,13 +252,13 @@
         let now = Instant::now();
         self.log(index, &ended);
         match ended.result {
-            Ok(Answer::Scored(stamp)) => {
+            Ok(Answer::Scored(signature)) => {
                 ended.instance.record_success();
-                let taken = now.saturating_duration_since(ended.started);
+                let duration = now.saturating_duration_since(ended.started);
                 ended
                     .instance
-                    .record_unit_time(taken.as_secs_f64() * 1e3, now);
-                return Some(ScoreEnd::Scored(stamp));
+                    .record_unit_time(duration.as_secs_f64() * 1e3, now);
+                return Some(ScoreEnd::Scored(signature));
             }
             Ok(Answer::Failed(StatusCode::INTERNAL_SERVER_ERROR)) => *failures += 1,
             Ok(Answer::Failed(_)) => ended.instance.record_failure(now),
--- a/crates/front/src/job/state.rs
+++ b/crates/front/src/job/state.rs
@@ -10,7 +10,8 @@
 
 use super::text::ItemText;
 
-/// State of one job. The first of contradicting entries takes effect.
+/// State of one job. Of several entries for the acceptance or for the result of an item, the first
+/// takes effect.
 #[derive(Debug, Clone, Default)]
 pub struct JobState {
     spec: Option<Arc<JobSpec>>,
@@ -22,7 +23,7 @@
     is_ended: bool,
 }
 
-/// Minimum size of an entry to be compressed, in bytes; smaller entries would hardly shrink.
+/// Minimum size of an entry to be compressed, in bytes.
 const MIN_COMPRESSED_BYTES: usize = 512;
 
 /// Encodes a log entry, compressed if it is large, because all replicas store it and each new owner
@@ -95,7 +96,7 @@
         self.is_ended
     }
 
-    /// Returns the results in the order of their positions.
+    /// Returns the results in the order in which they were committed.
     pub fn results(&self) -> &[JobResult] {
         &self.results
     }
--- a/crates/front/src/job/stream.rs
+++ b/crates/front/src/job/stream.rs
@@ -15,7 +15,7 @@
 use super::text::ItemText;
 use crate::backend::{Instance, Reply, keep_alive};
 
-/// Longest wait for the next event after the first one.
+/// Timeout for each event after the first one.
 const MAX_EVENT_INTERVAL: Duration = Duration::from_millis(1_200);
 
 /// Number of events after which partial text is saved in the journal.
@@ -46,7 +46,7 @@
         let frame = match tokio::time::timeout(limit, body.frame()).await {
             Err(_) => {
                 instance.record_failure(Instant::now());
-                return RunEnd::Move("timed out waiting for an event".to_owned());
+                return RunEnd::Migrate("timed out waiting for an event".to_owned());
             }
             Ok(Some(Err(error))) => {
                 instance.record_failure(Instant::now());
@@ -67,7 +67,7 @@
             Ok(events) => events,
             Err(error) => {
                 instance.record_failure(Instant::now());
-                return RunEnd::Move(error.to_string());
+                return RunEnd::Migrate(error.to_string());
             }
         };
         for event in events {
@@ -86,8 +86,8 @@
                 let _ = context.progress.send(progress);
             }
         }
-        if let Some(cause) = intervals.reason_to_move(context, instance, partial, max_events) {
-            return RunEnd::Move(cause);
+        if let Some(cause) = intervals.reason_to_migrate(context, instance, partial, max_events) {
+            return RunEnd::Migrate(cause);
         }
     }
 }
@@ -105,7 +105,7 @@
         .last_event()
         .is_some_and(|last| event.id != last + 1)
     {
-        return Err(RunEnd::Move(format!(
+        return Err(RunEnd::Migrate(format!(
             "event {} is out of sequence",
             event.id
         )));
@@ -115,7 +115,9 @@
     instance.record_version(model, version);
     if version < context.spec.min_version {
         instance.mark_loading(model, Instant::now() + STALE_WEIGHTS_PAUSE);
-        return Err(RunEnd::Move(format!("weight version {version} is too old")));
+        return Err(RunEnd::Migrate(format!(
+            "weight version {version} is too old"
+        )));
     }
     if context.single_version
         && partial
@@ -124,7 +126,7 @@
             .is_some_and(|first_version| *first_version != version)
     {
         partial.start_over();
-        return Err(RunEnd::Move("weight version changed".to_owned()));
+        return Err(RunEnd::Migrate("weight version changed".to_owned()));
     }
     partial.push(&event, version);
     Ok(())
--- a/crates/front/src/job/text_reuse.rs
+++ b/crates/front/src/job/text_reuse.rs
@@ -18,8 +18,8 @@
 use super::registry::JobRegistry;
 use super::unfinished::{TextRequest, UnfinishedItems};
 
-/// Time for which a new job waits for texts of earlier jobs; an unresponsive front must not delay
-/// the job longer.
+/// Time for which a new job waits for texts of earlier jobs. Limits the delay that an unresponsive
+/// front can cause.
 const COLLECT_TIMEOUT: Duration = Duration::from_millis(120);
 
 /// Unfinished items of an ended job that wait for a later job of the same model.
@@ -124,8 +124,8 @@
     }
 }
 
-/// Decompresses the texts in another front's answer; returns none if the answer is corrupt, as the
-/// texts can be generated again.
+/// Decompresses the texts in another front's answer. Returns no texts if the answer is corrupt,
+/// because they can be generated again.
 fn decompress_texts(compressed: &[u8]) -> Vec<KeptText> {
     let plain = decompress(compressed).map_err(|error| error.to_string());
     let texts =
--- a/crates/front/src/job/trainer_steps.rs
+++ b/crates/front/src/job/trainer_steps.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// Weight version of an instance at its start.
+/// Weight version of an instance before its first weight load.
 const INITIAL_VERSION: u64 = 1;
 
 /// Latest step of each model that any front has reported as accepted. Cheap to clone.
--- a/crates/front/src/orders/calls.rs
+++ b/crates/front/src/orders/calls.rs
@@ -10,7 +10,7 @@
 use crate::backend::{AnswerIdPolicy, Instance, RequestHead, send};
 use crate::dialect::{InstanceCall, InstanceReport, SharedCodec};
 
-/// Timeout of one call.
+/// Timeout of one call, including its answer.
 pub(super) const CALL_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Maximum size of an answer in bytes.
--- a/crates/front/src/orders/candidates.rs
+++ b/crates/front/src/orders/candidates.rs
@@ -1,5 +1,5 @@
-//! Selects the few nodes that try to acquire the orders lease, because every attempt and every
-//! check of it is a charged call to the store.
+//! Selects the nodes that try to acquire the orders lease. Only a few do, because each attempt and
+//! each check of the lease is a charged call to the store.
 
 use std::cmp::Reverse;
 
@@ -8,7 +8,7 @@
 /// Number of nodes that try to acquire the lease.
 const MAX_CANDIDATES: usize = 4;
 
-/// Key of the rendezvous hash.
+/// Key of the rendezvous hash that ranks nodes with equal CPU.
 const RANKING_KEY: &[u8] = b"orders/giver";
 
 /// Returns true if `own` is among the first present nodes, ranked by CPU (in millicores), then by
--- a/crates/front/src/orders/demand.rs
+++ b/crates/front/src/orders/demand.rs
@@ -16,12 +16,12 @@
 use crate::job::JobRegistry;
 use crate::nodes::Nodes;
 
-/// Interval between polls of all fronts. In between only the strongest and the busy ones are
-/// polled, to limit the CPU use of a weak leader in a deployment with hundreds of fronts.
+/// Interval between polls of all fronts. Between these, only the fronts with the most CPU and the
+/// busy ones are polled, to limit the leader's CPU use in a deployment with hundreds of fronts.
 const FULL_POLL_INTERVAL: Duration = Duration::from_secs(12);
 
-/// Maximum factor by which an event interval grows from one poll to the next, so that a load or a
-/// brief disturbance does not count as the instance's own speed.
+/// Maximum factor by which an event interval grows from one poll to the next, so that a weight load
+/// or a brief disturbance hardly affects it.
 const MAX_INTERVAL_INCREASE: f64 = 1.05;
 
 /// Combined reports of the fronts.
--- a/crates/front/src/orders/former_leaders.rs
+++ b/crates/front/src/orders/former_leaders.rs
@@ -44,7 +44,7 @@
         {
             return;
         }
-        // The delivery time of the announcement only adds to an order's age.
+        // The order is at least this old: the time in transit is not counted.
         let orders = end.orders.iter().filter_map(|order| {
             let sent_at = now.checked_sub(Duration::from_millis(order.age_ms))?;
             Some((order.instance.clone(), sent_at))
--- a/crates/front/src/orders/leader.rs
+++ b/crates/front/src/orders/leader.rs
@@ -74,7 +74,7 @@
     pub config: CurrentConfig,
     /// Announced weight versions.
     pub versions: AnnouncedVersions,
-    /// Encoding of calls to instances.
+    /// Codec for calls to instances.
     pub codec: SharedCodec,
     /// Metrics of this front.
     pub metrics: Arc<Metrics>,
@@ -234,7 +234,7 @@
             () = self.report_usage(lease, &held) => false,
             () = self.order_capacity(lease, &held) => false,
         };
-        // After the release another node may hold the lease before this one notices.
+        // Stops issuing permits before another node can acquire the released lease.
         drop(issuing);
         *foreign_orders = std::mem::take(&mut state.foreign_orders);
         foreign_orders
@@ -357,8 +357,7 @@
         let mut demands = self.versions.demands();
         state.demand.fill_in(&mut demands);
         let mut instances = self.fleet();
-        // Weights in drained zones are not used, so none are loaded there and models are assigned
-        // to the remaining zones.
+        // Instances in drained zones serve no requests, so they load no weights and get no model.
         instances.retain(|one| one.check_drain() != Err(HoldReason::ZoneDrained));
         let mut fleet: Vec<FleetInstance> = instances
             .iter()
--- a/crates/front/src/orders/leader_state.rs
+++ b/crates/front/src/orders/leader_state.rs
@@ -13,7 +13,7 @@
 use crate::backend::Instance;
 use ladderstage_clock::Instant;
 
-/// Fraction of the shortest load time after which a load is first checked.
+/// Delay of the first check of a load, as a fraction of the shortest load time.
 const FIRST_CHECK_SHARE: f64 = 0.97;
 
 /// Interval between checks of a load that is about to finish.
@@ -32,7 +32,7 @@
 /// State of an order leader.
 #[derive(Default)]
 pub(super) struct LeaderState {
-    /// Instances excluded from orders, and until when.
+    /// Instances excluded from orders, with the end of the exclusion.
     pub excluded_until: HashMap<String, Instant>,
     /// Instances with an order in flight.
     pub orders_in_flight: HashSet<String>,
@@ -133,8 +133,8 @@
         recent.map(|(id, at)| (id.clone(), *at)).collect()
     }
 
-    /// Records a load in progress and schedules its first check. `is_accepted`: the instance
-    /// accepted the order.
+    /// Records a load in progress and schedules its first check. `is_accepted` tells whether the
+    /// instance accepted the order.
     pub fn start_load(
         &mut self,
         instance: &Instance,
@@ -188,13 +188,14 @@
         self.link_use.set_loads(self.loads.len(), Instant::now());
     }
 
-    /// Learns from a finished load. `was_reported`: the instance's own report showed it.
+    /// Learns from a finished load. `was_reported` tells whether the instance's own report showed
+    /// that it finished.
     pub fn observe_load(&mut self, instance: &str, load: &Load, was_reported: bool) {
         let now = Instant::now();
         let mut load = load.clone();
         if !was_reported {
-            // Reports describe an earlier state, so a load seen finished by other means appears
-            // shorter than others.
+            // Reports describe an earlier state, so a load whose finish was observed in another way
+            // appears shorter than others.
             load.timing = LoadTiming::Unknown;
         } else if now.saturating_duration_since(load.check_at) > LATE_CHECK {
             load.mark_checked_late();
--- a/crates/front/src/orders/lease.rs
+++ b/crates/front/src/orders/lease.rs
@@ -1,4 +1,6 @@
-//! Orders lease: a leased record names the current holder, and a persistent one names the node that
+//! Orders lease: the lease whose holder issues weight-load orders.
+//!
+//! A record attached to the lease names the current holder, and a persistent one names the node that
 //! issued orders last.
 
 use std::sync::Arc;
@@ -28,8 +30,8 @@
 /// Interval between renewals.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Delay by which other nodes let the last leader acquire the lease first, as it needs no quiet
-/// period.
+/// Delay before other nodes than the last leader try to acquire a free lease. The last leader goes
+/// first because it needs no quiet period.
 const PRECEDENCE_DELAY: Duration = Duration::from_millis(700);
 
 /// Node that issued orders last, as stored in the persistent record.
@@ -37,7 +39,7 @@
 pub struct LastLeader {
     /// Name of the node.
     pub node: String,
-    /// Fence of its lease.
+    /// Fencing token of its lease.
     pub fence: u64,
 }
 
@@ -70,7 +72,7 @@
     valid_until: watch::Sender<Instant>,
     /// End of the quiet period after the previous leader's orders.
     quiet_until: watch::Sender<Instant>,
-    /// The persistent record names this holder.
+    /// Whether the persistent record names this holder.
     is_recorded: AtomicBool,
 }
 
--- a/crates/front/src/orders/link_use.rs
+++ b/crates/front/src/orders/link_use.rs
@@ -1,4 +1,5 @@
-//! Measures how many weight loads share the link, and for how long.
+//! Measures for how long each number of weight loads shares the network link over which instances
+//! load weights.
 
 use std::time::Duration;
 
--- a/crates/front/src/orders/load_limit_store.rs
+++ b/crates/front/src/orders/load_limit_store.rs
@@ -1,5 +1,5 @@
-//! Persists the learned load limit, so that a leader without knowledge of its own, as after a
-//! restart of all nodes, does not start from the minimum and then overload the link.
+//! Persists the learned load limit. A leader that has not learned a limit itself, as after a restart
+//! of all nodes, then need not start from the minimum and overload the link in the search for it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,7 +27,7 @@
     limit: usize,
     /// Typical load time in milliseconds with few other loads at the same time.
     usual_ms: u64,
-    /// The limit is close to the capacity of the link.
+    /// Whether a slowdown was observed, so that the limit no longer doubles.
     is_near: bool,
 }
 
--- a/crates/front/src/orders/permits/requester.rs
+++ b/crates/front/src/orders/permits/requester.rs
@@ -1,4 +1,4 @@
-//! Requests permits while work waits that a cold instance could serve.
+//! Requests permits while work that a cold instance could serve is waiting.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -23,11 +23,11 @@
 /// Pause between two requests.
 const REQUEST_PAUSE: Duration = Duration::from_millis(100);
 
-/// Divisor of an instance's permits that yields the amount of one request. A larger amount could
-/// expire unused at a node with little work.
+/// One request asks for one in this many of the permits that an instance may have. More permits
+/// could expire unused at a node with little work.
 const REQUEST_DIVISOR: u32 = 5;
 
-/// Pause between two requests while no node issues permits, as during a change of the lease holder.
+/// Pause between two requests while no node issues permits, such as while the lease changes hands.
 const NO_ISSUER_PAUSE: Duration = Duration::from_millis(400);
 
 /// Number of nodes asked in turn, by their rank as lease candidates. Exceeds the number of
--- a/crates/front/src/orders/weight_updates.rs
+++ b/crates/front/src/orders/weight_updates.rs
@@ -1,7 +1,8 @@
 //! Updates about instances' weights, sent by the order leader to the fronts that use them.
 //!
-//! Discovery reports new weights only with the next heartbeat, and loads in progress not at all.
-//! With these updates a front starts items sooner and avoids requests that would be rejected.
+//! Discovery reports new weights only with an instance's next heartbeat, and does not report loads
+//! in progress. With these updates a front starts items sooner and avoids requests that the
+//! instance would reject.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -16,7 +17,7 @@
 use crate::backend::Instance;
 use crate::nodes::Nodes;
 
-/// Timeout of one update; a later one is of no use.
+/// Timeout of one update; a later one would be outdated.
 const UPDATE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Load limit learned by order leaders, from which a later leader on this node starts. Cheap to
--- a/crates/front/tests/activity.rs
+++ b/crates/front/tests/activity.rs
@@ -1,4 +1,4 @@
-//! Polling is fast only while work is in progress.
+//! Tests that polling is frequent only while work is in progress.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 const NEVER: Duration = Duration::from_secs(3_600);
 
 #[tokio::test(start_paused = true)]
-async fn a_long_pause_ends_when_work_begins() {
+async fn a_long_pause_ends_when_work_starts() {
     let activity = Activity::default();
     let pause = activity.pause_until_next_poll(Duration::from_millis(10), NEVER);
     let work = async {
@@ -21,7 +21,7 @@
     activity
         .pause_until_next_poll(Duration::from_millis(10), NEVER)
         .await;
-    assert_eq!(started.elapsed().as_secs(), 5, "work is under way");
+    assert_eq!(started.elapsed().as_secs(), 5, "work is in progress");
     drop(guard);
     assert!(!activity.is_active());
     activity.wait_until_idle().await;
--- a/crates/front/tests/capacity_controller.rs
+++ b/crates/front/tests/capacity_controller.rs
@@ -28,7 +28,7 @@
 /// Duration of several checks of the fleet.
 const SEVERAL_CHECKS: Duration = Duration::from_millis(1_200);
 
-/// Accepts orders, or fails them as configured.
+/// Capacity sink that accepts orders, or fails them as configured.
 #[derive(Default)]
 struct Receiver {
     orders: Mutex<Vec<(CapacityOrder, &'static str)>>,
@@ -36,7 +36,7 @@
     failures: Mutex<VecDeque<CapacityOrderError>>,
     /// Zones without available capacity.
     unavailable_zones: BTreeSet<&'static str>,
-    /// Orders are recorded, but never answered.
+    /// Whether orders are recorded, but never answered.
     never_answers: bool,
 }
 
--- a/crates/front/tests/capacity_plan.rs
+++ b/crates/front/tests/capacity_plan.rs
@@ -18,7 +18,7 @@
 const ZONES: [&str; 3] = ["a", "b", "c"];
 const MAX_INSTANCES: u32 = 8;
 
-/// Exceeds every delay of the planner.
+/// Time that exceeds every delay of the planner.
 const LONGER_THAN_ANY_DELAY: Duration = Duration::from_secs(20);
 
 /// Interval between planning rounds.
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn reclaimed_replacements_move_to_another_zone() {
+fn reclaimed_replacements_are_reordered_in_another_zone() {
     let mut fleet = Fleet::observed([2, 2, 2]);
     fleet.drained.insert("b".into());
     fleet.run_round();
--- a/crates/front/tests/group_listing.rs
+++ b/crates/front/tests/group_listing.rs
@@ -1,4 +1,5 @@
-//! Listing of a step's results by groups, and its effect on a trainer that polls twice a second.
+//! Tests the listing of a step's results by groups, and its effect on a trainer that polls twice a
+//! second.
 
 use std::time::Duration;
 
@@ -10,7 +11,7 @@
 /// Pause of a trainer after a read that returned at once, in milliseconds.
 const READ_PAUSE_MS: u64 = 500;
 
-/// Longest blocking read, in milliseconds.
+/// Duration of the longest blocking read, in milliseconds.
 const MAX_BLOCKING_READ_MS: u64 = 1_000;
 
 /// Time at which the results of a step are due, in milliseconds.
@@ -29,7 +30,8 @@
     }
 }
 
-/// Returns when the items of a step are listed, in milliseconds, given when they are done.
+/// Returns the times at which the items of a step are listed, given the times at which they are
+/// done, in milliseconds.
 fn listed_at(spec: &JobSpec, due: Option<u64>, done_ms: &[u64]) -> Vec<Option<u64>> {
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
@@ -47,8 +49,8 @@
     listed
 }
 
-/// Returns when a trainer ends a step: it checks for enough complete groups every half second, or
-/// when a longer blocking read returns.
+/// Returns the time at which a trainer ends a step, in milliseconds. The trainer checks for enough
+/// complete groups every half second, or when a longer blocking read returns.
 fn ended_at(spec: &JobSpec, listed: &[Option<u64>], offset: u64) -> u64 {
     let mut read = offset;
     let mut known = 0;
@@ -105,7 +107,7 @@
         .collect()
 }
 
-/// Guards against listing results one by one, with which the trainer notices its last group more
+/// Guards against listing results one by one: the trainer would then receive its last group more
 /// than 0.5 s late instead of less than 0.3 s.
 #[test]
 fn group_listing_shortens_the_trainers_wait_for_its_last_group() {
--- a/crates/front/tests/homes.rs
+++ b/crates/front/tests/homes.rs
@@ -1,4 +1,4 @@
-//! Choice of the preferred owner of a step.
+//! Tests the choice of the preferred owner of a trainer's step.
 
 use std::collections::BTreeSet;
 
@@ -45,7 +45,7 @@
     );
 }
 
-/// The owner of a step stays in the region of its trainer while a strong front is there.
+/// The owner of a step is in the region of its trainer if a strong front is there.
 #[test]
 fn without_a_strong_front_in_the_zone_a_step_goes_to_one_of_the_region() {
     let weak = front("weak", "east-1", 120);
--- a/crates/front/tests/item_text.rs
+++ b/crates/front/tests/item_text.rs
@@ -1,4 +1,4 @@
-//! Text that is saved in the journal in parts equals the generated text.
+//! Tests that text saved in the journal in parts equals the generated text.
 
 use ladderstage_front::job::{EntryQueue, Event, ItemText, JobState, encode_entry};
 use ladderstage_wire::messages::mod_JobEntry::OneOfkind as EntryKind;
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn an_ended_job_forgets_bodies_and_keeps_results() {
+fn an_ended_job_drops_bodies_and_keeps_results() {
     let ended = encode_entry(EntryKind::ended(JobEnded {}));
     let mut state = JobState::replay(&[accepted(), ended]).unwrap();
     assert!(state.is_ended());
@@ -157,7 +157,7 @@
     assert!(state.item(ITEM).unwrap().body.is_empty());
 }
 
-/// Guards against listing a run that completes while its job ends without its last progress.
+/// Guards against a result without its last progress, if the run completes while its job ends.
 #[test]
 fn no_result_follows_the_end_without_its_progress() {
     let mut text = ItemText::default();
@@ -176,6 +176,6 @@
     let state = JobState::replay(&log).unwrap();
     assert!(state.is_ended());
     for result in state.results() {
-        assert_eq!(result.text, joined(7), "what is listed is whole");
+        assert_eq!(result.text, joined(7), "the listed text is complete");
     }
 }
--- a/crates/front/tests/learned_load_limit.rs
+++ b/crates/front/tests/learned_load_limit.rs
@@ -27,7 +27,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_leader_restores_the_limit_after_a_restart_of_all_nodes() {
+async fn a_leader_restores_the_stored_limit_after_a_restart_of_all_nodes() {
     let store = MemoryStore::default();
     let before: Arc<dyn Coordination> = Arc::new(store.of("front-1"));
     LoadLimitWriter::default().save(&LoadLimit::default(), &before);
--- a/crates/front/tests/load_limit.rs
+++ b/crates/front/tests/load_limit.rs
@@ -124,7 +124,7 @@
         self.start_slow_load(stall_seconds, 1.0);
     }
 
-    /// Starts a load with `slowness` times the usual work.
+    /// Starts a load with `slowness` times the typical work.
     fn start_slow_load(&mut self, stall_seconds: f64, slowness: f64) {
         let before = self.link.clone();
         self.loads.push(RunningLoad {
@@ -232,10 +232,10 @@
     assert!(limits.iter().all(|limit| *limit >= before), "{limits:?}");
 }
 
-/// Guards against counting loads as slow that only were noticed late, as when another instance
-/// hangs.
+/// Guards against counting loads as slow whose finish was only detected late, as when another
+/// instance hangs.
 #[test]
-fn loads_that_were_noticed_late_do_not_lower_the_limit() {
+fn loads_that_were_detected_late_do_not_lower_the_limit() {
     let start = Instant::now();
     let typical_time = Duration::from_millis(900);
     let mut limit = LoadLimit::from_learned(6, typical_time, true);
@@ -356,7 +356,7 @@
     }
 }
 
-/// If all loads slow down at any concurrency, a lower limit does not help.
+/// Guards against a permanently lower limit if all loads slow down at any concurrency.
 #[test]
 fn a_general_slowdown_does_not_lower_the_limit_for_long() {
     let mut shared = SharedLink::new(24);
@@ -386,7 +386,7 @@
     }
 }
 
-/// A leader that inherits a limit close to the link's capacity does not exceed it.
+/// Guards against doubling a learned limit that is already close to the link's capacity.
 #[test]
 fn a_new_leader_does_not_double_a_limit_close_to_capacity() {
     let mut shared = SharedLink::new(24);
@@ -399,10 +399,10 @@
     );
 }
 
-/// Guards against proving a concurrency with loads that were joined by others only after their
-/// start.
+/// Guards against raising the proven concurrency from loads that had concurrent loads only after
+/// their start.
 #[test]
-fn loads_joined_by_others_later_do_not_prove_a_concurrency() {
+fn loads_joined_by_others_later_do_not_raise_the_proven_concurrency() {
     let mut shared = SharedLink::with_speed_model(26, SpeedModel::FixedAtStart);
     // At most sixteen orders are issued per planning round of 50 ms.
     let mut limits = Vec::new();
--- a/crates/front/tests/log_digest.rs
+++ b/crates/front/tests/log_digest.rs
@@ -1,4 +1,4 @@
-//! Comparison of a log that was taken over again with its owner's digest.
+//! Tests the comparison of a log that was taken over again with its owner's digest.
 
 use ladderstage_front::job::{FoundLog, LogDigest};
 use ladderstage_wire::messages::LogEntry;
--- a/crates/front/tests/order_plan.rs
+++ b/crates/front/tests/order_plan.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn instances_are_shared_by_weight() {
+fn instances_are_assigned_in_proportion_to_demand() {
     let fleet = fleet(9, 1);
     let mut larger = demand("b", 1, 0);
     larger.weight = 2.0;
@@ -76,7 +76,7 @@
     assert_eq!(counts["b"], 4);
 }
 
-/// A drained zone removes all instances of one model; afterwards they return with their weights.
+/// Guards against a model without instances while the zone with all of its instances is drained.
 #[test]
 fn each_model_keeps_instances_while_a_zone_is_drained() {
     let demands = ["a", "b", "c", "d"].map(|model| demand(model, 5, 1_000));
--- a/crates/front/tests/pace.rs
+++ b/crates/front/tests/pace.rs
@@ -1,4 +1,4 @@
-//! Migration of runs to faster instances, and the related timeouts.
+//! Tests the migration of runs to faster instances, and the related timeouts.
 
 use std::time::Duration;
 
@@ -7,32 +7,32 @@
 
 use ladderstage_front::job::{
     EventIntervals, exclusion_after_rejection, expected_remaining_events, first_event_timeout,
-    is_move_worthwhile, remaining_demand,
+    is_migration_worthwhile, remaining_demand,
 };
 use ladderstage_front::region::Distance;
 
 #[test]
-fn a_slow_run_moves_where_that_saves_more_than_the_move_costs() {
+fn a_slow_run_migrates_if_that_saves_more_time_than_it_costs() {
     assert!(
-        is_move_worthwhile(170.0, 40.0, 4),
+        is_migration_worthwhile(170.0, 40.0, 4),
         "an instance that turned slow"
     );
     assert!(
-        is_move_worthwhile(51.0, 39.0, 24),
+        is_migration_worthwhile(51.0, 39.0, 24),
         "a long run on a slow machine"
     );
     assert!(
-        !is_move_worthwhile(51.0, 39.0, 12),
+        !is_migration_worthwhile(51.0, 39.0, 12),
         "a run that may end soon"
     );
-    assert!(!is_move_worthwhile(43.0, 39.0, 100), "hardly slower");
+    assert!(!is_migration_worthwhile(43.0, 39.0, 100), "hardly slower");
 }
 
-/// Guards against moving runs with very short event intervals back and forth.
+/// Guards against migrating runs with very short event intervals back and forth.
 #[test]
-fn a_run_stays_where_a_move_saves_less_than_it_costs() {
-    assert!(!is_move_worthwhile(4.0, 1.0, 4));
-    assert!(!is_move_worthwhile(2.0, 1.0, 40));
+fn a_run_does_not_migrate_if_that_saves_less_time_than_it_costs() {
+    assert!(!is_migration_worthwhile(4.0, 1.0, 4));
+    assert!(!is_migration_worthwhile(2.0, 1.0, 40));
 }
 
 /// Guards against choosing an idle but slower instance for the remainder of a long text.
@@ -62,8 +62,8 @@
     assert_eq!(wait_ms(None), 2_500);
 }
 
-/// Guards against measuring too short event intervals when a busy front reads several events at
-/// once.
+/// Guards against measured event intervals that are too short because a busy front reads several
+/// events at once.
 #[test]
 fn events_that_are_read_together_do_not_make_an_instance_look_fast() {
     let start = Instant::now();
@@ -84,7 +84,8 @@
     );
 }
 
-/// Guards against starving an interrupted text: new items would take every slot that becomes free.
+/// Guards against starving an interrupted text because new items occupy every slot that becomes
+/// free.
 #[test]
 fn an_interrupted_text_queues_where_no_slot_is_free() {
     let instance = |load, interval_ms| Candidate {
@@ -116,7 +117,7 @@
         let mean_ms = at_ms as f64 / event as f64;
         let own_interval_ms = intervals.expected_interval_ms(mean_ms, 50.0);
         let remaining = expected_remaining_events(event, Some(145));
-        if moved_after.is_none() && is_move_worthwhile(own_interval_ms, 50.0, remaining) {
+        if moved_after.is_none() && is_migration_worthwhile(own_interval_ms, 50.0, remaining) {
             moved_after = Some(event);
         }
     }
@@ -127,7 +128,7 @@
 }
 
 #[test]
-fn a_short_stall_of_the_reader_does_not_move_a_run() {
+fn a_short_stall_of_the_reader_does_not_migrate_a_run() {
     let start = Instant::now();
     let mut intervals = EventIntervals::default();
     for event in 1..=60_u64 {
@@ -140,7 +141,7 @@
         intervals.add_event(start + Duration::from_millis(read_at));
         let own_interval_ms = intervals.expected_interval_ms(50.0, 50.0);
         assert!(
-            !is_move_worthwhile(own_interval_ms, 50.0, event),
+            !is_migration_worthwhile(own_interval_ms, 50.0, event),
             "at event {event}: {own_interval_ms} ms"
         );
     }
@@ -153,7 +154,7 @@
     assert_eq!(expected_remaining_events(144, Some(145)), 1);
     assert_eq!(expected_remaining_events(150, Some(145)), 0);
     assert_eq!(expected_remaining_events(30, None), 30);
-    assert!(!is_move_worthwhile(
+    assert!(!is_migration_worthwhile(
         59.0,
         48.0,
         expected_remaining_events(144, Some(145))
--- a/crates/front/tests/scoring_choice.rs
+++ b/crates/front/tests/scoring_choice.rs
@@ -1,4 +1,4 @@
-//! Reward calls leave slots of their service to live requests.
+//! Tests that reward calls leave slots of their service to live requests.
 
 use ladderstage_front::backend::{Candidate, Demand, choose};
 use ladderstage_front::region::Distance;
--- a/crates/front/tests/trainer_steps.rs
+++ b/crates/front/tests/trainer_steps.rs
@@ -1,4 +1,4 @@
-//! Weights that the next job of a trainer is expected to allow.
+//! Tests which weight versions the next job of a trainer is expected to allow.
 
 use ladderstage_front::job::LatestSteps;
 
