--- a/crates/front/src/capacity/controller.rs
+++ b/crates/front/src/capacity/controller.rs
@@ -161,8 +161,8 @@
             .filter(|(_, count)| count.is_ordered);
         for (pool, count) in ordered {
             let serving = counts.get(&pool).map_or(0, |present| present.serving);
-            if serving <= count.desired() {
-                state.outbox.resume(&pool, count.desired(), now);
+            if serving <= count.total() {
+                state.outbox.resume(&pool, count.total(), now);
             }
         }
     }
@@ -238,7 +238,7 @@
                 );
             }
             if count.is_ordered {
-                state.outbox.set_desired(&pool, count.desired(), now);
+                state.outbox.set_desired(&pool, count.total(), now);
             }
         }
         state.planner.apply(desired_capacity, now);
@@ -248,7 +248,7 @@
     fn reorder_lost(&self, drained: &BTreeSet<Arc<str>>, state: &mut HolderState) {
         let now = Instant::now();
         for pool in state.planner.pools_to_reorder(drained, now) {
-            let desired = state.planner.desired_capacity().get(&pool).desired();
+            let desired = state.planner.desired_capacity().get(&pool).total();
             state.outbox.resend(&pool, desired, now);
         }
     }
--- a/crates/front/src/capacity/desired.rs
+++ b/crates/front/src/capacity/desired.rs
@@ -21,7 +21,7 @@
 
 impl DesiredCount {
     /// Returns the total number of instances that an order requests.
-    pub fn desired(self) -> u32 {
+    pub fn total(self) -> u32 {
         self.found + self.extra
     }
 }
--- a/crates/front/src/capacity/outbox.rs
+++ b/crates/front/src/capacity/outbox.rs
@@ -90,8 +90,8 @@
             .collect()
     }
 
-    /// Records the outcome of an order. An accepted order, or one without available capacity, is not
-    /// sent again before `pause` has elapsed.
+    /// Records the outcome of an order. An accepted order, or one without available capacity, is
+    /// not sent again before `pause` has elapsed.
     pub fn record_outcome(
         &mut self,
         pool: &InstancePool,
@@ -117,7 +117,7 @@
                 entry.backoff = INITIAL_BACKOFF;
                 entry.next_attempt_at = now + pause;
             }
-            Err(CapacityOrderError::Refused(_)) => {
+            Err(CapacityOrderError::Rejected(_)) => {
                 entry.is_accepted = false;
                 entry.back_off(now);
             }
--- a/crates/front/src/capacity/planner.rs
+++ b/crates/front/src/capacity/planner.rs
@@ -19,8 +19,8 @@
 /// replacement runs an additional instance.
 pub const ADOPTION_DELAY: Duration = Duration::from_secs(5);
 
-/// Time for which replacements stay after they are no longer needed, because returning instances are
-/// slow at first and may be lost again.
+/// Time for which replacements stay after they are no longer needed, because returning instances
+/// are slow at first and may be lost again.
 pub const RELEASE_DELAY: Duration = Duration::from_secs(10);
 
 /// Time for which a pool without available capacity, or with reclaimed instances, is skipped.
@@ -67,7 +67,7 @@
     since: Instant,
 }
 
-/// Instances that no order of this service accounts for.
+/// Instances that no order accounts for and that do not count as found yet.
 #[derive(Debug, Clone, Copy)]
 struct Surplus {
     count: u32,
@@ -80,7 +80,7 @@
     desired_capacity: DesiredCapacity,
     losses: BTreeMap<InstancePool, Losses>,
     surplus: BTreeMap<InstancePool, Surplus>,
-    /// Maximum number of extra instances that recent orders may bring, and the time until which
+    /// Maximum number of extra instances that recent orders may start, and the time until which
     /// these orders may take effect.
     max_ordered_until: BTreeMap<InstancePool, (u32, Instant)>,
     unavailable_until: BTreeMap<InstancePool, Instant>,
@@ -162,7 +162,7 @@
                     counts: &counts,
                     drained: fleet.drained,
                 };
-                self.adopt(&service, &mut next, now);
+                self.update_found_counts(&service, &mut next, now);
                 self.update_losses(&service, &next, now, &mut losses);
                 self.replace(&service, &mut next, now);
             }
@@ -181,7 +181,7 @@
         now: Instant,
     ) -> Vec<InstancePool> {
         let is_lacking = |pool: &InstancePool, serving: u32| {
-            serving < self.desired_capacity.get(pool).desired()
+            serving < self.desired_capacity.get(pool).total()
                 && !drained.contains(&pool.zone)
                 && !self.is_unavailable(pool, now)
         };
@@ -198,7 +198,7 @@
     }
 
     /// Counts instances that no order accounts for as found once they have stayed long enough.
-    fn adopt(&mut self, service: &Service, next: &mut DesiredCapacity, now: Instant) {
+    fn update_found_counts(&mut self, service: &Service, next: &mut DesiredCapacity, now: Instant) {
         let is_new = !self.desired_capacity.has_service(&service.name);
         for pool in service.pools(next) {
             let desired_count = next.get(&pool);
@@ -228,7 +228,7 @@
         }
     }
 
-    /// Returns the maximum number of extra instances that orders may have brought.
+    /// Returns the maximum number of extra instances that orders may have started.
     fn max_ordered(&self, pool: &InstancePool, extra: u32, now: Instant) -> u32 {
         let ordered = self.max_ordered_until.get(pool);
         let ordered = ordered.filter(|(_, until)| now < *until);
@@ -245,7 +245,7 @@
         for pool in service.pools(desired_capacity) {
             let present = service.present(&pool);
             if pool.kind == InstanceKind::Preemptible {
-                let desired = desired_capacity.get(&pool).desired();
+                let desired = desired_capacity.get(&pool).total();
                 updates.extend(self.detect_reclaimed(&pool, present, desired, now));
             }
             let found = desired_capacity.get(&pool).found;
@@ -263,9 +263,9 @@
         }
     }
 
-    /// Detects reclaimed preemptible instances: some announced it, or none is left. All missing
-    /// ones then count as lost, including ordered ones that have not started. If some are left
-    /// without an announcement, the missing ones crashed.
+    /// Detects that preemptible instances are being reclaimed: one of them has announced it, or
+    /// none is left. All missing instances then count as lost, including ordered ones that have not
+    /// started. If some are left and none has announced it, the missing ones crashed.
     fn detect_reclaimed(
         &mut self,
         pool: &InstancePool,
@@ -289,7 +289,8 @@
         })
     }
 
-    /// Places as many replacements as there are lost instances.
+    /// Places one replacement per lost instance; keeps replacements that are no longer needed for
+    /// [`RELEASE_DELAY`].
     fn replace(&mut self, service: &Service, next: &mut DesiredCapacity, now: Instant) {
         let pools = service.pools(next);
         let lost: u32 = pools.iter().map(|pool| self.lost(pool)).sum();
--- a/crates/front/src/capacity/sink.rs
+++ b/crates/front/src/capacity/sink.rs
@@ -25,7 +25,7 @@
     Unavailable,
     /// The order was rejected and has no effect.
     #[error("order rejected: {0}")]
-    Refused(String),
+    Rejected(String),
     /// The outcome is unknown; the order may still take effect.
     #[error("order outcome unknown: {0}")]
     Unknown(String),
@@ -36,7 +36,7 @@
     pub fn label(&self) -> &'static str {
         match self {
             Self::Unavailable => "none_to_be_had",
-            Self::Refused(_) => "refused",
+            Self::Rejected(_) => "refused",
             Self::Unknown(_) => "unknown",
         }
     }
--- a/crates/front/src/job/locating.rs
+++ b/crates/front/src/job/locating.rs
@@ -110,8 +110,8 @@
         }
     }
 
-    /// Returns the front that takes over an orphaned job. Returns `None` if this node takes it over:
-    /// because it is a candidate, is leaving, or no candidate is known.
+    /// Returns the front that takes over an orphaned job. Returns `None` if this node takes it
+    /// over: because it is a candidate, is leaving, or no candidate is known.
     fn preferred_takeover_node(&self, id: &str) -> Option<String> {
         if self.context.nodes.is_leaving() {
             return None;
@@ -135,8 +135,8 @@
         self.call_owner(id, &owner_probe(id), Duration::ZERO).await
     }
 
-    /// Returns whether another node answers as the confirmed owner of a job. Ignores and removes the
-    /// cached owner.
+    /// Returns whether another node answers as the confirmed owner of a job. Ignores and removes
+    /// the cached owner.
     pub(super) async fn is_owned_elsewhere(&self, id: &str) -> bool {
         lock(&self.shared.owners).remove(id);
         let Ok(Location::Remote { node, .. }) = self.locate(id).await else {
--- a/crates/front/src/job/owner.rs
+++ b/crates/front/src/job/owner.rs
@@ -320,8 +320,8 @@
         self.take_over_again().await
     }
 
-    /// Takes over the log again, under the latest replica set, to learn whether the last append took
-    /// effect.
+    /// Takes over the log again, under the latest replica set, to learn whether the last append
+    /// took effect.
     async fn take_over_again(&mut self) -> Option<StopCause> {
         let log = log_name(&self.job.id);
         loop {
@@ -366,8 +366,8 @@
     }
 
     /// Aborts all runs and drops their uncommitted texts, which may differ from those that another
-    /// owner has written. Items resume from the log's content. If the job's acceptance is not in the
-    /// log, the `pending` entries are queued again instead.
+    /// owner has written. Items resume from the log's content. If the job's acceptance is not in
+    /// the log, the `pending` entries are queued again instead.
     fn reset_runs(&mut self, pending: Vec<LogEntry>) {
         self.runs = JoinSet::new();
         self.running.clear();
--- a/crates/front/src/job/peer_handler.rs
+++ b/crates/front/src/job/peer_handler.rs
@@ -177,8 +177,8 @@
         ended.map_or_else(refusal_from, |()| ResponseKind::done(Done {}))
     }
 
-    /// Takes over jobs whose logs a replica reports as orphaned. Skips jobs whose owner still answers,
-    /// because the replica may only be partitioned from it.
+    /// Takes over jobs whose logs a replica reports as orphaned. Skips jobs whose owner still
+    /// answers, because the replica may only be partitioned from it.
     pub fn on_orphaned_logs(&self, logs: Vec<String>) {
         for id in self.jobs_not_local(&logs) {
             let registry = self.clone();
--- a/crates/front/src/job/relay.rs
+++ b/crates/front/src/job/relay.rs
@@ -20,7 +20,7 @@
 use crate::nodes::NodeRole;
 
 /// Time without an answer from a majority of replicas after which the journal counts as
-/// unreachable. An idle node sends only every third heartbeat.
+/// unreachable. Allows for an idle node, which sends only every third heartbeat.
 const UNREACHABLE_AFTER: Duration = Duration::from_millis(1_500);
 
 /// Maximum number of fronts that are tried, one after the other.
--- a/crates/front/src/job/scheduling.rs
+++ b/crates/front/src/job/scheduling.rs
@@ -34,8 +34,8 @@
         }
         let age = self.context.confirmation.age(self.job.opened_at);
         let is_owner = self.job.is_uncontested() && age <= MAX_START_CONFIRMATION_AGE;
-        // The roster, which this front uses until it has read the discovery records, lacks instances
-        // that run items.
+        // The roster, which this front uses until it has read the discovery records, lacks
+        // instances that run items.
         if !is_owner || !self.context.view.is_usable() {
             self.has_waiting_items = true;
             return;
@@ -141,10 +141,10 @@
             earlier.is_whole
         );
         if !is_done {
-            return Some(ItemText::from_kept(earlier));
+            return Some(ItemText::from_earlier_job(earlier));
         }
         let score = earlier.score.clone();
-        self.finish(index, ItemText::from_kept(earlier), score);
+        self.finish(index, ItemText::from_earlier_job(earlier), score);
         None
     }
 
--- a/crates/front/src/job/scoring.rs
+++ b/crates/front/src/job/scoring.rs
@@ -75,7 +75,8 @@
     };
     let mut failures = 0;
     while context.window.is_open() {
-        // The configuration may change between two attempts; without a route the call waits.
+        // Reads the configuration again, because it may change between two attempts. The call waits
+        // while there is no route.
         let config = context.config.current();
         let route = config
             .as_ref()
@@ -174,16 +175,16 @@
     async fn attempt(&self, instance: Arc<Instance>, _permit: RunPermit) -> Attempt {
         let started = Instant::now();
         let _guard = instance.track_request();
-        let asked = tokio::time::timeout(self.route.timeout, self.ask(&instance)).await;
+        let answered = tokio::time::timeout(self.route.timeout, self.send_call(&instance)).await;
         let timed_out = || Err(ExchangeError::Broken("answer timed out".to_owned()));
         Attempt {
-            result: asked.unwrap_or_else(|_| timed_out()),
+            result: answered.unwrap_or_else(|_| timed_out()),
             instance,
             started,
         }
     }
 
-    async fn ask(&self, instance: &Arc<Instance>) -> Result<Answer, ExchangeError> {
+    async fn send_call(&self, instance: &Arc<Instance>) -> Result<Answer, ExchangeError> {
         let names = self.context.codec.headers();
         let head = self.head(instance)?;
         let body = Bytes::copy_from_slice(&self.reward.body);
--- a/crates/front/src/job/text.rs
+++ b/crates/front/src/job/text.rs
@@ -95,7 +95,7 @@
     }
 
     /// Restores a text that an earlier job generated; none of it is in this job's journal.
-    pub fn from_kept(kept: KeptText) -> Self {
+    pub fn from_earlier_job(kept: KeptText) -> Self {
         let unsaved = Unsaved {
             text_start: 0,
             first_event: Some(1),
@@ -116,7 +116,7 @@
 
     /// Returns the text for a later job that repeats the item, or `None` if there are no events.
     /// `score` is empty for a text without a score.
-    pub fn to_kept(&self, item: &JobItem, score: &str) -> Option<KeptText> {
+    pub fn for_later_job(&self, item: &JobItem, score: &str) -> Option<KeptText> {
         let last_event = self.last_event?;
         let reward_call = item.reward_call.as_ref().map(|call| call.id.clone());
         Some(KeptText {
--- a/crates/front/src/job/unfinished.rs
+++ b/crates/front/src/job/unfinished.rs
@@ -1,9 +1,9 @@
-//! Unfinished items of an ended job. They are kept because a trainer submits incomplete groups again
-//! in a later job, under the same item ids.
+//! Unfinished items of an ended job. They are kept because a trainer submits incomplete groups
+//! again in a later job, under the same item ids.
 //!
-//! Their runs continue after the end of the job. Items whose weight version is too old for the later
-//! job restart with newer weights. The front that accepts the later job requests the texts from all
-//! fronts.
+//! Their runs continue after the end of the job. Items whose weight version is too old for the
+//! later job restart with newer weights. The front that accepts the later job requests the texts
+//! from all fronts.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
@@ -61,7 +61,7 @@
     texts: HashMap<String, Vec<KeptText>>,
     runs: JoinSet<(usize, RunOutcome)>,
     /// Items of the runs, by run number.
-    running: HashMap<usize, RunningItem>,
+    runs_by_number: HashMap<usize, RunningItem>,
     stop: watch::Sender<bool>,
     window: SendWindow,
     /// Context for restarted runs; `None` if no route matched when the job ended.
@@ -93,13 +93,13 @@
             return None;
         };
         let candidates = self.items_of_unread_groups(&spec, end_requested_at);
-        let mut running = HashMap::new();
+        let mut runs_by_number = HashMap::new();
         for (index, handle) in &self.running {
             if candidates.contains(index) {
                 let id = spec.items[*index].id.clone();
                 let handle = handle.clone();
                 let first_version = self.first_versions.get(*index);
-                running.insert(
+                runs_by_number.insert(
                     *index,
                     RunningItem {
                         id,
@@ -124,7 +124,7 @@
             candidates: candidate_items.collect(),
             texts: self.unlisted_texts(&spec, &candidates),
             runs: std::mem::take(&mut self.runs),
-            running,
+            runs_by_number,
             stop: std::mem::replace(&mut self.stop, watch::Sender::new(true)),
             window: self.window.clone(),
             context,
@@ -159,8 +159,8 @@
         let text_of = |index: &usize| {
             let item = &spec.items[*index];
             match self.late_texts.get(index) {
-                Some((text, score)) => text.to_kept(item, score),
-                None => state.partial_text(&item.id).to_kept(item, ""),
+                Some((text, score)) => text.for_later_job(item, score),
+                None => state.partial_text(&item.id).for_later_job(item, ""),
             }
         };
         let texts = items.iter().filter_map(text_of);
@@ -243,8 +243,8 @@
         loop {
             tokio::select! {
                 Some(ended) = self.runs.join_next() => {
-                    if let Ok((index, outcome)) = ended {
-                        self.record_run_end(index, outcome);
+                    if let Ok((number, outcome)) = ended {
+                        self.record_run_end(number, outcome);
                     }
                 }
                 request = requests.recv() => {
@@ -286,7 +286,11 @@
             ..context.as_ref().clone()
         });
         // The numbers of restarted runs follow those of the runs in progress.
-        let first = self.running.keys().max().map_or(0, |number| number + 1);
+        let first = self
+            .runs_by_number
+            .keys()
+            .max()
+            .map_or(0, |number| number + 1);
         for (index, item) in context.spec.items.iter().enumerate() {
             self.abort_run(&item.id);
             let context = Arc::clone(&context);
@@ -295,7 +299,7 @@
             let handle = self.runs.spawn(run);
             let id = item.id.clone();
             let first_version = None;
-            self.running.insert(
+            self.runs_by_number.insert(
                 number,
                 RunningItem {
                     id,
@@ -307,7 +311,7 @@
     }
 
     fn has_usable_text(&self, item: &str, min_version: u64) -> bool {
-        let mut runs = self.running.values();
+        let mut runs = self.runs_by_number.values();
         if let Some(run) = runs.find(|run| run.id == item) {
             return run
                 .first_version
@@ -323,7 +327,7 @@
     }
 
     fn abort_run(&mut self, item: &str) {
-        self.running.retain(|_, run| {
+        self.runs_by_number.retain(|_, run| {
             let is_other = run.id != item;
             if !is_other {
                 run.handle.abort();
@@ -332,16 +336,16 @@
         });
     }
 
-    fn record_run_end(&mut self, index: usize, outcome: RunOutcome) {
-        let Some(RunningItem { id, .. }) = self.running.remove(&index) else {
+    fn record_run_end(&mut self, number: usize, outcome: RunOutcome) {
+        let Some(RunningItem { id, .. }) = self.runs_by_number.remove(&number) else {
             return;
         };
         let Some(item) = self.candidates.iter().find(|item| item.id == id) else {
             return;
         };
         let kept = match &outcome {
-            RunOutcome::Completed { text, score } => text.to_kept(item, score),
-            RunOutcome::Stopped(text) => text.to_kept(item, ""),
+            RunOutcome::Completed { text, score } => text.for_later_job(item, score),
+            RunOutcome::Stopped(text) => text.for_later_job(item, ""),
             RunOutcome::Terminated | RunOutcome::NotStarted => None,
         };
         if let Some(kept) = kept {
@@ -354,8 +358,8 @@
         self.stop.send_replace(true);
         self.window.close_at(Instant::now());
         while let Some(ended) = self.runs.join_next().await {
-            if let Ok((index, outcome)) = ended {
-                self.record_run_end(index, outcome);
+            if let Ok((number, outcome)) = ended {
+                self.record_run_end(number, outcome);
             }
         }
         let texts = self.texts_for(&request);
--- a/crates/front/src/orders/announced_versions.rs
+++ b/crates/front/src/orders/announced_versions.rs
@@ -40,7 +40,7 @@
         );
     }
 
-    /// Returns an entry with the newest version of each model. All models have equal weight and
+    /// Returns an entry with the newest version of each model. All models have equal work and
     /// unknown text lengths until the fronts' reports are applied.
     pub(super) fn demands(&self) -> Vec<ModelDemand> {
         let versions = lock(&self.versions);
@@ -50,7 +50,7 @@
                 model: model.clone(),
                 newest: announced.version,
                 since_announcement: announced.received_at.elapsed(),
-                weight: 1.0,
+                relative_work: 1.0,
                 longest_events: 0,
             })
             .collect()
--- a/crates/front/src/orders/demand.rs
+++ b/crates/front/src/orders/demand.rs
@@ -71,8 +71,8 @@
         combined
     }
 
-    /// Returns the fronts that use instances' weights, and those first in line to receive such work
-    /// or the orders lease.
+    /// Returns the fronts that use instances' weights, and the takeover candidates, which are the
+    /// first to receive such work or the orders lease.
     pub fn recipients(&self, nodes: &Nodes) -> BTreeSet<String> {
         let takeover_candidates = nodes
             .takeover_candidates()
@@ -120,11 +120,11 @@
         combined
     }
 
-    /// Fills in the reported work of each model.
-    pub fn fill_in(&self, demands: &mut [ModelDemand]) {
+    /// Sets the reported work and the longest text of each model.
+    pub fn set_work(&self, demands: &mut [ModelDemand]) {
         for demand in demands {
             let tokens = self.tokens.get(&demand.model).copied();
-            demand.weight = tokens.map_or(1.0, |tokens| tokens as f64);
+            demand.relative_work = tokens.map_or(1.0, |tokens| tokens as f64);
             let longest = self.longest_events.get(&demand.model).copied();
             demand.longest_events = longest.unwrap_or(0);
         }
--- a/crates/front/src/orders/leader.rs
+++ b/crates/front/src/orders/leader.rs
@@ -104,7 +104,7 @@
 enum Outcome {
     /// The instance accepted the order and loads the version.
     Loading,
-    /// The outcome is unknown; the instance may be loading, or start to.
+    /// The outcome is unknown; the instance may be loading, or may start to load later.
     Unknown,
     /// The instance is excluded for this time.
     Pause(Duration),
@@ -214,8 +214,8 @@
         let _with_instances = self.activities.instance_work.start();
         let _with_versions = self.activities.version_work.start();
         if self.roster.drains.is_some() {
-            // This node writes the roster from now on. A watch of drains whose answer was lost
-            // would stay silent until its timeout.
+            // This node writes the roster from now on. Cancels the watch of drains, because a
+            // watch whose answer was lost would report nothing until its timeout.
             self.coordination.cancel_watches();
         }
         let issuing = self.permits.start(held.watch_validity());
@@ -279,8 +279,8 @@
         state
     }
 
-    /// Ends the quiet period early if the previous leader announced its recent orders; only the
-    /// instances of those stay excluded.
+    /// Ends the quiet period early if the previous leader announced its recent orders. Only the
+    /// instances that received these orders stay excluded.
     fn end_quiet_period_if_announced(&self, held: &HeldLease, state: &mut LeaderState) {
         if !held.is_in_quiet_period() {
             return;
@@ -355,7 +355,7 @@
         let now = Instant::now();
         state.excluded_until.retain(|_, until| *until > now);
         let mut demands = self.versions.demands();
-        state.demand.fill_in(&mut demands);
+        state.demand.set_work(&mut demands);
         let mut instances = self.fleet();
         // Instances in drained zones serve no requests, so they load no weights and get no model.
         instances.retain(|one| one.check_drain() != Err(HoldReason::ZoneDrained));
--- a/crates/front/src/orders/leader_state.rs
+++ b/crates/front/src/orders/leader_state.rs
@@ -46,14 +46,15 @@
     pub foreign_orders: Vec<(String, Instant)>,
     /// Limit on concurrent loads.
     pub load_limit: LoadLimit,
-    /// Loads that started earlier are not learned from, as loads of the previous leader may have
-    /// run at the same time.
+    /// Time from which loads are used to learn the limit. Loads of the previous leader may have run
+    /// at the same time as earlier ones.
     pub learn_from: Option<Instant>,
     link_use: LinkUse,
-    /// Latest demand that the fronts reported, and the time of that poll.
+    /// Latest demand that the fronts reported.
     pub demand: FleetDemand,
+    /// Time of the poll that returned `demand`.
     pub demand_polled_at: Option<Instant>,
-    /// The demand was refreshed since the last trade of instances between models.
+    /// Whether the demand was refreshed since the last trade of instances between models.
     pub may_trade: bool,
     /// Model that each instance serves.
     pub assignment: Assignment,
@@ -68,7 +69,8 @@
 pub(super) struct Load {
     pub model: String,
     pub version: u64,
-    /// Start time of the instance process that accepted the order; a restarted process has lost it.
+    /// Start time of the instance process that accepted the order, in Unix milliseconds. A
+    /// restarted process does not continue the load.
     pub started_unix_ms: u64,
     pub since: Instant,
     pub check_at: Instant,
--- a/crates/front/src/orders/lease.rs
+++ b/crates/front/src/orders/lease.rs
@@ -1,7 +1,7 @@
 //! Orders lease: the lease whose holder issues weight-load orders.
 //!
-//! A record attached to the lease names the current holder, and a persistent one names the node that
-//! issued orders last.
+//! A record attached to the lease names the current holder, and a persistent one names the node
+//! that issued orders last.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/crates/front/src/orders/load_limit.rs
+++ b/crates/front/src/orders/load_limit.rs
@@ -2,14 +2,15 @@
 //!
 //! All loads share one link. Up to the capacity of the link each load takes its typical time;
 //! beyond it, loads slow each other down. The capacity is not known, so it is estimated from
-//! finished loads: `proven` is the highest concurrency without slowdown, and `saturation` describes
-//! the latest slowdown of most loads. Before the first slowdown the limit is twice the proven
-//! concurrency, so it doubles whenever loads at the limit run at full speed. After a slowdown it
-//! drops to the estimated capacity and then rises slowly, because the capacity may change.
+//! finished loads: `proven_concurrency` is the highest concurrency without slowdown, and
+//! `saturation` describes the latest slowdown of most loads. Before the first slowdown the limit is
+//! twice the proven concurrency, so it doubles whenever loads at the limit run at full speed. After
+//! a slowdown it drops to the estimated capacity and then rises slowly, because the capacity may
+//! change.
 //!
 //! A saturated link slows all loads, an unhealthy instance only its own, and finished loads are
-//! detected with a delay. Decisions therefore use several recent loads, each relative to the typical
-//! time: the median duration at low concurrency.
+//! detected with a delay. Decisions therefore use several recent loads, each relative to the
+//! typical time: the median duration at low concurrency.
 //!
 //! On some links a load's speed depends on the concurrency when it started, on others on the
 //! concurrency at each moment. The capacity is estimated both ways, and the estimate with the
@@ -133,7 +134,7 @@
     /// Median of `typical_times`.
     typical_load_time: Option<Duration>,
     /// Highest concurrency at which loads ran at full speed.
-    proven: f64,
+    proven_concurrency: f64,
     /// `None` if no saturation was observed here.
     saturation: Option<Saturation>,
     /// A slowdown was observed, here or by an earlier leader, so the limit no longer doubles.
@@ -175,7 +176,7 @@
             shortest: None,
             typical_times: VecDeque::new(),
             typical_load_time: None,
-            proven: 0.0,
+            proven_concurrency: 0.0,
             saturation: None,
             is_near_capacity: false,
             samples: VecDeque::new(),
@@ -193,7 +194,7 @@
             shortest: Some(typical_load_time),
             typical_times: VecDeque::from([typical_load_time]),
             typical_load_time: Some(typical_load_time),
-            proven: limit as f64 / PROBE_FACTOR,
+            proven_concurrency: limit as f64 / PROBE_FACTOR,
             is_near_capacity,
             ..Self::default()
         }
@@ -271,7 +272,8 @@
 
     /// Updates the typical time from the first load, and from loads at low concurrency.
     fn observe_typical_time(&mut self, duration: Duration, max_concurrent: usize) {
-        let low_concurrency = (self.proven * LOW_CONCURRENCY_RATIO).max(MIN_LIMIT as f64);
+        let low_concurrency =
+            (self.proven_concurrency * LOW_CONCURRENCY_RATIO).max(MIN_LIMIT as f64);
         if max_concurrent as f64 > low_concurrency && self.typical_load_time.is_some() {
             return;
         }
@@ -283,8 +285,8 @@
         self.set_typical_times(times);
     }
 
-    /// Returns true if a slow load indicates a saturated link. A load at low concurrency is slow for
-    /// another reason. A load that started before the latest decrease is ignored, so that loads
+    /// Returns true if a slow load indicates a saturated link. A load at low concurrency is slow
+    /// for another reason. A load that started before the latest decrease is ignored, so that loads
     /// under the old limit lower it only once.
     fn is_conclusive(&self, load: &FinishedLoad, now: Instant) -> bool {
         let started_before = |at: Instant| now.saturating_duration_since(at) < load.duration;
@@ -355,7 +357,7 @@
         };
         let limit_before = self.limit;
         self.limit = (capacity.round() as usize).clamp(MIN_LIMIT, self.limit);
-        self.proven = self.proven.min(capacity);
+        self.proven_concurrency = self.proven_concurrency.min(capacity);
         self.saturation = Some(Saturation {
             capacity,
             ratio,
@@ -372,7 +374,7 @@
         let above_proven: Vec<&LoadSample> = self
             .samples
             .iter()
-            .filter(|sample| sample.concurrent > self.proven)
+            .filter(|sample| sample.concurrent > self.proven_concurrency)
             .collect();
         if above_proven.len() < MIN_PROVING_LOADS.min(self.limit) {
             return;
@@ -381,10 +383,10 @@
         {
             return;
         }
-        self.proven =
+        self.proven_concurrency =
             Summary::of(above_proven.iter().map(|sample| sample.concurrent)).upper_quartile;
         if !self.is_near_capacity {
-            let probe = (self.proven * PROBE_FACTOR).round() as usize;
+            let probe = (self.proven_concurrency * PROBE_FACTOR).round() as usize;
             self.limit = self.limit.max(probe);
         }
     }
--- a/crates/front/src/orders/load_limit_store.rs
+++ b/crates/front/src/orders/load_limit_store.rs
@@ -1,5 +1,6 @@
-//! Persists the learned load limit. A leader that has not learned a limit itself, as after a restart
-//! of all nodes, then need not start from the minimum and overload the link in the search for it.
+//! Persists the learned load limit. A leader that has not learned a limit itself, as after a
+//! restart of all nodes, then need not start from the minimum and overload the link in the search
+//! for it.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/front/src/orders/permits/ledger.rs
+++ b/crates/front/src/orders/permits/ledger.rs
@@ -8,8 +8,8 @@
 
 use crate::backend::{PERMIT_LIFETIME, SEND_WINDOW, WRITE_MARGIN};
 
-/// Sliding window over which issued permits are counted. Permits issued further apart cannot be used
-/// in the same [`SEND_WINDOW`].
+/// Sliding window over which issued permits are counted. Permits issued further apart cannot be
+/// used in the same [`SEND_WINDOW`].
 const ISSUE_WINDOW: Duration = SEND_WINDOW
     .saturating_add(PERMIT_LIFETIME)
     .saturating_add(WRITE_MARGIN);
--- a/crates/front/src/orders/permits/requester.rs
+++ b/crates/front/src/orders/permits/requester.rs
@@ -36,7 +36,7 @@
 
 /// Applies the configured limits and requests permits for this node.
 pub struct PermitRequester {
-    /// Excess over the capacity of cold instances that callers are allowed; `None` disables the
+    /// Requests that callers may send to cold instances beyond their capacity; `None` disables the
     /// limits.
     pub allowance: Option<ColdAllowance>,
     /// Known instances.
--- a/crates/front/src/orders/plan.rs
+++ b/crates/front/src/orders/plan.rs
@@ -2,8 +2,8 @@
 //!
 //! Each instance serves one model, assigned in proportion to demand, because loading every model on
 //! every instance would take longer than the interval between versions. A job may use the newest
-//! version of its model or the one before. An instance would become unusable if it skipped versions,
-//! so it loads each one, but only after the burst of work that follows the announcement.
+//! version of its model or the one before. An instance would become unusable if it skipped
+//! versions, so it loads each one, but only after the burst of work that follows the announcement.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,8 +15,8 @@
 /// Number of versions behind the newest at which no job may use an instance any more.
 const UNUSABLE_LAG: u64 = 2;
 
-/// Maximum duration of a model's longest text, relative to that of another model, at which its texts
-/// count as short.
+/// Maximum duration of a model's longest text, relative to that of another model, at which its
+/// texts count as short.
 const SHORT_TEXT_RATIO: f64 = 0.8;
 
 /// Minimum event interval, relative to the fastest instance, at which an instance counts as slow.
@@ -53,7 +53,7 @@
     /// Time since the newest version was announced.
     pub since_announcement: Duration,
     /// Amount of work, relative to other models.
-    pub weight: f64,
+    pub relative_work: f64,
     /// Number of events in the longest recent text; 0 if unknown.
     pub longest_events: u64,
 }
@@ -112,8 +112,8 @@
         self.model_of.get(instance).map(String::as_str)
     }
 
-    /// Adapts the assignment to the fleet and the demand. An instance keeps its model unless another
-    /// model lacks at least two instances or has none.
+    /// Adapts the assignment to the fleet and the demand. An instance keeps its model unless
+    /// another model lacks at least two instances or has none.
     pub fn update(&mut self, demands: &[ModelDemand], fleet: &[FleetInstance]) {
         self.model_of.retain(|id, model| {
             fleet.iter().any(|one| one.id == *id) && demands.iter().any(|one| one.model == *model)
@@ -255,12 +255,12 @@
 fn quotas(demands: &[ModelDemand], instances: usize) -> BTreeMap<String, usize> {
     let total: f64 = demands
         .iter()
-        .map(|demand| demand.weight.max(f64::MIN_POSITIVE))
+        .map(|demand| demand.relative_work.max(f64::MIN_POSITIVE))
         .sum();
     let mut shares: Vec<(f64, usize, &str)> = demands
         .iter()
         .map(|demand| {
-            let exact = demand.weight.max(f64::MIN_POSITIVE) / total * instances as f64;
+            let exact = demand.relative_work.max(f64::MIN_POSITIVE) / total * instances as f64;
             let rounded = (exact as usize).max(usize::from(instances >= demands.len()));
             (exact - rounded as f64, rounded, demand.model.as_str())
         })
--- a/crates/front/tests/capacity_controller.rs
+++ b/crates/front/tests/capacity_controller.rs
@@ -258,7 +258,7 @@
 async fn an_order_whose_answer_was_lost_is_sent_again_with_the_same_count() {
     let store = MemoryStore::default();
     let lost = || CapacityOrderError::Unknown("no answer".to_owned());
-    let refused = CapacityOrderError::Refused("status 429".to_owned());
+    let refused = CapacityOrderError::Rejected("status 429".to_owned());
     let node = Node::new("one", &store, Receiver::of([lost(), lost(), refused]));
     node.drain("b");
     let receiver = Arc::clone(&node.receiver);
--- a/crates/front/tests/capacity_plan.rs
+++ b/crates/front/tests/capacity_plan.rs
@@ -179,7 +179,7 @@
     fn deliver(&mut self) {
         for zone in ZONES {
             for kind in [InstanceKind::OnDemand, InstanceKind::Preemptible] {
-                let desired = self.desired_count(zone, kind).desired();
+                let desired = self.desired_count(zone, kind).total();
                 let running = self.ids(zone, kind).len() as u32;
                 self.add(zone, kind, desired.saturating_sub(running));
                 self.remove(zone, kind, running.saturating_sub(desired) as usize);
@@ -332,7 +332,7 @@
     assert_eq!(fleet.preemptible_extra(), [0; 3]);
     // None in the zone with missing on-demand instances, where the order's total could be too low.
     assert_eq!(fleet.on_demand_extra(), [1, 0, 0]);
-    assert_eq!(fleet.desired_count("a", ON_DEMAND).desired(), 3);
+    assert_eq!(fleet.desired_count("a", ON_DEMAND).total(), 3);
 }
 
 #[test]
@@ -517,7 +517,7 @@
                 self.desired_count(zone, ON_DEMAND),
                 self.desired_count(zone, PREEMPTIBLE),
             );
-            let all = on_demand.desired() + preemptible.desired();
+            let all = on_demand.total() + preemptible.total();
             let all_found = on_demand.found + preemptible.found;
             assert!(
                 all <= MAX_INSTANCES.max(all_found),
@@ -622,7 +622,7 @@
     let mut now = start;
     let mut pauses = Vec::new();
     for _ in 0..8 {
-        let refused = Err(CapacityOrderError::Refused("429".to_owned()));
+        let refused = Err(CapacityOrderError::Rejected("429".to_owned()));
         outbox.record_outcome(&a, 6, &refused, LONGER_THAN_ANY_DELAY, now);
         let before = now;
         while outbox.due(now).is_empty() {
@@ -650,5 +650,5 @@
     );
     let later = r#"{"services":{"model":{"a":{"preemptible":{"found":5,"of_later":1},"of_later":{}}}},"of_later":[]}"#;
     let read: DesiredCapacity = serde_json::from_str(later).unwrap();
-    assert_eq!(read.get(&pool("a", PREEMPTIBLE)).desired(), 5);
+    assert_eq!(read.get(&pool("a", PREEMPTIBLE)).total(), 5);
 }
--- a/crates/front/tests/order_candidates.rs
+++ b/crates/front/tests/order_candidates.rs
@@ -28,8 +28,8 @@
     assert!(!is_lease_candidate("front-1", [("front-2", 500)]));
 }
 
-/// Guards against an order leader with little CPU, which detects finished loads late and counts them
-/// as slow.
+/// Guards against an order leader with little CPU, which detects finished loads late and counts
+/// them as slow.
 #[test]
 fn weak_nodes_are_candidates_only_without_enough_strong_ones() {
     let name = |index: usize| format!("front-{index}");
--- a/crates/front/tests/order_plan.rs
+++ b/crates/front/tests/order_plan.rs
@@ -11,7 +11,7 @@
         model: model.to_owned(),
         newest,
         since_announcement: Duration::from_millis(announced_for_ms),
-        weight: 1.0,
+        relative_work: 1.0,
         longest_events: 0,
     }
 }
@@ -50,7 +50,7 @@
 fn instances_are_assigned_in_proportion_to_demand() {
     let fleet = fleet(9, 1);
     let mut larger = demand("b", 1, 0);
-    larger.weight = 2.0;
+    larger.relative_work = 2.0;
     let mut assignment = Assignment::default();
     assignment.update(&[demand("a", 1, 0), larger], &fleet);
     let counts = counts(&assignment, &fleet);
