--- a/crates/front/src/orders/plan.rs
+++ b/crates/front/src/orders/plan.rs
@@ -12,7 +12,7 @@
 /// because new work may still use them.
 const RELOAD_DELAY: Duration = Duration::from_millis(400);
 
-/// Number of versions behind the newest at which no job may use an instance any more.
+/// Minimum number of versions behind the newest at which no job may use an instance.
 const UNUSABLE_LAG: u64 = 2;
 
 /// Maximum duration of a model's longest text, relative to that of another model, at which its
@@ -78,8 +78,8 @@
     traded: BTreeSet<String>,
 }
 
-/// At most one in this many instances of a model is traded per round, because a traded instance is
-/// unavailable while it loads other weights.
+/// At most one in this many of a model's instances, but at least one, may be traded per round,
+/// because a traded instance is unavailable while it loads other weights.
 const TRADE_DIVISOR: usize = 5;
 
 /// Returns the maximum number of trades per round.
