--- a/crates/front/src/job/run_context.rs
+++ b/crates/front/src/job/run_context.rs
@@ -152,7 +152,7 @@
     }
 
     /// Checks whether the instance crashed in a run of the item at `index` whose connection broke.
-    /// Records the finding and announces it to other fronts.
+    /// Records the result, and announces the item's content to other fronts after its second crash.
     pub(super) async fn check_broken_run(
         &self,
         index: usize,
