--- a/crates/bench/src/cluster/mod.rs
+++ b/crates/bench/src/cluster/mod.rs
@@ -26,7 +26,7 @@
 use daemon::PlatformProxies;
 pub use operator::{
     CurrentBundle, FindingText, KEY_ID, Operator, PoolNames, RollBody, RollReply, SignatureText,
-    SignedText, current_bundle, plain_bundle, post_bundle, proposal, signed, test_key,
+    SignedText, current_bundle, test_bundle, post_bundle, proposal, signed, test_key,
 };
 pub use platform::{Backend, Platform, PlatformConfig, StandIn};
 pub use settings::{DaemonSettings, Timing};
@@ -251,7 +251,7 @@
         };
         let model = names(MODEL_POOL, &self.platform.engines);
         let application = names(APPLICATION_POOL, &self.platform.applications);
-        plain_bundle(revision, weight_version, model, application)
+        test_bundle(revision, weight_version, model, application)
     }
 
     /// Returns an operator that can reach all daemons.
--- a/crates/bench/src/cluster/operator.rs
+++ b/crates/bench/src/cluster/operator.rs
@@ -52,7 +52,7 @@
 }
 
 /// Returns a bundle with one model pool, one application pool, and classes with generous limits.
-pub fn plain_bundle(
+pub fn test_bundle(
     revision: u64,
     weight_version: u64,
     model: PoolNames,
--- a/crates/bench/src/demo/mod.rs
+++ b/crates/bench/src/demo/mod.rs
@@ -13,7 +13,7 @@
 
 use crate::cluster::{
     APPLICATION_POOL, Backend, ClusterConfig, ClusterError, MODEL_POOL, Operator, Platform,
-    PlatformConfig, PoolNames, plain_bundle,
+    PlatformConfig, PoolNames, test_bundle,
 };
 use crate::trainer::{BundleRequirements, PullOptions, StepSpec, Trainer, TrainerError};
 use callers::DemoCaller;
@@ -132,7 +132,7 @@
         };
         let model = names(MODEL_POOL, &self.platform.engines);
         let application = names(APPLICATION_POOL, &self.platform.applications);
-        let bundle = plain_bundle(revision, weight_version, model, application);
+        let bundle = test_bundle(revision, weight_version, model, application);
         self.operator.roll(&bundle, START_TIMEOUT).await?;
         self.operator
             .wait_until_in_force_everywhere(revision, START_TIMEOUT)
--- a/crates/bench/tests/adapters.rs
+++ b/crates/bench/tests/adapters.rs
@@ -63,7 +63,7 @@
     let engine = engine::start(EngineConfig::default()).await.unwrap();
     set_faults(&engine, json!({"cut": "mid-body", "cuts": 1})).await;
     let (mut text, mut segments, end) = generate(&engine, &request("a")).await.unwrap();
-    assert!(matches!(end, Err(StreamError::Cut(_))), "{end:?}");
+    assert!(matches!(end, Err(StreamError::Truncated(_))), "{end:?}");
     let resumed = CompletionRequest {
         resume_text: text.clone(),
         resume_tokens: segments.len() as u32,
@@ -82,10 +82,10 @@
     let engine = engine::start(EngineConfig::default()).await.unwrap();
     set_faults(&engine, json!({"refusals": 1})).await;
     let refused = generate(&engine, &request("refused")).await.unwrap_err();
-    assert!(refused.certainly_not_run());
+    assert!(refused.is_certainly_not_run());
     set_faults(&engine, json!({"cut": "before-headers", "cuts": 1})).await;
     let cut = generate(&engine, &request("cut")).await.unwrap_err();
-    assert!(!cut.certainly_not_run());
+    assert!(!cut.is_certainly_not_run());
     let url = format!("{}/control/log", engine.url());
     let log: EngineLog = http_client()
         .get(url)
@@ -122,7 +122,7 @@
 
     set_faults(&service, json!({"lost_answers": 1, "stale_reads": true})).await;
     assert_eq!(
-        client.get_current("head").await.unwrap().unwrap().value,
+        client.get_linearizable("head").await.unwrap().unwrap().value,
         b"1"
     );
     let unknown = client.compare_and_swap("head", 1, b"3".to_vec()).await;
@@ -132,7 +132,7 @@
     );
     assert_eq!(client.get("head").await.unwrap().unwrap().value, b"1");
     assert_eq!(
-        client.get_current("head").await.unwrap().unwrap().value,
+        client.get_linearizable("head").await.unwrap().unwrap().value,
         b"3"
     );
     set_faults(&service, json!({})).await;
--- a/crates/bench/tests/bundle_in_force/scenario.rs
+++ b/crates/bench/tests/bundle_in_force/scenario.rs
@@ -166,7 +166,7 @@
 pub async fn head_record(cluster: &Cluster) -> HeadRecord {
     let url = cluster.platform.key_value.url();
     let client = KeyValue::new(vec![url], KEY_VALUE_TIMEOUT);
-    let entry = client.get_current(HEAD_KEY).await.unwrap().unwrap();
+    let entry = client.get_linearizable(HEAD_KEY).await.unwrap().unwrap();
     let signed: SignedBundle = decode(&entry.value).unwrap();
     let counts: KeyValueCounts = cluster.platform.key_value.read("counts").await.unwrap();
     HeadRecord {
--- a/crates/bench/tests/planned_stop/main.rs
+++ b/crates/bench/tests/planned_stop/main.rs
@@ -61,7 +61,7 @@
     for signal in 1..=signals {
         cluster.daemons[stopping].terminate();
         let daemon = &cluster.daemons[stopping];
-        let event = ["event=drain_started", "event=stop_already_under_way"][signal - 1];
+        let event = ["event=drain_started", "event=stop_in_progress"][signal - 1];
         until(event, TIMEOUT, async || daemon.log().contains(event)).await;
     }
     assert_refuses_new_work(&cluster, &url).await;
--- a/crates/daemon/src/bundles/head.rs
+++ b/crates/daemon/src/bundles/head.rs
@@ -48,6 +48,6 @@
     key_value: &KeyValue,
     trusted: &TrustedKeys,
 ) -> Result<Option<Head>, HeadError> {
-    let entry = key_value.get_current(HEAD_KEY).await?;
+    let entry = key_value.get_linearizable(HEAD_KEY).await?;
     entry.map(|entry| Head::parse(&entry, trusted)).transpose()
 }
--- a/crates/daemon/src/live/attempts.rs
+++ b/crates/daemon/src/live/attempts.rs
@@ -102,7 +102,7 @@
         error: &DispatchError,
     ) -> Result<(), LiveError> {
         self.handle_failure(&attempt.backend, error);
-        let certain = error.certainly_not_run();
+        let certain = error.is_certainly_not_run();
         self.may_have_run |= !certain;
         drop(attempt);
         if !certain && !self.repeatable {
--- a/crates/daemon/src/live/completion.rs
+++ b/crates/daemon/src/live/completion.rs
@@ -150,7 +150,7 @@
                     return Ok(Running { attempt, stream });
                 }
                 Ok(Err(error)) => {
-                    guard.disarm_if(error.certainly_not_run());
+                    guard.disarm_if(error.is_certainly_not_run());
                     error
                 }
                 Err(_) => DispatchError::Unknown("no answer in time".to_owned()),
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -130,14 +130,14 @@
         node.peer_address()
     );
     let signal = signals.next().await;
-    log::info!("event=stop_asked signal={signal}");
+    log::info!("event=stop_requested signal={signal}");
     let stop = node.stop();
     tokio::pin!(stop);
     loop {
         tokio::select! {
             () = &mut stop => return ExitCode::SUCCESS,
             // Further signals do not abort the drain.
-            signal = signals.next() => log::info!("event=stop_already_under_way signal={signal}"),
+            signal = signals.next() => log::info!("event=stop_in_progress signal={signal}"),
         }
     }
 }
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -112,7 +112,7 @@
         let storage = open_storage(&settings)?;
         let replica_id = storage.as_ref().map_or(0, Storage::replica_id);
         let components_slot = Arc::new(OnceLock::new());
-        let client = Client::with_connections(settings.peer_connections);
+        let client = Client::with_connection_limit(settings.peer_connections);
         let handler = Arc::new(PeerHandler::new(components_slot.clone()));
         let peer_server = Server::start(settings.peer_listen, handler)
             .await
--- a/crates/daemon/src/settings/mod.rs
+++ b/crates/daemon/src/settings/mod.rs
@@ -81,7 +81,7 @@
 }
 
 fn default_peer_connections() -> usize {
-    ladderstage_transport::limits::CLIENT_CONNECTIONS
+    ladderstage_transport::limits::CLIENT_CONNECTION_SOFT_LIMIT
 }
 
 impl Settings {
--- a/crates/daemon/tests/bundles.rs
+++ b/crates/daemon/tests/bundles.rs
@@ -328,7 +328,7 @@
 async fn a_lagging_read_of_the_service_is_no_evidence() {
     let (server, cluster, nodes) = start().await;
     accept(&nodes[0], 1).await;
-    server.let_ranges_lag();
+    server.freeze_ranges();
     cluster.network.disconnect("n5");
     accept(&nodes[0], 2).await;
     // The disconnected node can learn only from the service.
--- a/crates/daemon/tests/journal/writers.rs
+++ b/crates/daemon/tests/journal/writers.rs
@@ -97,7 +97,7 @@
     let lost = writer.append(vec![entry("a")], false).await;
     assert!(matches!(lost, Err(JournalError::NoQuorum(_))), "{lost:?}");
     let other = writer.append(vec![entry("b")], false).await;
-    assert_eq!(other, Err(JournalError::Unresolved));
+    assert_eq!(other, Err(JournalError::AppendPending));
     network.set_disconnected(&[]);
     writer.append(vec![entry("a")], false).await.unwrap();
     writer.append(vec![entry("b")], false).await.unwrap();
--- a/crates/daemon/tests/live/fixture.rs
+++ b/crates/daemon/tests/live/fixture.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use ladderstage_bench::cluster::{PoolNames, plain_bundle};
+use ladderstage_bench::cluster::{PoolNames, test_bundle};
 use ladderstage_bench::http_server::Handle;
 use ladderstage_bench::live::Caller;
 use ladderstage_bench::proxy::Proxy;
@@ -189,7 +189,7 @@
             pool: APPLICATION.to_owned(),
             backends: names("application", self.applications.len()),
         };
-        let bundle = plain_bundle(1, 1, model, application);
+        let bundle = test_bundle(1, 1, model, application);
         let in_force = Arc::new(BundleInForce {
             bundle,
             signed: Default::default(),
--- a/crates/daemon/tests/orders.rs
+++ b/crates/daemon/tests/orders.rs
@@ -73,7 +73,7 @@
 #[tokio::test]
 async fn an_engine_that_accepts_an_order_without_swapping_is_ordered_again() {
     let (daemon, engine) = start(None).await;
-    engine.lock().unwrap().swaps = false;
+    engine.lock().unwrap().applies_orders = false;
     daemon.bundle.send_replace(bundle(1, 2, &[ENGINE]));
     wait_until("the engine was ordered again", || {
         engine.lock().unwrap().orders_seen >= 2
@@ -82,7 +82,7 @@
     let order = daemon.state().expect("described");
     assert_ne!(order.state, "done");
     assert_eq!(order.reported, Some(1));
-    engine.lock().unwrap().swaps = true;
+    engine.lock().unwrap().applies_orders = true;
     assert_eq!(daemon.wait_for("done").await.reported, Some(2));
 }
 
--- a/crates/daemon/tests/standin/mod.rs
+++ b/crates/daemon/tests/standin/mod.rs
@@ -75,7 +75,7 @@
     pub leaving: bool,
     pub reachable: bool,
     /// Whether an accepted order changes the reported version.
-    pub swaps: bool,
+    pub applies_orders: bool,
     /// Number of orders to answer with 500 before accepting one.
     pub failures_left: u32,
     pub highest_fence: u64,
@@ -93,7 +93,7 @@
         weight_version: 1,
         leaving: false,
         reachable: true,
-        swaps: true,
+        applies_orders: true,
         failures_left: 0,
         highest_fence: 0,
         orders_seen: 0,
@@ -140,7 +140,7 @@
             );
         }
         self.highest_fence = number("fence");
-        if self.swaps {
+        if self.applies_orders {
             self.weight_version = number("weight_version");
         }
         (
--- a/crates/front/src/backend/choice.rs
+++ b/crates/front/src/backend/choice.rs
@@ -62,7 +62,7 @@
     }
 
     /// Returns the recent milliseconds per unit of work without the round trip.
-    fn work_ms(&self, demand: Demand) -> Option<f64> {
+    fn work_ms(&self, demand: WorkKind) -> Option<f64> {
         let time_ms = self.unit_time_ms?;
         if demand.is_timed_per_answer() {
             return Some((time_ms - self.round_trip_cost_ms()).max(time_ms * MIN_WORK_SHARE));
@@ -73,7 +73,7 @@
 
 /// Kind of work that an instance is chosen for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Demand {
+pub enum WorkKind {
     /// A client is waiting: any instance, full ones last.
     Live,
     /// An item of a batch job: only instances with a free slot.
@@ -87,7 +87,7 @@
     Scoring,
 }
 
-impl Demand {
+impl WorkKind {
     /// Returns whether times are measured per complete answer rather than per event.
     fn is_timed_per_answer(self) -> bool {
         match self {
@@ -106,7 +106,7 @@
 
 /// Returns the index of the cheapest instance that accepts the demand, `None` if there is none.
 /// `random` breaks ties.
-pub fn choose(candidates: &[Candidate], demand: Demand, random: u64) -> Option<usize> {
+pub fn choose(candidates: &[Candidate], demand: WorkKind, random: u64) -> Option<usize> {
     let typical = typical_unit_time(candidates, demand);
     let eligible = candidates
         .iter()
@@ -125,19 +125,19 @@
 }
 
 /// Returns the load at which the instance stops accepting this kind of work.
-fn max_load(candidate: &Candidate, demand: Demand) -> u32 {
+fn max_load(candidate: &Candidate, demand: WorkKind) -> u32 {
     match demand {
-        Demand::Live => u32::MAX,
-        Demand::Batch | Demand::LongBatch => candidate.slots,
-        Demand::InterruptedBatch => {
+        WorkKind::Live => u32::MAX,
+        WorkKind::Batch | WorkKind::LongBatch => candidate.slots,
+        WorkKind::InterruptedBatch => {
             candidate.slots + candidate.slots.div_ceil(INTERRUPTED_QUEUE_DIVISOR)
         }
-        Demand::Scoring => candidate.slots - candidate.slots / LIVE_SLOT_DIVISOR,
+        WorkKind::Scoring => candidate.slots - candidate.slots / LIVE_SLOT_DIVISOR,
     }
 }
 
 /// Returns the cost of one more request at this instance, in the unit of the module's head.
-fn cost(candidate: &Candidate, typical: Option<f64>, demand: Demand) -> f64 {
+fn cost(candidate: &Candidate, typical: Option<f64>, demand: WorkKind) -> f64 {
     let occupancy = f64::from(candidate.load + 1) / f64::from(candidate.slots.max(1));
     let relative_time = match (candidate.work_ms(demand), typical) {
         (Some(time_ms), Some(typical)) if typical > 0.0 => {
@@ -146,10 +146,10 @@
         _ => 1.0,
     };
     let fixed_ratio = match demand {
-        Demand::LongBatch | Demand::InterruptedBatch => LONG_FIXED_TIME_RATIO,
-        Demand::Live | Demand::Batch | Demand::Scoring => FIXED_TIME_RATIO,
+        WorkKind::LongBatch | WorkKind::InterruptedBatch => LONG_FIXED_TIME_RATIO,
+        WorkKind::Live | WorkKind::Batch | WorkKind::Scoring => FIXED_TIME_RATIO,
     };
-    let queue_cost = if demand == Demand::InterruptedBatch && candidate.load >= candidate.slots {
+    let queue_cost = if demand == WorkKind::InterruptedBatch && candidate.load >= candidate.slots {
         QUEUE_COST
     } else {
         0.0
@@ -168,7 +168,7 @@
 }
 
 /// Returns the round trip relative to the time of a request at an idle typical instance.
-fn round_trip_cost(candidate: &Candidate, typical: Option<f64>, demand: Demand) -> f64 {
+fn round_trip_cost(candidate: &Candidate, typical: Option<f64>, demand: WorkKind) -> f64 {
     let events_per_request = if demand.is_timed_per_answer() {
         1.0
     } else {
@@ -179,7 +179,7 @@
 }
 
 /// Returns the median work time per unit of the candidates with a measured time.
-fn typical_unit_time(candidates: &[Candidate], demand: Demand) -> Option<f64> {
+fn typical_unit_time(candidates: &[Candidate], demand: WorkKind) -> Option<f64> {
     median(
         candidates
             .iter()
--- a/crates/front/src/backend/cold/limits.rs
+++ b/crates/front/src/backend/cold/limits.rs
@@ -53,11 +53,11 @@
 
 /// Limits by service; empty if none applies. Cheap to clone.
 #[derive(Debug, Clone)]
-pub struct ColdLimits {
+pub struct ColdLimitTable {
     by_service: watch::Sender<Arc<BTreeMap<String, ColdLimit>>>,
 }
 
-impl Default for ColdLimits {
+impl Default for ColdLimitTable {
     fn default() -> Self {
         Self {
             by_service: watch::Sender::new(Arc::default()),
@@ -65,7 +65,7 @@
     }
 }
 
-impl ColdLimits {
+impl ColdLimitTable {
     /// Replaces the limits by those of a configuration.
     pub fn set(&self, config: &ServingConfig, allowance: ColdAllowance) {
         let limits = config.services.iter().filter_map(|(name, service)| {
--- a/crates/front/src/backend/cold/mod.rs
+++ b/crates/front/src/backend/cold/mod.rs
@@ -4,6 +4,6 @@
 mod share;
 mod state;
 
-pub use limits::{ColdAllowance, ColdLimit, ColdLimits, PermitRequests};
+pub use limits::{ColdAllowance, ColdLimit, ColdLimitTable, PermitRequests};
 pub use share::{PERMIT_LIFETIME, SEND_WINDOW, SendBudget, SendTicket, WRITE_MARGIN};
 pub use state::{ColdState, ColdStatus};
--- a/crates/front/src/backend/gate.rs
+++ b/crates/front/src/backend/gate.rs
@@ -9,7 +9,7 @@
 use ladderstage_clock::Instant;
 use tokio::sync::watch;
 
-use super::cold::{ColdLimits, PermitRequests};
+use super::cold::{ColdLimitTable, PermitRequests};
 
 /// Reason why a ready instance gets no requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -152,7 +152,7 @@
     /// Drained zones.
     pub drained: DrainedZones,
     /// Request limits of cold instances.
-    pub cold: ColdLimits,
+    pub cold: ColdLimitTable,
     /// Cold instances for which this node needs permits.
     pub permit_requests: PermitRequests,
     /// Zones and regions of this node and the instances.
--- a/crates/front/src/backend/mod.rs
+++ b/crates/front/src/backend/mod.rs
@@ -10,9 +10,9 @@
 mod table;
 
 pub(crate) use choice::median;
-pub use choice::{Candidate, Demand, choose};
+pub use choice::{Candidate, WorkKind, choose};
 pub use cold::{
-    ColdAllowance, ColdLimit, ColdLimits, ColdState, ColdStatus, PERMIT_LIFETIME, PermitRequests,
+    ColdAllowance, ColdLimit, ColdLimitTable, ColdState, ColdStatus, PERMIT_LIFETIME, PermitRequests,
     SEND_WINDOW, SendBudget, SendTicket, WRITE_MARGIN,
 };
 pub use connection::{ConnectError, ConnectionPool, PooledConnection};
--- a/crates/front/src/backend/table.rs
+++ b/crates/front/src/backend/table.rs
@@ -8,7 +8,7 @@
 use ladderstage_clock::Instant;
 use tokio::sync::watch;
 
-use super::choice::{Candidate, Demand, choose, median};
+use super::choice::{Candidate, WorkKind, choose, median};
 use super::counters::DiscoveryCounters;
 use super::gate::{HoldReason, Locality, SendGates};
 use super::instance::{DiscoveredInstance, Instance};
@@ -312,7 +312,7 @@
         &self,
         service: &str,
         model: &str,
-        demand: Demand,
+        demand: WorkKind,
         fits: impl Fn(&Instance) -> bool,
     ) -> Option<Arc<Instance>> {
         let now = Instant::now();
@@ -328,13 +328,13 @@
         chosen
     }
 
-    /// Returns the instance that [`BackendTable::choose_within`] would choose, without reserving
+    /// Returns the instance that [`BackendTable::choose_in_regions`] would choose, without reserving
     /// it.
-    pub fn best_within(
+    pub fn best_in_regions(
         &self,
         service: &str,
         model: &str,
-        demand: Demand,
+        demand: WorkKind,
         allowed: &AllowedRegions,
         fits: impl Fn(&Instance) -> bool,
     ) -> Option<Arc<Instance>> {
@@ -348,7 +348,7 @@
         &self,
         service: &str,
         model: &str,
-        demand: Demand,
+        demand: WorkKind,
         now: Instant,
         fits: impl Fn(&Instance) -> bool,
     ) -> (Option<Arc<Instance>>, Vec<Arc<Instance>>) {
@@ -403,11 +403,11 @@
     }
 
     /// Like [`BackendTable::choose`], among instances in allowed regions.
-    pub fn choose_within(
+    pub fn choose_in_regions(
         &self,
         service: &str,
         model: &str,
-        demand: Demand,
+        demand: WorkKind,
         allowed: &AllowedRegions,
         fits: impl Fn(&Instance) -> bool,
     ) -> Option<Arc<Instance>> {
@@ -417,7 +417,7 @@
     }
 
     /// Returns whether a service has an instance in an allowed region, ready or not.
-    pub fn has_any_within(&self, service: &str, allowed: &AllowedRegions) -> bool {
+    pub fn has_instance_in(&self, service: &str, allowed: &AllowedRegions) -> bool {
         let instances = self.instances_of(service);
         instances.iter().any(|instance| instance.is_within(allowed))
     }
--- a/crates/front/src/capacity/outbox.rs
+++ b/crates/front/src/capacity/outbox.rs
@@ -8,14 +8,15 @@
 use super::counts::InstancePool;
 use super::sink::CapacityOrderError;
 
-/// Pause after the first order that failed; doubles with each further one.
-const INITIAL_PAUSE: Duration = Duration::from_millis(400);
+/// Backoff after the first failed order; doubles with each consecutive failure.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(400);
 
-/// Upper limit of the pause after failed orders.
-const MAX_PAUSE: Duration = Duration::from_secs(4);
+/// Maximum backoff after failed orders.
+const MAX_BACKOFF: Duration = Duration::from_secs(4);
 
-/// Time within which an unanswered order may still take effect, overriding newer ones.
-pub const LATE_EXECUTION_WINDOW: Duration = Duration::from_secs(15);
+/// Time after which an order with unknown outcome can no longer take effect. Until then it may
+/// override newer orders.
+pub const MAX_EXECUTION_DELAY: Duration = Duration::from_secs(15);
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct OutboxEntry {
@@ -23,9 +24,11 @@
     is_accepted: bool,
     /// Earliest time of the next attempt.
     next_attempt_at: Instant,
-    pause: Duration,
-    /// Time until which an unanswered order may still take effect.
-    late_until: Option<Instant>,
+    /// Delay after the next failed order.
+    backoff: Duration,
+    /// End of the time in which an order with unknown outcome may still take effect. The count is
+    /// sent again afterwards, even if it was accepted.
+    resend_after: Option<Instant>,
 }
 
 /// Latest order of each pool and the time of its next attempt.
@@ -50,23 +53,24 @@
             desired,
             is_accepted: false,
             next_attempt_at: now,
-            pause: INITIAL_PAUSE,
-            late_until: None,
+            backoff: INITIAL_BACKOFF,
+            resend_after: None,
         };
         self.entries.insert(pool.clone(), entry);
     }
 
-    /// Sets a count that an earlier holder ordered. It is sent once more after that holder's orders
-    /// can no longer take effect.
+    /// Sets a count that an earlier lease holder ordered. It is sent once more after that holder's
+    /// orders can no longer take effect.
     pub fn resume(&mut self, pool: &InstancePool, desired: u32, now: Instant) {
         self.set_desired(pool, desired, now);
         if let Some(entry) = self.entries.get_mut(pool) {
-            entry.late_until = Some(now + LATE_EXECUTION_WINDOW);
+            entry.resend_after = Some(now + MAX_EXECUTION_DELAY);
         }
     }
 
-    /// Makes the count of a pool due again, after the pause that followed its last outcome.
-    pub fn repeat(&mut self, pool: &InstancePool, desired: u32, now: Instant) {
+    /// Sets the desired count of a pool and schedules it again, unless the pause after its last
+    /// outcome has not elapsed.
+    pub fn resend(&mut self, pool: &InstancePool, desired: u32, now: Instant) {
         self.set_desired(pool, desired, now);
         if let Some(entry) = self.entries.get_mut(pool)
             && now >= entry.next_attempt_at
@@ -78,8 +82,8 @@
     /// Returns the orders that are due.
     pub fn due(&self, now: Instant) -> Vec<(InstancePool, u32)> {
         let is_due = |entry: &OutboxEntry| {
-            let has_late_window_passed = entry.late_until.is_some_and(|until| now >= until);
-            now >= entry.next_attempt_at && (!entry.is_accepted || has_late_window_passed)
+            let must_resend = entry.resend_after.is_some_and(|until| now >= until);
+            now >= entry.next_attempt_at && (!entry.is_accepted || must_resend)
         };
         let due = self.entries.iter().filter(|(_, entry)| is_due(entry));
         due.map(|(pool, entry)| (pool.clone(), entry.desired))
@@ -87,7 +91,7 @@
     }
 
     /// Records the outcome of an order. An accepted order, or one without available capacity, is
-    /// repeated after `pause` at the earliest.
+    /// not sent again before `pause` has elapsed.
     pub fn record_outcome(
         &mut self,
         pool: &InstancePool,
@@ -99,27 +103,27 @@
         let Some(entry) = self.entries.get_mut(pool) else {
             return;
         };
-        if entry.late_until.is_some_and(|until| now >= until) {
-            entry.late_until = None;
+        if entry.resend_after.is_some_and(|until| now >= until) {
+            entry.resend_after = None;
         }
         match outcome {
             Ok(()) => {
                 entry.is_accepted = entry.desired == desired;
-                entry.pause = INITIAL_PAUSE;
+                entry.backoff = INITIAL_BACKOFF;
                 entry.next_attempt_at = if entry.is_accepted { now + pause } else { now };
             }
             Err(CapacityOrderError::Unavailable) => {
                 entry.is_accepted = false;
-                entry.pause = INITIAL_PAUSE;
+                entry.backoff = INITIAL_BACKOFF;
                 entry.next_attempt_at = now + pause;
             }
-            Err(CapacityOrderError::Refused(_)) => {
+            Err(CapacityOrderError::Rejected(_)) => {
                 entry.is_accepted = false;
                 entry.back_off(now);
             }
             Err(CapacityOrderError::Unknown(_)) => {
                 entry.is_accepted = false;
-                entry.late_until = Some(now + LATE_EXECUTION_WINDOW);
+                entry.resend_after = Some(now + MAX_EXECUTION_DELAY);
                 entry.back_off(now);
             }
         }
@@ -129,7 +133,7 @@
 impl OutboxEntry {
     /// Delays the next attempt, with exponential backoff.
     fn back_off(&mut self, now: Instant) {
-        self.next_attempt_at = now + self.pause;
-        self.pause = (self.pause * 2).min(MAX_PAUSE);
+        self.next_attempt_at = now + self.backoff;
+        self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
     }
 }
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -16,7 +16,7 @@
 use crate::coordination::Coordination;
 use crate::dialect::SharedCodec;
 use crate::ingress::{self, Ingress, IngressState};
-use crate::job::{JobContext, JobRegistry, LatestSteps, QuorumConfirmation, TextLengths};
+use crate::job::{JobContext, JobRegistry, LatestSteps, QuorumConfirmation, LongestTexts};
 use crate::live::LiveService;
 use crate::metrics::Metrics;
 use crate::nodes::{FormatLevel, NodeRecord, NodeRole, Nodes};
@@ -25,7 +25,7 @@
     PermitRequester,
 };
 use crate::program::{JobHooks, JournalParts, PeerHandler, PeerServices, ProgramOptions};
-use crate::roster::{DiscoveryView, RosterOptions, RosterWriter};
+use crate::roster::{DiscoveryView, RosterTiming, RosterWriter};
 use crate::suspects::{SuspectSharing, Suspects};
 use crate::suspension::watch_suspensions;
 use crate::usage::sharing::share_counts;
@@ -68,7 +68,7 @@
     pub drains: Option<DiscoveryView>,
     /// Timing of the roster (the record of the instances that live requests may go to); `None` if
     /// there is no roster.
-    pub roster: Option<RosterOptions>,
+    pub roster: Option<RosterTiming>,
     /// Codec of the platform's headers and bodies.
     pub codec: SharedCodec,
     /// Usage reports; `None` if they are disabled.
@@ -287,7 +287,7 @@
             metrics: Arc::clone(self.metrics),
             retention: self.options.job_retention,
             confirmation: QuorumConfirmation::default(),
-            lengths: TextLengths::default(),
+            lengths: LongestTexts::default(),
             steps: LatestSteps::default(),
             learned_load_limit: LearnedLoadLimit::default(),
             former_leaders: FormerLeaders::default(),
--- a/crates/front/src/ingress/mod.rs
+++ b/crates/front/src/ingress/mod.rs
@@ -36,7 +36,7 @@
 use self::state::RequestGuard;
 use crate::config::{CurrentConfig, Route, RouteKind, ServingConfig};
 use crate::dialect::{JobCall, SharedCodec};
-use crate::job::{AcceptError, JobRegistry, ReadError, job_key};
+use crate::job::{AcceptError, JobRegistry, JobError, job_key};
 use crate::live::{LiveRequest, LiveService};
 use crate::metrics::Metrics;
 use crate::nodes::Nodes;
@@ -394,8 +394,8 @@
         result.unwrap_or_else(|error| {
             log::info!("event=job_call_failed job={job} cause=\"{error}\"");
             match error {
-                ReadError::NotFound => empty(StatusCode::NOT_FOUND),
-                ReadError::Unavailable(_) => not_run(),
+                JobError::NotFound => empty(StatusCode::NOT_FOUND),
+                JobError::Unavailable(_) => not_run(),
             }
         })
     }
--- a/crates/front/src/job/done.rs
+++ b/crates/front/src/job/done.rs
@@ -31,19 +31,19 @@
 }
 
 impl Owner {
-    /// Returns the latest time at which held results are listed.
+    /// Returns the latest time at which the unlisted results are listed.
     pub(super) fn list_at(&self) -> Option<Instant> {
         self.groups.as_ref()?.list_at()
     }
 
-    /// Queues the results that are ready to be listed.
+    /// Queues the results that are to be listed now.
     pub(super) fn list_ready(&mut self) {
         let spec = self.job.state().spec().cloned();
         let (Some(spec), Some(groups)) = (spec, &mut self.groups) else {
             return;
         };
         for index in groups.drain_ready(Instant::now()) {
-            if let Some(done) = self.held.remove(&index) {
+            if let Some(done) = self.unlisted.remove(&index) {
                 let result = done.into_result(&spec.items[index].id);
                 self.queue.push_result(result);
             }
@@ -71,12 +71,12 @@
             let state = self.job.state();
             self.groups = Some(GroupListing::new(&spec, due, |item| state.is_listed(item)));
         }
-        self.held.insert(index, done);
+        self.unlisted.insert(index, done);
         if let Some(groups) = &mut self.groups {
             groups.add_result(index, Instant::now());
         }
         self.list_ready();
-        if let Some(DoneItem::Completed { text, .. }) = self.held.get_mut(&index)
+        if let Some(DoneItem::Completed { text, .. }) = self.unlisted.get_mut(&index)
             && let Some(progress) = text.finish(&spec.items[index].id)
         {
             self.queue.push_progress(progress);
--- a/crates/front/src/job/lengths.rs
+++ b/crates/front/src/job/lengths.rs
@@ -1,4 +1,4 @@
-//! Recent text lengths of each model.
+//! Longest recent text of each model.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard};
@@ -11,12 +11,12 @@
 
 /// Longest recent text of each model, in events.
 #[derive(Debug, Default)]
-pub struct TextLengths {
+pub struct LongestTexts {
     longest: Mutex<BTreeMap<String, (u64, Instant)>>,
 }
 
-impl TextLengths {
-    /// Records a text of `events` events.
+impl LongestTexts {
+    /// Records a text with the given number of events.
     pub fn record(&self, model: &str, events: u64) {
         let now = Instant::now();
         let mut longest = self.lock();
--- a/crates/front/src/job/locating.rs
+++ b/crates/front/src/job/locating.rs
@@ -15,17 +15,17 @@
 use super::local_job::Job;
 use super::lock::lock;
 use super::log_name;
-use super::reading::{ReadError, unavailable};
+use super::reading::{JobError, unavailable};
 use super::registry::JobRegistry;
 
-/// Time for a peer to answer, in addition to the wait that the request asks for.
+/// Timeout of a call to another node, in addition to the wait that the request specifies.
 pub(super) const PEER_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Location of a job.
 enum Location {
     /// This node owns the job.
     Local(Arc<Job>),
-    /// Another node owns the job, or owned it when that was last known.
+    /// Another node owns the job, according to `source`.
     Remote { node: String, source: Source },
 }
 
@@ -38,8 +38,9 @@
     Journal,
 }
 
-/// Reply to a request about a job.
-pub(super) enum OwnerReply {
+/// Owner of a job: this node, which then handles the request itself, or a remote one with its
+/// answer.
+pub(super) enum JobOwner {
     /// This node owns the job.
     Local(Arc<Job>),
     /// Answer of the remote owner.
@@ -47,68 +48,71 @@
 }
 
 /// Reason why a node gave no answer about a job.
-enum AskError {
+enum NodeCallError {
     /// The node does not know the job or has left.
     NotOwner,
     /// The request could not be sent.
-    NotSent(ReadError),
+    NotSent(JobError),
     /// The node may own the job but did not answer.
-    Unavailable(ReadError),
+    Unavailable(JobError),
 }
 
 impl JobRegistry {
     /// Sends a request to the owner of a job. Becomes the owner if the node that the journal names
     /// does not know the job or has left.
-    pub(super) async fn ask_owner(
+    pub(super) async fn call_owner(
         &self,
         id: &str,
         request: &RequestKind,
         wait: Duration,
-    ) -> Result<OwnerReply, ReadError> {
+    ) -> Result<JobOwner, JobError> {
         loop {
             let (node, source) = match self.locate(id).await? {
-                Location::Local(job) => return Ok(OwnerReply::Local(job)),
+                Location::Local(job) => return Ok(JobOwner::Local(job)),
                 Location::Remote { node, source } => (node, source),
             };
-            match self.ask_node(id, &node, request.clone(), wait).await {
-                Ok(answer) => return Ok(OwnerReply::Answer(answer)),
-                Err(AskError::Unavailable(error)) => return Err(error),
+            match self.call_node(id, &node, request.clone(), wait).await {
+                Ok(answer) => return Ok(JobOwner::Answer(answer)),
+                Err(NodeCallError::Unavailable(error)) => return Err(error),
                 // The cached owner has been removed, so the next iteration queries the journal.
                 Err(_) if source == Source::Cache => {}
-                Err(AskError::NotOwner) => return self.adopt_or_delegate(id, request, wait).await,
-                Err(AskError::NotSent(error)) => return Err(error),
+                Err(NodeCallError::NotOwner) => {
+                    return self.adopt_or_forward(id, request, wait).await;
+                }
+                Err(NodeCallError::NotSent(error)) => return Err(error),
             }
         }
     }
 
-    /// Becomes the owner of a job without one, or delegates that to a stronger front. Uses the
-    /// front to which replicas announce orphaned logs, so that after a restart of all nodes readers
-    /// do not place jobs on weak fronts.
-    async fn adopt_or_delegate(
+    /// Takes over an orphaned job, or forwards the request to the preferred takeover candidate: the
+    /// front to which replicas announce orphaned logs. Without this, the first reader after a
+    /// restart of all nodes could place the job at a front with little CPU.
+    async fn adopt_or_forward(
         &self,
         id: &str,
         request: &RequestKind,
         wait: Duration,
-    ) -> Result<OwnerReply, ReadError> {
-        let Some(candidate) = self.stronger_owner(id) else {
-            return Ok(OwnerReply::Local(self.adopt(id).await?));
+    ) -> Result<JobOwner, JobError> {
+        let Some(candidate) = self.preferred_takeover_node(id) else {
+            return Ok(JobOwner::Local(self.adopt(id).await?));
         };
-        let answer = self.ask_node(id, &candidate, with_forwarding(request), wait);
+        let answer = self.call_node(id, &candidate, with_forwarding(request), wait);
         match answer.await {
             Ok(answer) => {
                 log::info!("event=job_takeover_forwarded job={id} node={candidate}");
                 lock(&self.shared.owners).insert(id.to_owned(), (candidate, Instant::now()));
-                Ok(OwnerReply::Answer(answer))
+                Ok(JobOwner::Answer(answer))
             }
-            Err(AskError::Unavailable(error)) => Err(error),
-            Err(AskError::NotOwner | AskError::NotSent(_)) => {
-                Ok(OwnerReply::Local(self.adopt(id).await?))
+            Err(NodeCallError::Unavailable(error)) => Err(error),
+            Err(NodeCallError::NotOwner | NodeCallError::NotSent(_)) => {
+                Ok(JobOwner::Local(self.adopt(id).await?))
             }
         }
     }
 
-    /// Returns the front that takes over a job without an owner, if it is not this node.
-    fn stronger_owner(&self, id: &str) -> Option<String> {
+    /// Returns the front that takes over an orphaned job. Returns `None` if this node takes it
+    /// over: because it is a candidate, is leaving, or no candidate is known.
+    fn preferred_takeover_node(&self, id: &str) -> Option<String> {
         if self.context.nodes.is_leaving() {
             return None;
         }
@@ -126,26 +130,27 @@
         rendezvous_first(log_name(id).as_bytes(), names).map(str::to_owned)
     }
 
-    /// Checks whether a job was accepted before.
-    pub(super) async fn find_accepted(&self, id: &str) -> Result<OwnerReply, ReadError> {
-        self.ask_owner(id, &empty_read(id), Duration::ZERO).await
+    /// Returns the owner of a job that was accepted earlier. Takes the job over if it is orphaned.
+    pub(super) async fn find_accepted(&self, id: &str) -> Result<JobOwner, JobError> {
+        self.call_owner(id, &owner_probe(id), Duration::ZERO).await
     }
 
-    /// Returns whether another node answers as the confirmed owner of a job.
-    pub(super) async fn is_owned(&self, id: &str) -> bool {
+    /// Returns whether another node answers as the confirmed owner of a job. Ignores and removes
+    /// the cached owner.
+    pub(super) async fn is_owned_elsewhere(&self, id: &str) -> bool {
         lock(&self.shared.owners).remove(id);
         let Ok(Location::Remote { node, .. }) = self.locate(id).await else {
             return false;
         };
-        let answer = self.ask_node(id, &node, empty_read(id), Duration::ZERO);
+        let answer = self.call_node(id, &node, owner_probe(id), Duration::ZERO);
         matches!(answer.await, Ok(ResponseKind::job_results(_)))
     }
 
     /// Finds the owner of a job: this node, the cached owner, or the owner that the journal names.
-    async fn locate(&self, id: &str) -> Result<Location, ReadError> {
+    async fn locate(&self, id: &str) -> Result<Location, JobError> {
         if let Some(job) = self.local(id) {
             if job.state().spec().is_none() {
-                return Err(unavailable("the job is still being accepted"));
+                return Err(unavailable("the job's acceptance is not committed yet"));
             }
             return Ok(Location::Local(job));
         }
@@ -160,7 +165,7 @@
         let found = logs
             .into_iter()
             .find(|log| log.log == name && log.length > 0);
-        let node = found.ok_or(ReadError::NotFound)?.owner_node;
+        let node = found.ok_or(JobError::NotFound)?.owner_node;
         if node == self.context.nodes.own().node {
             return Ok(Location::Local(self.adopt(id).await?));
         }
@@ -170,13 +175,13 @@
         Ok(Location::Remote { node, source })
     }
 
-    async fn ask_node(
+    async fn call_node(
         &self,
         id: &str,
         node: &str,
         kind: RequestKind,
         wait: Duration,
-    ) -> Result<ResponseKind, AskError> {
+    ) -> Result<ResponseKind, NodeCallError> {
         let nodes = &self.context.nodes;
         let timeout = wait + PEER_TIMEOUT;
         let answer = nodes.call(node, Request { kind }, timeout).await;
@@ -191,12 +196,12 @@
         if !is_not_owner && nodes.is_present(node) {
             let cause = unavailable(&format!("owner {node}: {error}"));
             return Err(match error {
-                CallError::NotSent(_) => AskError::NotSent(cause),
-                _ => AskError::Unavailable(cause),
+                CallError::NotSent(_) => NodeCallError::NotSent(cause),
+                _ => NodeCallError::Unavailable(cause),
             });
         }
         log::info!("event=job_owner_gone job={id} node={node} cause=\"{error}\"");
-        Err(AskError::NotOwner)
+        Err(NodeCallError::NotOwner)
     }
 }
 
@@ -212,8 +217,8 @@
     request
 }
 
-/// Returns a read of no results, which only the owner of a job answers.
-fn empty_read(id: &str) -> RequestKind {
+/// Builds a read request that returns no results, to check who owns the job.
+fn owner_probe(id: &str) -> RequestKind {
     RequestKind::read_job(ReadJob {
         job: id.to_owned(),
         after: u64::MAX,
--- a/crates/front/src/job/mod.rs
+++ b/crates/front/src/job/mod.rs
@@ -1,5 +1,9 @@
 //! Batch jobs: accepted once a majority of store disks holds them, run item by item, readable at
 //! any front.
+//!
+//! A job consists of items, each of which generates one text. A job of a trainer is one training
+//! step; its items form groups, and the trainer needs a number of complete groups. One front is the
+//! owner of a job: it runs the items and is the only writer of the job's log in the journal.
 
 mod appending;
 mod confirmation;
@@ -41,16 +45,16 @@
 pub use digest::{FoundLog, LogDigest};
 pub use events::{Event, EventParser};
 pub use group_listing::GroupListing;
-pub use lengths::TextLengths;
+pub use lengths::LongestTexts;
 pub use migration::{
-    EventIntervals, expected_remaining_events, is_move_worthwhile, remaining_demand,
+    EventIntervals, expected_remaining_events, is_migration_worthwhile, remaining_demand,
 };
 pub use preferred_owner::{preferred_owner, preferred_owner_in_region};
 pub use queue::EntryQueue;
-pub use reading::ReadError;
+pub use reading::JobError;
 pub use region_bounds::{RegionBoundsError, check_node_regions};
 pub use registry::{AcceptError, JobRegistry};
-pub use run_context::{first_event_timeout, refusal_pause};
+pub use run_context::{exclusion_after_rejection, first_event_timeout};
 pub use state::{JobState, encode_entry};
 pub use text::ItemText;
 pub use trainer_steps::LatestSteps;
--- a/crates/front/src/job/peer_handler.rs
+++ b/crates/front/src/job/peer_handler.rs
@@ -18,7 +18,7 @@
 use super::LOG_PREFIX;
 use super::local_job::Job;
 use super::lock::lock;
-use super::reading::{ReadError, body_local, end_local, results_answer};
+use super::reading::{JobError, end_local_job, local_item_body, results_answer};
 use super::registry::JobRegistry;
 use crate::orders::LoadLimit;
 
@@ -81,7 +81,7 @@
                 ResponseKind::packed_kept_texts(compress(&encode(&texts)))
             }
             RequestKind::weight_news(news) => {
-                self.apply_weight_news(&news);
+                self.apply_weight_updates(&news);
                 ResponseKind::done(Done {})
             }
             RequestKind::accept_job(request) => self.handle_accept(request).await,
@@ -104,7 +104,7 @@
     }
 
     /// Applies the order leader's update on the weights of instances.
-    fn apply_weight_news(&self, news: &WeightNews) {
+    fn apply_weight_updates(&self, news: &WeightNews) {
         let now = Instant::now();
         for update in &news.instances {
             let instance = self.context.backends.get(&update.instance);
@@ -150,12 +150,12 @@
         let body = if request.anywhere {
             match self.body_here_or_at_owner(job, item).await {
                 Ok(body) => Some(body),
-                Err(ReadError::NotFound) => None,
+                Err(JobError::NotFound) => None,
                 Err(error) => return refusal_from(error),
             }
         } else {
             match self.local_or_refusal(job) {
-                Ok(job) => body_local(&job, item),
+                Ok(job) => local_item_body(&job, item),
                 Err(refused) => return ResponseKind::refused(refused),
             }
         };
@@ -170,20 +170,20 @@
             self.end_here_or_at_owner(&request.job).await
         } else {
             match self.local_or_refusal(&request.job) {
-                Ok(job) => end_local(&job).await,
+                Ok(job) => end_local_job(&job).await,
                 Err(refused) => return ResponseKind::refused(refused),
             }
         };
         ended.map_or_else(refusal_from, |()| ResponseKind::done(Done {}))
     }
 
-    /// Takes over jobs whose logs a replica reports as orphaned, unless their owner answers: the
-    /// replica may be partitioned.
+    /// Takes over jobs whose logs a replica reports as orphaned. Skips jobs whose owner still
+    /// answers, because the replica may only be partitioned from it.
     pub fn on_orphaned_logs(&self, logs: Vec<String>) {
         for id in self.jobs_not_local(&logs) {
             let registry = self.clone();
             tokio::spawn(async move {
-                if registry.is_owned(&id).await {
+                if registry.is_owned_elsewhere(&id).await {
                     log::info!("event=job_is_owned job={id}");
                     return;
                 }
@@ -239,10 +239,10 @@
         .sum()
 }
 
-fn refusal_from(error: ReadError) -> ResponseKind {
+fn refusal_from(error: JobError) -> ResponseKind {
     let reason = match error {
-        ReadError::NotFound => Reason::NOT_OWNER,
-        ReadError::Unavailable(_) => Reason::NOT_READY,
+        JobError::NotFound => Reason::NOT_OWNER,
+        JobError::Unavailable(_) => Reason::NOT_READY,
     };
     refused(reason, &error.to_string())
 }
--- a/crates/front/src/job/peer_requests.rs
+++ b/crates/front/src/job/peer_requests.rs
@@ -6,7 +6,7 @@
 use ladderstage_wire::messages::mod_Response::OneOfkind as ResponseKind;
 use ladderstage_wire::messages::{EndJob, JobResults, ReadJob, ReadJobBody};
 
-use super::reading::{ReadError, decompress_results, unavailable};
+use super::reading::{JobError, decompress_results, unavailable};
 
 /// Builds a request for results from position `after` on. `anywhere` allows the receiver to forward
 /// it to the owner.
@@ -38,7 +38,7 @@
 }
 
 /// Extracts results from an answer.
-pub(super) fn results_from(answer: ResponseKind) -> Result<JobResults, ReadError> {
+pub(super) fn results_from(answer: ResponseKind) -> Result<JobResults, JobError> {
     match answer {
         ResponseKind::job_results(results) => Ok(results),
         ResponseKind::compressed_job_results(compressed) => decompress_results(&compressed),
@@ -47,16 +47,16 @@
 }
 
 /// Extracts an item's body from an answer.
-pub(super) fn body_from(answer: ResponseKind) -> Result<Vec<u8>, ReadError> {
+pub(super) fn body_from(answer: ResponseKind) -> Result<Vec<u8>, JobError> {
     match answer {
         ResponseKind::job_body(body) if body.found => Ok(body.body),
-        ResponseKind::job_body(_) => Err(ReadError::NotFound),
+        ResponseKind::job_body(_) => Err(JobError::NotFound),
         _ => Err(unavailable("unexpected kind of answer")),
     }
 }
 
 /// Checks that an answer confirms the request.
-pub(super) fn done_from(answer: ResponseKind) -> Result<(), ReadError> {
+pub(super) fn done_from(answer: ResponseKind) -> Result<(), JobError> {
     match answer {
         ResponseKind::done(_) => Ok(()),
         _ => Err(unavailable("unexpected kind of answer")),
--- a/crates/front/src/job/reading.rs
+++ b/crates/front/src/job/reading.rs
@@ -12,7 +12,8 @@
 use super::local_job::{Command, Job};
 use super::state::JobState;
 
-/// Limit of the texts in one answer, in bytes; a single larger result is still returned.
+/// Maximum total size of the texts in one answer, in bytes. A single larger result is still
+/// returned.
 const MAX_PAGE_BYTES: usize = 768 * 1024;
 
 /// Time limit for committing the acceptance or the end of a job.
@@ -20,17 +21,17 @@
 
 /// Error of reading or ending a job.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum ReadError {
+pub enum JobError {
     /// The job or the item does not exist.
     #[error("not found")]
     NotFound,
-    /// The owner could not be reached or has no recent confirmation.
+    /// The owner could not be reached or cannot confirm its ownership.
     #[error("unavailable: {0}")]
     Unavailable(String),
 }
 
 /// Returns results from position `after` on; waits up to `wait` if there are none yet.
-pub(super) async fn read_local(job: &Job, after: u64, wait: Duration) -> JobResults {
+pub(super) async fn read_local_job(job: &Job, after: u64, wait: Duration) -> JobResults {
     let mut changed = job.watch();
     let deadline = Instant::now() + wait;
     loop {
@@ -48,11 +49,11 @@
 
 fn page(state: &JobState, after: u64) -> JobResults {
     let total = state.spec().map_or(0, |spec| spec.items.len()) as u64;
-    page_of(state.results(), total, after)
+    results_page(state.results(), total, after)
 }
 
-/// Returns the results of one answer, from position `after` on.
-pub(super) fn page_of(all: &[JobResult], total: u64, after: u64) -> JobResults {
+/// Returns results from position `after` on, up to [`MAX_PAGE_BYTES`].
+pub(super) fn results_page(all: &[JobResult], total: u64, after: u64) -> JobResults {
     let start = usize::try_from(after).unwrap_or(usize::MAX).min(all.len());
     let mut bytes = 0;
     let mut results = Vec::new();
@@ -67,7 +68,7 @@
 }
 
 /// Returns the body of an item, or `None` if the item does not exist or the job has ended.
-pub(super) fn body_local(job: &Job, item: &str) -> Option<Vec<u8>> {
+pub(super) fn local_item_body(job: &Job, item: &str) -> Option<Vec<u8>> {
     let state = job.state();
     if state.is_ended() {
         return None;
@@ -76,7 +77,7 @@
 }
 
 /// Ends a job; returns `Ok` once the end is committed.
-pub(super) async fn end_local(job: &Job) -> Result<(), ReadError> {
+pub(super) async fn end_local_job(job: &Job) -> Result<(), JobError> {
     if job.state().is_ended() {
         return Ok(());
     }
@@ -106,12 +107,12 @@
 }
 
 /// Decompresses the results in another node's answer.
-pub(super) fn decompress_results(compressed: &[u8]) -> Result<JobResults, ReadError> {
+pub(super) fn decompress_results(compressed: &[u8]) -> Result<JobResults, JobError> {
     let plain = decompress(compressed).map_err(|error| unavailable(&error.to_string()))?;
     decode(&plain).map_err(|error| unavailable(&error.to_string()))
 }
 
 /// Creates the error for a job that cannot be reached at present.
-pub(super) fn unavailable(cause: &str) -> ReadError {
-    ReadError::Unavailable(cause.to_owned())
+pub(super) fn unavailable(cause: &str) -> JobError {
+    JobError::Unavailable(cause.to_owned())
 }
--- a/crates/front/src/job/region_bounds.rs
+++ b/crates/front/src/job/region_bounds.rs
@@ -1,8 +1,8 @@
 //! Checks whether a job may be accepted if its route or tenant restricts the regions.
 //!
-//! Any node may come to hold a job: as its owner, as a front that forwards requests or takes it
-//! over, or as a replica of its log. A restricted job is therefore accepted only if all nodes lie
-//! in allowed regions, and is rejected before its body is sent to another node.
+//! Any node may receive a job's data: as its owner, as a front that forwards requests or takes the
+//! job over, or as a replica of its log. A restricted job is therefore accepted only if all nodes
+//! are in allowed regions, and is rejected before its body is sent to another node.
 
 use std::fmt;
 
@@ -22,7 +22,7 @@
     /// The route and the tenant have no allowed region in common.
     #[error("route and tenant allow no common region")]
     NoAllowedRegion,
-    /// A node lies outside the allowed regions.
+    /// A node is outside the allowed regions.
     #[error("node {node} in {region} is outside the allowed regions {allowed}")]
     Node {
         /// Name of the node.
@@ -42,7 +42,7 @@
     },
     /// The replica set is unknown.
     #[error("the replica set is unknown, allowed regions: {allowed}")]
-    UnknownReplicas {
+    ReplicaSetUnknown {
         /// Allowed regions.
         allowed: AllowedRegions,
     },
@@ -66,10 +66,10 @@
     }
 }
 
-/// Checks that every node that may hold a job lies in an allowed region.
+/// Checks that every node that may receive a job's data is in an allowed region.
 ///
 /// # Errors
-/// Fails if a node lies outside the allowed regions or its region is unknown.
+/// Fails if a node is outside the allowed regions or its region is unknown.
 pub fn check_node_regions(
     allowed: &AllowedRegions,
     nodes: &Nodes,
@@ -83,7 +83,7 @@
     }
     let allowed = || allowed.clone();
     let Some(replicas) = replicas else {
-        return Err(RegionBoundsError::UnknownReplicas { allowed: allowed() });
+        return Err(RegionBoundsError::ReplicaSetUnknown { allowed: allowed() });
     };
     let is_unknown = |member: &&ReplicaMember| !nodes.has_seen(&member.node);
     if let Some(member) = replicas
@@ -120,7 +120,7 @@
     /// Checks that a job can be stored and served within its allowed regions.
     ///
     /// # Errors
-    /// Fails if a node or every instance of a service lies outside the allowed regions.
+    /// Fails if a node or every instance of a service is outside the allowed regions.
     pub(super) fn check_regions(&self, spec: &JobSpec) -> Result<(), RegionBoundsError> {
         let context = &self.context;
         let bound = context
@@ -147,7 +147,7 @@
         for part in route.iter().flat_map(|route| &route.split) {
             let service = &part.service;
             let has_instances = !context.backends.instances_of(service).is_empty();
-            if has_instances && !context.backends.has_any_within(service, &allowed) {
+            if has_instances && !context.backends.has_instance_in(service, &allowed) {
                 return Err(RegionBoundsError::NoInstance {
                     service: service.clone(),
                     allowed,
--- a/crates/front/src/job/registry.rs
+++ b/crates/front/src/job/registry.rs
@@ -12,20 +12,22 @@
 use super::context::JobContext;
 use super::digest::LogDigest;
 use super::local_job::{Command, Job};
-use super::locating::OwnerReply;
+use super::locating::JobOwner;
 use super::lock::lock;
 use super::owner::{Owner, OwnerEnd};
 use super::peer_requests::{
     body_from, body_request, done_from, end_request, read_request, results_from,
 };
-use super::reading::{COMMIT_TIMEOUT, ReadError, body_local, end_local, read_local, unavailable};
+use super::reading::{
+    COMMIT_TIMEOUT, JobError, end_local_job, local_item_body, read_local_job, unavailable,
+};
 use super::result_cache::ResultCache;
 use super::state::JobState;
 use super::text_reuse::UnfinishedEntry;
 use super::{LOG_PREFIX, log_name};
 use crate::orders::{FormerLeaders, LearnedLoadLimit};
 
-/// Largest age of the last majority confirmation at which an owner answers reads. Limits how long
+/// Maximum age of the last majority confirmation at which an owner answers reads. Limits how long
 /// readers may see the state of a superseded owner.
 const MAX_READ_CONFIRMATION_AGE: Duration = Duration::from_millis(700);
 
@@ -35,10 +37,10 @@
 /// Reason why a job was not accepted.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum AcceptError {
-    /// This attempt has stored nothing of the job.
+    /// This attempt has not stored the job.
     #[error("job not stored: {0}")]
     NotStored(String),
-    /// The job may be stored.
+    /// The job may or may not be stored.
     #[error("outcome unknown: {0}")]
     OutcomeUnknown(String),
 }
@@ -56,7 +58,7 @@
     pub(super) jobs: Mutex<HashMap<String, Arc<Job>>>,
     /// Jobs whose logs are being taken over.
     pub(super) opening: Mutex<HashSet<String>>,
-    /// Cached owners of other nodes' jobs, with the time of the information.
+    /// Cached owners of other nodes' jobs, with the time at which each was learned.
     pub(super) owners: Mutex<HashMap<String, (String, Instant)>>,
     /// Results that were read from other owners.
     pub(super) result_cache: Mutex<ResultCache>,
@@ -91,10 +93,10 @@
     pub(super) async fn accept_here(&self, spec: JobSpec) -> Result<(), AcceptError> {
         let id = spec.job.clone();
         match self.find_accepted(&id).await {
-            Ok(OwnerReply::Local(job)) => return self.wait_accepted(&job).await,
-            Ok(OwnerReply::Answer(_)) => return Ok(()),
-            Err(ReadError::NotFound) => {}
-            Err(ReadError::Unavailable(cause)) => return Err(AcceptError::NotStored(cause)),
+            Ok(JobOwner::Local(job)) => return self.wait_accepted(&job).await,
+            Ok(JobOwner::Answer(_)) => return Ok(()),
+            Err(JobError::NotFound) => {}
+            Err(JobError::Unavailable(cause)) => return Err(AcceptError::NotStored(cause)),
         }
         if let Err(cause) = self.check_regions(&spec) {
             log::warn!("event=job_regions_rejected job={id} cause=\"{cause}\"");
@@ -127,13 +129,13 @@
     /// Returns results from position `after` on; waits up to `wait` for the first one.
     ///
     /// # Errors
-    /// See [`ReadError`].
+    /// See [`JobError`].
     pub async fn read(
         &self,
         id: &str,
         after: u64,
         wait: Duration,
-    ) -> Result<JobResults, ReadError> {
+    ) -> Result<JobResults, JobError> {
         if !self.needs_relay(id) {
             return self.read_here_or_at_owner(id, after, wait).await;
         }
@@ -146,7 +148,7 @@
         id: &str,
         after: u64,
         wait: Duration,
-    ) -> Result<JobResults, ReadError> {
+    ) -> Result<JobResults, JobError> {
         match self.local(id) {
             Some(job) if job.state().spec().is_some() => self.read_here(&job, after, wait).await,
             _ => self.read_elsewhere(id, after, wait, false).await,
@@ -160,7 +162,7 @@
         after: u64,
         wait: Duration,
         relayed: bool,
-    ) -> Result<JobResults, ReadError> {
+    ) -> Result<JobResults, JobError> {
         let known = lock(&self.shared.result_cache).count(id);
         let has_some = after < known;
         let (from, wait) = if has_some {
@@ -169,17 +171,17 @@
             (after, wait)
         };
         let request = read_request(id, from, wait, relayed);
-        let asked = if relayed {
+        let answered = if relayed {
             self.relay(id, &request, wait).await.and_then(results_from)
         } else {
-            match self.ask_owner(id, &request, wait).await {
-                Ok(OwnerReply::Local(job)) => return self.read_here(&job, after, wait).await,
-                Ok(OwnerReply::Answer(answer)) => results_from(answer),
+            match self.call_owner(id, &request, wait).await {
+                Ok(JobOwner::Local(job)) => return self.read_here(&job, after, wait).await,
+                Ok(JobOwner::Answer(answer)) => results_from(answer),
                 Err(error) => Err(error),
             }
         };
         let mut result_cache = lock(&self.shared.result_cache);
-        match asked {
+        match answered {
             Ok(results) => {
                 result_cache.insert(id, from, &results);
                 Ok(result_cache.page(id, after).unwrap_or(results))
@@ -195,8 +197,8 @@
     /// Returns the body of an item of an open job.
     ///
     /// # Errors
-    /// See [`ReadError`].
-    pub async fn body(&self, id: &str, item: &str) -> Result<Vec<u8>, ReadError> {
+    /// See [`JobError`].
+    pub async fn body(&self, id: &str, item: &str) -> Result<Vec<u8>, JobError> {
         if !self.needs_relay(id) {
             return self.body_here_or_at_owner(id, item).await;
         }
@@ -210,19 +212,19 @@
         &self,
         id: &str,
         item: &str,
-    ) -> Result<Vec<u8>, ReadError> {
+    ) -> Result<Vec<u8>, JobError> {
         let request = body_request(id, item, false);
-        match self.ask_owner(id, &request, Duration::ZERO).await? {
-            OwnerReply::Local(job) => body_local(&job, item).ok_or(ReadError::NotFound),
-            OwnerReply::Answer(answer) => body_from(answer),
+        match self.call_owner(id, &request, Duration::ZERO).await? {
+            JobOwner::Local(job) => local_item_body(&job, item).ok_or(JobError::NotFound),
+            JobOwner::Answer(answer) => body_from(answer),
         }
     }
 
     /// Ends a job; returns `Ok` once the end is committed, also if it was ended before.
     ///
     /// # Errors
-    /// See [`ReadError`].
-    pub async fn end(&self, id: &str) -> Result<(), ReadError> {
+    /// See [`JobError`].
+    pub async fn end(&self, id: &str) -> Result<(), JobError> {
         if !self.needs_relay(id) {
             return self.end_here_or_at_owner(id).await;
         }
@@ -231,11 +233,11 @@
     }
 
     /// Ends a job like [`JobRegistry::end`], but does not relay the request through another front.
-    pub(super) async fn end_here_or_at_owner(&self, id: &str) -> Result<(), ReadError> {
+    pub(super) async fn end_here_or_at_owner(&self, id: &str) -> Result<(), JobError> {
         let request = end_request(id, false);
-        match self.ask_owner(id, &request, COMMIT_TIMEOUT).await? {
-            OwnerReply::Local(job) => end_local(&job).await,
-            OwnerReply::Answer(answer) => done_from(answer),
+        match self.call_owner(id, &request, COMMIT_TIMEOUT).await? {
+            JobOwner::Local(job) => end_local_job(&job).await,
+            JobOwner::Answer(answer) => done_from(answer),
         }
     }
 
@@ -249,12 +251,12 @@
         &self.context.former_leaders
     }
 
-    /// Records that a majority of replicas answered a heartbeat sent at `asked_at`.
-    pub fn on_confirmed(&self, asked_at: Instant) {
-        self.context.confirmation.record(asked_at);
+    /// Records that a majority of replicas answered a heartbeat sent at `sent_at`.
+    pub fn on_confirmed(&self, sent_at: Instant) {
+        self.context.confirmation.record(sent_at);
     }
 
-    /// Handles the report of a replica that another node has the log.
+    /// Handles a replica's report that it has accepted another writer of the log.
     pub fn on_fence_reported(&self, log: &str) {
         let id = log.strip_prefix(LOG_PREFIX).unwrap_or_default();
         if let Some(job) = self.local(id) {
@@ -273,8 +275,8 @@
         job: &Job,
         after: u64,
         wait: Duration,
-    ) -> Result<JobResults, ReadError> {
-        let results = read_local(job, after, wait).await;
+    ) -> Result<JobResults, JobError> {
+        let results = read_local_job(job, after, wait).await;
         if !self.is_readable(job) {
             return Err(unavailable(
                 "no recent confirmation of this node's ownership",
@@ -297,7 +299,7 @@
             tokio::time::sleep(SWEEP_INTERVAL).await;
             let retention = self.context.retention;
             lock(&self.shared.jobs).retain(|_, job| job.opened_at.elapsed() < retention * 2);
-            lock(&self.shared.owners).retain(|_, (_, heard)| heard.elapsed() < retention);
+            lock(&self.shared.owners).retain(|_, (_, learned_at)| learned_at.elapsed() < retention);
             lock(&self.shared.result_cache).remove_unread_for(retention);
         }
     }
@@ -321,7 +323,7 @@
     }
 
     /// Becomes the owner of a job that is in the journal.
-    pub(super) async fn adopt(&self, id: &str) -> Result<Arc<Job>, ReadError> {
+    pub(super) async fn adopt(&self, id: &str) -> Result<Arc<Job>, JobError> {
         if let Some(job) = self.local(id) {
             return Ok(job);
         }
@@ -329,7 +331,7 @@
         let job = opened.map_err(|error| unavailable(&error.to_string()))?;
         if job.state().spec().is_none() {
             lock(&self.shared.jobs).remove(id);
-            return Err(ReadError::NotFound);
+            return Err(JobError::NotFound);
         }
         let jobs = &self.context.metrics.jobs;
         jobs.with_label_values(&["adopted"]).inc();
@@ -339,7 +341,7 @@
     /// Takes over the job's log and starts its owner.
     async fn open(&self, id: &str, spec: Option<JobSpec>) -> Result<Arc<Job>, JournalError> {
         if !lock(&self.shared.opening).insert(id.to_owned()) {
-            return Err(JournalError::Unresolved);
+            return Err(JournalError::AppendPending);
         }
         let opening = OpeningGuard {
             shared: Arc::clone(&self.shared),
@@ -371,7 +373,7 @@
         let trainer_spec = spec.as_ref().filter(|spec| spec.desired_groups > 0);
         let collection = trainer_spec.map(|spec| self.collect_kept_texts(spec));
         let mut owner = Owner::new(context, Arc::clone(&job), writer, digest, spec);
-        owner.text_collection = collection;
+        owner.earlier_texts_request = collection;
         let registry = self.clone();
         let owned = Arc::clone(&job);
         let activity = self.context.activity.start();
--- a/crates/front/src/job/relay.rs
+++ b/crates/front/src/job/relay.rs
@@ -15,18 +15,18 @@
 use rand::seq::SliceRandom;
 
 use super::local_job::Job;
-use super::reading::{ReadError, unavailable};
+use super::reading::{JobError, unavailable};
 use super::registry::JobRegistry;
 use crate::nodes::NodeRole;
 
 /// Time without an answer from a majority of replicas after which the journal counts as
-/// unreachable. An idle node sends only every third heartbeat.
+/// unreachable. Allows for an idle node, which sends only every third heartbeat.
 const UNREACHABLE_AFTER: Duration = Duration::from_millis(1_500);
 
-/// Largest number of fronts that are tried, one after the other.
+/// Maximum number of fronts that are tried, one after the other.
 const MAX_RELAYS: usize = 2;
 
-/// Time for another front to find the job's owner, in addition to the requested wait.
+/// Time limit for another front to find the job's owner, in addition to the requested wait.
 const RELAY_MARGIN: Duration = Duration::from_millis(1_200);
 
 impl JobRegistry {
@@ -47,7 +47,7 @@
         id: &str,
         request: &RequestKind,
         wait: Duration,
-    ) -> Result<ResponseKind, ReadError> {
+    ) -> Result<ResponseKind, JobError> {
         let mut last = unavailable("the journal is unreachable and no other front is known");
         for front in self.relay_candidates() {
             let request = Request {
@@ -69,7 +69,7 @@
                 Err(CallError::Refused(Refused {
                     reason: Reason::NOT_OWNER,
                     ..
-                })) => return Err(ReadError::NotFound),
+                })) => return Err(JobError::NotFound),
                 Err(error) => last = unavailable(&format!("relay {front}: {error}")),
             }
         }
--- a/crates/front/src/job/scheduling.rs
+++ b/crates/front/src/job/scheduling.rs
@@ -10,11 +10,11 @@
 use super::run::run_item;
 use super::run_context::RunContext;
 use super::text::ItemText;
-use crate::backend::{Demand, Instance};
+use crate::backend::{WorkKind, Instance};
 use crate::config::Route;
 
-/// Largest age of the last majority confirmation at which items are started: afterwards another
-/// owner may run the job, or it may have ended.
+/// Maximum age of the last majority confirmation at which items are started. With an older one,
+/// another owner may run the job, or the job may have ended.
 const MAX_START_CONFIRMATION_AGE: Duration = Duration::from_millis(1_500);
 
 /// An item counts as long if it is among the longest `1 / LONG_ITEM_DIVISOR` of its job.
@@ -29,12 +29,13 @@
         if self.queue.has_end() || *self.stop.borrow() || self.context.nodes.is_leaving() {
             return;
         }
-        if self.text_collection.is_some() {
+        if self.earlier_texts_request.is_some() {
             return;
         }
         let age = self.context.confirmation.age(self.job.opened_at);
         let is_owner = self.job.is_uncontested() && age <= MAX_START_CONFIRMATION_AGE;
-        // Until its discovery view is ready this front uses the roster, which lacks these instances.
+        // The roster, which this front uses until it has read the discovery records, lacks
+        // instances that run items.
         if !is_owner || !self.context.view.is_usable() {
             self.has_waiting_items = true;
             return;
@@ -62,7 +63,7 @@
             }
             let is_long = spec.items[index].expected_tokens >= long_item_threshold;
             let demand = if is_long {
-                Demand::LongBatch
+                WorkKind::LongBatch
             } else {
                 remaining_demand(saved.events())
             };
@@ -70,7 +71,7 @@
                 |instance: &Instance| instance.version(&spec.model) >= spec.min_version;
             let backends = &self.context.backends;
             let chosen =
-                backends.choose_within(&run.service, &spec.model, demand, &allowed, is_new_enough);
+                backends.choose_in_regions(&run.service, &spec.model, demand, &allowed, is_new_enough);
             let Some(instance) = chosen else {
                 self.has_waiting_items = true;
                 return;
@@ -140,10 +141,10 @@
             earlier.is_whole
         );
         if !is_done {
-            return Some(ItemText::from_kept(earlier));
+            return Some(ItemText::from_earlier_job(earlier));
         }
         let score = earlier.score.clone();
-        self.finish(index, ItemText::from_kept(earlier), score);
+        self.finish(index, ItemText::from_earlier_job(earlier), score);
         None
     }
 
@@ -176,7 +177,7 @@
             spec: Arc::clone(spec),
             service: service.to_owned(),
             priority_header: route.priority_header(tenant.map(AsRef::as_ref)),
-            allowed_at_start: route.allowed_regions_for(tenant.map(AsRef::as_ref)),
+            initial_allowed_regions: route.allowed_regions_for(tenant.map(AsRef::as_ref)),
             max_attempts: route.max_attempts,
             single_version: route.single_version,
             progress: self.progress.0.clone(),
@@ -191,7 +192,7 @@
     }
 }
 
-/// Returns the number of expected tokens from which an item counts as long.
+/// Returns the minimum number of expected tokens at which an item counts as long.
 fn long_item_threshold(spec: &JobSpec) -> u64 {
     let mut expected: Vec<u64> = spec.items.iter().map(|item| item.expected_tokens).collect();
     expected.sort_unstable();
--- a/crates/front/src/job/scoring.rs
+++ b/crates/front/src/job/scoring.rs
@@ -12,7 +12,7 @@
 use ladderstage_wire::messages::RewardCall;
 
 use super::run_context::RunContext;
-use crate::backend::{AnswerIdPolicy, Demand, ExchangeError, Instance, RequestHead, send};
+use crate::backend::{AnswerIdPolicy, WorkKind, ExchangeError, Instance, RequestHead, send};
 use crate::config::Route;
 use crate::suspects::{ContentDigest, RunPermit};
 use crate::tenant::set_tenant;
@@ -20,14 +20,14 @@
 /// Pause before a route and an instance are chosen again.
 const RETRY_PAUSE: Duration = Duration::from_millis(25);
 
-/// Multiple of the target latency after which a second instance is called, as the answer may be
-/// lost.
+/// Multiple of the target latency after which a second instance is called, because the first answer
+/// may be lost.
 const HEDGE_AFTER_TARGETS: u32 = 2;
 
-/// Largest number of concurrent calls for one text.
+/// Maximum number of concurrent calls for one text.
 const MAX_CONCURRENT_CALLS: usize = 2;
 
-/// Largest answer of a reward call, in bytes.
+/// Maximum size of the answer to a reward call, in bytes.
 const MAX_ANSWER_BYTES: usize = 1024 * 1024;
 
 /// Outcome of scoring a text.
@@ -75,7 +75,8 @@
     };
     let mut failures = 0;
     while context.window.is_open() {
-        // The configuration may change between two attempts; without a route the call waits.
+        // Reads the configuration again, because it may change between two attempts. The call waits
+        // while there is no route.
         let config = context.config.current();
         let route = config
             .as_ref()
@@ -122,7 +123,7 @@
             tokio::select! {
                 Some(ended) = in_flight.next() => {
                     hedge_at = Instant::now();
-                    self.probe_if_broken(index, &ended).await;
+                    self.check_if_broken(index, &ended).await;
                     if let Some(end) = self.apply_result(index, ended, failures) {
                         return Some(end);
                     }
@@ -137,7 +138,7 @@
         let is_new = |instance: &Instance| tried.iter().all(|other| other.id() != instance.id());
         let backends = &self.context.backends;
         let allowed = self.allowed_regions();
-        backends.choose_within(service, "", Demand::Scoring, &allowed, is_new)
+        backends.choose_in_regions(service, "", WorkKind::Scoring, &allowed, is_new)
     }
 
     /// Returns the regions in which the call may be served: by the current configuration, or by the
@@ -174,16 +175,16 @@
     async fn attempt(&self, instance: Arc<Instance>, _permit: RunPermit) -> Attempt {
         let started = Instant::now();
         let _guard = instance.track_request();
-        let asked = tokio::time::timeout(self.route.timeout, self.ask(&instance)).await;
+        let answered = tokio::time::timeout(self.route.timeout, self.send_call(&instance)).await;
         let timed_out = || Err(ExchangeError::Broken("answer timed out".to_owned()));
         Attempt {
-            result: asked.unwrap_or_else(|_| timed_out()),
+            result: answered.unwrap_or_else(|_| timed_out()),
             instance,
             started,
         }
     }
 
-    async fn ask(&self, instance: &Arc<Instance>) -> Result<Answer, ExchangeError> {
+    async fn send_call(&self, instance: &Arc<Instance>) -> Result<Answer, ExchangeError> {
         let names = self.context.codec.headers();
         let head = self.head(instance)?;
         let body = Bytes::copy_from_slice(&self.reward.body);
@@ -193,10 +194,10 @@
         if !status.is_success() {
             return Ok(Answer::Failed(status));
         }
-        let stamp = headers.get(&names.response_signature);
-        let stamp = stamp.and_then(|stamp| stamp.to_str().ok());
+        let signature = headers.get(&names.response_signature);
+        let signature = signature.and_then(|signature| signature.to_str().ok());
         let unsigned = || ExchangeError::Broken("answer without a signature".to_owned());
-        Ok(Answer::Scored(stamp.ok_or_else(unsigned)?.to_owned()))
+        Ok(Answer::Scored(signature.ok_or_else(unsigned)?.to_owned()))
     }
 
     fn head(&self, instance: &Instance) -> Result<RequestHead, ExchangeError> {
@@ -223,8 +224,8 @@
         })
     }
 
-    /// Finds out whether the instance crashed if the connection broke.
-    async fn probe_if_broken(&self, index: usize, ended: &Attempt) {
+    /// Checks whether the instance crashed, if the connection broke.
+    async fn check_if_broken(&self, index: usize, ended: &Attempt) {
         if let Err(ExchangeError::Broken(_)) = &ended.result {
             let reward = self.reward;
             let content = self
@@ -232,7 +233,7 @@
                 .content(&reward.host, &reward.path, &reward.body);
             let context = self.context;
             context
-                .probe(index, &ended.instance, content, ended.started)
+                .check_broken_run(index, &ended.instance, content, ended.started)
                 .await;
         }
     }
@@ -252,13 +253,13 @@
         let now = Instant::now();
         self.log(index, &ended);
         match ended.result {
-            Ok(Answer::Scored(stamp)) => {
+            Ok(Answer::Scored(signature)) => {
                 ended.instance.record_success();
-                let taken = now.saturating_duration_since(ended.started);
+                let duration = now.saturating_duration_since(ended.started);
                 ended
                     .instance
-                    .record_unit_time(taken.as_secs_f64() * 1e3, now);
-                return Some(ScoreEnd::Scored(stamp));
+                    .record_unit_time(duration.as_secs_f64() * 1e3, now);
+                return Some(ScoreEnd::Scored(signature));
             }
             Ok(Answer::Failed(StatusCode::INTERNAL_SERVER_ERROR)) => *failures += 1,
             Ok(Answer::Failed(_)) => ended.instance.record_failure(now),
--- a/crates/front/src/job/unfinished.rs
+++ b/crates/front/src/job/unfinished.rs
@@ -1,9 +1,9 @@
-//! Unfinished items of an ended job, kept for a later job: a trainer submits incomplete groups
-//! again under the same ids.
+//! Unfinished items of an ended job. They are kept because a trainer submits incomplete groups
+//! again in a later job, under the same item ids.
 //!
-//! Their runs continue after the end of the job. Items whose weights the later job will not allow
-//! restart with newer ones, so that the later job can resume from partial texts at whichever front
-//! accepts it.
+//! Their runs continue after the end of the job. Items whose weight version is too old for the
+//! later job restart with newer weights. The front that accepts the later job requests the texts
+//! from all fronts.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
@@ -20,20 +20,19 @@
 use super::run::{RunOutcome, run_item};
 use super::run_context::{FirstVersions, RunContext, SendWindow};
 use super::text::ItemText;
-use crate::backend::Demand;
+use crate::backend::WorkKind;
 
-/// Time after the end of a job during which requests may be sent for its items; platforms forbid it
-/// 3 s after the end was confirmed.
+/// Time after the end of a job during which requests may be sent for its items.
 const SEND_GRACE: Duration = Duration::from_millis(2_000);
 
-/// Time for which the texts of an ended job are kept; covers the time until a trainer's next step.
+/// Time for which the texts of an ended job are kept.
 const RETENTION: Duration = Duration::from_secs(10);
 
-/// Results listed less than this time before the end may not have been read by the trainer.
+/// Results listed less than this time before the end of the job count as unread.
 const TRAINER_READ_INTERVAL: Duration = Duration::from_millis(800);
 
-/// Pause before an item is retried that found no instance.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Interval between attempts to run an item while no instance is available.
+const NO_INSTANCE_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Request of a later job for texts of earlier jobs.
 pub(super) struct TextRequest {
@@ -62,10 +61,10 @@
     texts: HashMap<String, Vec<KeptText>>,
     runs: JoinSet<(usize, RunOutcome)>,
     /// Items of the runs, by run number.
-    running: HashMap<usize, RunningItem>,
+    runs_by_number: HashMap<usize, RunningItem>,
     stop: watch::Sender<bool>,
     window: SendWindow,
-    /// Context for restarted runs; `None` while no route matches.
+    /// Context for restarted runs; `None` if no route matched when the job ended.
     context: Option<Arc<RunContext>>,
 }
 
@@ -79,10 +78,8 @@
 
 impl Owner {
     /// Splits off the items that a later job may repeat, with their runs, and aborts all other
-    /// runs. Returns `None` if there are no such items.
-    ///
-    /// Also returns `None` for a job that had already ended when its log was taken over, because
-    /// the time of its end is unknown.
+    /// runs. Returns `None` for a job that is not a trainer's step, and for one that had already
+    /// ended when its log was taken over, because the time of its end is unknown.
     pub(super) fn split_off_unfinished(&mut self) -> Option<UnfinishedItems> {
         let Some(end_requested_at) = self.end_requested_at else {
             self.runs.abort_all();
@@ -95,14 +92,14 @@
             self.runs.abort_all();
             return None;
         };
-        let candidates = self.unread_items(&spec, end_requested_at);
-        let mut running = HashMap::new();
+        let candidates = self.items_of_unread_groups(&spec, end_requested_at);
+        let mut runs_by_number = HashMap::new();
         for (index, handle) in &self.running {
             if candidates.contains(index) {
                 let id = spec.items[*index].id.clone();
                 let handle = handle.clone();
                 let first_version = self.first_versions.get(*index);
-                running.insert(
+                runs_by_number.insert(
                     *index,
                     RunningItem {
                         id,
@@ -127,19 +124,19 @@
             candidates: candidate_items.collect(),
             texts: self.unlisted_texts(&spec, &candidates),
             runs: std::mem::take(&mut self.runs),
-            running,
+            runs_by_number,
             stop: std::mem::replace(&mut self.stop, watch::Sender::new(true)),
             window: self.window.clone(),
             context,
         })
     }
 
-    /// Returns the items of groups that the trainer has probably not read completely: an item lacks
-    /// a result, or its result was listed shortly before the end.
-    fn unread_items(&self, spec: &JobSpec, end_requested_at: Instant) -> Vec<usize> {
+    /// Returns the items of all groups that the trainer has probably not read completely. These are
+    /// the groups in which any item has no result or one that was listed shortly before the end.
+    fn items_of_unread_groups(&self, spec: &JobSpec, end_requested_at: Instant) -> Vec<usize> {
         let state = self.job.state();
         let cutoff = end_requested_at.checked_sub(TRAINER_READ_INTERVAL);
-        let read = cutoff.map_or(0, |cutoff| self.listing_history.listed_before(cutoff));
+        let read = cutoff.map_or(0, |cutoff| self.listing_history.listed_by(cutoff));
         let read_items: HashSet<&str> = state.results()[..read.min(state.results().len())]
             .iter()
             .map(|result| result.item.as_str())
@@ -155,15 +152,15 @@
         groups.into_values().filter(is_unread).flatten().collect()
     }
 
-    /// Returns the texts of items without a result: completed too late to be listed, or saved in
-    /// the log.
+    /// Returns the texts of items without a result. They were either completed too late to be
+    /// listed, or are partial texts from the log.
     fn unlisted_texts(&self, spec: &JobSpec, items: &[usize]) -> HashMap<String, Vec<KeptText>> {
         let state = self.job.state();
         let text_of = |index: &usize| {
             let item = &spec.items[*index];
             match self.late_texts.get(index) {
-                Some((text, score)) => text.to_kept(item, score),
-                None => state.partial_text(&item.id).to_kept(item, ""),
+                Some((text, score)) => text.for_later_job(item, score),
+                None => state.partial_text(&item.id).for_later_job(item, ""),
             }
         };
         let texts = items.iter().filter_map(text_of);
@@ -171,7 +168,7 @@
     }
 }
 
-/// Number of results over time.
+/// Number of committed results over time.
 #[derive(Debug, Default)]
 pub(super) struct ListingHistory {
     counts: Vec<(Instant, usize)>,
@@ -185,8 +182,8 @@
         }
     }
 
-    /// Returns the number of results that were listed by `time`.
-    pub fn listed_before(&self, time: Instant) -> usize {
+    /// Returns the number of results that were committed by `time`.
+    pub fn listed_by(&self, time: Instant) -> usize {
         let before = self.counts.iter().take_while(|(at, _)| *at <= time);
         before.last().map_or(0, |(_, results)| *results)
     }
@@ -246,8 +243,8 @@
         loop {
             tokio::select! {
                 Some(ended) = self.runs.join_next() => {
-                    if let Ok((index, outcome)) = ended {
-                        self.record_run_end(index, outcome);
+                    if let Ok((number, outcome)) = ended {
+                        self.record_run_end(number, outcome);
                     }
                 }
                 request = requests.recv() => {
@@ -261,7 +258,7 @@
         }
     }
 
-    /// Restarts items without a text that the later job is expected to allow.
+    /// Restarts items that have no text with weight versions of at least `min_version`.
     fn restart_outdated(&mut self, min_version: u64) {
         let Some(context) = &self.context else {
             return;
@@ -289,16 +286,20 @@
             ..context.as_ref().clone()
         });
         // The numbers of restarted runs follow those of the runs in progress.
-        let first = self.running.keys().max().map_or(0, |number| number + 1);
+        let first = self
+            .runs_by_number
+            .keys()
+            .max()
+            .map_or(0, |number| number + 1);
         for (index, item) in context.spec.items.iter().enumerate() {
             self.abort_run(&item.id);
             let context = Arc::clone(&context);
             let number = first + index;
-            let run = async move { (number, run_from_start(context, index).await) };
+            let run = async move { (number, run_when_available(context, index).await) };
             let handle = self.runs.spawn(run);
             let id = item.id.clone();
             let first_version = None;
-            self.running.insert(
+            self.runs_by_number.insert(
                 number,
                 RunningItem {
                     id,
@@ -310,7 +311,7 @@
     }
 
     fn has_usable_text(&self, item: &str, min_version: u64) -> bool {
-        let mut runs = self.running.values();
+        let mut runs = self.runs_by_number.values();
         if let Some(run) = runs.find(|run| run.id == item) {
             return run
                 .first_version
@@ -326,7 +327,7 @@
     }
 
     fn abort_run(&mut self, item: &str) {
-        self.running.retain(|_, run| {
+        self.runs_by_number.retain(|_, run| {
             let is_other = run.id != item;
             if !is_other {
                 run.handle.abort();
@@ -335,16 +336,16 @@
         });
     }
 
-    fn record_run_end(&mut self, index: usize, outcome: RunOutcome) {
-        let Some(RunningItem { id, .. }) = self.running.remove(&index) else {
+    fn record_run_end(&mut self, number: usize, outcome: RunOutcome) {
+        let Some(RunningItem { id, .. }) = self.runs_by_number.remove(&number) else {
             return;
         };
         let Some(item) = self.candidates.iter().find(|item| item.id == id) else {
             return;
         };
         let kept = match &outcome {
-            RunOutcome::Completed { text, score } => text.to_kept(item, score),
-            RunOutcome::Stopped(text) => text.to_kept(item, ""),
+            RunOutcome::Completed { text, score } => text.for_later_job(item, score),
+            RunOutcome::Stopped(text) => text.for_later_job(item, ""),
             RunOutcome::Terminated | RunOutcome::NotStarted => None,
         };
         if let Some(kept) = kept {
@@ -357,8 +358,8 @@
         self.stop.send_replace(true);
         self.window.close_at(Instant::now());
         while let Some(ended) = self.runs.join_next().await {
-            if let Ok((index, outcome)) = ended {
-                self.record_run_end(index, outcome);
+            if let Ok((number, outcome)) = ended {
+                self.record_run_end(number, outcome);
             }
         }
         let texts = self.texts_for(&request);
@@ -409,18 +410,19 @@
     }
 }
 
-/// Runs an item on the first instance with free capacity and weights that are new enough.
-async fn run_from_start(context: Arc<RunContext>, index: usize) -> RunOutcome {
+/// Runs an item on the first instance with free capacity and weights that are new enough. Retries
+/// until the send window closes or the runs are stopped.
+async fn run_when_available(context: Arc<RunContext>, index: usize) -> RunOutcome {
     let mut stop = context.stop.clone();
     while context.window.is_open() && !*stop.borrow() {
         let is_new_enough = |instance: &crate::backend::Instance| {
             instance.version(&context.spec.model) >= context.spec.min_version
         };
         let backends = &context.backends;
-        let chosen = backends.choose_within(
+        let chosen = backends.choose_in_regions(
             &context.service,
             &context.spec.model,
-            Demand::LongBatch,
+            WorkKind::LongBatch,
             &context.allowed_regions(),
             is_new_enough,
         );
@@ -431,7 +433,7 @@
                 outcome => return outcome,
             }
         }
-        let _ = tokio::time::timeout(RETRY_PAUSE, stop.changed()).await;
+        let _ = tokio::time::timeout(NO_INSTANCE_RETRY_INTERVAL, stop.changed()).await;
     }
     RunOutcome::NotStarted
 }
--- a/crates/front/src/live.rs
+++ b/crates/front/src/live.rs
@@ -12,7 +12,7 @@
 use tokio::sync::watch;
 
 use crate::backend::{
-    AnswerIdPolicy, BackendTable, Demand, ExchangeError, HoldReason, InFlightGuard, Instance,
+    AnswerIdPolicy, BackendTable, WorkKind, ExchangeError, HoldReason, InFlightGuard, Instance,
     Reply, RequestHead, end_to_end_headers, send,
 };
 use crate::config::{CurrentConfig, Route, RouteKind};
@@ -321,7 +321,7 @@
         let untried = |instance: &Instance| !was_tried(instance);
         let chosen = self
             .backends
-            .choose_within(service, "", Demand::Live, &allowed, untried);
+            .choose_in_regions(service, "", WorkKind::Live, &allowed, untried);
         let may_repeat = route.kind == RouteKind::Safe && progress.possible_runs > 0;
         chosen.or_else(|| {
             let tries = progress.tried_instances.len() as u32;
@@ -344,7 +344,7 @@
             return answer;
         };
         let allowed = self.allowed_regions(route, request);
-        if !allowed.allows_all() && !self.backends.has_any_within(service, &allowed) {
+        if !allowed.allows_all() && !self.backends.has_instance_in(service, &allowed) {
             self.log_no_allowed_instance(route, request, &allowed);
             return answer;
         }
--- a/crates/front/src/orders/demand.rs
+++ b/crates/front/src/orders/demand.rs
@@ -16,12 +16,12 @@
 use crate::job::JobRegistry;
 use crate::nodes::Nodes;
 
-/// Interval between polls of all fronts. In between only the strongest and the busy ones are
-/// polled, to limit the CPU use of a weak leader in a deployment with hundreds of fronts.
+/// Interval between polls of all fronts. Between these, only the fronts with the most CPU and the
+/// busy ones are polled, to limit the leader's CPU use in a deployment with hundreds of fronts.
 const FULL_POLL_INTERVAL: Duration = Duration::from_secs(12);
 
-/// Maximum factor by which an event interval grows from one poll to the next, so that a load or a
-/// brief disturbance does not count as the instance's own speed.
+/// Maximum factor by which an event interval grows from one poll to the next, so that a weight load
+/// or a brief disturbance hardly affects it.
 const MAX_INTERVAL_INCREASE: f64 = 1.05;
 
 /// Combined reports of the fronts.
@@ -71,8 +71,8 @@
         combined
     }
 
-    /// Returns the fronts that use instances' weights, and those first in line to receive such work
-    /// or the orders lease.
+    /// Returns the fronts that use instances' weights, and the takeover candidates, which are the
+    /// first to receive such work or the orders lease.
     pub fn recipients(&self, nodes: &Nodes) -> BTreeSet<String> {
         let takeover_candidates = nodes
             .takeover_candidates()
@@ -120,11 +120,11 @@
         combined
     }
 
-    /// Fills in the reported work of each model.
-    pub fn fill_in(&self, demands: &mut [ModelDemand]) {
+    /// Sets the reported work and the longest text of each model.
+    pub fn set_work(&self, demands: &mut [ModelDemand]) {
         for demand in demands {
             let tokens = self.tokens.get(&demand.model).copied();
-            demand.weight = tokens.map_or(1.0, |tokens| tokens as f64);
+            demand.relative_work = tokens.map_or(1.0, |tokens| tokens as f64);
             let longest = self.longest_events.get(&demand.model).copied();
             demand.longest_events = longest.unwrap_or(0);
         }
--- a/crates/front/src/orders/leader.rs
+++ b/crates/front/src/orders/leader.rs
@@ -9,7 +9,7 @@
 
 use super::announced_versions::AnnouncedVersions;
 use super::calls::{CALL_TIMEOUT, InstanceCalls};
-use super::candidates::is_candidate;
+use super::candidates::is_lease_candidate;
 use super::demand::FleetDemand;
 use super::former_leaders::announce_stop;
 use super::leader_state::{LeaderState, PLANNING_INTERVAL};
@@ -74,7 +74,7 @@
     pub config: CurrentConfig,
     /// Announced weight versions.
     pub versions: AnnouncedVersions,
-    /// Encoding of calls to instances.
+    /// Codec for calls to instances.
     pub codec: SharedCodec,
     /// Metrics of this front.
     pub metrics: Arc<Metrics>,
@@ -104,7 +104,7 @@
 enum Outcome {
     /// The instance accepted the order and loads the version.
     Loading,
-    /// The outcome is unknown; the instance may be loading, or start to.
+    /// The outcome is unknown; the instance may be loading, or may start to load later.
     Unknown,
     /// The instance is excluded for this time.
     Pause(Duration),
@@ -157,7 +157,7 @@
         };
         let mut foreign_orders = Vec::new();
         loop {
-            if !self.has_duties() || !self.is_candidate() {
+            if !self.has_duties() || !self.is_lease_candidate() {
                 tokio::time::sleep(CANDIDATE_CHECK_INTERVAL).await;
                 continue;
             }
@@ -168,7 +168,7 @@
             if let Err(error) = refreshed.await {
                 log::warn!("event=order_leader_nodes_read_failed cause=\"{error}\"");
             }
-            if !self.is_candidate() {
+            if !self.is_lease_candidate() {
                 continue;
             }
             match lease.acquire().await {
@@ -180,12 +180,12 @@
         }
     }
 
-    fn is_candidate(&self) -> bool {
+    fn is_lease_candidate(&self) -> bool {
         let own = self.nodes.own();
         let fronts = self.nodes.with_role(NodeRole::Front);
         let fronts = fronts.iter().filter(|front| !front.is_leaving);
         let ranked = fronts.map(|front| (front.node.as_str(), front.cpu_millis));
-        !own.is_leaving && is_candidate(&own.node, ranked)
+        !own.is_leaving && is_lease_candidate(&own.node, ranked)
     }
 
     /// Returns true if any duty of the lease holder is configured: models, cold instances that need
@@ -214,8 +214,8 @@
         let _with_instances = self.activities.instance_work.start();
         let _with_versions = self.activities.version_work.start();
         if self.roster.drains.is_some() {
-            // This node writes the roster from now on. A watch of drains whose answer was lost
-            // would stay silent until its timeout.
+            // This node writes the roster from now on. Cancels the watch of drains, because a
+            // watch whose answer was lost would report nothing until its timeout.
             self.coordination.cancel_watches();
         }
         let issuing = self.permits.start(held.watch_validity());
@@ -234,7 +234,7 @@
             () = self.report_usage(lease, &held) => false,
             () = self.order_capacity(lease, &held) => false,
         };
-        // After the release another node may hold the lease before this one notices.
+        // Stops issuing permits before another node can acquire the released lease.
         drop(issuing);
         *foreign_orders = std::mem::take(&mut state.foreign_orders);
         foreign_orders
@@ -279,8 +279,8 @@
         state
     }
 
-    /// Ends the quiet period early if the previous leader announced its recent orders; only the
-    /// instances of those stay excluded.
+    /// Ends the quiet period early if the previous leader announced its recent orders. Only the
+    /// instances that received these orders stay excluded.
     fn end_quiet_period_if_announced(&self, held: &HeldLease, state: &mut LeaderState) {
         if !held.is_in_quiet_period() {
             return;
@@ -355,17 +355,16 @@
         let now = Instant::now();
         state.excluded_until.retain(|_, until| *until > now);
         let mut demands = self.versions.demands();
-        state.demand.fill_in(&mut demands);
+        state.demand.set_work(&mut demands);
         let mut instances = self.fleet();
-        // Weights in drained zones are not used, so none are loaded there and models are assigned
-        // to the remaining zones.
+        // Instances in drained zones serve no requests, so they load no weights and get no model.
         instances.retain(|one| one.check_drain() != Err(HoldReason::ZoneDrained));
         let mut fleet: Vec<FleetInstance> = instances
             .iter()
             .map(|instance| FleetInstance {
                 id: instance.id().to_owned(),
                 versions: instance.versions(),
-                load: instance.candidate("", now).load,
+                requests_in_progress: instance.candidate("", now).load,
                 is_busy: state.is_excluded(instance.id()),
                 event_interval_ms: state.demand.event_interval_ms(instance.id()),
             })
--- a/crates/front/src/orders/leader_state.rs
+++ b/crates/front/src/orders/leader_state.rs
@@ -13,7 +13,7 @@
 use crate::backend::Instance;
 use ladderstage_clock::Instant;
 
-/// Fraction of the shortest load time after which a load is first checked.
+/// Delay of the first check of a load, as a fraction of the shortest load time.
 const FIRST_CHECK_SHARE: f64 = 0.97;
 
 /// Interval between checks of a load that is about to finish.
@@ -32,7 +32,7 @@
 /// State of an order leader.
 #[derive(Default)]
 pub(super) struct LeaderState {
-    /// Instances excluded from orders, and until when.
+    /// Instances excluded from orders, with the end of the exclusion.
     pub excluded_until: HashMap<String, Instant>,
     /// Instances with an order in flight.
     pub orders_in_flight: HashSet<String>,
@@ -46,14 +46,15 @@
     pub foreign_orders: Vec<(String, Instant)>,
     /// Limit on concurrent loads.
     pub load_limit: LoadLimit,
-    /// Loads that started earlier are not learned from, as loads of the previous leader may have
-    /// run at the same time.
+    /// Time from which loads are used to learn the limit. Loads of the previous leader may have run
+    /// at the same time as earlier ones.
     pub learn_from: Option<Instant>,
     link_use: LinkUse,
-    /// Latest demand that the fronts reported, and the time of that poll.
+    /// Latest demand that the fronts reported.
     pub demand: FleetDemand,
+    /// Time of the poll that returned `demand`.
     pub demand_polled_at: Option<Instant>,
-    /// The demand was refreshed since the last trade of instances between models.
+    /// Whether the demand was refreshed since the last trade of instances between models.
     pub may_trade: bool,
     /// Model that each instance serves.
     pub assignment: Assignment,
@@ -68,7 +69,8 @@
 pub(super) struct Load {
     pub model: String,
     pub version: u64,
-    /// Start time of the instance process that accepted the order; a restarted process has lost it.
+    /// Start time of the instance process that accepted the order, in Unix milliseconds. A
+    /// restarted process does not continue the load.
     pub started_unix_ms: u64,
     pub since: Instant,
     pub check_at: Instant,
@@ -84,7 +86,7 @@
 impl Load {
     fn mark_checked_late(&mut self) {
         if self.timing == LoadTiming::Exact {
-            self.timing = LoadTiming::NoticedLate;
+            self.timing = LoadTiming::DetectedLate;
         }
     }
 }
@@ -133,8 +135,8 @@
         recent.map(|(id, at)| (id.clone(), *at)).collect()
     }
 
-    /// Records a load in progress and schedules its first check. `is_accepted`: the instance
-    /// accepted the order.
+    /// Records a load in progress and schedules its first check. `is_accepted` tells whether the
+    /// instance accepted the order.
     pub fn start_load(
         &mut self,
         instance: &Instance,
@@ -188,13 +190,14 @@
         self.link_use.set_loads(self.loads.len(), Instant::now());
     }
 
-    /// Learns from a finished load. `is_by_report`: the instance's own report showed it.
-    pub fn observe_load(&mut self, instance: &str, load: &Load, is_by_report: bool) {
+    /// Learns from a finished load. `was_reported` tells whether the instance's own report showed
+    /// that it finished.
+    pub fn observe_load(&mut self, instance: &str, load: &Load, was_reported: bool) {
         let now = Instant::now();
         let mut load = load.clone();
-        if !is_by_report {
-            // Reports describe an earlier state, so a load seen finished by other means appears
-            // shorter than others.
+        if !was_reported {
+            // Reports describe an earlier state, so a load whose finish was observed in another way
+            // appears shorter than others.
             load.timing = LoadTiming::Unknown;
         } else if now.saturating_duration_since(load.check_at) > LATE_CHECK {
             load.mark_checked_late();
@@ -235,7 +238,7 @@
     }
 
     /// Schedules the next check of a load, sooner once typical load times are known.
-    pub fn check_again(&mut self, instance: &str) {
+    pub fn schedule_check(&mut self, instance: &str) {
         let pause = match self.load_limit.shortest() {
             Some(_) => LOAD_CHECK_INTERVAL,
             None => PLANNING_INTERVAL,
@@ -244,7 +247,7 @@
     }
 
     /// Schedules the next check of a load whose instance did not answer.
-    pub fn check_later(&mut self, instance: &str) {
+    pub fn back_off_check(&mut self, instance: &str) {
         if let Some(load) = self.loads.get_mut(instance) {
             load.mark_checked_late();
         }
--- a/crates/front/src/orders/load_limit.rs
+++ b/crates/front/src/orders/load_limit.rs
@@ -2,18 +2,19 @@
 //!
 //! All loads share one link. Up to the capacity of the link each load takes its typical time;
 //! beyond it, loads slow each other down. The capacity is not known, so it is estimated from
-//! finished loads: `proven` is the highest concurrency without slowdown, and `saturation` is the
-//! latest saturation. Before the first slowdown the limit is twice the proven concurrency, so it
-//! doubles with each wave of loads. After a slowdown it drops to the estimated capacity and then
-//! rises slowly, as links change.
+//! finished loads: `proven_concurrency` is the highest concurrency without slowdown, and
+//! `saturation` describes the latest slowdown of most loads. Before the first slowdown the limit is
+//! twice the proven concurrency, so it doubles whenever loads at the limit run at full speed. After
+//! a slowdown it drops to the estimated capacity and then rises slowly, because the capacity may
+//! change.
 //!
-//! A saturated link slows all loads, an unhealthy instance only its own, and finish times are
-//! noticed with a delay. Decisions therefore use the latest loads together, relative to the median
-//! time of loads with few others at the same time.
+//! A saturated link slows all loads, an unhealthy instance only its own, and finished loads are
+//! detected with a delay. Decisions therefore use several recent loads, each relative to the
+//! typical time: the median duration at low concurrency.
 //!
 //! On some links a load's speed depends on the concurrency when it started, on others on the
-//! concurrency at each moment. Both estimates are kept, and the one with the smaller spread is
-//! used.
+//! concurrency at each moment. The capacity is estimated both ways, and the estimate with the
+//! smaller spread is used.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -27,24 +28,22 @@
 /// Ratio of the limit to the proven concurrency before the first slowdown.
 const PROBE_FACTOR: f64 = 2.0;
 
-/// Number of unslowed loads above the proven concurrency that raise it.
-const MIN_PROOF_LOADS: usize = 3;
+/// Minimum number of loads above the proven concurrency that are required to raise it.
+const MIN_PROVING_LOADS: usize = 3;
 
-/// Maximum ratio to the typical time at which a load counts as unslowed.
-const MAX_UNSLOWED_RATIO: f64 = 1.12;
+/// Maximum ratio to the typical time at which a load counts as running at full speed.
+const MAX_FULL_SPEED_RATIO: f64 = 1.12;
 
-/// Same as [`MAX_UNSLOWED_RATIO`] close to the link's capacity, where one load too many must be
-/// detected.
-const MAX_UNSLOWED_RATIO_NEAR_CAPACITY: f64 = 1.08;
+/// Same as [`MAX_FULL_SPEED_RATIO`], but after the first slowdown.
+const MAX_FULL_SPEED_RATIO_NEAR_CAPACITY: f64 = 1.08;
 
 /// Minimum ratio to the typical time at which a load counts as slow.
 const MIN_SLOW_RATIO: f64 = 1.25;
 
-/// Fraction of the latest loads that must be slow for the link to count as saturated; high enough
-/// that some unhealthy instances do not suffice.
+/// Fraction of the recent loads that must be slow for the link to count as saturated.
 const SATURATED_SHARE: f64 = 0.75;
 
-/// Minimum number of recent loads to evaluate; half of a larger limit.
+/// Minimum number of recent loads to evaluate; half of the limit is used if that is larger.
 const MIN_SAMPLES: usize = 6;
 
 /// Maximum number of recent loads to evaluate.
@@ -57,30 +56,30 @@
 /// time.
 const LOW_CONCURRENCY_RATIO: f64 = 0.8;
 
-/// Quantile of the slow loads' estimates that is used, as loads that are slow for another reason
-/// yield estimates that are too low.
+/// Quantile of the loads' estimates that is used. Loads that are slow for another reason than the
+/// link yield estimates that are too low.
 const ESTIMATE_QUANTILE: f64 = 0.75;
 
 /// Initial time without increases after a saturation; doubles while the capacity stays about the
 /// same.
-const INITIAL_HOLD: Duration = Duration::from_secs(10);
+const INITIAL_COOLDOWN: Duration = Duration::from_secs(10);
 
 /// Maximum time without increases.
-const MAX_HOLD: Duration = Duration::from_secs(160);
+const MAX_COOLDOWN: Duration = Duration::from_secs(160);
 
 /// Factor within which two capacity estimates count as the same.
 const SAME_CAPACITY_FACTOR: f64 = 1.3;
 
-/// Maximum ratio of concurrency to that before a decrease at which it counts as lower.
+/// Concurrency counts as lowered up to this fraction of the concurrency before the decrease.
 const LOWER_CONCURRENCY_RATIO: f64 = 0.85;
 
-/// Ratio of slowness to that before a decrease from which on the decrease counts as ineffective.
+/// A decrease is ineffective if the slowness stays at or above this fraction of the earlier value.
 const INEFFECTIVE_RATIO: f64 = 0.95;
 
 /// Minimum ratio of concurrency to the limit at which a load counts as using the limit.
 const USED_LIMIT_RATIO: f64 = 0.5;
 
-/// Fraction by which the limit increases close to the link's capacity, at least one load.
+/// Relative increase of the limit after the first slowdown; at least one load.
 const INCREASE_RATIO: f64 = 0.1;
 
 /// Latest saturation of the link.
@@ -88,21 +87,22 @@
 struct Saturation {
     /// Estimated capacity in concurrent loads.
     capacity: f64,
-    /// Median slowness and concurrency of the loads.
+    /// Median load time relative to the typical one.
     ratio: f64,
+    /// Median concurrency of the loads.
     concurrent: f64,
     /// Limit before the decrease.
     limit_before: usize,
     at: Instant,
     /// Time after `at` without increases.
-    hold: Duration,
+    cooldown: Duration,
 }
 
 impl Saturation {
     /// Returns true if loads are as slow as before a recent decrease, despite lower concurrency:
     /// then the link is not the cause.
-    fn was_ineffective(&self, ratio: f64, concurrent: f64, now: Instant) -> bool {
-        let is_recent = now.saturating_duration_since(self.at) < INITIAL_HOLD;
+    fn is_decrease_ineffective(&self, ratio: f64, concurrent: f64, now: Instant) -> bool {
+        let is_recent = now.saturating_duration_since(self.at) < INITIAL_COOLDOWN;
         is_recent
             && concurrent <= self.concurrent * LOWER_CONCURRENCY_RATIO
             && ratio >= self.ratio * INEFFECTIVE_RATIO
@@ -129,18 +129,20 @@
     limit: usize,
     /// Shortest load time so far.
     shortest: Option<Duration>,
-    /// Recent load times at low concurrency, and their median.
+    /// Recent load times at low concurrency.
     typical_times: VecDeque<Duration>,
+    /// Median of `typical_times`.
     typical_load_time: Option<Duration>,
-    /// Highest concurrency at which loads were not slowed down.
-    proven: f64,
+    /// Highest concurrency at which loads ran at full speed.
+    proven_concurrency: f64,
     /// `None` if no saturation was observed here.
     saturation: Option<Saturation>,
     /// A slowdown was observed, here or by an earlier leader, so the limit no longer doubles.
     is_near_capacity: bool,
     samples: VecDeque<LoadSample>,
-    /// Unslowed loads since the last increase that used the limit.
-    unslowed_loads: usize,
+    /// Full-speed loads since the last increase, counting those whose concurrency was close to the
+    /// limit.
+    full_speed_loads: usize,
 }
 
 /// Measurements of a finished load.
@@ -152,7 +154,7 @@
     pub link: LinkTimes,
     /// Loads in progress at the start, including this one.
     pub concurrent_at_start: usize,
-    /// Accuracy of `taken`.
+    /// Accuracy of `duration`.
     pub timing: LoadTiming,
 }
 
@@ -161,9 +163,9 @@
 pub enum LoadTiming {
     /// Start and finish are known.
     Exact,
-    /// The finish was noticed late, so the load may have taken less time.
-    NoticedLate,
-    /// The start is unknown, or the finish was observed by other means than for other loads.
+    /// The finish was detected late, so the load may have taken less time.
+    DetectedLate,
+    /// The start is unknown, or the finish was not observed through the instance's report.
     Unknown,
 }
 
@@ -174,11 +176,11 @@
             shortest: None,
             typical_times: VecDeque::new(),
             typical_load_time: None,
-            proven: 0.0,
+            proven_concurrency: 0.0,
             saturation: None,
             is_near_capacity: false,
             samples: VecDeque::new(),
-            unslowed_loads: 0,
+            full_speed_loads: 0,
         }
     }
 }
@@ -192,7 +194,7 @@
             shortest: Some(typical_load_time),
             typical_times: VecDeque::from([typical_load_time]),
             typical_load_time: Some(typical_load_time),
-            proven: limit as f64 / PROBE_FACTOR,
+            proven_concurrency: limit as f64 / PROBE_FACTOR,
             is_near_capacity,
             ..Self::default()
         }
@@ -225,8 +227,8 @@
         self.is_near_capacity
     }
 
-    /// Updates the limit from a finished load. A load that was noticed late can count as unslowed,
-    /// but not as slow.
+    /// Updates the limit from a finished load. A load whose finish was detected late can count as
+    /// running at full speed, but not as slow.
     pub fn observe(&mut self, load: &FinishedLoad, now: Instant) {
         if load.timing == LoadTiming::Unknown {
             return;
@@ -247,7 +249,7 @@
         };
         let ratio =
             load.duration.as_secs_f64() / typical_load_time.as_secs_f64().max(f64::MIN_POSITIVE);
-        if ratio > MAX_UNSLOWED_RATIO && !self.is_conclusive(load, now) {
+        if ratio > MAX_FULL_SPEED_RATIO && !self.is_conclusive(load, now) {
             return;
         }
         self.push_sample(LoadSample {
@@ -257,20 +259,21 @@
             capacity_by_start: load.concurrent_at_start as f64 / ratio,
             capacity_by_share: load.link.capacity(typical_load_time),
         });
-        self.is_near_capacity |= self.holds_for_most(|load| load.ratio > MAX_UNSLOWED_RATIO);
-        if self.holds_for_most(|load| load.ratio >= MIN_SLOW_RATIO) {
+        self.is_near_capacity |= self.holds_for_most(|sample| sample.ratio > MAX_FULL_SPEED_RATIO);
+        if self.holds_for_most(|sample| sample.ratio >= MIN_SLOW_RATIO) {
             self.handle_saturation(now);
             return;
         }
-        self.prove();
-        if ratio <= MAX_UNSLOWED_RATIO_NEAR_CAPACITY {
+        self.raise_proven();
+        if ratio <= MAX_FULL_SPEED_RATIO_NEAR_CAPACITY {
             self.increase_near_capacity(concurrent, now);
         }
     }
 
     /// Updates the typical time from the first load, and from loads at low concurrency.
     fn observe_typical_time(&mut self, duration: Duration, max_concurrent: usize) {
-        let low_concurrency = (self.proven * LOW_CONCURRENCY_RATIO).max(MIN_LIMIT as f64);
+        let low_concurrency =
+            (self.proven_concurrency * LOW_CONCURRENCY_RATIO).max(MIN_LIMIT as f64);
         if max_concurrent as f64 > low_concurrency && self.typical_load_time.is_some() {
             return;
         }
@@ -282,9 +285,9 @@
         self.set_typical_times(times);
     }
 
-    /// Returns true if a slowed load says something about the link. A load at low concurrency is
-    /// slow for another reason, and one that started before the latest decrease was part of the
-    /// same burst, which must lower the limit only once.
+    /// Returns true if a slow load indicates a saturated link. A load at low concurrency is slow
+    /// for another reason. A load that started before the latest decrease is ignored, so that loads
+    /// under the old limit lower it only once.
     fn is_conclusive(&self, load: &FinishedLoad, now: Instant) -> bool {
         let started_before = |at: Instant| now.saturating_duration_since(at) < load.duration;
         let lowered_at = self.saturation.as_ref().map(|last| last.at);
@@ -293,8 +296,8 @@
             && !lowered_at.is_some_and(started_before)
     }
 
-    fn push_sample(&mut self, load: LoadSample) {
-        self.samples.push_back(load);
+    fn push_sample(&mut self, sample: LoadSample) {
+        self.samples.push_back(sample);
         let required = self.required_samples();
         while self.samples.len() > required {
             self.samples.pop_front();
@@ -309,27 +312,29 @@
     /// Returns true if a condition holds for enough samples to rule out a few unhealthy instances
     /// as the cause.
     fn holds_for_most(&self, holds: impl Fn(&LoadSample) -> bool) -> bool {
-        let count = self.samples.iter().filter(|load| holds(load)).count();
+        let count = self.samples.iter().filter(|sample| holds(sample)).count();
         self.samples.len() >= self.required_samples()
             && count as f64 >= SATURATED_SHARE * self.samples.len() as f64
     }
 
     /// Handles a slowdown of most recent loads.
     fn handle_saturation(&mut self, now: Instant) {
-        let ratio = Estimate::of(self.samples.iter().map(|load| load.ratio)).median;
-        let concurrent = Estimate::of(self.samples.iter().map(|load| load.concurrent)).median;
+        let ratio = Summary::of(self.samples.iter().map(|sample| sample.ratio)).median;
+        let concurrent = Summary::of(self.samples.iter().map(|sample| sample.concurrent)).median;
         match &self.saturation {
-            Some(last) if last.was_ineffective(ratio, concurrent, now) => self.undo_decrease(),
+            Some(last) if last.is_decrease_ineffective(ratio, concurrent, now) => {
+                self.undo_decrease()
+            }
             _ => self.decrease(ratio, concurrent, now),
         }
         self.samples.clear();
-        self.unslowed_loads = 0;
+        self.full_speed_loads = 0;
     }
 
     /// Undoes the latest decrease and adopts the current load times as typical, because all loads
     /// are slower at any concurrency.
     fn undo_decrease(&mut self) {
-        self.set_typical_times(self.samples.iter().map(|load| load.duration).collect());
+        self.set_typical_times(self.samples.iter().map(|sample| sample.duration).collect());
         if let Some(last) = self.saturation.take() {
             self.limit = last.limit_before;
         }
@@ -337,63 +342,71 @@
 
     /// Lowers the limit to the capacity that the slow loads indicate.
     fn decrease(&mut self, ratio: f64, concurrent: f64, now: Instant) {
-        let by_start = Estimate::of(self.samples.iter().map(|load| load.capacity_by_start));
-        let by_share = Estimate::of(self.samples.iter().map(|load| load.capacity_by_share));
+        let by_start = Summary::of(self.samples.iter().map(|sample| sample.capacity_by_start));
+        let by_share = Summary::of(self.samples.iter().map(|sample| sample.capacity_by_share));
         let capacity = if by_start.spread < by_share.spread {
-            by_start.value
+            by_start.upper_quartile
         } else {
-            by_share.value
+            by_share.upper_quartile
         };
-        let hold = match &self.saturation {
-            Some(last) if is_similar(last.capacity, capacity) => (last.hold * 2).min(MAX_HOLD),
-            _ => INITIAL_HOLD,
+        let cooldown = match &self.saturation {
+            Some(last) if is_similar(last.capacity, capacity) => {
+                (last.cooldown * 2).min(MAX_COOLDOWN)
+            }
+            _ => INITIAL_COOLDOWN,
         };
         let limit_before = self.limit;
         self.limit = (capacity.round() as usize).clamp(MIN_LIMIT, self.limit);
-        self.proven = self.proven.min(capacity);
+        self.proven_concurrency = self.proven_concurrency.min(capacity);
         self.saturation = Some(Saturation {
             capacity,
             ratio,
             concurrent,
             limit_before,
             at: now,
-            hold,
+            cooldown,
         });
     }
 
-    /// Raises the proven concurrency if most loads above it were unslowed. The limit follows until
-    /// the first slowdown.
-    fn prove(&mut self) {
+    /// Raises the proven concurrency if most loads above it ran at full speed. The limit follows
+    /// until the first slowdown.
+    fn raise_proven(&mut self) {
         let above_proven: Vec<&LoadSample> = self
             .samples
             .iter()
-            .filter(|load| load.concurrent > self.proven)
+            .filter(|sample| sample.concurrent > self.proven_concurrency)
             .collect();
-        if above_proven.len() < MIN_PROOF_LOADS.min(self.limit) {
+        if above_proven.len() < MIN_PROVING_LOADS.min(self.limit) {
             return;
         }
-        if Estimate::of(above_proven.iter().map(|load| load.ratio)).median > MAX_UNSLOWED_RATIO {
+        if Summary::of(above_proven.iter().map(|sample| sample.ratio)).median > MAX_FULL_SPEED_RATIO
+        {
             return;
         }
-        self.proven = Estimate::of(above_proven.iter().map(|load| load.concurrent)).value;
+        self.proven_concurrency =
+            Summary::of(above_proven.iter().map(|sample| sample.concurrent)).upper_quartile;
         if !self.is_near_capacity {
-            let probe = (self.proven * PROBE_FACTOR).round() as usize;
+            let probe = (self.proven_concurrency * PROBE_FACTOR).round() as usize;
             self.limit = self.limit.max(probe);
         }
     }
 
-    /// Raises the limit by a fraction after a complete wave of unslowed loads that used it.
+    /// Raises the limit by a fraction after as many full-speed loads as the limit allows, counting
+    /// only loads at no less than [`USED_LIMIT_RATIO`] of the limit.
     fn increase_near_capacity(&mut self, concurrent: f64, now: Instant) {
-        let is_holding = |last: &Saturation| now.saturating_duration_since(last.at) < last.hold;
-        let is_on_hold = self.saturation.as_ref().is_some_and(is_holding);
-        if !self.is_near_capacity || is_on_hold || concurrent < self.limit as f64 * USED_LIMIT_RATIO
+        let is_cooling_down =
+            |last: &Saturation| now.saturating_duration_since(last.at) < last.cooldown;
+        let is_in_cooldown = self.saturation.as_ref().is_some_and(is_cooling_down);
+        if !self.is_near_capacity
+            || is_in_cooldown
+            || concurrent < self.limit as f64 * USED_LIMIT_RATIO
         {
             return;
         }
-        self.unslowed_loads += 1;
-        if self.unslowed_loads >= self.limit {
+        self.full_speed_loads += 1;
+        if self.full_speed_loads >= self.limit {
             self.limit += ((self.limit as f64 * INCREASE_RATIO).round() as usize).max(1);
-            self.unslowed_loads = 0;
+            self.full_speed_loads = 0;
         }
     }
 }
@@ -404,32 +417,32 @@
     high <= low * SAME_CAPACITY_FACTOR
 }
 
-/// Statistics of a set of values.
+/// Quantiles of a set of values.
 #[derive(Debug, Clone, Copy)]
-struct Estimate {
-    value: f64,
+struct Summary {
+    upper_quartile: f64,
     median: f64,
-    /// Interquartile range relative to `value`.
+    /// Interquartile range relative to the upper quartile.
     spread: f64,
 }
 
-impl Estimate {
+impl Summary {
     fn of(values: impl Iterator<Item = f64>) -> Self {
         let mut sorted: Vec<f64> = values.collect();
         sorted.sort_by(f64::total_cmp);
-        let value = quantile(&sorted, ESTIMATE_QUANTILE);
+        let upper_quartile = quantile(&sorted, ESTIMATE_QUANTILE);
         let interquartile_range = quantile(&sorted, 0.75) - quantile(&sorted, 0.25);
         Self {
-            value,
+            upper_quartile,
             median: quantile(&sorted, 0.5),
-            spread: interquartile_range / value.max(f64::MIN_POSITIVE),
+            spread: interquartile_range / upper_quartile.max(f64::MIN_POSITIVE),
         }
     }
 }
 
-/// Returns the value that a `share` of the sorted values does not exceed; 0 if there are none.
-fn quantile(sorted: &[f64], share: f64) -> f64 {
+/// Returns the quantile `q`, from 0 to 1, of the sorted values; 0 if there are none.
+fn quantile(sorted: &[f64], q: f64) -> f64 {
     let last = sorted.len().saturating_sub(1);
-    let index = (last as f64 * share).round() as usize;
+    let index = (last as f64 * q).round() as usize;
     sorted.get(index).copied().unwrap_or(0.0)
 }
--- a/crates/front/src/orders/permits/permit_issuer.rs
+++ b/crates/front/src/orders/permits/permit_issuer.rs
@@ -7,26 +7,26 @@
 use tokio::sync::watch;
 
 use super::ledger::PermitLedger;
-use crate::backend::ColdLimits;
+use crate::backend::ColdLimitTable;
 
-/// Maximum number of instances per request.
+/// Maximum number of instances per request; further ones are ignored.
 const MAX_INSTANCES: usize = 1_024;
 
 /// Answers permit requests. Cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub struct PermitIssuer {
-    limits: ColdLimits,
-    held: Arc<Mutex<Option<HeldLedger>>>,
+    limits: ColdLimitTable,
+    held: Arc<Mutex<Option<ActiveLease>>>,
 }
 
-/// Lease under which this node issues permits.
+/// Permits issued under the current lease, with the time until which the lease is valid.
 #[derive(Debug)]
-struct HeldLedger {
+struct ActiveLease {
     valid_until: watch::Receiver<Instant>,
     ledger: PermitLedger,
 }
 
-/// Guard during whose lifetime this node issues permits.
+/// Stops issuing permits when it is dropped.
 #[derive(Debug)]
 pub struct IssuingGuard {
     issuer: PermitIssuer,
@@ -40,7 +40,7 @@
 
 impl PermitIssuer {
     /// Creates an issuer that applies the given limits.
-    pub fn new(limits: ColdLimits) -> Self {
+    pub fn new(limits: ColdLimitTable) -> Self {
         Self {
             limits,
             held: Arc::default(),
@@ -50,7 +50,7 @@
     /// Starts to issue permits under a newly acquired lease. `valid_until` is the time until which
     /// the lease is certain to be valid.
     pub fn start(&self, valid_until: watch::Receiver<Instant>) -> IssuingGuard {
-        *self.lock() = Some(HeldLedger {
+        *self.lock() = Some(ActiveLease {
             valid_until,
             ledger: PermitLedger::new(Instant::now()),
         });
@@ -88,7 +88,7 @@
         })
     }
 
-    fn lock(&self) -> MutexGuard<'_, Option<HeldLedger>> {
+    fn lock(&self) -> MutexGuard<'_, Option<ActiveLease>> {
         self.held
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
--- a/crates/front/src/roster/mod.rs
+++ b/crates/front/src/roster/mod.rs
@@ -12,7 +12,7 @@
 //!
 //! A front must not use a roster that is no longer maintained. The record's lease expires soon
 //! after its writer exits, freezes or loses contact with the store, and a writer whose own watch of
-//! discovery fails stops renewing the lease. [`RosterOptions`] divides the maximum delay of changes
+//! discovery fails stops renewing the lease. [`RosterTiming`] divides the maximum delay of changes
 //! among these steps.
 
 mod drains;
@@ -22,7 +22,7 @@
 mod view;
 mod writer;
 
-pub use options::{FIRST_START_WAIT, RESTART_WAIT, RosterOptions};
+pub use options::{FIRST_START_WAIT, RESTART_WAIT, RosterTiming};
 pub use reader::{DiscoverySource, DrainTracking, RosterReader};
 pub use record::{Roster, RosterDrains};
 pub use view::DiscoveryView;
--- a/crates/front/src/roster/options.rs
+++ b/crates/front/src/roster/options.rs
@@ -26,7 +26,7 @@
 
 /// Timing of the roster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RosterOptions {
+pub struct RosterTiming {
     /// Lease duration of the roster record, which expires at most this long after its writer stops.
     pub lease: Duration,
     /// Batch interval of the writer's watch of the discovery records.
@@ -37,7 +37,7 @@
     pub min_fronts: usize,
 }
 
-impl RosterOptions {
+impl RosterTiming {
     /// Returns the timing for a maximum delay of `limit`, or `None` if `limit` is too short. The
     /// delay includes the loss of the writer just before it writes a change. `store_lease` is the
     /// shortest lease that the store grants.
--- a/crates/front/src/roster/reader.rs
+++ b/crates/front/src/roster/reader.rs
@@ -5,7 +5,7 @@
 
 use tokio::sync::watch;
 
-use super::{DiscoveryView, ROSTER_KEY, Roster, RosterOptions};
+use super::{DiscoveryView, ROSTER_KEY, Roster, RosterTiming};
 use crate::activity::Activity;
 use crate::backend::BackendTable;
 use crate::config::CurrentConfig;
@@ -48,7 +48,7 @@
     /// Work at this node that needs the instances' weights or prompt updates.
     pub activity: Activity,
     /// Timing; `None` if there is no roster.
-    pub options: Option<RosterOptions>,
+    pub options: Option<RosterTiming>,
     /// State for drained zones; `None` if this deployment drains no zones.
     pub drains: Option<DrainTracking>,
     /// Time for which a starting node waits for a roster before it follows discovery.
--- a/crates/front/src/roster/writer.rs
+++ b/crates/front/src/roster/writer.rs
@@ -6,7 +6,7 @@
 use ladderstage_journal::Peers;
 use tokio::time::MissedTickBehavior;
 
-use super::{DiscoveryView, ROSTER_KEY, Roster, RosterDrains, RosterOptions};
+use super::{DiscoveryView, ROSTER_KEY, Roster, RosterDrains, RosterTiming};
 use crate::backend::BackendTable;
 use crate::config::CurrentConfig;
 use crate::coordination::{Coordination, CoordinationError, LeaseId, SwapResult};
@@ -52,7 +52,7 @@
     /// Other nodes.
     pub nodes: Nodes,
     /// Timing; `None` if there is no roster.
-    pub options: Option<RosterOptions>,
+    pub options: Option<RosterTiming>,
 }
 
 /// Roster written under a lease.
@@ -106,12 +106,12 @@
         let _ = tokio::time::timeout(MAX_SETTLE_WAIT, stable).await;
     }
 
-    fn has_enough_fronts(&self, options: &RosterOptions) -> bool {
+    fn has_enough_fronts(&self, options: &RosterTiming) -> bool {
         self.nodes.successors().len() >= options.min_fronts
     }
 
     /// Writes the roster under one lease, and renews the lease while the record is up to date.
-    async fn maintain(&self, options: &RosterOptions) -> Result<(), MaintainError> {
+    async fn maintain(&self, options: &RosterTiming) -> Result<(), MaintainError> {
         let mut written = WrittenRoster {
             lease: self.coordination.grant(options.lease).await?,
             revision: None,
--- a/crates/front/tests/capacity_controller.rs
+++ b/crates/front/tests/capacity_controller.rs
@@ -28,7 +28,7 @@
 /// Duration of several checks of the fleet.
 const SEVERAL_CHECKS: Duration = Duration::from_millis(1_200);
 
-/// Accepts orders, or fails them as configured.
+/// Capacity sink that accepts orders, or fails them as configured.
 #[derive(Default)]
 struct Receiver {
     orders: Mutex<Vec<(CapacityOrder, &'static str)>>,
@@ -36,7 +36,7 @@
     failures: Mutex<VecDeque<CapacityOrderError>>,
     /// Zones without available capacity.
     unavailable_zones: BTreeSet<&'static str>,
-    /// Orders are recorded, but never answered.
+    /// Whether orders are recorded, but never answered.
     never_answers: bool,
 }
 
@@ -258,7 +258,7 @@
 async fn an_order_whose_answer_was_lost_is_sent_again_with_the_same_count() {
     let store = MemoryStore::default();
     let lost = || CapacityOrderError::Unknown("no answer".to_owned());
-    let refused = CapacityOrderError::Refused("status 429".to_owned());
+    let refused = CapacityOrderError::Rejected("status 429".to_owned());
     let node = Node::new("one", &store, Receiver::of([lost(), lost(), refused]));
     node.drain("b");
     let receiver = Arc::clone(&node.receiver);
@@ -297,7 +297,7 @@
         store.set_faults(
             "one",
             NodeFaults {
-                refused_prefixes: BTreeSet::from([DESIRED_CAPACITY_KEY.to_owned()]),
+                rejected_keys: BTreeSet::from([DESIRED_CAPACITY_KEY.to_owned()]),
                 ..NodeFaults::default()
             },
         );
--- a/crates/front/tests/cold_instances.rs
+++ b/crates/front/tests/cold_instances.rs
@@ -6,7 +6,7 @@
 
 use ladderstage_clock::Instant;
 use ladderstage_front::backend::{
-    BackendTable, ColdAllowance, ColdLimit, ColdState, ColdStatus, Demand, DiscoveredInstance,
+    BackendTable, ColdAllowance, ColdLimit, ColdState, ColdStatus, WorkKind, DiscoveredInstance,
     HoldReason, PERMIT_LIFETIME, SEND_WINDOW, SendBudget, WRITE_MARGIN,
 };
 use ladderstage_front::config::{ColdSpec, ServiceSpec, ServingConfig};
@@ -195,7 +195,7 @@
 fn a_choice_counts_earlier_reservations() {
     let table = limited_table();
     table.upsert(record("i-1", 3_000));
-    let choose = || table.choose("service", "", Demand::Batch, |_| true);
+    let choose = || table.choose("service", "", WorkKind::Batch, |_| true);
     assert!(choose().is_none());
     let permit_requests = table.gates().permit_requests.drain_pending();
     assert_eq!(
--- a/crates/front/tests/order_plan.rs
+++ b/crates/front/tests/order_plan.rs
@@ -10,8 +10,8 @@
     ModelDemand {
         model: model.to_owned(),
         newest,
-        announced_for: Duration::from_millis(announced_for_ms),
-        weight: 1.0,
+        since_announcement: Duration::from_millis(announced_for_ms),
+        relative_work: 1.0,
         longest_events: 0,
     }
 }
@@ -23,7 +23,7 @@
     FleetInstance {
         id: id.to_owned(),
         versions: versions.collect(),
-        load: 0,
+        requests_in_progress: 0,
         is_busy: false,
         event_interval_ms: None,
     }
@@ -47,10 +47,10 @@
 }
 
 #[test]
-fn instances_are_shared_by_weight() {
+fn instances_are_assigned_in_proportion_to_demand() {
     let fleet = fleet(9, 1);
     let mut larger = demand("b", 1, 0);
-    larger.weight = 2.0;
+    larger.relative_work = 2.0;
     let mut assignment = Assignment::default();
     assignment.update(&[demand("a", 1, 0), larger], &fleet);
     let counts = counts(&assignment, &fleet);
@@ -76,7 +76,7 @@
     assert_eq!(counts["b"], 4);
 }
 
-/// A drained zone removes all instances of one model; afterwards they return with their weights.
+/// Guards against a model without instances while the zone with all of its instances is drained.
 #[test]
 fn each_model_keeps_instances_while_a_zone_is_drained() {
     let demands = ["a", "b", "c", "d"].map(|model| demand(model, 5, 1_000));
--- a/crates/front/tests/pace.rs
+++ b/crates/front/tests/pace.rs
@@ -1,38 +1,38 @@
-//! Migration of runs to faster instances, and the related timeouts.
+//! Tests the migration of runs to faster instances, and the related timeouts.
 
 use std::time::Duration;
 
 use ladderstage_clock::Instant;
-use ladderstage_front::backend::{Candidate, Demand, choose};
+use ladderstage_front::backend::{Candidate, WorkKind, choose};
 
 use ladderstage_front::job::{
-    EventIntervals, expected_remaining_events, first_event_timeout, is_move_worthwhile,
-    refusal_pause, remaining_demand,
+    EventIntervals, exclusion_after_rejection, expected_remaining_events, first_event_timeout,
+    is_migration_worthwhile, remaining_demand,
 };
 use ladderstage_front::region::Distance;
 
 #[test]
-fn a_slow_run_moves_where_that_saves_more_than_the_move_costs() {
+fn a_slow_run_migrates_if_that_saves_more_time_than_it_costs() {
     assert!(
-        is_move_worthwhile(170.0, 40.0, 4),
+        is_migration_worthwhile(170.0, 40.0, 4),
         "an instance that turned slow"
     );
     assert!(
-        is_move_worthwhile(51.0, 39.0, 24),
+        is_migration_worthwhile(51.0, 39.0, 24),
         "a long run on a slow machine"
     );
     assert!(
-        !is_move_worthwhile(51.0, 39.0, 12),
+        !is_migration_worthwhile(51.0, 39.0, 12),
         "a run that may end soon"
     );
-    assert!(!is_move_worthwhile(43.0, 39.0, 100), "hardly slower");
+    assert!(!is_migration_worthwhile(43.0, 39.0, 100), "hardly slower");
 }
 
-/// Guards against moving runs with very short event intervals back and forth.
+/// Guards against migrating runs with very short event intervals back and forth.
 #[test]
-fn a_run_stays_where_a_move_saves_less_than_it_costs() {
-    assert!(!is_move_worthwhile(4.0, 1.0, 4));
-    assert!(!is_move_worthwhile(2.0, 1.0, 40));
+fn a_run_does_not_migrate_if_that_saves_less_time_than_it_costs() {
+    assert!(!is_migration_worthwhile(4.0, 1.0, 4));
+    assert!(!is_migration_worthwhile(2.0, 1.0, 40));
 }
 
 /// Guards against choosing an idle but slower instance for the remainder of a long text.
@@ -62,8 +62,8 @@
     assert_eq!(wait_ms(None), 2_500);
 }
 
-/// Guards against measuring too short event intervals when a busy front reads several events at
-/// once.
+/// Guards against measured event intervals that are too short because a busy front reads several
+/// events at once.
 #[test]
 fn events_that_are_read_together_do_not_make_an_instance_look_fast() {
     let start = Instant::now();
@@ -84,7 +84,8 @@
     );
 }
 
-/// Guards against starving an interrupted text: new items would take every slot that becomes free.
+/// Guards against starving an interrupted text because new items occupy every slot that becomes
+/// free.
 #[test]
 fn an_interrupted_text_queues_where_no_slot_is_free() {
     let instance = |load, interval_ms| Candidate {
@@ -95,12 +96,12 @@
         unit_time_ms: Some(interval_ms),
     };
     let full = [instance(8, 66.0), instance(8, 48.0)];
-    assert_eq!(choose(&full, Demand::Batch, 0), None);
-    assert_eq!(choose(&full, Demand::InterruptedBatch, 0), Some(1));
+    assert_eq!(choose(&full, WorkKind::Batch, 0), None);
+    assert_eq!(choose(&full, WorkKind::InterruptedBatch, 0), Some(1));
     let one_is_free = [instance(7, 66.0), instance(8, 48.0)];
-    assert_eq!(choose(&one_is_free, Demand::InterruptedBatch, 0), Some(0));
+    assert_eq!(choose(&one_is_free, WorkKind::InterruptedBatch, 0), Some(0));
     let others_wait = [instance(9, 66.0), instance(9, 48.0)];
-    assert_eq!(choose(&others_wait, Demand::InterruptedBatch, 0), None);
+    assert_eq!(choose(&others_wait, WorkKind::InterruptedBatch, 0), None);
 }
 
 /// Guards against hiding a late slowdown of an instance in the mean over the complete run.
@@ -116,7 +117,7 @@
         let mean_ms = at_ms as f64 / event as f64;
         let own_interval_ms = intervals.expected_interval_ms(mean_ms, 50.0);
         let remaining = expected_remaining_events(event, Some(145));
-        if moved_after.is_none() && is_move_worthwhile(own_interval_ms, 50.0, remaining) {
+        if moved_after.is_none() && is_migration_worthwhile(own_interval_ms, 50.0, remaining) {
             moved_after = Some(event);
         }
     }
@@ -127,7 +128,7 @@
 }
 
 #[test]
-fn a_short_stall_of_the_reader_does_not_move_a_run() {
+fn a_short_stall_of_the_reader_does_not_migrate_a_run() {
     let start = Instant::now();
     let mut intervals = EventIntervals::default();
     for event in 1..=60_u64 {
@@ -140,7 +141,7 @@
         intervals.add_event(start + Duration::from_millis(read_at));
         let own_interval_ms = intervals.expected_interval_ms(50.0, 50.0);
         assert!(
-            !is_move_worthwhile(own_interval_ms, 50.0, event),
+            !is_migration_worthwhile(own_interval_ms, 50.0, event),
             "at event {event}: {own_interval_ms} ms"
         );
     }
@@ -153,7 +154,7 @@
     assert_eq!(expected_remaining_events(144, Some(145)), 1);
     assert_eq!(expected_remaining_events(150, Some(145)), 0);
     assert_eq!(expected_remaining_events(30, None), 30);
-    assert!(!is_move_worthwhile(
+    assert!(!is_migration_worthwhile(
         59.0,
         48.0,
         expected_remaining_events(144, Some(145))
@@ -163,10 +164,10 @@
 #[test]
 fn an_instance_that_rejects_with_free_slots_is_excluded_for_the_typical_load_time() {
     let typical = Duration::from_millis(930);
-    let short = refusal_pause(false, Some(typical));
-    assert_eq!(refusal_pause(true, Some(typical)), typical);
+    let short = exclusion_after_rejection(false, Some(typical));
+    assert_eq!(exclusion_after_rejection(true, Some(typical)), typical);
     assert_eq!(
-        refusal_pause(true, None),
+        exclusion_after_rejection(true, None),
         short,
         "until it is known how long loads take"
     );
--- a/crates/front/tests/region_choice.rs
+++ b/crates/front/tests/region_choice.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use ladderstage_front::backend::{BackendTable, Candidate, Demand, DiscoveredInstance, choose};
+use ladderstage_front::backend::{BackendTable, Candidate, WorkKind, DiscoveredInstance, choose};
 use ladderstage_front::region::{AllowedRegions, Distance, RegionMap};
 use proptest::prelude::*;
 
@@ -32,26 +32,26 @@
 
 /// Returns a candidate with its typical measured time, which includes the round trip for complete
 /// answers.
-fn measured(distance: Distance, load: u32, demand: Demand) -> Candidate {
+fn measured(distance: Distance, load: u32, demand: WorkKind) -> Candidate {
     let round_trip = if distance == Distance::OtherRegion {
         ROUND_TRIP_MS
     } else {
         0.0
     };
     let unit_time_ms = match demand {
-        Demand::Live => LIVE_MS + round_trip,
-        Demand::Scoring => REWARD_MS + round_trip,
-        Demand::Batch | Demand::LongBatch | Demand::InterruptedBatch => EVENT_MS,
+        WorkKind::Live => LIVE_MS + round_trip,
+        WorkKind::Scoring => REWARD_MS + round_trip,
+        WorkKind::Batch | WorkKind::LongBatch | WorkKind::InterruptedBatch => EVENT_MS,
     };
     candidate(distance, load, Some(unit_time_ms))
 }
 
-const DEMANDS: [Demand; 5] = [
-    Demand::Live,
-    Demand::Scoring,
-    Demand::Batch,
-    Demand::LongBatch,
-    Demand::InterruptedBatch,
+const DEMANDS: [WorkKind; 5] = [
+    WorkKind::Live,
+    WorkKind::Scoring,
+    WorkKind::Batch,
+    WorkKind::LongBatch,
+    WorkKind::InterruptedBatch,
 ];
 
 #[test]
@@ -97,7 +97,7 @@
     let table = table_of_two_regions();
     let only = |region: &str| AllowedRegions::only([region.into()]);
     let chosen = |allowed: &AllowedRegions| {
-        let first = table.choose_within("service", "", Demand::Live, allowed, |_| true);
+        let first = table.choose_in_regions("service", "", WorkKind::Live, allowed, |_| true);
         let again = table.choose_for_retry("service", allowed);
         [first, again].map(|choice| choice.map(|instance| instance.id().to_owned()))
     };
@@ -114,8 +114,8 @@
         let anywhere = AllowedRegions::default();
         assert_eq!(chosen(&anywhere)[0].as_deref(), Some("near"));
     }
-    assert!(table.has_any_within("service", &only("west")));
-    assert!(!table.has_any_within("service", &only("north")));
+    assert!(table.has_instance_in("service", &only("west")));
+    assert!(!table.has_instance_in("service", &only("north")));
 }
 
 /// For a short request, the round trip outweighs a higher load in the local region.
@@ -130,9 +130,9 @@
         });
         leaves.unwrap()
     };
-    let live = min_load_to_leave(Demand::Live);
-    let reward = min_load_to_leave(Demand::Scoring);
-    let text = min_load_to_leave(Demand::Batch);
+    let live = min_load_to_leave(WorkKind::Live);
+    let reward = min_load_to_leave(WorkKind::Scoring);
+    let text = min_load_to_leave(WorkKind::Batch);
     assert!(live > reward && reward >= text, "{live} {reward} {text}");
     assert!(live <= SLOTS, "{live}");
     assert!(text >= 1, "{text}");
@@ -140,7 +140,7 @@
 
 #[test]
 fn batch_and_reward_work_leaves_a_full_region() {
-    for demand in [Demand::Batch, Demand::LongBatch, Demand::Scoring] {
+    for demand in [WorkKind::Batch, WorkKind::LongBatch, WorkKind::Scoring] {
         let local = measured(Distance::SameZone, SLOTS, demand);
         let remote = measured(Distance::OtherRegion, 2, demand);
         assert_eq!(choose(&[local, remote], demand, 0), Some(1), "{demand:?}");
@@ -163,7 +163,7 @@
     }
 
     /// Sends one request of region `from`; returns the region that serves it.
-    fn send(&mut self, from: usize, demand: Demand, random: u64) -> Option<usize> {
+    fn send(&mut self, from: usize, demand: WorkKind, random: u64) -> Option<usize> {
         let places: Vec<(usize, usize)> = self
             .loads
             .iter()
@@ -195,7 +195,7 @@
 
     /// Runs 20 rounds with `requests[region]` requests each; returns how many of each region's
     /// requests were served there, per round.
-    fn run_rounds(&mut self, requests: &[u32], demand: Demand) -> Vec<Vec<u32>> {
+    fn run_rounds(&mut self, requests: &[u32], demand: WorkKind) -> Vec<Vec<u32>> {
         (0..20u64)
             .map(|round| {
                 let max_requests = *requests.iter().max().unwrap();
@@ -218,7 +218,7 @@
 
 #[test]
 fn a_region_at_twice_its_capacity_sends_the_rest_elsewhere_without_oscillation() {
-    for demand in [Demand::Live, Demand::Batch, Demand::Scoring] {
+    for demand in [WorkKind::Live, WorkKind::Batch, WorkKind::Scoring] {
         let mut regions = RegionSimulation::new(&[4, 4, 4]);
         let region_slots = 4 * SLOTS;
         let rounds = regions.run_rounds(
@@ -251,14 +251,14 @@
 fn a_region_that_loses_half_of_its_instances_uses_the_rest_and_other_regions() {
     let mut regions = RegionSimulation::new(&[4, 4, 4]);
     let requests = [2 * SLOTS, 2 * SLOTS, 2 * SLOTS];
-    for served_locally in regions.run_rounds(&requests, Demand::Live) {
+    for served_locally in regions.run_rounds(&requests, WorkKind::Live) {
         assert_eq!(
             served_locally, requests,
             "each region serves its own requests"
         );
     }
     regions.loads[0].truncate(2);
-    let rounds = regions.run_rounds(&requests, Demand::Live);
+    let rounds = regions.run_rounds(&requests, WorkKind::Live);
     for served_locally in &rounds {
         assert!(served_locally[0] >= SLOTS, "{rounds:?}");
         assert!(
--- a/crates/front/tests/region_nodes.rs
+++ b/crates/front/tests/region_nodes.rs
@@ -101,7 +101,7 @@
     let unknown = check(&nodes, &["east"], None);
     assert!(matches!(
         unknown,
-        Err(RegionBoundsError::UnknownReplicas { .. })
+        Err(RegionBoundsError::ReplicaSetUnknown { .. })
     ));
     for replicas in [
         replica_set(&["store", "lost"], &[]),
--- a/crates/front/tests/roster.rs
+++ b/crates/front/tests/roster.rs
@@ -15,7 +15,7 @@
 use ladderstage_front::nodes::{FormatLevel, NodeRecord, NodeRole, Nodes};
 use ladderstage_front::region::AllowedRegions;
 use ladderstage_front::roster::{
-    DiscoverySource, DiscoveryView, DrainTracking, ROSTER_KEY, Roster, RosterDrains, RosterOptions,
+    DiscoverySource, DiscoveryView, DrainTracking, ROSTER_KEY, Roster, RosterDrains, RosterTiming,
     RosterReader, RosterWriter,
 };
 use proptest::prelude::*;
@@ -35,10 +35,10 @@
 /// Allowance for calls and scheduling beyond the configured times.
 const CALL_ALLOWANCE: Duration = Duration::from_millis(60);
 
-fn options() -> RosterOptions {
+fn options() -> RosterTiming {
     let options =
-        RosterOptions::within(MAX_DELAY, Duration::from_secs(1)).expect("the limit is long enough");
-    RosterOptions {
+        RosterTiming::within(MAX_DELAY, Duration::from_secs(1)).expect("the limit is long enough");
+    RosterTiming {
         min_fronts: 1,
         ..options
     }
@@ -473,7 +473,7 @@
 async fn a_writer_that_cannot_follow_discovery_lets_the_roster_expire() {
     let (store, _writer, reader) = start_fleet().await;
     let cannot_follow = NodeFaults {
-        refused_prefixes: [INSTANCES.to_owned()].into(),
+        rejected_keys: [INSTANCES.to_owned()].into(),
         ..NodeFaults::default()
     };
     store.set_faults("writer", cannot_follow);
@@ -535,7 +535,7 @@
     let (store, _writer, reader) = start_fleet_with_labeler().await;
     assert!(!reader.view.is_usable(), "their records may be old");
     let rejected = NodeFaults {
-        refused_prefixes: [INSTANCES.to_owned(), ROSTER_KEY.to_owned()].into(),
+        rejected_keys: [INSTANCES.to_owned(), ROSTER_KEY.to_owned()].into(),
         ..NodeFaults::default()
     };
     store.set_faults("reader", rejected);
@@ -796,9 +796,9 @@
             }
             // Its watch of instances and its renewals still succeed.
             _ => {
-                let refused_prefixes = [DRAINS.to_owned()].into();
+                let rejected_keys = [DRAINS.to_owned()].into();
                 let faults = NodeFaults {
-                    refused_prefixes,
+                    rejected_keys,
                     ..NodeFaults::default()
                 };
                 store.set_faults("writer", faults);
@@ -821,7 +821,7 @@
     reader.wait_until_may_send("i-a", false).await;
     drop(writer);
     let cannot_follow = NodeFaults {
-        refused_prefixes: [DRAINS.to_owned()].into(),
+        rejected_keys: [DRAINS.to_owned()].into(),
         ..NodeFaults::default()
     };
     store.set_faults("next", cannot_follow);
@@ -848,7 +848,7 @@
             sleep(Duration::from_secs(3)).await;
         }
         let cannot_follow = NodeFaults {
-            refused_prefixes: [DRAINS.to_owned(), ROSTER_KEY.to_owned()].into(),
+            rejected_keys: [DRAINS.to_owned(), ROSTER_KEY.to_owned()].into(),
             ..NodeFaults::default()
         };
         store.set_faults("new", cannot_follow);
@@ -993,8 +993,8 @@
             Self::Exits => return None,
             Self::IsPartitioned => faults.is_partitioned = true,
             Self::IsRefused => faults.is_refused = true,
-            Self::CannotFollowDrains => faults.refused_prefixes = [DRAINS.to_owned()].into(),
-            Self::CannotFollowInstances => faults.refused_prefixes = [INSTANCES.to_owned()].into(),
+            Self::CannotFollowDrains => faults.rejected_keys = [DRAINS.to_owned()].into(),
+            Self::CannotFollowInstances => faults.rejected_keys = [INSTANCES.to_owned()].into(),
         }
         store.set_faults("writer", faults);
         Some(writer)
@@ -1043,7 +1043,7 @@
     fn the_maximum_delay_is_within_the_limit(limit_ms in 0_u64..20_000, lease_ms in 100_u64..5_000) {
         let limit = Duration::from_millis(limit_ms);
         let lease = Duration::from_millis(lease_ms);
-        if let Some(options) = RosterOptions::within(limit, lease) {
+        if let Some(options) = RosterTiming::within(limit, lease) {
             prop_assert!(options.max_delay() <= limit);
             prop_assert!(options.lease >= lease);
         }
--- a/crates/front/tests/support/memory_store.rs
+++ b/crates/front/tests/support/memory_store.rs
@@ -19,7 +19,7 @@
     /// All calls are rejected.
     pub is_refused: bool,
     /// Calls for exactly these keys or prefixes are rejected.
-    pub refused_prefixes: BTreeSet<String>,
+    pub rejected_keys: BTreeSet<String>,
     /// Number of latest revisions that are missing from stale listings.
     pub stale_by: u64,
     /// The next swap fails at once with an unknown outcome and is applied after this delay.
@@ -207,7 +207,7 @@
         if faults.is_partitioned {
             return std::future::pending().await;
         }
-        if faults.is_refused || faults.refused_prefixes.contains(key) {
+        if faults.is_refused || faults.rejected_keys.contains(key) {
             return Err(CoordinationError::Refused("rejected by a fault".to_owned()));
         }
         Ok(())
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -76,7 +76,7 @@
     /// The outcome of an earlier append of this writer is unknown; that append must be retried
     /// first.
     #[error("the outcome of an earlier append is unknown")]
-    Unresolved,
+    AppendPending,
 }
 
 /// Content of a log as read from a majority.
--- a/crates/journal/src/writer.rs
+++ b/crates/journal/src/writer.rs
@@ -130,7 +130,7 @@
     ) -> Result<(), JournalError> {
         match &self.unresolved {
             Some(unresolved) if *unresolved != (entries.clone(), closes) => {
-                return Err(JournalError::Unresolved);
+                return Err(JournalError::AppendPending);
             }
             Some(_) => {}
             None => {
--- a/crates/platform/src/dispatch.rs
+++ b/crates/platform/src/dispatch.rs
@@ -49,7 +49,7 @@
 
 impl DispatchError {
     /// Returns whether the request certainly did not run.
-    pub fn certainly_not_run(&self) -> bool {
+    pub fn is_certainly_not_run(&self) -> bool {
         !matches!(self, Self::Unknown(_))
     }
 
--- a/crates/platform/src/engine/stream.rs
+++ b/crates/platform/src/engine/stream.rs
@@ -27,7 +27,7 @@
 pub enum StreamError {
     /// The body ended or the connection broke before the end mark.
     #[error("stream was truncated: {0}")]
-    Cut(String),
+    Truncated(String),
     /// The body is not a valid event stream.
     #[error(transparent)]
     Split(#[from] SplitError),
@@ -105,8 +105,8 @@
                 Ok(()) => return,
                 Err(error) => StreamError::Split(error),
             },
-            Ok(None) => StreamError::Cut("body ended before the end mark".to_owned()),
-            Err(error) => StreamError::Cut(describe(&error)),
+            Ok(None) => StreamError::Truncated("body ended before the end mark".to_owned()),
+            Err(error) => StreamError::Truncated(describe(&error)),
         };
         self.end = Some(Err(failure));
     }
--- a/crates/platform/tests/application.rs
+++ b/crates/platform/tests/application.rs
@@ -75,7 +75,7 @@
     let refusal =
         "HTTP/1.1 503 Busy\r\nLadderstage-Engine: not-run\r\nContent-Length: 4\r\n\r\nfull";
     let error = forward(refusal).await.unwrap_err();
-    assert!(error.certainly_not_run(), "{error:?}");
+    assert!(error.is_certainly_not_run(), "{error:?}");
     let address = closed_port().await;
     let error = ApplicationClient::new()
         .forward(address, &request(), true)
--- a/crates/platform/tests/engine.rs
+++ b/crates/platform/tests/engine.rs
@@ -56,7 +56,7 @@
     for cut in ["", "data: [DO", "data: [DONE]\n"] {
         let (chunks, end) = run(&format!("{CHUNK}{cut}")).await;
         assert_eq!(chunks.len(), 1, "cut after {cut:?}");
-        assert!(matches!(end, Err(StreamError::Cut(_))), "{end:?}");
+        assert!(matches!(end, Err(StreamError::Truncated(_))), "{end:?}");
     }
 }
 
--- a/crates/platform/tests/support/key_value_server.rs
+++ b/crates/platform/tests/support/key_value_server.rs
@@ -84,7 +84,7 @@
     }
 
     /// Answers ranges from a copy of the current records from now on. Transactions are not affected.
-    pub fn let_ranges_lag(&self) {
+    pub fn freeze_ranges(&self) {
         let mut state = self.state.lock().unwrap();
         state.lagging = Some(state.records.clone());
     }
--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -8,7 +8,7 @@
 use ladderstage_wire::messages::{Request, Response};
 
 use crate::connection::{Attempt, Connection};
-use crate::limits::{CLIENT_CONNECTIONS, CLIENT_IDLE_TIMEOUT, MAX_CLIENT_CONNECTIONS};
+use crate::limits::{CLIENT_CONNECTION_SOFT_LIMIT, CLIENT_IDLE_TIMEOUT, MAX_CLIENT_CONNECTIONS};
 use crate::{CallError, Traffic};
 
 /// Maximum number of connections that one call tries if each has just closed.
@@ -31,7 +31,7 @@
 
 impl Default for Client {
     fn default() -> Self {
-        Self::with_connections(CLIENT_CONNECTIONS)
+        Self::with_connection_limit(CLIENT_CONNECTION_SOFT_LIMIT)
     }
 }
 
@@ -50,7 +50,7 @@
     /// Creates a client that closes idle connections, least recently used first, when more than
     /// `kept` are open. Busy connections are never closed; at most [`MAX_CLIENT_CONNECTIONS`] or
     /// `kept` are open, whichever is larger.
-    pub fn with_connections(kept: usize) -> Self {
+    pub fn with_connection_limit(kept: usize) -> Self {
         let shared = Shared {
             connections: Mutex::default(),
             traffic: Arc::default(),
--- a/crates/transport/src/limits.rs
+++ b/crates/transport/src/limits.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// Number of connections above which a client closes idle ones, least recently used first.
-pub const CLIENT_CONNECTIONS: usize = 64;
+pub const CLIENT_CONNECTION_SOFT_LIMIT: usize = 64;
 
 /// Maximum number of open connections of a client, if none of them is idle.
 pub const MAX_CLIENT_CONNECTIONS: usize = 256;
--- a/crates/transport/tests/calls.rs
+++ b/crates/transport/tests/calls.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::{ScriptedHandler, TEST_TIMEOUT, any_port, echoed, read_log_request, start_server};
-use ladderstage_transport::limits::{CLIENT_CONNECTIONS, MAX_CALLS_IN_FLIGHT};
+use ladderstage_transport::limits::{CLIENT_CONNECTION_SOFT_LIMIT, MAX_CALLS_IN_FLIGHT};
 use ladderstage_transport::{CallError, Client};
 use ladderstage_wire::frame::{HEADER_BYTES, encode_frame};
 use ladderstage_wire::messages::mod_Frame::OneOfbody;
@@ -256,7 +256,7 @@
 async fn idle_connections_over_the_limit_are_closed() {
     let client = Client::new();
     let mut servers = Vec::new();
-    for _ in 0..CLIENT_CONNECTIONS + 8 {
+    for _ in 0..CLIENT_CONNECTION_SOFT_LIMIT + 8 {
         let server = start_server(Arc::new(ScriptedHandler::default())).await;
         let response = client
             .call(server.address(), read_log_request("x"), TEST_TIMEOUT)
@@ -264,7 +264,7 @@
         assert_eq!(echoed(response.expect("answer")), "x");
         servers.push(server);
     }
-    assert_eq!(client.open_connections(), CLIENT_CONNECTIONS);
+    assert_eq!(client.open_connections(), CLIENT_CONNECTION_SOFT_LIMIT);
 }
 
 #[tokio::test]
