--- a/crates/bench/src/cluster/mod.rs
+++ b/crates/bench/src/cluster/mod.rs
@@ -26,7 +26,7 @@
 use daemon::PlatformProxies;
 pub use operator::{
     CurrentBundle, FindingText, KEY_ID, Operator, PoolNames, RollBody, RollReply, SignatureText,
-    SignedText, current_bundle, test_bundle, post_bundle, proposal, signed, test_key,
+    SignedText, current_bundle, post_bundle, proposal, signed, test_bundle, test_key,
 };
 pub use platform::{Backend, Platform, PlatformConfig, StandIn};
 pub use settings::{DaemonSettings, Timing};
--- a/crates/bench/tests/adapters.rs
+++ b/crates/bench/tests/adapters.rs
@@ -122,7 +122,12 @@
 
     set_faults(&service, json!({"lost_answers": 1, "stale_reads": true})).await;
     assert_eq!(
-        client.get_linearizable("head").await.unwrap().unwrap().value,
+        client
+            .get_linearizable("head")
+            .await
+            .unwrap()
+            .unwrap()
+            .value,
         b"1"
     );
     let unknown = client.compare_and_swap("head", 1, b"3".to_vec()).await;
@@ -132,7 +137,12 @@
     );
     assert_eq!(client.get("head").await.unwrap().unwrap().value, b"1");
     assert_eq!(
-        client.get_linearizable("head").await.unwrap().unwrap().value,
+        client
+            .get_linearizable("head")
+            .await
+            .unwrap()
+            .unwrap()
+            .value,
         b"3"
     );
     set_faults(&service, json!({})).await;
--- a/crates/front/src/backend/mod.rs
+++ b/crates/front/src/backend/mod.rs
@@ -12,8 +12,8 @@
 pub(crate) use choice::median;
 pub use choice::{Candidate, WorkKind, choose};
 pub use cold::{
-    ColdAllowance, ColdLimit, ColdLimitTable, ColdState, ColdStatus, PERMIT_LIFETIME, PermitRequests,
-    SEND_WINDOW, SendBudget, SendTicket, WRITE_MARGIN,
+    ColdAllowance, ColdLimit, ColdLimitTable, ColdState, ColdStatus, PERMIT_LIFETIME,
+    PermitRequests, SEND_WINDOW, SendBudget, SendTicket, WRITE_MARGIN,
 };
 pub use connection::{ConnectError, ConnectionPool, PooledConnection};
 pub use counters::DiscoveryCounters;
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -16,7 +16,7 @@
 use crate::coordination::Coordination;
 use crate::dialect::SharedCodec;
 use crate::ingress::{self, Ingress, IngressState};
-use crate::job::{JobContext, JobRegistry, LatestSteps, QuorumConfirmation, LongestTexts};
+use crate::job::{JobContext, JobRegistry, LatestSteps, LongestTexts, QuorumConfirmation};
 use crate::live::LiveService;
 use crate::metrics::Metrics;
 use crate::nodes::{FormatLevel, NodeRecord, NodeRole, Nodes};
--- a/crates/front/src/ingress/mod.rs
+++ b/crates/front/src/ingress/mod.rs
@@ -36,7 +36,7 @@
 use self::state::RequestGuard;
 use crate::config::{CurrentConfig, Route, RouteKind, ServingConfig};
 use crate::dialect::{JobCall, SharedCodec};
-use crate::job::{AcceptError, JobRegistry, JobError, job_key};
+use crate::job::{AcceptError, JobError, JobRegistry, job_key};
 use crate::live::{LiveRequest, LiveService};
 use crate::metrics::Metrics;
 use crate::nodes::Nodes;
--- a/crates/front/src/job/migration.rs
+++ b/crates/front/src/job/migration.rs
@@ -3,7 +3,7 @@
 use super::run_context::RunContext;
 use super::run_end::can_continue;
 use super::text::ItemText;
-use crate::backend::{WorkKind, Instance};
+use crate::backend::{Instance, WorkKind};
 use ladderstage_clock::Instant;
 
 /// A run migrates if its event interval exceeds the typical one by this factor.
--- a/crates/front/src/job/registry.rs
+++ b/crates/front/src/job/registry.rs
@@ -130,12 +130,7 @@
     ///
     /// # Errors
     /// See [`JobError`].
-    pub async fn read(
-        &self,
-        id: &str,
-        after: u64,
-        wait: Duration,
-    ) -> Result<JobResults, JobError> {
+    pub async fn read(&self, id: &str, after: u64, wait: Duration) -> Result<JobResults, JobError> {
         if !self.needs_relay(id) {
             return self.read_here_or_at_owner(id, after, wait).await;
         }
--- a/crates/front/src/job/run.rs
+++ b/crates/front/src/job/run.rs
@@ -13,7 +13,7 @@
 use super::scoring::{ScoreEnd, score};
 use super::stream::follow_stream;
 use super::text::ItemText;
-use crate::backend::{AnswerIdPolicy, WorkKind, ExchangeError, Instance, RequestHead, send};
+use crate::backend::{AnswerIdPolicy, ExchangeError, Instance, RequestHead, WorkKind, send};
 use crate::tenant::set_tenant;
 
 /// Pause before instances are checked again when none has free capacity.
--- a/crates/front/src/job/scheduling.rs
+++ b/crates/front/src/job/scheduling.rs
@@ -10,7 +10,7 @@
 use super::run::run_item;
 use super::run_context::RunContext;
 use super::text::ItemText;
-use crate::backend::{WorkKind, Instance};
+use crate::backend::{Instance, WorkKind};
 use crate::config::Route;
 
 /// Maximum age of the last majority confirmation at which items are started. With an older one,
@@ -70,8 +70,13 @@
             let is_new_enough =
                 |instance: &Instance| instance.version(&spec.model) >= spec.min_version;
             let backends = &self.context.backends;
-            let chosen =
-                backends.choose_in_regions(&run.service, &spec.model, demand, &allowed, is_new_enough);
+            let chosen = backends.choose_in_regions(
+                &run.service,
+                &spec.model,
+                demand,
+                &allowed,
+                is_new_enough,
+            );
             let Some(instance) = chosen else {
                 self.has_waiting_items = true;
                 return;
--- a/crates/front/src/job/scoring.rs
+++ b/crates/front/src/job/scoring.rs
@@ -12,7 +12,7 @@
 use ladderstage_wire::messages::RewardCall;
 
 use super::run_context::RunContext;
-use crate::backend::{AnswerIdPolicy, WorkKind, ExchangeError, Instance, RequestHead, send};
+use crate::backend::{AnswerIdPolicy, ExchangeError, Instance, RequestHead, WorkKind, send};
 use crate::config::Route;
 use crate::suspects::{ContentDigest, RunPermit};
 use crate::tenant::set_tenant;
--- a/crates/front/src/live.rs
+++ b/crates/front/src/live.rs
@@ -12,8 +12,8 @@
 use tokio::sync::watch;
 
 use crate::backend::{
-    AnswerIdPolicy, BackendTable, WorkKind, ExchangeError, HoldReason, InFlightGuard, Instance,
-    Reply, RequestHead, end_to_end_headers, send,
+    AnswerIdPolicy, BackendTable, ExchangeError, HoldReason, InFlightGuard, Instance, Reply,
+    RequestHead, WorkKind, end_to_end_headers, send,
 };
 use crate::config::{CurrentConfig, Route, RouteKind};
 use crate::dialect::SharedCodec;
@@ -319,9 +319,9 @@
                 .any(|id| id == instance.id())
         };
         let untried = |instance: &Instance| !was_tried(instance);
-        let chosen = self
-            .backends
-            .choose_in_regions(service, "", WorkKind::Live, &allowed, untried);
+        let chosen =
+            self.backends
+                .choose_in_regions(service, "", WorkKind::Live, &allowed, untried);
         let may_repeat = route.kind == RouteKind::Safe && progress.possible_runs > 0;
         chosen.or_else(|| {
             let tries = progress.tried_instances.len() as u32;
--- a/crates/front/tests/cold_instances.rs
+++ b/crates/front/tests/cold_instances.rs
@@ -6,8 +6,8 @@
 
 use ladderstage_clock::Instant;
 use ladderstage_front::backend::{
-    BackendTable, ColdAllowance, ColdLimit, ColdState, ColdStatus, WorkKind, DiscoveredInstance,
-    HoldReason, PERMIT_LIFETIME, SEND_WINDOW, SendBudget, WRITE_MARGIN,
+    BackendTable, ColdAllowance, ColdLimit, ColdState, ColdStatus, DiscoveredInstance, HoldReason,
+    PERMIT_LIFETIME, SEND_WINDOW, SendBudget, WRITE_MARGIN, WorkKind,
 };
 use ladderstage_front::config::{ColdSpec, ServiceSpec, ServingConfig};
 use ladderstage_front::orders::{PERMIT_QUIET_PERIOD, PermitLedger};
--- a/crates/front/tests/region_choice.rs
+++ b/crates/front/tests/region_choice.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use ladderstage_front::backend::{BackendTable, Candidate, WorkKind, DiscoveredInstance, choose};
+use ladderstage_front::backend::{BackendTable, Candidate, DiscoveredInstance, WorkKind, choose};
 use ladderstage_front::region::{AllowedRegions, Distance, RegionMap};
 use proptest::prelude::*;
 
--- a/crates/front/tests/roster.rs
+++ b/crates/front/tests/roster.rs
@@ -15,8 +15,8 @@
 use ladderstage_front::nodes::{FormatLevel, NodeRecord, NodeRole, Nodes};
 use ladderstage_front::region::AllowedRegions;
 use ladderstage_front::roster::{
-    DiscoverySource, DiscoveryView, DrainTracking, ROSTER_KEY, Roster, RosterDrains, RosterTiming,
-    RosterReader, RosterWriter,
+    DiscoverySource, DiscoveryView, DrainTracking, ROSTER_KEY, Roster, RosterDrains, RosterReader,
+    RosterTiming, RosterWriter,
 };
 use proptest::prelude::*;
 use support::memory_store::{MemoryStore, NodeClient, NodeFaults};
--- a/crates/platform/src/key_value/mod.rs
+++ b/crates/platform/src/key_value/mod.rs
@@ -90,7 +90,10 @@
     ///
     /// Uses a transaction that changes nothing, as the service orders transactions with its writes. A plain range may
     /// be answered from a replica that lags behind.
-    pub async fn get_linearizable(&self, key: &str) -> Result<Option<KeyValueEntry>, KeyValueError> {
+    pub async fn get_linearizable(
+        &self,
+        key: &str,
+    ) -> Result<Option<KeyValueEntry>, KeyValueError> {
         let request = TxnRequest::read(key);
         let response: TxnResponse = self.send("/v3/kv/txn", &request, Access::Read).await?;
         response.into_entry()
