--- a/crates/transport/src/calls.rs
+++ b/crates/transport/src/calls.rs
@@ -12,7 +12,7 @@
 /// Result of a call.
 pub(crate) type CallResult = Result<Response, CallError>;
 
-/// Error of adding a call to the table.
+/// Reason why a call cannot be added to the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum RegisterError {
     #[error("connection closed")]
@@ -76,7 +76,7 @@
         Ok(reply)
     }
 
-    /// Records that a request of `bytes` bytes has left the queue.
+    /// Releases the queue capacity of a request of `bytes` bytes that has left the queue.
     pub fn release_queued(&self, bytes: usize) {
         let mut state = self.lock();
         state.queued_bytes = state.queued_bytes.saturating_sub(bytes);
@@ -84,7 +84,7 @@
 
     /// Marks a call as about to be written to the socket. Returns false if its caller has abandoned
     /// it; it must not be sent then.
-    pub fn mark_handed_to_socket(&self, call_id: u64) -> bool {
+    pub fn mark_sent(&self, call_id: u64) -> bool {
         let mut state = self.lock();
         match state.calls.get_mut(&call_id) {
             Some(call) => {
@@ -138,7 +138,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        // No code that holds the lock can panic during a change.
+        // A poisoned lock is harmless: no code that holds it can panic during a change.
         self.state
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -11,11 +11,12 @@
 use crate::limits::{CLIENT_CONNECTIONS, CLIENT_IDLE_TIMEOUT, MAX_CLIENT_CONNECTIONS};
 use crate::{CallError, Traffic};
 
-/// Maximum number of connections that one call tries if each has just closed.
+/// Maximum number of connections that a call tries, each of which closed before the request was
+/// sent.
 const MAX_CONNECTIONS_TRIED: usize = 3;
 
-/// Client that keeps one connection to each peer open. Cheap to clone; clones share the
-/// connections.
+/// Client with at most one connection to each peer, opened on demand. Cheap to clone; clones share
+/// the connections.
 #[derive(Debug, Clone)]
 pub struct Client {
     shared: Arc<Shared>,
@@ -26,7 +27,7 @@
     connections: Mutex<HashMap<SocketAddr, Entry>>,
     traffic: Arc<Traffic>,
     /// Number of connections above which idle ones are closed.
-    kept: usize,
+    soft_limit: usize,
 }
 
 impl Default for Client {
@@ -48,13 +49,13 @@
     }
 
     /// Creates a client that closes idle connections, least recently used first, when more than
-    /// `kept` are open. Busy connections are never closed; at most [`MAX_CLIENT_CONNECTIONS`] or
-    /// `kept` are open, whichever is larger.
-    pub fn with_connections(kept: usize) -> Self {
+    /// `soft_limit` are open. Busy connections are never closed; at most
+    /// `max(MAX_CLIENT_CONNECTIONS, soft_limit)` are open.
+    pub fn with_connections(soft_limit: usize) -> Self {
         let shared = Shared {
             connections: Mutex::default(),
             traffic: Arc::default(),
-            kept,
+            soft_limit,
         };
         Self {
             shared: Arc::new(shared),
@@ -97,7 +98,7 @@
             }
         }
         Err(CallError::NotSent(
-            "connections closed before use".to_owned(),
+            "connections closed before the request was written".to_owned(),
         ))
     }
 
@@ -111,7 +112,7 @@
             return Ok(Arc::clone(&entry.connection));
         }
         connections.remove(&address);
-        evict_idle(&mut connections, self.shared.kept)?;
+        evict_idle(&mut connections, self.shared.soft_limit)?;
         let traffic = Arc::clone(&self.shared.traffic);
         let connection = Arc::new(Connection::open(address, traffic));
         let entry = Entry {
@@ -123,7 +124,7 @@
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<SocketAddr, Entry>> {
-        // No code that holds the lock can panic during a change.
+        // A poisoned lock is harmless: no code that holds it can panic during a change.
         self.shared
             .connections
             .lock()
@@ -134,8 +135,8 @@
 impl Entry {
     fn is_usable(&self, now: Instant) -> bool {
         let idle_for = now.saturating_duration_since(self.last_used);
-        let too_old = self.connection.is_idle() && idle_for > CLIENT_IDLE_TIMEOUT;
-        !too_old && !self.connection.needs_replacement()
+        let idle_too_long = self.connection.is_idle() && idle_for > CLIENT_IDLE_TIMEOUT;
+        !idle_too_long && !self.connection.needs_replacement()
     }
 
     /// Returns whether the connection has no call in flight and no caller about to make one.
@@ -148,19 +149,22 @@
 ///
 /// # Errors
 ///
-/// If too many connections are busy.
-fn evict_idle(connections: &mut HashMap<SocketAddr, Entry>, kept: usize) -> Result<(), CallError> {
-    if connections.len() < kept {
+/// Returns `NotSent` if all connections are busy and the limit is reached.
+fn evict_idle(
+    connections: &mut HashMap<SocketAddr, Entry>,
+    soft_limit: usize,
+) -> Result<(), CallError> {
+    if connections.len() < soft_limit {
         return Ok(());
     }
     connections.retain(|_, entry| !entry.connection.needs_replacement());
-    while connections.len() >= kept {
+    while connections.len() >= soft_limit {
         let Some(address) = least_recently_used(connections) else {
             break;
         };
         connections.remove(&address);
     }
-    match connections.len() < MAX_CLIENT_CONNECTIONS.max(kept) {
+    match connections.len() < MAX_CLIENT_CONNECTIONS.max(soft_limit) {
         true => Ok(()),
         false => Err(CallError::NotSent("too many busy connections".to_owned())),
     }
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -30,7 +30,7 @@
     calls: Arc<Calls>,
     last_call_id: AtomicU64,
     outgoing: mpsc::Sender<OutgoingRequest>,
-    timeouts_in_a_row: Arc<AtomicU32>,
+    consecutive_timeouts: Arc<AtomicU32>,
     task: AbortHandle,
 }
 
@@ -39,12 +39,12 @@
     /// established.
     pub fn open(address: SocketAddr, traffic: Arc<Traffic>) -> Self {
         let calls = Arc::new(Calls::default());
-        let timeouts_in_a_row = Arc::new(AtomicU32::new(0));
+        let consecutive_timeouts = Arc::new(AtomicU32::new(0));
         let (outgoing, requests) = mpsc::channel(MAX_CALLS_IN_FLIGHT);
         let driver = Driver {
             address,
             calls: Arc::clone(&calls),
-            timeouts_in_a_row: Arc::clone(&timeouts_in_a_row),
+            consecutive_timeouts: Arc::clone(&consecutive_timeouts),
             traffic,
         };
         let task = tokio::spawn(driver.run(requests)).abort_handle();
@@ -52,7 +52,7 @@
             calls,
             last_call_id: AtomicU64::new(0),
             outgoing,
-            timeouts_in_a_row,
+            consecutive_timeouts,
             task,
         }
     }
@@ -60,7 +60,7 @@
     /// Returns whether the connection must be replaced: it is closed, or too many consecutive calls
     /// timed out.
     pub fn needs_replacement(&self) -> bool {
-        let timeouts = self.timeouts_in_a_row.load(Ordering::Relaxed);
+        let timeouts = self.consecutive_timeouts.load(Ordering::Relaxed);
         timeouts >= TIMEOUTS_BEFORE_REPLACEMENT || self.calls.is_closed()
     }
 
@@ -117,7 +117,7 @@
     ) -> CallResult {
         match self.calls.abandon(call_id) {
             Some(true) => {
-                self.timeouts_in_a_row.fetch_add(1, Ordering::Relaxed);
+                self.consecutive_timeouts.fetch_add(1, Ordering::Relaxed);
                 Err(CallError::Unknown(format!(
                     "no response within {timeout:?}"
                 )))
--- a/crates/transport/src/driver.rs
+++ b/crates/transport/src/driver.rs
@@ -30,7 +30,7 @@
 pub(crate) struct Driver {
     pub address: SocketAddr,
     pub calls: Arc<Calls>,
-    pub timeouts_in_a_row: Arc<AtomicU32>,
+    pub consecutive_timeouts: Arc<AtomicU32>,
     pub traffic: Arc<Traffic>,
 }
 
@@ -52,8 +52,8 @@
         let connecting = TcpStream::connect(self.address);
         let stream = tokio::time::timeout(CONNECT_TIMEOUT, connecting)
             .await
-            .map_err(|_| format!("not connected within {CONNECT_TIMEOUT:?}"))?
-            .map_err(|error| format!("not connected: {error}"))?;
+            .map_err(|_| format!("connect timed out after {CONNECT_TIMEOUT:?}"))?
+            .map_err(|error| format!("connect failed: {error}"))?;
         // Only affects latency, so an error is ignored.
         let _ = stream.set_nodelay(true);
         Ok(stream)
@@ -79,7 +79,7 @@
         while let Some(request) = requests.recv().await {
             let bytes = request.encoded.len();
             self.calls.release_queued(bytes);
-            if !self.calls.mark_handed_to_socket(request.call_id) {
+            if !self.calls.mark_sent(request.call_id) {
                 continue;
             }
             if let Err(error) = writer.write_all(&request.encoded).await {
@@ -97,7 +97,7 @@
                 Ok(frame) => frame,
                 Err(error) => return self.read_failed(&error),
             };
-            self.timeouts_in_a_row.store(0, Ordering::Relaxed);
+            self.consecutive_timeouts.store(0, Ordering::Relaxed);
             if let Err(reason) = self.on_response(frame) {
                 log::warn!(
                     "event=peer_frame_refused peer={} reason={reason:?}",
@@ -130,8 +130,8 @@
     }
 }
 
-/// Converts a response to the result of its call. The outcome is unknown if the response is of an
-/// unknown kind, or if it is `INTERNAL`, which a handler that failed during execution also returns.
+/// Converts a response to the result of its call. A response of an unknown kind and `INTERNAL` leave
+/// the outcome unknown: the handler may have failed after it took effect.
 fn call_result(response: Response) -> CallResult {
     match response.kind {
         OneOfkind::None => Err(CallError::Unknown("unknown kind of response".to_owned())),
--- a/crates/transport/src/limits.rs
+++ b/crates/transport/src/limits.rs
@@ -5,14 +5,16 @@
 /// Number of connections above which a client closes idle ones, least recently used first.
 pub const CLIENT_CONNECTIONS: usize = 64;
 
-/// Maximum number of open connections of a client, if none of them is idle.
+/// Maximum number of open connections of a client. Above [`CLIENT_CONNECTIONS`] only busy ones stay
+/// open.
 pub const MAX_CLIENT_CONNECTIONS: usize = 256;
 
-/// Maximum number of calls in flight on one client connection; further calls are not sent.
+/// Maximum number of calls in flight on one client connection; further calls
+/// fail with `NotSent`.
 pub const MAX_CALLS_IN_FLIGHT: usize = 1024;
 
 /// Maximum size of the requests queued for one client connection, in bytes; a request that would
-/// exceed it is not sent. A request is always accepted if the queue is empty.
+/// exceed it fails with `NotSent`. A request is always accepted if the queue is empty.
 pub const MAX_QUEUED_REQUEST_BYTES: usize = 64 * 1024 * 1024;
 
 /// Timeout of an attempt to connect; calls with shorter timeouts end earlier.
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -17,16 +17,16 @@
 /// Pause after a failed accept, for example if the process is out of file descriptors.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Handler of requests. It refuses a request with a `Response` of kind `Refused`.
+/// Executes the requests that a [`Server`] receives. It refuses a request with a `Response` of kind `Refused`.
 pub trait Handler: Send + Sync + 'static {
     /// Handles one request. Requests of one connection are handled concurrently.
     ///
-    /// The handler runs to completion even if the connection closes. If it panics, the caller
-    /// receives `INTERNAL`, which its client reports as an unknown outcome.
+    /// The handler runs to completion even if the connection closes. If it panics, the response is
+    /// `INTERNAL`, which the client reports as [`CallError::Unknown`](crate::CallError::Unknown).
     fn handle(&self, request: Request) -> Pin<Box<dyn Future<Output = Response> + Send + '_>>;
 }
 
-/// Server for calls of peers. Dropping it closes the listener and all connections.
+/// Server that accepts calls from peers. Dropping it closes the listener and all connections.
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
--- a/crates/transport/src/session.rs
+++ b/crates/transport/src/session.rs
@@ -1,4 +1,4 @@
-//! One server connection.
+//! Server side of one connection: reads requests, runs their handlers and writes the responses.
 
 use std::net::SocketAddr;
 use std::panic::AssertUnwindSafe;
@@ -23,7 +23,7 @@
 
 type Responses = mpsc::Sender<Frame>;
 
-/// Server side of one connection.
+/// State of one server connection.
 pub(crate) struct Session {
     peer: SocketAddr,
     handler: Arc<dyn Handler>,
