--- a/crates/storage/src/batch.rs
+++ b/crates/storage/src/batch.rs
@@ -59,9 +59,9 @@
     }
 
     /// Records the number of the commit and returns the changes to publish after it.
-    pub fn finish(mut self, sequence: u64) -> Result<Staged, redb::Error> {
+    pub fn finish(mut self, commit_number: u64) -> Result<Staged, redb::Error> {
         if self.staged.changed {
-            write_number(&mut self.meta, keys::SEQUENCE, sequence)?;
+            write_number(&mut self.meta, keys::SEQUENCE, commit_number)?;
         }
         Ok(self.staged)
     }
--- a/crates/storage/src/committer.rs
+++ b/crates/storage/src/committer.rs
@@ -20,7 +20,8 @@
 /// Maximum number of requests in one commit.
 const REQUESTS_PER_COMMIT: usize = 256;
 
-/// Sender of the response to one request; dropped without a response if the disk fails.
+/// Sender of the response to one request. It is dropped without a response if the disk fails; the
+/// caller then receives the error of [`Shared::failed`].
 pub(crate) type Answer<T> = oneshot::Sender<Result<T, StorageError>>;
 
 /// Request to the commit thread.
@@ -43,8 +44,8 @@
 /// Pause before a failed folder is reopened.
 const REOPEN_PAUSE: Duration = Duration::from_millis(250);
 
-/// Interval of the checks whether readers have released a database that is to be closed.
-const CLOSE_PAUSE: Duration = Duration::from_millis(2);
+/// Poll interval while readers still hold a database that is being closed.
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// State shared by the commit thread and the handles.
 #[derive(Debug)]
@@ -60,7 +61,10 @@
 impl Shared {
     /// Returns the error for requests during a failure.
     pub fn failed(&self) -> StorageError {
-        StorageError::Failed(self.failure().unwrap_or_else(|| "stopped".to_owned()))
+        StorageError::Failed(
+            self.failure()
+                .unwrap_or_else(|| "the commit thread has stopped".to_owned()),
+        )
     }
 
     /// Returns the cause of the current failure; `None` while the disk works.
@@ -93,7 +97,7 @@
 }
 
 /// Sends a response after the commit.
-type PendingAnswer = Box<dyn FnOnce() + Send>;
+type DeferredResponse = Box<dyn FnOnce() + Send>;
 
 /// State of the commit thread.
 pub(crate) struct Committer {
@@ -119,8 +123,8 @@
             let mut answers = Vec::new();
             if let Err(error) = self.commit(&mut requests, &mut answers) {
                 log::error!("event=storage_failed cause=\"{error}\"");
-                // Must be set before the requests and answers are dropped, as that makes the
-                // callers read it.
+                // Set before the requests and answers are dropped, which wakes the callers that read
+                // it.
                 self.shared.set_failure(Some(error.to_string()));
                 drop((requests, answers));
                 if !self.reopen(&mut queue) {
@@ -130,9 +134,8 @@
         }
     }
 
-    /// Closes the database and retries to open it; requests are refused meanwhile. Returns whether
-    /// it was reopened, which is false if all handles were dropped or the folder has another
-    /// replica id.
+    /// Closes the database and retries to open it; requests are refused meanwhile. Returns false
+    /// if all handles were dropped or the folder now belongs to another replica.
     fn reopen(&mut self, queue: &mut mpsc::Receiver<Queued>) -> bool {
         if let Some(database) = self.shared.set_database(None) {
             close(database);
@@ -156,8 +159,9 @@
                     "event=storage_replaced replica_id={}",
                     opened.content.replica_id
                 );
-                self.shared
-                    .set_failure(Some("the folder was replaced".to_owned()));
+                self.shared.set_failure(Some(
+                    "the data folder belongs to another replica".to_owned(),
+                ));
                 return false;
             }
             self.watermark = opened.watermark;
@@ -174,30 +178,30 @@
     fn commit(
         &self,
         requests: &mut std::vec::IntoIter<Queued>,
-        answers: &mut Vec<PendingAnswer>,
+        answers: &mut Vec<DeferredResponse>,
     ) -> Result<(), redb::Error> {
         let mut permits = Vec::with_capacity(requests.len());
         self.shared.options.faults.check()?;
-        let database = self.shared.database().map_err(not_open)?;
+        let database = self.shared.database().map_err(to_redb_error)?;
         let transaction = database.begin_write()?;
-        let (staged, sequence) = {
+        let (staged, commit_number) = {
             let content = self
                 .shared
                 .content
                 .read()
                 .unwrap_or_else(|e| e.into_inner());
-            let sequence = content.sequence + 1;
+            let commit_number = content.commit_number + 1;
             let mut batch = Batch::new(&transaction, &content, self.now_ms())?;
             for request in requests {
                 permits.push(request.permit);
                 answers.push(self.apply(&mut batch, &content, request.command)?);
             }
-            (batch.finish(sequence)?, sequence)
+            (batch.finish(commit_number)?, commit_number)
         };
         if staged.changed {
             transaction.commit()?;
-            self.watermark.record(sequence)?;
-            self.publish(staged, sequence);
+            self.watermark.record(commit_number)?;
+            self.publish(staged, commit_number);
         } else {
             transaction.abort()?;
         }
@@ -210,29 +214,33 @@
         batch: &mut Batch<'_>,
         content: &Content,
         command: Command,
-    ) -> Result<PendingAnswer, redb::Error> {
+    ) -> Result<DeferredResponse, redb::Error> {
         match command {
-            Command::Seal(request, answer) => pending(answer, batch.seal(&request)),
-            Command::Install(request, answer) => pending(answer, batch.install(&request)),
-            Command::Append(request, answer) => pending(answer, batch.append(&request)),
-            Command::Import(version, logs, answer) => pending(answer, batch.import(version, &logs)),
-            Command::PutBundle(bundle, answer) => pending(answer, batch.put_bundle(&bundle)),
-            Command::PutReplicaSet(set, answer) => pending(answer, batch.put_replica_set(&set)),
+            Command::Seal(request, answer) => defer_response(answer, batch.seal(&request)),
+            Command::Install(request, answer) => defer_response(answer, batch.install(&request)),
+            Command::Append(request, answer) => defer_response(answer, batch.append(&request)),
+            Command::Import(version, logs, answer) => {
+                defer_response(answer, batch.import(version, &logs))
+            }
+            Command::PutBundle(bundle, answer) => defer_response(answer, batch.put_bundle(&bundle)),
+            Command::PutReplicaSet(set, answer) => {
+                defer_response(answer, batch.put_replica_set(&set))
+            }
             Command::Sweep(answer) => {
                 let options = &self.shared.options;
                 let expired = retention::expired(&content.logs, options, self.now_ms());
-                pending(answer, batch.sweep(&expired))
+                defer_response(answer, batch.sweep(&expired))
             }
         }
     }
 
-    fn publish(&self, staged: Staged, sequence: u64) {
+    fn publish(&self, staged: Staged, commit_number: u64) {
         let mut content = self
             .shared
             .content
             .write()
             .unwrap_or_else(|e| e.into_inner());
-        content.sequence = sequence;
+        content.commit_number = commit_number;
         if staged.replica_set.is_some() {
             content.replica_set = staged.replica_set;
         }
@@ -260,18 +268,18 @@
             Ok(database) => return drop(database),
             Err(shared) => database = shared,
         }
-        std::thread::sleep(CLOSE_PAUSE);
+        std::thread::sleep(CLOSE_POLL_INTERVAL);
     }
 }
 
-fn not_open(error: StorageError) -> redb::Error {
+fn to_redb_error(error: StorageError) -> redb::Error {
     redb::Error::Io(std::io::Error::other(error.to_string()))
 }
 
-fn pending<T: Send + 'static>(
+fn defer_response<T: Send + 'static>(
     answer: Answer<T>,
     applied: Applied<T>,
-) -> Result<PendingAnswer, redb::Error> {
+) -> Result<DeferredResponse, redb::Error> {
     let result = applied?;
     // The send fails if the caller has stopped waiting.
     Ok(Box::new(move || drop(answer.send(result))))
--- a/crates/storage/src/open.rs
+++ b/crates/storage/src/open.rs
@@ -14,7 +14,7 @@
 use crate::OpenError;
 use crate::records::{LogRecord, read_number, write_number};
 use crate::tables::{ENTRIES, LOGS, META, keys};
-use crate::watermark::{Mark, Watermark};
+use crate::watermark::{Slot, Watermark};
 
 const DATABASE_FILE: &str = "journal.redb";
 const NEW_DATABASE_FILE: &str = "journal.redb.new";
@@ -100,7 +100,7 @@
 pub(crate) struct Content {
     pub replica_id: u64,
     /// Number of the last commit.
-    pub sequence: u64,
+    pub commit_number: u64,
     /// Value of the store's clock at the last sweep, in milliseconds.
     pub clock_ms: u64,
     pub replica_set: Option<ReplicaSet>,
@@ -147,7 +147,7 @@
     }
     let (_, mark) = Watermark::open(watermark).map_err(|source| io_error(watermark, source))?;
     match mark {
-        Some(mark) if mark.sequence > 0 => Err(OpenError::Missing {
+        Some(mark) if mark.commit_number > 0 => Err(OpenError::Missing {
             path: database.to_owned(),
             companion: watermark.to_owned(),
         }),
@@ -241,7 +241,7 @@
     let number = |key| read_number(&meta, key);
     let mut content = Content {
         replica_id: number(keys::REPLICA_ID)?.unwrap_or(0),
-        sequence: number(keys::SEQUENCE)?.unwrap_or(0),
+        commit_number: number(keys::SEQUENCE)?.unwrap_or(0),
         clock_ms: number(keys::CLOCK_MS)?.unwrap_or(0),
         bundle_revision: number(keys::BUNDLE_REVISION)?.unwrap_or(0),
         ..Content::default()
@@ -262,7 +262,7 @@
 
 /// Checks the database against the watermark: same replica id, and no acknowledged commit is
 /// missing.
-fn check_content(path: &Path, content: &Content, mark: Mark) -> Result<(), OpenError> {
+fn check_content(path: &Path, content: &Content, mark: Slot) -> Result<(), OpenError> {
     if content.replica_id == 0 || content.replica_id != mark.replica_id {
         let cause = format!(
             "replica id {} does not match the watermark's {}",
@@ -270,11 +270,11 @@
         );
         return Err(damaged(path, cause));
     }
-    if content.sequence < mark.sequence {
+    if content.commit_number < mark.commit_number {
         return Err(OpenError::LostCommits {
             path: path.to_owned(),
-            acknowledged: mark.sequence,
-            found: content.sequence,
+            acknowledged: mark.commit_number,
+            found: content.commit_number,
         });
     }
     Ok(())
--- a/crates/storage/src/retention.rs
+++ b/crates/storage/src/retention.rs
@@ -14,7 +14,7 @@
 /// Result of one sweep.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct SweepReport {
-    /// Number of closed logs that lost all entries but the first.
+    /// Number of closed logs that were retired: all entries but the first were deleted.
     pub retired: usize,
     /// Number of claims and closed logs that were deleted.
     pub dropped: usize,
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -113,7 +113,7 @@
         })
     }
 
-    /// Returns the random id that the folder got at its creation.
+    /// Returns the replica id, which was chosen at random when the folder was created.
     pub fn replica_id(&self) -> u64 {
         self.inner.replica_id
     }
--- a/crates/storage/tests/storage.rs
+++ b/crates/storage/tests/storage.rs
@@ -22,13 +22,13 @@
 async fn open_replica(folder: &Path, options: StorageOptions) -> Storage {
     let storage = Storage::open(folder, options).expect("folder opens");
     storage
-        .put_replica_set(set_of(1, storage.replica_id()))
+        .put_replica_set(replica_set_of(1, storage.replica_id()))
         .await
         .unwrap();
     storage
 }
 
-fn set_of(version: u64, replica_id: u64) -> ReplicaSet {
+fn replica_set_of(version: u64, replica_id: u64) -> ReplicaSet {
     let member = ReplicaMember {
         node: "a".to_owned(),
         replica_id,
@@ -110,7 +110,7 @@
 
     let storage = open(folder.path()).unwrap();
     assert_eq!(storage.replica_id(), replica_id);
-    assert_eq!(storage.replica_set(), Some(set_of(1, replica_id)));
+    assert_eq!(storage.replica_set(), Some(replica_set_of(1, replica_id)));
     assert_eq!(storage.bundle_revision(), 7);
     assert_eq!(storage.get_bundle().await.unwrap().unwrap().bytes, b"seven");
     let state = storage.log_state(LOG).unwrap();
@@ -131,7 +131,7 @@
 }
 
 #[tokio::test]
-async fn many_requests_at_once_are_all_stored() {
+async fn concurrent_requests_are_all_stored() {
     let folder = tempfile::tempdir().unwrap();
     let storage = open_replica(folder.path(), StorageOptions::default()).await;
     let tasks: Vec<_> = (0..500)
@@ -145,21 +145,21 @@
     for task in tasks {
         task.await.unwrap();
     }
-    let mut copied: Vec<String> = Vec::new();
+    let mut exported: Vec<String> = Vec::new();
     loop {
-        let after = copied.last().cloned().unwrap_or_default();
+        let after = exported.last().cloned().unwrap_or_default();
         let page = storage.export_logs(&after, 64).await.unwrap();
         assert!(page.logs.iter().all(|log| log.entries == entries(0..3)));
-        copied.extend(page.logs.into_iter().map(|log| log.log));
+        exported.extend(page.logs.into_iter().map(|log| log.log));
         if !page.more {
             break;
         }
     }
-    assert_eq!(copied.len(), 500);
+    assert_eq!(exported.len(), 500);
 }
 
 #[tokio::test]
-async fn requests_under_older_sets_or_at_a_non_member_are_refused() {
+async fn requests_with_a_stale_replica_set_or_to_a_non_member_are_refused() {
     let folder = tempfile::tempdir().unwrap();
     let storage = open(folder.path()).unwrap();
     assert_eq!(
@@ -167,12 +167,12 @@
         Err(StorageError::NoReplicaSet)
     );
     storage
-        .put_replica_set(set_of(1, storage.replica_id()))
+        .put_replica_set(replica_set_of(1, storage.replica_id()))
         .await
         .unwrap();
     write_log(&storage, LOG, false).await;
     storage
-        .put_replica_set(set_of(2, storage.replica_id()))
+        .put_replica_set(replica_set_of(2, storage.replica_id()))
         .await
         .unwrap();
     let stale = StorageError::StaleReplicaSet { asked: 1, known: 2 };
@@ -183,11 +183,11 @@
         Err(stale)
     );
     storage
-        .put_replica_set(set_of(1, storage.replica_id()))
+        .put_replica_set(replica_set_of(1, storage.replica_id()))
         .await
         .unwrap();
     assert_eq!(storage.replica_set().unwrap().version, 2);
-    storage.put_replica_set(set_of(3, 1)).await.unwrap();
+    storage.put_replica_set(replica_set_of(3, 1)).await.unwrap();
     let newest = Seal {
         replica_set_version: 3,
         ..seal(LOG, 9)
@@ -241,8 +241,7 @@
     assert!(!storage.read_log("claim/pool/key").await.unwrap().found);
 }
 
-/// Guards against silent data loss: a damaged file is either opened with all acknowledged entries
-/// or refused.
+/// A damaged file either opens with all acknowledged entries or is refused.
 #[tokio::test]
 async fn a_damaged_file_is_recovered_or_refused() {
     let folder = tempfile::tempdir().unwrap();
@@ -277,15 +276,16 @@
     assert!(refused >= 8, "{refused} of 24 refused");
 }
 
-/// Damages the bytes: truncates 1/8 to 8/8, overwrites 1 to 8 places, or appends garbage.
+/// Returns `original` with damage number `damage`: 0 to 7 truncate it, 8 to 15 overwrite blocks, and
+/// 16 to 23 append garbage.
 fn damaged(original: &[u8], damage: usize) -> Vec<u8> {
     let mut bytes = original.to_vec();
     let share = damage % 8 + 1;
     match damage / 8 {
         0 => bytes.truncate(original.len() - original.len() * share / 8),
         1 => {
-            for place in 0..share {
-                let start = original.len() * (2 * place + 1) / 20;
+            for position in 0..share {
+                let start = original.len() * (2 * position + 1) / 20;
                 bytes[start..start + 4096].fill(0xA5);
             }
         }
@@ -310,7 +310,7 @@
 }
 
 #[tokio::test]
-async fn a_lost_file_is_refused_and_an_empty_folder_gets_another_id() {
+async fn a_missing_file_is_refused_and_an_empty_folder_gets_a_new_id() {
     let folder = tempfile::tempdir().unwrap();
     let storage = open_replica(folder.path(), StorageOptions::default()).await;
     let first = storage.replica_id();
@@ -361,10 +361,10 @@
     }
 }
 
-/// An install may omit entries that the replica holds at the named epoch, and is rejected if it
-/// does not hold them.
+/// An install may omit entries that the replica holds at the named epoch. The replica rejects the
+/// install if it does not hold them.
 #[tokio::test]
-async fn an_install_keeps_the_first_entries_of_the_same_log() {
+async fn an_install_may_omit_entries_that_the_replica_holds() {
     let folder = tempfile::tempdir().unwrap();
     let storage = open_replica(folder.path(), StorageOptions::default()).await;
     storage
@@ -377,16 +377,16 @@
     };
     let found = storage.seal(sealed).await.unwrap();
     assert_eq!((found.length, found.entries.len()), (4, 0));
-    let rest = |kept_length, kept_round| Install {
+    let install_rest = |kept_length, kept_round| Install {
         kept_length,
         kept_epoch: epoch(kept_round).to_wire(),
         ..install(LOG, 2, entries(10..12))
     };
-    for refused in [rest(3, 7), rest(5, 1)] {
+    for refused in [install_rest(3, 7), install_rest(5, 1)] {
         let reply = storage.install(refused).await.unwrap();
         assert_eq!(reply.outcome, Outcome::NEEDS_INSTALL);
     }
-    let reply = storage.install(rest(3, 1)).await.unwrap();
+    let reply = storage.install(install_rest(3, 1)).await.unwrap();
     assert_eq!((reply.outcome, reply.length), (Outcome::STORED, 5));
     let expected: Vec<LogEntry> = entries(0..3).into_iter().chain(entries(10..12)).collect();
     drop(storage);
@@ -394,8 +394,8 @@
     assert_eq!(storage.read_log(LOG).await.unwrap().entries, expected);
 }
 
-/// Guards against a process that needs a restart after a temporary disk failure, and against data
-/// loss by the reopening.
+/// After a temporary disk failure the folder reopens without a restart of the process and without
+/// data loss.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_folder_is_reopened_after_a_failed_commit() {
     let folder = tempfile::tempdir().unwrap();
