--- a/crates/journal/src/heartbeat.rs
+++ b/crates/journal/src/heartbeat.rs
@@ -1,5 +1,5 @@
 //! Heartbeats to the replicas. They keep the ownership of this node's logs and return bundle
-//! evidence.
+//! evidence: what each replica knows of the newest bundle.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Weak};
@@ -18,7 +18,7 @@
 
 use super::calls::ReplicaCalls;
 use super::hooks::HookSlot;
-use super::registry::OwnedLogs;
+use super::registry::WriterRegistry;
 
 /// Maximum number of concurrent rounds; further rounds are skipped while replicas are slow.
 const MAX_ROUNDS: usize = 4;
@@ -36,7 +36,7 @@
     pub node: String,
     pub process: ProcessId,
     pub calls: Arc<ReplicaCalls>,
-    pub owned: Arc<OwnedLogs>,
+    pub owned: Arc<WriterRegistry>,
     pub hooks: HookSlot,
 }
 
--- a/crates/journal/src/hooks.rs
+++ b/crates/journal/src/hooks.rs
@@ -26,7 +26,7 @@
     fn orphaned(&self, logs: Vec<String>);
 }
 
-/// Holder of the hooks, which are set after the journal has started.
+/// Cell for the hooks, which are set after the journal has started.
 #[derive(Clone, Default)]
 pub(crate) struct HookSlot {
     hooks: Arc<OnceLock<Arc<dyn JournalHooks>>>,
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,5 +1,6 @@
-//! The replicated journal: the replica service, quorum calls for writers and readers, and replica
-//! set changes.
+//! The replicated journal: named logs, each written by one owner and stored on a set of replicas.
+//!
+//! Contains the replica service, quorum calls for writers and readers, and replica set changes.
 //!
 //! The protocol's state machines are in the `ladderstage` crate; this crate connects them to disks,
 //! network calls and timers.
@@ -40,7 +41,7 @@
 use heartbeat::Heartbeats;
 use hooks::HookSlot;
 use orphaned::OrphanMonitor;
-use registry::OwnedLogs;
+use registry::WriterRegistry;
 use replica::ReplicaService;
 
 pub use hooks::JournalHooks;
@@ -49,8 +50,8 @@
 pub use peers::Peers;
 pub use writer::LogWriter;
 
-/// Number of epochs that one take-over tries. The first is often too low, as the log's epoch is not
-/// known yet.
+/// Number of epochs that one take-over tries. The first is often too low, as the log's current epoch
+/// is learned only from the replies.
 const SEAL_ATTEMPTS: u32 = 3;
 
 /// Timeout for reading a sealed log from one replica.
@@ -99,7 +100,7 @@
     node: String,
     epochs: Mutex<EpochSource>,
     calls: Arc<ReplicaCalls>,
-    owned: Arc<OwnedLogs>,
+    owned: Arc<WriterRegistry>,
     hooks: HookSlot,
     /// Kept alive for the tasks, which hold weak references and end once these are dropped.
     _heartbeats: Arc<Heartbeats>,
@@ -130,7 +131,7 @@
             timeout: options.round_timeout,
             metrics: JournalMetrics::new(),
         });
-        let owned = Arc::new(OwnedLogs::new(options.monitored_prefix));
+        let owned = Arc::new(WriterRegistry::new(options.monitored_prefix));
         let heartbeats = Arc::new(Heartbeats {
             node: options.node.clone(),
             process,
--- a/crates/journal/src/options.rs
+++ b/crates/journal/src/options.rs
@@ -2,13 +2,14 @@
 
 use std::time::Duration;
 
-/// Selection of the disks that form the first replica set.
+/// Selection of the first replica set from the candidates: the nodes whose disks are recorded as
+/// available for replicas.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum InitialReplicas {
-    /// The disks of the named nodes.
+    /// The named nodes.
     Named(Vec<String>),
-    /// This number of the recorded disks, spread over regions and zones. A set that has shrunk
-    /// grows back to it.
+    /// This number of candidates, spread over regions and zones. A smaller set grows to this number
+    /// again.
     Count(usize),
 }
 
@@ -22,19 +23,19 @@
     }
 }
 
-/// Names and intervals of the journal on one node.
+/// Options of the journal on one node.
 #[derive(Debug, Clone)]
 pub struct JournalOptions {
     /// Name of this node; stays the same across restarts.
     pub node: String,
-    /// Disks that form the first replica set; must be the same on every node.
+    /// Selection of the first replica set; must be the same on every node.
     pub initial_replicas: InitialReplicas,
     /// Allows this node to create the first set; otherwise it only waits for one.
     pub may_bootstrap: bool,
     /// Prefix of the names of monitored logs: their writers send heartbeats, and silent writers are
     /// replaced.
     pub monitored_prefix: &'static str,
-    /// Time between an owner's heartbeats to the replicas.
+    /// Time between the heartbeats to the replicas by an owner: the node of a log's writer.
     pub owner_heartbeat_interval: Duration,
     /// Time without a heartbeat after which a log's owner is replaced.
     pub owner_timeout: Duration,
--- a/crates/journal/src/orphaned.rs
+++ b/crates/journal/src/orphaned.rs
@@ -1,4 +1,5 @@
-//! Monitoring of a replica's open logs: notifies a successor of logs whose owner is silent.
+//! Monitoring of a replica's open logs: notifies a successor of orphaned logs, whose owner sends no
+//! heartbeats.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Weak};
--- a/crates/journal/src/registry.rs
+++ b/crates/journal/src/registry.rs
@@ -9,12 +9,12 @@
 
 /// Open writers of monitored logs, by log name. A writer is registered from its take-over until it
 /// is dropped. Writers of other logs, such as claims, are not registered.
-pub(crate) struct OwnedLogs {
+pub(crate) struct WriterRegistry {
     monitored_prefix: &'static str,
     writers: Mutex<BTreeMap<String, WeakWriter>>,
 }
 
-impl OwnedLogs {
+impl WriterRegistry {
     /// Creates an empty registry for logs whose names start with `monitored_prefix`.
     pub fn new(monitored_prefix: &'static str) -> Self {
         Self {
@@ -23,14 +23,14 @@
         }
     }
 
-    /// Registers a writer; it replaces one of the same log with a lower epoch.
+    /// Registers a writer, unless one with the same or a higher epoch is registered for its log.
     pub fn insert(&self, writer: &Arc<WriterShared>) {
         if !writer.log.starts_with(self.monitored_prefix) {
             return;
         }
         let mut writers = self.lock();
-        let known = writers.get(&writer.log).and_then(WeakWriter::upgrade);
-        if known.is_none_or(|known| known.epoch < writer.epoch) {
+        let registered = writers.get(&writer.log).and_then(WeakWriter::upgrade);
+        if registered.is_none_or(|registered| registered.epoch < writer.epoch) {
             writers.insert(writer.log.clone(), Arc::downgrade(writer));
         }
     }
@@ -38,8 +38,8 @@
     /// Removes this writer; another writer of the same log stays registered.
     pub fn remove(&self, writer: &Arc<WriterShared>) {
         let mut writers = self.lock();
-        let known = writers.get(&writer.log);
-        if known.is_some_and(|known| known.as_ptr() == Arc::as_ptr(writer)) {
+        let registered = writers.get(&writer.log);
+        if registered.is_some_and(|registered| registered.as_ptr() == Arc::as_ptr(writer)) {
             writers.remove(&writer.log);
         }
     }
--- a/crates/journal/src/replica.rs
+++ b/crates/journal/src/replica.rs
@@ -159,7 +159,7 @@
         respond(result, ResponseKind::export_logs)
     }
 
-    /// Stores logs sent by a replica that leaves the set.
+    /// Stores logs sent by a replica that is leaving the set.
     pub async fn import_logs(&self, request: ImportLogs) -> Response {
         let Some(storage) = &self.storage else {
             return not_a_replica();
--- a/crates/journal/src/replica_set/bootstrap.rs
+++ b/crates/journal/src/replica_set/bootstrap.rs
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Returns the members of the first set, or `None` until enough disks are recorded.
+    /// Returns the members of the first set, or `None` until enough candidates are recorded.
     fn initial_members(&self, candidates: Vec<ReplicaMember>) -> Option<Vec<ReplicaMember>> {
         match &self.initial_replicas {
             InitialReplicas::Named(nodes) => {
--- a/crates/journal/src/replica_set/copy.rs
+++ b/crates/journal/src/replica_set/copy.rs
@@ -15,23 +15,23 @@
 };
 
 use super::replacement::fence;
-use super::zones::place;
+use super::zones::location;
 use crate::Peers;
 
 /// Timeout of one call.
-const PAGE_TIMEOUT: Duration = Duration::from_secs(10);
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Maximum number of logs in one page.
 const LOGS_PER_PAGE: u32 = 64;
 
-/// Maximum number of logs stored here that the request for a page lists. More than a page holds, as
-/// the sender may not have all of them.
+/// Maximum number of locally stored logs listed in a page request, so that the sender skips their
+/// entries.
 const KNOWN_LOGS_PER_REQUEST: usize = 4 * LOGS_PER_PAGE as usize;
 
 /// Error of a copy.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CopyError {
-    /// Too few replicas could be copied completely.
+    /// Too few replicas could be copied completely, or a replica did not store the logs sent to it.
     #[error("copied from {copied} of {needed} replicas: {failures}")]
     NoQuorum {
         copied: usize,
@@ -42,8 +42,8 @@
     #[error(transparent)]
     Storage(#[from] StorageError),
     /// This node's disk does not hold the newest bundle of the copied replicas yet.
-    #[error("bundle revision {needed} is not stored here yet, only {stored}")]
-    BundleBehind {
+    #[error("required bundle revision {needed} is newer than the stored revision {stored}")]
+    StaleBundle {
         /// Newest revision at the copied replicas.
         needed: u64,
         /// Revision on this node's disk.
@@ -51,9 +51,9 @@
     },
 }
 
-/// Error of the copy from or to one replica.
+/// Error of a copy from or to one replica.
 #[derive(Debug, thiserror::Error)]
-enum SourceError {
+enum ReplicaError {
     #[error(transparent)]
     Call(#[from] CallError),
     #[error("unexpected response kind")]
@@ -71,16 +71,16 @@
 }
 
 /// Copies logs to or from this node's data folder.
-pub(crate) struct LogCopy {
+pub(crate) struct LogCopier {
     /// Name of this node.
     pub node: String,
     pub peers: Arc<dyn Peers>,
     pub storage: Storage,
 }
 
-impl LogCopy {
-    /// Copies the logs of a quorum of the current replicas of a joint set to this node. Each
-    /// replica is fenced against older sets before its logs are copied. Returns the number of
+impl LogCopier {
+    /// Copies to this node the logs of enough current replicas of a joint set to intersect every
+    /// quorum. Each replica is fenced against older sets before its logs are copied. Returns the number of
     /// copied logs; a log that several replicas sent is counted each time.
     ///
     /// The bundle is not copied, as every node receives it by other means, but it must have arrived
@@ -90,7 +90,7 @@
     ///
     /// `NoQuorum` if too few replicas could be copied, `BundleBehind` if the bundle has not
     /// arrived, or `Storage`.
-    pub async fn copy_quorum(&self, set: &ReplicaSet) -> Result<usize, CopyError> {
+    pub async fn copy_from_replicas(&self, set: &ReplicaSet) -> Result<usize, CopyError> {
         let quorum = Quorum::new(&ReplicaSet {
             next: Vec::new(),
             ..set.clone()
@@ -109,7 +109,7 @@
                     needed = needed.max(source.bundle_revision);
                     copied.insert(member.replica_id);
                 }
-                Err(SourceError::Storage(error)) => return Err(error.into()),
+                Err(ReplicaError::Storage(error)) => return Err(error.into()),
                 Err(error) => failures.push(format!("{}: {error}", member.node)),
             }
         }
@@ -122,19 +122,19 @@
         }
         let stored = self.storage.bundle_revision();
         if stored < needed {
-            return Err(CopyError::BundleBehind { needed, stored });
+            return Err(CopyError::StaleBundle { needed, stored });
         }
         Ok(logs)
     }
 
-    /// Sends all logs of this node to each replica that stays in a shrinking set, after fencing
-    /// those replicas against older sets. Returns the number of logs.
+    /// Sends all logs of this node to the members of the next set, after fencing them against older
+    /// sets. Returns the number of logs.
     ///
     /// # Errors
     ///
     /// `NoQuorum` if a replica could not be fenced or did not store the logs, or `Storage`.
-    pub async fn push_to_remaining(&self, set: &ReplicaSet) -> Result<usize, CopyError> {
-        let failed = |node: &str, error: SourceError| CopyError::NoQuorum {
+    pub async fn push_to_next_members(&self, set: &ReplicaSet) -> Result<usize, CopyError> {
+        let failed = |node: &str, error: ReplicaError| CopyError::NoQuorum {
             copied: 0,
             needed: set.next.len(),
             failures: format!("{node}: {error}"),
@@ -172,14 +172,14 @@
         Ok(copied)
     }
 
-    /// Sorts members by distance. The first copy transfers complete logs, later ones only what is
-    /// missing.
+    /// Sorts members by distance, nearest first, as the first copy transfers the most data. Members
+    /// that are not alive are sorted like those in the same region.
     fn nearest_first(&self, members: &[ReplicaMember]) -> Vec<ReplicaMember> {
-        let alive = self.peers.alive();
-        let find = |node: &str| alive.iter().find(|member| member.node == node);
+        let live_members = self.peers.alive();
+        let find = |node: &str| live_members.iter().find(|member| member.node == node);
         let distance = |node: &str| {
             let (own, other) = (find(&self.node)?, find(node)?);
-            Some(Distance::between(&place(own), &place(other)))
+            Some(Distance::between(&location(own), &location(other)))
         };
         let mut members = members.to_vec();
         members.sort_by_key(|member| distance(&member.node).unwrap_or(Distance::SameRegion));
@@ -190,7 +190,7 @@
         &self,
         set: &ReplicaSet,
         member: &ReplicaMember,
-    ) -> Result<CopiedReplica, SourceError> {
+    ) -> Result<CopiedReplica, ReplicaError> {
         self.call(member, fence(set).kind).await?;
         let mut after = String::new();
         let mut logs = 0;
@@ -218,7 +218,7 @@
         set: &ReplicaSet,
         member: &ReplicaMember,
         after: &str,
-    ) -> Result<ExportLogsReply, SourceError> {
+    ) -> Result<ExportLogsReply, ReplicaError> {
         let request = RequestKind::export_logs(ExportLogs {
             replica_set_version: set.version,
             after: after.to_owned(),
@@ -227,19 +227,20 @@
         });
         match self.call(member, request).await? {
             ResponseKind::export_logs(page) => Ok(page),
-            _ => Err(SourceError::UnexpectedResponse),
+            _ => Err(ReplicaError::UnexpectedResponse),
         }
     }
 
     /// Checks that the node still has the disk that the set lists; returns the revision of its
     /// bundle.
-    async fn check_disk(&self, member: &ReplicaMember) -> Result<u64, SourceError> {
+    async fn check_disk(&self, member: &ReplicaMember) -> Result<u64, ReplicaError> {
+        // The reply to an empty heartbeat contains the replica id and the bundle revision.
         let request = RequestKind::owner_heartbeat(OwnerHeartbeat::default());
         let ResponseKind::owner_heartbeat(reply) = self.call(member, request).await? else {
-            return Err(SourceError::UnexpectedResponse);
+            return Err(ReplicaError::UnexpectedResponse);
         };
         if reply.replica_id != member.replica_id {
-            return Err(SourceError::DiskReplaced);
+            return Err(ReplicaError::DiskReplaced);
         }
         Ok(reply.evidence.unwrap_or_default().revision)
     }
@@ -248,9 +249,9 @@
         &self,
         member: &ReplicaMember,
         kind: RequestKind,
-    ) -> Result<ResponseKind, SourceError> {
+    ) -> Result<ResponseKind, ReplicaError> {
         let request = Request { kind };
-        let answer = self.peers.call(&member.node, request, PAGE_TIMEOUT).await?;
+        let answer = self.peers.call(&member.node, request, CALL_TIMEOUT).await?;
         match answer.kind {
             ResponseKind::refused(refused) => Err(CallError::Refused(refused).into()),
             kind => Ok(kind),
--- a/crates/journal/src/replica_set/key_value_records.rs
+++ b/crates/journal/src/replica_set/key_value_records.rs
@@ -1,4 +1,4 @@
-//! [`SetRecords`] in the key-value service.
+//! Implements [`SetRecords`] on the key-value service.
 
 use futures_util::future::BoxFuture;
 use ladderstage_platform::key_value::{KeyValue, KeyValueError, SwapOutcome};
@@ -10,7 +10,7 @@
 /// Key of the record of the current set.
 const SET_KEY: &str = "ladderstage/replicas/set";
 
-/// Key prefix of the records of disks that may become replicas; the node's name follows.
+/// Key prefix of the candidates' records; the node's name follows.
 const CANDIDATE_PREFIX: &str = "ladderstage/replicas/candidate/";
 
 impl From<KeyValueError> for RecordError {
--- a/crates/journal/src/replica_set/records.rs
+++ b/crates/journal/src/replica_set/records.rs
@@ -1,5 +1,5 @@
 //! Interface to the replica set's records: one record of the set, changed by compare-and-swap, and
-//! one for each disk.
+//! one for each candidate, a disk that may become a replica.
 
 use futures_util::future::BoxFuture;
 use ladderstage_wire::DecodeError;
@@ -44,12 +44,12 @@
         set: ReplicaSet,
     ) -> BoxFuture<'_, Result<Option<ReplicaSet>, RecordError>>;
 
-    /// Records this node's disk as a candidate for the set.
+    /// Records this node's disk as a candidate.
     fn put_candidate<'a>(
         &'a self,
         own: &'a ReplicaMember,
     ) -> BoxFuture<'a, Result<(), RecordError>>;
 
-    /// Returns the recorded disks; records that cannot be decoded are skipped.
+    /// Returns the candidates; records that cannot be decoded are skipped.
     fn candidates(&self) -> BoxFuture<'_, Result<Vec<ReplicaMember>, RecordError>>;
 }
--- a/crates/journal/src/replica_set/replacement.rs
+++ b/crates/journal/src/replica_set/replacement.rs
@@ -1,4 +1,5 @@
-//! Replaces lost replicas one at a time: through a joint set, a copy of the logs, and a final set.
+//! Replaces lost replicas one at a time: through a joint set (in which a quorum needs a majority of
+//! both the current and the next members), a copy of the logs, and a final set.
 
 #![expect(
     clippy::disallowed_methods,
@@ -17,7 +18,7 @@
 };
 
 use super::ReplicaSets;
-use super::copy::{CopyError, LogCopy};
+use super::copy::{CopyError, LogCopier};
 use super::zones::spares_by_need;
 use super::{RecordError, SetRecords};
 use crate::Peers;
@@ -29,7 +30,8 @@
 /// usually learn of their admission from the members, but that announcement may get lost.
 const NON_MEMBER_READ_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Time that a leaving replica waits for a spare disk before the set is shrunk.
+/// Time that a leaving replica waits for a spare (a disk that is not a member) before the set is
+/// shrunk.
 const SPARE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Minimum size of a shrunk set.
@@ -176,12 +178,12 @@
         let Some(storage) = self.replica_sets.storage() else {
             return Ok(0);
         };
-        let copy = LogCopy {
+        let copy = LogCopier {
             node: self.node.clone(),
             peers: Arc::clone(&self.peers),
             storage: storage.clone(),
         };
-        Ok(copy.push_to_remaining(set).await?)
+        Ok(copy.push_to_next_members(set).await?)
     }
 
     fn is_newcomer(&self, set: &ReplicaSet) -> bool {
@@ -222,12 +224,12 @@
         let Some(storage) = self.replica_sets.storage() else {
             return Ok(());
         };
-        let copy = LogCopy {
+        let copy = LogCopier {
             node: self.node.clone(),
             peers: Arc::clone(&self.peers),
             storage: storage.clone(),
         };
-        let logs = copy.copy_quorum(set).await?;
+        let logs = copy.copy_from_replicas(set).await?;
         log::info!("event=logs_copied version={} logs={logs}", set.version);
         Ok(())
     }
--- a/crates/journal/src/replica_set/zones.rs
+++ b/crates/journal/src/replica_set/zones.rs
@@ -53,7 +53,7 @@
 }
 
 /// Returns the location of a member.
-pub(super) fn place(member: &Member) -> Place<'_> {
+pub(super) fn location(member: &Member) -> Place<'_> {
     Place {
         node: &member.node,
         zone: &member.zone,
--- a/crates/journal/src/writer.rs
+++ b/crates/journal/src/writer.rs
@@ -1,4 +1,7 @@
 //! Writer of one log.
+//!
+//! A take-over seals the log: a quorum of replicas promises to reject writers with lower epochs. The
+//! new writer then installs the sealed entries at a quorum and appends to them.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, MutexGuard, Weak};
@@ -16,7 +19,7 @@
 
 use super::JournalError;
 use super::calls::{ReplicaCalls, ReplicaFailure, describe_failure, transfer_timeout};
-use super::registry::OwnedLogs;
+use super::registry::WriterRegistry;
 
 /// Number of failed writes to one replica after which its task ends; the next append starts a new
 /// task.
@@ -25,15 +28,15 @@
 /// Range of the random pause before a retry, in milliseconds.
 const RETRY_PAUSE_MS: std::ops::Range<u64> = 20..60;
 
-/// Writer that may append to one log until a higher epoch fences it.
+/// Writer of one log; a writer with a higher epoch fences it, so that its appends are rejected.
 ///
 /// One task per replica sends the entries that this replica lacks, so that a slow replica does not
 /// delay the others.
 pub struct LogWriter {
     shared: Arc<WriterShared>,
-    owned: Arc<OwnedLogs>,
+    registry: Arc<WriterRegistry>,
     /// Entries of an append whose outcome is unknown, and whether it closes the log.
-    unresolved: Option<(Vec<LogEntry>, bool)>,
+    pending_append: Option<(Vec<LogEntry>, bool)>,
 }
 
 impl std::fmt::Debug for LogWriter {
@@ -58,8 +61,8 @@
 
 pub(super) struct Progress {
     pub(super) state: LogWriterState,
-    /// Replicas to which a task is writing.
-    sending: BTreeSet<ReplicaId>,
+    /// Replicas whose task runs, including tasks that pause before a retry.
+    running_tasks: BTreeSet<ReplicaId>,
     last_failure: String,
     /// True if a replica knows a newer set than the one under which this writer took the log over.
     is_set_stale: bool,
@@ -71,7 +74,7 @@
         state: LogWriterState,
         set: &ReplicaSet,
         calls: Arc<ReplicaCalls>,
-        owned: Arc<OwnedLogs>,
+        registry: Arc<WriterRegistry>,
     ) -> Result<Self, JournalError> {
         let shared = Arc::new(WriterShared {
             log: state.identity().log.clone(),
@@ -80,22 +83,22 @@
             calls,
             progress: Mutex::new(Progress {
                 state,
-                sending: BTreeSet::new(),
+                running_tasks: BTreeSet::new(),
                 last_failure: "no response before the timeout".to_owned(),
                 is_set_stale: false,
             }),
             changed: watch::Sender::new(()),
         });
         shared.replicate().await?;
-        owned.insert(&shared);
+        registry.insert(&shared);
         Ok(Self {
             shared,
-            owned,
-            unresolved: None,
+            registry,
+            pending_append: None,
         })
     }
 
-    /// Returns all entries of the log; directly after the take-over, the entries that were found.
+    /// Returns all entries of the log, including those found at the take-over.
     pub fn entries(&self) -> Vec<LogEntry> {
         self.shared.lock().state.entries().to_vec()
     }
@@ -110,13 +113,13 @@
         self.shared.epoch
     }
 
-    /// Appends entries; returns `Ok` once a majority holds them. `closes` marks the log as
-    /// finished.
+    /// Appends entries; returns `Ok` once a quorum holds them. `closes` closes the log: no entries
+    /// can follow.
     ///
     /// # Errors
     ///
-    /// - `Fenced`: another writer has taken the log over. Drop this writer; entries of appends that
-    ///   did not return `Ok` may or may not be in the log.
+    /// - `Fenced`: another writer has taken the log over. Drop this writer. Appends that did not
+    ///   return `Ok` may still be in the log.
     /// - `NoQuorum`: the entries may be stored at some replicas and keep their position in the log.
     ///   Either call `append` again with the same arguments (or [`LogWriter::retry`]) until it
     ///   returns `Ok`, or drop the writer; the next writer may or may not find the entries.
@@ -128,14 +131,14 @@
         entries: Vec<LogEntry>,
         closes: bool,
     ) -> Result<(), JournalError> {
-        match &self.unresolved {
-            Some(unresolved) if *unresolved != (entries.clone(), closes) => {
+        match &self.pending_append {
+            Some(pending_append) if *pending_append != (entries.clone(), closes) => {
                 return Err(JournalError::Unresolved);
             }
             Some(_) => {}
             None => {
                 self.shared.lock().state.add(entries.clone(), closes);
-                self.unresolved = Some((entries, closes));
+                self.pending_append = Some((entries, closes));
             }
         }
         self.retry().await
@@ -147,15 +150,15 @@
     ///
     /// Same as for [`LogWriter::append`].
     pub async fn retry(&mut self) -> Result<(), JournalError> {
-        if self.unresolved.is_some() {
+        if self.pending_append.is_some() {
             self.shared.replicate().await?;
-            self.unresolved = None;
+            self.pending_append = None;
         }
         Ok(())
     }
 
     /// Checks, without writing, that no other writer had taken the log over when this call started.
-    /// On `Ok`, earlier decisions based on the entries are valid.
+    /// After `Ok`, the entries were current at that time.
     ///
     /// # Errors
     ///
@@ -168,7 +171,7 @@
 
 impl Drop for LogWriter {
     fn drop(&mut self) {
-        self.owned.remove(&self.shared);
+        self.registry.remove(&self.shared);
     }
 }
 
@@ -185,7 +188,7 @@
     }
 
     /// Sends to each replica the entries that it lacks. Returns when a quorum holds all entries, a
-    /// quorum has become impossible, or the timeout of the round expires.
+    /// quorum has become impossible, or the timeout expires.
     async fn replicate(self: &Arc<Self>) -> Result<(), JournalError> {
         let started = Instant::now();
         let changed = self.changed.subscribe();
@@ -221,7 +224,7 @@
         }
     }
 
-    /// Returns the result of the current append, or `None` while it is undecided.
+    /// Returns the result of the current install or append, or `None` while it is undecided.
     fn result(&self) -> Option<Result<(), JournalError>> {
         let progress = self.lock();
         if progress.state.is_committed() {
@@ -230,7 +233,7 @@
             Some(Err(JournalError::StaleReplicaSet))
         } else if progress.state.is_fenced() {
             Some(Err(JournalError::Fenced))
-        } else if progress.state.cannot_commit_with(&progress.sending) {
+        } else if progress.state.cannot_commit_with(&progress.running_tasks) {
             let failure = progress.last_failure.clone();
             Some(Err(JournalError::NoQuorum(failure)))
         } else {
@@ -239,7 +242,7 @@
     }
 
     fn start_task(self: &Arc<Self>, member: ReplicaMember) {
-        if self.lock().sending.insert(member.replica_id) {
+        if self.lock().running_tasks.insert(member.replica_id) {
             tokio::spawn(Arc::clone(self).write_to(member));
         }
     }
@@ -267,15 +270,14 @@
         let write = progress.state.next_write(member.replica_id);
         let write = write.filter(|_| may_retry);
         if write.is_none() {
-            progress.sending.remove(&member.replica_id);
+            progress.running_tasks.remove(&member.replica_id);
             drop(progress);
             self.changed.send_replace(());
         }
         write
     }
 
-    /// Records the result of a write. Returns whether the replica made progress or rejected this
-    /// writer permanently.
+    /// Records the result of a write. Returns false if the write must be retried after a pause.
     fn record_result(
         &self,
         member: &ReplicaMember,
@@ -283,7 +285,7 @@
         result: Result<ResponseKind, ReplicaFailure>,
     ) -> bool {
         let mut progress = self.lock();
-        let advanced = match result {
+        let settled = match result {
             Ok(ResponseKind::write(reply)) => {
                 progress.state.on_reply(member.replica_id, write, &reply);
                 if reply.replica_id != member.replica_id {
@@ -299,12 +301,14 @@
             }
             Err(failure) => {
                 progress.last_failure = describe_failure(member, &failure);
+                // An earlier version does not support `install_rest`, which omits stored entries.
                 if failure == ReplicaFailure::UnknownRequest {
                     progress.state.on_complete_log_needed(member.replica_id);
                 }
                 let is_stale = failure == ReplicaFailure::StaleReplicaSet;
                 if is_stale {
                     progress.is_set_stale = true;
+                    // Ends the writes to this replica; `is_set_stale` determines the result.
                     progress.state.on_fenced(member.replica_id);
                 }
                 is_stale
@@ -312,7 +316,7 @@
         };
         drop(progress);
         self.changed.send_replace(());
-        advanced
+        settled
     }
 
     pub(super) fn lock(&self) -> MutexGuard<'_, Progress> {
