--- a/crates/journal/src/heartbeat.rs
+++ b/crates/journal/src/heartbeat.rs
@@ -29,7 +29,7 @@
 
 /// Maximum number of consecutive skipped rounds. Bundle evidence from one round must stay valid
 /// until the next.
-const SKIPPED_ROUNDS: u32 = 2;
+const MAX_SKIPPED_ROUNDS: u32 = 2;
 
 /// State shared by the heartbeat rounds.
 pub(crate) struct Heartbeats {
@@ -50,7 +50,7 @@
         let Some(heartbeats) = heartbeats.upgrade() else {
             return;
         };
-        if skipped < SKIPPED_ROUNDS && heartbeats.may_skip() {
+        if skipped < MAX_SKIPPED_ROUNDS && heartbeats.may_skip() {
             skipped += 1;
             continue;
         }
--- a/crates/journal/src/hooks.rs
+++ b/crates/journal/src/hooks.rs
@@ -10,7 +10,7 @@
     /// Returns the bundle evidence that this node sends in its replies to owners' heartbeats.
     fn own_evidence(&self) -> BundleEvidence;
 
-    /// Called when a heartbeat round has ended or reached a quorum, with the evidence of each
+    /// Called when a heartbeat round (one heartbeat to each replica) has ended or reached a quorum, with the evidence of each
     /// replica that has responded so far. `majority` is true if these replicas form a quorum. A
     /// round may be reported twice, the second time with more replies.
     fn heartbeat_round(&self, sent_at: Instant, evidence: Vec<BundleEvidence>, majority: bool);
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -63,7 +63,7 @@
     /// A writer with a higher epoch has taken the log over; this writer must be dropped.
     #[error("fenced by a higher epoch")]
     Fenced,
-    /// No majority responded before the timeout; the outcome of a write is unknown.
+    /// No quorum responded before the timeout; the outcome of a write is unknown.
     #[error("no majority of replicas responded: {0}")]
     NoQuorum(String),
     /// The replica set has changed since this writer took the log over, which must be repeated. The
@@ -80,7 +80,7 @@
     Unresolved,
 }
 
-/// Content of a log as read from a majority.
+/// Content of a log as read from a quorum.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LogSnapshot {
     /// Entries of the log; the last ones may not be committed. Only the first entry if the log is
@@ -102,7 +102,7 @@
     calls: Arc<ReplicaCalls>,
     owned: Arc<WriterRegistry>,
     hooks: HookSlot,
-    /// Kept alive for the tasks, which hold weak references and end once these are dropped.
+    /// The tasks hold weak references and end once these are dropped.
     _heartbeats: Arc<Heartbeats>,
     _monitor: Arc<OrphanMonitor>,
 }
@@ -115,7 +115,7 @@
 
 impl Journal {
     /// Starts the journal on this node, which reaches the other nodes through `peers`. With
-    /// `storage` the node is a replica. Must be called within a tokio runtime.
+    /// `storage` this node can be a replica. Must be called within a tokio runtime.
     pub fn start_with(
         options: impl Into<JournalOptions>,
         process: ProcessId,
@@ -175,7 +175,7 @@
         self.inner.hooks.set(hooks);
     }
 
-    /// Takes a log over: seals it at a majority with a new epoch, then reads it and installs it
+    /// Takes a log over: seals it at a quorum with a new epoch, then reads it and installs it
     /// there. Returns a writer, which may append, and the entries committed so far. Retries only
     /// after an epoch that was too low; the caller must back off with jitter. For monitored logs
     /// heartbeats are sent until the writer is dropped.
@@ -201,12 +201,12 @@
         Err(JournalError::Fenced)
     }
 
-    /// Reads a log from a majority without fencing its writer. `None` if a majority does not know
+    /// Reads a log from a quorum without fencing its writer. `None` if a quorum does not know
     /// the log. The last entries may not be committed yet.
     ///
     /// # Errors
     ///
-    /// `NoQuorum` if no majority responded.
+    /// `NoQuorum` if no quorum responded.
     pub async fn read(&self, log: &str) -> Result<Option<Vec<LogEntry>>, JournalError> {
         let snapshot = self.read_snapshot(log).await?;
         Ok(snapshot.map(|snapshot| snapshot.entries))
@@ -216,7 +216,7 @@
     ///
     /// # Errors
     ///
-    /// `NoQuorum` if no majority responded.
+    /// `NoQuorum` if no quorum responded.
     pub async fn read_snapshot(&self, log: &str) -> Result<Option<LogSnapshot>, JournalError> {
         let calls = &self.inner.calls;
         let set = calls.replica_set()?;
@@ -236,12 +236,12 @@
         }))
     }
 
-    /// Returns the newest description, as known by a majority, of each log whose name starts with
+    /// Returns the newest description, as known by a quorum, of each log whose name starts with
     /// `prefix`.
     ///
     /// # Errors
     ///
-    /// `NoQuorum` if no majority responded.
+    /// `NoQuorum` if no quorum responded.
     pub async fn describe(&self, prefix: &str) -> Result<Vec<LogDescription>, JournalError> {
         let calls = &self.inner.calls;
         let set = calls.replica_set()?;
--- a/crates/journal/src/replica_set/replacement.rs
+++ b/crates/journal/src/replica_set/replacement.rs
@@ -58,7 +58,7 @@
     pub max_poll_interval: Duration,
     /// Number of replicas that the set should have.
     pub target_count: usize,
-    /// Time since which each missing replica, by its id, has been missing.
+    /// Time at which each missing replica, by its id, was first found missing.
     pub missing_since: BTreeMap<u64, Instant>,
     /// Time at which this node last read the record as a non-member.
     pub record_read_at: Option<Instant>,
@@ -141,7 +141,7 @@
             return Ok(());
         };
         if replica_set::is_removed_by_shrink(set, own_id) {
-            let copied = self.copy_to_remaining(set).await?;
+            let copied = self.copy_to_next_members(set).await?;
             log::info!(
                 "event=logs_handed_over version={} logs={copied}",
                 set.version
@@ -174,7 +174,7 @@
         self.target_count.saturating_sub(1).max(MIN_REPLICAS)
     }
 
-    async fn copy_to_remaining(&self, set: &ReplicaSet) -> Result<usize, ReplacementError> {
+    async fn copy_to_next_members(&self, set: &ReplicaSet) -> Result<usize, ReplacementError> {
         let Some(storage) = self.replica_sets.storage() else {
             return Ok(0);
         };
@@ -359,7 +359,7 @@
     members.iter().any(|member| member.replica_id == id)
 }
 
-/// Returns whether enough current replicas are present for a copy.
+/// Returns whether enough current replicas are present to copy the logs from.
 fn can_copy(set: &ReplicaSet, alive: &[Member]) -> bool {
     let present = set
         .current
--- a/crates/journal/src/writer.rs
+++ b/crates/journal/src/writer.rs
@@ -21,7 +21,7 @@
 use super::calls::{ReplicaCalls, ReplicaFailure, describe_failure, transfer_timeout};
 use super::registry::WriterRegistry;
 
-/// Number of failed writes to one replica after which its task ends; the next append starts a new
+/// Number of failed writes to one replica after which the task that writes to it ends; the next append starts a new
 /// task.
 const MAX_FAILURES: u32 = 3;
 
--- a/crates/storage/src/open.rs
+++ b/crates/storage/src/open.rs
@@ -20,7 +20,7 @@
 const NEW_DATABASE_FILE: &str = "journal.redb.new";
 const WATERMARK_FILE: &str = "journal.commits";
 
-/// Limits and retention rules of a store. Retention times count only while the store is open.
+/// Limits and retention rules of a data folder. Retention times count only while the folder is open.
 #[derive(Debug, Clone)]
 pub struct StorageOptions {
     /// Size of the database's page cache in bytes.
