--- a/crates/journal/src/heartbeat.rs
+++ b/crates/journal/src/heartbeat.rs
@@ -36,7 +36,7 @@
     pub node: String,
     pub process: ProcessId,
     pub calls: Arc<ReplicaCalls>,
-    pub owned: Arc<WriterRegistry>,
+    pub registry: Arc<WriterRegistry>,
     pub hooks: HookSlot,
 }
 
@@ -74,7 +74,7 @@
 impl Heartbeats {
     /// Returns whether this node owns no log and the cluster is large.
     fn may_skip(&self) -> bool {
-        self.owned.list().is_empty() && self.calls.peers.alive().len() > SKIP_ABOVE_MEMBERS
+        self.registry.list().is_empty() && self.calls.peers.alive().len() > SKIP_ABOVE_MEMBERS
     }
 
     async fn round(&self) {
@@ -85,7 +85,7 @@
         let heartbeat = OwnerHeartbeat {
             node: self.node.clone(),
             process: self.process,
-            logs: self.owned.list(),
+            logs: self.registry.list(),
         };
         let answers = self.collect_replies(&set, &heartbeat, sent_at).await;
         self.report(sent_at, &set, &answers);
@@ -151,7 +151,7 @@
     fn on_fenced(&self, owned: &OwnedLog, replica: u64) {
         let log = &owned.log;
         let fenced_epoch = WriterEpoch::from(&owned.epoch);
-        let writer = self.owned.find(log);
+        let writer = self.registry.find(log);
         let Some(writer) = writer.filter(|writer| writer.epoch == fenced_epoch) else {
             return;
         };
@@ -161,7 +161,7 @@
         if !writer.on_fenced(replica) {
             return;
         }
-        self.owned.remove(&writer);
+        self.registry.remove(&writer);
         log::info!("event=log_fenced log={log}");
         if let Some(hooks) = self.hooks.get() {
             hooks.fenced(log);
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -100,7 +100,7 @@
     node: String,
     epochs: Mutex<EpochSource>,
     calls: Arc<ReplicaCalls>,
-    owned: Arc<WriterRegistry>,
+    registry: Arc<WriterRegistry>,
     hooks: HookSlot,
     /// The tasks hold weak references and end once these are dropped.
     _heartbeats: Arc<Heartbeats>,
@@ -131,12 +131,12 @@
             timeout: options.round_timeout,
             metrics: JournalMetrics::new(),
         });
-        let owned = Arc::new(WriterRegistry::new(options.monitored_prefix));
+        let registry = Arc::new(WriterRegistry::new(options.monitored_prefix));
         let heartbeats = Arc::new(Heartbeats {
             node: options.node.clone(),
             process,
             calls: Arc::clone(&calls),
-            owned: Arc::clone(&owned),
+            registry: Arc::clone(&registry),
             hooks: hooks.clone(),
         });
         let owner_timeout = options.owner_timeout;
@@ -155,7 +155,7 @@
             node: options.node.clone(),
             epochs: Mutex::new(EpochSource::new(process)),
             calls,
-            owned,
+            registry,
             hooks,
             _heartbeats: heartbeats,
             _monitor: monitor,
@@ -193,8 +193,8 @@
             let entries = self.read_sealed(log, &set, &sealed).await?;
             let state = sealed.into_writer(entries);
             let calls = Arc::clone(&self.inner.calls);
-            let owned = Arc::clone(&self.inner.owned);
-            let writer = LogWriter::install(state, &set, calls, owned).await?;
+            let registry = Arc::clone(&self.inner.registry);
+            let writer = LogWriter::install(state, &set, calls, registry).await?;
             let entries = writer.entries();
             return Ok((writer, entries));
         }
--- a/crates/journal/src/replica_set/mod.rs
+++ b/crates/journal/src/replica_set/mod.rs
@@ -1,4 +1,4 @@
-//! The journal's replica set as known to this node.
+//! The journal's replica set, the nodes that store a copy of each log, as known to this node.
 //!
 //! The set is read from the disk, the key-value service and peers, so that all nodes can restart
 //! while the key-value service is down.
--- a/crates/journal/src/replica_set/zones.rs
+++ b/crates/journal/src/replica_set/zones.rs
@@ -30,7 +30,7 @@
     Some(chosen)
 }
 
-/// Returns the disks of the `alive` nodes, sorted by the number of `present` replicas in their
+/// Returns the candidates among the `alive` nodes, sorted by the number of `present` replicas in their
 /// region, then by the number in their zone.
 pub fn spares_by_need(alive: &[Member], present: &[&Member]) -> Vec<ReplicaMember> {
     let in_zone = |zone: &str| present.iter().filter(|member| member.zone == zone).count();
--- a/crates/transport/src/framing.rs
+++ b/crates/transport/src/framing.rs
@@ -1,4 +1,4 @@
-//! Reads frames from a byte stream.
+//! Reads frames (length, checksum and payload) from a byte stream.
 
 use std::io;
 
