--- a/crates/storage/src/committer.rs
+++ b/crates/storage/src/committer.rs
@@ -63,7 +63,7 @@
     pub fn failed(&self) -> StorageError {
         StorageError::Failed(
             self.failure()
-                .unwrap_or_else(|| "the commit thread has stopped".to_owned()),
+                .unwrap_or_else(|| "no cause is recorded".to_owned()),
         )
     }
 
@@ -123,8 +123,8 @@
             let mut answers = Vec::new();
             if let Err(error) = self.commit(&mut requests, &mut answers) {
                 log::error!("event=storage_failed cause=\"{error}\"");
-                // Set before the requests and answers are dropped, which wakes the callers that read
-                // it.
+                // Set before the remaining requests and answers are dropped, which wakes the callers that
+                // read it.
                 self.shared.set_failure(Some(error.to_string()));
                 drop((requests, answers));
                 if !self.reopen(&mut queue) {
