--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,5 +1,6 @@
-//! The replicated journal: the replica service, quorum calls for writers and readers, and replica
-//! set changes.
+//! The replicated journal: named logs, each written by one owner and stored on a set of replicas.
+//!
+//! Contains the replica service, quorum calls for writers and readers, and replica set changes.
 //!
 //! The protocol's state machines are in the `ladderstage` crate; this crate connects them to disks,
 //! network calls and timers.
@@ -40,7 +41,7 @@
 use heartbeat::Heartbeats;
 use hooks::HookSlot;
 use orphaned::OrphanMonitor;
-use registry::OwnedLogs;
+use registry::WriterRegistry;
 use replica::ReplicaService;
 
 pub use hooks::JournalHooks;
@@ -49,8 +50,8 @@
 pub use peers::Peers;
 pub use writer::LogWriter;
 
-/// Number of epochs that one take-over tries. The first is often too low, as the log's epoch is not
-/// known yet.
+/// Number of epochs that one take-over tries. The first is often too low, as the log's current epoch
+/// is learned only from the replies.
 const SEAL_ATTEMPTS: u32 = 3;
 
 /// Timeout for reading a sealed log from one replica.
@@ -62,7 +63,7 @@
     /// A writer with a higher epoch has taken the log over; this writer must be dropped.
     #[error("fenced by a higher epoch")]
     Fenced,
-    /// No majority responded before the timeout; the outcome of a write is unknown.
+    /// No quorum responded before the timeout; the outcome of a write is unknown.
     #[error("no majority of replicas responded: {0}")]
     NoQuorum(String),
     /// The replica set has changed since this writer took the log over, which must be repeated. The
@@ -79,7 +80,7 @@
     AppendPending,
 }
 
-/// Content of a log as read from a majority.
+/// Content of a log as read from a quorum.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LogSnapshot {
     /// Entries of the log; the last ones may not be committed. Only the first entry if the log is
@@ -99,9 +100,9 @@
     node: String,
     epochs: Mutex<EpochSource>,
     calls: Arc<ReplicaCalls>,
-    owned: Arc<OwnedLogs>,
+    registry: Arc<WriterRegistry>,
     hooks: HookSlot,
-    /// Kept alive for the tasks, which hold weak references and end once these are dropped.
+    /// The tasks hold weak references and end once these are dropped.
     _heartbeats: Arc<Heartbeats>,
     _monitor: Arc<OrphanMonitor>,
 }
@@ -114,7 +115,7 @@
 
 impl Journal {
     /// Starts the journal on this node, which reaches the other nodes through `peers`. With
-    /// `storage` the node is a replica. Must be called within a tokio runtime.
+    /// `storage` this node can be a replica. Must be called within a tokio runtime.
     pub fn start_with(
         options: impl Into<JournalOptions>,
         process: ProcessId,
@@ -130,12 +131,12 @@
             timeout: options.round_timeout,
             metrics: JournalMetrics::new(),
         });
-        let owned = Arc::new(OwnedLogs::new(options.monitored_prefix));
+        let registry = Arc::new(WriterRegistry::new(options.monitored_prefix));
         let heartbeats = Arc::new(Heartbeats {
             node: options.node.clone(),
             process,
             calls: Arc::clone(&calls),
-            owned: Arc::clone(&owned),
+            registry: Arc::clone(&registry),
             hooks: hooks.clone(),
         });
         let owner_timeout = options.owner_timeout;
@@ -154,7 +155,7 @@
             node: options.node.clone(),
             epochs: Mutex::new(EpochSource::new(process)),
             calls,
-            owned,
+            registry,
             hooks,
             _heartbeats: heartbeats,
             _monitor: monitor,
@@ -174,7 +175,7 @@
         self.inner.hooks.set(hooks);
     }
 
-    /// Takes a log over: seals it at a majority with a new epoch, then reads it and installs it
+    /// Takes a log over: seals it at a quorum with a new epoch, then reads it and installs it
     /// there. Returns a writer, which may append, and the entries committed so far. Retries only
     /// after an epoch that was too low; the caller must back off with jitter. For monitored logs
     /// heartbeats are sent until the writer is dropped.
@@ -192,20 +193,20 @@
             let entries = self.read_sealed(log, &set, &sealed).await?;
             let state = sealed.into_writer(entries);
             let calls = Arc::clone(&self.inner.calls);
-            let owned = Arc::clone(&self.inner.owned);
-            let writer = LogWriter::install(state, &set, calls, owned).await?;
+            let registry = Arc::clone(&self.inner.registry);
+            let writer = LogWriter::install(state, &set, calls, registry).await?;
             let entries = writer.entries();
             return Ok((writer, entries));
         }
         Err(JournalError::Fenced)
     }
 
-    /// Reads a log from a majority without fencing its writer. `None` if a majority does not know
+    /// Reads a log from a quorum without fencing its writer. `None` if a quorum does not know
     /// the log. The last entries may not be committed yet.
     ///
     /// # Errors
     ///
-    /// `NoQuorum` if no majority responded.
+    /// `NoQuorum` if no quorum responded.
     pub async fn read(&self, log: &str) -> Result<Option<Vec<LogEntry>>, JournalError> {
         let snapshot = self.read_snapshot(log).await?;
         Ok(snapshot.map(|snapshot| snapshot.entries))
@@ -215,7 +216,7 @@
     ///
     /// # Errors
     ///
-    /// `NoQuorum` if no majority responded.
+    /// `NoQuorum` if no quorum responded.
     pub async fn read_snapshot(&self, log: &str) -> Result<Option<LogSnapshot>, JournalError> {
         let calls = &self.inner.calls;
         let set = calls.replica_set()?;
@@ -235,12 +236,12 @@
         }))
     }
 
-    /// Returns the newest description, as known by a majority, of each log whose name starts with
+    /// Returns the newest description, as known by a quorum, of each log whose name starts with
     /// `prefix`.
     ///
     /// # Errors
     ///
-    /// `NoQuorum` if no majority responded.
+    /// `NoQuorum` if no quorum responded.
     pub async fn describe(&self, prefix: &str) -> Result<Vec<LogDescription>, JournalError> {
         let calls = &self.inner.calls;
         let set = calls.replica_set()?;
